--- a/dataplane/src/main/java/pinewick/dataplane/LoadNews.java
+++ b/dataplane/src/main/java/pinewick/dataplane/LoadNews.java
@@ -21,7 +21,7 @@
     }
 
     /** Every type that this message is made of, in the order of their ids. */
-    static List<Class<?>> types() {
+    public static List<Class<?>> types() {
         return List.of(SharedReport.class, PrefixHint.class, LoadNews.class);
     }
 
