--- a/system/src/test/java/pinewick/system/InternalMessageBytesTest.java
+++ b/system/src/test/java/pinewick/system/InternalMessageBytesTest.java
@@ -1,5 +1,6 @@
 package pinewick.system;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.IOException;
@@ -20,6 +21,7 @@
 import pinewick.model.Message;
 import pinewick.model.SocketAddress;
 import pinewick.replication.ReplicationMessages;
+import pinewick.transport.MalformedFrameException;
 import pinewick.transport.MessageCodec;
 
 /**
@@ -63,12 +65,21 @@
             Class<?> type = types.get(index);
             if (Message.class.isAssignableFrom(type)) {
                 byte[] frame = codec.encode(SENDER_PORT, (Message) sample(type, index));
+                assertArrayEquals(frame, reencode(codec, frame), "read back and written again");
                 lines.add(index + " " + HexFormat.of().formatHex(frame));
             }
         }
         return lines;
     }
 
+    private static byte[] reencode(MessageCodec codec, byte[] frame) {
+        try {
+            return codec.encode(SENDER_PORT, codec.decode(frame, 0, frame.length).message());
+        } catch (MalformedFrameException e) {
+            throw new AssertionError(e);
+        }
+    }
+
     private static List<String> read(String file) throws IOException {
         try (InputStream in = InternalMessageBytesTest.class.getResourceAsStream("/" + file)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
--- a/transport/src/main/java/pinewick/transport/MessageCodec.java
+++ b/transport/src/main/java/pinewick/transport/MessageCodec.java
@@ -2,10 +2,8 @@
 
 import com.esotericsoftware.kryo.Kryo;
 import com.esotericsoftware.kryo.Registration;
-import com.esotericsoftware.kryo.Serializer;
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
-import com.esotericsoftware.kryo.serializers.RecordSerializer;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -67,8 +65,7 @@
 
     private static <T> void register(Kryo kryo, Class<T> type, int id) {
         if (type.isRecord()) {
-            Serializer<T> serializer = new RecordSerializer<>(type);
-            kryo.register(type, serializer, id);
+            kryo.register(type, new MessageRecordSerializer<>(type), id);
         } else {
             kryo.register(type, id);
         }
