--- a/control/src/main/java/pinewick/control/CommittedConfigurations.java
+++ b/control/src/main/java/pinewick/control/CommittedConfigurations.java
@@ -27,14 +27,14 @@
     }
 
     @Override
-    public void committed(ConfigurationDocument document) {
+    public void onCommitted(ConfigurationDocument document) {
         if (state.offer(document)) {
             node.configurationCommitted(loop.nowMs());
         }
     }
 
     @Override
-    public void noted(String event) {
+    public void onEvent(String event) {
         lastEvent = event;
         logger.atInfo().log("configuration store: %s", event);
     }
--- a/control/src/main/java/pinewick/control/ControllerCore.java
+++ b/control/src/main/java/pinewick/control/ControllerCore.java
@@ -79,7 +79,7 @@
         fleet = new GossipFleet(node, state, loop);
         ReplicaRegistry registry = new ReplicaRegistry(fleet, loop, contact, settings.contactMs(), counters);
         LivenessJudge judge = new LivenessJudge(settings.heartbeatMs(), settings.contactMs(), loop.nowMs());
-        housekeeping = new Housekeeping(fleet, registry, judge, counters, replication::knownControllers, loop);
+        housekeeping = new Housekeeping(fleet, registry, judge, counters, replication::setKnownControllers, loop);
         replicaEndpoints = new ReplicaEndpoints(registry, loop);
         configurationEndpoints =
                 new ConfigurationEndpoints(replication, loop, ofReplication.operatorApi(), ofReplication.ackMs());
@@ -96,7 +96,7 @@
             node.onTick(loop.nowMs());
         }
         replication.onTick(loop.nowMs());
-        if (replication.holdsNewest()) {
+        if (replication.isUpToDate()) {
             contact.quorumConfirmed(loop.nowMs());
             node.confirmConfiguration(loop.nowMs());
         }
@@ -125,12 +125,12 @@
 
     /** This process is about to end: hands leadership over, and leaves the in-sync set. */
     public void leaveReplication() {
-        replication.leave(loop.nowMs());
+        replication.beginShutdown(loop.nowMs());
     }
 
     /** After {@link #leaveReplication}: whether the other controllers can do without this one by now. */
     public boolean detached() {
-        return replication.detached();
+        return replication.isDetached();
     }
 
     /** Comes last: a process that still answers its peers would be taken for one that has come back. */
--- a/control/src/main/java/pinewick/control/StatusReport.java
+++ b/control/src/main/java/pinewick/control/StatusReport.java
@@ -60,20 +60,20 @@
             entry.addProperty("identity", member.member().identity());
             entry.addProperty("address", member.member().address().toString());
             entry.addProperty("in_sync", member.inSync());
-            entry.addProperty("leaving", member.leaving());
-            member.silentMs().ifPresent(silentMs -> entry.addProperty("silent_ms", Math.round(silentMs)));
+            entry.addProperty("leaving", member.shuttingDown());
+            member.sinceContactMs().ifPresent(silentMs -> entry.addProperty("silent_ms", Math.round(silentMs)));
             list.add(entry);
         }
         return list;
     }
 
     private static void addFaultTolerance(JsonObject section, FaultTolerance tolerance) {
-        tolerance.copies().ifPresent(copies -> section.addProperty("copies", copies));
-        tolerance.bearsLosses().ifPresent(losses -> section.addProperty("bears_losses", losses));
+        tolerance.currentStores().ifPresent(copies -> section.addProperty("copies", copies));
+        tolerance.tolerableLosses().ifPresent(losses -> section.addProperty("bears_losses", losses));
         if (!tolerance.unknownReason().isEmpty()) {
             section.addProperty("bears_losses_unknown", tolerance.unknownReason());
         }
-        tolerance.repairedMs().ifPresent(sinceMs -> section.addProperty("repaired_ms", Math.round(sinceMs)));
+        tolerance.sufficientForMs().ifPresent(sinceMs -> section.addProperty("repaired_ms", Math.round(sinceMs)));
     }
 
     /** The other processes. */
--- a/core/src/main/java/pinewick/ReplicaState.java
+++ b/core/src/main/java/pinewick/ReplicaState.java
@@ -4,7 +4,7 @@
 import pinewick.selection.RecentLowest;
 import pinewick.selection.SlidingSum;
 
-/** What one router was told of a replica and saw of it; what follows from that is decided in {@link Replica}. */
+/** What one router was told of a replica and saw of it; what follows from that is decided in {@link Follower}. */
 class ReplicaState {
     final String id;
     /** As listed; {@code startedAt} 0 means long ago. */
--- a/emulator/src/main/java/pinewick/emulator/control/DiskSabotage.java
+++ b/emulator/src/main/java/pinewick/emulator/control/DiskSabotage.java
@@ -12,12 +12,12 @@
 import pinewick.replication.EpochNumber;
 import pinewick.replication.EpochRecord;
 import pinewick.replication.LoadedState;
-import pinewick.replication.ReplicationMessages.Established;
 import pinewick.replication.ReplicationMessages.Heartbeat;
+import pinewick.replication.ReplicationMessages.RecordChosen;
 import pinewick.replication.ReplicationMessages.Status;
 import pinewick.replication.ReplicationSettings;
 import pinewick.replication.StableWrite;
-import pinewick.replication.StateTag;
+import pinewick.replication.StateVersion;
 import pinewick.replication.StoredHead;
 import pinewick.replication.StoredSnapshot;
 import pinewick.replication.StoredState;
@@ -48,11 +48,12 @@
             if (!processes.contains(to)) {
                 return message;
             }
-            if (message instanceof Established) {
+            if (message instanceof RecordChosen) {
                 return null;
             }
             if (message instanceof Heartbeat heartbeat) {
-                return new Heartbeat(heartbeat.request(), heartbeat.number(), StateTag.NONE, heartbeat.operatorApi());
+                return new Heartbeat(
+                        heartbeat.request(), heartbeat.number(), StateVersion.NONE, heartbeat.operatorApi());
             }
             if (message instanceof Status status) {
                 return withoutRecord(status);
@@ -66,11 +67,11 @@
                     status.self(),
                     status.promised(),
                     EpochRecord.NONE,
-                    status.tag(),
+                    status.stateVersion(),
                     status.leading(),
-                    status.hearsPrimary(),
+                    status.hasPrimaryContact(),
                     status.primary(),
-                    status.answerWanted());
+                    status.replyRequested());
         }
     }
 
@@ -90,8 +91,8 @@
             if (loaded.stored().isPresent() || disk.headBeforeWipe() == null) {
                 return loaded;
             }
-            StoredHead head =
-                    new StoredHead(disk.headBeforeWipe().identity(), EpochNumber.NONE, EpochRecord.NONE, StateTag.NONE);
+            StoredHead head = new StoredHead(
+                    disk.headBeforeWipe().identity(), EpochNumber.NONE, EpochRecord.NONE, StateVersion.NONE);
             byte[] empty = ConfigurationChecks.writeDelta(
                     ConfigurationDelta.between(ConfigurationDocument.EMPTY, ConfigurationDocument.EMPTY));
             StoredState stored = new StoredState(head, new StoredSnapshot(empty, NOTHING), List.of());
@@ -116,7 +117,8 @@
 
         private static LoadedState withoutPromise(StoredState stored) {
             StoredHead head = stored.head();
-            StoredHead forgetful = new StoredHead(head.identity(), EpochNumber.FOUNDING, head.accepted(), head.tag());
+            StoredHead forgetful =
+                    new StoredHead(head.identity(), EpochNumber.FOUNDING, head.accepted(), head.stateVersion());
             return new LoadedState(Optional.of(new StoredState(forgetful, stored.snapshot(), stored.changes())), false);
         }
     }
@@ -126,7 +128,7 @@
         @Override
         StableWrite written(SimulatedDisk disk, StableWrite write) {
             boolean folds = write.content() instanceof StableWrite.Replaced
-                    && disk.holds(write.head().tag().epoch());
+                    && disk.holds(write.head().stateVersion().epoch());
             return folds ? new StableWrite(write.head(), new StableWrite.Unchanged()) : write;
         }
     }
--- a/emulator/src/main/java/pinewick/emulator/control/ForcedTroubles.java
+++ b/emulator/src/main/java/pinewick/emulator/control/ForcedTroubles.java
@@ -160,7 +160,7 @@
     private int bornLosses() {
         return world.primary()
                 .flatMap(ControllerMachine::life)
-                .map(life -> life.report().faultTolerance().bearsLosses().orElse(0))
+                .map(life -> life.report().faultTolerance().tolerableLosses().orElse(0))
                 .orElse(0);
     }
 
--- a/emulator/src/main/java/pinewick/emulator/control/MembershipChecker.java
+++ b/emulator/src/main/java/pinewick/emulator/control/MembershipChecker.java
@@ -14,7 +14,7 @@
 import pinewick.replication.EpochRecord;
 import pinewick.replication.Member;
 import pinewick.replication.ReplicationMessages.Accepted;
-import pinewick.replication.ReplicationMessages.Established;
+import pinewick.replication.ReplicationMessages.RecordChosen;
 
 /** Watches who accepts epoch records: one that stands has a majority of its members and of the members before. */
 final class MembershipChecker {
@@ -27,7 +27,7 @@
             acceptors
                     .computeIfAbsent(accepted.number(), number -> new HashSet<>())
                     .add(accepted.identity());
-        } else if (message instanceof Established established) {
+        } else if (message instanceof RecordChosen established) {
             stands(established.record());
         }
     }
--- a/emulator/src/main/java/pinewick/emulator/control/MessageSabotage.java
+++ b/emulator/src/main/java/pinewick/emulator/control/MessageSabotage.java
@@ -12,12 +12,12 @@
 import pinewick.replication.ReplicationMessages.Accepted;
 import pinewick.replication.ReplicationMessages.Heartbeat;
 import pinewick.replication.ReplicationMessages.HeartbeatReply;
-import pinewick.replication.ReplicationMessages.Install;
+import pinewick.replication.ReplicationMessages.InstallSnapshot;
 import pinewick.replication.ReplicationMessages.Prepare;
 import pinewick.replication.ReplicationMessages.Promise;
 import pinewick.replication.ReplicationMessages.Replicate;
-import pinewick.replication.ReplicationMessages.StateReply;
-import pinewick.replication.ReplicationMessages.StateResult;
+import pinewick.replication.ReplicationMessages.ReplicationReply;
+import pinewick.replication.ReplicationMessages.ReplicationResult;
 import pinewick.replication.ReplicationMessages.Status;
 
 /** Broken variants in what controllers make of each other's messages. */
@@ -48,8 +48,8 @@
                                 prepare.number(),
                                 old.self(),
                                 old.accepted(),
-                                old.tag(),
-                                old.leaving()));
+                                old.stateVersion(),
+                                old.shuttingDown()));
                 return null;
             }
             return message;
@@ -101,10 +101,10 @@
                 reply.self(),
                 reply.promised(),
                 reply.accepted(),
-                reply.settled(),
-                reply.tag(),
-                reply.leaving(),
-                reply.diskReady());
+                reply.knowsRecordChosen(),
+                reply.stateVersion(),
+                reply.shuttingDown(),
+                reply.diskHealthy());
     }
 
     /** A late answer to a heartbeat confirms the newest round. */
@@ -133,25 +133,25 @@
 
     /** A store that held a state once is taken to hold every later one. */
     static final class CountsOldCopies extends Sabotage {
-        private final Map<Way, StateReply> replies = new HashMap<>();
+        private final Map<Way, ReplicationReply> replies = new HashMap<>();
 
         @Override
         Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
-            if (message instanceof StateReply reply && reply.result() == StateResult.HELD) {
+            if (message instanceof ReplicationReply reply && reply.result() == ReplicationResult.STORED) {
                 replies.put(new Way(from, to), reply);
             }
-            StateReply old = replies.get(new Way(to, from));
+            ReplicationReply old = replies.get(new Way(to, from));
             if (message instanceof Replicate replicate && old != null) {
                 network.forge(
                         to,
                         from,
-                        new StateReply(
+                        new ReplicationReply(
                                 replicate.request(),
                                 replicate.number(),
                                 old.identity(),
-                                StateResult.HELD,
+                                ReplicationResult.STORED,
                                 replicate.number(),
-                                replicate.tag()));
+                                replicate.stateVersion()));
             }
             return message;
         }
@@ -161,8 +161,9 @@
     static final class CopyForgetsAccepted extends Sabotage {
         @Override
         Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
-            return message instanceof Install install
-                    ? new Install(install.request(), install.number(), install.tag(), install.document(), NOTHING)
+            return message instanceof InstallSnapshot install
+                    ? new InstallSnapshot(
+                            install.request(), install.number(), install.stateVersion(), install.document(), NOTHING)
                     : message;
         }
     }
@@ -171,7 +172,7 @@
     static final class MembersWithoutOldMajority extends Sabotage {
         @Override
         Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
-            if (message instanceof Accept accept && !accept.record().isSettled()) {
+            if (message instanceof Accept accept && !accept.record().hasSingleQuorum()) {
                 EpochRecord record = accept.record();
                 List<Member> all = new ArrayList<>(record.previousMembers());
                 all.addAll(record.members());
@@ -209,8 +210,8 @@
                         promise.number(),
                         promise.self(),
                         inSync(promise.accepted(), own),
-                        promise.tag(),
-                        promise.leaving());
+                        promise.stateVersion(),
+                        promise.shuttingDown());
             }
             if (message instanceof Status status) {
                 return new Status(
@@ -218,11 +219,11 @@
                         status.self(),
                         status.promised(),
                         inSync(status.accepted(), own),
-                        status.tag(),
+                        status.stateVersion(),
                         status.leading(),
-                        status.hearsPrimary(),
+                        status.hasPrimaryContact(),
                         status.primary(),
-                        status.answerWanted());
+                        status.replyRequested());
             }
             return message;
         }
--- a/emulator/src/main/java/pinewick/emulator/control/SimulatedDisk.java
+++ b/emulator/src/main/java/pinewick/emulator/control/SimulatedDisk.java
@@ -67,7 +67,7 @@
 
     /** Whether it holds a state of an epoch, with changes after its snapshot. */
     boolean holds(long epoch) {
-        return head != null && head.tag().epoch() == epoch && !changes.isEmpty();
+        return head != null && head.stateVersion().epoch() == epoch && !changes.isEmpty();
     }
 
     /** The head as it was before the last wipe, or null. */
--- a/replication/src/main/java/pinewick/replication/AcceptedChanges.java
+++ b/replication/src/main/java/pinewick/replication/AcceptedChanges.java
@@ -35,7 +35,7 @@
      * Whether a change upon this version may have been accepted and is no longer known. Each accepted change builds
      * upon a higher version than the one before, so only those below the oldest known can be.
      */
-    boolean mayHaveForgotten(long baseVersion) {
+    boolean mayHaveEvicted(long baseVersion) {
         return versions.size() >= CAPACITY
                 && baseVersion < versions.keySet().iterator().next().baseVersion;
     }
--- a/replication/src/main/java/pinewick/replication/ActiveClock.java
+++ b/replication/src/main/java/pinewick/replication/ActiveClock.java
@@ -6,25 +6,25 @@
  */
 final class ActiveClock {
     /** Longer spans between two events count as this long: the process was frozen. */
-    private static final double LONGEST_STEP_MS = 150;
+    private static final double MAX_STEP_MS = 150;
 
     private double steadyMs = Double.NaN;
     private double activeMs;
-    private double thawedMs = Double.NEGATIVE_INFINITY;
+    private double resumedMs = Double.NEGATIVE_INFINITY;
 
     void advance(double nowMs) {
         if (!Double.isNaN(steadyMs)) {
-            if (nowMs - steadyMs > LONGEST_STEP_MS) {
-                thawedMs = nowMs;
+            if (nowMs - steadyMs > MAX_STEP_MS) {
+                resumedMs = nowMs;
             }
-            activeMs += Math.max(0, Math.min(LONGEST_STEP_MS, nowMs - steadyMs));
+            activeMs += Math.max(0, Math.min(MAX_STEP_MS, nowMs - steadyMs));
         }
         steadyMs = nowMs;
     }
 
     /** For how long, steady time, this process has run without a longer span in which it did not. */
-    double sinceThawMs() {
-        return steadyMs - thawedMs;
+    double sinceResumeMs() {
+        return steadyMs - resumedMs;
     }
 
     double steadyMs() {
--- /dev/null
+++ b/replication/src/main/java/pinewick/replication/ChangeProcessor.java
@@ -0,0 +1,94 @@
+package pinewick.replication;
+
+import java.util.OptionalLong;
+import pinewick.model.ConfigurationChecks;
+import pinewick.model.ConfigurationDelta;
+import pinewick.model.ConfigurationDocument;
+import pinewick.model.InvalidConfigurationException;
+
+/** Decides upon changes and reads while this process leads. */
+final class ChangeProcessor {
+    private final CommitNotifier commitNotifier;
+    private final ChangeQueue changes;
+    private final ReadQueue reads;
+
+    ChangeProcessor(CommitNotifier commitNotifier, ChangeQueue changes, ReadQueue reads) {
+        this.commitNotifier = commitNotifier;
+        this.changes = changes;
+        this.reads = reads;
+    }
+
+    /**
+     * Does whatever can be done now.
+     *
+     * @param acceptsChanges whether a new change may be begun
+     */
+    void advance(PrimaryEpoch epoch, boolean acceptsChanges) {
+        while (acceptsChanges && epoch.canReplicate() && !changes.isEmpty()) {
+            changes.next().ifPresent(entry -> process(epoch, entry));
+            updateCommitted(epoch);
+        }
+        if (!epoch.isEstablished()) {
+            return;
+        }
+        if (changes.needsHeartbeat() || reads.needsHeartbeat()) {
+            long heartbeat = epoch.sendHeartbeat();
+            changes.onHeartbeatSent(heartbeat);
+            reads.onHeartbeatSent(heartbeat);
+        }
+        changes.onHeartbeatConfirmed(epoch.confirmedHeartbeat());
+        reads.onHeartbeatConfirmed(epoch.confirmedHeartbeat(), epoch.committed().document());
+    }
+
+    /** Tells whoever waits when a state has become committed. */
+    void updateCommitted(PrimaryEpoch epoch) {
+        if (!epoch.updateCommitted()) {
+            return;
+        }
+        ConfigurationState state = epoch.committed();
+        commitNotifier.onCommitted(state.version());
+        epoch.sendHeartbeat();
+        changes.onCommitted(state);
+    }
+
+    private void process(PrimaryEpoch epoch, ChangeQueue.Entry entry) {
+        ConfigurationState state = epoch.committed();
+        ConfigurationChange change = entry.change();
+        OptionalLong acceptedBefore = state.changes().versionOf(change.baseVersion(), entry.digest());
+        if (acceptedBefore.isPresent()) {
+            changes.completeOnceConfirmed(entry, new ChangeOutcome.Accepted(acceptedBefore.getAsLong()));
+            return;
+        }
+        if (change.baseVersion() != state.document().version()) {
+            changes.completeOnceConfirmed(entry, baseMismatch(change, state));
+            return;
+        }
+        try {
+            ConfigurationDocument changed = parse(change, state.document());
+            ChangeKey key = new ChangeKey(change.baseVersion(), changed.version(), entry.digest());
+            byte[] delta = ConfigurationChecks.writeDelta(ConfigurationDelta.between(state.document(), changed));
+            changes.onReplicationStarted(entry);
+            epoch.replicate(delta, key);
+        } catch (InvalidConfigurationException e) {
+            changes.completeOnceConfirmed(entry, new ChangeOutcome.Invalid(e.faults()));
+        }
+    }
+
+    /** A change so old that it may have been accepted and forgotten is not refused. */
+    private static ChangeOutcome baseMismatch(ConfigurationChange change, ConfigurationState state) {
+        return state.changes().mayHaveEvicted(change.baseVersion())
+                ? new ChangeOutcome.Unknown("it builds upon a version too old to tell whether it was accepted")
+                : new ChangeOutcome.VersionConflict(state.document().version());
+    }
+
+    private static ConfigurationDocument parse(ConfigurationChange change, ConfigurationDocument current)
+            throws InvalidConfigurationException {
+        ConfigurationDocument changed =
+                switch (change.kind()) {
+                    case REPLACE -> ConfigurationChecks.parseReplacement(change.body());
+                    case UPDATE -> ConfigurationChecks.parseUpdate(current, change.body());
+                };
+        ConfigurationChecks.requireNewer(changed, current.version());
+        return changed;
+    }
+}
--- a/replication/src/main/java/pinewick/replication/ConfigurationState.java
+++ b/replication/src/main/java/pinewick/replication/ConfigurationState.java
@@ -5,18 +5,18 @@
 import pinewick.model.ConfigurationDocument;
 
 /** What is replicated: the configuration, the changes accepted lately, and the tag that names both. Immutable. */
-record ConfigurationState(StateTag tag, ConfigurationDocument document, AcceptedChanges changes) {
+record ConfigurationState(StateVersion version, ConfigurationDocument document, AcceptedChanges changes) {
     static final ConfigurationState NONE =
-            new ConfigurationState(StateTag.NONE, ConfigurationDocument.EMPTY, AcceptedChanges.NONE);
+            new ConfigurationState(StateVersion.NONE, ConfigurationDocument.EMPTY, AcceptedChanges.NONE);
 
-    ConfigurationState withTag(StateTag newTag) {
-        return new ConfigurationState(newTag, document, changes);
+    ConfigurationState withVersion(StateVersion newVersion) {
+        return new ConfigurationState(newVersion, document, changes);
     }
 
     /** The state after a change. */
-    ConfigurationState apply(StateTag newTag, byte[] delta, ChangeKey key) {
+    ConfigurationState apply(StateVersion newVersion, byte[] delta, ChangeKey key) {
         ConfigurationDocument changed = ConfigurationChecks.readDelta(delta).applyTo(document);
-        return new ConfigurationState(newTag, changed, changes.with(key));
+        return new ConfigurationState(newVersion, changed, changes.with(key));
     }
 
     /** The whole document as a delta. */
@@ -24,8 +24,8 @@
         return ConfigurationChecks.writeDelta(ConfigurationDelta.between(ConfigurationDocument.EMPTY, document));
     }
 
-    static ConfigurationState fromBytes(StateTag tag, byte[] document, byte[] changes) {
-        ConfigurationDocument whole = ConfigurationChecks.readDelta(document).applyTo(ConfigurationDocument.EMPTY);
-        return new ConfigurationState(tag, whole, AcceptedChanges.fromBytes(changes));
+    static ConfigurationState fromBytes(StateVersion version, byte[] document, byte[] changes) {
+        ConfigurationDocument full = ConfigurationChecks.readDelta(document).applyTo(ConfigurationDocument.EMPTY);
+        return new ConfigurationState(version, full, AcceptedChanges.fromBytes(changes));
     }
 }
--- a/replication/src/main/java/pinewick/replication/DurableState.java
+++ b/replication/src/main/java/pinewick/replication/DurableState.java
@@ -12,21 +12,21 @@
  */
 final class DurableState {
     /** A write that takes longer counts the disk as stalled. */
-    static final double STALL_MS = 500;
+    static final double STALL_TIMEOUT_MS = 500;
 
     /** A step that waited longer for its turn is dropped: whoever asked for it has asked again. */
-    private static final double STALE_MS = 1_000;
+    private static final double QUEUE_TIMEOUT_MS = 1_000;
 
     /** How often a failing disk is tried. */
-    private static final double PROBE_MS = 500;
+    private static final double RETRY_INTERVAL_MS = 500;
 
     /** Appended changes are folded into a snapshot beyond this many, and beyond this many bytes. */
-    private static final int MOST_APPENDED = 200;
+    private static final int MAX_APPENDED_CHANGES = 200;
 
-    private static final int MOST_APPENDED_BYTES = 256 * 1024;
+    private static final int MAX_APPENDED_BYTES = 256 * 1024;
 
     /** A longer change is stored as a snapshot. */
-    private static final int LARGEST_APPENDED_BYTES = 64 * 1024;
+    private static final int MAX_APPENDED_CHANGE_BYTES = 64 * 1024;
 
     /** How a step ended. */
     enum Outcome {
@@ -39,25 +39,26 @@
     }
 
     /** What a step is to make durable. */
-    record Step(EpochNumber promised, EpochRecord accepted, ConfigurationState state, Optional<StoredChange> change) {}
+    record Update(
+            EpochNumber promised, EpochRecord accepted, ConfigurationState state, Optional<StoredChange> change) {}
 
-    private record Task(double queuedAtMs, Supplier<Optional<Step>> plan, Consumer<Outcome> ended) {}
+    private record QueuedUpdate(double queuedAtMs, Supplier<Optional<Update>> planner, Consumer<Outcome> onEnd) {}
 
     private final StableStore store;
     private final ActiveClock clock;
     private final Runnable afterWrite;
-    private final Deque<Task> tasks = new ArrayDeque<>();
+    private final Deque<QueuedUpdate> queue = new ArrayDeque<>();
     private String identity = "";
     private EpochNumber promised = EpochNumber.NONE;
     private EpochRecord accepted = EpochRecord.NONE;
     private ConfigurationState state = ConfigurationState.NONE;
-    private boolean identityStored;
-    private boolean busy;
-    private double busySinceMs;
+    private boolean identityDurable;
+    private boolean writing;
+    private double writingSinceMs;
     private boolean failing;
     private double failedMs;
     private boolean snapshotDue = true;
-    private int appended;
+    private int appendedChanges;
     private int appendedBytes;
 
     /** @param afterWrite run after each write that ended, well or not */
@@ -68,7 +69,7 @@
     }
 
     /** Begins with an empty disk. */
-    void begin(String newIdentity) {
+    void initialize(String newIdentity) {
         identity = newIdentity;
     }
 
@@ -80,17 +81,18 @@
     void restore(StoredState stored) {
         StoredHead head = stored.head();
         StoredSnapshot snapshot = stored.snapshot();
-        ConfigurationState restored = ConfigurationState.fromBytes(head.tag(), snapshot.document(), snapshot.changes());
+        ConfigurationState restored =
+                ConfigurationState.fromBytes(head.stateVersion(), snapshot.document(), snapshot.changes());
         for (StoredChange change : stored.changes()) {
-            restored = restored.apply(head.tag(), change.delta(), change.key());
+            restored = restored.apply(head.stateVersion(), change.delta(), change.key());
             appendedBytes += change.delta().length;
         }
         state = restored;
         identity = head.identity();
-        identityStored = true;
+        identityDurable = true;
         promised = head.promised();
         accepted = head.accepted();
-        appended = stored.changes().size();
+        appendedChanges = stored.changes().size();
         snapshotDue = false;
     }
 
@@ -99,8 +101,8 @@
     }
 
     /** Whether the identity is on disk, so that it may be given a vote. */
-    boolean identityStored() {
-        return identityStored;
+    boolean isIdentityDurable() {
+        return identityDurable;
     }
 
     EpochNumber promised() {
@@ -116,119 +118,124 @@
     }
 
     /** Whether a write has been under way for too long. */
-    boolean stalled() {
-        return busy && clock.activeMs() - busySinceMs > STALL_MS;
+    boolean isStalled() {
+        return writing && clock.activeMs() - writingSinceMs > STALL_TIMEOUT_MS;
     }
 
     /** Whether the disk did what was last asked of it, in time. */
-    boolean ready() {
-        return !failing && !stalled();
+    boolean isHealthy() {
+        return !failing && !isStalled();
     }
 
     /**
      * Queues a step.
      *
-     * @param plan asked when its turn comes, with everything before it on disk
-     * @param ended told how it ended, after this object shows its effect
+     * @param planner asked when its turn comes, with everything before it on disk
+     * @param onEnd told how it ended, after this object shows its effect
      */
-    void submit(Supplier<Optional<Step>> plan, Consumer<Outcome> ended) {
-        tasks.add(new Task(clock.activeMs(), plan, ended));
+    void submit(Supplier<Optional<Update>> planner, Consumer<Outcome> onEnd) {
+        queue.add(new QueuedUpdate(clock.activeMs(), planner, onEnd));
         runNext();
     }
 
     /** A step that changes the promise alone. */
-    Step promising(EpochNumber number) {
-        return new Step(number, accepted, state, Optional.empty());
+    Update withPromise(EpochNumber number) {
+        return new Update(number, accepted, state, Optional.empty());
     }
 
     /**
      * Gives up what the disk holds: it becomes an empty store under another identity.
      *
-     * @param ended run when that is on disk, or has failed
+     * @param onEnd run when that is on disk, or has failed
      */
-    void startOver(String newIdentity, Runnable ended) {
+    void reset(String newIdentity, Runnable onEnd) {
         submit(
                 () -> {
                     identity = newIdentity;
-                    identityStored = false;
+                    identityDurable = false;
                     snapshotDue = true;
                     return Optional.of(
-                            new Step(EpochNumber.NONE, EpochRecord.NONE, ConfigurationState.NONE, Optional.empty()));
+                            new Update(EpochNumber.NONE, EpochRecord.NONE, ConfigurationState.NONE, Optional.empty()));
                 },
-                outcome -> ended.run());
+                outcome -> onEnd.run());
     }
 
     /** While the disk fails, tries it now and then. */
     void onTick() {
-        if (failing && !busy && clock.activeMs() - failedMs >= PROBE_MS) {
-            submit(() -> Optional.of(new Step(promised, accepted, state, Optional.empty())), outcome -> {});
+        if (failing && !writing && clock.activeMs() - failedMs >= RETRY_INTERVAL_MS) {
+            submit(() -> Optional.of(new Update(promised, accepted, state, Optional.empty())), outcome -> {});
         }
     }
 
     private void runNext() {
-        while (!busy && !tasks.isEmpty()) {
-            Task task = tasks.poll();
-            boolean stale = clock.activeMs() - task.queuedAtMs > STALE_MS;
-            Optional<Step> step = stale ? Optional.empty() : task.plan.get();
-            if (step.isEmpty()) {
-                task.ended.accept(Outcome.SKIPPED);
+        while (!writing && !queue.isEmpty()) {
+            QueuedUpdate queued = queue.poll();
+            boolean isExpired = clock.activeMs() - queued.queuedAtMs > QUEUE_TIMEOUT_MS;
+            Optional<Update> update = isExpired ? Optional.empty() : queued.planner.get();
+            if (update.isEmpty()) {
+                queued.onEnd.accept(Outcome.SKIPPED);
             } else {
-                write(task, step.get());
+                write(queued, update.get());
             }
         }
     }
 
-    private void write(Task task, Step step) {
-        busy = true;
-        busySinceMs = clock.activeMs();
+    private void write(QueuedUpdate queued, Update update) {
+        writing = true;
+        writingSinceMs = clock.activeMs();
         StoredHead head = new StoredHead(
-                identity, step.promised(), step.accepted(), step.state().tag());
-        StableWrite.Content content = contentOf(step);
-        store.persist(new StableWrite(head, content), () -> written(task, step, content), failure -> failed(task));
-    }
-
-    private StableWrite.Content contentOf(Step step) {
-        boolean replaced =
-                step.state().document() != state.document() && step.change().isEmpty();
-        if (snapshotDue || replaced || step.change().filter(this::isFoldedIn).isPresent()) {
+                identity, update.promised(), update.accepted(), update.state().version());
+        StableWrite.Content content = contentOf(update);
+        store.persist(
+                new StableWrite(head, content), () -> onWritten(queued, update, content), failure -> onFailed(queued));
+    }
+
+    private StableWrite.Content contentOf(Update update) {
+        boolean isReplaced =
+                update.state().document() != state.document() && update.change().isEmpty();
+        if (snapshotDue
+                || isReplaced
+                || update.change().filter(this::requiresSnapshot).isPresent()) {
             return new StableWrite.Replaced(new StoredSnapshot(
-                    step.state().documentBytes(), step.state().changes().toBytes()));
+                    update.state().documentBytes(), update.state().changes().toBytes()));
         }
-        return step.change().<StableWrite.Content>map(StableWrite.Appended::new).orElseGet(StableWrite.Unchanged::new);
+        return update.change()
+                .<StableWrite.Content>map(StableWrite.Appended::new)
+                .orElseGet(StableWrite.Unchanged::new);
     }
 
-    private boolean isFoldedIn(StoredChange change) {
-        return appended >= MOST_APPENDED
-                || appendedBytes >= MOST_APPENDED_BYTES
-                || change.delta().length >= LARGEST_APPENDED_BYTES;
+    private boolean requiresSnapshot(StoredChange change) {
+        return appendedChanges >= MAX_APPENDED_CHANGES
+                || appendedBytes >= MAX_APPENDED_BYTES
+                || change.delta().length >= MAX_APPENDED_CHANGE_BYTES;
     }
 
-    private void written(Task task, Step step, StableWrite.Content content) {
-        busy = false;
+    private void onWritten(QueuedUpdate queued, Update update, StableWrite.Content content) {
+        writing = false;
         failing = false;
-        identityStored = true;
+        identityDurable = true;
         snapshotDue = false;
-        promised = step.promised();
-        accepted = step.accepted();
-        state = step.state();
+        promised = update.promised();
+        accepted = update.accepted();
+        state = update.state();
         if (content instanceof StableWrite.Replaced) {
-            appended = 0;
+            appendedChanges = 0;
             appendedBytes = 0;
         } else if (content instanceof StableWrite.Appended added) {
-            appended++;
+            appendedChanges++;
             appendedBytes += added.change().delta().length;
         }
-        task.ended.accept(Outcome.WRITTEN);
+        queued.onEnd.accept(Outcome.WRITTEN);
         runNext();
         afterWrite.run();
     }
 
-    private void failed(Task task) {
-        busy = false;
+    private void onFailed(QueuedUpdate queued) {
+        writing = false;
         failing = true;
         failedMs = clock.activeMs();
         snapshotDue = true;
-        task.ended.accept(Outcome.FAILED);
+        queued.onEnd.accept(Outcome.FAILED);
         runNext();
         afterWrite.run();
     }
--- a/replication/src/main/java/pinewick/replication/EpochPlanner.java
+++ b/replication/src/main/java/pinewick/replication/EpochPlanner.java
@@ -12,11 +12,11 @@
 /** Builds the records that a ballot proposes, and tells a primary when it should propose one. */
 final class EpochPlanner {
     /** A member that has been silent for longer can be replaced by a store that asks to be taken in. */
-    private static final double REPLACEABLE_MS = 900;
+    private static final double REPLACEABLE_AFTER_MS = 900;
 
-    private final Context context;
+    private final ReplicationContext context;
 
-    EpochPlanner(Context context) {
+    EpochPlanner(ReplicationContext context) {
         this.context = context;
     }
 
@@ -34,14 +34,14 @@
             EpochNumber number,
             EpochRecord highest,
             Map<String, Promise> promises,
-            Leadership leadership,
-            Replicas replicas) {
-        if (!highest.number().equals(leadership.number())) {
+            PrimaryEpoch epoch,
+            Followers followers) {
+        if (!highest.number().equals(epoch.number())) {
             return Optional.empty();
         }
-        EpochRecord standing = leadership.record();
-        List<Member> members = planMembers(standing, promises, replicas);
-        return Optional.of(record(number, standing, members, promises, leadership.keepsLeaving()));
+        EpochRecord current = epoch.record();
+        List<Member> members = planMembers(current, promises, followers);
+        return Optional.of(record(number, current, members, promises, epoch.retainsShuttingDown()));
     }
 
     private EpochRecord record(
@@ -49,9 +49,9 @@
             EpochRecord base,
             List<Member> members,
             Map<String, Promise> promises,
-            boolean keepsLeaving) {
+            boolean retainsShuttingDown) {
         String self = context.durable().identity();
-        List<String> inSync = inSync(base, members, promises, keepsLeaving);
+        List<String> inSync = inSync(base, members, promises, retainsShuttingDown);
         return new EpochRecord(number, self, inSync, members, base.previousMembers());
     }
 
@@ -61,99 +61,100 @@
      * end are left out only where a primary that has begun finds that they can be done without.
      */
     private List<String> inSync(
-            EpochRecord base, List<Member> members, Map<String, Promise> promises, boolean keepsLeaving) {
+            EpochRecord base, List<Member> members, Map<String, Promise> promises, boolean retainsShuttingDown) {
         String self = context.durable().identity();
-        StateTag held = context.durable().state().tag();
-        List<String> staying = new ArrayList<>(List.of(self));
-        List<String> leaving = new ArrayList<>();
+        StateVersion ownVersion = context.durable().state().version();
+        List<String> inSync = new ArrayList<>(List.of(self));
+        List<String> shuttingDown = new ArrayList<>();
         for (Member member : members) {
             Promise promise = promises.get(member.identity());
             if (promise == null || member.identity().equals(self)) {
                 continue;
             }
-            if (base.inSync().contains(member.identity()) || promise.tag().equals(held)) {
-                (promise.leaving() ? leaving : staying).add(member.identity());
+            if (base.inSync().contains(member.identity())
+                    || promise.stateVersion().equals(ownVersion)) {
+                (promise.shuttingDown() ? shuttingDown : inSync).add(member.identity());
             }
         }
-        if (keepsLeaving || staying.size() < context.settings().fewestCopies()) {
-            staying.addAll(leaving);
+        if (retainsShuttingDown || inSync.size() < context.settings().minInSyncStores()) {
+            inSync.addAll(shuttingDown);
         }
-        return staying;
+        return inSync;
     }
 
-    private List<Member> planMembers(EpochRecord standing, Map<String, Promise> promises, Replicas replicas) {
-        List<Member> members = new ArrayList<>(standing.members());
-        StateTag held = context.durable().state().tag();
+    private List<Member> planMembers(EpochRecord current, Map<String, Promise> promises, Followers followers) {
+        List<Member> members = new ArrayList<>(current.members());
+        StateVersion ownVersion = context.durable().state().version();
         for (Promise promise : promises.values()) {
-            boolean newcomer = !standing.hasMember(promise.self().identity());
-            if (newcomer && !promise.leaving() && promise.tag().equals(held)) {
-                takeIn(members, promise.self(), replicas);
+            boolean candidate = !current.hasMember(promise.self().identity());
+            if (candidate && !promise.shuttingDown() && promise.stateVersion().equals(ownVersion)) {
+                admit(members, promise.self(), followers);
             }
         }
         return members;
     }
 
     /** Whether there is a place for a store that is no member. */
-    boolean hasPlace(EpochRecord standing, Member newcomer, Replicas replicas) {
-        return takeIn(new ArrayList<>(standing.members()), newcomer, replicas);
+    boolean canAdmit(EpochRecord current, Member candidate, Followers followers) {
+        return admit(new ArrayList<>(current.members()), candidate, followers);
     }
 
-    private boolean takeIn(List<Member> members, Member newcomer, Replicas replicas) {
-        Optional<Member> place = members.stream()
-                .filter(member -> member.address().equals(newcomer.address()))
+    private boolean admit(List<Member> members, Member candidate, Followers followers) {
+        Optional<Member> replaced = members.stream()
+                .filter(member -> member.address().equals(candidate.address()))
                 .findFirst();
-        if (place.isEmpty() && members.size() < context.settings().wantedMembers()) {
-            return members.add(newcomer);
+        if (replaced.isEmpty() && members.size() < context.settings().targetMemberCount()) {
+            return members.add(candidate);
         }
-        if (place.isEmpty()) {
-            place = mostSilent(members, replicas);
+        if (replaced.isEmpty()) {
+            replaced = longestWithoutContact(members, followers);
         }
-        place.ifPresent(member -> members.set(members.indexOf(member), newcomer));
-        return place.isPresent();
+        replaced.ifPresent(member -> members.set(members.indexOf(member), candidate));
+        return replaced.isPresent();
     }
 
-    private Optional<Member> mostSilent(List<Member> members, Replicas replicas) {
+    private Optional<Member> longestWithoutContact(List<Member> members, Followers followers) {
         double now = context.activeMs();
         return members.stream()
-                .filter(member -> replicas.get(member.identity()) != null)
-                .filter(member -> isReplaceable(replicas.get(member.identity()), now))
+                .filter(member -> followers.get(member.identity()) != null)
+                .filter(member -> isReplaceable(followers.get(member.identity()), now))
                 .max(Comparator.comparingDouble(
-                        member -> replicas.get(member.identity()).silentMs(now)));
+                        member -> followers.get(member.identity()).sinceContactMs(now)));
     }
 
-    private static boolean isReplaceable(Replica replica, double now) {
-        return replica.leaving() || replica.silentMs(now) > REPLACEABLE_MS;
+    private static boolean isReplaceable(Follower follower, double now) {
+        return follower.isShuttingDown() || follower.sinceContactMs(now) > REPLACEABLE_AFTER_MS;
     }
 
     /** The stores to wait for in a new epoch that the primary should propose now, or empty if it should not. */
-    Optional<Set<String>> wantedChange(Leadership leadership, Replicas replicas) {
-        Set<String> keep = leadership.needed();
-        int present = leadership.record().inSync().size();
-        boolean disturbed = 1 + keep.size() < present;
-        Set<String> admitted = admissible(leadership, replicas, disturbed);
-        int copies = 1 + keep.size() + admitted.size();
-        boolean enough = copies >= context.settings().fewestCopies();
-        boolean drops = disturbed && enough;
-        boolean admits = !admitted.isEmpty() && (enough || copies > present);
-        boolean overtaken = !leadership.honoured() || promisedHigher(leadership, replicas);
-        if (!drops && !admits && !overtaken) {
+    Optional<Set<String>> planReconfiguration(PrimaryEpoch epoch, Followers followers) {
+        Set<String> required = epoch.requiredFollowers();
+        int present = epoch.record().inSync().size();
+        boolean hasUnresponsive = 1 + required.size() < present;
+        Set<String> admitted = admissible(epoch, followers, hasUnresponsive);
+        int stores = 1 + required.size() + admitted.size();
+        boolean hasMinInSync = stores >= context.settings().minInSyncStores();
+        boolean shrinksInSync = hasUnresponsive && hasMinInSync;
+        boolean growsInSync = !admitted.isEmpty() && (hasMinInSync || stores > present);
+        boolean isSuperseded = !epoch.isPromiseCurrent() || hasPromisedHigher(epoch, followers);
+        if (!shrinksInSync && !growsInSync && !isSuperseded) {
             return Optional.empty();
         }
-        Set<String> wanted = new HashSet<>(keep);
-        wanted.addAll(admitted);
-        return Optional.of(wanted);
+        Set<String> expectedPromises = new HashSet<>(required);
+        expectedPromises.addAll(admitted);
+        return Optional.of(expectedPromises);
     }
 
     /** A change under way is waited for, unless an in-sync store does not confirm it. */
-    private Set<String> admissible(Leadership leadership, Replicas replicas, boolean disturbed) {
+    private Set<String> admissible(PrimaryEpoch epoch, Followers followers, boolean hasUnresponsive) {
         Set<String> identities = new HashSet<>();
-        boolean targetHeld = context.durable().state().tag().equals(leadership.target());
-        if (!targetHeld || (leadership.changePending() && !disturbed)) {
+        boolean isAtTarget = context.durable().state().version().equals(epoch.targetVersion());
+        if (!isAtTarget || (epoch.isChangePending() && !hasUnresponsive)) {
             return identities;
         }
-        for (String identity : leadership.caughtUp()) {
-            boolean member = leadership.record().hasMember(identity);
-            if (member || hasPlace(leadership.record(), replicas.get(identity).member(), replicas)) {
+        for (String identity : epoch.caughtUpOutsiders()) {
+            boolean member = epoch.record().hasMember(identity);
+            if (member || canAdmit(epoch.record(), followers.get(identity).member(), followers)) {
                 identities.add(identity);
             }
         }
@@ -161,12 +162,12 @@
     }
 
     /** A store that answers has promised a higher number and will confirm nothing of this epoch. */
-    private boolean promisedHigher(Leadership leadership, Replicas replicas) {
+    private boolean hasPromisedHigher(PrimaryEpoch epoch, Followers followers) {
         double now = context.activeMs();
-        return replicas.all().stream()
-                .anyMatch(replica ->
-                        replica.promised().counter() > leadership.number().counter()
-                                && replica.silentMs(now) <= 2 * Leadership.HEARTBEAT_MS
-                                && leadership.record().hasMember(replica.identity()));
+        return followers.all().stream()
+                .anyMatch(follower ->
+                        follower.promised().counter() > epoch.number().counter()
+                                && follower.sinceContactMs(now) <= 2 * PrimaryEpoch.HEARTBEAT_INTERVAL_MS
+                                && epoch.record().hasMember(follower.identity()));
     }
 }
--- a/replication/src/main/java/pinewick/replication/Ballot.java
+++ b/replication/src/main/java/pinewick/replication/EpochProposal.java
@@ -11,66 +11,71 @@
 import pinewick.replication.ReplicationMessages.Accepted;
 import pinewick.replication.ReplicationMessages.Prepare;
 import pinewick.replication.ReplicationMessages.Promise;
-import pinewick.replication.ReplicationMessages.Refusal;
+import pinewick.replication.ReplicationMessages.Rejection;
 
 /**
  * One try to make a new epoch: asks the witnesses to promise a number, proposes a record built upon the highest one
  * that they have accepted, and stands once a quorum has accepted that.
  */
-final class Ballot {
+final class EpochProposal {
     /** Messages without an answer are sent again after this long. */
-    private static final double RESEND_MS = 150;
+    private static final double RESEND_INTERVAL_MS = 150;
 
     /** The stores that are likely to promise are waited for this long once there is a quorum. */
-    private static final double WAIT_FOR_WANTED_MS = 100;
+    private static final double EXPECTED_PROMISES_WAIT_MS = 100;
 
     /** With fewer in-sync stores than hold each change, more are waited for this long. */
-    private static final double WAIT_FOR_COPIES_MS = 500;
+    private static final double MIN_IN_SYNC_WAIT_MS = 500;
 
     /** A phase that takes longer has failed. */
-    private static final double PHASE_MS = 1_200;
+    private static final double PHASE_TIMEOUT_MS = 1_200;
 
     /** How far a ballot is. */
     enum Phase {
-        PROMISING,
+        PREPARING,
         ACCEPTING,
-        WON,
-        LOST
+        CHOSEN,
+        FAILED
     }
 
     /** Builds the record to propose. */
-    interface Planner {
+    interface RecordPlanner {
         /** The record, without its number, or empty if this process may not propose one upon {@code highest}. */
         Optional<EpochRecord> plan(EpochNumber number, EpochRecord highest, Map<String, Promise> promises);
     }
 
-    private final Context context;
+    private final ReplicationContext context;
     private final EpochNumber number;
-    private final boolean handedOver;
-    private final Planner planner;
-    private final Set<String> wanted;
+    private final boolean requestedByPrimary;
+    private final RecordPlanner planner;
+    private final Set<String> expectedPromises;
     private final Map<String, Promise> promises = new HashMap<>();
     private final Set<String> acceptors = new HashSet<>();
-    private Phase phase = Phase.PROMISING;
+    private Phase phase = Phase.PREPARING;
     private double phaseSinceMs;
     private double lastSentMs;
     private RequestId prepareRequest = RequestId.NONE;
     private RequestId acceptRequest = RequestId.NONE;
     private EpochRecord proposal;
-    private EpochNumber highestRefusal = EpochNumber.NONE;
+    private EpochNumber highestRejection = EpochNumber.NONE;
 
     /**
      * @param number the number to be promised
-     * @param handedOver whether the primary asked for this ballot
+     * @param requestedByPrimary whether the primary asked for this ballot
      * @param planner builds the record to propose
-     * @param wanted the stores that are likely to promise, and worth a short wait
+     * @param expectedPromises the stores that are likely to promise, and worth a short wait
      */
-    Ballot(Context context, EpochNumber number, boolean handedOver, Planner planner, Set<String> wanted) {
+    EpochProposal(
+            ReplicationContext context,
+            EpochNumber number,
+            boolean requestedByPrimary,
+            RecordPlanner planner,
+            Set<String> expectedPromises) {
         this.context = context;
         this.number = number;
-        this.handedOver = handedOver;
+        this.requestedByPrimary = requestedByPrimary;
         this.planner = planner;
-        this.wanted = Set.copyOf(wanted);
+        this.expectedPromises = Set.copyOf(expectedPromises);
     }
 
     EpochNumber number() {
@@ -91,8 +96,8 @@
     }
 
     /** The highest number that hindered this ballot. */
-    EpochNumber highestRefusal() {
-        return highestRefusal;
+    EpochNumber highestRejection() {
+        return highestRejection;
     }
 
     void start() {
@@ -101,32 +106,32 @@
         DurableState durable = context.durable();
         durable.submit(
                 () -> number.counter() > durable.promised().counter()
-                        ? Optional.of(durable.promising(number))
+                        ? Optional.of(durable.withPromise(number))
                         : Optional.empty(),
-                this::promisedHere);
+                this::onOwnPromise);
         sendPrepare();
     }
 
     void onTick() {
-        if (phase == Phase.WON || phase == Phase.LOST) {
+        if (phase == Phase.CHOSEN || phase == Phase.FAILED) {
             return;
         }
-        if (context.activeMs() - phaseSinceMs > PHASE_MS) {
-            phase = Phase.LOST;
+        if (context.activeMs() - phaseSinceMs > PHASE_TIMEOUT_MS) {
+            phase = Phase.FAILED;
             return;
         }
         proposeIfReady();
-        if (context.activeMs() - lastSentMs >= RESEND_MS) {
+        if (context.activeMs() - lastSentMs >= RESEND_INTERVAL_MS) {
             resend();
         }
     }
 
     void onPromise(Promise promise) {
-        if (phase == Phase.PROMISING
+        if (phase == Phase.PREPARING
                 && promise.request().equals(prepareRequest)
                 && promise.number().equals(number)) {
-            Promise before = promises.put(promise.self().identity(), promise);
-            if (before == null) {
+            Promise previous = promises.put(promise.self().identity(), promise);
+            if (previous == null) {
                 proposeIfReady();
             }
         }
@@ -138,25 +143,27 @@
                 && accepted.number().equals(number)) {
             acceptors.add(accepted.identity());
             if (proposal.hasQuorum(acceptors)) {
-                phase = Phase.WON;
+                phase = Phase.CHOSEN;
             }
         }
     }
 
-    void onRefusal(Refusal refusal) {
-        boolean asked =
-                refusal.request().equals(prepareRequest) || refusal.request().equals(acceptRequest);
-        if (asked && refusal.number().equals(number) && refusal.promised().counter() >= number.counter()) {
-            if (refusal.promised().isAfter(highestRefusal)) {
-                highestRefusal = refusal.promised();
+    void onRejection(Rejection rejection) {
+        boolean isOwnRequest = rejection.request().equals(prepareRequest)
+                || rejection.request().equals(acceptRequest);
+        if (isOwnRequest
+                && rejection.number().equals(number)
+                && rejection.promised().counter() >= number.counter()) {
+            if (rejection.promised().isAfter(highestRejection)) {
+                highestRejection = rejection.promised();
             }
-            if (!refusal.promised().equals(number)) {
-                phase = phase == Phase.WON ? phase : Phase.LOST;
+            if (!rejection.promised().equals(number)) {
+                phase = phase == Phase.CHOSEN ? phase : Phase.FAILED;
             }
         }
     }
 
-    private void promisedHere(Outcome outcome) {
+    private void onOwnPromise(Outcome outcome) {
         if (outcome == Outcome.WRITTEN) {
             DurableState durable = context.durable();
             onPromise(new Promise(
@@ -164,31 +171,31 @@
                     number,
                     context.self(),
                     durable.accepted(),
-                    durable.state().tag(),
+                    durable.state().version(),
                     false));
         } else {
-            phase = Phase.LOST;
+            phase = Phase.FAILED;
         }
     }
 
     private void proposeIfReady() {
-        if (phase != Phase.PROMISING || !promises.containsKey(context.durable().identity())) {
+        if (phase != Phase.PREPARING || !promises.containsKey(context.durable().identity())) {
             return;
         }
         EpochRecord highest = highestAccepted();
-        if (!highest.hasQuorum(promises.keySet()) || !waitedEnough(highest)) {
+        if (!highest.hasQuorum(promises.keySet()) || !hasWaitedLongEnough(highest)) {
             return;
         }
         Optional<EpochRecord> planned = planner.plan(number, highest, promises);
         if (planned.isEmpty()) {
-            phase = Phase.LOST;
+            phase = Phase.FAILED;
             return;
         }
         proposal = planned.get();
         phase = Phase.ACCEPTING;
         phaseSinceMs = context.activeMs();
         acceptRequest = context.requests().next();
-        acceptHere();
+        acceptLocally();
         sendAccept();
     }
 
@@ -196,36 +203,38 @@
     private EpochRecord highestAccepted() {
         return promises.values().stream()
                 .map(Promise::accepted)
-                .max(Comparator.comparing(EpochRecord::number).thenComparing(EpochRecord::isSettled))
+                .max(Comparator.comparing(EpochRecord::number).thenComparing(EpochRecord::hasSingleQuorum))
                 .orElse(EpochRecord.NONE);
     }
 
-    private boolean waitedEnough(EpochRecord highest) {
+    private boolean hasWaitedLongEnough(EpochRecord highest) {
         double waitedMs = context.activeMs() - phaseSinceMs;
         long present = highest.inSync().stream().filter(promises::containsKey).count();
-        boolean allWanted = promises.keySet().containsAll(wanted);
-        boolean enoughCopies = present
-                >= Math.min(context.settings().fewestCopies(), highest.inSync().size());
-        return (enoughCopies && (allWanted || waitedMs >= WAIT_FOR_WANTED_MS)) || waitedMs >= WAIT_FOR_COPIES_MS;
+        boolean hasAllExpected = promises.keySet().containsAll(expectedPromises);
+        boolean hasMinInSync = present
+                >= Math.min(
+                        context.settings().minInSyncStores(), highest.inSync().size());
+        return (hasMinInSync && (hasAllExpected || waitedMs >= EXPECTED_PROMISES_WAIT_MS))
+                || waitedMs >= MIN_IN_SYNC_WAIT_MS;
     }
 
-    private void acceptHere() {
+    private void acceptLocally() {
         DurableState durable = context.durable();
         durable.submit(
                 () -> durable.promised().equals(number)
-                        ? Optional.of(new DurableState.Step(number, proposal, durable.state(), Optional.empty()))
+                        ? Optional.of(new DurableState.Update(number, proposal, durable.state(), Optional.empty()))
                         : Optional.empty(),
                 outcome -> {
                     if (outcome == Outcome.WRITTEN) {
                         onAccepted(new Accepted(acceptRequest, number, durable.identity()));
                     } else if (phase == Phase.ACCEPTING) {
-                        phase = Phase.LOST;
+                        phase = Phase.FAILED;
                     }
                 });
     }
 
     private void resend() {
-        if (phase == Phase.PROMISING) {
+        if (phase == Phase.PREPARING) {
             sendPrepare();
         } else if (phase == Phase.ACCEPTING) {
             sendAccept();
@@ -237,15 +246,15 @@
         EpochRecord highest = highestAccepted();
         context.peers()
                 .send(
-                        context.peers().everywhere(context.durable().accepted(), highest),
-                        new Prepare(prepareRequest, number, handedOver));
+                        context.peers().allAddresses(context.durable().accepted(), highest),
+                        new Prepare(prepareRequest, number, requestedByPrimary));
     }
 
     private void sendAccept() {
         lastSentMs = context.activeMs();
         context.peers()
                 .send(
-                        context.peers().everywhere(context.durable().accepted(), proposal),
+                        context.peers().allAddresses(context.durable().accepted(), proposal),
                         new Accept(acceptRequest, proposal));
     }
 }
--- a/replication/src/main/java/pinewick/replication/EpochRecord.java
+++ b/replication/src/main/java/pinewick/replication/EpochRecord.java
@@ -38,17 +38,17 @@
 
     /** Whether these are a majority of the members, and of the previous members where they still count. */
     public boolean hasQuorum(Set<String> identities) {
-        return isMajority(members, identities) && (isSettled() || isMajority(previousMembers, identities));
+        return isMajority(members, identities) && (hasSingleQuorum() || isMajority(previousMembers, identities));
     }
 
     /** Whether the members alone decide. */
-    public boolean isSettled() {
+    public boolean hasSingleQuorum() {
         return members.equals(previousMembers);
     }
 
     /** This record once it is known to be accepted: from then on the members alone decide. */
-    public EpochRecord settled() {
-        return isSettled() ? this : new EpochRecord(number, primary, inSync, members, members);
+    public EpochRecord withoutPreviousMembers() {
+        return hasSingleQuorum() ? this : new EpochRecord(number, primary, inSync, members, members);
     }
 
     /** Whether a store has a vote. */
--- a/replication/src/main/java/pinewick/replication/FaultToleranceMonitor.java
+++ b/replication/src/main/java/pinewick/replication/FaultToleranceMonitor.java
@@ -9,24 +9,24 @@
 
 /** Keeps count of how many more machines the system can lose, as the primary sees it. */
 final class FaultToleranceMonitor {
-    private final Context context;
-    private final Replicas replicas;
+    private final ReplicationContext context;
+    private final Followers followers;
     private boolean sufficient;
     private double sufficientSinceMs;
 
-    FaultToleranceMonitor(Context context, Replicas replicas) {
+    FaultToleranceMonitor(ReplicationContext context, Followers followers) {
         this.context = context;
-        this.replicas = replicas;
+        this.followers = followers;
     }
 
     /** Something may have changed at the primary. */
-    void update(Leadership leadership) {
-        boolean now = isKnown(leadership)
-                && bearsLosses(leadership) >= context.settings().toleratedMachines();
-        if (now && !sufficient) {
+    void update(PrimaryEpoch epoch) {
+        boolean isSufficient =
+                isKnown(epoch) && tolerableLosses(epoch) >= context.settings().toleratedMachines();
+        if (isSufficient && !sufficient) {
             sufficientSinceMs = context.activeMs();
         }
-        sufficient = now;
+        sufficient = isSufficient;
     }
 
     /** This process leads no more. */
@@ -34,55 +34,59 @@
         sufficient = false;
     }
 
-    FaultTolerance report(Optional<Leadership> leadership) {
-        if (leadership.isEmpty()) {
+    FaultTolerance report(Optional<PrimaryEpoch> leading) {
+        if (leading.isEmpty()) {
             return FaultTolerance.unknown("this process is not the primary");
         }
-        Leadership leading = leadership.get();
-        if (!isKnown(leading)) {
+        PrimaryEpoch epoch = leading.get();
+        if (!isKnown(epoch)) {
             return FaultTolerance.unknown("the epoch has not begun, or no quorum has confirmed it lately");
         }
-        update(leading);
-        OptionalDouble sinceMs =
+        update(epoch);
+        OptionalDouble sufficientForMs =
                 sufficient ? OptionalDouble.of(context.activeMs() - sufficientSinceMs) : OptionalDouble.empty();
-        return new FaultTolerance(OptionalInt.of(copies(leading)), OptionalInt.of(bearsLosses(leading)), "", sinceMs);
+        return new FaultTolerance(
+                OptionalInt.of(currentStores(epoch)), OptionalInt.of(tolerableLosses(epoch)), "", sufficientForMs);
     }
 
-    List<MemberReport> members(EpochRecord record, Optional<Leadership> leadership) {
+    List<MemberReport> members(EpochRecord record, Optional<PrimaryEpoch> epoch) {
         return record.members().stream()
-                .map(member -> describe(member, record, leadership.isPresent()))
+                .map(member -> describe(member, record, epoch.isPresent()))
                 .toList();
     }
 
-    private MemberReport describe(Member member, EpochRecord record, boolean leading) {
+    private MemberReport describe(Member member, EpochRecord record, boolean epoch) {
         boolean inSync = record.inSync().contains(member.identity());
         if (member.equals(context.self())) {
             return new MemberReport(member, inSync, false, OptionalDouble.of(0));
         }
-        Replica replica = leading ? replicas.get(member.identity()) : null;
-        return replica == null
+        Follower follower = epoch ? followers.get(member.identity()) : null;
+        return follower == null
                 ? new MemberReport(member, inSync, false, OptionalDouble.empty())
                 : new MemberReport(
-                        member, inSync, replica.leaving(), OptionalDouble.of(replica.silentMs(context.activeMs())));
+                        member,
+                        inSync,
+                        follower.isShuttingDown(),
+                        OptionalDouble.of(follower.sinceContactMs(context.activeMs())));
     }
 
-    private static boolean isKnown(Leadership leadership) {
-        return leadership.begun() && leadership.honoured() && leadership.confirmedLately();
+    private static boolean isKnown(PrimaryEpoch epoch) {
+        return epoch.isEstablished() && epoch.isPromiseCurrent() && epoch.isRecentlyConfirmed();
     }
 
     /** After these losses a copy is left, and the members that answer are still a majority of all. */
-    private int bearsLosses(Leadership leadership) {
-        int members = leadership.record().members().size();
+    private int tolerableLosses(PrimaryEpoch epoch) {
+        int members = epoch.record().members().size();
         int majority = members / 2 + 1;
-        int voters = voters(leadership);
-        return Math.max(0, Math.min(copies(leadership) - 1, voters - majority));
+        int voters = voters(epoch);
+        return Math.max(0, Math.min(currentStores(epoch) - 1, voters - majority));
     }
 
-    private int copies(Leadership leadership) {
-        StateTag committed = leadership.committed().tag();
-        long others = replicas.among(leadership.responsive()).stream()
-                .filter(replica -> replica.tag().epoch() == committed.epoch()
-                        && replica.tag().compareTo(committed) >= 0)
+    private int currentStores(PrimaryEpoch epoch) {
+        StateVersion committed = epoch.committed().version();
+        long others = followers.withIdentities(epoch.responsiveFollowers()).stream()
+                .filter(follower -> follower.stateVersion().epoch() == committed.epoch()
+                        && follower.stateVersion().compareTo(committed) >= 0)
                 .count();
         return 1 + (int) others;
     }
@@ -91,11 +95,11 @@
      * Members that answer, this one included. One that does not know yet that the record stands is not counted: with
      * the others lost it would ask for a majority of the previous members too.
      */
-    private int voters(Leadership leadership) {
-        long others = leadership.record().members().stream()
-                .map(member -> replicas.get(member.identity()))
-                .filter(replica -> replica != null && leadership.isAnswering(replica))
-                .filter(replica -> replica.knows(leadership.number()))
+    private int voters(PrimaryEpoch epoch) {
+        long others = epoch.record().members().stream()
+                .map(member -> followers.get(member.identity()))
+                .filter(follower -> follower != null && epoch.isResponsive(follower))
+                .filter(follower -> follower.knowsChosen(epoch.number()))
                 .count();
         return 1 + (int) others;
     }
--- /dev/null
+++ b/replication/src/main/java/pinewick/replication/GracefulShutdown.java
@@ -0,0 +1,22 @@
+package pinewick.replication;
+
+/** Whether this process is about to end, and since when. */
+final class GracefulShutdown {
+    private boolean started;
+    private double startedMs;
+
+    void start(double nowMs) {
+        if (!started) {
+            started = true;
+            startedMs = nowMs;
+        }
+    }
+
+    boolean isStarted() {
+        return started;
+    }
+
+    double elapsedMs(double nowMs) {
+        return nowMs - startedMs;
+    }
+}
--- a/replication/src/main/java/pinewick/replication/RoundTimes.java
+++ b/replication/src/main/java/pinewick/replication/HeartbeatSendTimes.java
@@ -4,24 +4,24 @@
 import java.util.Map;
 
 /** When the last heartbeats were sent, {@link ActiveClock#activeMs}. */
-final class RoundTimes {
-    private static final int MOST_KEPT = 64;
+final class HeartbeatSendTimes {
+    private static final int MAX_ENTRIES = 64;
 
-    private final Map<Long, Double> sentMs = new LinkedHashMap<>() {
+    private final Map<Long, Double> sentMsByHeartbeat = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Double> eldest) {
-            return size() > MOST_KEPT;
+            return size() > MAX_ENTRIES;
         }
     };
 
-    void note(long round, double nowMs) {
-        sentMs.put(round, nowMs);
+    void record(long heartbeat, double nowMs) {
+        sentMsByHeartbeat.put(heartbeat, nowMs);
     }
 
     /** When a round was sent; long ago for one that is not known any more. */
-    double sentMs(long round) {
-        return sentMs.getOrDefault(round, Double.NEGATIVE_INFINITY);
+    double sentMs(long heartbeat) {
+        return sentMsByHeartbeat.getOrDefault(heartbeat, Double.NEGATIVE_INFINITY);
     }
 }
--- a/replication/src/main/java/pinewick/replication/Peers.java
+++ b/replication/src/main/java/pinewick/replication/Peers.java
@@ -16,20 +16,20 @@
  */
 final class Peers {
     /** Stores heard of longest ago are forgotten beyond this many. */
-    private static final int MOST_LEARNT = 64;
+    private static final int MAX_ADDRESSES = 64;
 
     private final SocketAddress self;
     private final Set<SocketAddress> seeds;
     private final Outbox outbox;
-    private final Map<String, SocketAddress> learnt = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, SocketAddress> addressByIdentity = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, SocketAddress> eldest) {
-            return size() > MOST_LEARNT;
+            return size() > MAX_ADDRESSES;
         }
     };
-    private Set<SocketAddress> told = Set.of();
+    private Set<SocketAddress> knownControllers = Set.of();
 
     Peers(SocketAddress self, Collection<SocketAddress> seeds, Outbox outbox) {
         this.self = self;
@@ -38,41 +38,41 @@
     }
 
     /** Other parts of this process know controllers at these addresses. */
-    void tell(Collection<SocketAddress> addresses) {
-        told = new LinkedHashSet<>(addresses);
+    void setKnownControllers(Collection<SocketAddress> addresses) {
+        knownControllers = new LinkedHashSet<>(addresses);
     }
 
     /** A store was heard of at an address. */
-    void learn(String identity, SocketAddress address) {
+    void recordAddress(String identity, SocketAddress address) {
         if (!identity.isEmpty()) {
-            learnt.put(identity, address);
+            addressByIdentity.put(identity, address);
         }
     }
 
     /** Another process names a member; returns whether it was not known. */
-    boolean learnMember(Member member) {
-        boolean unknown = !member.address().equals(self) && !learnt.containsKey(member.identity());
-        if (unknown) {
-            learnt.put(member.identity(), member.address());
+    boolean recordMember(Member member) {
+        boolean isNew = !member.address().equals(self) && !addressByIdentity.containsKey(member.identity());
+        if (isNew) {
+            addressByIdentity.put(member.identity(), member.address());
         }
-        return unknown;
+        return isNew;
     }
 
     /** Where a store was heard of last. */
     SocketAddress addressOf(Member member) {
-        return learnt.getOrDefault(member.identity(), member.address());
+        return addressByIdentity.getOrDefault(member.identity(), member.address());
     }
 
     /** Every address at which a controller may be, this process's own left out. */
-    Set<SocketAddress> everywhere(EpochRecord... records) {
+    Set<SocketAddress> allAddresses(EpochRecord... records) {
         Set<SocketAddress> addresses = new LinkedHashSet<>();
         for (EpochRecord record : records) {
             record.members().forEach(member -> addresses.add(addressOf(member)));
             record.previousMembers().forEach(member -> addresses.add(addressOf(member)));
         }
         addresses.addAll(seeds);
-        addresses.addAll(told);
-        addresses.addAll(learnt.values());
+        addresses.addAll(knownControllers);
+        addresses.addAll(addressByIdentity.values());
         addresses.remove(self);
         return addresses;
     }
--- /dev/null
+++ b/replication/src/main/java/pinewick/replication/PrimaryHeartbeatHandler.java
@@ -0,0 +1,76 @@
+package pinewick.replication;
+
+import java.util.Optional;
+import pinewick.model.SocketAddress;
+import pinewick.replication.ReplicationMessages.Heartbeat;
+import pinewick.replication.ReplicationMessages.HeartbeatReply;
+
+/** Answers the primary's heartbeats, and remembers the last one. */
+final class PrimaryHeartbeatHandler {
+    private final ReplicationContext context;
+    private final GracefulShutdown shutdown;
+    private final PrimaryLocator primaryLocator;
+    private SocketAddress primaryAddress = ReplicationMessages.NO_ADDRESS;
+    private Optional<Heartbeat> lastHeartbeat = Optional.empty();
+    private double lastHeartbeatSteadyMs;
+
+    PrimaryHeartbeatHandler(ReplicationContext context, GracefulShutdown shutdown, PrimaryLocator primaryLocator) {
+        this.context = context;
+        this.shutdown = shutdown;
+        this.primaryLocator = primaryLocator;
+    }
+
+    /** A heartbeat of an epoch that is not over here. */
+    void onHeartbeat(SocketAddress sender, Heartbeat heartbeat) {
+        primaryLocator.onHeartbeat(heartbeat.number(), heartbeat.operatorApi());
+        lastHeartbeat = Optional.of(heartbeat);
+        lastHeartbeatSteadyMs = context.clock().steadyMs();
+        primaryAddress = sender;
+    }
+
+    /** Who sent the last heartbeat, or nobody. */
+    String primaryIdentity() {
+        return lastHeartbeat.map(heartbeat -> heartbeat.number().proposer()).orElse("");
+    }
+
+    /** The state that the primary called committed, if it was heard just now: steady time, so that a freeze counts. */
+    Optional<StateVersion> currentCommittedVersion() {
+        ActiveClock clock = context.clock();
+        boolean isRecent = clock.sinceResumeMs() >= PrimaryLocator.RESUME_BACKLOG_MS
+                && clock.steadyMs() - lastHeartbeatSteadyMs < PrimaryLocator.HINT_VALID_MS;
+        return lastHeartbeat
+                .filter(heartbeat ->
+                        isRecent && heartbeat.number().equals(context.durable().promised()))
+                .map(Heartbeat::committed);
+    }
+
+    /** Only the primary of a record that stands sends heartbeats under its number. */
+    boolean isKnownChosen(EpochRecord record) {
+        return lastHeartbeat
+                .filter(heartbeat -> heartbeat.number().equals(record.number()))
+                .isPresent();
+    }
+
+    void reply(SocketAddress sender, Heartbeat heartbeat) {
+        context.peers().send(sender, buildReply(heartbeat));
+    }
+
+    /** What the last heartbeat was told has changed: the primary need not wait for its next one. */
+    void replyAgain() {
+        lastHeartbeat.ifPresent(heartbeat -> reply(primaryAddress, heartbeat));
+    }
+
+    private HeartbeatReply buildReply(Heartbeat heartbeat) {
+        DurableState durable = context.durable();
+        return new HeartbeatReply(
+                heartbeat.request(),
+                heartbeat.number(),
+                context.self(),
+                durable.promised(),
+                durable.accepted().number(),
+                durable.accepted().hasSingleQuorum(),
+                durable.state().version(),
+                shutdown.isStarted(),
+                durable.isHealthy());
+    }
+}
--- a/replication/src/main/java/pinewick/replication/ReadQueue.java
+++ b/replication/src/main/java/pinewick/replication/ReadQueue.java
@@ -7,55 +7,55 @@
 
 /** Reads that wait for the epoch to be confirmed. */
 final class ReadQueue {
-    private static final long NOT_ASKED = Long.MAX_VALUE;
+    private static final long NO_HEARTBEAT_YET = Long.MAX_VALUE;
 
-    private record Waiter(double deadlineMs, long round, Consumer<ReadOutcome> callback) {}
+    private record PendingRead(double deadlineMs, long heartbeat, Consumer<ReadOutcome> callback) {}
 
-    private final List<Waiter> waiters = new ArrayList<>();
+    private final List<PendingRead> pending = new ArrayList<>();
 
     void add(double deadlineMs, Consumer<ReadOutcome> callback) {
-        waiters.add(new Waiter(deadlineMs, NOT_ASKED, callback));
+        pending.add(new PendingRead(deadlineMs, NO_HEARTBEAT_YET, callback));
     }
 
     /** Whether some read waits for a round that has not been begun. */
-    boolean wantsRound() {
-        return waiters.stream().anyMatch(waiter -> waiter.round == NOT_ASKED);
+    boolean needsHeartbeat() {
+        return pending.stream().anyMatch(read -> read.heartbeat == NO_HEARTBEAT_YET);
     }
 
     /** A round has begun. */
-    void asked(long round) {
-        waiters.replaceAll(
-                waiter -> waiter.round == NOT_ASKED ? new Waiter(waiter.deadlineMs, round, waiter.callback) : waiter);
+    void onHeartbeatSent(long heartbeat) {
+        pending.replaceAll(read ->
+                read.heartbeat == NO_HEARTBEAT_YET ? new PendingRead(read.deadlineMs, heartbeat, read.callback) : read);
     }
 
     /** Rounds up to this one are confirmed; the document is the newest committed one. */
-    void confirmed(long round, ConfigurationDocument document) {
-        for (Waiter waiter : List.copyOf(waiters)) {
-            if (waiter.round <= round) {
-                waiters.remove(waiter);
-                waiter.callback.accept(new ReadOutcome.Current(document));
+    void onHeartbeatConfirmed(long heartbeat, ConfigurationDocument document) {
+        for (PendingRead read : List.copyOf(pending)) {
+            if (read.heartbeat <= heartbeat) {
+                pending.remove(read);
+                read.callback.accept(new ReadOutcome.Current(document));
             }
         }
     }
 
     /** A new epoch numbers its rounds anew. */
-    void restart() {
-        waiters.replaceAll(waiter -> new Waiter(waiter.deadlineMs, NOT_ASKED, waiter.callback));
+    void awaitNewHeartbeat() {
+        pending.replaceAll(read -> new PendingRead(read.deadlineMs, NO_HEARTBEAT_YET, read.callback));
     }
 
     void expire(double nowMs) {
-        for (Waiter waiter : List.copyOf(waiters)) {
-            if (waiter.deadlineMs <= nowMs) {
-                waiters.remove(waiter);
-                waiter.callback.accept(new ReadOutcome.Unavailable("not confirmed in time"));
+        for (PendingRead read : List.copyOf(pending)) {
+            if (read.deadlineMs <= nowMs) {
+                pending.remove(read);
+                read.callback.accept(new ReadOutcome.Unavailable("not confirmed in time"));
             }
         }
     }
 
     /** This process leads no more. */
-    void abandon(ReadOutcome.NotPrimary outcome) {
-        List<Waiter> all = List.copyOf(waiters);
-        waiters.clear();
-        all.forEach(waiter -> waiter.callback.accept(outcome));
+    void failAll(ReadOutcome.NotPrimary outcome) {
+        List<PendingRead> all = List.copyOf(pending);
+        pending.clear();
+        all.forEach(read -> read.callback.accept(outcome));
     }
 }
--- a/replication/src/main/java/pinewick/replication/RecentChanges.java
+++ b/replication/src/main/java/pinewick/replication/RecentChanges.java
@@ -6,39 +6,39 @@
 
 /** The newest changes of one epoch, for stores that lack only these: they need not be sent the whole state. */
 final class RecentChanges {
-    private static final int MOST = 512;
-    private static final int MOST_BYTES = 512 * 1024;
+    private static final int MAX_CHANGES = 512;
+    private static final int MAX_BYTES = 512 * 1024;
 
     /** A change and the state that it leads to. */
-    record Recent(StateTag tag, byte[] delta, ChangeKey key) {}
+    record LoggedChange(StateVersion stateVersion, byte[] delta, ChangeKey key) {}
 
-    private final Deque<Recent> changes = new ArrayDeque<>();
-    private StateTag newest;
+    private final Deque<LoggedChange> changes = new ArrayDeque<>();
+    private StateVersion newest;
     private int bytes;
 
     /** @param start the state at the start of the epoch */
-    RecentChanges(StateTag start) {
+    RecentChanges(StateVersion start) {
         newest = start;
     }
 
     /** Keeps the change that leads to the next state; older ones are given up. */
-    void add(Recent change) {
+    void add(LoggedChange change) {
         changes.add(change);
-        newest = change.tag;
+        newest = change.stateVersion;
         bytes += change.delta.length;
-        while (changes.size() > MOST || bytes > MOST_BYTES && changes.size() > 1) {
+        while (changes.size() > MAX_CHANGES || bytes > MAX_BYTES && changes.size() > 1) {
             bytes -= changes.remove().delta.length;
         }
     }
 
     /** Whether every change after a state is kept. */
-    boolean reachBackTo(StateTag tag) {
-        return tag.epoch() == newest.epoch() && tag.sequence() >= newest.sequence() - changes.size();
+    boolean coversChangesAfter(StateVersion stateVersion) {
+        return stateVersion.epoch() == newest.epoch() && stateVersion.sequence() >= newest.sequence() - changes.size();
     }
 
-    /** The changes after a state that {@link #reachBackTo} holds for, oldest first. */
-    List<Recent> after(StateTag tag) {
-        long known = changes.size() - (newest.sequence() - tag.sequence());
-        return changes.stream().skip(known).toList();
+    /** The changes after a state that {@link #coversChangesAfter} holds for, oldest first. */
+    List<LoggedChange> changesAfter(StateVersion stateVersion) {
+        long skipped = changes.size() - (newest.sequence() - stateVersion.sequence());
+        return changes.stream().skip(skipped).toList();
     }
 }
--- a/replication/src/main/java/pinewick/replication/Context.java
+++ b/replication/src/main/java/pinewick/replication/ReplicationContext.java
@@ -3,12 +3,12 @@
 import java.util.random.RandomGenerator;
 
 /** What the parts of a node share. */
-record Context(
+record ReplicationContext(
         ReplicationSettings settings,
         ActiveClock clock,
         DurableState durable,
         Peers peers,
-        Requests requests,
+        RequestIds requests,
         RandomGenerator random,
         ReplicationListener listener) {
     Member self() {
--- a/replication/src/main/java/pinewick/replication/ReplicationListener.java
+++ b/replication/src/main/java/pinewick/replication/ReplicationListener.java
@@ -5,8 +5,8 @@
 /** Told of what the replicated configuration does, on the control loop. */
 public interface ReplicationListener {
     /** A configuration is known to be committed. May come more than once for the same version. */
-    void committed(ConfigurationDocument document);
+    void onCommitted(ConfigurationDocument document);
 
     /** Something an operator may want to read in the log. */
-    default void noted(String event) {}
+    default void onEvent(String event) {}
 }
--- a/replication/src/main/java/pinewick/replication/ReplicationMessages.java
+++ b/replication/src/main/java/pinewick/replication/ReplicationMessages.java
@@ -3,106 +3,126 @@
 import java.util.List;
 import pinewick.model.Message;
 import pinewick.model.SocketAddress;
+import pinewick.model.WireName;
 
 /**
- * Messages among the controllers. Each can come twice, late, or not at all. A question carries a {@link RequestId}; its
- * answer carries the same one.
+ * Messages among the controllers. Each may be duplicated, delayed or lost. A request carries a {@link RequestId}, and
+ * its reply repeats it. The round in which a message is sent:
+ *
+ * <ul>
+ *   <li>no primary is known: {@link Status}, both ways;
+ *   <li>a new epoch is proposed: {@link Prepare} and {@link Promise}, {@link Accept} and {@link Accepted}, or
+ *       {@link Rejection}; {@link RecordChosen} once a quorum has accepted the record;
+ *   <li>the primary confirms its epoch: {@link Heartbeat} and {@link HeartbeatReply};
+ *   <li>the primary replicates: {@link RelabelState}, {@link InstallSnapshot} or {@link Replicate}, each answered by
+ *       {@link ReplicationReply};
+ *   <li>the primary steps down: {@link Resign}.
+ * </ul>
+ *
+ * A component whose name has changed keeps its place on the wire by {@link WireName}.
  */
 public final class ReplicationMessages {
     private ReplicationMessages() {}
 
-    /** Stands for an address that is not known. */
+    /** Sent in place of an address that is not known. */
     public static final SocketAddress NO_ADDRESS = new SocketAddress("0.0.0.0", 0);
 
     /**
-     * A primary that was heard.
+     * Where the primary was last observed.
      *
      * @param number its epoch
-     * @param operatorApi where it serves the operator, or {@link #NO_ADDRESS} if none was heard lately
-     * @param ageMs how long ago the teller heard it
+     * @param operatorApi where it serves the operator, or {@link #NO_ADDRESS} if no primary was observed recently
+     * @param ageMs how long ago the sender observed it, milliseconds
      */
-    public record PrimarySighting(EpochNumber number, SocketAddress operatorApi, double ageMs) {
-        /** None was heard lately. */
-        public static final PrimarySighting NONE = new PrimarySighting(EpochNumber.NONE, NO_ADDRESS, 0);
+    public record PrimaryHint(EpochNumber number, SocketAddress operatorApi, double ageMs) {
+        /** No primary was observed recently. */
+        public static final PrimaryHint NONE = new PrimaryHint(EpochNumber.NONE, NO_ADDRESS, 0);
     }
 
     /**
-     * What a process knows, sent by one that hears no primary, and in answer to it.
+     * What a process knows, sent as a request by one without contact to a primary, and as the reply to it.
      *
-     * @param request the question, also in its answer
+     * @param request the request, repeated in the reply
      * @param self store of the sender
-     * @param promised the highest epoch number it promised
-     * @param accepted the newest epoch record it accepted
-     * @param tag the state it holds
-     * @param leading whether it is a primary that a majority confirmed lately
-     * @param hearsPrimary whether it heard a primary lately or is one
-     * @param primary where callers may be sent to
-     * @param answerWanted whether the receiver is to answer with its own status
+     * @param promised the highest epoch number that the sender promised
+     * @param accepted the newest epoch record that the sender accepted
+     * @param stateVersion the state that the sender has on disk
+     * @param leading whether the sender is a primary that a quorum confirmed recently
+     * @param hasPrimaryContact whether the sender is that primary or had contact with it recently
+     * @param primary where operators may be redirected to
+     * @param replyRequested whether the receiver is to reply with its own status
      */
     public record Status(
             RequestId request,
             Member self,
             EpochNumber promised,
             EpochRecord accepted,
-            StateTag tag,
+            @WireName("tag") StateVersion stateVersion,
             boolean leading,
-            boolean hearsPrimary,
-            PrimarySighting primary,
-            boolean answerWanted)
+            @WireName("hearsPrimary") boolean hasPrimaryContact,
+            PrimaryHint primary,
+            @WireName("answerWanted") boolean replyRequested)
             implements Message {}
 
     /**
-     * Asks a witness to promise a number.
+     * Asks a witness to promise an epoch number (phase 1a of Paxos).
      *
-     * @param request the question
+     * @param request the request
      * @param number the number
-     * @param handedOver whether the primary itself asked for this, so that its being heard is no hindrance
+     * @param requestedByPrimary whether the primary itself asked for the new epoch, so that contact with it is no
+     *     reason to reject
      */
-    public record Prepare(RequestId request, EpochNumber number, boolean handedOver) implements Message {}
+    public record Prepare(RequestId request, EpochNumber number, @WireName("handedOver") boolean requestedByPrimary)
+            implements Message {}
 
     /**
-     * A witness has promised a number, on disk.
+     * A witness has promised a number, on disk (phase 1b of Paxos).
      *
-     * @param request from the question
+     * @param request from the request
      * @param number the number
      * @param self store of the sender
-     * @param accepted the newest epoch record it accepted
-     * @param tag the state it holds
-     * @param leaving whether its process is about to end
+     * @param accepted the newest epoch record that the sender accepted
+     * @param stateVersion the state that the sender has on disk
+     * @param shuttingDown whether the sender's process is shutting down
      */
     public record Promise(
-            RequestId request, EpochNumber number, Member self, EpochRecord accepted, StateTag tag, boolean leaving)
+            RequestId request,
+            EpochNumber number,
+            Member self,
+            EpochRecord accepted,
+            @WireName("tag") StateVersion stateVersion,
+            @WireName("leaving") boolean shuttingDown)
             implements Message {}
 
-    /** Asks a witness to accept a record. */
+    /** Asks a witness to accept a record (phase 2a of Paxos). */
     public record Accept(RequestId request, EpochRecord record) implements Message {}
 
-    /** A witness has accepted a record, on disk. */
+    /** A witness has accepted a record, on disk (phase 2b of Paxos). */
     public record Accepted(RequestId request, EpochNumber number, String identity) implements Message {}
 
     /**
-     * A witness promises or accepts nothing under a number.
+     * A witness neither promises nor accepts under a number.
      *
-     * @param request from the question
+     * @param request from the request
      * @param number the number
      * @param identity store of the sender
-     * @param promised what it has promised already
+     * @param promised the number that the sender has promised already
      */
-    public record Refusal(RequestId request, EpochNumber number, String identity, EpochNumber promised)
+    public record Rejection(RequestId request, EpochNumber number, String identity, EpochNumber promised)
             implements Message {}
 
-    /** A record stands: a quorum has accepted it. */
-    public record Established(EpochRecord record) implements Message {}
+    /** A record is chosen: a quorum has accepted it. */
+    public record RecordChosen(EpochRecord record) implements Message {}
 
     /**
-     * A primary tells that it leads, and asks whether its epoch is still honoured.
+     * A primary announces itself, and asks whether its epoch is still the newest one promised.
      *
-     * @param request the question; its sequence number is the round
+     * @param request the request; its sequence number identifies the heartbeat
      * @param number number of its epoch
-     * @param committed the newest state that is committed, {@link StateTag#NONE} before the epoch has begun
-     * @param operatorApi where it serves the operator
+     * @param committed the newest committed state, {@link StateVersion#NONE} before the epoch is established
+     * @param operatorApi where the sender serves the operator
      */
-    public record Heartbeat(RequestId request, EpochNumber number, StateTag committed, SocketAddress operatorApi)
+    public record Heartbeat(RequestId request, EpochNumber number, StateVersion committed, SocketAddress operatorApi)
             implements Message {}
 
     /**
@@ -111,12 +131,12 @@
      * @param request from the heartbeat
      * @param number from the heartbeat
      * @param self store of the sender
-     * @param promised the highest epoch number it promised
-     * @param accepted number of the newest epoch record it accepted
-     * @param settled whether it knows that record to stand
-     * @param tag the state it holds
-     * @param leaving whether its process is about to end
-     * @param diskReady whether its disk did what was asked of it lately
+     * @param promised the highest epoch number that the sender promised
+     * @param accepted number of the newest epoch record that the sender accepted
+     * @param knowsRecordChosen whether the sender knows that record to be chosen
+     * @param stateVersion the state that the sender has on disk
+     * @param shuttingDown whether the sender's process is shutting down
+     * @param diskHealthy whether the sender's disk completed its last write in time
      */
     public record HeartbeatReply(
             RequestId request,
@@ -124,85 +144,102 @@
             Member self,
             EpochNumber promised,
             EpochNumber accepted,
-            boolean settled,
-            StateTag tag,
-            boolean leaving,
-            boolean diskReady)
+            @WireName("settled") boolean knowsRecordChosen,
+            @WireName("tag") StateVersion stateVersion,
+            @WireName("leaving") boolean shuttingDown,
+            @WireName("diskReady") boolean diskHealthy)
             implements Message {}
 
     /**
-     * The state that the receiver holds under one tag is to go under another.
+     * The receiver's state is unchanged in the new epoch; only its version is to change.
      *
-     * @param request the question
+     * @param request the request
      * @param number epoch of the sender, its primary
-     * @param base the tag it goes under
-     * @param tag the tag it goes under from now on
+     * @param fromVersion the version that the receiver must have on disk
+     * @param toVersion the version of the same state in the new epoch
      */
-    public record Retag(RequestId request, EpochNumber number, StateTag base, StateTag tag) implements Message {}
+    public record RelabelState(
+            RequestId request,
+            EpochNumber number,
+            @WireName("base") StateVersion fromVersion,
+            @WireName("tag") StateVersion toVersion)
+            implements Message {}
 
     /**
-     * A whole state.
+     * A complete state, for a receiver that lacks more than the recent changes.
      *
-     * @param request the question
+     * @param request the request
      * @param number epoch of the sender, its primary
-     * @param tag names the state
+     * @param stateVersion version of the state
      * @param document the configuration as a delta from the empty one
-     * @param changes keys of the changes accepted lately
+     * @param acceptedChanges keys of the recently accepted changes
      */
-    public record Install(RequestId request, EpochNumber number, StateTag tag, byte[] document, byte[] changes)
+    public record InstallSnapshot(
+            RequestId request,
+            EpochNumber number,
+            @WireName("tag") StateVersion stateVersion,
+            byte[] document,
+            @WireName("changes") byte[] acceptedChanges)
             implements Message {}
 
     /**
-     * One change; applies to the state before {@code tag}.
+     * One change; applies to the state before {@code stateVersion}.
      *
-     * @param request the question
+     * @param request the request
      * @param number epoch of the sender, its primary
-     * @param tag names the state after the change
+     * @param stateVersion version of the state after the change
      * @param delta the difference
-     * @param key by what the change is known again
+     * @param key identifies the change when an operator sends it again
      */
-    public record Replicate(RequestId request, EpochNumber number, StateTag tag, byte[] delta, ChangeKey key)
+    public record Replicate(
+            RequestId request,
+            EpochNumber number,
+            @WireName("tag") StateVersion stateVersion,
+            byte[] delta,
+            ChangeKey key)
             implements Message {}
 
-    /** What became of a state that was sent. */
-    public enum StateResult {
+    /** What became of a replicated state. */
+    public enum ReplicationResult {
         /** It, or a later one of the same epoch, is on disk. */
-        HELD,
-        /** It does not fit the state that is there, or the epoch is over. */
-        MISFIT,
-        /** The disk refused it. */
+        STORED,
+        /** It does not apply to the receiver's state, or the epoch has been superseded. */
+        MISMATCH,
+        /** The disk failed. */
         DISK_FAILED
     }
 
     /**
-     * Answers a state.
+     * Answers {@link RelabelState}, {@link InstallSnapshot} and {@link Replicate}.
      *
-     * @param request from the state
-     * @param number epoch under which it was sent
+     * @param request from the request
+     * @param number epoch under which the state was sent
      * @param identity store of the sender
-     * @param result what became of it
-     * @param promised the highest epoch number the sender promised
-     * @param held the state that the sender holds now
+     * @param result what became of the state
+     * @param promised the highest epoch number that the sender promised
+     * @param stateVersion the state that the sender has on disk now
      */
-    public record StateReply(
+    public record ReplicationReply(
             RequestId request,
             EpochNumber number,
             String identity,
-            StateResult result,
+            ReplicationResult result,
             EpochNumber promised,
-            StateTag held)
+            @WireName("held") StateVersion stateVersion)
             implements Message {}
 
     /**
-     * A primary leads no more.
+     * A primary steps down.
      *
      * @param number its epoch
-     * @param successor identity of the one that is to follow at once, or empty
-     * @param leaving whether it resigns because its process is about to end; else it is in trouble
+     * @param successor identity of the store that is to stand for election at once, or empty
+     * @param shuttingDown whether it resigns because its process is shutting down; else its disk failed or it lost its
+     *     quorum
      */
-    public record Resign(EpochNumber number, String successor, boolean leaving) implements Message {}
+    public record Resign(EpochNumber number, String successor, @WireName("leaving") boolean shuttingDown)
+            implements Message {}
 
-    /** Every class that the codec must know, in an order that never changes. */
+    /** Every class that the codec must know. The position is the type's id on the wire: append only. */
     public static List<Class<?>> types() {
         return List.of(
                 byte[].class,
@@ -212,24 +249,24 @@
                 EpochNumber.class,
                 Member.class,
                 EpochRecord.class,
-                StateTag.class,
+                StateVersion.class,
                 ChangeKey.class,
-                StateResult.class,
+                ReplicationResult.class,
                 Status.class,
                 Prepare.class,
                 Promise.class,
                 Accept.class,
                 Accepted.class,
-                Refusal.class,
-                Established.class,
+                Rejection.class,
+                RecordChosen.class,
                 Heartbeat.class,
                 HeartbeatReply.class,
-                Retag.class,
-                Install.class,
+                RelabelState.class,
+                InstallSnapshot.class,
                 Replicate.class,
-                StateReply.class,
+                ReplicationReply.class,
                 Resign.class,
-                PrimarySighting.class,
+                PrimaryHint.class,
                 RequestId.class);
     }
 }
--- a/replication/src/main/java/pinewick/replication/ReplicationNode.java
+++ b/replication/src/main/java/pinewick/replication/ReplicationNode.java
@@ -9,17 +9,17 @@
 import pinewick.model.SocketAddress;
 import pinewick.replication.ReplicationMessages.Accept;
 import pinewick.replication.ReplicationMessages.Accepted;
-import pinewick.replication.ReplicationMessages.Established;
 import pinewick.replication.ReplicationMessages.Heartbeat;
 import pinewick.replication.ReplicationMessages.HeartbeatReply;
-import pinewick.replication.ReplicationMessages.Install;
+import pinewick.replication.ReplicationMessages.InstallSnapshot;
 import pinewick.replication.ReplicationMessages.Prepare;
 import pinewick.replication.ReplicationMessages.Promise;
-import pinewick.replication.ReplicationMessages.Refusal;
+import pinewick.replication.ReplicationMessages.RecordChosen;
+import pinewick.replication.ReplicationMessages.Rejection;
+import pinewick.replication.ReplicationMessages.RelabelState;
 import pinewick.replication.ReplicationMessages.Replicate;
+import pinewick.replication.ReplicationMessages.ReplicationReply;
 import pinewick.replication.ReplicationMessages.Resign;
-import pinewick.replication.ReplicationMessages.Retag;
-import pinewick.replication.ReplicationMessages.StateReply;
 import pinewick.replication.ReplicationMessages.Status;
 
 /**
@@ -33,22 +33,22 @@
 
     private final Startup startup;
     private final ActiveClock clock = new ActiveClock();
-    private final Departure departure = new Departure();
+    private final GracefulShutdown shutdown = new GracefulShutdown();
     private final Peers peers;
     private final DurableState durable;
-    private final Context context;
+    private final ReplicationContext context;
     private final Witness witness;
     private final StateReceiver receiver;
     private final Election election;
-    private final KnownPrimary knownPrimary;
-    private final PrimaryListener primaryListener;
-    private final Proposals proposals;
-    private final Primary primary;
+    private final PrimaryLocator primaryLocator;
+    private final PrimaryHeartbeatHandler heartbeatHandler;
+    private final EpochProposer proposer;
+    private final PrimaryRole primaryRole;
     private final StatusExchange statusExchange;
-    private final CommitReport commitReport;
-    private final OldCopyCheck oldCopyCheck;
+    private final CommitNotifier commitNotifier;
+    private final StaleDiskCheck staleDiskCheck;
     private boolean advancing;
-    private boolean advanceWanted;
+    private boolean advanceRequested;
 
     /**
      * @param settings what this process is told
@@ -65,64 +65,66 @@
             ReplicationListener listener) {
         this.peers = new Peers(settings.address(), settings.seeds(), outbox);
         this.durable = new DurableState(store, clock, this::advance);
-        this.context = new Context(settings, clock, durable, peers, new Requests(random), random, listener);
-        this.startup = new Startup(context, store, this::takePart);
-        this.witness = new Witness(context, this::hearsPrimary, departure::isBegun);
+        this.context =
+                new ReplicationContext(settings, clock, durable, peers, new RequestIds(random), random, listener);
+        this.startup = new Startup(context, store, this::joinQuorum);
+        this.witness = new Witness(context, this::hasPrimaryContact, shutdown::isStarted);
         this.receiver = new StateReceiver(context);
         this.election = new Election(context);
-        this.knownPrimary = new KnownPrimary(clock, durable);
-        this.primaryListener = new PrimaryListener(context, departure, knownPrimary);
-        this.commitReport = new CommitReport(context);
-        this.oldCopyCheck = new OldCopyCheck(context);
+        this.primaryLocator = new PrimaryLocator(clock, durable);
+        this.heartbeatHandler = new PrimaryHeartbeatHandler(context, shutdown, primaryLocator);
+        this.commitNotifier = new CommitNotifier(context);
+        this.staleDiskCheck = new StaleDiskCheck(context);
         EpochPlanner planner = new EpochPlanner(context);
-        this.proposals = new Proposals(context, planner, election);
-        this.primary = new Primary(
-                context, departure, planner, proposals, election, knownPrimary, primaryListener, commitReport);
-        this.statusExchange = new StatusExchange(context, primary, proposals, election, knownPrimary, oldCopyCheck);
+        this.proposer = new EpochProposer(context, planner, election);
+        this.primaryRole = new PrimaryRole(
+                context, shutdown, planner, proposer, election, primaryLocator, heartbeatHandler, commitNotifier);
+        this.statusExchange =
+                new StatusExchange(context, primaryRole, proposer, election, primaryLocator, staleDiskCheck);
     }
 
     /** Begins: reads the disk, then takes part. */
     public void start(double nowMs) {
         clock.advance(nowMs);
-        startup.begin();
+        startup.load();
     }
 
-    private void takePart() {
+    private void joinQuorum() {
         election.restart(0);
         context.listener()
-                .noted("store " + durable.identity() + " holds "
-                        + durable.state().tag());
-        statusExchange.askAround();
+                .onEvent("store " + durable.identity() + " holds "
+                        + durable.state().version());
+        statusExchange.requestStatus();
         advance();
     }
 
     /** Other parts of this process know controllers at these internal addresses. */
-    public void knownControllers(Collection<SocketAddress> addresses) {
-        peers.tell(addresses);
+    public void setKnownControllers(Collection<SocketAddress> addresses) {
+        peers.setKnownControllers(addresses);
     }
 
     /** Time has passed. */
     public void onTick(double nowMs) {
         clock.advance(nowMs);
-        if (!startup.ready()) {
+        if (!startup.isReady()) {
             startup.onTick();
             return;
         }
         durable.onTick();
-        proposals.onTick();
-        primary.onTick();
-        statusExchange.askAround();
+        proposer.onTick();
+        primaryRole.onTick();
+        statusExchange.requestStatus();
         advance();
     }
 
     /** Handles a message if it is of replication; returns whether it was. */
     public boolean onMessage(SocketAddress sender, Message message, double nowMs) {
         clock.advance(nowMs);
-        if (!startup.ready()) {
+        if (!startup.isReady()) {
             return message.getClass().getEnclosingClass() == ReplicationMessages.class;
         }
         boolean handled = handleAsWitness(sender, message)
-                || handleAsReplica(sender, message)
+                || handleAsFollower(sender, message)
                 || handleAsProposer(sender, message);
         if (handled) {
             advance();
@@ -133,16 +135,16 @@
     private boolean handleAsWitness(SocketAddress sender, Message message) {
         if (message instanceof Prepare prepare) {
             if (prepare.number().counter() > durable.promised().counter()) {
-                election.granted();
+                election.onVoteGranted();
             }
             witness.onPrepare(sender, prepare);
         } else if (message instanceof Accept accept) {
-            election.granted();
+            election.onVoteGranted();
             witness.onAccept(sender, accept);
-        } else if (message instanceof Established established) {
-            oldCopyCheck.onRecord(established.record());
-            heardOf(established.record().number());
-            witness.onEstablished(established, this::tellPrimary);
+        } else if (message instanceof RecordChosen established) {
+            staleDiskCheck.onRecord(established.record());
+            onEpochObserved(established.record().number());
+            witness.onRecordChosen(established, this::notifyPrimary);
         } else if (message instanceof Status status) {
             statusExchange.onStatus(sender, status);
         } else {
@@ -151,20 +153,20 @@
         return true;
     }
 
-    private boolean handleAsReplica(SocketAddress sender, Message message) {
+    private boolean handleAsFollower(SocketAddress sender, Message message) {
         if (message instanceof Heartbeat heartbeat) {
             onHeartbeat(sender, heartbeat);
-        } else if (message instanceof Retag retag) {
-            heardOf(retag.number());
-            receiver.onRetag(sender, retag);
-        } else if (message instanceof Install install) {
-            heardOf(install.number());
-            receiver.onInstall(sender, install);
+        } else if (message instanceof RelabelState retag) {
+            onEpochObserved(retag.number());
+            receiver.onRelabelState(sender, retag);
+        } else if (message instanceof InstallSnapshot install) {
+            onEpochObserved(install.number());
+            receiver.onInstallSnapshot(sender, install);
         } else if (message instanceof Replicate replicate) {
-            heardOf(replicate.number());
-            StateTag held = durable.state().tag();
-            if (held.next().equals(replicate.tag())) {
-                commitReport.onCommitted(held);
+            onEpochObserved(replicate.number());
+            StateVersion current = durable.state().version();
+            if (current.next().equals(replicate.stateVersion())) {
+                commitNotifier.onCommitted(current);
             }
             receiver.onReplicate(sender, replicate);
         } else if (message instanceof Resign resign) {
@@ -177,17 +179,17 @@
 
     private boolean handleAsProposer(SocketAddress sender, Message message) {
         if (message instanceof Promise promise) {
-            peers.learn(promise.self().identity(), sender);
-            proposals.onPromise(promise);
+            peers.recordAddress(promise.self().identity(), sender);
+            proposer.onPromise(promise);
         } else if (message instanceof Accepted accepted) {
-            proposals.onAccepted(accepted);
-        } else if (message instanceof Refusal refusal) {
-            proposals.onRefusal(refusal);
+            proposer.onAccepted(accepted);
+        } else if (message instanceof Rejection refusal) {
+            proposer.onRejection(refusal);
         } else if (message instanceof HeartbeatReply reply) {
-            peers.learn(reply.self().identity(), sender);
-            primary.onHeartbeatReply(reply);
-        } else if (message instanceof StateReply reply) {
-            primary.onStateReply(reply);
+            peers.recordAddress(reply.self().identity(), sender);
+            primaryRole.onHeartbeatReply(reply);
+        } else if (message instanceof ReplicationReply reply) {
+            primaryRole.onStateReply(reply);
         } else {
             return false;
         }
@@ -195,54 +197,54 @@
     }
 
     private void onHeartbeat(SocketAddress sender, Heartbeat heartbeat) {
-        oldCopyCheck.onCommitted(heartbeat.number(), heartbeat.committed());
-        if (!knownPrimary.hasResigned(heartbeat.number()) && heardOf(heartbeat.number())) {
-            primaryListener.onHeartbeat(sender, heartbeat);
-            commitReport.onCommitted(heartbeat.committed());
+        staleDiskCheck.onCommitted(heartbeat.number(), heartbeat.committed());
+        if (!primaryLocator.hasResigned(heartbeat.number()) && onEpochObserved(heartbeat.number())) {
+            heartbeatHandler.onHeartbeat(sender, heartbeat);
+            commitNotifier.onCommitted(heartbeat.committed());
         }
-        primaryListener.answer(sender, heartbeat);
+        heartbeatHandler.reply(sender, heartbeat);
     }
 
     /** A primary of some epoch showed itself; returns whether its epoch is not over here. */
-    private boolean heardOf(EpochNumber number) {
+    private boolean onEpochObserved(EpochNumber number) {
         if (durable.promised().isAfter(number)) {
             return false;
         }
-        primary.onEpoch(number);
-        if (!primary.leads()) {
-            proposals.giveUpUpTo(number);
-            election.heard();
+        primaryRole.onEpochObserved(number);
+        if (!primaryRole.isLeading()) {
+            proposer.cancelUpTo(number);
+            election.onPrimaryContact();
         }
         return true;
     }
 
-    private void tellPrimary() {
-        if (!primary.leads()) {
-            primaryListener.answerAgain();
+    private void notifyPrimary() {
+        if (!primaryRole.isLeading()) {
+            heartbeatHandler.replyAgain();
         }
     }
 
     private void onResign(Resign resign) {
-        if (primary.leads() || durable.promised().isAfter(resign.number())) {
+        if (primaryRole.isLeading() || durable.promised().isAfter(resign.number())) {
             return;
         }
-        knownPrimary.onResigned(resign.number());
+        primaryLocator.onResigned(resign.number());
         election.onPrimaryGone();
-        if (resign.successor().equals(durable.identity()) && mayStand() && !proposals.isUnderWay()) {
-            proposals.stand(true, resign.leaving());
+        if (resign.successor().equals(durable.identity()) && canStandForElection() && !proposer.isProposing()) {
+            proposer.proposeElection(true, resign.shuttingDown());
         }
     }
 
     /** Does whatever can be done now. A callback that calls in here again is served after it. */
     private void advance() {
-        advanceWanted = true;
+        advanceRequested = true;
         if (advancing) {
             return;
         }
         advancing = true;
         try {
-            while (advanceWanted) {
-                advanceWanted = false;
+            while (advanceRequested) {
+                advanceRequested = false;
                 advanceOnce();
             }
         } finally {
@@ -251,44 +253,44 @@
     }
 
     private void advanceOnce() {
-        if (!startup.ready()) {
+        if (!startup.isReady()) {
             return;
         }
-        proposals.takeWon().ifPresent(primary::begin);
-        if (primary.leads()) {
-            primary.advance();
-        } else if (!proposals.isUnderWay() && mayStand() && election.isDue()) {
-            proposals.stand(false, false);
+        proposer.takeChosen().ifPresent(primaryRole::startEpoch);
+        if (primaryRole.isLeading()) {
+            primaryRole.advance();
+        } else if (!proposer.isProposing() && canStandForElection() && election.isDue()) {
+            proposer.proposeElection(false, false);
         }
     }
 
-    private boolean mayStand() {
-        return !departure.isBegun() && durable.ready() && durable.identityStored();
+    private boolean canStandForElection() {
+        return !shutdown.isStarted() && durable.isHealthy() && durable.isIdentityDurable();
     }
 
-    private boolean hearsPrimary() {
-        return primary.leads() ? primary.isConfirmedLately() : election.hearsPrimary();
+    private boolean hasPrimaryContact() {
+        return primaryRole.isLeading() ? primaryRole.isRecentlyConfirmed() : election.hasPrimaryContact();
     }
 
     /** What this process knows, in answer to nothing. */
-    Status status(boolean answerWanted) {
-        return statusExchange.status(RequestId.NONE, answerWanted);
+    Status status(boolean replyRequested) {
+        return statusExchange.status(RequestId.NONE, replyRequested);
     }
 
     /** This process is about to end: hands leadership over, and leaves the in-sync set. */
-    public void leave(double nowMs) {
+    public void beginShutdown(double nowMs) {
         clock.advance(nowMs);
-        departure.begin(clock.activeMs());
-        tellPrimary();
+        shutdown.start(clock.activeMs());
+        notifyPrimary();
         advance();
     }
 
-    /** After {@link #leave}: whether the others can do without this process by now. */
-    public boolean detached() {
+    /** After {@link #beginShutdown}: whether the others can do without this process by now. */
+    public boolean isDetached() {
         EpochRecord accepted = durable.accepted();
-        boolean outside = !accepted.inSync().contains(durable.identity());
-        boolean certain = primaryListener.isKnownToStand(accepted) || !accepted.hasMember(durable.identity());
-        return !primary.leads() && outside && certain;
+        boolean isOutsideInSync = !accepted.inSync().contains(durable.identity());
+        boolean isRecordChosen = heartbeatHandler.isKnownChosen(accepted) || !accepted.hasMember(durable.identity());
+        return !primaryRole.isLeading() && isOutsideInSync && isRecordChosen;
     }
 
     @Override
@@ -298,51 +300,54 @@
 
     @Override
     public void submit(ConfigurationChange change, Consumer<ChangeOutcome> callback) {
-        if (!primary.leads() || departure.isBegun()) {
+        if (!primaryRole.isLeading() || shutdown.isStarted()) {
             callback.accept(new ChangeOutcome.NotPrimary(primary()));
             return;
         }
-        primary.submit(change, callback);
+        primaryRole.submit(change, callback);
         advance();
     }
 
     @Override
     public void read(Consumer<ReadOutcome> callback) {
-        if (!primary.leads()) {
+        if (!primaryRole.isLeading()) {
             callback.accept(new ReadOutcome.NotPrimary(primary()));
             return;
         }
-        primary.read(callback);
+        primaryRole.read(callback);
         advance();
     }
 
     @Override
     public Optional<SocketAddress> primary() {
-        return primary.leads() ? Optional.of(context.settings().operatorApi()) : knownPrimary.operatorApi();
+        return primaryRole.isLeading() ? Optional.of(context.settings().operatorApi()) : primaryLocator.operatorApi();
     }
 
     /**
      * Whether this process is in contact with a quorum, as its confirmed primary or by hearing one, and has told its
      * listener of every configuration that this primary had acknowledged when it was heard last.
      */
-    public boolean holdsNewest() {
-        return primary.leads()
-                ? primary.isSurelyLeading()
-                : primaryListener.committedNow().filter(commitReport::covers).isPresent();
+    public boolean isUpToDate() {
+        return primaryRole.isLeading()
+                ? primaryRole.isLeaseValid()
+                : heartbeatHandler
+                        .currentCommittedVersion()
+                        .filter(commitNotifier::hasNotified)
+                        .isPresent();
     }
 
     /** What this process knows, for the people who run it. */
     public ReplicationReport report() {
-        return primary.report(primary());
+        return primaryRole.report(primary());
     }
 
     /** The epoch that this process leads or believes to lead, whether or not it has begun. */
     Optional<Long> leadingNumber() {
-        return primary.leadership().map(leading -> leading.number().counter());
+        return primaryRole.epoch().map(epoch -> epoch.number().counter());
     }
 
     @Override
     public Optional<Long> leadingEpoch() {
-        return primary.leadingEpoch();
+        return primaryRole.leadingEpoch();
     }
 }
--- a/replication/src/main/java/pinewick/replication/ReplicationReport.java
+++ b/replication/src/main/java/pinewick/replication/ReplicationReport.java
@@ -30,21 +30,24 @@
      *
      * @param member its store
      * @param inSync whether each change must be on its disk
-     * @param leaving whether its process has said that it is about to end; known to the primary only
-     * @param silentMs for how long nothing was heard of it; known to the primary only
+     * @param shuttingDown whether its process has said that it is about to end; known to the primary only
+     * @param sinceContactMs for how long nothing was heard of it; known to the primary only
      */
-    public record MemberReport(Member member, boolean inSync, boolean leaving, OptionalDouble silentMs) {}
+    public record MemberReport(Member member, boolean inSync, boolean shuttingDown, OptionalDouble sinceContactMs) {}
 
     /**
      * How many more machines can be lost, disk included.
      *
-     * @param copies in-sync stores that answer and hold the newest committed state
-     * @param bearsLosses how many further losses leave every acknowledged change and a quorum
+     * @param currentStores in-sync stores that answer and hold the newest committed state
+     * @param tolerableLosses how many further losses leave every acknowledged change and a quorum
      * @param unknownReason why the two are not known here, empty if they are
-     * @param repairedMs for how long as many losses are borne as the deployment is told to tolerate
+     * @param sufficientForMs for how long as many losses are borne as the deployment is told to tolerate
      */
     public record FaultTolerance(
-            OptionalInt copies, OptionalInt bearsLosses, String unknownReason, OptionalDouble repairedMs) {
+            OptionalInt currentStores,
+            OptionalInt tolerableLosses,
+            String unknownReason,
+            OptionalDouble sufficientForMs) {
         /** Nothing is known here. */
         static FaultTolerance unknown(String reason) {
             return new FaultTolerance(OptionalInt.empty(), OptionalInt.empty(), reason, OptionalDouble.empty());
--- a/replication/src/main/java/pinewick/replication/ReplicationSettings.java
+++ b/replication/src/main/java/pinewick/replication/ReplicationSettings.java
@@ -27,12 +27,12 @@
     }
 
     /** The fewest stores that must have a change on disk before it is acknowledged. */
-    public int fewestCopies() {
+    public int minInSyncStores() {
         return toleratedMachines + 1;
     }
 
     /** As many members as it takes to decide while {@link #toleratedMachines} of them are lost. */
-    public int wantedMembers() {
+    public int targetMemberCount() {
         return 2 * toleratedMachines + 1;
     }
 
--- a/replication/src/main/java/pinewick/replication/Requests.java
+++ b/replication/src/main/java/pinewick/replication/RequestIds.java
@@ -3,11 +3,11 @@
 import java.util.random.RandomGenerator;
 
 /** Numbers the questions of one life of a process. */
-final class Requests {
+final class RequestIds {
     private final long incarnation;
     private long sequence;
 
-    Requests(RandomGenerator random) {
+    RequestIds(RandomGenerator random) {
         incarnation = random.nextLong();
     }
 
@@ -17,7 +17,7 @@
     }
 
     /** Whether this is a question of this life, asked after the one that is given. */
-    boolean isAskedAfter(RequestId request, long earlierSequence) {
+    boolean isSentAfter(RequestId request, long earlierSequence) {
         return request.incarnation() == incarnation
                 && request.sequence() > earlierSequence
                 && request.sequence() <= sequence;
--- a/replication/src/main/java/pinewick/replication/OldCopyCheck.java
+++ b/replication/src/main/java/pinewick/replication/StaleDiskCheck.java
@@ -5,44 +5,44 @@
  * forgotten promises and acknowledged changes; it must neither vote nor count as a copy, so it starts over as an empty
  * one under another identity.
  */
-final class OldCopyCheck {
-    private final Context context;
-    private boolean found;
+final class StaleDiskCheck {
+    private final ReplicationContext context;
+    private boolean resetting;
 
-    OldCopyCheck(Context context) {
+    StaleDiskCheck(ReplicationContext context) {
         this.context = context;
     }
 
     /** Whoever is in sync by a record has promised its number on disk before the record was proposed. */
     void onRecord(EpochRecord record) {
         DurableState durable = context.durable();
-        boolean promiseLost = record.inSync().contains(durable.identity())
+        boolean isPromiseMissing = record.inSync().contains(durable.identity())
                 && durable.promised().counter() < record.number().counter();
-        if (promiseLost) {
-            startOver();
+        if (isPromiseMissing) {
+            resetDisk();
         }
     }
 
     /** Whoever is in sync had a state on disk before it was called committed. */
-    void onCommitted(EpochNumber number, StateTag committed) {
+    void onCommitted(EpochNumber number, StateVersion committed) {
         DurableState durable = context.durable();
         EpochRecord accepted = durable.accepted();
-        boolean stateLost = accepted.number().equals(number)
+        boolean isStateMissing = accepted.number().equals(number)
                 && accepted.inSync().contains(durable.identity())
                 && committed.epoch() == number.counter()
-                && durable.state().tag().compareTo(committed) < 0;
-        if (stateLost) {
-            startOver();
+                && durable.state().version().compareTo(committed) < 0;
+        if (isStateMissing) {
+            resetDisk();
         }
     }
 
-    private void startOver() {
-        if (found) {
+    private void resetDisk() {
+        if (resetting) {
             return;
         }
-        found = true;
+        resetting = true;
         context.listener()
-                .noted("the disk holds an older copy of this store than others have seen; it counts as empty");
-        context.durable().startOver(Startup.randomIdentity(context.random()), () -> found = false);
+                .onEvent("the disk holds an older copy of this store than others have seen; it counts as empty");
+        context.durable().reset(Startup.randomIdentity(context.random()), () -> resetting = false);
     }
 }
--- a/replication/src/main/java/pinewick/replication/Startup.java
+++ b/replication/src/main/java/pinewick/replication/Startup.java
@@ -5,26 +5,26 @@
 
 /** Gets a process from its start to where it may take part: reads the disk, founds where it is to, tries again. */
 final class Startup {
-    private static final double RETRY_MS = 500;
+    private static final double RETRY_INTERVAL_MS = 500;
 
-    private final Context context;
+    private final ReplicationContext context;
     private final StableStore store;
     private final Runnable onReady;
     private double retryAtMs = Double.POSITIVE_INFINITY;
     private boolean ready;
 
     /** @param onReady run once, when the process may take part */
-    Startup(Context context, StableStore store, Runnable onReady) {
+    Startup(ReplicationContext context, StableStore store, Runnable onReady) {
         this.context = context;
         this.store = store;
         this.onReady = onReady;
     }
 
-    boolean ready() {
+    boolean isReady() {
         return ready;
     }
 
-    void begin() {
+    void load() {
         retryAtMs = Double.POSITIVE_INFINITY;
         store.load(this::onLoaded, failure -> retryLater());
     }
@@ -34,25 +34,25 @@
             return;
         }
         if (context.durable().identity().isEmpty()) {
-            begin();
+            load();
         } else {
-            found();
+            writeFoundingRecord();
         }
     }
 
     private void retryLater() {
-        retryAtMs = context.activeMs() + RETRY_MS;
+        retryAtMs = context.activeMs() + RETRY_INTERVAL_MS;
     }
 
     private void onLoaded(LoadedState loaded) {
         DurableState durable = context.durable();
-        if (loaded.stored().isPresent() && restored(loaded.stored().get())) {
+        if (loaded.stored().isPresent() && restore(loaded.stored().get())) {
             finish();
         } else if (loaded.stored().isEmpty() && context.settings().isFounder() && !loaded.damaged()) {
-            durable.begin(context.settings().address().toString());
-            found();
+            durable.initialize(context.settings().address().toString());
+            writeFoundingRecord();
         } else {
-            durable.begin(randomIdentity(context.random()));
+            durable.initialize(randomIdentity(context.random()));
             finish();
         }
     }
@@ -65,22 +65,22 @@
     }
 
     /** A store whose content makes no sense counts as empty. */
-    private boolean restored(StoredState stored) {
+    private boolean restore(StoredState stored) {
         try {
             context.durable().restore(stored);
             return true;
         } catch (IllegalArgumentException e) {
-            context.listener().noted("the stored configuration cannot be read: " + e.getMessage());
+            context.listener().onEvent("the stored configuration cannot be read: " + e.getMessage());
             return false;
         }
     }
 
     /** A founder takes part once the founding record is on its disk. */
-    private void found() {
+    private void writeFoundingRecord() {
         retryAtMs = Double.POSITIVE_INFINITY;
         EpochRecord founding = EpochRecord.founding(context.settings().seeds());
-        ConfigurationState empty = ConfigurationState.NONE.withTag(StateTag.FOUNDING);
-        DurableState.Step step = new DurableState.Step(founding.number(), founding, empty, Optional.empty());
+        ConfigurationState empty = ConfigurationState.NONE.withVersion(StateVersion.FOUNDING);
+        DurableState.Update step = new DurableState.Update(founding.number(), founding, empty, Optional.empty());
         context.durable().submit(() -> Optional.of(step), outcome -> {
             if (outcome == DurableState.Outcome.WRITTEN) {
                 finish();
--- a/replication/src/main/java/pinewick/replication/StateReceiver.java
+++ b/replication/src/main/java/pinewick/replication/StateReceiver.java
@@ -4,92 +4,94 @@
 import java.util.function.Function;
 import pinewick.model.SocketAddress;
 import pinewick.replication.DurableState.Outcome;
-import pinewick.replication.DurableState.Step;
-import pinewick.replication.ReplicationMessages.Install;
+import pinewick.replication.DurableState.Update;
+import pinewick.replication.ReplicationMessages.InstallSnapshot;
+import pinewick.replication.ReplicationMessages.RelabelState;
 import pinewick.replication.ReplicationMessages.Replicate;
-import pinewick.replication.ReplicationMessages.Retag;
-import pinewick.replication.ReplicationMessages.StateReply;
-import pinewick.replication.ReplicationMessages.StateResult;
+import pinewick.replication.ReplicationMessages.ReplicationReply;
+import pinewick.replication.ReplicationMessages.ReplicationResult;
 
 /** Takes states from a primary: on disk first, then confirmed; nothing under a number below the promised one. */
 final class StateReceiver {
-    private final Context context;
+    private final ReplicationContext context;
 
-    StateReceiver(Context context) {
+    StateReceiver(ReplicationContext context) {
         this.context = context;
     }
 
-    void onRetag(SocketAddress sender, Retag message) {
+    void onRelabelState(SocketAddress sender, RelabelState message) {
         receive(
-                new Delivery(sender, message.request(), message.number(), message.tag()),
-                held -> held.tag().equals(message.base())
-                        ? Optional.of(new Received(held.withTag(message.tag()), Optional.empty()))
+                new Delivery(sender, message.request(), message.number(), message.toVersion()),
+                current -> current.version().equals(message.fromVersion())
+                        ? Optional.of(new NewState(current.withVersion(message.toVersion()), Optional.empty()))
                         : Optional.empty());
     }
 
-    void onInstall(SocketAddress sender, Install message) {
+    void onInstallSnapshot(SocketAddress sender, InstallSnapshot message) {
         receive(
-                new Delivery(sender, message.request(), message.number(), message.tag()),
-                held -> Optional.of(new Received(
-                        ConfigurationState.fromBytes(message.tag(), message.document(), message.changes()),
+                new Delivery(sender, message.request(), message.number(), message.stateVersion()),
+                current -> Optional.of(new NewState(
+                        ConfigurationState.fromBytes(
+                                message.stateVersion(), message.document(), message.acceptedChanges()),
                         Optional.empty())));
     }
 
     void onReplicate(SocketAddress sender, Replicate message) {
-        Delivery delivery = new Delivery(sender, message.request(), message.number(), message.tag());
-        receive(delivery, held -> {
-            if (!held.tag().next().equals(message.tag())) {
+        Delivery delivery = new Delivery(sender, message.request(), message.number(), message.stateVersion());
+        receive(delivery, current -> {
+            if (!current.version().next().equals(message.stateVersion())) {
                 return Optional.empty();
             }
-            StoredChange change = new StoredChange(message.delta(), message.key());
-            ConfigurationState changed = held.apply(message.tag(), change.delta(), change.key());
-            return Optional.of(new Received(changed, Optional.of(change)));
+            StoredChange transition = new StoredChange(message.delta(), message.key());
+            ConfigurationState changed = current.apply(message.stateVersion(), transition.delta(), transition.key());
+            return Optional.of(new NewState(changed, Optional.of(transition)));
         });
     }
 
     /** By which question a state came, and what it claims to be. */
-    private record Delivery(SocketAddress sender, RequestId request, EpochNumber number, StateTag tag) {}
+    private record Delivery(SocketAddress sender, RequestId request, EpochNumber number, StateVersion stateVersion) {}
 
-    private record Received(ConfigurationState state, Optional<StoredChange> change) {}
+    private record NewState(ConfigurationState state, Optional<StoredChange> change) {}
 
-    private void receive(Delivery delivery, Function<ConfigurationState, Optional<Received>> change) {
+    private void receive(Delivery delivery, Function<ConfigurationState, Optional<NewState>> transition) {
         DurableState durable = context.durable();
         EpochNumber number = delivery.number;
         durable.submit(
                 () -> {
-                    if (!honours(number) || holds(delivery.tag)) {
+                    if (!isAcceptable(number) || isStored(delivery.stateVersion)) {
                         return Optional.empty();
                     }
-                    return change.apply(durable.state())
-                            .map(received -> new Step(number, durable.accepted(), received.state, received.change));
+                    return transition
+                            .apply(durable.state())
+                            .map(received -> new Update(number, durable.accepted(), received.state, received.change));
                 },
                 outcome -> context.peers().send(delivery.sender, reply(delivery, outcome)));
     }
 
-    private StateReply reply(Delivery delivery, Outcome outcome) {
+    private ReplicationReply reply(Delivery delivery, Outcome outcome) {
         DurableState durable = context.durable();
-        StateResult result = StateResult.MISFIT;
+        ReplicationResult result = ReplicationResult.MISMATCH;
         if (outcome == Outcome.FAILED) {
-            result = StateResult.DISK_FAILED;
-        } else if (honours(delivery.number) && holds(delivery.tag)) {
-            result = StateResult.HELD;
+            result = ReplicationResult.DISK_FAILED;
+        } else if (isAcceptable(delivery.number) && isStored(delivery.stateVersion)) {
+            result = ReplicationResult.STORED;
         }
-        return new StateReply(
+        return new ReplicationReply(
                 delivery.request,
                 delivery.number,
                 durable.identity(),
                 result,
                 durable.promised(),
-                durable.state().tag());
+                durable.state().version());
     }
 
-    private boolean honours(EpochNumber number) {
+    private boolean isAcceptable(EpochNumber number) {
         EpochNumber promised = context.durable().promised();
         return promised.equals(number) || promised.counter() < number.counter();
     }
 
-    private boolean holds(StateTag tag) {
-        StateTag held = context.durable().state().tag();
-        return held.epoch() == tag.epoch() && held.compareTo(tag) >= 0;
+    private boolean isStored(StateVersion stateVersion) {
+        StateVersion current = context.durable().state().version();
+        return current.epoch() == stateVersion.epoch() && current.compareTo(stateVersion) >= 0;
     }
 }
--- a/replication/src/main/java/pinewick/replication/StatusExchange.java
+++ b/replication/src/main/java/pinewick/replication/StatusExchange.java
@@ -5,79 +5,79 @@
 
 /** Asks the others what they know while no primary is heard, and answers those that ask. */
 final class StatusExchange {
-    private final Context context;
-    private final Primary primary;
-    private final Proposals proposals;
+    private final ReplicationContext context;
+    private final PrimaryRole primaryRole;
+    private final EpochProposer proposer;
     private final Election election;
-    private final KnownPrimary knownPrimary;
-    private final OldCopyCheck oldCopyCheck;
+    private final PrimaryLocator primaryLocator;
+    private final StaleDiskCheck staleDiskCheck;
 
     StatusExchange(
-            Context context,
-            Primary primary,
-            Proposals proposals,
+            ReplicationContext context,
+            PrimaryRole primaryRole,
+            EpochProposer proposer,
             Election election,
-            KnownPrimary knownPrimary,
-            OldCopyCheck oldCopyCheck) {
+            PrimaryLocator primaryLocator,
+            StaleDiskCheck staleDiskCheck) {
         this.context = context;
-        this.primary = primary;
-        this.proposals = proposals;
+        this.primaryRole = primaryRole;
+        this.proposer = proposer;
         this.election = election;
-        this.knownPrimary = knownPrimary;
-        this.oldCopyCheck = oldCopyCheck;
+        this.primaryLocator = primaryLocator;
+        this.staleDiskCheck = staleDiskCheck;
     }
 
     /** Asks, if it is time to. */
-    void askAround() {
-        if (primary.leads() || proposals.isUnderWay()) {
+    void requestStatus() {
+        if (primaryRole.isLeading() || proposer.isProposing()) {
             return;
         }
         EpochRecord accepted = context.durable().accepted();
-        election.question().ifPresent(request -> context.peers()
-                .send(context.peers().everywhere(accepted), status(request, true)));
+        election.nextStatusRequest().ifPresent(request -> context.peers()
+                .send(context.peers().allAddresses(accepted), status(request, true)));
     }
 
     void onStatus(SocketAddress sender, Status status) {
-        context.peers().learn(status.self().identity(), sender);
-        oldCopyCheck.onRecord(status.accepted());
-        if (election.isDenial(status)) {
-            election.onDenial();
-            knownPrimary.denied();
+        context.peers().recordAddress(status.self().identity(), sender);
+        staleDiskCheck.onRecord(status.accepted());
+        if (election.isPrimaryDenial(status)) {
+            election.onPrimaryDenial();
+            primaryLocator.onDenial();
         }
-        election.askedMs(status).ifPresent(askedMs -> {
-            election.onAnswer(status);
-            knownPrimary.told(status.primary(), askedMs);
-            learnMembers(status.accepted());
+        election.requestSentMs(status).ifPresent(sentMs -> {
+            election.onStatusReply(status);
+            primaryLocator.onHint(status.primary(), sentMs);
+            recordMembers(status.accepted());
         });
-        if (status.answerWanted()) {
+        if (status.replyRequested()) {
             context.peers().send(sender, status(status.request(), false));
-            primary.onStatus(status);
+            primaryRole.onStatus(status);
         }
     }
 
     /** A store whose seeds are all gone finds the primary through any controller that it reaches. */
-    private void learnMembers(EpochRecord record) {
-        long unknown =
-                record.members().stream().filter(context.peers()::learnMember).count();
-        if (unknown > 0) {
-            election.askSoon();
-            askAround();
+    private void recordMembers(EpochRecord record) {
+        long added =
+                record.members().stream().filter(context.peers()::recordMember).count();
+        if (added > 0) {
+            election.requestStatusSoon();
+            requestStatus();
         }
     }
 
     /** What this process knows. */
-    Status status(RequestId request, boolean answerWanted) {
+    Status status(RequestId request, boolean replyRequested) {
         DurableState durable = context.durable();
-        boolean leading = primary.isConfirmedLately();
+        boolean isLeading = primaryRole.isRecentlyConfirmed();
         return new Status(
                 request,
                 context.self(),
                 durable.promised(),
                 durable.accepted(),
-                durable.state().tag(),
-                leading,
-                primary.leads() ? leading : election.hearsPrimary(),
-                leading ? primary.sighting() : knownPrimary.sighting(),
-                answerWanted);
+                durable.state().version(),
+                isLeading,
+                primaryRole.isLeading() ? isLeading : election.hasPrimaryContact(),
+                isLeading ? primaryRole.hint() : primaryLocator.hint(),
+                replyRequested);
     }
 }
--- a/replication/src/main/java/pinewick/replication/StoredHead.java
+++ b/replication/src/main/java/pinewick/replication/StoredHead.java
@@ -6,6 +6,6 @@
  * @param identity of the store
  * @param promised the highest epoch number promised
  * @param accepted the newest epoch record accepted
- * @param tag the state that snapshot and changes amount to
+ * @param stateVersion the state that snapshot and changes amount to
  */
-public record StoredHead(String identity, EpochNumber promised, EpochRecord accepted, StateTag tag) {}
+public record StoredHead(String identity, EpochNumber promised, EpochRecord accepted, StateVersion stateVersion) {}
--- a/replication/src/main/java/pinewick/replication/Witness.java
+++ b/replication/src/main/java/pinewick/replication/Witness.java
@@ -4,29 +4,29 @@
 import java.util.function.BooleanSupplier;
 import pinewick.model.SocketAddress;
 import pinewick.replication.DurableState.Outcome;
-import pinewick.replication.DurableState.Step;
+import pinewick.replication.DurableState.Update;
 import pinewick.replication.ReplicationMessages.Accept;
 import pinewick.replication.ReplicationMessages.Accepted;
-import pinewick.replication.ReplicationMessages.Established;
 import pinewick.replication.ReplicationMessages.Prepare;
 import pinewick.replication.ReplicationMessages.Promise;
-import pinewick.replication.ReplicationMessages.Refusal;
+import pinewick.replication.ReplicationMessages.RecordChosen;
+import pinewick.replication.ReplicationMessages.Rejection;
 
 /** Keeps the epoch record: promises numbers, accepts records, and learns which ones stand. */
 final class Witness {
-    private final Context context;
-    private final BooleanSupplier hearsPrimary;
-    private final BooleanSupplier leaving;
-    private EpochNumber learning = EpochNumber.NONE;
+    private final ReplicationContext context;
+    private final BooleanSupplier hasPrimaryContact;
+    private final BooleanSupplier shuttingDown;
+    private EpochNumber recordBeingStored = EpochNumber.NONE;
 
     /**
-     * @param hearsPrimary whether this process heard a primary lately or is one
-     * @param leaving whether this process is about to end
+     * @param hasPrimaryContact whether this process heard a primary lately or is one
+     * @param shuttingDown whether this process is about to end
      */
-    Witness(Context context, BooleanSupplier hearsPrimary, BooleanSupplier leaving) {
+    Witness(ReplicationContext context, BooleanSupplier hasPrimaryContact, BooleanSupplier shuttingDown) {
         this.context = context;
-        this.hearsPrimary = hearsPrimary;
-        this.leaving = leaving;
+        this.hasPrimaryContact = hasPrimaryContact;
+        this.shuttingDown = shuttingDown;
     }
 
     /** Promises on disk, then says so. While a primary is heard, only it or one it asked to may take over. */
@@ -34,18 +34,18 @@
         DurableState durable = context.durable();
         EpochNumber number = prepare.number();
         boolean fromPrimary = number.proposer().equals(durable.accepted().primary());
-        if (hearsPrimary.getAsBoolean() && !prepare.handedOver() && !fromPrimary) {
-            refuse(sender, prepare.request(), number);
+        if (hasPrimaryContact.getAsBoolean() && !prepare.requestedByPrimary() && !fromPrimary) {
+            reject(sender, prepare.request(), number);
             return;
         }
         durable.submit(
                 () -> number.counter() > durable.promised().counter()
-                        ? Optional.of(durable.promising(number))
+                        ? Optional.of(durable.withPromise(number))
                         : Optional.empty(),
-                outcome -> answerPrepare(sender, prepare, outcome));
+                outcome -> replyToPrepare(sender, prepare, outcome));
     }
 
-    private void answerPrepare(SocketAddress sender, Prepare prepare, Outcome outcome) {
+    private void replyToPrepare(SocketAddress sender, Prepare prepare, Outcome outcome) {
         EpochNumber number = prepare.number();
         DurableState durable = context.durable();
         if (outcome != Outcome.FAILED && durable.promised().equals(number)) {
@@ -54,11 +54,11 @@
                     number,
                     context.self(),
                     durable.accepted(),
-                    durable.state().tag(),
-                    leaving.getAsBoolean());
+                    durable.state().version(),
+                    shuttingDown.getAsBoolean());
             context.peers().send(sender, promise);
         } else {
-            refuse(sender, prepare.request(), number);
+            reject(sender, prepare.request(), number);
         }
     }
 
@@ -66,65 +66,65 @@
     void onAccept(SocketAddress sender, Accept accept) {
         DurableState durable = context.durable();
         EpochRecord record = accept.record();
-        durable.submit(() -> accept(record), outcome -> answerAccept(sender, accept.request(), record.number()));
+        durable.submit(() -> accept(record), outcome -> replyToAccept(sender, accept.request(), record.number()));
     }
 
-    private Optional<Step> accept(EpochRecord record) {
+    private Optional<Update> accept(EpochRecord record) {
         DurableState durable = context.durable();
         EpochNumber promised = durable.promised();
-        boolean allowed = promised.equals(record.number())
+        boolean isAllowed = promised.equals(record.number())
                 || promised.counter() < record.number().counter();
-        if (!allowed || durable.accepted().number().equals(record.number())) {
+        if (!isAllowed || durable.accepted().number().equals(record.number())) {
             return Optional.empty();
         }
-        return Optional.of(new Step(record.number(), record, durable.state(), Optional.empty()));
+        return Optional.of(new Update(record.number(), record, durable.state(), Optional.empty()));
     }
 
-    private void answerAccept(SocketAddress sender, RequestId request, EpochNumber number) {
+    private void replyToAccept(SocketAddress sender, RequestId request, EpochNumber number) {
         DurableState durable = context.durable();
         if (durable.accepted().number().equals(number)) {
             context.peers().send(sender, new Accepted(request, number, durable.identity()));
         } else {
-            refuse(sender, request, number);
+            reject(sender, request, number);
         }
     }
 
     /**
      * A record that stands is taken over where nothing higher was promised.
      *
-     * @param learnt run once it is on disk, unless it was there before
+     * @param onStored run once it is on disk, unless it was there before
      */
-    void onEstablished(Established established, Runnable learnt) {
-        EpochRecord record = established.record().settled();
-        if (learning.equals(record.number())) {
+    void onRecordChosen(RecordChosen established, Runnable onStored) {
+        EpochRecord record = established.record().withoutPreviousMembers();
+        if (recordBeingStored.equals(record.number())) {
             return;
         }
         DurableState durable = context.durable();
-        learning = record.number();
-        durable.submit(() -> learn(record), outcome -> {
-            learning = EpochNumber.NONE;
+        recordBeingStored = record.number();
+        durable.submit(() -> storeChosen(record), outcome -> {
+            recordBeingStored = EpochNumber.NONE;
             if (outcome == Outcome.WRITTEN) {
-                learnt.run();
+                onStored.run();
             }
         });
     }
 
-    private Optional<Step> learn(EpochRecord record) {
+    private Optional<Update> storeChosen(EpochRecord record) {
         DurableState durable = context.durable();
         EpochRecord accepted = durable.accepted();
-        boolean newer = record.number().isAfter(accepted.number());
-        boolean settles = record.number().equals(accepted.number()) && !accepted.isSettled();
-        if (durable.promised().isAfter(record.number()) || !(newer || settles)) {
+        boolean isNewer = record.number().isAfter(accepted.number());
+        boolean completesMembership = record.number().equals(accepted.number()) && !accepted.hasSingleQuorum();
+        if (durable.promised().isAfter(record.number()) || !(isNewer || completesMembership)) {
             return Optional.empty();
         }
-        return Optional.of(new Step(record.number(), record, durable.state(), Optional.empty()));
+        return Optional.of(new Update(record.number(), record, durable.state(), Optional.empty()));
     }
 
-    private void refuse(SocketAddress peer, RequestId request, EpochNumber number) {
+    private void reject(SocketAddress peer, RequestId request, EpochNumber number) {
         context.peers()
                 .send(
                         peer,
-                        new Refusal(
+                        new Rejection(
                                 request,
                                 number,
                                 context.durable().identity(),
--- a/replication/src/test/java/pinewick/replication/AnswerMatchingTest.java
+++ b/replication/src/test/java/pinewick/replication/AnswerMatchingTest.java
@@ -12,7 +12,7 @@
 import pinewick.replication.ReplicationMessages.Accepted;
 import pinewick.replication.ReplicationMessages.HeartbeatReply;
 import pinewick.replication.ReplicationMessages.Promise;
-import pinewick.replication.ReplicationMessages.StateReply;
+import pinewick.replication.ReplicationMessages.ReplicationReply;
 import pinewick.replication.ReplicationMessages.Status;
 
 /** Answers that bear the number of a question of another life count for nothing, whatever their kind. */
@@ -43,15 +43,15 @@
 
     @Test
     void statuses() {
-        assertFalse(works(message -> message instanceof Status status && !status.answerWanted()
+        assertFalse(works(message -> message instanceof Status status && !status.replyRequested()
                 ? new Status(
                         another(status.request()),
                         status.self(),
                         status.promised(),
                         status.accepted(),
-                        status.tag(),
+                        status.stateVersion(),
                         status.leading(),
-                        status.hearsPrimary(),
+                        status.hasPrimaryContact(),
                         status.primary(),
                         false)
                 : message));
@@ -65,8 +65,8 @@
                         promise.number(),
                         promise.self(),
                         promise.accepted(),
-                        promise.tag(),
-                        promise.leaving())
+                        promise.stateVersion(),
+                        promise.shuttingDown())
                 : message));
     }
 
@@ -99,57 +99,57 @@
                         reply.self(),
                         reply.promised(),
                         reply.accepted(),
-                        reply.settled(),
-                        reply.tag(),
-                        reply.leaving(),
-                        reply.diskReady())
+                        reply.knowsRecordChosen(),
+                        reply.stateVersion(),
+                        reply.shuttingDown(),
+                        reply.diskHealthy())
                 : message;
     }
 
     /** What is held is told by the answers to states and to heartbeats. */
     @Test
     void stateReplies() {
-        assertFalse(works(message -> message instanceof StateReply reply
-                ? new StateReply(
+        assertFalse(works(message -> message instanceof ReplicationReply reply
+                ? new ReplicationReply(
                         another(reply.request()),
                         reply.number(),
                         reply.identity(),
                         reply.result(),
                         reply.promised(),
-                        reply.held())
+                        reply.stateVersion())
                 : ofAnotherLife(message)));
     }
 
     @Test
     void anAnswerThatALaterOneOvertookTellsNothing() {
-        Replica replica = new Replica(new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721")), 0);
+        Follower replica = new Follower(new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721")), 0);
         EpochNumber number = new EpochNumber(4, "store-a");
-        StateTag tag = new StateTag(4, 1);
+        StateVersion tag = new StateVersion(4, 1);
         replica.onHeartbeatReply(reply(2, number, tag, true), number, tag, 100, 110);
-        assertTrue(replica.leaving());
+        assertTrue(replica.isShuttingDown());
         replica.onHeartbeatReply(reply(1, number, tag, false), number, tag, 190, 200);
-        assertTrue(replica.leaving());
-        assertEquals(100, replica.silentMs(200));
+        assertTrue(replica.isShuttingDown());
+        assertEquals(100, replica.sinceContactMs(200));
         replica.onHeartbeatReply(reply(2, number, tag, false), number, tag, 100, 210);
-        assertTrue(replica.leaving(), "a copy of an answer given before it was asked to end");
+        assertTrue(replica.isShuttingDown(), "a copy of an answer given before it was asked to end");
         replica.onHeartbeatReply(reply(3, number, tag, false), number, tag, 290, 300);
-        assertFalse(replica.leaving());
+        assertFalse(replica.isShuttingDown());
     }
 
     @Test
     void twoAnswersToOneRoundMayPassEachOther() {
-        Replica replica = new Replica(new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721")), 0);
+        Follower replica = new Follower(new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721")), 0);
         EpochNumber number = new EpochNumber(4, "store-a");
-        StateTag tag = new StateTag(4, 1);
+        StateVersion tag = new StateVersion(4, 1);
         HeartbeatReply later = reply(2, number, tag, false);
         HeartbeatReply earlier =
                 new HeartbeatReply(later.request(), number, later.self(), number, number, false, tag, false, true);
         replica.onHeartbeatReply(later, number, tag, 100, 110);
         replica.onHeartbeatReply(earlier, number, tag, 100, 111);
-        assertTrue(replica.knows(number), "it said that the record stands");
+        assertTrue(replica.knowsChosen(number), "it said that the record stands");
     }
 
-    private static HeartbeatReply reply(long round, EpochNumber number, StateTag tag, boolean leaving) {
+    private static HeartbeatReply reply(long round, EpochNumber number, StateVersion tag, boolean leaving) {
         Member self = new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721"));
         return new HeartbeatReply(new RequestId(9, round), number, self, number, number, true, tag, leaving, true);
     }
--- a/replication/src/test/java/pinewick/replication/ChangeQueueTest.java
+++ b/replication/src/test/java/pinewick/replication/ChangeQueueTest.java
@@ -22,20 +22,20 @@
     }
 
     private void refuseNext() {
-        queue.answerOnceConfirmed(queue.next().orElseThrow(), CONFLICT);
+        queue.completeOnceConfirmed(queue.next().orElseThrow(), CONFLICT);
     }
 
     @Test
     void aSendingAfterTheRefusalIsDecidedOnItsOwn() {
         send("first");
         refuseNext();
-        queue.asked(1);
+        queue.onHeartbeatSent(1);
         send("second");
-        queue.confirmed(1);
+        queue.onHeartbeatConfirmed(1);
         assertEquals(List.of("first " + CONFLICT), answered, "round 1 began before the second came");
         refuseNext();
-        queue.asked(2);
-        queue.confirmed(2);
+        queue.onHeartbeatSent(2);
+        queue.onHeartbeatConfirmed(2);
         assertEquals(List.of("first " + CONFLICT, "second " + CONFLICT), answered);
     }
 
@@ -44,10 +44,10 @@
         send("first");
         refuseNext();
         send("second");
-        queue.restart();
+        queue.requeueUnconfirmed();
         refuseNext();
-        queue.asked(1);
-        queue.confirmed(1);
+        queue.onHeartbeatSent(1);
+        queue.onHeartbeatConfirmed(1);
         assertEquals(2, answered.size());
     }
 
@@ -66,7 +66,7 @@
         send("first");
         refuseNext();
         send("second");
-        queue.abandon(new ChangeOutcome.NotPrimary(java.util.Optional.empty()));
+        queue.failAll(new ChangeOutcome.NotPrimary(java.util.Optional.empty()));
         assertEquals(2, answered.size());
     }
 }
--- a/replication/src/test/java/pinewick/replication/EarlierLifeTest.java
+++ b/replication/src/test/java/pinewick/replication/EarlierLifeTest.java
@@ -13,7 +13,7 @@
 import pinewick.model.SocketAddress;
 import pinewick.replication.ReplicationMessages.Accept;
 import pinewick.replication.ReplicationMessages.Prepare;
-import pinewick.replication.ReplicationMessages.PrimarySighting;
+import pinewick.replication.ReplicationMessages.PrimaryHint;
 import pinewick.replication.ReplicationMessages.Promise;
 import pinewick.replication.ReplicationMessages.Status;
 
@@ -44,7 +44,7 @@
                     new Random(seed),
                     new ReplicationListener() {
                         @Override
-                        public void committed(ConfigurationDocument document) {}
+                        public void onCommitted(ConfigurationDocument document) {}
                     });
             node.start(nowMs);
             finishWrites();
@@ -92,7 +92,7 @@
             while (sent(Prepare.class).isEmpty()) {
                 tick();
                 sent(Status.class).stream()
-                        .filter(Status::answerWanted)
+                        .filter(Status::replyRequested)
                         .forEach(question -> deliver(answerTo(question)));
             }
             return last(Prepare.class);
@@ -105,10 +105,10 @@
                 new Member(OTHER.toString(), OTHER),
                 EpochNumber.FOUNDING,
                 FOUNDING,
-                StateTag.FOUNDING,
+                StateVersion.FOUNDING,
                 false,
                 false,
-                PrimarySighting.NONE,
+                PrimaryHint.NONE,
                 false);
     }
 
@@ -118,7 +118,7 @@
                 question.number(),
                 new Member(OTHER.toString(), OTHER),
                 FOUNDING,
-                StateTag.FOUNDING,
+                StateVersion.FOUNDING,
                 false);
     }
 
--- a/replication/src/test/java/pinewick/replication/FailoverTest.java
+++ b/replication/src/test/java/pinewick/replication/FailoverTest.java
@@ -306,7 +306,7 @@
         Status leading = primary.node().status(false);
         Status held = machine.node().status(false);
         return leading.accepted().inSync().contains(held.self().identity())
-                && leading.tag().equals(held.tag());
+                && leading.stateVersion().equals(held.stateVersion());
     }
 
     @Test
--- a/replication/src/test/java/pinewick/replication/FaultToleranceTest.java
+++ b/replication/src/test/java/pinewick/replication/FaultToleranceTest.java
@@ -35,21 +35,21 @@
     @Test
     void allThreeThereBearOneLoss() {
         FaultTolerance tolerance = atPrimary(founded(3, 1));
-        assertEquals(OptionalInt.of(3), tolerance.copies());
-        assertEquals(OptionalInt.of(1), tolerance.bearsLosses());
-        assertTrue(tolerance.repairedMs().orElseThrow() > 0);
+        assertEquals(OptionalInt.of(3), tolerance.currentStores());
+        assertEquals(OptionalInt.of(1), tolerance.tolerableLosses());
+        assertTrue(tolerance.sufficientForMs().orElseThrow() > 0);
     }
 
     @Test
     void fiveBearTwo() {
-        assertEquals(OptionalInt.of(2), atPrimary(founded(5, 2)).bearsLosses());
+        assertEquals(OptionalInt.of(2), atPrimary(founded(5, 2)).tolerableLosses());
     }
 
     @Test
     void othersNameTheReasonAndThePrimary() {
         World world = founded(3, 1);
         ReplicationReport report = backup(world).node().report();
-        assertEquals(OptionalInt.empty(), report.faultTolerance().bearsLosses());
+        assertEquals(OptionalInt.empty(), report.faultTolerance().tolerableLosses());
         assertFalse(report.faultTolerance().unknownReason().isEmpty());
         assertEquals(world.primary().operatorApi, report.primary().orElseThrow());
         assertEquals(world.primary().node().report().epoch(), report.epoch());
@@ -62,12 +62,12 @@
         Machine wiped = backup(world);
         wiped.wipe();
         world.runUntil(world.nowMs() + UNTIL_NOTICED_MS);
-        assertEquals(OptionalInt.of(2), atPrimary(world).copies());
-        assertEquals(OptionalInt.of(0), atPrimary(world).bearsLosses());
-        assertTrue(atPrimary(world).repairedMs().isEmpty());
+        assertEquals(OptionalInt.of(2), atPrimary(world).currentStores());
+        assertEquals(OptionalInt.of(0), atPrimary(world).tolerableLosses());
+        assertTrue(atPrimary(world).sufficientForMs().isEmpty());
         wiped.start(false);
-        world.runUntil(() -> atPrimary(world).bearsLosses().equals(OptionalInt.of(1)), 2_000);
-        assertTrue(atPrimary(world).repairedMs().isPresent());
+        world.runUntil(() -> atPrimary(world).tolerableLosses().equals(OptionalInt.of(1)), 2_000);
+        assertTrue(atPrimary(world).sufficientForMs().isPresent());
     }
 
     /** The model's finding: answers that were long on their way kept a lost store among the copies. */
@@ -86,7 +86,7 @@
         world.runUntil(world.nowMs() + LATE_MS);
         lost.wipe();
         world.runUntil(world.nowMs() + LATE_MS);
-        assertEquals(OptionalInt.of(0), atPrimary(world).bearsLosses());
+        assertEquals(OptionalInt.of(0), atPrimary(world).tolerableLosses());
     }
 
     @Test
@@ -94,6 +94,6 @@
         World world = founded(3, 1);
         backup(world).leave();
         world.runUntil(world.nowMs() + 100);
-        assertEquals(OptionalInt.of(0), atPrimary(world).bearsLosses());
+        assertEquals(OptionalInt.of(0), atPrimary(world).tolerableLosses());
     }
 }
--- a/replication/src/test/java/pinewick/replication/FoldingTest.java
+++ b/replication/src/test/java/pinewick/replication/FoldingTest.java
@@ -17,7 +17,7 @@
 import pinewick.model.ConfigurationDelta;
 import pinewick.model.ConfigurationDocument;
 import pinewick.replication.DurableState.Outcome;
-import pinewick.replication.DurableState.Step;
+import pinewick.replication.DurableState.Update;
 
 /** Thousands of changes on one disk, with snapshots folded beneath, and a disk that refuses one of the foldings. */
 class FoldingTest {
@@ -59,9 +59,9 @@
 
     @BeforeEach
     void found() {
-        durable.begin("store");
-        ConfigurationState empty = ConfigurationState.NONE.withTag(new StateTag(1, 0));
-        durable.submit(() -> Optional.of(new Step(NUMBER, EpochRecord.NONE, empty, Optional.empty())), outcome -> {});
+        durable.initialize("store");
+        ConfigurationState empty = ConfigurationState.NONE.withVersion(new StateVersion(1, 0));
+        durable.submit(() -> Optional.of(new Update(NUMBER, EpochRecord.NONE, empty, Optional.empty())), outcome -> {});
     }
 
     private static StoredChange change(ConfigurationDocument base) {
@@ -83,8 +83,8 @@
         durable.submit(
                 () -> {
                     ConfigurationState held = durable.state();
-                    ConfigurationState changed = held.apply(held.tag().next(), change.delta(), change.key());
-                    return Optional.of(new Step(NUMBER, EpochRecord.NONE, changed, Optional.of(change)));
+                    ConfigurationState changed = held.apply(held.version().next(), change.delta(), change.key());
+                    return Optional.of(new Update(NUMBER, EpochRecord.NONE, changed, Optional.of(change)));
                 },
                 outcome -> ended[0] = outcome);
         return ended[0];
@@ -97,7 +97,7 @@
     private void assertNextProcessHolds(ConfigurationState expected) {
         DurableState next = new DurableState(store, new ActiveClock(), () -> {});
         next.restore(store.disk.load().stored().orElseThrow());
-        assertEquals(expected.tag(), next.state().tag());
+        assertEquals(expected.version(), next.state().version());
         assertEquals(expected.document(), next.state().document());
         for (long base = Math.max(0, expected.document().version() - AcceptedChanges.CAPACITY);
                 base < expected.document().version();
@@ -152,11 +152,12 @@
         }
         StoredChange last = change(durable.state().document());
         ConfigurationState held = durable.state();
-        ConfigurationState changed = held.apply(held.tag().next(), last.delta(), last.key());
+        ConfigurationState changed = held.apply(held.version().next(), last.delta(), last.key());
         StoredSnapshot snapshot =
                 new StoredSnapshot(changed.documentBytes(), changed.changes().toBytes());
         store.disk.apply(new StableWrite(
-                new StoredHead("store", NUMBER, EpochRecord.NONE, changed.tag()), new StableWrite.Replaced(snapshot)));
+                new StoredHead("store", NUMBER, EpochRecord.NONE, changed.version()),
+                new StableWrite.Replaced(snapshot)));
         assertNextProcessHolds(changed);
     }
 }
--- a/replication/src/test/java/pinewick/replication/KnownPrimaryTest.java
+++ b/replication/src/test/java/pinewick/replication/KnownPrimaryTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import pinewick.model.SocketAddress;
-import pinewick.replication.ReplicationMessages.PrimarySighting;
+import pinewick.replication.ReplicationMessages.PrimaryHint;
 
 /** How old a sighting is that came by way of another process. */
 class KnownPrimaryTest {
@@ -16,7 +16,7 @@
     private static final double SLOW_MS = 300;
 
     private final ActiveClock clock = new ActiveClock();
-    private final KnownPrimary known = new KnownPrimary(clock, new DurableState(null, clock, () -> {}));
+    private final PrimaryLocator known = new PrimaryLocator(clock, new DurableState(null, clock, () -> {}));
 
     @BeforeEach
     void run() {
@@ -32,25 +32,25 @@
     /** The model's finding: told to and fro over slow links, a sighting stayed young for ever. */
     @Test
     void theTimeOnTheWayMakesItNoYounger() {
-        PrimarySighting sighting = new PrimarySighting(EPOCH, API, 0);
+        PrimaryHint sighting = new PrimaryHint(EPOCH, API, 0);
         double askedMs = clock.steadyMs();
         passUntil(askedMs + SLOW_MS);
-        known.told(sighting, askedMs);
-        assertEquals(SLOW_MS, known.sighting().ageMs());
-        passUntil(askedMs + KnownPrimary.FRESH_MS);
+        known.onHint(sighting, askedMs);
+        assertEquals(SLOW_MS, known.hint().ageMs());
+        passUntil(askedMs + PrimaryLocator.HINT_VALID_MS);
         assertEquals(Optional.empty(), known.operatorApi());
     }
 
     @Test
     void oneThatIsFreshIsNamed() {
-        known.told(new PrimarySighting(EPOCH, API, 100), clock.steadyMs());
+        known.onHint(new PrimaryHint(EPOCH, API, 100), clock.steadyMs());
         assertEquals(Optional.of(API), known.operatorApi());
     }
 
     @Test
     void oneThatDeniedSinceIsNot() {
-        known.denied();
-        known.told(new PrimarySighting(EPOCH, API, 100), clock.steadyMs());
+        known.onDenial();
+        known.onHint(new PrimaryHint(EPOCH, API, 100), clock.steadyMs());
         assertEquals(Optional.empty(), known.operatorApi());
     }
 
@@ -58,7 +58,7 @@
     void oneThatResignedIsNot() {
         known.onResigned(EPOCH);
         passUntil(START_MS + SLOW_MS);
-        known.told(new PrimarySighting(EPOCH, API, 0), clock.steadyMs());
+        known.onHint(new PrimaryHint(EPOCH, API, 0), clock.steadyMs());
         assertEquals(Optional.empty(), known.operatorApi());
     }
 }
--- a/replication/src/test/java/pinewick/replication/Machine.java
+++ b/replication/src/test/java/pinewick/replication/Machine.java
@@ -93,13 +93,13 @@
                 new java.util.Random(world.random.nextLong()),
                 new ReplicationListener() {
                     @Override
-                    public void committed(ConfigurationDocument document) {
+                    public void onCommitted(ConfigurationDocument document) {
                         newest = document;
                         world.checker.committed(Machine.this, document);
                     }
 
                     @Override
-                    public void noted(String event) {
+                    public void onEvent(String event) {
                         world.note(address + " " + event);
                     }
                 });
@@ -120,7 +120,7 @@
                 known.add(other.address);
             }
         }
-        run(current, () -> node.knownControllers(known));
+        run(current, () -> node.setKnownControllers(known));
         world.after(500, () -> learnControllers(current));
     }
 
@@ -156,7 +156,12 @@
             if (message instanceof Prepare prepare && world.variant == BrokenVariant.PROMISES_WITHOUT_REMEMBERING) {
                 Status status = node.status(false);
                 Promise promise = new Promise(
-                        prepare.request(), prepare.number(), status.self(), status.accepted(), status.tag(), false);
+                        prepare.request(),
+                        prepare.number(),
+                        status.self(),
+                        status.accepted(),
+                        status.stateVersion(),
+                        false);
                 world.transmit(this, sender, promise);
             } else {
                 node.onMessage(sender, message, world.nowMs());
@@ -202,7 +207,7 @@
     void leave() {
         if (running) {
             world.note(address + " is asked to end");
-            run(generation, () -> node.leave(world.nowMs()));
+            run(generation, () -> node.beginShutdown(world.nowMs()));
         }
     }
 
--- a/replication/src/test/java/pinewick/replication/MembershipChangeTest.java
+++ b/replication/src/test/java/pinewick/replication/MembershipChangeTest.java
@@ -92,6 +92,6 @@
 
     @Test
     void withoutTheMajorityOfThePreviousMembersBothSidesGoOn() {
-        assertThrows(HistoryChecker.Violation.class, () -> playCut(EpochRecord::settled));
+        assertThrows(HistoryChecker.Violation.class, () -> playCut(EpochRecord::withoutPreviousMembers));
     }
 }
--- a/replication/src/test/java/pinewick/replication/OldCopyTest.java
+++ b/replication/src/test/java/pinewick/replication/OldCopyTest.java
@@ -89,7 +89,8 @@
         world.runUntil(world.nowMs() + REPAIRED_MS);
         assertNotEquals(before, identity(restored), "its promise is forgotten");
         assertEquals(
-                3, world.primary().node().report().faultTolerance().copies().orElseThrow());
+                3,
+                world.primary().node().report().faultTolerance().currentStores().orElseThrow());
     }
 
     /** The settings still say that the whole system starts for the first time. */
@@ -107,7 +108,13 @@
             world.runUntil(world.nowMs() + REPAIRED_MS);
             assertNotEquals(before, identity(wiped));
             assertEquals(
-                    3, world.primary().node().report().faultTolerance().copies().orElseThrow());
+                    3,
+                    world.primary()
+                            .node()
+                            .report()
+                            .faultTolerance()
+                            .currentStores()
+                            .orElseThrow());
         }
     }
 }
--- a/replication/src/test/java/pinewick/replication/PrimaryKnowledgeTest.java
+++ b/replication/src/test/java/pinewick/replication/PrimaryKnowledgeTest.java
@@ -88,18 +88,18 @@
         Change change = new Operator(world).properChange();
         primary.submit(change, outcome -> {});
         pass(OLDEST_MS);
-        world.machines.forEach(machine -> assertEquals(true, machine.node().holdsNewest()));
+        world.machines.forEach(machine -> assertEquals(true, machine.node().isUpToDate()));
         for (Machine machine : world.machines) {
             machine.freeze();
         }
         pass(LONG_CUT_MS);
         for (Machine machine : world.machines) {
             machine.node().advanceClock(world.nowMs());
-            assertEquals(false, machine.node().holdsNewest(), machine + " takes what is 20 s old for the newest");
+            assertEquals(false, machine.node().isUpToDate(), machine + " takes what is 20 s old for the newest");
         }
         world.machines.forEach(Machine::thaw);
         pass(FOUNDED_MS);
-        world.machines.forEach(machine -> assertEquals(true, machine.node().holdsNewest()));
+        world.machines.forEach(machine -> assertEquals(true, machine.node().isUpToDate()));
     }
 
     /** The model's finding: what waited in the buffers during a freeze was taken for news. */
--- a/replication/src/test/java/pinewick/replication/QuorumContactTest.java
+++ b/replication/src/test/java/pinewick/replication/QuorumContactTest.java
@@ -40,7 +40,7 @@
     }
 
     private static boolean holdsNewest(Machine machine) {
-        return machine.node().holdsNewest();
+        return machine.node().isUpToDate();
     }
 
     @Test
@@ -97,6 +97,7 @@
         world.runUntil(() -> holdsNewest(wiped), BOUND_MS);
         Machine primary = world.primary();
         assertEquals(
-                primary.node().status(false).tag(), wiped.node().status(false).tag());
+                primary.node().status(false).stateVersion(),
+                wiped.node().status(false).stateVersion());
     }
 }
--- a/replication/src/test/java/pinewick/replication/RepairTest.java
+++ b/replication/src/test/java/pinewick/replication/RepairTest.java
@@ -66,7 +66,7 @@
         ReplicationReport report = primary.node().report();
         boolean inSync = report.members().stream()
                 .anyMatch(member -> member.inSync() && member.member().address().equals(returned.address));
-        OptionalInt borne = report.faultTolerance().bearsLosses();
+        OptionalInt borne = report.faultTolerance().tolerableLosses();
         return inSync && borne.isPresent() && borne.getAsInt() >= world.toleratedMachines;
     }
 
@@ -207,7 +207,7 @@
             successor.start(false);
             world.runUntil(world.nowMs() + AT_ONCE_MS);
             leaving.leave();
-            world.runUntil(() -> leaving.node().detached(), GIVEN_UP_MS);
+            world.runUntil(() -> leaving.node().isDetached(), GIVEN_UP_MS);
             leaving.kill();
             leaving.removed = true;
             backup(world).wipe();
@@ -224,7 +224,7 @@
             World world = founded(seed, 3, 1);
             Machine leaving = seed % 2 == 0 ? world.primary() : backup(world);
             leaving.leave();
-            double ms = world.runUntil(() -> leaving.node().detached(), GIVEN_UP_MS);
+            double ms = world.runUntil(() -> leaving.node().isDetached(), GIVEN_UP_MS);
             assertTrue(ms < SOON_MS, "took " + ms);
         }
     }
@@ -247,9 +247,9 @@
                     .orElseThrow();
             leaving.leave();
             world.runUntil(world.nowMs() + DOWN_MS);
-            assertFalse(leaving.node().detached(), "there would be one copy only");
+            assertFalse(leaving.node().isDetached(), "there would be one copy only");
             slow.disk.mode = SimulatedDisk.Mode.GOOD;
-            double ms = world.runUntil(() -> leaving.node().detached(), GIVEN_UP_MS);
+            double ms = world.runUntil(() -> leaving.node().isDetached(), GIVEN_UP_MS);
             assertTrue(ms < DOWN_MS + 2 * SOON_MS, "took " + ms);
         }
     }
@@ -263,9 +263,9 @@
         Machine leaving = backup(world);
         leaving.leave();
         world.runUntil(world.nowMs() + DOWN_MS);
-        assertFalse(leaving.node().detached(), "the primary alone is no majority of three");
+        assertFalse(leaving.node().isDetached(), "the primary alone is no majority of three");
         dead.start(false);
-        world.runUntil(() -> leaving.node().detached(), 2 * SOON_MS);
+        world.runUntil(() -> leaving.node().isDetached(), 2 * SOON_MS);
     }
 
     @Test
@@ -304,7 +304,7 @@
             int[] deaths = new int[1];
             world.tamper = (sender, message) -> {
                 boolean changes = message instanceof ReplicationMessages.Accept accept
-                        && !accept.record().isSettled()
+                        && !accept.record().hasSingleQuorum()
                         && sender.running();
                 if (changes && deaths[0] < 2) {
                     deaths[0]++;
--- a/replication/src/test/java/pinewick/replication/WitnessTest.java
+++ b/replication/src/test/java/pinewick/replication/WitnessTest.java
@@ -14,12 +14,12 @@
 import pinewick.model.SocketAddress;
 import pinewick.replication.ReplicationMessages.Accept;
 import pinewick.replication.ReplicationMessages.Accepted;
-import pinewick.replication.ReplicationMessages.Established;
 import pinewick.replication.ReplicationMessages.Heartbeat;
 import pinewick.replication.ReplicationMessages.HeartbeatReply;
 import pinewick.replication.ReplicationMessages.Prepare;
 import pinewick.replication.ReplicationMessages.Promise;
-import pinewick.replication.ReplicationMessages.Refusal;
+import pinewick.replication.ReplicationMessages.RecordChosen;
+import pinewick.replication.ReplicationMessages.Rejection;
 
 /** What a witness promises and accepts, message by message. */
 class WitnessTest {
@@ -39,7 +39,7 @@
             new Random(1),
             new ReplicationListener() {
                 @Override
-                public void committed(ConfigurationDocument document) {}
+                public void onCommitted(ConfigurationDocument document) {}
             });
 
     /** A store whose writes end when the test says so. */
@@ -104,7 +104,7 @@
         lastSent(Promise.class);
         node.onMessage(THIRD, new Prepare(QUESTION, number(5, THIRD), false), 30);
         finishWrites();
-        assertEquals(number(5, OTHER), lastSent(Refusal.class).promised());
+        assertEquals(number(5, OTHER), lastSent(Rejection.class).promised());
     }
 
     @Test
@@ -114,7 +114,7 @@
         finishWrites();
         node.onMessage(THIRD, new Accept(QUESTION, record(number(4, THIRD))), 20);
         finishWrites();
-        lastSent(Refusal.class);
+        lastSent(Rejection.class);
         node.onMessage(OTHER, new Accept(QUESTION, record(number(5, OTHER))), 30);
         finishWrites();
         assertEquals(number(5, OTHER), lastSent(Accepted.class).number());
@@ -125,7 +125,7 @@
         started();
         node.onMessage(OTHER, new Prepare(QUESTION, number(5, OTHER), false), 10);
         finishWrites();
-        node.onMessage(THIRD, new Established(record(number(4, THIRD))), 20);
+        node.onMessage(THIRD, new RecordChosen(record(number(4, THIRD))), 20);
         finishWrites();
         assertEquals(number(5, OTHER), disk.load().stored().orElseThrow().head().promised());
         assertEquals(
@@ -136,13 +136,13 @@
     @Test
     void whileThePrimaryIsHeardNobodyElseGetsAPromise() {
         started();
-        node.onMessage(OTHER, new Established(record(number(1, OTHER))), 10);
+        node.onMessage(OTHER, new RecordChosen(record(number(1, OTHER))), 10);
         finishWrites();
-        node.onMessage(OTHER, new Heartbeat(QUESTION, number(1, OTHER), StateTag.NONE, OTHER), 20);
+        node.onMessage(OTHER, new Heartbeat(QUESTION, number(1, OTHER), StateVersion.NONE, OTHER), 20);
         assertEquals(QUESTION, lastSent(HeartbeatReply.class).request());
         node.onMessage(THIRD, new Prepare(QUESTION, number(2, THIRD), false), 30);
         finishWrites();
-        lastSent(Refusal.class);
+        lastSent(Rejection.class);
         node.onMessage(THIRD, new Prepare(QUESTION, number(2, THIRD), true), 40);
         finishWrites();
         lastSent(Promise.class);
--- a/replication/src/test/java/pinewick/replication/World.java
+++ b/replication/src/test/java/pinewick/replication/World.java
@@ -11,9 +11,9 @@
 import java.util.function.BiFunction;
 import pinewick.model.Message;
 import pinewick.model.SocketAddress;
-import pinewick.replication.ReplicationMessages.Install;
+import pinewick.replication.ReplicationMessages.InstallSnapshot;
+import pinewick.replication.ReplicationMessages.RelabelState;
 import pinewick.replication.ReplicationMessages.Replicate;
-import pinewick.replication.ReplicationMessages.Retag;
 
 /** Simulated time, machines and links between them. Whatever happens follows from the seed. */
 final class World {
@@ -165,11 +165,12 @@
 
     /** When a message arrives that would take so long alone. */
     private double arrivalMs(Machine sender, SocketAddress to, Message message, double delayMs) {
-        boolean isState = message instanceof Install || message instanceof Replicate || message instanceof Retag;
+        boolean isState =
+                message instanceof InstallSnapshot || message instanceof Replicate || message instanceof RelabelState;
         if (wholeStateMs == 0 || !isState) {
             return nowMs + delayMs;
         }
-        double carriedMs = message instanceof Install ? wholeStateMs : 0;
+        double carriedMs = message instanceof InstallSnapshot ? wholeStateMs : 0;
         return lastArrivalMs.merge(
                 new Link(sender.address, to),
                 nowMs + delayMs + carriedMs,
--- a/storage/src/main/java/pinewick/storage/StoredFormat.java
+++ b/storage/src/main/java/pinewick/storage/StoredFormat.java
@@ -13,7 +13,7 @@
 import pinewick.replication.EpochNumber;
 import pinewick.replication.EpochRecord;
 import pinewick.replication.Member;
-import pinewick.replication.StateTag;
+import pinewick.replication.StateVersion;
 import pinewick.replication.StoredChange;
 import pinewick.replication.StoredHead;
 
@@ -33,8 +33,8 @@
             out.writeUTF(head.identity());
             writeNumber(out, head.promised());
             writeRecord(out, head.accepted());
-            out.writeLong(head.tag().epoch());
-            out.writeLong(head.tag().sequence());
+            out.writeLong(head.stateVersion().epoch());
+            out.writeLong(head.stateVersion().sequence());
         });
     }
 
@@ -43,7 +43,7 @@
         String identity = in.readUTF();
         EpochNumber promised = readNumber(in);
         EpochRecord accepted = readRecord(in);
-        return new StoredHead(identity, promised, accepted, new StateTag(in.readLong(), in.readLong()));
+        return new StoredHead(identity, promised, accepted, new StateVersion(in.readLong(), in.readLong()));
     }
 
     static byte[] writeChange(StoredChange change) {
--- a/storage/src/test/java/pinewick/storage/PowerLossTest.java
+++ b/storage/src/test/java/pinewick/storage/PowerLossTest.java
@@ -29,7 +29,7 @@
 import pinewick.replication.EpochRecord;
 import pinewick.replication.LoadedState;
 import pinewick.replication.StableWrite;
-import pinewick.replication.StateTag;
+import pinewick.replication.StateVersion;
 import pinewick.replication.StorageException;
 import pinewick.replication.StoredChange;
 import pinewick.replication.StoredHead;
@@ -177,7 +177,7 @@
 
     private void persist(XodusStore store, StableWrite.Content content) throws InterruptedException {
         EpochRecord record = EpochRecord.founding(List.of(ADDRESS));
-        StoredHead head = new StoredHead("store", new EpochNumber(7, "other"), record, new StateTag(7, ++sequence));
+        StoredHead head = new StoredHead("store", new EpochNumber(7, "other"), record, new StateVersion(7, ++sequence));
         AtomicReference<StorageException> failure = new AtomicReference<>();
         store.persist(new StableWrite(head, content), () -> {}, failure::set);
         runNext();
--- a/storage/src/test/java/pinewick/storage/SingleController.java
+++ b/storage/src/test/java/pinewick/storage/SingleController.java
@@ -38,7 +38,7 @@
                 new ReplicationSettings(ADDRESS, ADDRESS, List.of(ADDRESS), true, 0, 4_000, 3_000);
         node = new ReplicationNode(settings, store, (peer, message) -> {}, new Random(1), new ReplicationListener() {
             @Override
-            public void committed(ConfigurationDocument document) {}
+            public void onCommitted(ConfigurationDocument document) {}
         });
         node.start(0);
         awaitLeadership();
--- a/storage/src/test/java/pinewick/storage/XodusStoreTest.java
+++ b/storage/src/test/java/pinewick/storage/XodusStoreTest.java
@@ -28,7 +28,7 @@
 import pinewick.replication.EpochRecord;
 import pinewick.replication.LoadedState;
 import pinewick.replication.StableWrite;
-import pinewick.replication.StateTag;
+import pinewick.replication.StateVersion;
 import pinewick.replication.StorageException;
 import pinewick.replication.StoredChange;
 import pinewick.replication.StoredHead;
@@ -77,7 +77,7 @@
 
     private static StoredHead head(long sequence) {
         EpochRecord record = EpochRecord.founding(List.of(ADDRESS, SocketAddress.parse("10.0.0.2:7721")));
-        return new StoredHead("10.0.0.1:7721", new EpochNumber(7, "other"), record, new StateTag(7, sequence));
+        return new StoredHead("10.0.0.1:7721", new EpochNumber(7, "other"), record, new StateVersion(7, sequence));
     }
 
     private static StoredChange change(int number, int bytes) {
