--- a/replication/src/main/java/pinewick/replication/AcceptedChanges.java
+++ b/replication/src/main/java/pinewick/replication/AcceptedChanges.java
@@ -7,9 +7,12 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** The changes accepted lately, oldest first, by base version and digest. Immutable. */
+/**
+ * The recently accepted changes, oldest first, by base version and digest: a change that an operator sends again is
+ * answered like the first time. Immutable.
+ */
 final class AcceptedChanges {
-    /** Older ones are forgotten beyond this many. */
+    /** Beyond this many the oldest are evicted. */
     static final int CAPACITY = 3_000;
 
     static final AcceptedChanges NONE = new AcceptedChanges(Map.of());
@@ -25,15 +28,15 @@
         this.versions = versions;
     }
 
-    /** The version that a change led to when it was accepted, if it was. */
+    /** The version that a change led to, empty if it is not among the recently accepted ones. */
     OptionalLong versionOf(long baseVersion, String digest) {
         Long version = versions.get(new Identity(baseVersion, digest));
         return version == null ? OptionalLong.empty() : OptionalLong.of(version);
     }
 
     /**
-     * Whether a change upon this version may have been accepted and is no longer known. Each accepted change builds
-     * upon a higher version than the one before, so only those below the oldest known can be.
+     * Whether a change based on this version may have been accepted and evicted since. Each accepted change is based on
+     * a higher version than the one before, so only changes below the oldest entry can be.
      */
     boolean mayHaveEvicted(long baseVersion) {
         return versions.size() >= CAPACITY
--- a/replication/src/main/java/pinewick/replication/ActiveClock.java
+++ b/replication/src/main/java/pinewick/replication/ActiveClock.java
@@ -1,11 +1,12 @@
 package pinewick.replication;
 
 /**
- * Two times. The steady one is the caller's. The active one leaves out spans in which this process did not run, so
- * that after a freeze nobody else is taken for silent.
+ * Two clocks. Steady time is the caller's monotonic time. Active time leaves out the spans in which this process did
+ * not run, so that after a freeze (a paused machine, a long garbage collection) the other processes are not taken for
+ * failed. Control loop only.
  */
 final class ActiveClock {
-    /** Longer spans between two events count as this long: the process was frozen. */
+    /** A longer span between two events means that the process was frozen; it counts as this long. */
     private static final double MAX_STEP_MS = 150;
 
     private double steadyMs = Double.NaN;
@@ -22,7 +23,7 @@
         steadyMs = nowMs;
     }
 
-    /** For how long, steady time, this process has run without a longer span in which it did not. */
+    /** For how long, steady time, this process has run since it was last frozen. */
     double sinceResumeMs() {
         return steadyMs - resumedMs;
     }
--- a/replication/src/main/java/pinewick/replication/ChangeKey.java
+++ b/replication/src/main/java/pinewick/replication/ChangeKey.java
@@ -5,9 +5,9 @@
 import java.util.HexFormat;
 
 /**
- * By what a change is known again when it is sent once more.
+ * Identifies a change, so that it is recognised when an operator sends it again.
  *
- * @param baseVersion the version it builds upon
+ * @param baseVersion the version it is based on
  * @param version the version it leads to
  * @param digest SHA-256 of its kind and body, hexadecimal
  */
--- a/replication/src/main/java/pinewick/replication/ChangeProcessor.java
+++ b/replication/src/main/java/pinewick/replication/ChangeProcessor.java
@@ -6,7 +6,11 @@
 import pinewick.model.ConfigurationDocument;
 import pinewick.model.InvalidConfigurationException;
 
-/** Decides upon changes and reads while this process leads. */
+/**
+ * Processes the queued changes and reads of a primary. A change is checked against the committed state and replicated;
+ * an outcome that depends on being primary (a version conflict, an invalid document, a read) is reported only after a
+ * later heartbeat was confirmed, so that a deposed primary reports nothing. Control loop only.
+ */
 final class ChangeProcessor {
     private final CommitNotifier commitNotifier;
     private final ChangeQueue changes;
@@ -19,9 +23,9 @@
     }
 
     /**
-     * Does whatever can be done now.
+     * Makes whatever progress is possible now.
      *
-     * @param acceptsChanges whether a new change may be begun
+     * @param acceptsChanges whether a further change may be replicated
      */
     void advance(PrimaryEpoch epoch, boolean acceptsChanges) {
         while (acceptsChanges && epoch.canReplicate() && !changes.isEmpty()) {
@@ -36,11 +40,12 @@
             changes.onHeartbeatSent(heartbeat);
             reads.onHeartbeatSent(heartbeat);
         }
-        changes.onHeartbeatConfirmed(epoch.confirmedHeartbeat());
-        reads.onHeartbeatConfirmed(epoch.confirmedHeartbeat(), epoch.committed().document());
+        changes.onHeartbeatConfirmed(epoch.lease().confirmedHeartbeat());
+        reads.onHeartbeatConfirmed(
+                epoch.lease().confirmedHeartbeat(), epoch.committed().document());
     }
 
-    /** Tells whoever waits when a state has become committed. */
+    /** Completes the change in flight when a state has become committed. */
     void updateCommitted(PrimaryEpoch epoch) {
         if (!epoch.updateCommitted()) {
             return;
@@ -74,7 +79,7 @@
         }
     }
 
-    /** A change so old that it may have been accepted and forgotten is not refused. */
+    /** A change so old that it may have been accepted and evicted is not rejected. */
     private static ChangeOutcome baseMismatch(ConfigurationChange change, ConfigurationState state) {
         return state.changes().mayHaveEvicted(change.baseVersion())
                 ? new ChangeOutcome.Unknown("it builds upon a version too old to tell whether it was accepted")
--- a/replication/src/main/java/pinewick/replication/ChangeQueue.java
+++ b/replication/src/main/java/pinewick/replication/ChangeQueue.java
@@ -10,17 +10,19 @@
 import java.util.function.Consumer;
 
 /**
- * Changes that were submitted here and are not decided. The same change sent again joins the one that is under way.
+ * The changes that were submitted to this process and are not completed: queued, in flight (at most one is replicated
+ * at a time), or waiting for the epoch to be confirmed. A change that is submitted again joins the earlier submission.
+ * Control loop only.
  */
 final class ChangeQueue {
     private static final long NO_HEARTBEAT_YET = Long.MAX_VALUE;
 
-    /** By what two sendings are known to be the same. */
+    /** Two submissions with the same identity are of the same change. */
     private record Identity(long baseVersion, String digest) {}
 
     private record PendingCallback(double deadlineMs, Consumer<ChangeOutcome> callback) {}
 
-    /** One change and whoever waits for it. */
+    /** One change and the callbacks that wait for its outcome. */
     static final class Entry {
         private final ConfigurationChange change;
         private final Identity identity;
@@ -58,7 +60,7 @@
         entry.callbacks.add(new PendingCallback(deadlineMs, callback));
     }
 
-    /** The next change to decide upon, taken out of the line. */
+    /** The next change to process, removed from the queue. */
     Optional<Entry> next() {
         return Optional.ofNullable(queued.poll());
     }
@@ -67,33 +69,33 @@
         return queued.isEmpty();
     }
 
-    /** It is being replicated. */
+    /** The change is in flight from now on. */
     void onReplicationStarted(Entry entry) {
         inFlight = Optional.of(entry);
     }
 
     /**
-     * It will be answered once a round that begins after this has been confirmed. The same change sent later does not
-     * join it, as that round may have begun before it came.
+     * The change is completed once a heartbeat that is sent after this call has been confirmed. A later submission of
+     * the same change does not join it, as that heartbeat may have been sent before.
      */
     void completeOnceConfirmed(Entry entry, ChangeOutcome outcome) {
         entries.remove(entry.identity, entry);
         unconfirmed.add(new UnconfirmedOutcome(entry, outcome, NO_HEARTBEAT_YET));
     }
 
-    /** Whether some answer waits for a round that has not been begun. */
+    /** Whether some outcome waits for a heartbeat that has not been sent. */
     boolean needsHeartbeat() {
         return unconfirmed.stream().anyMatch(answer -> answer.heartbeat == NO_HEARTBEAT_YET);
     }
 
-    /** A round has begun. */
+    /** A heartbeat was sent. */
     void onHeartbeatSent(long heartbeat) {
         unconfirmed.replaceAll(answer -> answer.heartbeat == NO_HEARTBEAT_YET
                 ? new UnconfirmedOutcome(answer.entry, answer.outcome, heartbeat)
                 : answer);
     }
 
-    /** A new epoch of this process: what was decided upon and not answered is decided upon again. */
+    /** A new epoch of this process: changes whose outcome was not confirmed are processed again. */
     void requeueUnconfirmed() {
         unconfirmed.forEach(answer -> requeue(answer.entry));
         unconfirmed.clear();
@@ -108,7 +110,7 @@
         }
     }
 
-    /** The round is confirmed: what was decided before it may be told. */
+    /** The heartbeat is confirmed: the outcomes that were decided before it was sent are reported. */
     void onHeartbeatConfirmed(long heartbeat) {
         for (UnconfirmedOutcome answer : List.copyOf(unconfirmed)) {
             if (answer.heartbeat <= heartbeat) {
@@ -118,7 +120,7 @@
         }
     }
 
-    /** A state is committed: the change under way is in it, or has to be decided upon again. */
+    /** A state is committed: the change in flight is part of it, or has to be processed again. */
     void onCommitted(ConfigurationState state) {
         if (inFlight.isEmpty()) {
             return;
@@ -136,7 +138,7 @@
         entry.callbacks.forEach(pending -> pending.callback.accept(outcome));
     }
 
-    /** Whoever has waited too long is told that the outcome is unknown. */
+    /** Callbacks whose deadline has passed are told that the outcome is unknown. */
     void expire(double nowMs) {
         for (Entry entry : incompleteEntries()) {
             for (PendingCallback pending : List.copyOf(entry.callbacks)) {
@@ -157,7 +159,9 @@
         return all;
     }
 
-    /** This process leads no more: nobody knows of the change under way, and nothing was done about the others. */
+    /**
+     * This process steps down: the outcome of the change in flight is unknown, and nothing was done about the others.
+     */
     void failAll(ChangeOutcome.NotPrimary outcome) {
         Optional<Entry> unknown = inFlight;
         inFlight = Optional.empty();
@@ -168,7 +172,7 @@
         for (Entry entry : all) {
             boolean replicated = unknown.isPresent() && unknown.get() == entry;
             ChangeOutcome entryOutcome =
-                    replicated ? new ChangeOutcome.Unknown("the primary changed meanwhile") : outcome;
+                    replicated ? new ChangeOutcome.Unknown("the primary changed during replication") : outcome;
             entry.callbacks.forEach(pending -> pending.callback.accept(entryOutcome));
         }
     }
--- a/replication/src/main/java/pinewick/replication/CommitNotifier.java
+++ b/replication/src/main/java/pinewick/replication/CommitNotifier.java
@@ -2,7 +2,7 @@
 
 import pinewick.model.ConfigurationDocument;
 
-/** Tells the listener of each committed state once. */
+/** Notifies the listener of each committed state once. Control loop only. */
 final class CommitNotifier {
     private final ReplicationContext context;
     private StateVersion lastNotified = StateVersion.NONE;
@@ -11,7 +11,7 @@
         this.context = context;
     }
 
-    /** The state under this tag is committed: told on if it is the one held here. */
+    /** The state with this version is committed; the listener is notified if it is the state of this process. */
     void onCommitted(StateVersion committed) {
         ConfigurationState current = context.durable().state();
         boolean known =
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Whether the listener has been told of this committed state, or of a later one of its epoch. */
+    /** Whether the listener has been notified of this committed state, or of a later one of its epoch. */
     boolean hasNotified(StateVersion committed) {
         return !committed.equals(StateVersion.NONE)
                 && lastNotified.epoch() == committed.epoch()
--- a/replication/src/main/java/pinewick/replication/ConfigurationChange.java
+++ b/replication/src/main/java/pinewick/replication/ConfigurationChange.java
@@ -4,7 +4,7 @@
  * A change as an operator sent it.
  *
  * @param kind whole configuration or named items
- * @param baseVersion the version it builds upon
+ * @param baseVersion the version it is based on
  * @param body JSON as received
  */
 public record ConfigurationChange(Kind kind, long baseVersion, byte[] body) {
--- a/replication/src/main/java/pinewick/replication/ConfigurationState.java
+++ b/replication/src/main/java/pinewick/replication/ConfigurationState.java
@@ -4,7 +4,10 @@
 import pinewick.model.ConfigurationDelta;
 import pinewick.model.ConfigurationDocument;
 
-/** What is replicated: the configuration, the changes accepted lately, and the tag that names both. Immutable. */
+/**
+ * What is replicated: the configuration and the recently accepted changes, with the version that identifies both.
+ * Immutable.
+ */
 record ConfigurationState(StateVersion version, ConfigurationDocument document, AcceptedChanges changes) {
     static final ConfigurationState NONE =
             new ConfigurationState(StateVersion.NONE, ConfigurationDocument.EMPTY, AcceptedChanges.NONE);
--- a/replication/src/main/java/pinewick/replication/DurableState.java
+++ b/replication/src/main/java/pinewick/replication/DurableState.java
@@ -7,28 +7,30 @@
 import java.util.function.Supplier;
 
 /**
- * What this process has on disk. Steps are taken one at a time, in order; each is decided when its turn comes, from
- * what is durable then, so that memory and disk never differ.
+ * What this process has on disk: its promise, its epoch record and its state. The only owner of the three; every other
+ * class reads them here and changes them by {@link #submit}. Updates are written one at a time, in order; each is
+ * computed when its turn comes, from what is durable then, so that memory never runs ahead of the disk. Control loop
+ * only.
  */
 final class DurableState {
-    /** A write that takes longer counts the disk as stalled. */
+    /** A disk whose write takes longer is stalled. */
     static final double STALL_TIMEOUT_MS = 500;
 
-    /** A step that waited longer for its turn is dropped: whoever asked for it has asked again. */
+    /** An update that waited longer for its turn is dropped: whoever asked for it has asked again. */
     private static final double QUEUE_TIMEOUT_MS = 1_000;
 
-    /** How often a failing disk is tried. */
+    /** How often a failed disk is tried again. */
     private static final double RETRY_INTERVAL_MS = 500;
 
-    /** Appended changes are folded into a snapshot beyond this many, and beyond this many bytes. */
+    /** Beyond this many appended changes, or this many bytes of them, a snapshot is written. */
     private static final int MAX_APPENDED_CHANGES = 200;
 
     private static final int MAX_APPENDED_BYTES = 256 * 1024;
 
-    /** A longer change is stored as a snapshot. */
+    /** A change of this length or more is written as a snapshot. */
     private static final int MAX_APPENDED_CHANGE_BYTES = 64 * 1024;
 
-    /** How a step ended. */
+    /** How an update ended. */
     enum Outcome {
         /** It is on disk. */
         WRITTEN,
@@ -38,7 +40,7 @@
         FAILED
     }
 
-    /** What a step is to make durable. */
+    /** What an update makes durable. */
     record Update(
             EpochNumber promised, EpochRecord accepted, ConfigurationState state, Optional<StoredChange> change) {}
 
@@ -61,20 +63,20 @@
     private int appendedChanges;
     private int appendedBytes;
 
-    /** @param afterWrite run after each write that ended, well or not */
+    /** @param afterWrite run after each write, whether it succeeded or failed */
     DurableState(StableStore store, ActiveClock clock, Runnable afterWrite) {
         this.store = store;
         this.clock = clock;
         this.afterWrite = afterWrite;
     }
 
-    /** Begins with an empty disk. */
+    /** Starts with an empty disk. */
     void initialize(String newIdentity) {
         identity = newIdentity;
     }
 
     /**
-     * Goes on from what the disk holds.
+     * Restores what the disk holds.
      *
      * @throws IllegalArgumentException if the parts do not fit together; nothing has changed then
      */
@@ -100,7 +102,7 @@
         return identity;
     }
 
-    /** Whether the identity is on disk, so that it may be given a vote. */
+    /** Whether the identity is on disk, so that this store may become a member. */
     boolean isIdentityDurable() {
         return identityDurable;
     }
@@ -117,34 +119,35 @@
         return state;
     }
 
-    /** Whether a write has been under way for too long. */
+    /** Whether the write in progress takes too long. */
     boolean isStalled() {
         return writing && clock.activeMs() - writingSinceMs > STALL_TIMEOUT_MS;
     }
 
-    /** Whether the disk did what was last asked of it, in time. */
+    /** Whether the last write succeeded, and the one in progress is in time. */
     boolean isHealthy() {
         return !failing && !isStalled();
     }
 
     /**
-     * Queues a step.
+     * Queues an update.
      *
-     * @param planner asked when its turn comes, with everything before it on disk
-     * @param onEnd told how it ended, after this object shows its effect
+     * @param planner computes the update when its turn comes, with everything before it on disk; empty if there is
+     *     nothing to write
+     * @param onEnd called with how it ended, after this object shows its effect
      */
     void submit(Supplier<Optional<Update>> planner, Consumer<Outcome> onEnd) {
         queue.add(new QueuedUpdate(clock.activeMs(), planner, onEnd));
         runNext();
     }
 
-    /** A step that changes the promise alone. */
+    /** An update of the promise alone. */
     Update withPromise(EpochNumber number) {
         return new Update(number, accepted, state, Optional.empty());
     }
 
     /**
-     * Gives up what the disk holds: it becomes an empty store under another identity.
+     * Discards what the disk holds: it becomes an empty store with another identity.
      *
      * @param onEnd run when that is on disk, or has failed
      */
@@ -160,7 +163,7 @@
                 outcome -> onEnd.run());
     }
 
-    /** While the disk fails, tries it now and then. */
+    /** While the disk fails, tries it again at intervals. */
     void onTick() {
         if (failing && !writing && clock.activeMs() - failedMs >= RETRY_INTERVAL_MS) {
             submit(() -> Optional.of(new Update(promised, accepted, state, Optional.empty())), outcome -> {});
--- a/replication/src/main/java/pinewick/replication/Election.java
+++ b/replication/src/main/java/pinewick/replication/Election.java
@@ -11,30 +11,34 @@
 import java.util.Set;
 import pinewick.replication.ReplicationMessages.Status;
 
-/** Watches the primary from a process that is none, and tells when this one should stand for election. */
+/**
+ * The election timer of a process that is not primary, and what the other controllers reported while there was no
+ * contact with a primary. It is due only when a quorum has no contact either. In-sync stores wait for different times,
+ * so that their proposals rarely collide; failed ones are followed by an exponential backoff. Control loop only.
+ */
 final class Election {
-    /** A primary heard within this time hinders others from taking over. */
+    /** While there was contact with a primary within this time, no other process may take over. */
     private static final double PRIMARY_CONTACT_MS = 450;
 
-    /** The shortest silence of the primary after which another process takes over. */
+    /** The shortest time without contact to the primary after which another process takes over. */
     private static final double ELECTION_TIMEOUT_MS = 600;
 
     private static final double MAX_JITTER_MS = 100;
 
-    /** The in-sync stores stand for election one after the other, this far apart. */
+    /** The in-sync stores stand for election one after the other, at this interval. */
     private static final double STAGGER_INTERVAL_MS = 120;
 
     private static final double RETRY_AFTER_DENIAL_MS = 150;
 
-    /** Whoever got a promise has this long to win. */
+    /** Whoever got a promise has this long to get its record chosen. */
     private static final double GRANTED_VOTE_MS = 700;
 
-    /** Lost ballots are followed by pauses that grow up to this. */
+    /** The longest backoff after a failed proposal. */
     private static final double MAX_BACKOFF_MS = 1_200;
 
     private static final double STATUS_REQUEST_INTERVAL_MS = 200;
 
-    /** An answer counts for this long. */
+    /** A status counts for this long. */
     private static final double STATUS_VALID_MS = 500;
 
     private record StatusReply(Status status, double receivedMs) {}
@@ -54,7 +58,7 @@
         this.context = context;
     }
 
-    /** This process has begun, or leads no more. */
+    /** This process has started, or has stepped down. */
     void restart(double delayMs) {
         contactMs = Double.NEGATIVE_INFINITY;
         statusByIdentity.clear();
@@ -62,7 +66,7 @@
         postpone(delayMs);
     }
 
-    /** The primary showed itself. */
+    /** There was contact with the primary. */
     void onPrimaryContact() {
         contactMs = context.activeMs();
         lastContactMs = contactMs;
@@ -71,17 +75,17 @@
         postpone(ELECTION_TIMEOUT_MS);
     }
 
-    /** Another process's ballot was granted: it gets the time to win it. */
+    /** A promise was given to another proposer: it gets the time to finish. */
     void onVoteGranted() {
         electionDueMs = Math.max(electionDueMs, context.activeMs() + GRANTED_VOTE_MS + jitterMs());
     }
 
-    /** The primary leads no more. */
+    /** The primary has resigned. */
     void onPrimaryGone() {
         restart(0);
     }
 
-    /** An own ballot was lost. */
+    /** A proposal of this process failed. */
     void onElectionLost() {
         statusByIdentity.clear();
         statusRequestedMs = Double.NEGATIVE_INFINITY;
@@ -90,7 +94,7 @@
                 electionDueMs, context.activeMs() + backoffMs * context.random().nextDouble());
     }
 
-    /** When the primary showed itself last, {@link ActiveClock#activeMs}. */
+    /** When there was contact with the primary last, {@link ActiveClock#activeMs}. */
     double lastContactMs() {
         return lastContactMs;
     }
@@ -99,7 +103,7 @@
         return context.activeMs() - contactMs < PRIMARY_CONTACT_MS;
     }
 
-    /** The question under which the others are to be asked now what they know, if they are. */
+    /** The request with which the other controllers are to be asked for their status now; empty if it is not time. */
     Optional<RequestId> nextStatusRequest() {
         double now = context.activeMs();
         if (hasPrimaryContact() || now - statusRequestedMs < STATUS_REQUEST_INTERVAL_MS) {
@@ -111,7 +115,7 @@
         return Optional.of(request);
     }
 
-    /** When the question was asked, steady time, that a status answers; empty if none was asked lately. */
+    /** When the request that a status answers was sent, steady time; empty if it was not sent recently. */
     OptionalDouble requestSentMs(Status status) {
         sentRequests.removeIf(request -> context.activeMs() - request.sentMs > STATUS_VALID_MS);
         return sentRequests.stream()
@@ -120,17 +124,17 @@
                 .findFirst();
     }
 
-    /** There is somebody new to ask. */
+    /** There is a new controller to ask. */
     void requestStatusSoon() {
         statusRequestedMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** What another process knows, in answer to a question of this one. */
+    /** A status that answers a request of this process. */
     void onStatusReply(Status status) {
         statusByIdentity.put(status.self().identity(), new StatusReply(status, context.activeMs()));
     }
 
-    /** The primary says itself that it does not lead. */
+    /** The primary itself reports that it does not lead. */
     void onPrimaryDenial() {
         if (hasPrimaryContact()) {
             contactMs = Double.NEGATIVE_INFINITY;
@@ -138,13 +142,13 @@
         }
     }
 
-    /** Whether the primary of the newest record known here says that it does not lead. */
+    /** Whether the primary of the newest record known here reports that it does not lead. */
     boolean isPrimaryDenial(Status status) {
         EpochRecord accepted = context.durable().accepted();
         return status.self().identity().equals(accepted.primary()) && !status.leading();
     }
 
-    /** Whether a quorum hears no primary, nobody else does, and this process could lead. */
+    /** Whether a quorum answered, none of them has contact with a primary, and this process could be primary. */
     boolean isDue() {
         double now = context.activeMs();
         if (now < electionDueMs || hasPrimaryContact()) {
@@ -161,7 +165,7 @@
                 && highest.inSync().contains(context.durable().identity());
     }
 
-    /** A counter above every one heard of. */
+    /** A counter above every one that is known. */
     long nextCounter() {
         long highest = context.durable().promised().counter();
         for (StatusReply reply : statusByIdentity.values()) {
--- a/replication/src/main/java/pinewick/replication/EpochNumber.java
+++ b/replication/src/main/java/pinewick/replication/EpochNumber.java
@@ -1,17 +1,17 @@
 package pinewick.replication;
 
 /**
- * Number of an epoch: a ballot. A witness promises a number only if its counter is higher than that of every number it
- * promised before, so no two epochs that stand share a counter.
+ * Number of an epoch: a ballot number of Paxos. A witness promises a number only if its counter is higher than that of
+ * every number it promised before, so no two chosen records share a counter.
  *
  * @param counter decides the order
  * @param proposer identity of the store whose process proposed it
  */
 public record EpochNumber(long counter, String proposer) implements Comparable<EpochNumber> {
-    /** Before every epoch: what a store that was never taken in has promised. */
+    /** Before every epoch: what a store that was never a member has promised. */
     public static final EpochNumber NONE = new EpochNumber(-1, "");
 
-    /** The epoch that the founders start from. */
+    /** The epoch from which the founders start. */
     public static final EpochNumber FOUNDING = new EpochNumber(0, "");
 
     @Override
--- a/replication/src/main/java/pinewick/replication/EpochPlanner.java
+++ b/replication/src/main/java/pinewick/replication/EpochPlanner.java
@@ -9,9 +9,12 @@
 import java.util.Set;
 import pinewick.replication.ReplicationMessages.Promise;
 
-/** Builds the records that a ballot proposes, and tells a primary when it should propose one. */
+/**
+ * Decides which epoch record to propose, and when a primary should reconfigure its epoch. Members and in-sync stores
+ * change only by a new record. Control loop only.
+ */
 final class EpochPlanner {
-    /** A member that has been silent for longer can be replaced by a store that asks to be taken in. */
+    /** A member without contact for longer can be replaced by an observer. */
     private static final double REPLACEABLE_AFTER_MS = 900;
 
     private final ReplicationContext context;
@@ -20,7 +23,10 @@
         this.context = context;
     }
 
-    /** Upon a record that may or may not stand: the members stay, and the proposer must be in sync. */
+    /**
+     * The record of an election, based on one that may or may not be chosen: the members stay, and the proposer must be
+     * in sync.
+     */
     Optional<EpochRecord> planElection(EpochNumber number, EpochRecord highest, Map<String, Promise> promises) {
         String self = context.durable().identity();
         if (!highest.inSync().contains(self) || !highest.hasMember(self)) {
@@ -29,7 +35,9 @@
         return Optional.of(record(number, highest, highest.members(), promises, true));
     }
 
-    /** Upon the primary's own record, which stands: members may be replaced too. */
+    /**
+     * The record of a reconfiguration, based on the primary's own record, which is chosen: members may be replaced too.
+     */
     Optional<EpochRecord> planChange(
             EpochNumber number,
             EpochRecord highest,
@@ -41,7 +49,8 @@
         }
         EpochRecord current = epoch.record();
         List<Member> members = planMembers(current, promises, followers);
-        return Optional.of(record(number, current, members, promises, epoch.retainsShuttingDown()));
+        return Optional.of(record(
+                number, current, members, promises, epoch.inSyncEvaluator().retainsShuttingDown()));
     }
 
     private EpochRecord record(
@@ -56,9 +65,9 @@
     }
 
     /**
-     * Whoever promised the number and was in sync, or holds exactly what this process holds. None of them can confirm
-     * a change of an earlier epoch any more, and each has every change that was acknowledged. Stores that are about to
-     * end are left out only where a primary that has begun finds that they can be done without.
+     * The stores that promised the number and were in sync, or have exactly the state of this process. None of them can
+     * confirm a change of an earlier epoch any more, and each has every acknowledged change. Stores that are shutting
+     * down are left out only where an established primary finds that they are not needed.
      */
     private List<String> inSync(
             EpochRecord base, List<Member> members, Map<String, Promise> promises, boolean retainsShuttingDown) {
@@ -94,9 +103,12 @@
         return members;
     }
 
-    /** Whether there is a place for a store that is no member. */
-    boolean canAdmit(EpochRecord current, Member candidate, Followers followers) {
-        return admit(new ArrayList<>(current.members()), candidate, followers);
+    /** Whether an observer can become a member. */
+    private boolean canAdmit(EpochRecord current, String candidate, Followers followers) {
+        return followers
+                .find(candidate)
+                .filter(follower -> admit(new ArrayList<>(current.members()), follower.member(), followers))
+                .isPresent();
     }
 
     private boolean admit(List<Member> members, Member candidate, Followers followers) {
@@ -116,19 +128,23 @@
     private Optional<Member> longestWithoutContact(List<Member> members, Followers followers) {
         double now = context.activeMs();
         return members.stream()
-                .filter(member -> followers.get(member.identity()) != null)
-                .filter(member -> isReplaceable(followers.get(member.identity()), now))
-                .max(Comparator.comparingDouble(
-                        member -> followers.get(member.identity()).sinceContactMs(now)));
+                .map(member -> followers.find(member.identity()))
+                .flatMap(Optional::stream)
+                .filter(follower -> isReplaceable(follower, now))
+                .max(Comparator.comparingDouble(follower -> follower.sinceContactMs(now)))
+                .map(Follower::member);
     }
 
     private static boolean isReplaceable(Follower follower, double now) {
         return follower.isShuttingDown() || follower.sinceContactMs(now) > REPLACEABLE_AFTER_MS;
     }
 
-    /** The stores to wait for in a new epoch that the primary should propose now, or empty if it should not. */
+    /**
+     * The stores that are expected to promise the epoch that the primary should propose now, or empty if it should not
+     * propose one.
+     */
     Optional<Set<String>> planReconfiguration(PrimaryEpoch epoch, Followers followers) {
-        Set<String> required = epoch.requiredFollowers();
+        Set<String> required = epoch.inSyncEvaluator().requiredFollowers();
         int present = epoch.record().inSync().size();
         boolean hasUnresponsive = 1 + required.size() < present;
         Set<String> admitted = admissible(epoch, followers, hasUnresponsive);
@@ -145,23 +161,22 @@
         return Optional.of(expectedPromises);
     }
 
-    /** A change under way is waited for, unless an in-sync store does not confirm it. */
+    /** A change in flight is waited for, unless an in-sync store does not confirm it. */
     private Set<String> admissible(PrimaryEpoch epoch, Followers followers, boolean hasUnresponsive) {
         Set<String> identities = new HashSet<>();
         boolean isAtTarget = context.durable().state().version().equals(epoch.targetVersion());
         if (!isAtTarget || (epoch.isChangePending() && !hasUnresponsive)) {
             return identities;
         }
-        for (String identity : epoch.caughtUpOutsiders()) {
-            boolean member = epoch.record().hasMember(identity);
-            if (member || canAdmit(epoch.record(), followers.get(identity).member(), followers)) {
+        for (String identity : epoch.inSyncEvaluator().caughtUpOutsiders(epoch.targetVersion())) {
+            if (epoch.record().hasMember(identity) || canAdmit(epoch.record(), identity, followers)) {
                 identities.add(identity);
             }
         }
         return identities;
     }
 
-    /** A store that answers has promised a higher number and will confirm nothing of this epoch. */
+    /** A responsive store has promised a higher number and will confirm nothing of this epoch. */
     private boolean hasPromisedHigher(PrimaryEpoch epoch, Followers followers) {
         double now = context.activeMs();
         return followers.all().stream()
--- a/replication/src/main/java/pinewick/replication/EpochProposal.java
+++ b/replication/src/main/java/pinewick/replication/EpochProposal.java
@@ -14,23 +14,25 @@
 import pinewick.replication.ReplicationMessages.Rejection;
 
 /**
- * One try to make a new epoch: asks the witnesses to promise a number, proposes a record built upon the highest one
- * that they have accepted, and stands once a quorum has accepted that.
+ * One attempt to get a new epoch record chosen, by the two phases of single-decree Paxos (Lamport, "Paxos Made Simple",
+ * 2001): asks the witnesses to promise a number, then to accept a record that is based on the highest one among those
+ * that they had accepted. The record is chosen once a quorum has accepted it. The proposer's own store takes part like
+ * any other: on disk first. Control loop only.
  */
 final class EpochProposal {
-    /** Messages without an answer are sent again after this long. */
+    /** Requests without a reply are sent again after this long. */
     private static final double RESEND_INTERVAL_MS = 150;
 
-    /** The stores that are likely to promise are waited for this long once there is a quorum. */
+    /** The stores that are expected to promise are waited for this long once there is a quorum. */
     private static final double EXPECTED_PROMISES_WAIT_MS = 100;
 
-    /** With fewer in-sync stores than hold each change, more are waited for this long. */
+    /** While fewer in-sync stores than f + 1 have promised, more are waited for this long. */
     private static final double MIN_IN_SYNC_WAIT_MS = 500;
 
-    /** A phase that takes longer has failed. */
+    /** A phase that takes longer fails the proposal. */
     private static final double PHASE_TIMEOUT_MS = 1_200;
 
-    /** How far a ballot is. */
+    /** Progress of a proposal. */
     enum Phase {
         PREPARING,
         ACCEPTING,
@@ -40,7 +42,7 @@
 
     /** Builds the record to propose. */
     interface RecordPlanner {
-        /** The record, without its number, or empty if this process may not propose one upon {@code highest}. */
+        /** The record, or empty if this process must not propose one based on {@code highest}. */
         Optional<EpochRecord> plan(EpochNumber number, EpochRecord highest, Map<String, Promise> promises);
     }
 
@@ -61,9 +63,9 @@
 
     /**
      * @param number the number to be promised
-     * @param requestedByPrimary whether the primary asked for this ballot
+     * @param requestedByPrimary whether the primary asked for this proposal
      * @param planner builds the record to propose
-     * @param expectedPromises the stores that are likely to promise, and worth a short wait
+     * @param expectedPromises the stores that are expected to promise, for which a short wait is worthwhile
      */
     EpochProposal(
             ReplicationContext context,
@@ -86,7 +88,7 @@
         return phase;
     }
 
-    /** The record that stands, once won. */
+    /** The proposed record; chosen once the phase is {@link Phase#CHOSEN}. */
     EpochRecord proposal() {
         return proposal;
     }
@@ -95,7 +97,7 @@
         return promises;
     }
 
-    /** The highest number that hindered this ballot. */
+    /** The highest number that a witness named when it rejected this proposal. */
     EpochNumber highestRejection() {
         return highestRejection;
     }
@@ -199,7 +201,7 @@
         sendAccept();
     }
 
-    /** Of two records with one number, the settled one says more. */
+    /** Of two records with one number, the one without previous members is newer: it is known to be chosen. */
     private EpochRecord highestAccepted() {
         return promises.values().stream()
                 .map(Promise::accepted)
--- a/replication/src/main/java/pinewick/replication/EpochProposer.java
+++ b/replication/src/main/java/pinewick/replication/EpochProposer.java
@@ -7,9 +7,12 @@
 import pinewick.replication.ReplicationMessages.Promise;
 import pinewick.replication.ReplicationMessages.Rejection;
 
-/** The ballots of this process, one at a time: to become primary, or to change an epoch that it leads. */
+/**
+ * The proposals of this process, one at a time: to become primary, or to reconfigure the epoch that it leads. Control
+ * loop only.
+ */
 final class EpochProposer {
-    /** After a lost ballot a primary waits up to this long before the next. */
+    /** After a failed proposal a primary waits up to this long, at random, before the next. */
     private static final double MAX_RETRY_DELAY_MS = 150;
 
     private final ReplicationContext context;
@@ -29,7 +32,7 @@
         return current.isPresent();
     }
 
-    /** Whether a primary may propose a change of its epoch now. */
+    /** Whether a primary may propose a reconfiguration now. */
     boolean canPropose() {
         return current.isEmpty() && context.activeMs() >= nextAttemptMs;
     }
@@ -51,10 +54,10 @@
     }
 
     /**
-     * Stands for election.
+     * Proposes an epoch with this process as primary.
      *
      * @param requestedByPrimary whether the former primary asked for it
-     * @param formerPrimaryPromises whether the former primary too is likely to promise
+     * @param formerPrimaryPromises whether the former primary too is expected to promise
      */
     void proposeElection(boolean requestedByPrimary, boolean formerPrimaryPromises) {
         DurableState durable = context.durable();
@@ -71,7 +74,7 @@
                 expectedPromises));
     }
 
-    /** Proposes another epoch to the one that this process leads. */
+    /** Proposes a new epoch in place of the one that this process leads. */
     void proposeReconfiguration(PrimaryEpoch epoch, Followers followers, Set<String> expectedPromises) {
         DurableState durable = context.durable();
         long counter = Math.max(durable.promised().counter(), highestRejectedCounter);
@@ -88,7 +91,7 @@
 
     private void start(EpochProposal proposal) {
         current = Optional.of(proposal);
-        context.listener().onEvent("proposes epoch " + proposal.number().counter());
+        context.listener().onEvent("proposing epoch " + proposal.number().counter());
         proposal.start();
     }
 
@@ -96,12 +99,12 @@
         current = Optional.empty();
     }
 
-    /** An epoch that was heard of makes ballots up to its number pointless. */
+    /** An observed epoch makes proposals up to its number pointless. */
     void cancelUpTo(EpochNumber number) {
         current = current.filter(proposal -> proposal.number().isAfter(number));
     }
 
-    /** The ballot that was won, if one was; a lost one is put away. */
+    /** The proposal whose record was chosen, if any; a failed one is discarded. */
     Optional<EpochProposal> takeChosen() {
         Optional<EpochProposal> chosen = current.filter(proposal -> proposal.phase() == EpochProposal.Phase.CHOSEN);
         Optional<EpochProposal> failed = current.filter(proposal -> proposal.phase() == EpochProposal.Phase.FAILED);
@@ -113,8 +116,7 @@
     }
 
     private void onFailed(EpochProposal failed) {
-        context.listener()
-                .onEvent("lost the ballot for epoch " + failed.number().counter());
+        context.listener().onEvent("proposal of epoch " + failed.number().counter() + " failed");
         highestRejectedCounter =
                 Math.max(highestRejectedCounter, failed.highestRejection().counter());
         nextAttemptMs =
--- a/replication/src/main/java/pinewick/replication/FaultToleranceMonitor.java
+++ b/replication/src/main/java/pinewick/replication/FaultToleranceMonitor.java
@@ -7,7 +7,7 @@
 import pinewick.replication.ReplicationReport.FaultTolerance;
 import pinewick.replication.ReplicationReport.MemberReport;
 
-/** Keeps count of how many more machines the system can lose, as the primary sees it. */
+/** Reports how many more machines the configuration store can lose, as the primary sees it. Control loop only. */
 final class FaultToleranceMonitor {
     private final ReplicationContext context;
     private final Followers followers;
@@ -29,7 +29,7 @@
         sufficient = isSufficient;
     }
 
-    /** This process leads no more. */
+    /** This process has stepped down. */
     void reset() {
         sufficient = false;
     }
@@ -40,7 +40,7 @@
         }
         PrimaryEpoch epoch = leading.get();
         if (!isKnown(epoch)) {
-            return FaultTolerance.unknown("the epoch has not begun, or no quorum has confirmed it lately");
+            return FaultTolerance.unknown("the epoch is not established, or no quorum has confirmed it recently");
         }
         update(epoch);
         OptionalDouble sufficientForMs =
@@ -49,32 +49,34 @@
                 OptionalInt.of(currentStores(epoch)), OptionalInt.of(tolerableLosses(epoch)), "", sufficientForMs);
     }
 
-    List<MemberReport> members(EpochRecord record, Optional<PrimaryEpoch> epoch) {
+    /** @param isPrimary whether this process is primary; else it does not know how the other members are */
+    List<MemberReport> members(EpochRecord record, boolean isPrimary) {
         return record.members().stream()
-                .map(member -> describe(member, record, epoch.isPresent()))
+                .map(member -> describe(member, record, isPrimary))
                 .toList();
     }
 
-    private MemberReport describe(Member member, EpochRecord record, boolean epoch) {
+    private MemberReport describe(Member member, EpochRecord record, boolean isPrimary) {
         boolean inSync = record.inSync().contains(member.identity());
         if (member.equals(context.self())) {
             return new MemberReport(member, inSync, false, OptionalDouble.of(0));
         }
-        Follower follower = epoch ? followers.get(member.identity()) : null;
-        return follower == null
-                ? new MemberReport(member, inSync, false, OptionalDouble.empty())
-                : new MemberReport(
+        Optional<Follower> known = isPrimary ? followers.find(member.identity()) : Optional.empty();
+        return known.map(follower -> new MemberReport(
                         member,
                         inSync,
                         follower.isShuttingDown(),
-                        OptionalDouble.of(follower.sinceContactMs(context.activeMs())));
+                        OptionalDouble.of(follower.sinceContactMs(context.activeMs()))))
+                .orElseGet(() -> new MemberReport(member, inSync, false, OptionalDouble.empty()));
     }
 
     private static boolean isKnown(PrimaryEpoch epoch) {
-        return epoch.isEstablished() && epoch.isPromiseCurrent() && epoch.isRecentlyConfirmed();
+        return epoch.isEstablished()
+                && epoch.isPromiseCurrent()
+                && epoch.lease().isRecentlyConfirmed();
     }
 
-    /** After these losses a copy is left, and the members that answer are still a majority of all. */
+    /** After these losses one up-to-date store is left, and the responsive members are still a majority of all. */
     private int tolerableLosses(PrimaryEpoch epoch) {
         int members = epoch.record().members().size();
         int majority = members / 2 + 1;
@@ -92,13 +94,14 @@
     }
 
     /**
-     * Members that answer, this one included. One that does not know yet that the record stands is not counted: with
-     * the others lost it would ask for a majority of the previous members too.
+     * Responsive members, this one included. One that does not know yet that the record is chosen is not counted: with
+     * the others lost it would require a majority of the previous members too.
      */
     private int voters(PrimaryEpoch epoch) {
         long others = epoch.record().members().stream()
-                .map(member -> followers.get(member.identity()))
-                .filter(follower -> follower != null && epoch.isResponsive(follower))
+                .map(member -> followers.find(member.identity()))
+                .flatMap(Optional::stream)
+                .filter(epoch.inSyncEvaluator()::isResponsive)
                 .filter(follower -> follower.knowsChosen(epoch.number()))
                 .count();
         return 1 + (int) others;
--- a/replication/src/main/java/pinewick/replication/Follower.java
+++ b/replication/src/main/java/pinewick/replication/Follower.java
@@ -6,17 +6,21 @@
 import pinewick.replication.ReplicationMessages.ReplicationResult;
 import pinewick.replication.ReplicationMessages.Status;
 
-/** What a primary knows of another store. Times are those of {@link ActiveClock#activeMs}. */
+/**
+ * What a primary knows of another controller's store, a member or an observer: what it has promised, accepted and
+ * stored, and what was sent to it and is not confirmed. Times are those of {@link ActiveClock#activeMs}. Control loop
+ * only.
+ */
 final class Follower {
     /** What was not confirmed is sent again after this long. */
     private static final double RESEND_INTERVAL_MS = 200;
 
-    /** The same for a whole state, doubled each time: it may be large, and its link slow. */
+    /** The same for a snapshot, doubled each time: it may be large, and its link slow. */
     private static final double SNAPSHOT_RESEND_INTERVAL_MS = 400;
 
     private static final double MAX_SNAPSHOT_RESEND_INTERVAL_MS = 1_600;
 
-    /** The same while its disk is in trouble. */
+    /** The same while its disk is unhealthy. */
     private static final double UNHEALTHY_RESEND_INTERVAL_MS = 500;
 
     private final Member member;
@@ -49,7 +53,7 @@
         return member.identity();
     }
 
-    /** The state it holds, as last heard. */
+    /** The state that it has on disk, as last reported. */
     StateVersion stateVersion() {
         return stateVersion;
     }
@@ -62,7 +66,7 @@
         return shuttingDown;
     }
 
-    /** For how long it has been about to end. */
+    /** For how long its process has been shutting down. */
     double shuttingDownForMs(double nowMs) {
         return nowMs - shuttingDownSinceMs;
     }
@@ -82,38 +86,38 @@
         return nowMs - lastContactMs;
     }
 
-    /** Whether it has accepted the record and knows that it stands. */
+    /** Whether it has accepted the record with this number and knows that it is chosen. */
     boolean knowsChosen(EpochNumber number) {
         return accepted.equals(number) && knowsAcceptedChosen;
     }
 
-    /** Whether its disk did what was asked of it lately. */
+    /** Whether its disk completed its last write in time. */
     boolean isDiskHealthy() {
         return diskHealthy;
     }
 
-    /** Whether nothing speaks against its being in sync. */
+    /** Whether it may be in sync: its disk is healthy and its process is not shutting down. */
     boolean isHealthy() {
         return diskHealthy && !shuttingDown;
     }
 
-    /** A primary that begins knows of it only since then, or since the time given. */
+    /** A new primary counts contact from its own start, or from the time given. */
     void setLastContactMs(double atMs) {
         lastContactMs = atMs;
     }
 
-    /** How long it has lacked the target state. */
+    /** For how long it has lacked the target state. */
     double laggingMs(double nowMs) {
         return Double.isNaN(laggingSinceMs) ? 0 : nowMs - laggingSinceMs;
     }
 
-    /** Whether something was sent to it that it may yet confirm. */
+    /** Whether something was sent to it that it may still confirm. */
     boolean isReplyPending(double nowMs) {
         double intervalMs = diskHealthy ? resendIntervalMs : Math.max(resendIntervalMs, UNHEALTHY_RESEND_INTERVAL_MS);
         return sentVersion.compareTo(stateVersion) > 0 && nowMs - replyPendingSinceMs < intervalMs;
     }
 
-    /** The state that it will hold once all that is on its way has arrived. */
+    /** The state that it will have once everything that is in flight has arrived. */
     StateVersion expectedVersion(double nowMs) {
         return isReplyPending(nowMs) ? sentVersion : stateVersion;
     }
@@ -127,7 +131,7 @@
         sentVersion = upTo;
     }
 
-    /** A whole state was sent. */
+    /** A snapshot was sent. */
     void onSnapshotSent(StateVersion snapshotVersion, double nowMs) {
         sentVersion = snapshotVersion;
         replyPendingSinceMs = nowMs;
@@ -135,12 +139,12 @@
         nextSnapshotResendIntervalMs = Math.min(2 * nextSnapshotResendIntervalMs, MAX_SNAPSHOT_RESEND_INTERVAL_MS);
     }
 
-    /** There is a new state to be held. */
+    /** There is a new target state. */
     void onTargetChanged(StateVersion target, double nowMs) {
         laggingSinceMs = stateVersion.equals(target) ? Double.NaN : nowMs;
     }
 
-    /** A new epoch begins: what was confirmed of the one before is void. */
+    /** A new epoch starts: confirmations of the one before are void. */
     void onEpochStarted(double nowMs) {
         confirmedHeartbeat = 0;
         knowsAcceptedChosen = false;
@@ -164,10 +168,10 @@
     }
 
     /**
-     * An answer that a later one has overtaken tells nothing. Silence counts from the question: an answer that was long
-     * on its way does not show that the other still runs.
+     * A reply that a later one has overtaken is ignored. Contact counts from when the heartbeat was sent: a reply that
+     * was delayed does not show that the follower still runs.
      *
-     * @param heartbeatSentMs when the heartbeat that is answered was sent
+     * @param heartbeatSentMs when the heartbeat that it answers was sent
      */
     void onHeartbeatReply(
             HeartbeatReply reply, EpochNumber number, StateVersion target, double heartbeatSentMs, double nowMs) {
@@ -188,7 +192,10 @@
         updateStateVersion(reply.stateVersion(), number, target, nowMs);
     }
 
-    /** What a store knows of a record it does not unlearn; two answers to one round may have passed each other. */
+    /**
+     * A store never loses its knowledge that a record is chosen; two replies to one heartbeat may arrive in either
+     * order.
+     */
     private void updateAccepted(EpochNumber number, boolean isChosen) {
         if (number.equals(accepted)) {
             knowsAcceptedChosen |= isChosen;
@@ -198,13 +205,13 @@
         }
     }
 
-    void onStateReply(ReplicationReply reply, EpochNumber number, StateVersion target, double nowMs) {
+    void onReplicationReply(ReplicationReply reply, EpochNumber number, StateVersion target, double nowMs) {
         promised = reply.promised();
         diskHealthy = reply.result() != ReplicationResult.DISK_FAILED;
         updateStateVersion(reply.stateVersion(), number, target, nowMs);
     }
 
-    /** Tags of the present epoch only grow; what says otherwise is late. */
+    /** State versions of the current epoch only grow; a lower one was delayed. */
     private void updateStateVersion(StateVersion reported, EpochNumber number, StateVersion target, double nowMs) {
         boolean isOfCurrentEpoch = stateVersion.epoch() == number.counter();
         if (!isOfCurrentEpoch || reported.compareTo(stateVersion) > 0) {
--- a/replication/src/main/java/pinewick/replication/Followers.java
+++ b/replication/src/main/java/pinewick/replication/Followers.java
@@ -6,11 +6,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
-/** The other stores that a primary knows: members, and those that ask to be taken in. */
+/** The other stores that a primary knows: members, and observers that ask to be admitted. Keeps the order in which they
+ * were added, so that a simulated run can be repeated. Control loop only. */
 final class Followers {
-    /** A store that is no member is forgotten after this silence. */
+    /** An observer, a store that is no member, is removed after this long without contact. */
     private static final double OBSERVER_EXPIRY_MS = 3_000;
 
     private final ReplicationContext context;
@@ -24,31 +26,29 @@
         return byIdentity.values();
     }
 
-    Follower get(String identity) {
-        return byIdentity.get(identity);
+    Optional<Follower> find(String identity) {
+        return Optional.ofNullable(byIdentity.get(identity));
     }
 
-    /** Those of some identities, this process left out. */
+    /** The followers with these identities; those that are not known are left out. */
     List<Follower> withIdentities(Collection<String> identities) {
         List<Follower> found = new ArrayList<>();
         for (String identity : identities) {
-            Follower follower = byIdentity.get(identity);
-            if (follower != null) {
-                found.add(follower);
-            }
+            find(identity).ifPresent(found::add);
         }
         return found;
     }
 
-    /** Whoever is heard of is kept, as a guest while it is no member. */
-    Follower getOrAdd(Member member) {
+    /** The follower, added as an observer if it is not known yet; empty for this process itself. */
+    Optional<Follower> getOrAdd(Member member) {
         if (member.identity().equals(context.durable().identity())) {
-            return null;
+            return Optional.empty();
         }
-        return byIdentity.computeIfAbsent(member.identity(), key -> new Follower(member, context.activeMs()));
+        return Optional.of(
+                byIdentity.computeIfAbsent(member.identity(), key -> new Follower(member, context.activeMs())));
     }
 
-    /** Members are always there. */
+    /** Members are never removed. */
     void addMembers(EpochRecord record) {
         record.members().forEach(this::getOrAdd);
     }
@@ -61,7 +61,7 @@
                         !record.hasMember(follower.identity()) && follower.sinceContactMs(now) > OBSERVER_EXPIRY_MS);
     }
 
-    /** The highest round that a quorum has confirmed, this process counted in. */
+    /** The newest heartbeat that a quorum has confirmed; this process confirms its own at once. */
     long confirmedHeartbeat(EpochRecord record, long newestHeartbeat) {
         List<Long> heartbeats = new ArrayList<>(List.of(newestHeartbeat));
         byIdentity.values().forEach(follower -> heartbeats.add(follower.confirmedHeartbeat()));
--- a/replication/src/main/java/pinewick/replication/GracefulShutdown.java
+++ b/replication/src/main/java/pinewick/replication/GracefulShutdown.java
@@ -1,6 +1,6 @@
 package pinewick.replication;
 
-/** Whether this process is about to end, and since when. */
+/** Whether this process is shutting down, and since when. Control loop only. */
 final class GracefulShutdown {
     private boolean started;
     private double startedMs;
--- a/replication/src/main/java/pinewick/replication/HeartbeatSendTimes.java
+++ b/replication/src/main/java/pinewick/replication/HeartbeatSendTimes.java
@@ -20,7 +20,7 @@
         sentMsByHeartbeat.put(heartbeat, nowMs);
     }
 
-    /** When a round was sent; long ago for one that is not known any more. */
+    /** When a heartbeat was sent; negative infinity for one that is no longer tracked. */
     double sentMs(long heartbeat) {
         return sentMsByHeartbeat.getOrDefault(heartbeat, Double.NEGATIVE_INFINITY);
     }
--- a/replication/src/main/java/pinewick/replication/Peers.java
+++ b/replication/src/main/java/pinewick/replication/Peers.java
@@ -11,11 +11,11 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Where the other controllers are, as far as this process knows, and the way to them. Sets keep the order in which they
- * were filled, so that a simulated run can be repeated.
+ * The addresses of the other controllers, as far as this process knows them, and the way to send to them. Collections
+ * keep insertion order, so that a simulated run can be repeated. Control loop only.
  */
 final class Peers {
-    /** Stores heard of longest ago are forgotten beyond this many. */
+    /** Beyond this many the least recently used address is evicted. */
     private static final int MAX_ADDRESSES = 64;
 
     private final SocketAddress self;
@@ -37,19 +37,19 @@
         this.outbox = outbox;
     }
 
-    /** Other parts of this process know controllers at these addresses. */
+    /** Replaces the addresses of controllers that other parts of this process know, from gossip. */
     void setKnownControllers(Collection<SocketAddress> addresses) {
         knownControllers = new LinkedHashSet<>(addresses);
     }
 
-    /** A store was heard of at an address. */
+    /** A message of a store came from an address. */
     void recordAddress(String identity, SocketAddress address) {
         if (!identity.isEmpty()) {
             addressByIdentity.put(identity, address);
         }
     }
 
-    /** Another process names a member; returns whether it was not known. */
+    /** Another process named a member; returns whether it was not known before. */
     boolean recordMember(Member member) {
         boolean isNew = !member.address().equals(self) && !addressByIdentity.containsKey(member.identity());
         if (isNew) {
@@ -58,12 +58,12 @@
         return isNew;
     }
 
-    /** Where a store was heard of last. */
+    /** The address from which a store sent last, or else the one in the record. */
     SocketAddress addressOf(Member member) {
         return addressByIdentity.getOrDefault(member.identity(), member.address());
     }
 
-    /** Every address at which a controller may be, this process's own left out. */
+    /** Every address at which a controller may be, except this process's own. */
     Set<SocketAddress> allAddresses(EpochRecord... records) {
         Set<SocketAddress> addresses = new LinkedHashSet<>();
         for (EpochRecord record : records) {
--- a/replication/src/main/java/pinewick/replication/PrimaryHeartbeatHandler.java
+++ b/replication/src/main/java/pinewick/replication/PrimaryHeartbeatHandler.java
@@ -5,7 +5,7 @@
 import pinewick.replication.ReplicationMessages.Heartbeat;
 import pinewick.replication.ReplicationMessages.HeartbeatReply;
 
-/** Answers the primary's heartbeats, and remembers the last one. */
+/** Answers the primary's heartbeats, and keeps the last one. Control loop only. */
 final class PrimaryHeartbeatHandler {
     private final ReplicationContext context;
     private final GracefulShutdown shutdown;
@@ -20,7 +20,7 @@
         this.primaryLocator = primaryLocator;
     }
 
-    /** A heartbeat of an epoch that is not over here. */
+    /** A heartbeat of an epoch that is not superseded here. */
     void onHeartbeat(SocketAddress sender, Heartbeat heartbeat) {
         primaryLocator.onHeartbeat(heartbeat.number(), heartbeat.operatorApi());
         lastHeartbeat = Optional.of(heartbeat);
@@ -28,12 +28,12 @@
         primaryAddress = sender;
     }
 
-    /** Who sent the last heartbeat, or nobody. */
+    /** Identity of the store that sent the last heartbeat, or empty. */
     String primaryIdentity() {
         return lastHeartbeat.map(heartbeat -> heartbeat.number().proposer()).orElse("");
     }
 
-    /** The state that the primary called committed, if it was heard just now: steady time, so that a freeze counts. */
+    /** The state that the primary called committed, if its heartbeat arrived recently in steady time. */
     Optional<StateVersion> currentCommittedVersion() {
         ActiveClock clock = context.clock();
         boolean isRecent = clock.sinceResumeMs() >= PrimaryLocator.RESUME_BACKLOG_MS
@@ -44,7 +44,7 @@
                 .map(Heartbeat::committed);
     }
 
-    /** Only the primary of a record that stands sends heartbeats under its number. */
+    /** Only the primary of a chosen record sends heartbeats under its number. */
     boolean isKnownChosen(EpochRecord record) {
         return lastHeartbeat
                 .filter(heartbeat -> heartbeat.number().equals(record.number()))
@@ -55,7 +55,7 @@
         context.peers().send(sender, buildReply(heartbeat));
     }
 
-    /** What the last heartbeat was told has changed: the primary need not wait for its next one. */
+    /** The state that the last reply reported has changed: reports it without waiting for the next heartbeat. */
     void replyAgain() {
         lastHeartbeat.ifPresent(heartbeat -> reply(primaryAddress, heartbeat));
     }
--- a/replication/src/main/java/pinewick/replication/PrimaryLocator.java
+++ b/replication/src/main/java/pinewick/replication/PrimaryLocator.java
@@ -5,14 +5,15 @@
 import pinewick.replication.ReplicationMessages.PrimaryHint;
 
 /**
- * The primary that callers are sent to. Known only for a short time after it was heard, by this process or by one that
- * tells of it. Ages are steady time: what was known before a freeze is old after it.
+ * Where operators are redirected to. The primary is known only for a short time after it was observed, by this process
+ * or by one that sent a {@link PrimaryHint}. Ages are steady time: what was known before a freeze is outdated after it.
+ * Control loop only.
  */
 final class PrimaryLocator {
-    /** A primary that was last heard longer ago is named to nobody; two lost heartbeats are too many. */
+    /** A primary that was last observed longer ago is not named to anyone: two heartbeats in a row are missing. */
     static final double HINT_VALID_MS = 450;
 
-    /** After a freeze messages that waited in buffers are handed in for this long. */
+    /** For this long after a freeze, messages that waited in buffers are delivered. */
     static final double RESUME_BACKLOG_MS = 100;
 
     private final ActiveClock clock;
@@ -28,7 +29,7 @@
         this.durable = durable;
     }
 
-    /** A heartbeat came from it. Right after a freeze it may be one that has waited, and tells nothing. */
+    /** A heartbeat came from it. Right after a freeze the heartbeat may be an old one from a buffer, and is ignored. */
     void onHeartbeat(EpochNumber epoch, SocketAddress address) {
         if (clock.sinceResumeMs() >= RESUME_BACKLOG_MS) {
             record(epoch, address, clock.steadyMs());
@@ -36,9 +37,10 @@
     }
 
     /**
-     * Another process tells of it.
+     * Another process sent a hint.
      *
-     * @param requestSentMs when it was asked, steady time: the time that its answer took must not make the sighting younger
+     * @param requestSentMs when the request for the hint was sent, steady time: the time that the reply took must not
+     *     make the hint younger
      */
     void onHint(PrimaryHint hint, double requestSentMs) {
         double observedAtMs = requestSentMs - hint.ageMs();
@@ -54,13 +56,13 @@
         observedMs = observedAtMs;
     }
 
-    /** It says itself that it does not lead at present. */
+    /** The primary itself reports that it does not lead at present. */
     void onDenial() {
         observedMs = Double.NEGATIVE_INFINITY;
         deniedMs = clock.steadyMs();
     }
 
-    /** It says itself that its epoch is over. */
+    /** The primary itself reports that its epoch has ended. */
     void onResigned(EpochNumber epoch) {
         if (epoch.isAfter(resignedEpoch)) {
             resignedEpoch = epoch;
@@ -68,17 +70,17 @@
         onDenial();
     }
 
-    /** Whether the primary of this epoch has said that it is over: what else comes of it is late. */
+    /** Whether the primary of this epoch has resigned: whatever else arrives from it was sent before. */
     boolean hasResigned(EpochNumber epoch) {
         return epoch.equals(resignedEpoch);
     }
 
-    /** Its operator API, while it is known. */
+    /** The primary's operator API, while it is known. */
     Optional<SocketAddress> operatorApi() {
         return isFresh() ? Optional.of(operatorApi) : Optional.empty();
     }
 
-    /** What this process tells others of it. */
+    /** The hint that this process sends to others. */
     PrimaryHint hint() {
         return isFresh() ? new PrimaryHint(number, operatorApi, clock.steadyMs() - observedMs) : PrimaryHint.NONE;
     }
@@ -87,7 +89,7 @@
         return clock.steadyMs() - observedMs < HINT_VALID_MS && !isSuperseded();
     }
 
-    /** A promise to another proposer may have ended that epoch; one to the same proposer is its next epoch. */
+    /** A promise to another proposer may have ended that epoch; one to the same proposer is a reconfiguration. */
     private boolean isSuperseded() {
         EpochNumber promised = durable.promised();
         return promised.isAfter(number) && !promised.proposer().equals(number.proposer());
--- a/replication/src/main/java/pinewick/replication/PrimaryRole.java
+++ b/replication/src/main/java/pinewick/replication/PrimaryRole.java
@@ -10,17 +10,22 @@
 import pinewick.replication.ReplicationMessages.Resign;
 import pinewick.replication.ReplicationMessages.Status;
 
-/** This process as the primary: from the epoch that it won, through its changes, until it leads no more. */
+/**
+ * This process as primary, over one or several epochs: from the record that was chosen until it steps down. It steps
+ * down when its disk fails or stalls, when no quorum confirms its epoch in time ({@link PrimaryEpoch#mustStepDown}),
+ * when a higher epoch is observed, or when the process shuts down; it names a successor that stands for election at
+ * once. Control loop only.
+ */
 final class PrimaryRole {
-    /** So long before {@code ack_ms} a change that is not decided is answered. */
+    /** A change without an outcome is answered this long before {@code ack_ms}. */
     private static final double REPLY_MARGIN_MS = 500;
 
     private static final double READ_TIMEOUT_MS = 2_000;
 
-    /** After a trouble of its own, this process leaves the election to others for this long. */
+    /** After it resigned, this process leaves the election to others for this long. */
     private static final double ELECTION_BACKOFF_MS = 1_000;
 
-    /** A primary that is about to end waits this long for a change under way. */
+    /** A primary that shuts down waits this long for a change in flight. */
     private static final double LAST_CHANGE_TIMEOUT_MS = 500;
 
     private static final double LEASE_MARGIN_MS = 100;
@@ -69,19 +74,19 @@
         return epoch.isPresent();
     }
 
-    /** Whether a quorum has confirmed lately that this process leads. */
+    /** Whether a quorum has recently confirmed that this process leads. */
     boolean isRecentlyConfirmed() {
-        return epoch.map(PrimaryEpoch::isRecentlyConfirmed).orElse(false);
+        return epoch.map(current -> current.lease().isRecentlyConfirmed()).orElse(false);
     }
 
-    /** Whether no other process can have begun to lead, by the clock that counts freezes too. */
+    /** Whether no other process can have become primary, by steady time. */
     boolean isLeaseValid() {
         return epoch.filter(current -> current.isEstablished() && current.isPromiseCurrent())
-                .filter(current -> context.clock().steadyMs() <= current.leaseExpirySteadyMs())
+                .filter(current -> context.clock().steadyMs() <= current.lease().expirySteadyMs())
                 .isPresent();
     }
 
-    /** What this process tells of itself as the primary. */
+    /** The hint that names this process as primary. */
     PrimaryHint hint() {
         return epoch.map(current ->
                         new PrimaryHint(current.number(), context.settings().operatorApi(), 0))
@@ -104,58 +109,53 @@
         }
     }
 
-    void onStateReply(ReplicationReply reply) {
-        epoch.ifPresent(current -> current.onStateReply(reply));
+    void onReplicationReply(ReplicationReply reply) {
+        epoch.ifPresent(current -> current.onReplicationReply(reply));
     }
 
     void onStatus(Status status) {
         epoch.ifPresent(current -> current.onStatus(status));
     }
 
-    /** An epoch showed itself: an earlier one that this process leads is over. */
+    /** A message of an epoch arrived: an earlier epoch of this process has ended. */
     void onEpochObserved(EpochNumber number) {
         if (epoch.isPresent() && number.isAfter(epoch.get().number())) {
-            stepDown("epoch " + number.counter() + " has begun", 0);
+            stepDown("epoch " + number.counter() + " has started", 0);
         }
     }
 
-    /** Begins the epoch that a ballot has won. */
+    /** Starts the epoch whose record was chosen. */
     void startEpoch(EpochProposal chosen) {
         if (epoch.isEmpty()) {
             resetContactTimes(chosen);
             leaseStartSteadyMs = context.clock().steadyMs()
-                    + PrimaryEpoch.LEASE_DURATION_MS
+                    + EpochLease.LEASE_DURATION_MS
                     + context.settings().leaseMs()
                     + LEASE_MARGIN_MS;
         }
-        chosen.promises().values().forEach(promise -> {
-            Follower follower = followers.getOrAdd(promise.self());
-            if (follower != null) {
-                follower.onPromise(promise, context.activeMs());
-            }
-        });
+        chosen.promises().values().forEach(promise -> followers
+                .getOrAdd(promise.self())
+                .ifPresent(follower -> follower.onPromise(promise, context.activeMs())));
         PrimaryEpoch started = new PrimaryEpoch(context, chosen.proposal(), followers);
         epoch = Optional.of(started);
         changes.requeueUnconfirmed();
         reads.awaitNewHeartbeat();
         context.listener()
-                .onEvent("leads epoch " + started.number().counter() + ", in sync "
+                .onEvent("became primary of epoch " + started.number().counter() + ", in-sync stores "
                         + started.record().inSync());
         started.establish();
     }
 
-    /** Of the members only the former primary was listened for until now. */
+    /** Until now this process only tracked contact with the former primary, not with the other members. */
     private void resetContactTimes(EpochProposal chosen) {
         for (Member member : chosen.proposal().members()) {
-            Follower follower = followers.getOrAdd(member);
-            if (follower != null) {
-                boolean isFormerPrimary = member.identity().equals(heartbeatHandler.primaryIdentity());
-                follower.setLastContactMs(isFormerPrimary ? election.lastContactMs() : context.activeMs());
-            }
+            boolean isFormerPrimary = member.identity().equals(heartbeatHandler.primaryIdentity());
+            double lastContactMs = isFormerPrimary ? election.lastContactMs() : context.activeMs();
+            followers.getOrAdd(member).ifPresent(follower -> follower.setLastContactMs(lastContactMs));
         }
     }
 
-    /** Does whatever can be done now. */
+    /** Makes whatever progress is possible now. */
     void advance() {
         if (epoch.isEmpty()) {
             return;
@@ -195,36 +195,43 @@
                 .orElse("");
         Resign message = new Resign(current.number(), successor, shutdown.isStarted());
         context.peers().send(context.peers().allAddresses(current.record()), message);
-        stepDown("resigned in favour of '" + successor + "'", ELECTION_BACKOFF_MS);
+        stepDown(
+                "resigned" + (successor.isEmpty() ? ", no successor" : ", successor " + successor),
+                ELECTION_BACKOFF_MS);
     }
 
     private void stepDown(String reason, double electionDelayMs) {
+        long counter = epoch.map(current -> current.number().counter()).orElseThrow();
         epoch = Optional.empty();
         proposer.cancel();
         toleranceMonitor.reset();
         leaseStartSteadyMs = Double.POSITIVE_INFINITY;
         election.restart(electionDelayMs);
-        context.listener().onEvent("leads no more: " + reason);
+        context.listener().onEvent("stepped down as primary of epoch " + counter + ": " + reason);
         changes.failAll(new ChangeOutcome.NotPrimary(primaryLocator.operatorApi()));
         reads.failAll(new ReadOutcome.NotPrimary(primaryLocator.operatorApi()));
     }
 
-    /** Takes a change; only while this process leads. */
+    /** Queues a change; only while this process leads. */
     void submit(ConfigurationChange change, Consumer<ChangeOutcome> callback) {
         double deadlineMs = context.clock().steadyMs() + context.settings().ackMs() - REPLY_MARGIN_MS;
         changes.add(change, deadlineMs, callback);
     }
 
-    /** Takes a read; only while this process leads. */
+    /** Queues a read; only while this process leads. */
     void read(Consumer<ReadOutcome> callback) {
         reads.add(context.clock().steadyMs() + READ_TIMEOUT_MS, callback);
     }
 
-    /** The epoch whose lease this process holds now. */
+    /**
+     * The counter of the epoch whose lease this process holds now. Right after it became primary it holds none: the
+     * lease of the former primary, and the time for which its orders stay valid, have to pass first.
+     */
     Optional<Long> leadingEpoch() {
         double now = context.clock().steadyMs();
         return epoch.filter(current -> current.isEstablished() && current.isPromiseCurrent() && !proposer.isProposing())
-                .filter(current -> now >= leaseStartSteadyMs && now <= current.leaseExpirySteadyMs())
+                .filter(current ->
+                        now >= leaseStartSteadyMs && now <= current.lease().expirySteadyMs())
                 .map(current -> current.number().counter());
     }
 
@@ -234,7 +241,7 @@
         return new ReplicationReport(
                 record.number().counter(),
                 knownPrimary,
-                toleranceMonitor.members(record, epoch),
+                toleranceMonitor.members(record, isLeading()),
                 record.inSync().size(),
                 toleranceMonitor.report(epoch));
     }
--- a/replication/src/main/java/pinewick/replication/ReadQueue.java
+++ b/replication/src/main/java/pinewick/replication/ReadQueue.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import pinewick.model.ConfigurationDocument;
 
-/** Reads that wait for the epoch to be confirmed. */
+/** Reads that wait for the epoch to be confirmed by a heartbeat sent after they were submitted. Control loop only. */
 final class ReadQueue {
     private static final long NO_HEARTBEAT_YET = Long.MAX_VALUE;
 
@@ -17,18 +17,18 @@
         pending.add(new PendingRead(deadlineMs, NO_HEARTBEAT_YET, callback));
     }
 
-    /** Whether some read waits for a round that has not been begun. */
+    /** Whether some read waits for a heartbeat that has not been sent. */
     boolean needsHeartbeat() {
         return pending.stream().anyMatch(read -> read.heartbeat == NO_HEARTBEAT_YET);
     }
 
-    /** A round has begun. */
+    /** A heartbeat was sent. */
     void onHeartbeatSent(long heartbeat) {
         pending.replaceAll(read ->
                 read.heartbeat == NO_HEARTBEAT_YET ? new PendingRead(read.deadlineMs, heartbeat, read.callback) : read);
     }
 
-    /** Rounds up to this one are confirmed; the document is the newest committed one. */
+    /** Heartbeats up to this one are confirmed; the document is the newest committed one. */
     void onHeartbeatConfirmed(long heartbeat, ConfigurationDocument document) {
         for (PendingRead read : List.copyOf(pending)) {
             if (read.heartbeat <= heartbeat) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** A new epoch numbers its rounds anew. */
+    /** A new epoch has started: heartbeats of the earlier one no longer confirm anything. */
     void awaitNewHeartbeat() {
         pending.replaceAll(read -> new PendingRead(read.deadlineMs, NO_HEARTBEAT_YET, read.callback));
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /** This process leads no more. */
+    /** This process has stepped down. */
     void failAll(ReadOutcome.NotPrimary outcome) {
         List<PendingRead> all = List.copyOf(pending);
         pending.clear();
--- a/replication/src/main/java/pinewick/replication/RecentChanges.java
+++ b/replication/src/main/java/pinewick/replication/RecentChanges.java
@@ -4,24 +4,24 @@
 import java.util.Deque;
 import java.util.List;
 
-/** The newest changes of one epoch, for stores that lack only these: they need not be sent the whole state. */
+/** The newest changes of one epoch, for followers that lack only these and need no snapshot. */
 final class RecentChanges {
     private static final int MAX_CHANGES = 512;
     private static final int MAX_BYTES = 512 * 1024;
 
-    /** A change and the state that it leads to. */
+    /** A change and the version of the state that it leads to. */
     record LoggedChange(StateVersion stateVersion, byte[] delta, ChangeKey key) {}
 
     private final Deque<LoggedChange> changes = new ArrayDeque<>();
     private StateVersion newest;
     private int bytes;
 
-    /** @param start the state at the start of the epoch */
+    /** @param start version of the state from which the epoch starts */
     RecentChanges(StateVersion start) {
         newest = start;
     }
 
-    /** Keeps the change that leads to the next state; older ones are given up. */
+    /** Appends the change that leads to the next state; the oldest are evicted. */
     void add(LoggedChange change) {
         changes.add(change);
         newest = change.stateVersion;
@@ -31,12 +31,12 @@
         }
     }
 
-    /** Whether every change after a state is kept. */
+    /** Whether every change after this version is available. */
     boolean coversChangesAfter(StateVersion stateVersion) {
         return stateVersion.epoch() == newest.epoch() && stateVersion.sequence() >= newest.sequence() - changes.size();
     }
 
-    /** The changes after a state that {@link #coversChangesAfter} holds for, oldest first. */
+    /** The changes after a version for which {@link #coversChangesAfter} is true, oldest first. */
     List<LoggedChange> changesAfter(StateVersion stateVersion) {
         long skipped = changes.size() - (newest.sequence() - stateVersion.sequence());
         return changes.stream().skip(skipped).toList();
--- a/replication/src/main/java/pinewick/replication/ReplicatedConfiguration.java
+++ b/replication/src/main/java/pinewick/replication/ReplicatedConfiguration.java
@@ -7,8 +7,8 @@
 /** The replicated configuration as the operator API sees it. Called on the control loop; callbacks come on it too. */
 public interface ReplicatedConfiguration {
     /**
-     * Tells the time before one of the other calls. A process that was frozen may serve a call before anything else
-     * has told it how late it is, and would take what it knew before for fresh.
+     * Advances the clock before one of the other calls. A process that was frozen may serve a call before any other
+     * event has advanced its clock, and would take outdated knowledge for current.
      */
     default void advanceClock(double nowMs) {}
 
@@ -18,9 +18,12 @@
     /** Reads the newest acknowledged configuration; the callback is called once. */
     void read(Consumer<ReadOutcome> callback);
 
-    /** The operator API of the process believed to be primary, this one included. */
+    /** The operator API of the process that is believed to be primary, which may be this one. */
     Optional<SocketAddress> primary();
 
-    /** The lease of the primary: present only while this process leads a stable epoch. Fencing tokens come from it. */
+    /**
+     * The lease of the primary: present only while this process leads a stable epoch. Fencing tokens are derived from
+     * it.
+     */
     Optional<Long> leadingEpoch();
 }
--- a/replication/src/main/java/pinewick/replication/ReplicationContext.java
+++ b/replication/src/main/java/pinewick/replication/ReplicationContext.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** What the parts of a node share. */
+/** The collaborators that the parts of a {@link ReplicationNode} share. */
 record ReplicationContext(
         ReplicationSettings settings,
         ActiveClock clock,
--- a/replication/src/main/java/pinewick/replication/ReplicationNode.java
+++ b/replication/src/main/java/pinewick/replication/ReplicationNode.java
@@ -23,9 +23,11 @@
 import pinewick.replication.ReplicationMessages.Status;
 
 /**
- * One controller's part in the replicated configuration: witness always, replica while in sync, primary at times. Hands
- * each message to the part that it is for, then does what has become possible. Owned by the control loop, which calls
- * every method and runs every completion of the store.
+ * One controller's part in the replicated configuration, by primary-backup replication with a separate configuration
+ * manager (Lin and others, "PacificA", 2008): always a witness ({@link Witness}), a follower while in sync ({@link
+ * StateReceiver}), at times the primary ({@link PrimaryRole}). Dispatches each message to the part that handles it,
+ * then makes whatever progress has become possible. Owned by the control loop, which calls every method and runs every
+ * completion of the store; no method may be called by another thread.
  */
 public final class ReplicationNode implements ReplicatedConfiguration {
     /** How often {@link #onTick} is to be called, milliseconds. */
@@ -51,11 +53,11 @@
     private boolean advanceRequested;
 
     /**
-     * @param settings what this process is told
+     * @param settings settings of this process
      * @param store its disk
      * @param outbox takes messages to other controllers
-     * @param random source of chance, seeded by the caller; identities are drawn from it
-     * @param listener told of committed configurations
+     * @param random source of randomness, seeded by the caller; identities are drawn from it
+     * @param listener notified of committed configurations
      */
     public ReplicationNode(
             ReplicationSettings settings,
@@ -83,7 +85,7 @@
                 new StatusExchange(context, primaryRole, proposer, election, primaryLocator, staleDiskCheck);
     }
 
-    /** Begins: reads the disk, then takes part. */
+    /** Starts: reads the disk, then joins the quorum. */
     public void start(double nowMs) {
         clock.advance(nowMs);
         startup.load();
@@ -92,13 +94,13 @@
     private void joinQuorum() {
         election.restart(0);
         context.listener()
-                .onEvent("store " + durable.identity() + " holds "
+                .onEvent("store " + durable.identity() + " loaded at "
                         + durable.state().version());
         statusExchange.requestStatus();
         advance();
     }
 
-    /** Other parts of this process know controllers at these internal addresses. */
+    /** Replaces the internal addresses of controllers that other parts of this process know. */
     public void setKnownControllers(Collection<SocketAddress> addresses) {
         peers.setKnownControllers(addresses);
     }
@@ -117,7 +119,7 @@
         advance();
     }
 
-    /** Handles a message if it is of replication; returns whether it was. */
+    /** Handles a message if it is one of {@link ReplicationMessages}; returns whether it was. */
     public boolean onMessage(SocketAddress sender, Message message, double nowMs) {
         clock.advance(nowMs);
         if (!startup.isReady()) {
@@ -189,7 +191,7 @@
             peers.recordAddress(reply.self().identity(), sender);
             primaryRole.onHeartbeatReply(reply);
         } else if (message instanceof ReplicationReply reply) {
-            primaryRole.onStateReply(reply);
+            primaryRole.onReplicationReply(reply);
         } else {
             return false;
         }
@@ -205,7 +207,7 @@
         heartbeatHandler.reply(sender, heartbeat);
     }
 
-    /** A primary of some epoch showed itself; returns whether its epoch is not over here. */
+    /** A message of a primary arrived; returns whether its epoch is not superseded here. */
     private boolean onEpochObserved(EpochNumber number) {
         if (durable.promised().isAfter(number)) {
             return false;
@@ -235,7 +237,7 @@
         }
     }
 
-    /** Does whatever can be done now. A callback that calls in here again is served after it. */
+    /** Makes whatever progress is possible now. A callback that calls this again is served afterwards. */
     private void advance() {
         advanceRequested = true;
         if (advancing) {
@@ -272,12 +274,12 @@
         return primaryRole.isLeading() ? primaryRole.isRecentlyConfirmed() : election.hasPrimaryContact();
     }
 
-    /** What this process knows, in answer to nothing. */
+    /** What this process knows, not in reply to a request. */
     Status status(boolean replyRequested) {
         return statusExchange.status(RequestId.NONE, replyRequested);
     }
 
-    /** This process is about to end: hands leadership over, and leaves the in-sync set. */
+    /** This process is to end: transfers leadership, and leaves the in-sync set. */
     public void beginShutdown(double nowMs) {
         clock.advance(nowMs);
         shutdown.start(clock.activeMs());
@@ -285,7 +287,10 @@
         advance();
     }
 
-    /** After {@link #beginShutdown}: whether the others can do without this process by now. */
+    /**
+     * After {@link #beginShutdown}: whether this process has left the in-sync set by a chosen record, so that it may
+     * end.
+     */
     public boolean isDetached() {
         EpochRecord accepted = durable.accepted();
         boolean isOutsideInSync = !accepted.inSync().contains(durable.identity());
@@ -324,8 +329,8 @@
     }
 
     /**
-     * Whether this process is in contact with a quorum, as its confirmed primary or by hearing one, and has told its
-     * listener of every configuration that this primary had acknowledged when it was heard last.
+     * Whether this process is in contact with a quorum, as its confirmed primary or by recent contact with one, and has
+     * notified its listener of every configuration that this primary had acknowledged by then.
      */
     public boolean isUpToDate() {
         return primaryRole.isLeading()
@@ -336,12 +341,12 @@
                         .isPresent();
     }
 
-    /** What this process knows, for the people who run it. */
+    /** What this process knows, for operators. */
     public ReplicationReport report() {
         return primaryRole.report(primary());
     }
 
-    /** The epoch that this process leads or believes to lead, whether or not it has begun. */
+    /** The epoch that this process leads or believes to lead, established or not. */
     Optional<Long> leadingNumber() {
         return primaryRole.epoch().map(epoch -> epoch.number().counter());
     }
--- a/replication/src/main/java/pinewick/replication/ReplicationReport.java
+++ b/replication/src/main/java/pinewick/replication/ReplicationReport.java
@@ -7,13 +7,13 @@
 import pinewick.model.SocketAddress;
 
 /**
- * The replicated configuration as one process sees it, for the people who run it.
+ * The replicated configuration as one process sees it, for operators.
  *
  * @param epoch counter of the newest epoch record known here
  * @param primary operator API of the primary, if one is known
- * @param members who has a vote by that record
+ * @param members the members by that record
  * @param inSync how many stores that record counts as in sync
- * @param faultTolerance what only the primary can tell, or why it is not told here
+ * @param faultTolerance what only the primary knows, or why it is not known here
  */
 public record ReplicationReport(
         long epoch,
@@ -28,20 +28,20 @@
     /**
      * One member.
      *
-     * @param member its store
+     * @param member the member
      * @param inSync whether each change must be on its disk
-     * @param shuttingDown whether its process has said that it is about to end; known to the primary only
-     * @param sinceContactMs for how long nothing was heard of it; known to the primary only
+     * @param shuttingDown whether its process reported that it is shutting down; known to the primary only
+     * @param sinceContactMs time without contact, milliseconds; known to the primary only
      */
     public record MemberReport(Member member, boolean inSync, boolean shuttingDown, OptionalDouble sinceContactMs) {}
 
     /**
      * How many more machines can be lost, disk included.
      *
-     * @param currentStores in-sync stores that answer and hold the newest committed state
-     * @param tolerableLosses how many further losses leave every acknowledged change and a quorum
-     * @param unknownReason why the two are not known here, empty if they are
-     * @param sufficientForMs for how long as many losses are borne as the deployment is told to tolerate
+     * @param currentStores in-sync stores that are responsive and have the newest committed state
+     * @param tolerableLosses how many further losses of machines leave every acknowledged change and a quorum
+     * @param unknownReason why the two are not known here, empty if they are known
+     * @param sufficientForMs for how long, milliseconds, as many losses have been tolerable as the deployment requires
      */
     public record FaultTolerance(
             OptionalInt currentStores,
--- a/replication/src/main/java/pinewick/replication/ReplicationSettings.java
+++ b/replication/src/main/java/pinewick/replication/ReplicationSettings.java
@@ -4,15 +4,15 @@
 import pinewick.model.SocketAddress;
 
 /**
- * What a process is told about the replicated configuration.
+ * Settings of a process's part in the replicated configuration.
  *
  * @param address where this process takes internal messages
  * @param operatorApi where this process serves the operator
  * @param seeds internal addresses of some controllers
  * @param firstStart whether the whole system starts for the first time
- * @param toleratedMachines how many machines may be lost at once
- * @param ackMs within this time a change is answered
- * @param leaseMs the shortest pause between the orders of two holders
+ * @param toleratedMachines how many machines may be lost at once (f)
+ * @param ackMs a change is answered within this time, milliseconds
+ * @param leaseMs the shortest time between the orders of two lease holders, milliseconds
  */
 public record ReplicationSettings(
         SocketAddress address,
@@ -26,12 +26,12 @@
         seeds = List.copyOf(seeds);
     }
 
-    /** The fewest stores that must have a change on disk before it is acknowledged. */
+    /** How many stores must at least have a change on disk before it is acknowledged (f + 1). */
     public int minInSyncStores() {
         return toleratedMachines + 1;
     }
 
-    /** As many members as it takes to decide while {@link #toleratedMachines} of them are lost. */
+    /** As many members as it takes to keep a majority while {@link #toleratedMachines} of them are lost (2 f + 1). */
     public int targetMemberCount() {
         return 2 * toleratedMachines + 1;
     }
--- a/replication/src/main/java/pinewick/replication/RequestId.java
+++ b/replication/src/main/java/pinewick/replication/RequestId.java
@@ -1,13 +1,13 @@
 package pinewick.replication;
 
 /**
- * Names one question that a process asked; every answer carries it back. So an answer to a question of an earlier life
- * of the process, or to one that is of no matter any more, is known as such.
+ * Identifies one request of a process; its reply repeats it. So a reply to a request of an earlier incarnation of the
+ * process, or to an obsolete one, is recognised.
  *
- * @param incarnation drawn at random when the asking process started
- * @param sequence rises with each question of that process
+ * @param incarnation drawn at random when the requesting process started
+ * @param sequence rises with each request of that process
  */
 public record RequestId(long incarnation, long sequence) {
-    /** Of a message that asks nothing. */
+    /** Of a message that is no request. */
     public static final RequestId NONE = new RequestId(0, 0);
 }
--- a/replication/src/main/java/pinewick/replication/RequestIds.java
+++ b/replication/src/main/java/pinewick/replication/RequestIds.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** Numbers the questions of one life of a process. */
+/** Numbers the requests of one incarnation of a process. Control loop only. */
 final class RequestIds {
     private final long incarnation;
     private long sequence;
@@ -16,14 +16,14 @@
         return new RequestId(incarnation, sequence);
     }
 
-    /** Whether this is a question of this life, asked after the one that is given. */
+    /** Whether this is a request of this incarnation, sent after the given one. */
     boolean isSentAfter(RequestId request, long earlierSequence) {
         return request.incarnation() == incarnation
                 && request.sequence() > earlierSequence
                 && request.sequence() <= sequence;
     }
 
-    /** The sequence number of the newest question. */
+    /** The sequence number of the newest request. */
     long newest() {
         return sequence;
     }
--- a/replication/src/main/java/pinewick/replication/StableWrite.java
+++ b/replication/src/main/java/pinewick/replication/StableWrite.java
@@ -1,10 +1,10 @@
 package pinewick.replication;
 
 /**
- * One durable write: the head as a whole, and what it changes of the configuration.
+ * One durable write: the complete head, and what changes of the configuration.
  *
- * @param head replaces the head that was there
- * @param content what becomes of the configuration
+ * @param head replaces the earlier head
+ * @param content what happens to the stored configuration
  */
 public record StableWrite(StoredHead head, Content content) {
     /** What a write does to the stored configuration. */
--- a/replication/src/main/java/pinewick/replication/StaleDiskCheck.java
+++ b/replication/src/main/java/pinewick/replication/StaleDiskCheck.java
@@ -1,9 +1,9 @@
 package pinewick.replication;
 
 /**
- * Finds out that the disk holds an older copy of this store than others have seen, as after a restore. Such a store has
- * forgotten promises and acknowledged changes; it must neither vote nor count as a copy, so it starts over as an empty
- * one under another identity.
+ * Detects that the disk holds an older state of this store than other controllers have seen, as after a backup was
+ * restored. Such a store has lost promises and acknowledged changes; it must neither vote nor confirm changes, so it is
+ * reset to an empty store with another identity. Control loop only.
  */
 final class StaleDiskCheck {
     private final ReplicationContext context;
@@ -13,7 +13,7 @@
         this.context = context;
     }
 
-    /** Whoever is in sync by a record has promised its number on disk before the record was proposed. */
+    /** Every in-sync store of a record had promised its number, on disk, before the record was proposed. */
     void onRecord(EpochRecord record) {
         DurableState durable = context.durable();
         boolean isPromiseMissing = record.inSync().contains(durable.identity())
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Whoever is in sync had a state on disk before it was called committed. */
+    /** Every in-sync store had a state on disk before the primary called it committed. */
     void onCommitted(EpochNumber number, StateVersion committed) {
         DurableState durable = context.durable();
         EpochRecord accepted = durable.accepted();
@@ -42,7 +42,7 @@
         }
         resetting = true;
         context.listener()
-                .onEvent("the disk holds an older copy of this store than others have seen; it counts as empty");
+                .onEvent("disk holds an older state than other controllers have seen; resetting it to an empty store");
         context.durable().reset(Startup.randomIdentity(context.random()), () -> resetting = false);
     }
 }
--- a/replication/src/main/java/pinewick/replication/Startup.java
+++ b/replication/src/main/java/pinewick/replication/Startup.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Gets a process from its start to where it may take part: reads the disk, founds where it is to, tries again. */
+/**
+ * Takes a process from its start until it may join the quorum: reads the disk, writes the founding record if this
+ * process is a founder, and retries while the disk fails. Control loop only.
+ */
 final class Startup {
     private static final double RETRY_INTERVAL_MS = 500;
 
@@ -13,7 +16,7 @@
     private double retryAtMs = Double.POSITIVE_INFINITY;
     private boolean ready;
 
-    /** @param onReady run once, when the process may take part */
+    /** @param onReady run once, when the process may join the quorum */
     Startup(ReplicationContext context, StableStore store, Runnable onReady) {
         this.context = context;
         this.store = store;
@@ -57,25 +60,26 @@
         }
     }
 
-    /** The identity of a store that is no founder's. */
+    /** The identity of a store that is not a founder's. */
     static String randomIdentity(RandomGenerator random) {
         long high = random.nextLong();
         long low = random.nextLong();
         return String.format("%016x%016x", high, low);
     }
 
-    /** A store whose content makes no sense counts as empty. */
+    /** A store whose content is inconsistent counts as empty. */
     private boolean restore(StoredState stored) {
         try {
             context.durable().restore(stored);
             return true;
         } catch (IllegalArgumentException e) {
-            context.listener().onEvent("the stored configuration cannot be read: " + e.getMessage());
+            context.listener()
+                    .onEvent("stored configuration cannot be read, starting with an empty store: " + e.getMessage());
             return false;
         }
     }
 
-    /** A founder takes part once the founding record is on its disk. */
+    /** A founder joins the quorum once the founding record is on its disk. */
     private void writeFoundingRecord() {
         retryAtMs = Double.POSITIVE_INFINITY;
         EpochRecord founding = EpochRecord.founding(context.settings().seeds());
--- a/replication/src/main/java/pinewick/replication/StateReceiver.java
+++ b/replication/src/main/java/pinewick/replication/StateReceiver.java
@@ -11,7 +11,10 @@
 import pinewick.replication.ReplicationMessages.ReplicationReply;
 import pinewick.replication.ReplicationMessages.ReplicationResult;
 
-/** Takes states from a primary: on disk first, then confirmed; nothing under a number below the promised one. */
+/**
+ * Receives states from a primary, as a follower. A state is confirmed only when it is on disk, and rejected if a higher
+ * number was promised. Control loop only.
+ */
 final class StateReceiver {
     private final ReplicationContext context;
 
@@ -48,7 +51,7 @@
         });
     }
 
-    /** By which question a state came, and what it claims to be. */
+    /** The request with which a state came, and the version that it claims. */
     private record Delivery(SocketAddress sender, RequestId request, EpochNumber number, StateVersion stateVersion) {}
 
     private record NewState(ConfigurationState state, Optional<StoredChange> change) {}
--- a/replication/src/main/java/pinewick/replication/StateVersion.java
+++ b/replication/src/main/java/pinewick/replication/StateVersion.java
@@ -1,14 +1,14 @@
 package pinewick.replication;
 
 /**
- * Names one state of the configuration. Only the primary of an epoch makes tags of that epoch, one after the other, so
- * stores with the same tag hold the same state.
+ * Identifies one state of the configuration. Only the primary of an epoch assigns versions of that epoch, one after the
+ * other, so stores with the same version have the same state.
  *
  * @param epoch counter of the epoch in which the state was written
  * @param sequence 0 for the state at the start of the epoch, then one more for each change
  */
 public record StateVersion(long epoch, long sequence) implements Comparable<StateVersion> {
-    /** Of a store that holds nothing. */
+    /** Of a store without a state. */
     public static final StateVersion NONE = new StateVersion(-1, 0);
 
     /** Of the founders' empty configuration. */
--- a/replication/src/main/java/pinewick/replication/StatusExchange.java
+++ b/replication/src/main/java/pinewick/replication/StatusExchange.java
@@ -3,7 +3,10 @@
 import pinewick.model.SocketAddress;
 import pinewick.replication.ReplicationMessages.Status;
 
-/** Asks the others what they know while no primary is heard, and answers those that ask. */
+/**
+ * Requests the status of the other controllers while there is no contact with a primary, and answers their requests.
+ * Control loop only.
+ */
 final class StatusExchange {
     private final ReplicationContext context;
     private final PrimaryRole primaryRole;
@@ -27,7 +30,7 @@
         this.staleDiskCheck = staleDiskCheck;
     }
 
-    /** Asks, if it is time to. */
+    /** Sends the request, if it is due. */
     void requestStatus() {
         if (primaryRole.isLeading() || proposer.isProposing()) {
             return;
@@ -55,7 +58,7 @@
         }
     }
 
-    /** A store whose seeds are all gone finds the primary through any controller that it reaches. */
+    /** A store whose seeds are all lost finds the primary through any controller that it reaches. */
     private void recordMembers(EpochRecord record) {
         long added =
                 record.members().stream().filter(context.peers()::recordMember).count();
--- a/replication/src/main/java/pinewick/replication/StorageException.java
+++ b/replication/src/main/java/pinewick/replication/StorageException.java
@@ -1,12 +1,15 @@
 package pinewick.replication;
 
-/** A disk did not do what was asked of it. */
+/**
+ * A disk failed to read or write. {@link Kind#FULL} ends when there is space again, and the store retries by itself;
+ * after {@link Kind#FAILED} an operator should look at the disk: the process steps down as primary and keeps retrying.
+ */
 public final class StorageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** What is wrong with the disk. */
     public enum Kind {
-        /** There is no room; it may come back. */
+        /** No space is left on the disk. */
         FULL,
         /** Reading or writing failed. */
         FAILED
@@ -18,7 +21,7 @@
     /**
      * @param kind what is wrong
      * @param step what was being done
-     * @param cause what the disk said
+     * @param cause the error of the file system or database
      */
     public StorageException(Kind kind, String step, Throwable cause) {
         super(step + ": " + kind, cause);
@@ -30,7 +33,7 @@
         return kind;
     }
 
-    /** What was being done when it arose. */
+    /** What was being done when the error occurred. */
     public String step() {
         return step;
     }
--- a/replication/src/main/java/pinewick/replication/StoredSnapshot.java
+++ b/replication/src/main/java/pinewick/replication/StoredSnapshot.java
@@ -1,9 +1,9 @@
 package pinewick.replication;
 
 /**
- * A whole configuration as it is stored.
+ * A complete configuration as it is stored.
  *
  * @param document the document as a delta from the empty one
- * @param changes the keys of the changes accepted lately
+ * @param changes the keys of the recently accepted changes
  */
 public record StoredSnapshot(byte[] document, byte[] changes) {}
--- a/replication/src/main/java/pinewick/replication/StoredState.java
+++ b/replication/src/main/java/pinewick/replication/StoredState.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a store holds.
+ * What a disk holds.
  *
  * @param head its small part
- * @param snapshot the configuration at some time
- * @param changes the changes since, in their order
+ * @param snapshot the configuration at some version
+ * @param changes the changes after the snapshot, in their order
  */
 public record StoredState(StoredHead head, StoredSnapshot snapshot, List<StoredChange> changes) {
     public StoredState {
--- a/replication/src/main/java/pinewick/replication/Witness.java
+++ b/replication/src/main/java/pinewick/replication/Witness.java
@@ -12,7 +12,10 @@
 import pinewick.replication.ReplicationMessages.RecordChosen;
 import pinewick.replication.ReplicationMessages.Rejection;
 
-/** Keeps the epoch record: promises numbers, accepts records, and learns which ones stand. */
+/**
+ * Keeps the epoch record as an acceptor of Paxos: promises numbers, accepts records, and learns which are chosen. Each
+ * answer is sent only after what it says is on disk. Control loop only.
+ */
 final class Witness {
     private final ReplicationContext context;
     private final BooleanSupplier hasPrimaryContact;
@@ -20,8 +23,8 @@
     private EpochNumber recordBeingStored = EpochNumber.NONE;
 
     /**
-     * @param hasPrimaryContact whether this process heard a primary lately or is one
-     * @param shuttingDown whether this process is about to end
+     * @param hasPrimaryContact whether this process is primary or had recent contact with one
+     * @param shuttingDown whether this process is shutting down
      */
     Witness(ReplicationContext context, BooleanSupplier hasPrimaryContact, BooleanSupplier shuttingDown) {
         this.context = context;
@@ -29,7 +32,10 @@
         this.shuttingDown = shuttingDown;
     }
 
-    /** Promises on disk, then says so. While a primary is heard, only it or one it asked to may take over. */
+    /**
+     * Promises on disk, then replies. While there is contact with a primary, only it or a successor that it named may
+     * propose: this keeps its lease valid, and lets no cut-off process disturb it.
+     */
     void onPrepare(SocketAddress sender, Prepare prepare) {
         DurableState durable = context.durable();
         EpochNumber number = prepare.number();
@@ -62,7 +68,7 @@
         }
     }
 
-    /** Accepts on disk, then says so. */
+    /** Accepts on disk, then replies. */
     void onAccept(SocketAddress sender, Accept accept) {
         DurableState durable = context.durable();
         EpochRecord record = accept.record();
@@ -90,9 +96,9 @@
     }
 
     /**
-     * A record that stands is taken over where nothing higher was promised.
+     * Stores a chosen record, unless a higher number was promised.
      *
-     * @param onStored run once it is on disk, unless it was there before
+     * @param onStored run once it is on disk, unless it was before
      */
     void onRecordChosen(RecordChosen established, Runnable onStored) {
         EpochRecord record = established.record().withoutPreviousMembers();
