--- a/control/src/main/java/pinewick/control/ApiHandler.java
+++ b/control/src/main/java/pinewick/control/ApiHandler.java
@@ -1,11 +1,8 @@
 package pinewick.control;
 
-import java.nio.ByteBuffer;
 import java.util.Map;
 import java.util.Optional;
-import java.util.concurrent.atomic.AtomicBoolean;
 import org.eclipse.jetty.http.HttpHeader;
-import org.eclipse.jetty.http.HttpHeaderValue;
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.server.Handler;
 import org.eclipse.jetty.server.Request;
@@ -13,19 +10,16 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Finds the endpoint of a request, reads the body and writes the answer. Never blocks, so that it runs on the
- * thread that selects, without a hand-over to another.
+ * Finds the endpoint of a request and starts an {@link ApiExchange} for it. Never blocks, so that it runs on the selector
+ * thread.
  */
 final class ApiHandler extends Handler.Abstract.NonBlocking {
-    private static final String BASE_VERSION = "X-Pinewick-Base-Version";
-    private static final String JSON = "application/json";
-
-    private static final long MOST_BODY_BYTES = 10 * 1024 * 1024;
+    private static final long MAX_BODIES_BYTES = 10 * 1024 * 1024;
 
     private final Map<ApiOperation, ApiEndpoint> endpoints;
-    private final BodyBudget bodies = new BodyBudget(MOST_BODY_BYTES);
+    private final BodyBudget bodies = new BodyBudget(MAX_BODIES_BYTES);
     private final long bodyDeadlineMs;
-    private final CallCount calls = new CallCount();
+    private final InFlightRequests inFlightRequests = new InFlightRequests();
     private volatile boolean closing;
 
     /**
@@ -36,145 +30,57 @@
         this.bodyDeadlineMs = bodyDeadlineMs;
     }
 
-    /** From now on new calls are told to go to another controller. */
-    void refuseNewCalls() {
+    /** From now on new requests are answered 503, so that callers go to another controller. */
+    void rejectNewRequests() {
         closing = true;
     }
 
-    /** Calls that have not been answered yet. */
-    int callsInProgress() {
-        return calls.inProgress();
+    /** Requests without a response yet. */
+    int requestsInFlight() {
+        return inFlightRequests.inFlight();
     }
 
-    /** Waits until every call has been answered, or the time is over. */
-    void awaitCalls(long mostMs) {
-        calls.awaitNone(mostMs);
+    /** Waits until every request has a response, or the time-out has passed. */
+    void awaitRequests(long timeoutMs) {
+        inFlightRequests.awaitIdle(timeoutMs);
     }
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
-        Exchange exchange = new Exchange(request, response, callback);
+        inFlightRequests.onStart();
+        ApiExchange exchange = new ApiExchange(
+                request, response, new CompletionCallback(callback), bodies.newReservation(), () -> closing);
         Optional<ApiOperation.Match> match = ApiOperation.find(Request.getPathInContext(request));
         if (match.isEmpty()) {
-            exchange.end(ApiAnswer.error(HttpStatus.NOT_FOUND_404, "no such path"));
+            exchange.respond(ApiResponse.error(HttpStatus.NOT_FOUND_404, "no such path"));
             return true;
         }
         ApiOperation operation = match.get().operation();
         if (!operation.method().equals(request.getMethod())) {
             response.getHeaders().put(HttpHeader.ALLOW, operation.method());
-            exchange.end(ApiAnswer.error(HttpStatus.METHOD_NOT_ALLOWED_405, "not called by this method"));
+            exchange.respond(ApiResponse.error(HttpStatus.METHOD_NOT_ALLOWED_405, "method not allowed"));
             return true;
         }
-        exchange.readBody(match.get());
+        exchange.start(match.get(), endpoints.get(operation), getServer().getScheduler(), bodyDeadlineMs);
         return true;
     }
 
-    /** One request and its answer. */
-    private final class Exchange implements BodyReader.Listener {
-        private final Request request;
-        private final Response response;
-        private final Callback callback;
-        private final AtomicBoolean answered = new AtomicBoolean();
-        private final BodyBudget.Share memory = bodies.newShare();
-        private ApiOperation.Match match;
-
-        Exchange(Request request, Response response, Callback callback) {
-            this.request = request;
-            this.response = response;
-            this.callback = callback;
-            calls.begin();
-        }
-
-        void readBody(ApiOperation.Match found) {
-            match = found;
-            int maxBytes = found.operation().maxBodyBytes();
-            BodyReader reader = new BodyReader(request, maxBytes, memory, this);
-            reader.start(getServer().getScheduler(), bodyDeadlineMs);
-        }
-
-        @Override
-        public void complete(byte[] body) {
-            if (closing) {
-                endAndClose(ApiAnswer.unavailable("this controller is stopping"));
-                return;
-            }
-            String baseVersion = request.getHeaders().get(BASE_VERSION);
-            String path = request.getHttpURI().getPathQuery();
-            ApiCall call = new ApiCall(path, match.instanceId(), baseVersion, body);
-            try {
-                endpoints.get(match.operation()).handle(call, this::end);
-            } catch (RuntimeException e) {
-                end(ApiAnswer.error(HttpStatus.INTERNAL_SERVER_ERROR_500, "the call has failed"));
-                throw e;
-            }
-        }
-
-        @Override
-        public void tooLarge() {
-            int maxBytes = match.operation().maxBodyBytes();
-            endAndClose(ApiAnswer.error(HttpStatus.PAYLOAD_TOO_LARGE_413, "body over " + maxBytes + " bytes"));
-        }
-
-        @Override
-        public void noRoom() {
-            endAndClose(ApiAnswer.unavailable("too many calls with large bodies at once"));
-        }
-
-        @Override
-        public void late() {
-            endAndClose(ApiAnswer.error(HttpStatus.REQUEST_TIMEOUT_408, "body not sent in time"));
-        }
-
-        @Override
-        public void failed(Throwable cause) {
-            if (firstAnswer()) {
-                new Ending(callback).failed(cause);
-            }
-        }
-
-        private void endAndClose(ApiAnswer answer) {
-            response.getHeaders().put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
-            end(answer);
-        }
-
-        private void end(ApiAnswer answer) {
-            if (!firstAnswer()) {
-                return;
-            }
-            response.setStatus(answer.status());
-            answer.location().ifPresent(location -> response.getHeaders().put(HttpHeader.LOCATION, location));
-            if (answer.body().length > 0) {
-                response.getHeaders().put(HttpHeader.CONTENT_TYPE, JSON);
-            }
-            response.getHeaders().put(HttpHeader.CONTENT_LENGTH, answer.body().length);
-            response.write(true, ByteBuffer.wrap(answer.body()), new Ending(callback));
-        }
-
-        private boolean firstAnswer() {
-            boolean first = answered.compareAndSet(false, true);
-            if (first) {
-                memory.release();
-            }
-            return first;
-        }
-    }
-
-    /** Counts a call as ended once its answer has been handed to the connection. */
-    private final class Ending extends Callback.Nested {
-        Ending(Callback callback) {
+    /** Counts a request as ended once its response has been handed to the connection. */
+    private final class CompletionCallback extends Callback.Nested {
+        CompletionCallback(Callback callback) {
             super(callback);
         }
 
         @Override
         public void succeeded() {
             super.succeeded();
-            calls.end();
+            inFlightRequests.onEnd();
         }
 
         @Override
         public void failed(Throwable cause) {
             super.failed(cause);
-            calls.end();
+            inFlightRequests.onEnd();
         }
     }
 }
--- a/control/src/main/java/pinewick/control/ApiOperation.java
+++ b/control/src/main/java/pinewick/control/ApiOperation.java
@@ -2,31 +2,31 @@
 
 import java.util.Optional;
 
-/** The calls of the HTTP API. */
+/** The operations of the HTTP API. */
 enum ApiOperation {
-    HEARTBEAT("POST", Limits.REPLICA_BODY),
-    DEREGISTER("POST", Limits.REPLICA_BODY),
-    REPLACE_CONFIGURATION("POST", Limits.CONFIGURATION_BODY),
-    UPDATE_CONFIGURATION("POST", Limits.CONFIGURATION_BODY),
+    HEARTBEAT("POST", Limits.REPLICA_BODY_BYTES),
+    DEREGISTER("POST", Limits.REPLICA_BODY_BYTES),
+    REPLACE_CONFIGURATION("POST", Limits.CONFIGURATION_BODY_BYTES),
+    UPDATE_CONFIGURATION("POST", Limits.CONFIGURATION_BODY_BYTES),
     READ_CONFIGURATION("GET", 0),
     STATUS("GET", 0);
 
     private static final String INSTANCES = "/instances/";
     private static final String HEARTBEAT_SUFFIX = "/heartbeat";
     private static final String DEREGISTER_SUFFIX = "/deregister";
-    private static final int LONGEST_INSTANCE_ID = 100;
+    private static final int MAX_INSTANCE_ID_LENGTH = 100;
 
     private final String method;
     private final int maxBodyBytes;
 
     /** Largest bodies, bytes. */
     private static final class Limits {
-        static final int REPLICA_BODY = 64 * 1024;
-        static final int CONFIGURATION_BODY = 6 * 1024 * 1024;
+        static final int REPLICA_BODY_BYTES = 64 * 1024;
+        static final int CONFIGURATION_BODY_BYTES = 6 * 1024 * 1024;
     }
 
     /**
-     * An operation and what the path says of it.
+     * An operation and what the path says about it.
      *
      * @param instanceId the instance it is about, or an empty text
      */
@@ -37,12 +37,12 @@
         this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** The method that it is called by. */
+    /** The HTTP method. */
     String method() {
         return method;
     }
 
-    /** The largest body it takes, bytes. */
+    /** The largest body that is accepted, bytes. */
     int maxBodyBytes() {
         return maxBodyBytes;
     }
@@ -82,7 +82,7 @@
             return Optional.empty();
         }
         String instanceId = path.substring(INSTANCES.length(), end);
-        boolean proper = instanceId.length() <= LONGEST_INSTANCE_ID && instanceId.indexOf('/') < 0;
-        return proper ? Optional.of(new Match(operation, instanceId)) : Optional.empty();
+        boolean isValid = instanceId.length() <= MAX_INSTANCE_ID_LENGTH && instanceId.indexOf('/') < 0;
+        return isValid ? Optional.of(new Match(operation, instanceId)) : Optional.empty();
     }
 }
--- a/control/src/main/java/pinewick/control/ApiAnswer.java
+++ b/control/src/main/java/pinewick/control/ApiResponse.java
@@ -10,39 +10,39 @@
 import pinewick.model.SocketAddress;
 
 /**
- * The answer to a call of the HTTP API.
+ * The response to a request of the HTTP API.
  *
  * @param status the HTTP status
  * @param location where a redirection leads to
  * @param body JSON
  */
-public record ApiAnswer(int status, Optional<String> location, byte[] body) {
+public record ApiResponse(int status, Optional<String> location, byte[] body) {
     private static final byte[] EMPTY_OBJECT = {'{', '}'};
 
     /** 200 with an empty object. */
-    static ApiAnswer ok() {
+    static ApiResponse ok() {
         return ok(EMPTY_OBJECT);
     }
 
     /** 200 with a body. */
-    static ApiAnswer ok(byte[] json) {
-        return new ApiAnswer(HttpStatus.OK_200, Optional.empty(), json);
+    static ApiResponse ok(byte[] json) {
+        return new ApiResponse(HttpStatus.OK_200, Optional.empty(), json);
     }
 
     /** An error with its reason. */
-    static ApiAnswer error(int status, String reason) {
+    static ApiResponse error(int status, String reason) {
         JsonObject body = new JsonObject();
         body.addProperty("error", reason);
         return withJson(status, body);
     }
 
-    /** The call may be sent again, to another controller. */
-    static ApiAnswer unavailable(String reason) {
+    /** The request may be sent again, to another controller. */
+    static ApiResponse unavailable(String reason) {
         return error(HttpStatus.SERVICE_UNAVAILABLE_503, reason);
     }
 
     /** 400 that names one field. */
-    static ApiAnswer badField(String field, String reason) {
+    static ApiResponse badField(String field, String reason) {
         JsonObject body = new JsonObject();
         body.addProperty("error", reason);
         body.addProperty("field", field);
@@ -50,7 +50,7 @@
     }
 
     /** 400 that lists every fault of a configuration. */
-    static ApiAnswer invalid(List<ConfigurationFault> faults) {
+    static ApiResponse invalid(List<ConfigurationFault> faults) {
         JsonArray list = new JsonArray(faults.size());
         for (ConfigurationFault fault : faults) {
             JsonObject entry = new JsonObject();
@@ -66,13 +66,13 @@
     }
 
     /** 307 to the same path at another controller. */
-    static ApiAnswer redirect(SocketAddress target, String path) {
+    static ApiResponse redirect(SocketAddress target, String path) {
         String location = "http://" + target + path;
-        return new ApiAnswer(HttpStatus.TEMPORARY_REDIRECT_307, Optional.of(location), new byte[0]);
+        return new ApiResponse(HttpStatus.TEMPORARY_REDIRECT_307, Optional.of(location), new byte[0]);
     }
 
     /** Any status with a JSON object. */
-    static ApiAnswer withJson(int status, JsonObject body) {
-        return new ApiAnswer(status, Optional.empty(), body.toString().getBytes(StandardCharsets.UTF_8));
+    static ApiResponse withJson(int status, JsonObject body) {
+        return new ApiResponse(status, Optional.empty(), body.toString().getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/control/src/main/java/pinewick/control/ApiServer.java
+++ b/control/src/main/java/pinewick/control/ApiServer.java
@@ -11,20 +11,20 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import pinewick.model.SocketAddress;
 
-/** The HTTP server that replicas and the operator call. */
+/** The HTTP server that replicas and operators call. */
 final class ApiServer {
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int MOST_THREADS = 6;
-    private static final int LEAST_THREADS = 1;
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+    private static final int MAX_THREADS = 6;
+    private static final int MIN_THREADS = 1;
     private static final int THREAD_IDLE_MS = 60_000;
     private static final int IDLE_TIMEOUT_MS = 30_000;
     private static final int HEADER_BYTES = 8 * 1024;
     private static final int OUTPUT_BUFFER_BYTES = 8 * 1024;
     private static final int ACCEPT_QUEUE = 256;
-    private static final int BUFFER_STEP = 4 * 1024;
-    private static final int LARGEST_BUFFER = 64 * 1024;
-    private static final int BUFFERS_A_SIZE = 16;
-    private static final long MOST_POOLED_BYTES = 1024 * 1024;
+    private static final int BUFFER_STEP_BYTES = 4 * 1024;
+    private static final int MAX_BUFFER_BYTES = 64 * 1024;
+    private static final int MAX_BUFFERS_PER_SIZE = 16;
+    private static final long MAX_POOLED_BYTES = 1024 * 1024;
 
     private final Server server;
     private final ApiHandler handler;
@@ -37,12 +37,12 @@
     ApiServer(SocketAddress address, Map<ApiOperation, ApiEndpoint> endpoints, long bodyDeadlineMs) {
         this.address = address;
         this.handler = new ApiHandler(endpoints, bodyDeadlineMs);
-        QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, LEAST_THREADS, THREAD_IDLE_MS);
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS, THREAD_IDLE_MS);
         threads.setReservedThreads(0);
         threads.setName("api");
         threads.setDaemon(true);
         ArrayByteBufferPool buffers = new ArrayByteBufferPool(
-                0, BUFFER_STEP, LARGEST_BUFFER, BUFFERS_A_SIZE, MOST_POOLED_BYTES, MOST_POOLED_BYTES);
+                0, BUFFER_STEP_BYTES, MAX_BUFFER_BYTES, MAX_BUFFERS_PER_SIZE, MAX_POOLED_BYTES, MAX_POOLED_BYTES);
         server = new Server(threads, new ScheduledExecutorScheduler("api-timer", true), buffers);
         server.addConnector(connector());
         server.setHandler(handler);
@@ -75,19 +75,19 @@
         }
     }
 
-    /** From now on new calls are told to go to another controller. */
-    void refuseNewCalls() {
-        handler.refuseNewCalls();
+    /** From now on new requests are answered 503, so that callers go to another controller. */
+    void rejectNewRequests() {
+        handler.rejectNewRequests();
     }
 
-    /** Calls that have not been answered yet. */
-    int callsInProgress() {
-        return handler.callsInProgress();
+    /** Requests without a response yet. */
+    int requestsInFlight() {
+        return handler.requestsInFlight();
     }
 
-    /** Waits until every call has been answered, or the time is over. */
-    void awaitCalls(long mostMs) {
-        handler.awaitCalls(mostMs);
+    /** Waits until every request has a response, or the time-out has passed. */
+    void awaitRequests(long timeoutMs) {
+        handler.awaitRequests(timeoutMs);
     }
 
     /** Closes every connection. */
@@ -95,7 +95,7 @@
         try {
             server.stop();
         } catch (Exception e) {
-            logger.atWarning().withCause(e).log("close %s", address);
+            LOGGER.atWarning().withCause(e).log("closing the API at %s failed", address);
         }
     }
 }
--- a/control/src/main/java/pinewick/control/BodyBudget.java
+++ b/control/src/main/java/pinewick/control/BodyBudget.java
@@ -2,42 +2,42 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Bounds the memory that the bodies of all calls in progress take together. Safe for use by several threads. */
+/** Bounds the memory that the bodies of all requests in flight take together. Safe for use by several threads. */
 final class BodyBudget {
-    private final long mostBytes;
-    private final AtomicLong takenBytes = new AtomicLong();
+    private final long maxBytes;
+    private final AtomicLong reservedBytes = new AtomicLong();
 
-    BodyBudget(long mostBytes) {
-        this.mostBytes = mostBytes;
+    BodyBudget(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** A share for one call, empty at first. */
-    Share newShare() {
-        return new Share();
+    /** A reservation for one request, empty at first. */
+    Reservation newReservation() {
+        return new Reservation();
     }
 
-    /** Bytes that calls have taken. */
-    long takenBytes() {
-        return takenBytes.get();
+    /** Bytes reserved by all requests. */
+    long reservedBytes() {
+        return reservedBytes.get();
     }
 
-    /** What one call has taken. */
-    final class Share {
+    /** The memory that one request has reserved. */
+    final class Reservation {
         private final AtomicLong bytes = new AtomicLong();
 
-        /** Takes more; returns whether there was room. */
-        boolean take(long more) {
-            if (takenBytes.addAndGet(more) > mostBytes) {
-                takenBytes.addAndGet(-more);
+        /** Reserves more; returns whether the budget allowed it. */
+        boolean reserve(long additionalBytes) {
+            if (reservedBytes.addAndGet(additionalBytes) > maxBytes) {
+                reservedBytes.addAndGet(-additionalBytes);
                 return false;
             }
-            bytes.addAndGet(more);
+            bytes.addAndGet(additionalBytes);
             return true;
         }
 
-        /** Gives everything back; further calls do nothing. */
+        /** Releases everything; further calls do nothing. */
         void release() {
-            takenBytes.addAndGet(-bytes.getAndSet(0));
+            reservedBytes.addAndGet(-bytes.getAndSet(0));
         }
     }
 }
--- a/control/src/main/java/pinewick/control/BodyReader.java
+++ b/control/src/main/java/pinewick/control/BodyReader.java
@@ -9,67 +9,70 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Reads the body of one request without holding a thread. Ends in exactly one call of its {@link Listener}: with
- * the whole body, or with the reason why there is none.
+ * Reads the body of one request without occupying a thread. Ends with exactly one call of its {@link Listener}: with
+ * the complete body, or with the reason why there is none.
  */
 final class BodyReader implements Invocable.Task {
-    /** Told how the reading ended. */
+    /** Notified of how the reading ended. */
     interface Listener {
-        /** The whole body has arrived. */
-        void complete(byte[] body);
+        /** The complete body has arrived. */
+        void onComplete(byte[] body);
 
         /** The body is larger than allowed. */
-        void tooLarge();
+        void onTooLarge();
 
-        /** There is no memory for the body at present. */
-        void noRoom();
+        /** The memory budget does not allow the body at present. */
+        void onBudgetExhausted();
 
         /** The body has not arrived in time. */
-        void late();
+        void onTimeout();
 
         /** The connection has failed. */
-        void failed(Throwable cause);
+        void onFailure(Throwable cause);
     }
 
-    /** A body that is refused is still read up to this size, bytes: a close with unread bytes may cost the answer. */
-    private static final long MOST_DISCARDED = 32L * 1024 * 1024;
+    /**
+     * A rejected body is still read up to this size: closing a connection with unread bytes resets it, and the response
+     * may be lost.
+     */
+    private static final long MAX_DISCARDED_BYTES = 32L * 1024 * 1024;
 
     private final Request request;
     private final int maxBytes;
-    private final BodyBudget.Share memory;
+    private final BodyBudget.Reservation reservation;
     private final Listener listener;
     private final AtomicBoolean ended = new AtomicBoolean();
-    private volatile Scheduler.Task deadline;
+    private volatile Scheduler.Task deadlineTask;
     private byte[] body = {};
     private int length;
-    private volatile Runnable refusal;
-    private long discarded;
+    private volatile Runnable rejection;
+    private long discardedBytes;
 
     /**
      * @param maxBytes the largest body
-     * @param memory where the memory for the body is taken from; the caller gives it back
+     * @param reservation memory for the body; released by the caller
      */
-    BodyReader(Request request, int maxBytes, BodyBudget.Share memory, Listener listener) {
+    BodyReader(Request request, int maxBytes, BodyBudget.Reservation reservation, Listener listener) {
         this.request = request;
         this.maxBytes = maxBytes;
-        this.memory = memory;
+        this.reservation = reservation;
         this.listener = listener;
     }
 
-    /** Starts to read; the listener is told within {@code deadlineMs}. */
+    /** Starts to read; the listener is notified within {@code deadlineMs}. */
     void start(Scheduler scheduler, long deadlineMs) {
-        long announced = request.getLength();
-        if (announced > MOST_DISCARDED) {
-            end(listener::tooLarge);
+        long contentLength = request.getLength();
+        if (contentLength > MAX_DISCARDED_BYTES) {
+            end(listener::onTooLarge);
             return;
         }
-        if (announced > maxBytes) {
-            refusal = listener::tooLarge;
-        } else if (announced > 0 && !ensureCapacity((int) announced)) {
-            refusal = listener::noRoom;
+        if (contentLength > maxBytes) {
+            rejection = listener::onTooLarge;
+        } else if (contentLength > 0 && !ensureCapacity((int) contentLength)) {
+            rejection = listener::onBudgetExhausted;
         }
         if (!readAvailable()) {
-            deadline = scheduler.schedule(this::onDeadline, deadlineMs, TimeUnit.MILLISECONDS);
+            deadlineTask = scheduler.schedule(this::onDeadline, deadlineMs, TimeUnit.MILLISECONDS);
             request.demand(this);
         }
     }
@@ -87,27 +90,27 @@
         }
     }
 
-    /** Reads what is there; returns whether the reading has ended. */
+    /** Reads what has arrived; returns whether the reading has ended. */
     private boolean readAvailable() {
         while (!ended.get()) {
             Content.Chunk chunk = request.read();
             if (chunk == null) {
                 return false;
             }
-            take(chunk);
+            onChunk(chunk);
         }
         return true;
     }
 
-    private void take(Content.Chunk chunk) {
+    private void onChunk(Content.Chunk chunk) {
         if (Content.Chunk.isFailure(chunk)) {
-            end(() -> listener.failed(chunk.getFailure()));
+            end(() -> listener.onFailure(chunk.getFailure()));
             return;
         }
-        if (refusal == null) {
-            checkRoom(chunk.remaining());
+        if (rejection == null) {
+            reserveFor(chunk.remaining());
         }
-        if (refusal == null) {
+        if (rejection == null) {
             append(chunk);
         } else {
             discard(chunk);
@@ -115,18 +118,18 @@
         chunk.release();
     }
 
-    private void checkRoom(int count) {
+    private void reserveFor(int count) {
         if ((long) length + count > maxBytes) {
-            refusal = listener::tooLarge;
+            rejection = listener::onTooLarge;
         } else if (!ensureCapacity(length + count)) {
-            refusal = listener::noRoom;
+            rejection = listener::onBudgetExhausted;
         }
     }
 
     private void discard(Content.Chunk chunk) {
-        discarded += chunk.remaining();
-        if (chunk.isLast() || discarded > MOST_DISCARDED) {
-            end(refusal);
+        discardedBytes += chunk.remaining();
+        if (chunk.isLast() || discardedBytes > MAX_DISCARDED_BYTES) {
+            end(rejection);
         }
     }
 
@@ -135,8 +138,8 @@
         chunk.get(body, length, count);
         length += count;
         if (chunk.isLast()) {
-            byte[] whole = length == body.length ? body : Arrays.copyOf(body, length);
-            end(() -> listener.complete(whole));
+            byte[] complete = length == body.length ? body : Arrays.copyOf(body, length);
+            end(() -> listener.onComplete(complete));
         }
     }
 
@@ -145,7 +148,7 @@
             return true;
         }
         int capacity = Math.max(needed, Math.min(maxBytes, 2 * body.length));
-        if (!memory.take(capacity - body.length)) {
+        if (!reservation.reserve(capacity - body.length)) {
             return false;
         }
         body = Arrays.copyOf(body, capacity);
@@ -153,17 +156,17 @@
     }
 
     private void onDeadline() {
-        Runnable known = refusal;
-        end(known == null ? listener::late : known);
+        Runnable knownRejection = rejection;
+        end(knownRejection == null ? listener::onTimeout : knownRejection);
     }
 
-    private void end(Runnable ending) {
+    private void end(Runnable notification) {
         if (ended.compareAndSet(false, true)) {
-            Scheduler.Task pending = deadline;
+            Scheduler.Task pending = deadlineTask;
             if (pending != null) {
                 pending.cancel();
             }
-            ending.run();
+            notification.run();
         }
     }
 }
--- a/control/src/main/java/pinewick/control/CommittedConfigurations.java
+++ b/control/src/main/java/pinewick/control/CommittedConfigurationListener.java
@@ -6,22 +6,22 @@
 import pinewick.model.ConfigurationDocument;
 import pinewick.replication.ReplicationListener;
 
-/** Tells the fleet of committed configurations, and logs what the replication does. Called on the control loop. */
-final class CommittedConfigurations implements ReplicationListener {
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+/** Hands committed configurations to gossip, and logs the events of the replication. Control loop only. */
+final class CommittedConfigurationListener implements ReplicationListener {
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final FleetState state;
     private final FleetNode node;
     private final TaskLoop loop;
     private String lastEvent = "";
 
-    CommittedConfigurations(FleetState state, FleetNode node, TaskLoop loop) {
+    CommittedConfigurationListener(FleetState state, FleetNode node, TaskLoop loop) {
         this.state = state;
         this.node = node;
         this.loop = loop;
     }
 
-    /** What the replication noted last. */
+    /** The last event of the replication. */
     String lastEvent() {
         return lastEvent;
     }
@@ -36,6 +36,6 @@
     @Override
     public void onEvent(String event) {
         lastEvent = event;
-        logger.atInfo().log("configuration store: %s", event);
+        LOGGER.atInfo().log("replication: %s", event);
     }
 }
--- a/control/src/main/java/pinewick/control/ConfigurationEndpoints.java
+++ b/control/src/main/java/pinewick/control/ConfigurationEndpoints.java
@@ -12,18 +12,18 @@
 import pinewick.replication.ReplicatedConfiguration;
 
 /**
- * The calls of the operator: changes of the configuration, and reading it. While no primary is known, as during an
- * election, a call is kept for as long as the operator waits for an answer, since each refusal would lengthen its
- * pauses.
+ * The requests of the operator: changes of the configuration, and reading it. While no primary is known, as during an
+ * election, a request is retried here for as long as the operator waits for a response, since each rejection would
+ * lengthen the operator's backoff.
  */
 final class ConfigurationEndpoints {
-    /** How long a call is kept while no primary is known, milliseconds; the operator waits for one second. */
-    static final long NO_PRIMARY_MS = 700;
+    /** How long a request is retried while no primary is known, milliseconds; the operator waits for one second. */
+    static final long PRIMARY_WAIT_MS = 700;
 
-    /** How often a primary is looked for meanwhile, milliseconds. */
-    static final long RETRY_MS = 50;
+    /** How often it is retried meanwhile, milliseconds. */
+    static final long RETRY_INTERVAL_MS = 50;
 
-    private static final int MOST_VERSION_DIGITS = 18;
+    private static final int MAX_VERSION_DIGITS = 18;
 
     private final ReplicatedConfiguration configuration;
     private final TaskLoop loop;
@@ -33,7 +33,7 @@
     /**
      * @param configuration the replicated configuration, called on the loop
      * @param self the operator API of this process
-     * @param deadlineMs after how long a call without an outcome is answered all the same
+     * @param deadlineMs a request without an outcome is answered 503 after this long, milliseconds
      */
     ConfigurationEndpoints(ReplicatedConfiguration configuration, TaskLoop loop, SocketAddress self, long deadlineMs) {
         this.configuration = configuration;
@@ -43,118 +43,116 @@
     }
 
     /** {@code POST /config/replace}. */
-    void replace(ApiCall call, Consumer<ApiAnswer> answer) {
-        change(ConfigurationChange.Kind.REPLACE, call, answer);
+    void replace(ApiRequest request, Consumer<ApiResponse> responder) {
+        change(ConfigurationChange.Kind.REPLACE, request, responder);
     }
 
     /** {@code POST /config/update}. */
-    void update(ApiCall call, Consumer<ApiAnswer> answer) {
-        change(ConfigurationChange.Kind.UPDATE, call, answer);
+    void update(ApiRequest request, Consumer<ApiResponse> responder) {
+        change(ConfigurationChange.Kind.UPDATE, request, responder);
     }
 
     /** {@code GET /config/read}. */
-    void read(ApiCall call, Consumer<ApiAnswer> answer) {
-        answerInTime(answer, reply -> read(call, loop.nowMs() + NO_PRIMARY_MS, reply));
+    void read(ApiRequest request, Consumer<ApiResponse> responder) {
+        runWithDeadline(responder, once -> read(request, loop.nowMs() + PRIMARY_WAIT_MS, once));
     }
 
-    private void change(ConfigurationChange.Kind kind, ApiCall call, Consumer<ApiAnswer> answer) {
-        Optional<Long> baseVersion = parseVersion(call.baseVersion());
+    private void change(ConfigurationChange.Kind kind, ApiRequest request, Consumer<ApiResponse> responder) {
+        Optional<Long> baseVersion = request.baseVersion().flatMap(ConfigurationEndpoints::parseVersion);
         if (baseVersion.isEmpty()) {
-            answer.accept(ApiAnswer.badField("X-Pinewick-Base-Version", "is missing or is no version number"));
+            responder.accept(ApiResponse.badField("X-Pinewick-Base-Version", "is missing or is not a version number"));
             return;
         }
-        ConfigurationChange change = new ConfigurationChange(kind, baseVersion.get(), call.body());
-        answerInTime(answer, reply -> submit(change, call, loop.nowMs() + NO_PRIMARY_MS, reply));
+        ConfigurationChange change = new ConfigurationChange(kind, baseVersion.get(), request.body());
+        runWithDeadline(responder, once -> submit(change, request, loop.nowMs() + PRIMARY_WAIT_MS, once));
     }
 
-    private void submit(ConfigurationChange change, ApiCall call, double untilMs, Consumer<ApiAnswer> reply) {
+    private void submit(
+            ConfigurationChange change, ApiRequest request, double waitUntilMs, Consumer<ApiResponse> responder) {
         configuration.advanceClock(loop.nowMs());
         configuration.submit(change, outcome -> {
-            boolean noPrimary =
-                    outcome instanceof ChangeOutcome.NotPrimary elsewhere && !isElsewhere(elsewhere.primary());
-            if (noPrimary && loop.nowMs() < untilMs) {
-                loop.schedule(() -> submit(change, call, untilMs, reply), RETRY_MS);
+            boolean hasNoPrimary =
+                    outcome instanceof ChangeOutcome.NotPrimary notPrimary && !isElsewhere(notPrimary.primary());
+            if (hasNoPrimary && loop.nowMs() < waitUntilMs) {
+                loop.schedule(() -> submit(change, request, waitUntilMs, responder), RETRY_INTERVAL_MS);
             } else {
-                reply.accept(toAnswer(outcome, call));
+                responder.accept(toResponse(outcome, request));
             }
         });
     }
 
-    private void read(ApiCall call, double untilMs, Consumer<ApiAnswer> reply) {
+    private void read(ApiRequest request, double waitUntilMs, Consumer<ApiResponse> responder) {
         configuration.advanceClock(loop.nowMs());
         configuration.read(outcome -> {
-            boolean noPrimary =
-                    outcome instanceof ReadOutcome.NotPrimary elsewhere && !isElsewhere(elsewhere.primary());
-            if (noPrimary && loop.nowMs() < untilMs) {
-                loop.schedule(() -> read(call, untilMs, reply), RETRY_MS);
+            boolean hasNoPrimary =
+                    outcome instanceof ReadOutcome.NotPrimary notPrimary && !isElsewhere(notPrimary.primary());
+            if (hasNoPrimary && loop.nowMs() < waitUntilMs) {
+                loop.schedule(() -> read(request, waitUntilMs, responder), RETRY_INTERVAL_MS);
             } else {
-                reply.accept(toAnswer(outcome, call));
+                responder.accept(toResponse(outcome, request));
             }
         });
     }
 
-    /** A primary that is this process itself has only just been lost, or has not begun yet. */
+    /** If this process itself is named as primary, it has just stepped down, or its epoch is not established yet. */
     private boolean isElsewhere(Optional<SocketAddress> primary) {
         return primary.isPresent() && !primary.get().equals(self);
     }
 
     private static Optional<Long> parseVersion(String text) {
-        if (text == null) {
-            return Optional.empty();
-        }
         String digits = text.trim();
-        boolean proper = !digits.isEmpty()
-                && digits.length() <= MOST_VERSION_DIGITS
+        boolean isValid = !digits.isEmpty()
+                && digits.length() <= MAX_VERSION_DIGITS
                 && digits.chars().allMatch(character -> character >= '0' && character <= '9');
-        return proper ? Optional.of(Long.parseLong(digits)) : Optional.empty();
+        return isValid ? Optional.of(Long.parseLong(digits)) : Optional.empty();
     }
 
-    /** Runs a call on the loop; without an outcome in time, the caller is sent on. */
-    private void answerInTime(Consumer<ApiAnswer> answer, Consumer<Consumer<ApiAnswer>> storeCall) {
-        LoopCall.run(loop, answer, () -> {
+    /** Runs a request on the loop; without an outcome before the deadline it is answered 503. */
+    private void runWithDeadline(Consumer<ApiResponse> responder, Consumer<Consumer<ApiResponse>> task) {
+        LoopDispatcher.dispatch(loop, responder, () -> {
             AtomicBoolean answered = new AtomicBoolean();
-            Consumer<ApiAnswer> once = first -> {
+            Consumer<ApiResponse> once = first -> {
                 if (answered.compareAndSet(false, true)) {
-                    answer.accept(first);
+                    responder.accept(first);
                 }
             };
-            storeCall.accept(once);
+            task.accept(once);
             if (!answered.get()) {
-                loop.schedule(() -> once.accept(ApiAnswer.unavailable("no outcome in time")), deadlineMs);
+                loop.schedule(() -> once.accept(ApiResponse.unavailable("no outcome in time")), deadlineMs);
             }
         });
     }
 
-    private ApiAnswer toAnswer(ChangeOutcome outcome, ApiCall call) {
+    private ApiResponse toResponse(ChangeOutcome outcome, ApiRequest request) {
         if (outcome instanceof ChangeOutcome.Accepted) {
-            return ApiAnswer.ok();
+            return ApiResponse.ok();
         }
         if (outcome instanceof ChangeOutcome.VersionConflict conflict) {
-            return ApiAnswer.error(
+            return ApiResponse.error(
                     HttpStatus.PRECONDITION_FAILED_412, "the current version is " + conflict.currentVersion());
         }
         if (outcome instanceof ChangeOutcome.Invalid invalid) {
-            return ApiAnswer.invalid(invalid.faults());
+            return ApiResponse.invalid(invalid.faults());
         }
-        if (outcome instanceof ChangeOutcome.NotPrimary elsewhere) {
-            return toPrimary(elsewhere.primary(), call);
+        if (outcome instanceof ChangeOutcome.NotPrimary notPrimary) {
+            return redirectToPrimary(notPrimary.primary(), request);
         }
-        return ApiAnswer.unavailable(((ChangeOutcome.Unknown) outcome).reason());
+        return ApiResponse.unavailable(((ChangeOutcome.Unknown) outcome).reason());
     }
 
-    private ApiAnswer toAnswer(ReadOutcome outcome, ApiCall call) {
+    private ApiResponse toResponse(ReadOutcome outcome, ApiRequest request) {
         if (outcome instanceof ReadOutcome.Current current) {
-            return ApiAnswer.ok(ConfigurationChecks.toJson(current.document()));
+            return ApiResponse.ok(ConfigurationChecks.toJson(current.document()));
         }
-        if (outcome instanceof ReadOutcome.NotPrimary elsewhere) {
-            return toPrimary(elsewhere.primary(), call);
+        if (outcome instanceof ReadOutcome.NotPrimary notPrimary) {
+            return redirectToPrimary(notPrimary.primary(), request);
         }
-        return ApiAnswer.unavailable(((ReadOutcome.Unavailable) outcome).reason());
+        return ApiResponse.unavailable(((ReadOutcome.Unavailable) outcome).reason());
     }
 
-    private ApiAnswer toPrimary(Optional<SocketAddress> primary, ApiCall call) {
+    private ApiResponse redirectToPrimary(Optional<SocketAddress> primary, ApiRequest request) {
         return isElsewhere(primary)
-                ? ApiAnswer.redirect(primary.get(), call.path())
-                : ApiAnswer.unavailable("no primary is known");
+                ? ApiResponse.redirect(primary.get(), request.path())
+                : ApiResponse.unavailable("no primary is known");
     }
 }
--- a/control/src/main/java/pinewick/control/Controller.java
+++ b/control/src/main/java/pinewick/control/Controller.java
@@ -27,14 +27,18 @@
 import pinewick.transport.TransportException;
 
 /**
- * A process of the control plane: takes heartbeats of replicas and the operator's changes over HTTP, keeps the
- * configuration together with the other controllers, and tells the routers.
+ * A process of the control plane: receives heartbeats of replicas and changes of the operator over HTTP, replicates the
+ * configuration with the other controllers, and spreads it to the routers. This class owns the threads, sockets and
+ * disk; the state belongs to {@link ControllerCore} and the control loop.
  */
 public final class Controller {
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-    /** Whether the primary moves replicas between stages. Off until a gain has been measured. */
-    private static final boolean PLANS_STAGES = false;
+    /**
+     * Whether the primary moves replicas between stages. Off until a gain has been measured (docs/ROADMAP.md); the
+     * simulation of the control plane runs it.
+     */
+    private static final boolean STAGE_PLANNING_ENABLED = false;
 
     /** Folder of the configuration store within the data directory. */
     private static final String STORE_FOLDER = "configuration";
@@ -42,21 +46,21 @@
     /** How long a caller may take to send its body, milliseconds. */
     private static final long BODY_DEADLINE_MS = 5_000;
 
-    /** What of the grace period is left for the rest of a stop once the hand-over has ended, milliseconds. */
-    private static final long AFTER_HAND_OVER_MS = 3_500;
+    /** The part of the grace period that is reserved for the rest of the shutdown after the handover, milliseconds. */
+    private static final long CLOSE_RESERVE_MS = 3_500;
 
-    /** The hand-over gets this long however short the grace period is, milliseconds. */
-    private static final long SHORTEST_HAND_OVER_MS = 500;
+    /** The handover gets at least this long however short the grace period is, milliseconds. */
+    private static final long MIN_HANDOVER_MS = 500;
 
-    private static final double MS_A_SECOND = 1_000;
+    private static final double MS_PER_SECOND = 1_000;
 
-    /** How long calls under way may take after that, milliseconds. */
-    private static final long LAST_CALLS_MS = 1_000;
+    /** How long requests in flight may take after the handover, milliseconds. */
+    private static final long IN_FLIGHT_TIMEOUT_MS = 1_000;
 
-    /** How long the control loop may take for a task of the stop, milliseconds. */
-    private static final long LOOP_PATIENCE_MS = 1_000;
+    /** How long the control loop may take for a task of the shutdown, milliseconds. */
+    private static final long LOOP_TASK_TIMEOUT_MS = 1_000;
 
-    /** Makes the disk of a process. */
+    /** Opens the disk of a process. */
     @FunctionalInterface
     interface StoreFactory {
         StableStore create(Path folder, Executor completions);
@@ -64,16 +68,16 @@
 
     private final NodeSettings settings;
     private final StoreFactory storeFactory;
-    private final ProcessLoop loop = new ProcessLoop();
+    private final GuardedControlLoop loop = new GuardedControlLoop();
     private final double startedAtMs = loop.nowMs();
     private final CountDownLatch detached = new CountDownLatch(1);
     private final AtomicBoolean stopped = new AtomicBoolean();
     private NetworkTransport transport;
     private ControllerCore core;
     private StableStore store;
-    private HttpReplicaCalls replicaCalls;
+    private HttpReplicaClient replicaClient;
     private ApiServer api;
-    private boolean leaving;
+    private boolean shuttingDown;
 
     public Controller(NodeSettings settings) {
         this(settings, XodusStore::new);
@@ -85,8 +89,8 @@
     }
 
     /**
-     * Starts to serve. Returns once the HTTP API listens; the configuration store is loaded meanwhile, and calls of the
-     * operator are sent on to other controllers until it is.
+     * Starts to serve. Returns once the HTTP API listens; the configuration store is loaded meanwhile, and until it is,
+     * requests of the operator are answered 503.
      */
     public void start() throws ControllerException {
         try {
@@ -163,30 +167,32 @@
         loop.execute(this::tick);
         loop.repeat(this::tick, ControllerCore.TICK_MS);
         loop.repeat(core::onHousekeeping, ControllerCore.HOUSEKEEPING_MS);
-        if (PLANS_STAGES) {
+        if (STAGE_PLANNING_ENABLED) {
             startPlanningStages();
         }
     }
 
     private void startPlanningStages() throws ControllerException {
-        replicaCalls = new HttpReplicaCalls(loop);
+        replicaClient = new HttpReplicaClient(loop);
         FencingTokens tokens = new FencingTokens(settings.nodeName());
         StageReconciler reconciler =
-                new StageReconciler(core.fleet(), new StagePlanner(), replicaCalls, tokens, core::leadingEpoch, loop);
+                new StageReconciler(core.fleet(), new StagePlanner(), replicaClient, tokens, core::leadingEpoch, loop);
         loop.repeat(reconciler::renewLease, OrderLease.RENEWAL_MS);
         loop.repeat(reconciler::run, StageReconciler.PERIOD_MS);
     }
 
     private void tick() {
         core.onTick();
-        if (leaving && core.detached()) {
+        if (shuttingDown && core.isDetached()) {
             detached.countDown();
         }
     }
 
-    private void status(ApiCall call, Consumer<ApiAnswer> answer) {
-        LoopCall.run(
-                loop, answer, () -> answer.accept(ApiAnswer.ok(statusReport().toJson())));
+    private void status(ApiRequest request, Consumer<ApiResponse> responder) {
+        LoopDispatcher.dispatch(
+                loop,
+                responder,
+                () -> responder.accept(ApiResponse.ok(statusReport().toJson())));
     }
 
     private StatusReport statusReport() {
@@ -198,23 +204,23 @@
                         core.replicationReport(),
                         core.leadingEpoch(),
                         core.lastEvent())
-                .fleet(node.synchronised(), node.routerCount(), node.routerCountUpperBound(), node.peers())
+                .fleet(node.isSynchronised(), node.routerCount(), node.routerCountUpperBound(), node.peers())
                 .replicas(core.state().replicas())
                 .registry(core.counters());
     }
 
-    /** Takes note of other seeds: {@code control_plane} addresses of some controllers. */
+    /** The seeds have changed: {@code control_plane} addresses of some controllers. */
     public void updateSeeds(List<SocketAddress> seeds) {
-        logger.atInfo().log("seeds are now %s", seeds);
+        LOGGER.atInfo().log("settings changed: seeds are %s", seeds);
     }
 
-    /** Takes note of a settings file that has changed. */
+    /** The settings file has changed. */
     public void settingsChanged(NodeSettings changed) {
         updateSeeds(changed.seedNodes());
     }
 
     /**
-     * Hands over to the other controllers, ends calls under way and closes everything; well within the grace period.
+     * Hands over to the other controllers, completes requests in flight and closes everything, within the grace period.
      * Further calls do nothing.
      */
     public void stop() {
@@ -222,29 +228,30 @@
             return;
         }
         if (api != null) {
-            api.refuseNewCalls();
-            onLoop(this::leaveReplication);
-            await(detached, handOverMs(settings.bounds().gracePeriodSeconds()));
-            api.awaitCalls(LAST_CALLS_MS);
+            api.rejectNewRequests();
+            onLoop(this::beginReplicationShutdown);
+            await(detached, handoverTimeoutMs(settings.bounds().gracePeriodSeconds()));
+            api.awaitRequests(IN_FLIGHT_TIMEOUT_MS);
             onLoop(core::leaveFleet);
         }
         close();
     }
 
     /**
-     * How long the hand-over to the other controllers may take. It ends as soon as they can do without this one; it
-     * lasts longer only while this process holds one of the last copies or a vote that they need.
+     * How long the handover to the other controllers may take, milliseconds. It ends as soon as they no longer need
+     * this process; it takes long only while this process is one of the last in-sync stores, or its vote is needed for
+     * a majority.
      *
-     * @param gracePeriodSeconds time between the order to stop and the kill
+     * @param gracePeriodSeconds time between SIGTERM and SIGKILL
      */
-    public static long handOverMs(double gracePeriodSeconds) {
-        long graceMs = (long) (gracePeriodSeconds * MS_A_SECOND);
-        return Math.max(SHORTEST_HAND_OVER_MS, graceMs - AFTER_HAND_OVER_MS);
+    public static long handoverTimeoutMs(double gracePeriodSeconds) {
+        long graceMs = (long) (gracePeriodSeconds * MS_PER_SECOND);
+        return Math.max(MIN_HANDOVER_MS, graceMs - CLOSE_RESERVE_MS);
     }
 
-    private void leaveReplication() {
-        leaving = true;
-        core.leaveReplication();
+    private void beginReplicationShutdown() {
+        shuttingDown = true;
+        core.beginReplicationShutdown();
     }
 
     private void onLoop(Runnable task) {
@@ -256,27 +263,27 @@
                 done.countDown();
             }
         });
-        await(done, LOOP_PATIENCE_MS);
+        await(done, LOOP_TASK_TIMEOUT_MS);
     }
 
-    private static void await(CountDownLatch latch, long mostMs) {
+    private static void await(CountDownLatch latch, long timeoutMs) {
         try {
-            if (!latch.await(mostMs, TimeUnit.MILLISECONDS)) {
-                logger.atInfo().log("stop: a step was not done within %d ms", mostMs);
+            if (!latch.await(timeoutMs, TimeUnit.MILLISECONDS)) {
+                LOGGER.atInfo().log("shutdown: a step did not complete within %d ms", timeoutMs);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Closes everything and tells nobody, as when the process is killed. */
+    /** Closes everything without a handover, as when the process is killed. */
     void close() {
         stopped.set(true);
         if (api != null) {
             api.stop();
         }
-        if (replicaCalls != null) {
-            replicaCalls.close();
+        if (replicaClient != null) {
+            replicaClient.close();
         }
         if (transport != null) {
             transport.close();
@@ -291,7 +298,7 @@
         try {
             closeable.close();
         } catch (Exception e) {
-            logger.atWarning().withCause(e).log("close the store");
+            LOGGER.atWarning().withCause(e).log("closing the store failed");
         }
     }
 }
--- a/control/src/main/java/pinewick/control/ControllerContact.java
+++ b/control/src/main/java/pinewick/control/ControllerContact.java
@@ -1,59 +1,64 @@
 package pinewick.control;
 
 /**
- * How long this process has heard nothing of any other controller, and how long it has been without contact with a
- * quorum of them. A span in which this process itself was paused counts for neither. No I/O; owned by one thread.
+ * For how long this process has had no message of any other controller, and no contact with a quorum of them. A span in
+ * which this process itself was paused counts for neither. No I/O; control loop only.
  */
 final class ControllerContact {
-    /** Time between two looks beyond which this process counts as having been paused, milliseconds. */
-    static final double PAUSE_MS = 1_500;
+    /** Time between two calls beyond which this process counts as having been paused, milliseconds. */
+    static final double PAUSE_THRESHOLD_MS = 1_500;
 
-    private double silentSinceMs;
-    private double withoutQuorumSinceMs;
-    private double lastLookMs;
-    private boolean everHeard;
+    private double lastContactMs;
+    private double lastQuorumContactMs;
+    private double lastCallMs;
+    private boolean hadContact;
 
     ControllerContact(double nowMs) {
-        silentSinceMs = nowMs;
-        withoutQuorumSinceMs = nowMs;
-        lastLookMs = nowMs;
+        lastContactMs = nowMs;
+        lastQuorumContactMs = nowMs;
+        lastCallMs = nowMs;
     }
 
     /** A message of another controller has arrived. */
-    void heard(double nowMs) {
-        look(nowMs);
-        everHeard = true;
-        silentSinceMs = nowMs;
+    void onMessage(double nowMs) {
+        resetAfterPause(nowMs);
+        hadContact = true;
+        lastContactMs = nowMs;
     }
 
-    /** This process is in contact with a quorum of the controllers, as replication knows it. */
-    void quorumConfirmed(double nowMs) {
-        look(nowMs);
-        withoutQuorumSinceMs = nowMs;
+    /** This process is in contact with a quorum of the controllers, according to replication. */
+    void onQuorumContact(double nowMs) {
+        resetAfterPause(nowMs);
+        lastQuorumContactMs = nowMs;
     }
 
-    /** Whether any other controller was heard since the start. */
-    boolean everHeard() {
-        return everHeard;
+    /** Whether a message of any other controller has arrived since the start. */
+    boolean hadContact() {
+        return hadContact;
     }
 
-    /** For how long no other controller was heard; to be asked more often than every {@link #PAUSE_MS}. */
-    double silenceMs(double nowMs) {
-        look(nowMs);
-        return nowMs - silentSinceMs;
+    /**
+     * For how long no message of another controller has arrived; to be called more often than every
+     * {@link #PAUSE_THRESHOLD_MS}.
+     */
+    double withoutContactMs(double nowMs) {
+        resetAfterPause(nowMs);
+        return nowMs - lastContactMs;
     }
 
-    /** For how long there was no contact with a quorum; to be asked more often than every {@link #PAUSE_MS}. */
+    /**
+     * For how long there was no contact with a quorum; to be called more often than every {@link #PAUSE_THRESHOLD_MS}.
+     */
     double withoutQuorumMs(double nowMs) {
-        look(nowMs);
-        return nowMs - withoutQuorumSinceMs;
+        resetAfterPause(nowMs);
+        return nowMs - lastQuorumContactMs;
     }
 
-    private void look(double nowMs) {
-        if (nowMs - lastLookMs > PAUSE_MS) {
-            silentSinceMs = nowMs;
-            withoutQuorumSinceMs = nowMs;
+    private void resetAfterPause(double nowMs) {
+        if (nowMs - lastCallMs > PAUSE_THRESHOLD_MS) {
+            lastContactMs = nowMs;
+            lastQuorumContactMs = nowMs;
         }
-        lastLookMs = nowMs;
+        lastCallMs = nowMs;
     }
 }
--- a/control/src/main/java/pinewick/control/ControllerCore.java
+++ b/control/src/main/java/pinewick/control/ControllerCore.java
@@ -17,10 +17,9 @@
 import pinewick.replication.StableStore;
 
 /**
- * A controller without its sockets, threads and disk: the replicated configuration, the fleet, the replica registry
- * and the calls of the HTTP API, put together. Whoever owns it hands in time, messages and calls; the process does so
- * over the network, and a simulation in virtual time. Owned by the control loop, but for the calls, which any thread
- * may make.
+ * A controller without its sockets, threads and disk: the replicated configuration, the fleet, the replica registry and
+ * the endpoints of the HTTP API. Its owner hands in time, messages and requests: {@link Controller} from the network, a
+ * simulation in virtual time. Control loop only, except for the endpoints, which any thread may call.
  */
 public final class ControllerCore {
     /** How often {@link #onTick} is to be called, milliseconds. */
@@ -29,7 +28,7 @@
     /** How often {@link #onHousekeeping} is to be called, milliseconds. */
     public static final int HOUSEKEEPING_MS = Housekeeping.PERIOD_MS;
 
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Settings settings;
     private final TaskLoop loop;
@@ -38,29 +37,30 @@
     private final ControllerContact contact;
     private final FleetNode node;
     private final ReplicationNode replication;
-    private final CommittedConfigurations configurations;
+    private final CommittedConfigurationListener configurations;
     private final GossipFleet fleet;
     private final Housekeeping housekeeping;
     private final ReplicaEndpoints replicaEndpoints;
     private final ConfigurationEndpoints configurationEndpoints;
-    private boolean left;
+    private boolean leftFleet;
 
     /**
-     * What a controller is told.
+     * Settings of a controller.
      *
-     * @param self this process as the fleet knows it
-     * @param replication of the replicated configuration; its seeds are also those of the fleet
-     * @param contactMs after how long without other controllers this process counts as cut off
-     * @param heartbeatMs how often a replica sends heartbeats
+     * @param self this process as a member of the fleet
+     * @param replication settings of the replicated configuration; its seeds are also those of the fleet
+     * @param contactMs without contact to other controllers for this long, this process counts as partitioned,
+     *     milliseconds
+     * @param heartbeatMs interval between the heartbeats of a replica, milliseconds
      */
     public record Settings(NodeDescriptor self, ReplicationSettings replication, int contactMs, int heartbeatMs) {}
 
     /**
      * @param loop owns this object
      * @param store the disk of this process
-     * @param outbox takes messages to other processes
-     * @param fleetRandom chance of membership and dissemination
-     * @param replicationRandom chance of the replicated configuration
+     * @param outbox sends messages to other processes
+     * @param fleetRandom randomness of membership and dissemination
+     * @param replicationRandom randomness of the replicated configuration
      */
     public ControllerCore(
             Settings settings,
@@ -72,37 +72,39 @@
         this.settings = settings;
         this.loop = loop;
         this.contact = new ControllerContact(loop.nowMs());
-        ReplicationSettings ofReplication = settings.replication();
-        node = new FleetNode(settings.self(), ofReplication.seeds(), state, outbox, fleetRandom);
-        configurations = new CommittedConfigurations(state, node, loop);
-        replication = new ReplicationNode(ofReplication, store, outbox, replicationRandom, configurations);
+        ReplicationSettings replicationSettings = settings.replication();
+        node = new FleetNode(settings.self(), replicationSettings.seeds(), state, outbox, fleetRandom);
+        configurations = new CommittedConfigurationListener(state, node, loop);
+        replication = new ReplicationNode(replicationSettings, store, outbox, replicationRandom, configurations);
         fleet = new GossipFleet(node, state, loop);
         ReplicaRegistry registry = new ReplicaRegistry(fleet, loop, contact, settings.contactMs(), counters);
-        LivenessJudge judge = new LivenessJudge(settings.heartbeatMs(), settings.contactMs(), loop.nowMs());
-        housekeeping = new Housekeeping(fleet, registry, judge, counters, replication::setKnownControllers, loop);
+        ReplicaFailureDetector failureDetector =
+                new ReplicaFailureDetector(settings.heartbeatMs(), settings.contactMs(), loop.nowMs());
+        housekeeping =
+                new Housekeeping(fleet, registry, failureDetector, counters, replication::setKnownControllers, loop);
         replicaEndpoints = new ReplicaEndpoints(registry, loop);
-        configurationEndpoints =
-                new ConfigurationEndpoints(replication, loop, ofReplication.operatorApi(), ofReplication.ackMs());
+        configurationEndpoints = new ConfigurationEndpoints(
+                replication, loop, replicationSettings.operatorApi(), replicationSettings.ackMs());
     }
 
-    /** Begins: reads the disk and takes part. */
+    /** Starts: reads the disk and joins the quorum. */
     public void start() {
         replication.start(loop.nowMs());
     }
 
     /** Time has passed. */
     public void onTick() {
-        if (!left) {
+        if (!leftFleet) {
             node.onTick(loop.nowMs());
         }
         replication.onTick(loop.nowMs());
         if (replication.isUpToDate()) {
-            contact.quorumConfirmed(loop.nowMs());
+            contact.onQuorumContact(loop.nowMs());
             node.confirmConfiguration(loop.nowMs());
         }
     }
 
-    /** Looks after what needs no more than a look now and then. */
+    /** Runs the periodic tasks of {@link Housekeeping}. */
     public void onHousekeeping() {
         housekeeping.run();
     }
@@ -111,57 +113,62 @@
     public void onMessage(SocketAddress sender, Message message) {
         double nowMs = loop.nowMs();
         if (sender.port() == settings.self().address().port()) {
-            contact.heard(nowMs);
+            contact.onMessage(nowMs);
         }
         if (message instanceof FleetMessages.HeartbeatBatch batch) {
-            fleet.heardBy(sender, batch);
+            fleet.onHeartbeatBatch(sender, batch);
         }
         boolean handled =
-                replication.onMessage(sender, message, nowMs) || (!left && node.onMessage(sender, message, nowMs));
+                replication.onMessage(sender, message, nowMs) || (!leftFleet && node.onMessage(sender, message, nowMs));
         if (!handled) {
-            logger.atFine().log("%s from %s has no taker", message.getClass(), sender);
+            LOGGER.atFine().log(
+                    "message ignored: %s from %s: no handler",
+                    message.getClass().getSimpleName(), sender);
         }
     }
 
-    /** This process is about to end: hands leadership over, and leaves the in-sync set. */
-    public void leaveReplication() {
+    /** This process is shutting down: transfers leadership, and leaves the in-sync set. */
+    public void beginReplicationShutdown() {
         replication.beginShutdown(loop.nowMs());
     }
 
-    /** After {@link #leaveReplication}: whether the other controllers can do without this one by now. */
-    public boolean detached() {
+    /** After {@link #beginReplicationShutdown}: whether the other controllers no longer need this one. */
+    public boolean isDetached() {
         return replication.isDetached();
     }
 
-    /** Comes last: a process that still answers its peers would be taken for one that has come back. */
+    /**
+     * Leaves the fleet, as the last step: a process that still answers its peers would be taken for one that has
+     * restarted.
+     */
     public void leaveFleet() {
-        left = true;
+        leftFleet = true;
         node.leave(loop.nowMs());
     }
 
     /** {@code POST /config/replace}. */
-    public void replaceConfiguration(ApiCall call, Consumer<ApiAnswer> answer) {
-        configurationEndpoints.replace(call, answer);
+    public void replaceConfiguration(ApiRequest request, Consumer<ApiResponse> responder) {
+        configurationEndpoints.replace(request, responder);
     }
 
     /** {@code POST /config/update}. */
-    public void updateConfiguration(ApiCall call, Consumer<ApiAnswer> answer) {
-        configurationEndpoints.update(call, answer);
+    public void updateConfiguration(ApiRequest request, Consumer<ApiResponse> responder) {
+        configurationEndpoints.update(request, responder);
     }
 
     /** {@code GET /config/read}. */
-    public void readConfiguration(ApiCall call, Consumer<ApiAnswer> answer) {
-        configurationEndpoints.read(call, answer);
+    public void readConfiguration(ApiRequest request, Consumer<ApiResponse> responder) {
+        configurationEndpoints.read(request, responder);
     }
 
     /** {@code POST /instances/ID/heartbeat}. */
-    public void heartbeat(ApiCall call, Consumer<ApiAnswer> answer) {
-        replicaEndpoints.heartbeat(call, answer);
+    public void heartbeat(ApiRequest request, Consumer<ApiResponse> responder) {
+        replicaEndpoints.heartbeat(request, responder);
     }
 
     /** {@code POST /instances/ID/deregister}. */
-    public void deregister(ApiCall call, Consumer<ApiAnswer> answer) {
-        replicaEndpoints.deregister(call, answer);
+    public void deregister(ApiRequest request, Consumer<ApiResponse> responder) {
+        replicaEndpoints.deregister(request, responder);
     }
 
     /** The configuration in force and the replicas, as far as this process knows. */
@@ -169,24 +176,24 @@
         return state;
     }
 
-    /** Operator API of the primary that this process knows, which may be itself. */
+    /** Operator API of the primary that this process knows, which may be its own. */
     public Optional<SocketAddress> primary() {
         return replication.primary();
     }
 
-    /** The epoch whose lease this process holds, judged by the time of now: a process that was frozen holds none. */
+    /** The epoch whose lease this process holds at this moment: a process that was frozen holds none. */
     public Optional<Long> leadingEpoch() {
         replication.advanceClock(loop.nowMs());
         return replication.leadingEpoch();
     }
 
-    /** What the replicated configuration says of itself at this moment. */
+    /** The state of the replicated configuration at this moment. */
     public ReplicationReport replicationReport() {
         replication.advanceClock(loop.nowMs());
         return replication.report();
     }
 
-    /** What the replication noted last, for the log. */
+    /** The last event of the replication. */
     public String lastEvent() {
         return configurations.lastEvent();
     }
--- a/control/src/main/java/pinewick/control/ControllerException.java
+++ b/control/src/main/java/pinewick/control/ControllerException.java
@@ -1,6 +1,9 @@
 package pinewick.control;
 
-/** A controller could not be started. Names the step and, where there is one, the address or path it was about. */
+/**
+ * A controller could not be started. Names the step and the address, path or settings field that an operator has to
+ * correct; the cause is the error of the system.
+ */
 public final class ControllerException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/control/src/main/java/pinewick/control/FencingTokens.java
+++ b/control/src/main/java/pinewick/control/FencingTokens.java
@@ -3,28 +3,28 @@
 import java.util.Optional;
 
 /**
- * Fencing tokens for orders to replicas. A token is the epoch that this process leads, followed by a count, so that
- * tokens rise over all holders there ever are and no two holders share one. Owned by the control loop.
+ * Fencing tokens for orders to replicas: a token is the epoch that this process leads, followed by a count, so that
+ * tokens rise over all lease holders and no two of them share one. Control loop only.
  */
 final class FencingTokens {
     private static final int COUNT_BITS = 20;
-    private static final long MOST_A_EPOCH = 1L << COUNT_BITS;
+    private static final long MAX_TOKENS_PER_EPOCH = 1L << COUNT_BITS;
 
     private final String nodeName;
     private long epoch = -1;
     private long count;
 
     /**
-     * @param holder who gives the order
-     * @param token higher than every token before
+     * @param leaseHolder who gives the order, {@code holder} on the wire
+     * @param token higher than every earlier token, {@code fencing_token} on the wire
      */
-    record Fence(String holder, long token) {}
+    record Fence(String leaseHolder, long token) {}
 
     FencingTokens(String nodeName) {
         this.nodeName = nodeName;
     }
 
-    /** The next token; none while this process leads no epoch, or has used up its tokens. */
+    /** The next token; empty while this process leads no epoch, or has used up the tokens of its epoch. */
     Optional<Fence> next(Optional<Long> leadingEpoch) {
         if (leadingEpoch.isEmpty()) {
             return Optional.empty();
@@ -33,7 +33,7 @@
             epoch = leadingEpoch.get();
             count = 0;
         }
-        if (count >= MOST_A_EPOCH) {
+        if (count >= MAX_TOKENS_PER_EPOCH) {
             return Optional.empty();
         }
         return Optional.of(new Fence(nodeName + "/" + epoch, (epoch << COUNT_BITS) + count++));
--- a/control/src/main/java/pinewick/control/FleetAccess.java
+++ b/control/src/main/java/pinewick/control/FleetAccess.java
@@ -1,32 +1,33 @@
 package pinewick.control;
 
 import java.util.Collection;
+import java.util.Optional;
 import java.util.Set;
 import pinewick.model.ReplicaRecord;
 import pinewick.model.SocketAddress;
 
-/** What the control plane needs of membership and dissemination. Called on the control loop. */
+/** What the control plane needs of membership and dissemination. Control loop only. */
 interface FleetAccess extends HeartbeatTimes {
-    /** Every replica record, those of replicas that are gone included. */
+    /** Every replica record, including those of replicas that are gone. */
     Collection<ReplicaRecord> replicas();
 
-    /** The record of an instance, or null. */
-    ReplicaRecord replica(String instanceId);
+    /** The record of an instance. */
+    Optional<ReplicaRecord> findReplica(String instanceId);
 
-    /** Merges a record that arose here and tells the others. */
+    /** Merges a record of this process and spreads it. */
     void publish(ReplicaRecord record);
 
     /**
-     * As {@link #publish}, and gives the record to the other controllers until one has confirmed it.
+     * As {@link #publish}, and sends the record to the other controllers until one has acknowledged it.
      *
-     * @param heldElsewhere run once another controller has confirmed that it holds the record
+     * @param onAcknowledged run once another controller has acknowledged the record
      */
-    void publishUntilHeld(ReplicaRecord record, Runnable heldElsewhere);
+    void publishUntilAcknowledged(ReplicaRecord record, Runnable onAcknowledged);
 
-    /** Notes that an instance was heard from just now. */
-    void heard(String instanceId, long callSequence);
+    /** An instance has sent a heartbeat to this process. */
+    void recordHeartbeat(String instanceId, long callSequence);
 
-    /** Drops what is kept beside the records of instances that have none any more. */
+    /** Removes what is kept of instances without a record. */
     void prune();
 
     /** Internal addresses of the other controllers that are believed to be running. */
--- a/control/src/main/java/pinewick/control/GossipFleet.java
+++ b/control/src/main/java/pinewick/control/GossipFleet.java
@@ -12,7 +12,7 @@
 import pinewick.model.ReplicaRecord;
 import pinewick.model.SocketAddress;
 
-/** The fleet as membership and dissemination know it. */
+/** {@link FleetAccess} by gossip. Control loop only. */
 final class GossipFleet implements FleetAccess {
     private final FleetNode node;
     private final FleetState state;
@@ -25,9 +25,9 @@
         this.loop = loop;
     }
 
-    /** Another controller told which instances it heard. */
-    void heardBy(SocketAddress controller, HeartbeatBatch batch) {
-        reporters.heardBy(controller, batch, loop.nowMs());
+    /** Another controller reported the heartbeats that it received. */
+    void onHeartbeatBatch(SocketAddress controller, HeartbeatBatch batch) {
+        reporters.recordRemote(controller, batch, loop.nowMs());
     }
 
     @Override
@@ -36,39 +36,39 @@
     }
 
     @Override
-    public ReplicaRecord replica(String instanceId) {
-        return state.replica(instanceId);
+    public Optional<ReplicaRecord> findReplica(String instanceId) {
+        return state.findReplica(instanceId);
     }
 
     @Override
     public void publish(ReplicaRecord record) {
-        node.publish(record, null, loop.nowMs());
+        node.publish(record, loop.nowMs());
     }
 
     @Override
-    public void publishUntilHeld(ReplicaRecord record, Runnable heldElsewhere) {
-        node.publish(record, heldElsewhere, loop.nowMs());
+    public void publishUntilAcknowledged(ReplicaRecord record, Runnable onAcknowledged) {
+        node.publishUntilAcknowledged(record, onAcknowledged, loop.nowMs());
     }
 
     @Override
-    public void heard(String instanceId, long callSequence) {
-        node.heard(instanceId, callSequence, loop.nowMs());
-        reporters.heardHere(instanceId, loop.nowMs());
+    public void recordHeartbeat(String instanceId, long callSequence) {
+        node.recordHeartbeat(instanceId, callSequence, loop.nowMs());
+        reporters.recordLocal(instanceId, loop.nowMs());
     }
 
     @Override
-    public double lastHeardMs(String instanceId) {
-        return node.lastHeardMs(instanceId);
+    public double lastHeartbeatMs(String instanceId) {
+        return node.lastHeartbeatMs(instanceId);
     }
 
     @Override
-    public Optional<SocketAddress> lastHeardBy(String instanceId) {
+    public Optional<SocketAddress> lastReporter(String instanceId) {
         return reporters.reporterOf(instanceId);
     }
 
     @Override
     public void prune() {
-        reporters.retain(id -> state.replica(id) != null);
+        reporters.retain(id -> state.findReplica(id).isPresent());
     }
 
     @Override
--- a/control/src/main/java/pinewick/control/ProcessLoop.java
+++ b/control/src/main/java/pinewick/control/GuardedControlLoop.java
@@ -6,12 +6,12 @@
 import pinewick.transport.ControlLoop;
 
 /**
- * The control loop of a process. A task that fails, be it for want of memory, is logged and does not end the loop; once
+ * The control loop of a process. A task that fails, even by lack of memory, is logged and does not end the loop; once
  * the loop is closed, tasks are dropped.
  */
-final class ProcessLoop implements TaskLoop {
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int LOG_PAUSE_SECONDS = 10;
+final class GuardedControlLoop implements TaskLoop {
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+    private static final int LOG_INTERVAL_SECONDS = 10;
 
     private final ControlLoop loop = new ControlLoop();
 
@@ -30,7 +30,7 @@
         dropIfClosed(() -> loop.schedule(guarded(task), delayMs));
     }
 
-    /** Runs a task on the loop over and over, with a pause between runs. */
+    /** Runs a task on the loop periodically. */
     void repeat(Runnable task, long periodMs) {
         dropIfClosed(() -> loop.repeat(guarded(task), periodMs));
     }
@@ -44,7 +44,8 @@
             try {
                 task.run();
             } catch (RuntimeException | Error e) {
-                logger.atSevere().withCause(e).atMostEvery(LOG_PAUSE_SECONDS, TimeUnit.SECONDS).log("loop task failed");
+                LOGGER.atSevere().withCause(e).atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+                        "control loop task failed");
             }
         };
     }
@@ -53,7 +54,7 @@
         try {
             submission.run();
         } catch (RejectedExecutionException e) {
-            logger.atFine().log("task dropped: the loop is closed");
+            LOGGER.atFine().log("task dropped: control loop is closed");
         }
     }
 }
--- a/control/src/main/java/pinewick/control/HeartbeatParser.java
+++ b/control/src/main/java/pinewick/control/HeartbeatParser.java
@@ -8,14 +8,14 @@
 import pinewick.model.Stage;
 
 /**
- * Reads what replicas say of themselves. Strict about what routing depends on (service, address, slots, state, call
- * sequence); what a replica may leave out has a default, and fields that are not known are ignored.
+ * Parses heartbeats and load reports of replicas. Strict about what routing depends on (service, address, slots, state,
+ * call sequence); optional fields have a default, and unknown fields are ignored.
  */
 final class HeartbeatParser {
     private HeartbeatParser() {}
 
     /**
-     * Reads a heartbeat of the instance {@code instanceId}.
+     * Parses a heartbeat of the instance {@code instanceId}.
      *
      * @throws InvalidFieldException with the first field that is wrong
      */
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Reads the answer of a replica to {@code GET /report}.
+     * Parses the response of a replica to {@code GET /report}.
      *
      * @throws InvalidFieldException with the first field that is wrong
      */
--- a/control/src/main/java/pinewick/control/HeartbeatTimes.java
+++ b/control/src/main/java/pinewick/control/HeartbeatTimes.java
@@ -3,14 +3,16 @@
 import java.util.Optional;
 import pinewick.model.SocketAddress;
 
-/** When replicas were last heard from, and by which controller. */
+/** When the last heartbeat of each replica was received, and by which controller. */
 interface HeartbeatTimes {
-    /** Result for an instance that no controller has heard from since this process started. */
+    /** Result for an instance without a heartbeat since this process started. */
     double NEVER = Double.NEGATIVE_INFINITY;
 
-    /** The last time an instance was heard from, in this process's steady milliseconds, or {@link #NEVER}. */
-    double lastHeardMs(String instanceId);
+    /** When the last heartbeat of an instance was received, steady milliseconds of this process, or {@link #NEVER}. */
+    double lastHeartbeatMs(String instanceId);
 
-    /** The other controller that heard an instance last, empty if it was this process or nobody. */
-    Optional<SocketAddress> lastHeardBy(String instanceId);
+    /**
+     * The other controller that received the last heartbeat of an instance, empty if it was this process or none did.
+     */
+    Optional<SocketAddress> lastReporter(String instanceId);
 }
--- a/control/src/main/java/pinewick/control/Housekeeping.java
+++ b/control/src/main/java/pinewick/control/Housekeeping.java
@@ -7,52 +7,54 @@
 import pinewick.model.ReplicaRecord;
 import pinewick.model.SocketAddress;
 
-/** What a controller looks after by itself, a few times a second. Owned by the control loop. */
+/**
+ * The periodic tasks of a controller: finds lapsed replicas, removes state of forgotten ones, and hands the known
+ * controllers to replication. Control loop only.
+ */
 final class Housekeeping {
     /** How often {@link #run} is to be called, milliseconds. */
     static final int PERIOD_MS = 500;
 
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final FleetAccess fleet;
     private final ReplicaRegistry registry;
-    private final LivenessJudge judge;
+    private final ReplicaFailureDetector failureDetector;
     private final RegistryCounters counters;
     private final Consumer<Set<SocketAddress>> controllerListener;
     private final TaskLoop loop;
 
-    /**
-     * @param controllerListener told which other controllers are believed to be running
-     */
+    /** @param controllerListener receives the other controllers that are believed to be running */
     Housekeeping(
             FleetAccess fleet,
             ReplicaRegistry registry,
-            LivenessJudge judge,
+            ReplicaFailureDetector failureDetector,
             RegistryCounters counters,
             Consumer<Set<SocketAddress>> controllerListener,
             TaskLoop loop) {
         this.fleet = fleet;
         this.registry = registry;
-        this.judge = judge;
+        this.failureDetector = failureDetector;
         this.counters = counters;
         this.controllerListener = controllerListener;
         this.loop = loop;
     }
 
-    /** Looks at the other controllers and at every replica. */
+    /** Runs all tasks once. */
     void run() {
         Set<SocketAddress> controllers = fleet.otherControllers();
         controllerListener.accept(controllers);
         registry.onTick();
         fleet.prune();
-        List<ReplicaRecord> lapsed = judge.judge(fleet.replicas(), fleet, controllers, loop.nowMs());
+        List<ReplicaRecord> lapsed = failureDetector.detectLapsed(fleet.replicas(), fleet, controllers, loop.nowMs());
         lapsed.forEach(this::publishLapsed);
     }
 
     private void publishLapsed(ReplicaRecord record) {
         counters.countLapsed();
-        logger.atInfo().log(
-                "replica %s of %s at %s is silent", record.instanceId(), record.service(), record.address());
+        LOGGER.atInfo().log(
+                "replica lapsed: %s of service %s at %s: no heartbeat",
+                record.instanceId(), record.service(), record.address());
         fleet.publish(record);
     }
 }
--- a/control/src/main/java/pinewick/control/HttpReplicaCalls.java
+++ b/control/src/main/java/pinewick/control/HttpReplicaClient.java
@@ -25,26 +25,27 @@
 import pinewick.model.Stage;
 
 /**
- * Calls to replicas over HTTP. Each call has a connection and an id of its own, so that no late or second answer to
- * another one can be taken for its answer. Connections are reset when they are closed: an order that a cut holds up is
- * lost with its connection, and does not arrive long after its lease. An answer without a length ends with its
- * connection; the client does not tell a reset from an end, but a report that was cut off is no whole JSON object.
+ * Requests to replicas over HTTP. Each request has a connection and an id of its own, so that a late or duplicate
+ * response to another one is never taken for its own. Connections are reset when they are closed: an order that is
+ * delayed by a partition is lost with its connection, and does not arrive long after its lease has expired. A response
+ * without a length ends with its connection; the client cannot tell a reset from an orderly end, but a truncated report
+ * is no complete JSON object.
  */
-final class HttpReplicaCalls implements ReplicaCalls {
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int LOG_PAUSE_SECONDS = 5;
+final class HttpReplicaClient implements ReplicaClient {
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+    private static final int LOG_INTERVAL_SECONDS = 5;
     private static final String EXPECTED_INSTANCE = "X-Pinewick-Expected-Instance";
     private static final String REQUEST_ID = "X-Pinewick-Request-Id";
-    private static final int LARGEST_ANSWER = 64 * 1024;
-    private static final int MOST_THREADS = 4;
-    private static final int MOST_CONNECTIONS = 4;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
+    private static final int MAX_THREADS = 4;
+    private static final int MAX_CONNECTIONS = 4;
 
     private final HttpClient client = new HttpClient(new HttpClientTransportOverHTTP(new ResettingConnector()));
     private final TaskLoop loop;
 
-    HttpReplicaCalls(TaskLoop loop) throws ControllerException {
+    HttpReplicaClient(TaskLoop loop) throws ControllerException {
         this.loop = loop;
-        QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, 1);
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, 1);
         threads.setReservedThreads(0);
         threads.setName("replica-calls");
         threads.setDaemon(true);
@@ -53,7 +54,7 @@
         client.setUserAgentField(null);
         client.setConnectTimeout(TIMEOUT_MS);
         client.getTransport().setConnectionPoolFactory(destination -> {
-            DuplexConnectionPool pool = new DuplexConnectionPool(destination, MOST_CONNECTIONS);
+            DuplexConnectionPool pool = new DuplexConnectionPool(destination, MAX_CONNECTIONS);
             pool.setMaxUsage(1);
             return pool;
         });
@@ -65,10 +66,10 @@
     }
 
     @Override
-    public void report(ReplicaRecord replica, Consumer<Optional<ReplicaLoad>> answer) {
+    public void report(ReplicaRecord replica, Consumer<Optional<ReplicaLoad>> onReport) {
         Request request = request(HttpMethod.GET, replica.address(), "/report", replica.instanceId());
-        request.send(new Answer((status, body) ->
-                answer.accept(status == HttpStatus.OK_200 ? parse(replica, body) : Optional.empty())));
+        request.send(new ResponseHandler(reply -> onReport.accept(
+                reply.filter(usable -> usable.status == HttpStatus.OK_200).flatMap(ok -> parse(replica, ok.body)))));
     }
 
     @Override
@@ -76,20 +77,20 @@
             ReplicaLoad replica,
             Stage stage,
             FencingTokens.Fence fence,
-            BooleanSupplier mayStillSend,
-            Consumer<OrderOutcome> outcome) {
+            BooleanSupplier isLeaseHeld,
+            Consumer<OrderOutcome> onOutcome) {
         JsonObject order = new JsonObject();
         order.addProperty("operation", "stage");
         order.addProperty("stage", stage.wireName());
-        order.addProperty("holder", fence.holder());
+        order.addProperty("holder", fence.leaseHolder());
         order.addProperty("fencing_token", fence.token());
-        order.addProperty("if_revision", replica.orders());
-        SendingCheck check = new SendingCheck(mayStillSend);
+        order.addProperty("if_revision", replica.acceptedOrders());
+        LeaseCheck leaseCheck = new LeaseCheck(isLeaseHeld);
         request(HttpMethod.POST, replica.address(), "/order", replica.instanceId())
                 .body(new StringRequestContent("application/json", order.toString()))
-                .onRequestBegin(check)
-                .send(new Answer((status, body) ->
-                        outcome.accept(check.stopped ? OrderOutcome.NOT_SENT : OrderOutcome.ofStatus(status))));
+                .onRequestBegin(leaseCheck)
+                .send(new ResponseHandler(
+                        reply -> onOutcome.accept(leaseCheck.aborted ? OrderOutcome.NOT_SENT : outcomeOf(reply))));
     }
 
     private Request request(HttpMethod method, SocketAddress address, String path, String instanceId) {
@@ -107,7 +108,7 @@
         try {
             client.stop();
         } catch (Exception e) {
-            logger.atWarning().withCause(e).log("stop the client");
+            LOGGER.atWarning().withCause(e).log("closing the client failed");
         }
     }
 
@@ -115,57 +116,60 @@
         try {
             return Optional.of(HeartbeatParser.parseReport(replica, body));
         } catch (InvalidFieldException e) {
-            logger.atWarning().atMostEvery(LOG_PAUSE_SECONDS, TimeUnit.SECONDS).log(
-                    "report of %s: %s", replica.instanceId(), e.getMessage());
+            LOGGER.atWarning().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+                    "report rejected: replica %s: %s", replica.instanceId(), e.getMessage());
             return Optional.empty();
         }
     }
 
-    /** Stops a request that may not be sent any more when its connection has come about. */
-    private static final class SendingCheck implements Request.BeginListener {
-        private final BooleanSupplier mayStillSend;
-        private volatile boolean stopped;
+    /** Aborts a request if the lease has expired by the time its connection is established. */
+    private static final class LeaseCheck implements Request.BeginListener {
+        private final BooleanSupplier isLeaseHeld;
+        private volatile boolean aborted;
 
-        SendingCheck(BooleanSupplier mayStillSend) {
-            this.mayStillSend = mayStillSend;
+        LeaseCheck(BooleanSupplier isLeaseHeld) {
+            this.isLeaseHeld = isLeaseHeld;
         }
 
         @Override
         public void onBegin(Request request) {
-            if (!mayStillSend.getAsBoolean()) {
-                stopped = true;
-                request.abort(new IllegalStateException("the lease is not held any more"));
+            if (!isLeaseHeld.getAsBoolean()) {
+                aborted = true;
+                request.abort(new IllegalStateException("the lease has expired"));
             }
         }
     }
 
-    /** Told a status, 0 for none, and a body. */
-    private interface AnswerListener {
-        void answered(int status, byte[] body);
+    private static OrderOutcome outcomeOf(Optional<Reply> reply) {
+        return reply.map(usable -> OrderOutcome.ofStatus(usable.status)).orElse(OrderOutcome.UNKNOWN);
     }
 
-    private final class Answer extends BufferingResponseListener {
-        private static final int NONE = 0;
+    /** A response that arrived in time, to this request. */
+    private record Reply(int status, byte[] body) {}
 
-        private final AnswerListener listener;
+    /** Passes the reply to the control loop, empty if there is none that can be used. */
+    private final class ResponseHandler extends BufferingResponseListener {
+        private final Consumer<Optional<Reply>> onReply;
 
-        Answer(AnswerListener listener) {
-            super(LARGEST_ANSWER);
-            this.listener = listener;
+        ResponseHandler(Consumer<Optional<Reply>> onReply) {
+            super(MAX_RESPONSE_BYTES);
+            this.onReply = onReply;
         }
 
         @Override
         public void onComplete(Result result) {
-            boolean counts = !result.isFailed() && answers(result.getRequest(), result.getResponse());
-            int status = counts ? result.getResponse().getStatus() : NONE;
+            boolean isUsable = !result.isFailed() && isReplyTo(result.getRequest(), result.getResponse());
             byte[] body = getContent() == null ? new byte[0] : getContent();
-            loop.execute(() -> listener.answered(status, body));
+            Optional<Reply> reply =
+                    isUsable ? Optional.of(new Reply(result.getResponse().getStatus(), body)) : Optional.empty();
+            loop.execute(() -> onReply.accept(reply));
         }
 
-        /** An answer that names another request is not the one to this. */
-        private static boolean answers(Request request, Response response) {
-            String named = response.getHeaders().get(REQUEST_ID);
-            return named == null || named.equals(request.getHeaders().get(REQUEST_ID));
+        /** A response that names another request is not the one to this. */
+        private static boolean isReplyTo(Request request, Response response) {
+            String namedRequestId = response.getHeaders().get(REQUEST_ID);
+            return namedRequestId == null
+                    || namedRequestId.equals(request.getHeaders().get(REQUEST_ID));
         }
     }
 }
--- /dev/null
+++ b/control/src/main/java/pinewick/control/InFlightRequests.java
@@ -0,0 +1,37 @@
+package pinewick.control;
+
+import java.util.concurrent.TimeUnit;
+
+/** Counts the requests in flight. Safe for use by several threads. */
+final class InFlightRequests {
+    private int inFlight;
+
+    synchronized void onStart() {
+        inFlight++;
+    }
+
+    synchronized void onEnd() {
+        inFlight--;
+        if (inFlight == 0) {
+            notifyAll();
+        }
+    }
+
+    synchronized int inFlight() {
+        return inFlight;
+    }
+
+    /** Waits until none is in flight, or the time-out has passed; returns whether none is. */
+    synchronized boolean awaitIdle(long timeoutMs) {
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        try {
+            for (long left = timeoutMs; inFlight > 0 && left > 0; ) {
+                wait(left);
+                left = TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime());
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        return inFlight == 0;
+    }
+}
--- a/control/src/main/java/pinewick/control/InvalidFieldException.java
+++ b/control/src/main/java/pinewick/control/InvalidFieldException.java
@@ -1,6 +1,6 @@
 package pinewick.control;
 
-/** A JSON body that cannot be taken, with the field that is wrong. */
+/** A JSON body that is rejected, with the field that the caller has to correct. */
 final class InvalidFieldException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -11,7 +11,7 @@
         this.field = field;
     }
 
-    /** The field that is wrong; {@code body} for the body as a whole. */
+    /** The field that is wrong; {@code body} for the complete body. */
     String field() {
         return field;
     }
--- a/control/src/main/java/pinewick/control/JsonFields.java
+++ b/control/src/main/java/pinewick/control/JsonFields.java
@@ -13,7 +13,7 @@
 
 /** Checked access to the fields of a JSON object. An absent field and a null one are the same. */
 final class JsonFields {
-    private static final int LONGEST_TEXT = 200;
+    private static final int MAX_TEXT_LENGTH = 200;
 
     private final JsonObject object;
 
@@ -39,7 +39,7 @@
         return new JsonFields(root.getAsJsonObject());
     }
 
-    /** A text that has to be there and not be empty. */
+    /** A required text that must not be empty. */
     String requiredText(String field) throws InvalidFieldException {
         String text = optionalText(field);
         if (text.isEmpty()) {
@@ -50,7 +50,7 @@
 
     /** A text, empty if absent. */
     String optionalText(String field) throws InvalidFieldException {
-        JsonElement value = present(field);
+        JsonElement value = find(field);
         if (value == null) {
             return "";
         }
@@ -58,23 +58,23 @@
             throw new InvalidFieldException(field, "is not a text");
         }
         String text = primitive.getAsString();
-        if (text.length() > LONGEST_TEXT) {
-            throw new InvalidFieldException(field, "is longer than " + LONGEST_TEXT + " characters");
+        if (text.length() > MAX_TEXT_LENGTH) {
+            throw new InvalidFieldException(field, "is longer than " + MAX_TEXT_LENGTH + " characters");
         }
         return text;
     }
 
-    /** A number that has to be there, fractions cut off. */
-    long requiredNumber(String field, long least, long most) throws InvalidFieldException {
-        if (present(field) == null) {
+    /** A required number, truncated to an integer. */
+    long requiredNumber(String field, long min, long max) throws InvalidFieldException {
+        if (find(field) == null) {
             throw new InvalidFieldException(field, "is missing");
         }
-        return optionalNumber(field, least, most);
+        return optionalNumber(field, min, max);
     }
 
-    /** A number, fractions cut off; 0 if absent. */
-    long optionalNumber(String field, long least, long most) throws InvalidFieldException {
-        JsonElement value = present(field);
+    /** A number, truncated to an integer; 0 if absent. */
+    long optionalNumber(String field, long min, long max) throws InvalidFieldException {
+        JsonElement value = find(field);
         if (value == null) {
             return 0;
         }
@@ -87,15 +87,15 @@
         } catch (NumberFormatException e) {
             throw new InvalidFieldException(field, "is not a number");
         }
-        if (number.compareTo(BigDecimal.valueOf(least)) < 0 || number.compareTo(BigDecimal.valueOf(most)) > 0) {
-            throw new InvalidFieldException(field, "is not between " + least + " and " + most);
+        if (number.compareTo(BigDecimal.valueOf(min)) < 0 || number.compareTo(BigDecimal.valueOf(max)) > 0) {
+            throw new InvalidFieldException(field, "is not between " + min + " and " + max);
         }
         return number.longValue();
     }
 
     /** True or false; false if absent. */
     boolean optionalFlag(String field) throws InvalidFieldException {
-        JsonElement value = present(field);
+        JsonElement value = find(field);
         if (value == null) {
             return false;
         }
@@ -107,7 +107,7 @@
 
     /** A list of objects, empty if absent. */
     List<JsonFields> optionalObjects(String field) throws InvalidFieldException {
-        JsonElement value = present(field);
+        JsonElement value = find(field);
         if (value == null) {
             return List.of();
         }
@@ -124,7 +124,7 @@
         return objects;
     }
 
-    private JsonElement present(String field) {
+    private JsonElement find(String field) {
         JsonElement value = object.get(field);
         return value == null || value.isJsonNull() ? null : value;
     }
--- /dev/null
+++ b/control/src/main/java/pinewick/control/LoopDispatcher.java
@@ -0,0 +1,21 @@
+package pinewick.control;
+
+import java.util.function.Consumer;
+import org.eclipse.jetty.http.HttpStatus;
+
+/** Runs the part of a request that belongs on the control loop. */
+final class LoopDispatcher {
+    private LoopDispatcher() {}
+
+    /** Runs {@code task} on the loop; if it fails, the caller gets a 500. */
+    static void dispatch(TaskLoop loop, Consumer<ApiResponse> responder, Runnable task) {
+        loop.execute(() -> {
+            try {
+                task.run();
+            } catch (RuntimeException | Error e) {
+                responder.accept(ApiResponse.error(HttpStatus.INTERNAL_SERVER_ERROR_500, "the call has failed"));
+                throw e;
+            }
+        });
+    }
+}
--- a/control/src/main/java/pinewick/control/OrderLease.java
+++ b/control/src/main/java/pinewick/control/OrderLease.java
@@ -3,30 +3,30 @@
 import java.util.Optional;
 
 /**
- * Whether this process holds the lease under which orders are given, for threads other than the control loop. The loop
- * renews it every few milliseconds; what was not renewed lately does not count, so that after a freeze, or while the
- * loop is busy, nothing goes out.
+ * The lease under which orders to replicas are given, as other threads than the control loop see it. The loop renews it
+ * every few milliseconds; without a recent renewal it counts as expired, so that after a freeze, or while the loop is
+ * busy, no order is sent.
  */
 final class OrderLease {
-    /** How often the loop is to renew it, milliseconds. */
+    /** Interval between renewals, milliseconds. */
     static final int RENEWAL_MS = 25;
 
-    /** For how long a renewal counts, milliseconds; a lease may have ended by as much when an order goes out. */
+    /** For how long a renewal counts, milliseconds; a lease may have expired by as much when an order is sent. */
     static final double VALID_MS = 100;
 
-    private volatile Renewal last = new Renewal(Optional.empty(), Double.NEGATIVE_INFINITY);
+    private volatile Renewal lastRenewal = new Renewal(Optional.empty(), Double.NEGATIVE_INFINITY);
 
-    private record Renewal(Optional<Long> leadingEpoch, double atMs) {}
+    private record Renewal(Optional<Long> leadingEpoch, double renewedMs) {}
 
     /** Called on the control loop with the epoch that this process leads now. */
     void renew(Optional<Long> leadingEpoch, double nowMs) {
-        last = new Renewal(leadingEpoch, nowMs);
+        lastRenewal = new Renewal(leadingEpoch, nowMs);
     }
 
     /** Whether this process still leads an epoch; any thread. */
-    boolean holds(long epoch, double nowMs) {
-        Renewal renewal = last;
-        return nowMs - renewal.atMs <= VALID_MS
+    boolean isHeld(long epoch, double nowMs) {
+        Renewal renewal = lastRenewal;
+        return nowMs - renewal.renewedMs <= VALID_MS
                 && renewal.leadingEpoch.filter(leading -> leading == epoch).isPresent();
     }
 }
--- a/control/src/main/java/pinewick/control/OrderOutcome.java
+++ b/control/src/main/java/pinewick/control/OrderOutcome.java
@@ -1,26 +1,26 @@
 package pinewick.control;
 
-/** What became of an order to a replica, as far as its answer tells. */
+/** The outcome of an order to a replica, as far as its response shows. */
 enum OrderOutcome {
-    /** It is being carried out, or what it asks for holds already. */
-    TAKEN,
-    /** Another order is under way, or was taken since the report on which this one rests. */
+    /** It is being carried out, or what it asks for is already the case. */
+    ACCEPTED,
+    /** Another order is in progress, or was accepted since the report on which this one is based. */
     CONFLICT,
-    /** The replica has seen a higher fencing token: another process has become the holder. */
+    /** The replica has seen a higher fencing token: another process has become the lease holder. */
     FENCED,
-    /** Another instance lives at the address. */
+    /** Another instance runs at the address. */
     WRONG_INSTANCE,
     /** The replica does not know such an order. */
     INVALID,
-    /** Refused for the moment; it was not taken. */
-    REFUSED,
+    /** Rejected for the moment; it was not accepted. */
+    REJECTED,
     /** It was not sent, because this process may have lost its lease. */
     NOT_SENT,
-    /** No answer, or none that tells: it may have been taken. */
+    /** No response, or an ambiguous one: it may have been accepted. */
     UNKNOWN;
 
     private static final int OK = 200;
-    private static final int ACCEPTED = 202;
+    private static final int ACCEPTED_STATUS = 202;
     private static final int BAD_REQUEST = 400;
     private static final int CONFLICT_STATUS = 409;
     private static final int PRECONDITION_FAILED = 412;
@@ -28,15 +28,15 @@
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
 
-    /** The outcome that an answer with this status tells of. */
+    /** The outcome that a response with this status reports. */
     static OrderOutcome ofStatus(int status) {
         return switch (status) {
-            case OK, ACCEPTED -> TAKEN;
+            case OK, ACCEPTED_STATUS -> ACCEPTED;
             case BAD_REQUEST -> INVALID;
             case CONFLICT_STATUS -> CONFLICT;
             case PRECONDITION_FAILED -> FENCED;
             case MISDIRECTED -> WRONG_INSTANCE;
-            case TOO_MANY_REQUESTS, UNAVAILABLE -> REFUSED;
+            case TOO_MANY_REQUESTS, UNAVAILABLE -> REJECTED;
             default -> UNKNOWN;
         };
     }
--- a/control/src/main/java/pinewick/control/RecordChanges.java
+++ b/control/src/main/java/pinewick/control/RecordChanges.java
@@ -2,23 +2,23 @@
 
 import pinewick.model.ReplicaRecord;
 
-/** Tells the heartbeats that only prove life from those that bring something new. */
+/** Distinguishes heartbeats that only show that the replica is alive from those that change its record. */
 final class RecordChanges {
     private RecordChanges() {}
 
     /**
-     * Whether the fleet has to be told that {@code known} has become {@code next}. The number of the call and the time
-     * that a cold replica has left run on by themselves; that it is cold no more is news.
+     * Whether the change from {@code known} to {@code next} has to be published. The call sequence and the remaining
+     * warm-up time change by themselves and do not count; the end of the warm-up does.
      */
-    static boolean isNews(ReplicaRecord known, ReplicaRecord next) {
-        return isCold(known) != isCold(next) || !next.equals(withRunningFieldsOf(known, next));
+    static boolean isSignificant(ReplicaRecord known, ReplicaRecord next) {
+        return isWarmingUp(known) != isWarmingUp(next) || !next.equals(withCountersOf(known, next));
     }
 
-    private static boolean isCold(ReplicaRecord record) {
+    private static boolean isWarmingUp(ReplicaRecord record) {
         return record.coldRemainingMs() > 0;
     }
 
-    private static ReplicaRecord withRunningFieldsOf(ReplicaRecord known, ReplicaRecord next) {
+    private static ReplicaRecord withCountersOf(ReplicaRecord known, ReplicaRecord next) {
         return new ReplicaRecord(
                 known.instanceId(),
                 known.service(),
--- a/control/src/main/java/pinewick/control/RegistryCounters.java
+++ b/control/src/main/java/pinewick/control/RegistryCounters.java
@@ -1,13 +1,16 @@
 package pinewick.control;
 
-/** What replicas have told this process since its start. Owned by the control loop. */
+/**
+ * Counts of what replicas reported to this process since its start. A removal is the drain or the deregistration of a
+ * replica. Control loop only.
+ */
 final class RegistryCounters {
     private long heartbeats;
     private long lateHeartbeats;
-    private long published;
-    private long endsConfirmed;
-    private long endsUnconfirmed;
-    private long endsAcknowledgedAlone;
+    private long recordsPublished;
+    private long removalsConfirmed;
+    private long removalsUnconfirmed;
+    private long removalsAcknowledgedAlone;
     private long lapsed;
 
     void countHeartbeat() {
@@ -19,26 +22,26 @@
     }
 
     void countPublished() {
-        published++;
+        recordsPublished++;
     }
 
-    void countEndConfirmed() {
-        endsConfirmed++;
+    void countRemovalConfirmed() {
+        removalsConfirmed++;
     }
 
-    void countEndUnconfirmed() {
-        endsUnconfirmed++;
+    void countRemovalUnconfirmed() {
+        removalsUnconfirmed++;
     }
 
-    void countEndAcknowledgedAlone() {
-        endsAcknowledgedAlone++;
+    void countRemovalAcknowledgedAlone() {
+        removalsAcknowledgedAlone++;
     }
 
     void countLapsed() {
         lapsed++;
     }
 
-    /** Heartbeats taken, late ones included. */
+    /** Heartbeats received, late ones included. */
     long heartbeats() {
         return heartbeats;
     }
@@ -49,26 +52,26 @@
     }
 
     /** Records published to the fleet. */
-    long published() {
-        return published;
+    long recordsPublished() {
+        return recordsPublished;
     }
 
-    /** Announced ends that another controller has confirmed in time. */
-    long endsConfirmed() {
-        return endsConfirmed;
+    /** Removals that another controller has confirmed in time. */
+    long removalsConfirmed() {
+        return removalsConfirmed;
     }
 
-    /** Announced ends that nobody has confirmed in time: the replica was sent on. */
-    long endsUnconfirmed() {
-        return endsUnconfirmed;
+    /** Removals that no other controller has confirmed in time: the replica was redirected. */
+    long removalsUnconfirmed() {
+        return removalsUnconfirmed;
     }
 
-    /** Announced ends acknowledged without another controller, because there was none. */
-    long endsAcknowledgedAlone() {
-        return endsAcknowledgedAlone;
+    /** Removals acknowledged without another controller, because there was none. */
+    long removalsAcknowledgedAlone() {
+        return removalsAcknowledgedAlone;
     }
 
-    /** Replicas that this process has found silent. */
+    /** Replicas that this process found to have lapsed. */
     long lapsed() {
         return lapsed;
     }
--- a/control/src/main/java/pinewick/control/ReplicaEndpoints.java
+++ b/control/src/main/java/pinewick/control/ReplicaEndpoints.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import pinewick.model.ReplicaRecord;
 
-/** The calls of replicas: heartbeat and deregistration. */
+/** The requests of replicas: heartbeat and deregistration. */
 final class ReplicaEndpoints {
     private final ReplicaRegistry registry;
     private final TaskLoop loop;
@@ -14,27 +14,31 @@
     }
 
     /** {@code POST /instances/ID/heartbeat}. */
-    void heartbeat(ApiCall call, Consumer<ApiAnswer> answer) {
-        ReplicaRecord heard;
+    void heartbeat(ApiRequest request, Consumer<ApiResponse> responder) {
+        ReplicaRecord reported;
         try {
-            heard = HeartbeatParser.parse(call.subject(), call.body());
+            reported = HeartbeatParser.parse(request.instanceId(), request.body());
         } catch (InvalidFieldException e) {
-            answer.accept(ApiAnswer.badField(e.field(), e.getMessage()));
+            responder.accept(ApiResponse.badField(e.field(), e.getMessage()));
             return;
         }
-        LoopCall.run(loop, answer, () -> registry.heartbeat(heard, outcome -> answer.accept(toAnswer(outcome))));
+        LoopDispatcher.dispatch(
+                loop, responder, () -> registry.heartbeat(reported, outcome -> responder.accept(toResponse(outcome))));
     }
 
     /** {@code POST /instances/ID/deregister}. */
-    void deregister(ApiCall call, Consumer<ApiAnswer> answer) {
-        String instanceId = call.subject();
-        LoopCall.run(loop, answer, () -> registry.deregister(instanceId, outcome -> answer.accept(toAnswer(outcome))));
+    void deregister(ApiRequest request, Consumer<ApiResponse> responder) {
+        String instanceId = request.instanceId();
+        LoopDispatcher.dispatch(
+                loop,
+                responder,
+                () -> registry.deregister(instanceId, outcome -> responder.accept(toResponse(outcome))));
     }
 
-    private static ApiAnswer toAnswer(Acknowledgement outcome) {
+    private static ApiResponse toResponse(Acknowledgement outcome) {
         return switch (outcome) {
-            case HELD -> ApiAnswer.ok();
-            case NOT_CONFIRMED -> ApiAnswer.unavailable("no other controller has confirmed it in time");
+            case CONFIRMED -> ApiResponse.ok();
+            case NOT_CONFIRMED -> ApiResponse.unavailable("not confirmed by another controller in time");
         };
     }
 }
--- a/control/src/main/java/pinewick/control/ReplicaLoad.java
+++ b/control/src/main/java/pinewick/control/ReplicaLoad.java
@@ -4,15 +4,15 @@
 import pinewick.model.Stage;
 
 /**
- * What a replica with an engine says of itself in {@code GET /report}.
+ * The load of a replica, from its response to {@code GET /report}.
  *
  * @param instanceId the instance that was asked
  * @param service its service
- * @param address where it takes orders
- * @param slots requests it works on at the same time
- * @param stage the part it serves
+ * @param address where it accepts orders
+ * @param slots requests that it can run at the same time
+ * @param stage the stage that it serves
  * @param busy whether an order is in progress
- * @param orders orders it has taken
+ * @param acceptedOrders how many orders it has accepted
  * @param waiting requests that wait
  * @param running requests that run
  */
@@ -23,10 +23,10 @@
         int slots,
         Stage stage,
         boolean busy,
-        long orders,
+        long acceptedOrders,
         int waiting,
         int running) {
-    /** Requests that it has, waiting or running. */
+    /** Requests waiting or running. */
     int requests() {
         return waiting + running;
     }
--- a/control/src/main/java/pinewick/control/ReplicaRegistry.java
+++ b/control/src/main/java/pinewick/control/ReplicaRegistry.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import pinewick.model.ReplicaRecord;
@@ -12,71 +13,73 @@
 import pinewick.model.Stage;
 
 /**
- * Takes what replicas say of themselves. A heartbeat that brings nothing new only proves life; news is published to the
- * fleet. The announcement of an end is acknowledged only once another controller holds it, because from the
- * acknowledgement on no router may send the replica a request, whatever becomes of this process.
+ * Processes the heartbeats and deregistrations of replicas. A heartbeat that changes nothing only shows that the
+ * replica is alive; a changed record is published to the fleet. A removal (drain or deregistration) is acknowledged
+ * only once another controller has confirmed its record, because from the acknowledgement on no router may send the
+ * replica a request, whatever happens to this process.
  *
- * <p>If no other controller confirms in time, the replica is told to call another one. So it is, at once, by a
- * controller that has had no contact with a quorum for a while: it may be cut off from most routers, even if some other
- * controllers share its side, and the replica may still reach those who are not. Only to a replica that comes back with
- * the same announcement does such a controller acknowledge it, by another one's confirmation or, if it has heard none
- * for the whole of {@code contact_ms}, by itself: nobody else has taken it then. What is published does not wait for
- * any of this.
+ * <p>If no other controller confirms in time, the replica is redirected to another one by a 503. A controller that has
+ * had no contact with a quorum for a while does so at once: it may be partitioned from most routers, even if some other
+ * controllers are on its side, and the replica may still reach one that is not. Only to a replica that calls again with
+ * the same removal does such a controller acknowledge it: after another one's confirmation or, if it had no message of
+ * any for the whole of {@code contact_ms}, by itself, as no other controller can have received it then. Publishing does
+ * not wait for any of this.
  *
- * <p>In the same way a controller without a quorum sends a replica that is ready on to another one, once, though it
- * notes what it has heard.
+ * <p>In the same way a controller without a quorum redirects a ready replica once, although it records its heartbeat.
  *
- * <p>Owned by the control loop.
+ * <p>Control loop only.
  */
 final class ReplicaRegistry {
-    /** How long another controller has to confirm an announced end, milliseconds; a replica waits for one second. */
-    static final long CONFIRMATION_MS = 600;
+    /** How long another controller has to confirm a removal, milliseconds; a replica waits for one second. */
+    static final long CONFIRMATION_TIMEOUT_MS = 600;
 
-    /** Without a quorum for this long, longer than an election takes, replicas are sent on, milliseconds. */
-    static final double CUT_OFF_MS = 1_500;
+    /**
+     * Without contact to a quorum for this long, longer than an election takes, replicas are redirected, milliseconds.
+     */
+    static final double PARTITIONED_AFTER_MS = 1_500;
 
-    /** Stands for the address of a replica that deregistered before anything else was known of it. */
+    /** In place of the address of a replica that deregistered before anything else was known of it. */
     static final SocketAddress NO_ADDRESS = new SocketAddress("0.0.0.0", 1);
 
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int LOG_PAUSE_SECONDS = 5;
-    private static final long BEFORE_ANY_CALL = -1;
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+    private static final int LOG_INTERVAL_SECONDS = 5;
+    private static final long NO_CALL_SEQUENCE = -1;
 
     private final FleetAccess fleet;
     private final TaskLoop loop;
     private final ControllerContact contact;
     private final double contactMs;
     private final RegistryCounters counters;
-    private final Map<String, Presence> presences = new HashMap<>();
+    private final Map<String, LocalState> localStates = new HashMap<>();
 
-    /** What this process alone knows of an instance. */
-    private static final class Presence {
-        private long lastCallSequence = BEFORE_ANY_CALL;
-        private ReplicaState confirmed = ReplicaState.READY;
-        private ReplicaState endSentOn = ReplicaState.READY;
-        private boolean readySentOn;
+    /** What only this process knows of an instance; not gossiped. */
+    private static final class LocalState {
+        private long lastCallSequence = NO_CALL_SEQUENCE;
+        private ReplicaState confirmedState = ReplicaState.READY;
+        private ReplicaState redirectedState = ReplicaState.READY;
+        private boolean redirectedWhileReady;
 
-        /** Whether it was sent on with this announcement, or with that of a later end, before. */
-        boolean comesBackWith(ReplicaState end) {
-            return endSentOn.compareTo(end) >= 0;
+        /** Whether the replica was redirected with this removal, or a later one, before. */
+        boolean wasRedirectedWith(ReplicaState removal) {
+            return redirectedState.compareTo(removal) >= 0;
         }
 
-        void noteConfirmed(ReplicaState end) {
-            if (confirmed.compareTo(end) < 0) {
-                confirmed = end;
+        void recordConfirmed(ReplicaState removal) {
+            if (confirmedState.compareTo(removal) < 0) {
+                confirmedState = removal;
             }
         }
 
-        void noteSentOn(ReplicaState end) {
-            if (endSentOn.compareTo(end) < 0) {
-                endSentOn = end;
+        void recordRedirected(ReplicaState removal) {
+            if (redirectedState.compareTo(removal) < 0) {
+                redirectedState = removal;
             }
         }
     }
 
     /**
-     * @param contact tells whether other controllers are heard
-     * @param contactMs after how long without any this process counts as the only one
+     * @param contact contact with the other controllers
+     * @param contactMs without contact for this long, this process counts as the only one, milliseconds
      */
     ReplicaRegistry(
             FleetAccess fleet, TaskLoop loop, ControllerContact contact, double contactMs, RegistryCounters counters) {
@@ -87,126 +90,136 @@
         this.counters = counters;
     }
 
-    /** Takes a heartbeat; {@code acknowledge} is called once, on the control loop. */
-    void heartbeat(ReplicaRecord heard, Consumer<Acknowledgement> acknowledge) {
-        Presence presence = presences.computeIfAbsent(heard.instanceId(), id -> new Presence());
-        ReplicaRecord known = fleet.replica(heard.instanceId());
-        boolean late =
-                known != null && heard.callSequence() < Math.max(presence.lastCallSequence, known.callSequence());
+    /** Processes a heartbeat; {@code acknowledge} is called once, on the control loop. */
+    void heartbeat(ReplicaRecord reported, Consumer<Acknowledgement> acknowledge) {
+        LocalState localState = localStates.computeIfAbsent(reported.instanceId(), id -> new LocalState());
+        Optional<ReplicaRecord> known = fleet.findReplica(reported.instanceId());
+        boolean isLate = known.filter(record ->
+                        reported.callSequence() < Math.max(localState.lastCallSequence, record.callSequence()))
+                .isPresent();
         counters.countHeartbeat();
-        if (late) {
+        if (isLate) {
             counters.countLateHeartbeat();
         } else {
-            presence.lastCallSequence = heard.callSequence();
-            fleet.heard(heard.instanceId(), heard.callSequence());
+            localState.lastCallSequence = reported.callSequence();
+            fleet.recordHeartbeat(reported.instanceId(), reported.callSequence());
         }
-        ReplicaRecord merged = late ? known : joined(known, heard);
-        if (heard.state() == ReplicaState.READY) {
-            if (known == null) {
-                lapsePredecessors(heard);
+        ReplicaRecord merged = isLate
+                ? known.get()
+                : known.map(record -> ReplicaRecord.merge(record, reported)).orElse(reported);
+        if (reported.state() == ReplicaState.READY) {
+            if (known.isEmpty()) {
+                lapsePredecessors(reported);
             }
-            if (known == null || RecordChanges.isNews(known, merged)) {
+            if (isChanged(known, merged)) {
                 publish(merged);
             }
-            acknowledge.accept(mayBeBetterKnownElsewhere(presence));
+            acknowledge.accept(acknowledgeReady(localState));
             return;
         }
-        ReplicaRecord ending = withEnd(merged, heard.state());
-        boolean news = known == null || RecordChanges.isNews(known, ending);
-        announceEnd(ending, presence, news, acknowledge);
+        ReplicaRecord removed = withRemoval(merged, reported.state());
+        announceRemoval(removed, localState, isChanged(known, removed), acknowledge);
+    }
+
+    private static boolean isChanged(Optional<ReplicaRecord> known, ReplicaRecord next) {
+        return known.map(record -> RecordChanges.isSignificant(record, next)).orElse(true);
     }
 
-    private boolean cutOff() {
-        return contact.withoutQuorumMs(loop.nowMs()) >= CUT_OFF_MS;
+    private boolean isPartitioned() {
+        return contact.withoutQuorumMs(loop.nowMs()) >= PARTITIONED_AFTER_MS;
     }
 
-    private Acknowledgement mayBeBetterKnownElsewhere(Presence presence) {
-        boolean cutOff = cutOff();
-        boolean sendOn = cutOff && !presence.readySentOn;
-        presence.readySentOn = cutOff;
-        return sendOn ? Acknowledgement.NOT_CONFIRMED : Acknowledgement.HELD;
+    private Acknowledgement acknowledgeReady(LocalState localState) {
+        boolean isPartitioned = isPartitioned();
+        boolean redirects = isPartitioned && !localState.redirectedWhileReady;
+        localState.redirectedWhileReady = isPartitioned;
+        return redirects ? Acknowledgement.NOT_CONFIRMED : Acknowledgement.CONFIRMED;
     }
 
     /**
-     * Two processes cannot listen at one address: whatever was there before the new instance has ended. Marked as
-     * lapsed and not as gone, because a heartbeat takes that back should it be wrong.
+     * Two processes cannot listen at one address: an earlier instance at the address of a new one has ended. It is
+     * marked as lapsed and not as gone, because a heartbeat of it reverts that if it is wrong.
      */
-    private void lapsePredecessors(ReplicaRecord newcomer) {
+    private void lapsePredecessors(ReplicaRecord newInstance) {
         List<ReplicaRecord> predecessors = fleet.replicas().stream()
-                .filter(other -> other.address().equals(newcomer.address()))
-                .filter(other -> !other.instanceId().equals(newcomer.instanceId()))
+                .filter(other -> other.address().equals(newInstance.address()))
+                .filter(other -> !other.instanceId().equals(newInstance.instanceId()))
                 .filter(other -> other.state() != ReplicaState.GONE && !other.lapsed())
                 .toList();
         predecessors.forEach(predecessor -> publish(predecessor.withLapsed(true)));
     }
 
-    private static ReplicaRecord joined(ReplicaRecord known, ReplicaRecord heard) {
-        return known == null ? heard : ReplicaRecord.merge(known, heard);
-    }
-
-    /** An announced end is taken even from a late call. */
-    private static ReplicaRecord withEnd(ReplicaRecord record, ReplicaState end) {
-        return record.state().compareTo(end) >= 0 ? record : record.withState(end);
+    /** A removal counts even if it is in a late heartbeat. */
+    private static ReplicaRecord withRemoval(ReplicaRecord record, ReplicaState removal) {
+        return record.state().compareTo(removal) >= 0 ? record : record.withState(removal);
     }
 
-    /** Takes the deregistration of an instance; {@code acknowledge} is called once, on the control loop. */
+    /** Processes the deregistration of an instance; {@code acknowledge} is called once, on the control loop. */
     void deregister(String instanceId, Consumer<Acknowledgement> acknowledge) {
-        Presence presence = presences.computeIfAbsent(instanceId, id -> new Presence());
-        ReplicaRecord known = fleet.replica(instanceId);
-        ReplicaRecord gone = known == null ? unknownAndGone(instanceId) : known.withState(ReplicaState.GONE);
-        announceEnd(gone, presence, !gone.equals(known), acknowledge);
+        LocalState localState = localStates.computeIfAbsent(instanceId, id -> new LocalState());
+        Optional<ReplicaRecord> known = fleet.findReplica(instanceId);
+        ReplicaRecord tombstone =
+                known.map(record -> record.withState(ReplicaState.GONE)).orElseGet(() -> tombstoneOf(instanceId));
+        boolean isChanged = known.filter(tombstone::equals).isEmpty();
+        announceRemoval(tombstone, localState, isChanged, acknowledge);
     }
 
-    /** Drops what is kept of instances that the fleet has forgotten; to be called a few times a second. */
+    /** Removes the state of instances that the fleet has forgotten; to be called a few times a second. */
     void onTick() {
-        contact.silenceMs(loop.nowMs());
-        presences.keySet().removeIf(id -> fleet.replica(id) == null);
+        contact.withoutContactMs(loop.nowMs());
+        localStates.keySet().removeIf(id -> fleet.findReplica(id).isEmpty());
     }
 
-    private void announceEnd(
-            ReplicaRecord record, Presence presence, boolean news, Consumer<Acknowledgement> acknowledge) {
-        if (!news && presence.confirmed.compareTo(record.state()) >= 0) {
-            acknowledge.accept(Acknowledgement.HELD);
+    private void announceRemoval(
+            ReplicaRecord record, LocalState localState, boolean isChanged, Consumer<Acknowledgement> acknowledge) {
+        if (!isChanged && localState.confirmedState.compareTo(record.state()) >= 0) {
+            acknowledge.accept(Acknowledgement.CONFIRMED);
             return;
         }
-        OnceOnly answer = new OnceOnly(acknowledge);
+        SingleAcknowledgement acknowledgement = new SingleAcknowledgement(acknowledge);
         counters.countPublished();
-        if (cutOff() && !presence.comesBackWith(record.state())) {
-            fleet.publishUntilHeld(record, () -> presence.noteConfirmed(record.state()));
-            sendOn(record, presence, "out of contact with a quorum", answer);
+        if (isPartitioned() && !localState.wasRedirectedWith(record.state())) {
+            fleet.publishUntilAcknowledged(record, () -> localState.recordConfirmed(record.state()));
+            redirect(record, localState, "no contact with a quorum", acknowledgement);
             return;
         }
-        fleet.publishUntilHeld(record, () -> {
-            presence.noteConfirmed(record.state());
-            counters.countEndConfirmed();
-            answer.accept(Acknowledgement.HELD);
+        fleet.publishUntilAcknowledged(record, () -> {
+            localState.recordConfirmed(record.state());
+            counters.countRemovalConfirmed();
+            acknowledgement.accept(Acknowledgement.CONFIRMED);
         });
-        if (!answer.isGiven()) {
-            loop.schedule(() -> endWithoutConfirmation(record, presence, answer), CONFIRMATION_MS);
+        if (!acknowledgement.isGiven()) {
+            loop.schedule(() -> onConfirmationTimeout(record, localState, acknowledgement), CONFIRMATION_TIMEOUT_MS);
         }
     }
 
-    private void endWithoutConfirmation(ReplicaRecord record, Presence presence, OnceOnly answer) {
-        if (answer.isGiven()) {
+    private void onConfirmationTimeout(
+            ReplicaRecord record, LocalState localState, SingleAcknowledgement acknowledgement) {
+        if (acknowledgement.isGiven()) {
             return;
         }
-        boolean alone = contact.silenceMs(loop.nowMs()) >= contactMs;
-        boolean othersTried = presence.comesBackWith(record.state()) || !contact.everHeard();
-        if (alone && othersTried) {
-            counters.countEndAcknowledgedAlone();
-            answer.accept(Acknowledgement.HELD);
+        boolean isAlone = contact.withoutContactMs(loop.nowMs()) >= contactMs;
+        boolean wasRedirected = localState.wasRedirectedWith(record.state()) || !contact.hadContact();
+        if (isAlone && wasRedirected) {
+            counters.countRemovalAcknowledgedAlone();
+            acknowledgement.accept(Acknowledgement.CONFIRMED);
             return;
         }
-        sendOn(record, presence, "no other controller within " + CONFIRMATION_MS + " ms", answer);
+        redirect(
+                record,
+                localState,
+                "no acknowledgement by another controller within " + CONFIRMATION_TIMEOUT_MS + " ms",
+                acknowledgement);
     }
 
-    private void sendOn(ReplicaRecord record, Presence presence, String reason, OnceOnly answer) {
-        presence.noteSentOn(record.state());
-        counters.countEndUnconfirmed();
-        logger.atWarning().atMostEvery(LOG_PAUSE_SECONDS, TimeUnit.SECONDS).log(
-                "confirm %s of %s: %s (%d times so far)",
-                record.state(), record.instanceId(), reason, counters.endsUnconfirmed());
-        answer.accept(Acknowledgement.NOT_CONFIRMED);
+    private void redirect(
+            ReplicaRecord record, LocalState localState, String reason, SingleAcknowledgement acknowledgement) {
+        localState.recordRedirected(record.state());
+        counters.countRemovalUnconfirmed();
+        LOGGER.atWarning().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+                "removal not confirmed: replica %s, state %s: %s (%d in total)",
+                record.instanceId(), record.state(), reason, counters.removalsUnconfirmed());
+        acknowledgement.accept(Acknowledgement.NOT_CONFIRMED);
     }
 
     private void publish(ReplicaRecord record) {
@@ -215,10 +228,10 @@
     }
 
     /**
-     * Another controller may know the instance, and so may routers: what is published wins over their records by its
-     * state and leaves the rest to them, because of its low call sequence.
+     * The tombstone of an instance that is not known here. Other processes may know it: merged with their records, the
+     * tombstone wins by its state and leaves everything else to them, because of its low call sequence.
      */
-    private static ReplicaRecord unknownAndGone(String instanceId) {
+    private static ReplicaRecord tombstoneOf(String instanceId) {
         return new ReplicaRecord(
                 instanceId,
                 "",
@@ -230,16 +243,16 @@
                 0,
                 Stage.NONE,
                 List.of(),
-                BEFORE_ANY_CALL,
+                NO_CALL_SEQUENCE,
                 false);
     }
 
-    /** Passes on the first of several answers. */
-    private static final class OnceOnly implements Consumer<Acknowledgement> {
+    /** Forwards the first acknowledgement and ignores later ones. */
+    private static final class SingleAcknowledgement implements Consumer<Acknowledgement> {
         private final Consumer<Acknowledgement> target;
         private boolean given;
 
-        OnceOnly(Consumer<Acknowledgement> target) {
+        SingleAcknowledgement(Consumer<Acknowledgement> target) {
             this.target = target;
         }
 
--- a/control/src/main/java/pinewick/control/ResettingConnector.java
+++ b/control/src/main/java/pinewick/control/ResettingConnector.java
@@ -7,8 +7,8 @@
 import org.eclipse.jetty.io.ClientConnector;
 
 /**
- * Makes connections that are reset when they are closed: what was written and not yet received is dropped then, and not
- * sent on for as long as the system would retry.
+ * Makes connections that are reset when they are closed: what was written and not yet received is dropped then, instead
+ * of being retransmitted by the operating system.
  */
 final class ResettingConnector extends ClientConnector {
     private static final int DROP_AT_CLOSE = 0;
--- a/control/src/main/java/pinewick/control/StagePlanner.java
+++ b/control/src/main/java/pinewick/control/StagePlanner.java
@@ -11,33 +11,33 @@
 import pinewick.model.Stage;
 
 /**
- * Decides which replica should change its stage. A replica moves from the stage that has room to the one that is full,
- * one at a time and service, once the imbalance has lasted for a while, and only if the stage it leaves keeps room
- * without it. No I/O; owned by one thread.
+ * Decides which replica should change its stage. A replica moves from the stage with spare capacity to the one at full
+ * load, one at a time and service, once the imbalance has lasted for a while, and only if the stage that it leaves
+ * keeps spare capacity without it. No I/O; control loop only.
  */
 final class StagePlanner {
-    /** Requests for each slot from which on a stage is full. */
-    static final double FULL = 0.9;
+    /** Requests per slot from which on a stage is at full load. */
+    static final double FULL_LOAD = 0.9;
 
-    /** Requests for each slot up to which a stage has room, counted without the replica that would leave. */
-    static final double ROOMY = 0.5;
+    /** Requests per slot up to which a stage has spare capacity, without the replica that would leave. */
+    static final double SPARE_CAPACITY_LOAD = 0.5;
 
     /** How long an imbalance has to last, milliseconds. */
-    static final double LASTING_MS = 3_000;
+    static final double MIN_IMBALANCE_MS = 3_000;
 
     /** The shortest time between two changes of a service, milliseconds. */
-    static final double PAUSE_MS = 15_000;
+    static final double MIN_CHANGE_INTERVAL_MS = 15_000;
 
     private final Map<String, Imbalance> imbalances = new HashMap<>();
     private final Map<String, Double> changedAtMs = new HashMap<>();
 
     /** The stage of a service that needs a replica, and since when. */
-    private record Imbalance(Stage needy, double sinceMs) {}
+    private record Imbalance(Stage overloadedStage, double sinceMs) {}
 
     /** A replica is to serve another stage. */
     record Change(ReplicaLoad replica, Stage stage) {}
 
-    /** The changes that are due. A change that is returned counts as made. */
+    /** The changes that are due. A returned change counts as made. */
     List<Change> plan(Collection<ReplicaLoad> loads, double nowMs) {
         Map<String, List<ReplicaLoad>> byService = new TreeMap<>();
         loads.stream().filter(load -> load.stage() != Stage.NONE).forEach(load -> byService
@@ -51,49 +51,52 @@
     }
 
     private Optional<Change> planService(String service, List<ReplicaLoad> loads, double nowMs) {
-        Optional<Change> wanted = loads.stream().anyMatch(ReplicaLoad::busy) ? Optional.empty() : wanted(loads);
-        if (wanted.isEmpty()) {
+        Optional<Change> proposed =
+                loads.stream().anyMatch(ReplicaLoad::busy) ? Optional.empty() : proposeChange(loads);
+        if (proposed.isEmpty()) {
             imbalances.remove(service);
             return Optional.empty();
         }
         Imbalance known = imbalances.get(service);
-        if (known == null || known.needy != wanted.get().stage()) {
-            imbalances.put(service, new Imbalance(wanted.get().stage(), nowMs));
+        if (known == null || known.overloadedStage != proposed.get().stage()) {
+            imbalances.put(service, new Imbalance(proposed.get().stage(), nowMs));
             return Optional.empty();
         }
-        boolean paused = nowMs - changedAtMs.getOrDefault(service, Double.NEGATIVE_INFINITY) < PAUSE_MS;
-        if (paused || nowMs - known.sinceMs < LASTING_MS) {
+        boolean changedRecently =
+                nowMs - changedAtMs.getOrDefault(service, Double.NEGATIVE_INFINITY) < MIN_CHANGE_INTERVAL_MS;
+        if (changedRecently || nowMs - known.sinceMs < MIN_IMBALANCE_MS) {
             return Optional.empty();
         }
         changedAtMs.put(service, nowMs);
         imbalances.remove(service);
-        return wanted;
+        return proposed;
     }
 
-    private static Optional<Change> wanted(List<ReplicaLoad> loads) {
-        return wanted(loads, Stage.DECODE, Stage.PREFILL).or(() -> wanted(loads, Stage.PREFILL, Stage.DECODE));
+    private static Optional<Change> proposeChange(List<ReplicaLoad> loads) {
+        return proposeChange(loads, Stage.DECODE, Stage.PREFILL)
+                .or(() -> proposeChange(loads, Stage.PREFILL, Stage.DECODE));
     }
 
-    private static Optional<Change> wanted(List<ReplicaLoad> loads, Stage giver, Stage needy) {
-        List<ReplicaLoad> givers = ofStage(loads, giver);
-        List<ReplicaLoad> takers = ofStage(loads, needy);
-        if (takers.isEmpty() || givers.size() < 2 || requestsASlot(takers) < FULL) {
+    private static Optional<Change> proposeChange(List<ReplicaLoad> loads, Stage donorStage, Stage overloadedStage) {
+        List<ReplicaLoad> donors = ofStage(loads, donorStage);
+        List<ReplicaLoad> receivers = ofStage(loads, overloadedStage);
+        if (receivers.isEmpty() || donors.size() < 2 || requestsPerSlot(receivers) < FULL_LOAD) {
             return Optional.empty();
         }
-        ReplicaLoad leastLoaded = givers.stream()
+        ReplicaLoad leastLoaded = donors.stream()
                 .min(Comparator.comparingInt(ReplicaLoad::requests).thenComparing(ReplicaLoad::instanceId))
                 .orElseThrow();
         List<ReplicaLoad> remaining =
-                givers.stream().filter(load -> load != leastLoaded).toList();
-        boolean roomy = requests(givers) <= ROOMY * slots(remaining);
-        return roomy ? Optional.of(new Change(leastLoaded, needy)) : Optional.empty();
+                donors.stream().filter(load -> load != leastLoaded).toList();
+        boolean hasSpareCapacity = requests(donors) <= SPARE_CAPACITY_LOAD * slots(remaining);
+        return hasSpareCapacity ? Optional.of(new Change(leastLoaded, overloadedStage)) : Optional.empty();
     }
 
     private static List<ReplicaLoad> ofStage(List<ReplicaLoad> loads, Stage stage) {
         return loads.stream().filter(load -> load.stage() == stage).toList();
     }
 
-    private static double requestsASlot(List<ReplicaLoad> loads) {
+    private static double requestsPerSlot(List<ReplicaLoad> loads) {
         return requests(loads) / Math.max(1.0, slots(loads));
     }
 
--- a/control/src/main/java/pinewick/control/StageReconciler.java
+++ b/control/src/main/java/pinewick/control/StageReconciler.java
@@ -13,110 +13,108 @@
 import pinewick.model.Stage;
 
 /**
- * Brings the stages of replicas to what the planner wants. Only the process that leads an epoch acts, under tokens of
- * that epoch, and not before the orders of an earlier holder can be on their way no longer; one round of reports is out
- * at a time. An order without an answer is read back by a later report before its service gets another one. Owned by
- * the control loop.
+ * Orders replicas to change their stage as the planner decides. Only the process that leads an epoch acts, under
+ * fencing tokens of that epoch, and only once no order of an earlier lease holder can still be in transit. One
+ * collection of reports is in progress at a time. An order without a response is resolved by a later report before its
+ * service gets another one. Control loop only.
  */
 final class StageReconciler {
     /** How often {@link #run} is to be called, milliseconds. */
     static final int PERIOD_MS = 2_000;
 
     /**
-     * The pause of a new holder before its first order, milliseconds: an order of the one before may have gone out when
-     * its lease had just ended, and been on its way until it timed out.
+     * How long a new lease holder waits before its first order, milliseconds: the former one may have sent an order
+     * when its lease had just expired, and that order may be in transit until it times out.
      */
-    static final double SETTLING_MS = OrderLease.VALID_MS + ReplicaCalls.TIMEOUT_MS + 400;
+    static final double LEASE_HANDOVER_MS = OrderLease.VALID_MS + ReplicaClient.TIMEOUT_MS + 400;
 
-    /** A round that took longer rests on reports that are too old: this process was frozen meanwhile. */
-    static final double LONGEST_ROUND_MS = ReplicaCalls.TIMEOUT_MS + 1_000;
+    /** A collection that took longer is discarded, as its reports are too old: this process was frozen meanwhile. */
+    static final double MAX_COLLECTION_MS = ReplicaClient.TIMEOUT_MS + 1_000;
 
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int LOG_PAUSE_SECONDS = 5;
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+    private static final int LOG_INTERVAL_SECONDS = 5;
     private static final long NO_EPOCH = -1;
 
     private final FleetAccess fleet;
     private final StagePlanner planner;
-    private final ReplicaCalls calls;
+    private final ReplicaClient replicaClient;
     private final FencingTokens tokens;
     private final Supplier<Optional<Long>> leadingEpoch;
     private final TaskLoop loop;
     private final OrderLease lease = new OrderLease();
-    private final UnansweredOrders unanswered = new UnansweredOrders();
-    private final Set<String> unwilling = new HashSet<>();
+    private final UnresolvedOrders unresolvedOrders = new UnresolvedOrders();
+    private final Set<String> excludedInstances = new HashSet<>();
     private long fencedEpoch = NO_EPOCH;
-    private double leadsSinceMs = Double.POSITIVE_INFINITY;
-    private boolean roundOut;
+    private double leadingSinceMs = Double.POSITIVE_INFINITY;
+    private boolean collecting;
 
-    /**
-     * @param leadingEpoch the epoch that this process leads, present only once every earlier holder has ended
-     */
+    /** @param leadingEpoch the epoch that this process leads, present only once every earlier lease has expired */
     StageReconciler(
             FleetAccess fleet,
             StagePlanner planner,
-            ReplicaCalls calls,
+            ReplicaClient replicaClient,
             FencingTokens tokens,
             Supplier<Optional<Long>> leadingEpoch,
             TaskLoop loop) {
         this.fleet = fleet;
         this.planner = planner;
-        this.calls = calls;
+        this.replicaClient = replicaClient;
         this.tokens = tokens;
         this.leadingEpoch = leadingEpoch;
         this.loop = loop;
     }
 
-    /** Looks at the lease; to be called every {@link OrderLease#RENEWAL_MS}. */
+    /** Renews the lease; to be called every {@link OrderLease#RENEWAL_MS}. */
     void renewLease() {
         Optional<Long> leading = leadingEpoch.get();
         lease.renew(leading, loop.nowMs());
         if (leading.isEmpty()) {
-            leadsSinceMs = Double.POSITIVE_INFINITY;
-        } else if (leadsSinceMs == Double.POSITIVE_INFINITY) {
-            leadsSinceMs = loop.nowMs();
+            leadingSinceMs = Double.POSITIVE_INFINITY;
+        } else if (leadingSinceMs == Double.POSITIVE_INFINITY) {
+            leadingSinceMs = loop.nowMs();
         }
     }
 
-    /** Asks for reports, and orders what is due once they are in. */
+    /** Requests reports, and orders what is due once they have arrived. */
     void run() {
         renewLease();
-        if (roundOut || mayOrder().isEmpty()) {
+        if (collecting || orderingEpoch().isEmpty()) {
             return;
         }
         List<ReplicaRecord> replicas = fleet.replicas().stream()
                 .filter(record -> record.stage() != Stage.NONE && record.takesRequests())
                 .toList();
-        forgetAllBut(replicas);
+        retainOnly(replicas);
         if (!replicas.isEmpty()) {
-            roundOut = true;
-            new Round(replicas.size(), loop.nowMs()).ask(replicas);
+            collecting = true;
+            new ReportCollection(replicas.size(), loop.nowMs()).request(replicas);
         }
     }
 
-    private Optional<Long> mayOrder() {
-        boolean settled = loop.nowMs() - leadsSinceMs >= SETTLING_MS;
-        return settled ? leadingEpoch.get().filter(epoch -> epoch > fencedEpoch) : Optional.empty();
+    private Optional<Long> orderingEpoch() {
+        boolean isLeaseExclusive = loop.nowMs() - leadingSinceMs >= LEASE_HANDOVER_MS;
+        return isLeaseExclusive ? leadingEpoch.get().filter(epoch -> epoch > fencedEpoch) : Optional.empty();
     }
 
-    private void forgetAllBut(List<ReplicaRecord> replicas) {
+    private void retainOnly(List<ReplicaRecord> replicas) {
         Set<String> running = replicas.stream().map(ReplicaRecord::instanceId).collect(Collectors.toSet());
-        unanswered.retain(running);
-        unwilling.retainAll(running);
+        unresolvedOrders.retain(running);
+        excludedInstances.retainAll(running);
     }
 
     /** One report of each replica. */
-    private final class Round {
+    private final class ReportCollection {
         private final List<ReplicaLoad> loads = new ArrayList<>();
-        private final double askedAtMs;
+        private final double requestedMs;
         private int outstanding;
 
-        Round(int outstanding, double askedAtMs) {
+        ReportCollection(int outstanding, double requestedMs) {
             this.outstanding = outstanding;
-            this.askedAtMs = askedAtMs;
+            this.requestedMs = requestedMs;
         }
 
-        void ask(List<ReplicaRecord> replicas) {
-            replicas.forEach(replica -> calls.report(replica, this::onReport));
+        void request(List<ReplicaRecord> replicas) {
+            replicas.forEach(replica -> replicaClient.report(replica, this::onReport));
         }
 
         private void onReport(Optional<ReplicaLoad> load) {
@@ -125,43 +123,45 @@
             if (outstanding > 0) {
                 return;
             }
-            roundOut = false;
-            if (loop.nowMs() - askedAtMs <= LONGEST_ROUND_MS) {
-                loads.forEach(each -> unanswered.onReport(each, askedAtMs));
-                orderFrom(loads);
+            collecting = false;
+            if (loop.nowMs() - requestedMs <= MAX_COLLECTION_MS) {
+                loads.forEach(each -> unresolvedOrders.onReport(each, requestedMs));
+                planAndOrder(loads);
             }
         }
     }
 
-    private void orderFrom(List<ReplicaLoad> loads) {
-        Set<String> waiting = unanswered.services();
-        List<ReplicaLoad> settled = loads.stream()
-                .filter(load -> !waiting.contains(load.service()) && !unwilling.contains(load.instanceId()))
+    private void planAndOrder(List<ReplicaLoad> loads) {
+        Set<String> unresolvedServices = unresolvedOrders.services();
+        List<ReplicaLoad> isLeaseExclusive = loads.stream()
+                .filter(load ->
+                        !unresolvedServices.contains(load.service()) && !excludedInstances.contains(load.instanceId()))
                 .toList();
-        planner.plan(settled, loop.nowMs()).forEach(this::order);
+        planner.plan(isLeaseExclusive, loop.nowMs()).forEach(this::order);
     }
 
     private void order(StagePlanner.Change change) {
-        Optional<Long> epoch = mayOrder();
+        Optional<Long> epoch = orderingEpoch();
         tokens.next(epoch)
-                .ifPresent(fence -> calls.orderStage(
+                .ifPresent(fence -> replicaClient.orderStage(
                         change.replica(),
                         change.stage(),
                         fence,
-                        () -> lease.holds(epoch.orElseThrow(), loop.nowMs()),
+                        () -> lease.isHeld(epoch.orElseThrow(), loop.nowMs()),
                         outcome -> onOutcome(change, epoch.orElseThrow(), outcome)));
     }
 
     private void onOutcome(StagePlanner.Change change, long epoch, OrderOutcome outcome) {
         ReplicaLoad replica = change.replica();
-        logger.atInfo().atMostEvery(LOG_PAUSE_SECONDS, TimeUnit.SECONDS).log(
-                "order %s to %s in epoch %d: %s", change.stage().wireName(), replica.instanceId(), epoch, outcome);
+        LOGGER.atInfo().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+                "stage order: %s to replica %s in epoch %d: %s",
+                change.stage().wireName(), replica.instanceId(), epoch, outcome);
         switch (outcome) {
-            case UNKNOWN -> unanswered.add(replica, loop.nowMs());
+            case UNKNOWN -> unresolvedOrders.add(replica, loop.nowMs());
             case FENCED -> fencedEpoch = Math.max(fencedEpoch, epoch);
-            case WRONG_INSTANCE, INVALID -> unwilling.add(replica.instanceId());
-            case TAKEN, CONFLICT, REFUSED, NOT_SENT -> {
-                // The next round of reports shows what holds.
+            case WRONG_INSTANCE, INVALID -> excludedInstances.add(replica.instanceId());
+            case ACCEPTED, CONFLICT, REJECTED, NOT_SENT -> {
+                // The next reports show the outcome.
             }
         }
     }
--- a/control/src/main/java/pinewick/control/StatusReport.java
+++ b/control/src/main/java/pinewick/control/StatusReport.java
@@ -17,26 +17,28 @@
 import pinewick.replication.ReplicationReport.FaultTolerance;
 import pinewick.replication.ReplicationReport.MemberReport;
 
-/** The state of one controller, for the people who run it. */
+/**
+ * The state of one controller, for operators ({@code GET /status}; docs/operators/router-fleet.md explains the fields).
+ */
 final class StatusReport {
-    private static final double MS_A_SECOND = 1_000;
+    private static final double MS_PER_SECOND = 1_000;
 
     private final JsonObject report = new JsonObject();
 
-    /** Which process this is, and for how long it runs. */
+    /** Which process this is, and its uptime. */
     StatusReport node(String name, String zone, double uptimeMs) {
         report.addProperty("node", name);
         report.addProperty("zone", zone);
-        report.addProperty("uptime_s", Math.round(uptimeMs / MS_A_SECOND));
+        report.addProperty("uptime_s", Math.round(uptimeMs / MS_PER_SECOND));
         return this;
     }
 
     /**
      * The configuration as this process sees it.
      *
-     * @param version the newest version held here
-     * @param replication epoch, members and how many losses are borne
-     * @param lastEvent what the replication noted last
+     * @param version the newest version known here
+     * @param replication epoch, members and how many losses are tolerable
+     * @param lastEvent the last event of the replication
      */
     StatusReport configuration(
             long version, ReplicationReport replication, Optional<Long> leadingEpoch, String lastEvent) {
@@ -60,20 +62,23 @@
             entry.addProperty("identity", member.member().identity());
             entry.addProperty("address", member.member().address().toString());
             entry.addProperty("in_sync", member.inSync());
-            entry.addProperty("leaving", member.shuttingDown());
-            member.sinceContactMs().ifPresent(silentMs -> entry.addProperty("silent_ms", Math.round(silentMs)));
+            entry.addProperty("shutting_down", member.shuttingDown());
+            member.sinceContactMs()
+                    .ifPresent(sinceContactMs -> entry.addProperty("since_contact_ms", Math.round(sinceContactMs)));
             list.add(entry);
         }
         return list;
     }
 
     private static void addFaultTolerance(JsonObject section, FaultTolerance tolerance) {
-        tolerance.currentStores().ifPresent(copies -> section.addProperty("copies", copies));
-        tolerance.tolerableLosses().ifPresent(losses -> section.addProperty("bears_losses", losses));
+        tolerance.currentStores().ifPresent(stores -> section.addProperty("up_to_date_stores", stores));
+        tolerance.tolerableLosses().ifPresent(losses -> section.addProperty("tolerable_losses", losses));
         if (!tolerance.unknownReason().isEmpty()) {
-            section.addProperty("bears_losses_unknown", tolerance.unknownReason());
+            section.addProperty("tolerable_losses_unknown", tolerance.unknownReason());
         }
-        tolerance.sufficientForMs().ifPresent(sinceMs -> section.addProperty("repaired_ms", Math.round(sinceMs)));
+        tolerance
+                .sufficientForMs()
+                .ifPresent(sufficientMs -> section.addProperty("sufficient_ms", Math.round(sufficientMs)));
     }
 
     /** The other processes. */
@@ -119,16 +124,16 @@
         return entry;
     }
 
-    /** What replicas have told this process. */
+    /** Counts of what replicas reported to this process. */
     StatusReport registry(RegistryCounters counters) {
         JsonObject section = new JsonObject();
         section.addProperty("heartbeats", counters.heartbeats());
         section.addProperty("late_heartbeats", counters.lateHeartbeats());
-        section.addProperty("records_published", counters.published());
-        section.addProperty("ends_confirmed", counters.endsConfirmed());
-        section.addProperty("ends_unconfirmed", counters.endsUnconfirmed());
-        section.addProperty("ends_acknowledged_alone", counters.endsAcknowledgedAlone());
-        section.addProperty("found_silent", counters.lapsed());
+        section.addProperty("records_published", counters.recordsPublished());
+        section.addProperty("removals_confirmed", counters.removalsConfirmed());
+        section.addProperty("removals_unconfirmed", counters.removalsUnconfirmed());
+        section.addProperty("removals_acknowledged_alone", counters.removalsAcknowledgedAlone());
+        section.addProperty("replicas_lapsed", counters.lapsed());
         report.add("registry", section);
         return this;
     }
--- a/control/src/test/java/pinewick/control/ApiServerTest.java
+++ b/control/src/test/java/pinewick/control/ApiServerTest.java
@@ -55,13 +55,14 @@
         }
     }
 
-    private static ApiAnswer echo(ApiOperation operation, ApiCall call) {
-        String text = operation + "|" + call.subject() + "|" + call.baseVersion() + "|" + call.body().length;
-        return ApiAnswer.error(200, text);
+    private static ApiResponse echo(ApiOperation operation, ApiRequest call) {
+        String text = operation + "|" + call.instanceId() + "|"
+                + call.baseVersion().orElse("null") + "|" + call.body().length;
+        return ApiResponse.error(200, text);
     }
 
     @Test
-    void callsReachTheirEndpoints() throws IOException {
+    void requestsReachTheirEndpoints() throws IOException {
         HttpCaller.Answer beat = HttpCaller.call(address, "POST", "/instances/i-1/heartbeat", "{}");
         assertEquals("{\"error\":\"HEARTBEAT|i-1|null|2\"}", beat.body());
         HttpCaller.Answer leave = HttpCaller.call(address, "POST", "/instances/i-1/deregister", "");
@@ -93,7 +94,7 @@
     }
 
     @Test
-    void aBodyMayComeInPieces() throws IOException {
+    void aBodyMayComeInChunks() throws IOException {
         try (HttpCaller caller = new HttpCaller(address)) {
             caller.send("POST /config/replace HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked\r\n\r\n");
             caller.send("3\r\nabc\r\n");
@@ -105,7 +106,7 @@
     }
 
     @Test
-    void unknownPathsAndMethodsAreRefused() throws IOException {
+    void unknownPathsAndMethodsAreRejected() throws IOException {
         assertEquals(404, HttpCaller.call(address, "GET", "/", "").status());
         assertEquals(
                 400,
@@ -123,7 +124,7 @@
     }
 
     @Test
-    void aBodyThatIsAnnouncedTooLargeIsRefusedUnread() throws IOException {
+    void aBodyWithTooLargeAContentLengthIsRejectedUnread() throws IOException {
         try (HttpCaller caller = new HttpCaller(address)) {
             caller.send("POST /instances/i-1/heartbeat HTTP/1.1\r\nHost: c\r\nContent-Length: 99999999\r\n\r\n");
             assertEquals(413, caller.receive().status());
@@ -132,7 +133,7 @@
     }
 
     @Test
-    void aBodyThatGrowsTooLargeIsRefused() throws IOException {
+    void aBodyThatGrowsTooLargeIsRejected() throws IOException {
         try (HttpCaller caller = new HttpCaller(address)) {
             caller.send("POST /instances/i-1/heartbeat HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked\r\n\r\n");
             String piece = "x".repeat(0x8000);
@@ -142,13 +143,13 @@
     }
 
     @Test
-    void aBodyThatIsRefusedIsReadSoThatTheAnswerArrives() throws IOException {
+    void aRejectedBodyIsReadSoThatTheResponseArrives() throws IOException {
         HttpCaller.Answer answer = HttpCaller.call(address, "POST", "/config/replace", "x".repeat(8 * 1024 * 1024));
         assertEquals(413, answer.status());
     }
 
     @Test
-    void aBodyOfFourMebibytesIsTaken() throws IOException {
+    void aBodyOfFourMebibytesIsAccepted() throws IOException {
         String body = "x".repeat(4 * 1024 * 1024);
         HttpCaller.Answer answer = HttpCaller.call(address, "POST", "/config/replace", body);
         assertEquals("{\"error\":\"REPLACE_CONFIGURATION||null|4194304\"}", answer.body());
@@ -182,7 +183,7 @@
     }
 
     @Test
-    void aCallerThatDawdlesIsToldSoWhileOthersAreServed() throws IOException {
+    void aSlowCallerTimesOutWhileOthersAreServed() throws IOException {
         try (HttpCaller slow = new HttpCaller(address);
                 HttpCaller quick = new HttpCaller(address)) {
             slow.send("POST /config/replace HTTP/1.1\r\nHost: c\r\nContent-Length: 10\r\n\r\nabc");
@@ -193,50 +194,50 @@
             assertEquals(
                     200, quick.call("POST", "/instances/i-1/heartbeat", "{}").status());
         }
-        server.awaitCalls(PATIENCE_MS);
-        assertEquals(0, server.callsInProgress());
+        server.awaitRequests(PATIENCE_MS);
+        assertEquals(0, server.requestsInFlight());
     }
 
     @Test
-    void aLateAnswerFromAnotherThreadIsWritten() throws Exception {
-        CompletableFuture<Consumer<ApiAnswer>> pending = new CompletableFuture<>();
+    void aLateResponseFromAnotherThreadIsWritten() throws Exception {
+        CompletableFuture<Consumer<ApiResponse>> pending = new CompletableFuture<>();
         endpoints.put(ApiOperation.READ_CONFIGURATION, (call, answer) -> pending.complete(answer));
         restart();
         try (HttpCaller caller = new HttpCaller(address)) {
             caller.send("GET /config/read HTTP/1.1\r\nHost: c\r\n\r\n");
-            Consumer<ApiAnswer> answer = pending.get();
-            assertEquals(1, server.callsInProgress());
-            answer.accept(ApiAnswer.unavailable("x"));
-            answer.accept(ApiAnswer.ok());
+            Consumer<ApiResponse> answer = pending.get();
+            assertEquals(1, server.requestsInFlight());
+            answer.accept(ApiResponse.unavailable("x"));
+            answer.accept(ApiResponse.ok());
             assertEquals(503, caller.receive().status());
             assertEquals(200, caller.call("GET", "/status", "").status());
         }
     }
 
     @Test
-    void aCallThatFailsIsAnswered() throws Exception {
+    void aRequestThatFailsGetsAResponse() throws Exception {
         endpoints.put(ApiOperation.READ_CONFIGURATION, (call, answer) -> {
             throw new IllegalStateException("a fault that the test makes");
         });
         restart();
         assertEquals(500, HttpCaller.call(address, "GET", "/config/read", "").status());
-        server.awaitCalls(PATIENCE_MS);
-        assertEquals(0, server.callsInProgress());
+        server.awaitRequests(PATIENCE_MS);
+        assertEquals(0, server.requestsInFlight());
     }
 
     @Test
     void aCallerThatLeftDoesNotDisturbOthers() throws Exception {
-        CompletableFuture<Consumer<ApiAnswer>> pending = new CompletableFuture<>();
+        CompletableFuture<Consumer<ApiResponse>> pending = new CompletableFuture<>();
         endpoints.put(ApiOperation.READ_CONFIGURATION, (call, answer) -> pending.complete(answer));
         restart();
-        Consumer<ApiAnswer> answer = leaveBeforeTheAnswer(pending);
-        answer.accept(ApiAnswer.ok(new byte[100_000]));
+        Consumer<ApiResponse> answer = leaveBeforeTheAnswer(pending);
+        answer.accept(ApiResponse.ok(new byte[100_000]));
         assertEquals(200, HttpCaller.call(address, "GET", "/status", "").status());
-        server.awaitCalls(PATIENCE_MS);
-        assertEquals(0, server.callsInProgress());
+        server.awaitRequests(PATIENCE_MS);
+        assertEquals(0, server.requestsInFlight());
     }
 
-    private Consumer<ApiAnswer> leaveBeforeTheAnswer(CompletableFuture<Consumer<ApiAnswer>> pending)
+    private Consumer<ApiResponse> leaveBeforeTheAnswer(CompletableFuture<Consumer<ApiResponse>> pending)
             throws IOException, InterruptedException, ExecutionException {
         try (HttpCaller caller = new HttpCaller(address)) {
             caller.send("GET /config/read HTTP/1.1\r\nHost: c\r\n\r\n");
@@ -245,8 +246,8 @@
     }
 
     @Test
-    void whileStoppingNewCallsAreSentOn() throws IOException {
-        server.refuseNewCalls();
+    void duringShutdownNewRequestsAreRejected() throws IOException {
+        server.rejectNewRequests();
         HttpCaller.Answer answer = HttpCaller.call(address, "POST", "/instances/i-1/heartbeat", "{}");
         assertEquals(503, answer.status());
         assertEquals("close", answer.headers().get("connection"));
--- a/control/src/test/java/pinewick/control/ConfigurationEndpointsTest.java
+++ b/control/src/test/java/pinewick/control/ConfigurationEndpointsTest.java
@@ -27,22 +27,22 @@
     private final ManualLoop loop = new ManualLoop(0);
     private final FakeConfiguration store = new FakeConfiguration();
     private final ConfigurationEndpoints endpoints = new ConfigurationEndpoints(store, loop, SELF, DEADLINE_MS);
-    private final List<ApiAnswer> answers = new ArrayList<>();
+    private final List<ApiResponse> answers = new ArrayList<>();
 
-    private ApiAnswer update(String baseVersion) {
-        ApiCall call = new ApiCall("/config/update", "", baseVersion, new byte[] {'{', '}'});
+    private ApiResponse update(String baseVersion) {
+        ApiRequest call = new ApiRequest("/config/update", "", Optional.ofNullable(baseVersion), new byte[] {'{', '}'});
         endpoints.update(call, answers::add);
         loop.advance(0);
         return answers.get(answers.size() - 1);
     }
 
-    private ApiAnswer read() {
-        endpoints.read(new ApiCall("/config/read", "", null, new byte[0]), answers::add);
+    private ApiResponse read() {
+        endpoints.read(new ApiRequest("/config/read", "", Optional.empty(), new byte[0]), answers::add);
         loop.advance(0);
         return answers.get(answers.size() - 1);
     }
 
-    private static String text(ApiAnswer answer) {
+    private static String text(ApiResponse answer) {
         return new String(answer.body(), StandardCharsets.UTF_8);
     }
 
@@ -57,9 +57,9 @@
     }
 
     @Test
-    void replacementsAreToldFromUpdates() {
+    void replacementsAndUpdatesAreDistinguished() {
         store.changeOutcome = new ChangeOutcome.Accepted(9);
-        endpoints.replace(new ApiCall("/config/replace", "", "0", new byte[0]), answers::add);
+        endpoints.replace(new ApiRequest("/config/replace", "", Optional.of("0"), new byte[0]), answers::add);
         loop.advance(0);
         assertEquals(ConfigurationChange.Kind.REPLACE, store.changes.get(0).kind());
     }
@@ -67,7 +67,7 @@
     @Test
     void aConflictNamesTheCurrentVersion() {
         store.changeOutcome = new ChangeOutcome.VersionConflict(12);
-        ApiAnswer answer = update("7");
+        ApiResponse answer = update("7");
         assertEquals(412, answer.status());
         assertTrue(text(answer).contains("12"));
     }
@@ -77,7 +77,7 @@
         store.changeOutcome = new ChangeOutcome.Invalid(List.of(
                 new ConfigurationFault("routes/r-1", "service", "is not known"),
                 new ConfigurationFault("routes/r-2", "timeout_ms", "is 0")));
-        ApiAnswer answer = update("7");
+        ApiResponse answer = update("7");
         assertEquals(400, answer.status());
         assertTrue(text(answer).contains("routes/r-1") && text(answer).contains("timeout_ms"));
     }
@@ -85,7 +85,7 @@
     @Test
     void anotherPrimaryIsARedirection() {
         store.changeOutcome = new ChangeOutcome.NotPrimary(Optional.of(OTHER));
-        ApiAnswer answer = update("7");
+        ApiResponse answer = update("7");
         assertEquals(307, answer.status());
         assertEquals(Optional.of("http://10.2.0.43:8166/config/update"), answer.location());
         store.readOutcome = new ReadOutcome.NotPrimary(Optional.of(OTHER));
@@ -93,32 +93,34 @@
     }
 
     @Test
-    void withoutAPrimaryTheOperatorIsSentOnInTime() {
+    void withoutAPrimaryTheOperatorIsAnsweredInTime() {
         store.changeOutcome = new ChangeOutcome.NotPrimary(Optional.empty());
         store.readOutcome = new ReadOutcome.NotPrimary(Optional.of(SELF));
-        endpoints.update(new ApiCall("/config/update", "", "7", new byte[0]), answers::add);
-        endpoints.read(new ApiCall("/config/read", "", null, new byte[0]), answers::add);
-        loop.advance(ConfigurationEndpoints.NO_PRIMARY_MS - 1);
+        endpoints.update(new ApiRequest("/config/update", "", Optional.of("7"), new byte[0]), answers::add);
+        endpoints.read(new ApiRequest("/config/read", "", Optional.empty(), new byte[0]), answers::add);
+        loop.advance(ConfigurationEndpoints.PRIMARY_WAIT_MS - 1);
         assertEquals(List.of(), answers);
-        loop.advance(ConfigurationEndpoints.RETRY_MS);
-        assertEquals(List.of(503, 503), answers.stream().map(ApiAnswer::status).toList());
+        loop.advance(ConfigurationEndpoints.RETRY_INTERVAL_MS);
+        assertEquals(
+                List.of(503, 503), answers.stream().map(ApiResponse::status).toList());
     }
 
     @Test
     void aCallDuringAnElectionGoesToThePrimaryThatIsElected() {
         store.changeOutcome = new ChangeOutcome.NotPrimary(Optional.empty());
         store.readOutcome = new ReadOutcome.NotPrimary(Optional.empty());
-        endpoints.update(new ApiCall("/config/update", "", "7", new byte[0]), answers::add);
-        endpoints.read(new ApiCall("/config/read", "", null, new byte[0]), answers::add);
+        endpoints.update(new ApiRequest("/config/update", "", Optional.of("7"), new byte[0]), answers::add);
+        endpoints.read(new ApiRequest("/config/read", "", Optional.empty(), new byte[0]), answers::add);
         loop.advance(300);
         store.changeOutcome = new ChangeOutcome.Accepted(9);
         store.readOutcome = new ReadOutcome.NotPrimary(Optional.of(OTHER));
-        loop.advance(ConfigurationEndpoints.RETRY_MS);
-        assertEquals(List.of(200, 307), answers.stream().map(ApiAnswer::status).toList());
+        loop.advance(ConfigurationEndpoints.RETRY_INTERVAL_MS);
+        assertEquals(
+                List.of(200, 307), answers.stream().map(ApiResponse::status).toList());
     }
 
     @Test
-    void theStoreIsToldTheTimeBeforeEachCallAlsoAfterAFreeze() {
+    void theClockIsAdvancedBeforeEachCallAlsoAfterAFreeze() {
         store.changeOutcome = new ChangeOutcome.Accepted(9);
         store.readOutcome = new ReadOutcome.Unavailable("no matter");
         loop.pause(20_000);
@@ -130,7 +132,7 @@
     }
 
     @Test
-    void unknownIsNoClearAnswer() {
+    void anUnknownOutcomeIsA503() {
         store.changeOutcome = new ChangeOutcome.Unknown("lost the majority");
         assertEquals(503, update("7").status());
         store.readOutcome = new ReadOutcome.Unavailable("lost the majority");
@@ -138,16 +140,16 @@
     }
 
     @Test
-    void readAnswersTheWholeDocument() {
+    void readReturnsTheCompleteDocument() {
         store.readOutcome = new ReadOutcome.Current(ConfigurationDocument.EMPTY);
-        ApiAnswer answer = read();
+        ApiResponse answer = read();
         assertEquals(200, answer.status());
         assertTrue(text(answer).contains("\"version\":0"));
     }
 
     @Test
-    void silenceEndsAtTheDeadline() {
-        endpoints.update(new ApiCall("/config/update", "", "7", new byte[0]), answers::add);
+    void aRequestWithoutAnOutcomeEndsAtTheDeadline() {
+        endpoints.update(new ApiRequest("/config/update", "", Optional.of("7"), new byte[0]), answers::add);
         loop.advance(DEADLINE_MS - 1);
         assertEquals(List.of(), answers);
         loop.advance(1);
@@ -162,7 +164,7 @@
     }
 
     @Test
-    void aMissingBaseVersionIsABadCall() {
+    void aMissingBaseVersionIsABadRequest() {
         assertEquals(400, update(null).status());
     }
 }
--- a/control/src/test/java/pinewick/control/ControllerConfigurationTest.java
+++ b/control/src/test/java/pinewick/control/ControllerConfigurationTest.java
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void whoeverIsNotThePrimaryNamesIt() throws IOException {
+    void aFollowerNamesThePrimary() throws IOException {
         int primary = fleet.awaitPrimary();
         int other = primary % ThreeControllers.COUNT + 1;
         fleet.awaitStatus(
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void whatWasAcknowledgedIsThereAfterAllAreKilled() throws IOException, ControllerException {
+    void acknowledgedChangesSurviveWhenAllAreKilled() throws IOException, ControllerException {
         assertEquals(200, fleet.change(REPLACE, 0, FIRST).status());
         assertEquals(
                 200,
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void aMachineInPlaceOfAnotherTakesItsPart() throws IOException, ControllerException {
+    void aReplacementMachineBecomesAMember() throws IOException, ControllerException {
         assertEquals(200, fleet.change(REPLACE, 0, FIRST).status());
         int primary = fleet.awaitPrimary();
         int lost = primary % ThreeControllers.COUNT + 1;
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void whileTheStoreIsBeingLoadedReplicasAreServedAndTheOperatorIsSentOn() throws Exception {
+    void whileTheStoreIsLoadedReplicasAreServedAndTheOperatorIsAnswered503() throws Exception {
         fleet.kill(3);
         Controller waiting =
                 new Controller(fleet.loopback.controller(3, fleet.disk(3), false), (folder, loop) -> new HungStore());
--- a/control/src/test/java/pinewick/control/ControllerTest.java
+++ b/control/src/test/java/pinewick/control/ControllerTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aHeartbeatAtOneIsKnownToAll() throws IOException {
+    void aHeartbeatAtOneControllerIsKnownToAll() throws IOException {
         fleet.awaitAcquainted();
         assertEquals(200, beat(1, "ready", 1).status());
         for (int machine = 1; machine <= ThreeControllers.COUNT; machine++) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aDrainIsAcknowledgedOnceAnotherHoldsIt() throws IOException {
+    void aDrainIsAcknowledgedOnceAnotherConfirms() throws IOException {
         fleet.awaitAcquainted();
         assertEquals(200, beat(1, "ready", 1).status());
         assertEquals(200, beat(2, "draining", 2).status());
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aDrainThatNoOtherControllerConfirmsSendsTheReplicaOn() throws IOException {
+    void aDrainThatNoOtherControllerConfirmsIsRedirected() throws IOException {
         fleet.awaitAcquainted();
         fleet.kill(1);
         fleet.kill(3);
@@ -91,11 +91,11 @@
         }
         assertEquals(200, status);
         JsonObject registry = fleet.status(2).getAsJsonObject("registry");
-        assertEquals(1, registry.get("ends_acknowledged_alone").getAsInt());
+        assertEquals(1, registry.get("removals_acknowledged_alone").getAsInt());
     }
 
     @Test
-    void aReplicaThatFallsSilentLapsesEverywhereAndComesBack() throws IOException {
+    void aReplicaWithoutHeartbeatsLapsesEverywhereAndComesBack() throws IOException {
         assertEquals(200, beat(1, "ready", 1).status());
         for (int machine = 1; machine <= ThreeControllers.COUNT; machine++) {
             fleet.awaitStatus(machine, status -> count(status, "lapsed") == 1);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void theOthersNoticeAtOnceThatOneStops() throws IOException {
+    void theOthersNoticeAtOnceThatOneShutsDown() throws IOException {
         fleet.awaitAcquainted();
         fleet.stop(3);
         fleet.awaitAcquainted();
--- a/control/src/test/java/pinewick/control/FakeFleet.java
+++ b/control/src/test/java/pinewick/control/FakeFleet.java
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public ReplicaRecord replica(String instanceId) {
-        return records.get(instanceId);
+    public Optional<ReplicaRecord> findReplica(String instanceId) {
+        return Optional.ofNullable(records.get(instanceId));
     }
 
     /** The fleet drops a record. */
@@ -66,23 +66,23 @@
     }
 
     @Override
-    public void publishUntilHeld(ReplicaRecord record, Runnable heldElsewhere) {
+    public void publishUntilAcknowledged(ReplicaRecord record, Runnable onAcknowledged) {
         publish(record);
-        confirmations.add(heldElsewhere);
+        confirmations.add(onAcknowledged);
     }
 
     @Override
-    public void heard(String instanceId, long callSequence) {
+    public void recordHeartbeat(String instanceId, long callSequence) {
         heardAt(instanceId, nowMs.getAsDouble());
     }
 
     @Override
-    public double lastHeardMs(String instanceId) {
+    public double lastHeartbeatMs(String instanceId) {
         return heardMs.getOrDefault(instanceId, NEVER);
     }
 
     @Override
-    public Optional<SocketAddress> lastHeardBy(String instanceId) {
+    public Optional<SocketAddress> lastReporter(String instanceId) {
         return Optional.empty();
     }
 
--- a/control/src/test/java/pinewick/control/FencingTokensTest.java
+++ b/control/src/test/java/pinewick/control/FencingTokensTest.java
@@ -12,18 +12,18 @@
     private final FencingTokens second = new FencingTokens("core-2");
 
     @Test
-    void tokensRiseWithinAnEpochAndOverHolders() {
+    void tokensRiseWithinAnEpochAndOverLeaseHolders() {
         FencingTokens.Fence a = first.next(Optional.of(4L)).orElseThrow();
         FencingTokens.Fence b = first.next(Optional.of(4L)).orElseThrow();
         FencingTokens.Fence c = second.next(Optional.of(5L)).orElseThrow();
         FencingTokens.Fence d = first.next(Optional.of(6L)).orElseThrow();
         assertTrue(a.token() < b.token() && b.token() < c.token() && c.token() < d.token());
-        assertEquals("core-1/4", a.holder());
-        assertEquals("core-2/5", c.holder());
+        assertEquals("core-1/4", a.leaseHolder());
+        assertEquals("core-2/5", c.leaseHolder());
     }
 
     @Test
-    void whoeverDoesNotLeadHasNone() {
+    void aProcessThatDoesNotLeadHasNone() {
         assertEquals(Optional.empty(), first.next(Optional.empty()));
     }
 
--- a/control/src/test/java/pinewick/control/HeartbeatReportersTest.java
+++ b/control/src/test/java/pinewick/control/HeartbeatReportersTest.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import pinewick.dissemination.FleetMessages.HeartbeatBatch;
-import pinewick.dissemination.FleetMessages.HeartbeatNote;
+import pinewick.dissemination.FleetMessages.HeartbeatReport;
 import pinewick.model.SocketAddress;
 
 /** Who heard a replica last. */
@@ -17,31 +17,31 @@
     private final HeartbeatReporters reporters = new HeartbeatReporters();
 
     private static HeartbeatBatch batch(String instanceId, int ageMs) {
-        return new HeartbeatBatch(List.of(new HeartbeatNote(instanceId, 1, ageMs)));
+        return new HeartbeatBatch(List.of(new HeartbeatReport(instanceId, 1, ageMs)));
     }
 
     @Test
-    void theLatestCallCountsNotTheLatestBatch() {
-        reporters.heardBy(SECOND, batch("i-1", 50), 1_000);
-        reporters.heardBy(THIRD, batch("i-1", 300), 1_100);
+    void theLatestHeartbeatCountsNotTheLatestBatch() {
+        reporters.recordRemote(SECOND, batch("i-1", 50), 1_000);
+        reporters.recordRemote(THIRD, batch("i-1", 300), 1_100);
         assertEquals(Optional.of(SECOND), reporters.reporterOf("i-1"));
-        reporters.heardBy(THIRD, batch("i-1", 10), 1_200);
+        reporters.recordRemote(THIRD, batch("i-1", 10), 1_200);
         assertEquals(Optional.of(THIRD), reporters.reporterOf("i-1"));
     }
 
     @Test
-    void whatWasHeardHereIsReportedByNobodyElse() {
-        reporters.heardBy(SECOND, batch("i-1", 50), 1_000);
-        reporters.heardHere("i-1", 1_100);
+    void aLocalHeartbeatHasNoOtherReporter() {
+        reporters.recordRemote(SECOND, batch("i-1", 50), 1_000);
+        reporters.recordLocal("i-1", 1_100);
         assertEquals(Optional.empty(), reporters.reporterOf("i-1"));
-        reporters.heardBy(SECOND, batch("i-1", 200), 1_200);
+        reporters.recordRemote(SECOND, batch("i-1", 200), 1_200);
         assertEquals(Optional.empty(), reporters.reporterOf("i-1"), "heard before");
         assertEquals(Optional.empty(), reporters.reporterOf("i-2"), "never heard");
     }
 
     @Test
-    void instancesWithoutARecordAreDropped() {
-        reporters.heardBy(SECOND, batch("i-1", 50), 1_000);
+    void instancesWithoutARecordAreRemoved() {
+        reporters.recordRemote(SECOND, batch("i-1", 50), 1_000);
         reporters.retain(id -> false);
         assertEquals(Optional.empty(), reporters.reporterOf("i-1"));
     }
--- a/control/src/test/java/pinewick/control/HttpReplicaCallsTest.java
+++ b/control/src/test/java/pinewick/control/HttpReplicaClientTest.java
@@ -27,17 +27,17 @@
 
 /** Calls to a replica that a test plays by hand. */
 @Timeout(60)
-class HttpReplicaCallsTest {
+class HttpReplicaClientTest {
     private static final FencingTokens.Fence FENCE = new FencingTokens.Fence("core-1/3", 41);
 
-    private final ProcessLoop loop = new ProcessLoop();
+    private final GuardedControlLoop loop = new GuardedControlLoop();
     private ServerSocket replicaSocket;
-    private HttpReplicaCalls calls;
+    private HttpReplicaClient calls;
 
     @BeforeEach
     void start() throws IOException, ControllerException {
         replicaSocket = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
-        calls = new HttpReplicaCalls(loop);
+        calls = new HttpReplicaClient(loop);
     }
 
     @AfterEach
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aReportThatCannotBeReadIsNone() throws Exception {
+    void anUnreadableReportIsIgnored() throws Exception {
         CompletableFuture<Optional<ReplicaLoad>> load = new CompletableFuture<>();
         calls.report(replica(), load::complete);
         serveOne(answer(200, "{\"stage\":\"decode\",\"busy\":true}"));
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void anotherInstanceAtTheAddressIsNone() throws Exception {
+    void aReportOfAnotherInstanceIsIgnored() throws Exception {
         CompletableFuture<Optional<ReplicaLoad>> load = new CompletableFuture<>();
         calls.report(replica(), load::complete);
         serveOne(answer(421, ""));
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void anOrderNamesHolderTokenAndRevision() throws Exception {
+    void anOrderCarriesLeaseHolderTokenAndRevision() throws Exception {
         CompletableFuture<OrderOutcome> outcome = order();
         String request = serveOne(answer(202, ""));
         assertTrue(request.startsWith("POST /order HTTP/1.1\n"), request);
@@ -131,17 +131,17 @@
                 request.endsWith("{\"operation\":\"stage\",\"stage\":\"prefill\",\"holder\":\"core-1/3\","
                         + "\"fencing_token\":41,\"if_revision\":5}"),
                 request);
-        assertEquals(OrderOutcome.TAKEN, outcome.get());
+        assertEquals(OrderOutcome.ACCEPTED, outcome.get());
     }
 
     @ParameterizedTest
     @CsvSource({
-        "200,TAKEN",
+        "200,ACCEPTED",
         "400,INVALID",
         "409,CONFLICT",
         "412,FENCED",
         "421,WRONG_INSTANCE",
-        "503,REFUSED",
+        "503,REJECTED",
         "500,UNKNOWN"
     })
     void theStatusTellsTheOutcome(int status, OrderOutcome expected) throws Exception {
@@ -151,12 +151,12 @@
     }
 
     @Test
-    void silenceIsNoAnswer() throws Exception {
+    void aTimeoutIsNoReply() throws Exception {
         assertEquals(OrderOutcome.UNKNOWN, order().get());
     }
 
     @Test
-    void anOrderWhoseLeaseIsLostWhenTheConnectionComesAboutIsNotSent() throws Exception {
+    void anOrderWhoseLeaseExpiresBeforeTheConnectionIsNotSent() throws Exception {
         CompletableFuture<OrderOutcome> outcome = new CompletableFuture<>();
         calls.orderStage(load(), Stage.PREFILL, FENCE, () -> false, outcome::complete);
         try (Socket connection = replicaSocket.accept()) {
@@ -176,18 +176,18 @@
     }
 
     @Test
-    void anAnswerToAnotherRequestIsNone() throws Exception {
+    void aResponseToAnotherRequestIsIgnored() throws Exception {
         CompletableFuture<OrderOutcome> outcome = order();
         serveOne("HTTP/1.1 202 X\r\nX-Pinewick-Request-Id: another\r\nContent-Length: 0\r\n\r\n");
         assertEquals(OrderOutcome.UNKNOWN, outcome.get());
     }
 
     @Test
-    void aSecondAnswerIsNotTakenForThatToTheNextCall() throws Exception {
+    void aDuplicateResponseIsNotTakenForTheNextOne() throws Exception {
         CompletableFuture<OrderOutcome> first = order();
         try (Socket connection = replicaSocket.accept()) {
             connection.getOutputStream().write((answer(202, "") + answer(202, "")).getBytes(StandardCharsets.UTF_8));
-            assertEquals(OrderOutcome.TAKEN, first.get());
+            assertEquals(OrderOutcome.ACCEPTED, first.get());
             CompletableFuture<OrderOutcome> second = order();
             serveOne(answer(409, ""));
             assertEquals(OrderOutcome.CONFLICT, second.get());
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void aReportWithoutALengthIsWholeOnceItsConnectionEnds() throws Exception {
+    void aReportWithoutALengthIsCompleteOnceItsConnectionEnds() throws Exception {
         CompletableFuture<Optional<ReplicaLoad>> load = new CompletableFuture<>();
         calls.report(replica(), load::complete);
         serveOne("HTTP/1.1 200 X\r\nContent-Type: application/json\r\n\r\n"
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void aReportThatIsCutOffIsNone() throws Exception {
+    void aTruncatedReportIsIgnored() throws Exception {
         CompletableFuture<Optional<ReplicaLoad>> load = new CompletableFuture<>();
         calls.report(replica(), load::complete);
         serveOne("HTTP/1.1 200 X\r\n\r\n{\"stage\":\"decode\",\"busy\":false,\"call_sequence\":2,\"waiting\":1");
--- a/control/src/test/java/pinewick/control/LoopCallTest.java
+++ b/control/src/test/java/pinewick/control/LoopCallTest.java
@@ -13,7 +13,7 @@
     void aTaskThatFailsIsAnsweredAndSeenByTheLoop() {
         ManualLoop loop = new ManualLoop(0);
         List<Integer> statuses = new ArrayList<>();
-        LoopCall.run(loop, answer -> statuses.add(answer.status()), () -> {
+        LoopDispatcher.dispatch(loop, answer -> statuses.add(answer.status()), () -> {
             throw new IllegalStateException("a fault that the test makes");
         });
         assertThrows(IllegalStateException.class, () -> loop.advance(0));
--- a/control/src/test/java/pinewick/control/LivenessJudgeTest.java
+++ b/control/src/test/java/pinewick/control/ReplicaFailureDetectorTest.java
@@ -15,13 +15,13 @@
 import pinewick.model.SocketAddress;
 
 /** When silence means that a replica is down, and when it means that nobody listened. */
-class LivenessJudgeTest {
+class ReplicaFailureDetectorTest {
     private static final double HEARTBEAT_MS = 1_200;
     private static final double CONTACT_MS = 3_000;
     private static final double LOOK_MS = 500;
-    private static final double SILENCE_MS = LivenessJudge.SILENT_PERIODS * HEARTBEAT_MS;
+    private static final double SILENCE_MS = ReplicaFailureDetector.LAPSE_PERIODS * HEARTBEAT_MS;
 
-    private final LivenessJudge judge = new LivenessJudge(HEARTBEAT_MS, CONTACT_MS, 0);
+    private final ReplicaFailureDetector judge = new ReplicaFailureDetector(HEARTBEAT_MS, CONTACT_MS, 0);
     private final Map<String, ReplicaRecord> records = new HashMap<>();
     private final Map<String, Double> heardMs = new HashMap<>();
     private final Map<String, SocketAddress> heardBy = new HashMap<>();
@@ -50,22 +50,22 @@
         records.keySet().stream().filter(id -> !silent.contains(id)).forEach(id -> heardMs.put(id, nowMs));
         HeartbeatTimes times = new HeartbeatTimes() {
             @Override
-            public double lastHeardMs(String instanceId) {
+            public double lastHeartbeatMs(String instanceId) {
                 return heardMs.getOrDefault(instanceId, NEVER);
             }
 
             @Override
-            public Optional<SocketAddress> lastHeardBy(String instanceId) {
+            public Optional<SocketAddress> lastReporter(String instanceId) {
                 return Optional.ofNullable(heardBy.get(instanceId));
             }
         };
-        List<ReplicaRecord> lapsed = judge.judge(records.values(), times, controllers, nowMs);
+        List<ReplicaRecord> lapsed = judge.detectLapsed(records.values(), times, controllers, nowMs);
         lapsed.forEach(record -> records.put(record.instanceId(), record));
         return lapsed.stream().map(ReplicaRecord::instanceId).toList();
     }
 
     @Test
-    void oneSilentReplicaLapsesAfterItsPeriods() {
+    void aReplicaWithoutHeartbeatsLapsesAfterItsPeriods() {
         add("s", 4);
         assertEquals(List.of(), lapsedWithin(20_000));
         silent.add("s-2");
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void halfAServiceMayLapseAtOnceWhileTheRestIsHeardWell() {
+    void halfAServiceMayLapseAtOnceWhileThereIsContactWithTheRest() {
         add("s", 6);
         add("t", 3);
         lapsedWithin(20_000);
@@ -93,17 +93,20 @@
     }
 
     @Test
-    void whenAServiceFallsSilentAsAWholeOnlyAThirdLapsesAtATime() {
+    void whenAllReplicasOfAServiceAreSilentOnlyAThirdLapsesAtATime() {
         add("s", 6);
         add("t", 12);
         lapsedWithin(20_000);
         silent.addAll(List.of("s-0", "s-1", "s-2", "s-3", "s-4", "s-5"));
-        assertEquals(2, lapsedWithin(SILENCE_MS + LivenessJudge.BURST_MS).size());
-        assertTrue(lapsedWithin(4 * LivenessJudge.BURST_MS).size() <= 4);
+        assertEquals(
+                2,
+                lapsedWithin(SILENCE_MS + ReplicaFailureDetector.LAPSE_WINDOW_MS)
+                        .size());
+        assertTrue(lapsedWithin(4 * ReplicaFailureDetector.LAPSE_WINDOW_MS).size() <= 4);
     }
 
     @Test
-    void whenMostOfTheFleetIsSilentOnlyAThirdLapsesAtATime() {
+    void whenMostOfTheFleetIsSilentOnlyAThirdOfAServiceLapsesAtATime() {
         add("s", 9);
         lapsedWithin(20_000);
         silent.addAll(List.of("s-0", "s-1", "s-2", "s-3", "s-4", "s-5", "s-6"));
@@ -111,7 +114,7 @@
     }
 
     @Test
-    void heartbeatsThatAnotherControllerHeardCount() {
+    void heartbeatsOfAnotherControllerCount() {
         add("s", 3);
         lapsedWithin(20_000);
         silent.add("s-0");
@@ -122,7 +125,7 @@
     }
 
     @Test
-    void afterItsStartSilenceCountsFromWhenARecordWasSeen() {
+    void afterItsStartTimeWithoutContactCountsFromWhenARecordWasSeen() {
         add("s", 3);
         silent.add("s-0");
         assertEquals(List.of(), lapsedWithin(SILENCE_MS));
@@ -153,7 +156,7 @@
     }
 
     @Test
-    void aReplicaThatAnotherControllerHeardLastIsJudgedByThatOneWhileItRuns() {
+    void aReplicaIsJudgedByItsLastReporterWhileThatOneRuns() {
         add("s", 3);
         heardBy.put("s-0", FakeFleet.OTHER_CONTROLLER);
         lapsedWithin(20_000);
@@ -189,7 +192,7 @@
      * heartbeat.
      */
     @Test
-    void aRecordWithANewerCallProvesLifeBeforeTheTimeOfTheHeartbeatIsKnown() {
+    void aNewerCallSequenceCountsBeforeTheTimeOfTheHeartbeatIsKnown() {
         add("s", 3);
         lapsedWithin(20_000);
         silent.add("s-0");
@@ -200,7 +203,7 @@
     }
 
     @Test
-    void aReplicaThatCameBackBetweenTwoLooksIsNotLapsedAgain() {
+    void aReplicaThatCameBackBetweenTwoRunsIsNotLapsedAgain() {
         add("s", 3);
         lapsedWithin(20_000);
         silent.add("s-0");
