--- a/control/src/test/java/pinewick/control/ReplicaRegistryTest.java
+++ b/control/src/test/java/pinewick/control/ReplicaRegistryTest.java
@@ -25,18 +25,18 @@
     @Test
     void newInstanceIsPublishedAndAcknowledgedAtOnce() {
         registry.heartbeat(Replicas.ready(ID, 1), answers::add);
-        assertEquals(List.of(Acknowledgement.HELD), answers);
+        assertEquals(List.of(Acknowledgement.CONFIRMED), answers);
         assertEquals(List.of(Replicas.ready(ID, 1)), fleet.published);
     }
 
     @Test
-    void plainHeartbeatsOnlyProveLife() {
+    void unchangedHeartbeatsArePublishedOnce() {
         registry.heartbeat(Replicas.ready(ID, 1), answers::add);
         loop.advance(1_200);
         registry.heartbeat(Replicas.ready(ID, 2), answers::add);
         assertEquals(1, fleet.published.size());
         assertEquals(2, answers.size());
-        assertEquals(loop.nowMs(), fleet.lastHeardMs(ID));
+        assertEquals(loop.nowMs(), fleet.lastHeartbeatMs(ID));
     }
 
     @Test
@@ -45,29 +45,29 @@
         loop.advance(1_200);
         registry.heartbeat(Replicas.cold(ID, 6, 900), answers::add);
         assertEquals(1, fleet.published.size());
-        assertEquals(Replicas.ready(ID, 7), fleet.replica(ID));
-        assertEquals(loop.nowMs() - 1_200, fleet.lastHeardMs(ID));
-        assertEquals(List.of(Acknowledgement.HELD, Acknowledgement.HELD), answers);
+        assertEquals(Replicas.ready(ID, 7), fleet.findReplica(ID).orElseThrow());
+        assertEquals(loop.nowMs() - 1_200, fleet.lastHeartbeatMs(ID));
+        assertEquals(List.of(Acknowledgement.CONFIRMED, Acknowledgement.CONFIRMED), answers);
     }
 
     @Test
-    void lateHeartbeatAfterPlainOnesIsKnownByTheLastCallHeard() {
+    void lateHeartbeatIsRecognisedByTheLastCallSequence() {
         registry.heartbeat(Replicas.ready(ID, 1), answers::add);
         registry.heartbeat(Replicas.ready(ID, 9), answers::add);
         loop.advance(100);
         registry.heartbeat(Replicas.ready(ID, 5), answers::add);
-        assertEquals(loop.nowMs() - 100, fleet.lastHeardMs(ID));
+        assertEquals(loop.nowMs() - 100, fleet.lastHeartbeatMs(ID));
         registry.heartbeat(Replicas.cold(ID, 6, 900), answers::add);
         assertEquals(1, fleet.published.size(), "older than call 9");
     }
 
     @Test
-    void coldReplicaIsPublishedOnceMoreWhenItIsWarm() {
+    void replicaIsPublishedOnceMoreWhenItsWarmUpEnds() {
         registry.heartbeat(Replicas.cold(ID, 1, 4_000), answers::add);
         registry.heartbeat(Replicas.cold(ID, 2, 2_800), answers::add);
         registry.heartbeat(Replicas.cold(ID, 3, 0), answers::add);
         assertEquals(2, fleet.published.size());
-        assertEquals(0, fleet.replica(ID).coldRemainingMs());
+        assertEquals(0, fleet.findReplica(ID).orElseThrow().coldRemainingMs());
     }
 
     @Test
@@ -75,28 +75,28 @@
         registry.heartbeat(Replicas.ready(ID, 1), answers::add);
         fleet.learn(Replicas.ready(ID, 1).withLapsed(true));
         registry.heartbeat(Replicas.ready(ID, 2), answers::add);
-        assertFalse(fleet.replica(ID).lapsed());
+        assertFalse(fleet.findReplica(ID).orElseThrow().lapsed());
         assertEquals(2, fleet.published.size());
     }
 
     @Test
-    void aNewInstanceAtAnAddressEndsTheOneBeforeUntilThatIsHeardAgain() {
+    void aNewInstanceAtAnAddressLapsesTheEarlierOneUntilItsNextHeartbeat() {
         registry.heartbeat(Replicas.ready("i-old", 5), answers::add);
         registry.heartbeat(Replicas.ready("i-new", 1), answers::add);
-        assertTrue(fleet.replica("i-old").lapsed());
-        assertFalse(fleet.replica("i-new").lapsed());
+        assertTrue(fleet.findReplica("i-old").orElseThrow().lapsed());
+        assertFalse(fleet.findReplica("i-new").orElseThrow().lapsed());
         registry.heartbeat(Replicas.ready("i-old", 6), answers::add);
-        assertFalse(fleet.replica("i-old").lapsed());
-        assertFalse(fleet.replica("i-new").lapsed());
+        assertFalse(fleet.findReplica("i-old").orElseThrow().lapsed());
+        assertFalse(fleet.findReplica("i-new").orElseThrow().lapsed());
     }
 
     @Test
-    void drainingIsAcknowledgedOnlyOnceAnotherControllerHoldsIt() {
+    void drainingIsAcknowledgedOnlyOnceAnotherControllerConfirms() {
         registry.heartbeat(Replicas.draining(ID, 4), answers::add);
-        loop.advance(ReplicaRegistry.CONFIRMATION_MS - 1);
+        loop.advance(ReplicaRegistry.CONFIRMATION_TIMEOUT_MS - 1);
         assertEquals(List.of(), answers);
         fleet.confirmAll();
-        assertEquals(List.of(Acknowledgement.HELD), answers);
+        assertEquals(List.of(Acknowledgement.CONFIRMED), answers);
         loop.advance(CONTACT_MS);
         assertEquals(1, answers.size(), "one answer a call");
     }
@@ -104,30 +104,31 @@
     @Test
     void drainingWithoutConfirmationSendsTheReplicaToAnotherController() {
         registry.heartbeat(Replicas.draining(ID, 4), answers::add);
-        loop.advance(ReplicaRegistry.CONFIRMATION_MS);
+        loop.advance(ReplicaRegistry.CONFIRMATION_TIMEOUT_MS);
         assertEquals(List.of(Acknowledgement.NOT_CONFIRMED), answers);
-        assertEquals(ReplicaState.DRAINING, fleet.replica(ID).state(), "told to the fleet all the same");
+        assertEquals(
+                ReplicaState.DRAINING, fleet.findReplica(ID).orElseThrow().state(), "told to the fleet all the same");
         fleet.confirmAll();
         assertEquals(1, answers.size(), "one answer a call");
     }
 
     @Test
-    void confirmedDrainIsAcknowledgedAtOnceWhenItIsSaidAgain() {
+    void confirmedDrainIsAcknowledgedAtOnceWhenItIsRepeated() {
         registry.heartbeat(Replicas.draining(ID, 4), answers::add);
         fleet.confirmAll();
         registry.heartbeat(Replicas.draining(ID, 5), answers::add);
-        assertEquals(List.of(Acknowledgement.HELD, Acknowledgement.HELD), answers);
+        assertEquals(List.of(Acknowledgement.CONFIRMED, Acknowledgement.CONFIRMED), answers);
         assertEquals(1, fleet.published.size());
     }
 
     @Test
-    void unconfirmedDrainIsPublishedAgainWhenItIsSaidAgain() {
+    void unconfirmedDrainIsPublishedAgainWhenItIsRepeated() {
         registry.heartbeat(Replicas.draining(ID, 4), answers::add);
-        loop.advance(ReplicaRegistry.CONFIRMATION_MS);
+        loop.advance(ReplicaRegistry.CONFIRMATION_TIMEOUT_MS);
         registry.heartbeat(Replicas.draining(ID, 5), answers::add);
         assertEquals(2, fleet.published.size());
         fleet.confirmAll();
-        assertEquals(List.of(Acknowledgement.NOT_CONFIRMED, Acknowledgement.HELD), answers);
+        assertEquals(List.of(Acknowledgement.NOT_CONFIRMED, Acknowledgement.CONFIRMED), answers);
     }
 
     @Test
@@ -136,24 +137,24 @@
         registry.heartbeat(Replicas.draining(ID, 5), answers::add);
         assertEquals(List.of(), answers);
         fleet.confirmAll();
-        assertEquals(List.of(Acknowledgement.HELD), answers);
+        assertEquals(List.of(Acknowledgement.CONFIRMED), answers);
     }
 
     @Test
-    void anAnnouncedEndIsNeverUnlearnt() {
+    void aRemovalIsNeverReverted() {
         registry.heartbeat(Replicas.draining(ID, 4), answers::add);
         fleet.confirmAll();
         registry.heartbeat(Replicas.ready(ID, 5), answers::add);
         registry.heartbeat(Replicas.ready(ID, 3), answers::add);
-        assertEquals(ReplicaState.DRAINING, fleet.replica(ID).state());
+        assertEquals(ReplicaState.DRAINING, fleet.findReplica(ID).orElseThrow().state());
         assertEquals(3, answers.size());
     }
 
     @Test
-    void aLateDrainIsTakenBecauseItIsAnEnd() {
+    void aDrainInALateHeartbeatCounts() {
         registry.heartbeat(Replicas.ready(ID, 6), answers::add);
         registry.heartbeat(Replicas.draining(ID, 5), answers::add);
-        assertEquals(ReplicaState.DRAINING, fleet.replica(ID).state());
+        assertEquals(ReplicaState.DRAINING, fleet.findReplica(ID).orElseThrow().state());
         assertEquals(1, answers.size());
         fleet.confirmAll();
         assertEquals(2, answers.size());
@@ -167,20 +168,20 @@
         assertEquals(1, answers.size());
         fleet.confirmAll();
         assertEquals(2, answers.size());
-        assertEquals(ReplicaState.GONE, fleet.replica(ID).state());
+        assertEquals(ReplicaState.GONE, fleet.findReplica(ID).orElseThrow().state());
         registry.deregister(ID, answers::add);
         assertEquals(3, answers.size(), "said again: known and confirmed");
     }
 
     @Test
-    void deregistrationOfAnUnknownInstanceLeavesATraceThatAnyRecordMergesWith() {
+    void deregistrationOfAnUnknownInstanceLeavesATombstoneThatAnyRecordMergesWith() {
         registry.deregister(ID, answers::add);
         fleet.confirmAll();
-        assertEquals(List.of(Acknowledgement.HELD), answers);
+        assertEquals(List.of(Acknowledgement.CONFIRMED), answers);
         ReplicaRecord real = Replicas.ready(ID, 0);
-        ReplicaRecord joined = ReplicaRecord.merge(fleet.replica(ID), real);
+        ReplicaRecord joined = ReplicaRecord.merge(fleet.findReplica(ID).orElseThrow(), real);
         assertEquals(real.withState(ReplicaState.GONE), joined);
-        assertEquals(joined, ReplicaRecord.merge(real, fleet.replica(ID)));
+        assertEquals(joined, ReplicaRecord.merge(real, fleet.findReplica(ID).orElseThrow()));
     }
 
     /** Lets time pass with housekeeping going on. */
@@ -195,54 +196,54 @@
     private void beInAMinority(double milliseconds) {
         for (double passed = 0; passed < milliseconds; passed += Housekeeping.PERIOD_MS) {
             silence(Housekeeping.PERIOD_MS);
-            contact.heard(loop.nowMs());
+            contact.onMessage(loop.nowMs());
         }
     }
 
     private Acknowledgement drainUnconfirmed(long callSequence) {
         registry.heartbeat(Replicas.draining(ID, callSequence), answers::add);
-        loop.advance(ReplicaRegistry.CONFIRMATION_MS);
+        loop.advance(ReplicaRegistry.CONFIRMATION_TIMEOUT_MS);
         return answers.get(answers.size() - 1);
     }
 
     @Test
     void theOnlyControllerThereEverWasAcknowledgesByItself() {
         silence(CONTACT_MS);
-        contact.quorumConfirmed(loop.nowMs());
+        contact.onQuorumContact(loop.nowMs());
         registry.heartbeat(Replicas.draining(ID, 4), answers::add);
         assertEquals(List.of(), answers, "another one may still appear");
-        loop.advance(ReplicaRegistry.CONFIRMATION_MS);
-        assertEquals(List.of(Acknowledgement.HELD), answers);
+        loop.advance(ReplicaRegistry.CONFIRMATION_TIMEOUT_MS);
+        assertEquals(List.of(Acknowledgement.CONFIRMED), answers);
     }
 
     @Test
-    void aControllerThatStartedJustNowDoesNot() {
+    void aControllerThatJustStartedDoesNot() {
         assertEquals(Acknowledgement.NOT_CONFIRMED, drainUnconfirmed(4));
         assertEquals(Acknowledgement.NOT_CONFIRMED, drainUnconfirmed(5));
     }
 
     @Test
-    void aControllerThatLostTheOthersJustNowDoesNot() {
+    void aControllerThatJustLostContactDoesNot() {
         silence(60_000);
-        contact.heard(loop.nowMs());
+        contact.onMessage(loop.nowMs());
         assertEquals(Acknowledgement.NOT_CONFIRMED, drainUnconfirmed(4));
         assertEquals(Acknowledgement.NOT_CONFIRMED, drainUnconfirmed(5));
     }
 
     @Test
-    void aControllerThatLostTheOthersSendsAReplicaOnOnceAndThenAcknowledgesByItself() {
-        contact.heard(loop.nowMs());
+    void aControllerWithoutContactRedirectsOnceAndThenAcknowledgesByItself() {
+        contact.onMessage(loop.nowMs());
         silence(CONTACT_MS);
         assertEquals(Acknowledgement.NOT_CONFIRMED, drainUnconfirmed(4), "others may reach more routers");
-        assertEquals(Acknowledgement.HELD, drainUnconfirmed(5), "it has come back");
-        assertEquals(1, counters.endsAcknowledgedAlone());
+        assertEquals(Acknowledgement.CONFIRMED, drainUnconfirmed(5), "it has come back");
+        assertEquals(1, counters.removalsAcknowledgedAlone());
     }
 
     @Test
-    void aControllerThatWasPausedDoesNotTakeItselfForTheOnlyOne() {
-        contact.heard(loop.nowMs());
+    void aControllerThatWasPausedDoesNotCountAsTheOnlyOne() {
+        contact.onMessage(loop.nowMs());
         registry.heartbeat(Replicas.draining(ID, 4), answers::add);
-        loop.advance(ReplicaRegistry.CONFIRMATION_MS);
+        loop.advance(ReplicaRegistry.CONFIRMATION_TIMEOUT_MS);
         registry.heartbeat(Replicas.draining(ID, 5), answers::add);
         loop.pause(60_000);
         loop.advance(0);
@@ -250,90 +251,92 @@
     }
 
     @Test
-    void aCutOffControllerNotesAHeartbeatAndSendsTheReplicaOnOnce() {
-        contact.quorumConfirmed(loop.nowMs());
+    void aPartitionedControllerRecordsAHeartbeatAndRedirectsTheReplicaOnce() {
+        contact.onQuorumContact(loop.nowMs());
         registry.heartbeat(Replicas.ready(ID, 1), answers::add);
-        silence(ReplicaRegistry.CUT_OFF_MS);
+        silence(ReplicaRegistry.PARTITIONED_AFTER_MS);
         registry.heartbeat(Replicas.ready(ID, 2), answers::add);
-        assertEquals(loop.nowMs(), fleet.lastHeardMs(ID));
+        assertEquals(loop.nowMs(), fleet.lastHeartbeatMs(ID));
         registry.heartbeat(Replicas.ready(ID, 3), answers::add);
-        contact.quorumConfirmed(loop.nowMs());
+        contact.onQuorumContact(loop.nowMs());
         registry.heartbeat(Replicas.ready(ID, 4), answers::add);
-        silence(ReplicaRegistry.CUT_OFF_MS);
+        silence(ReplicaRegistry.PARTITIONED_AFTER_MS);
         registry.heartbeat(Replicas.ready(ID, 5), answers::add);
         assertEquals(
                 List.of(
-                        Acknowledgement.HELD,
+                        Acknowledgement.CONFIRMED,
                         Acknowledgement.NOT_CONFIRMED,
-                        Acknowledgement.HELD,
-                        Acknowledgement.HELD,
+                        Acknowledgement.CONFIRMED,
+                        Acknowledgement.CONFIRMED,
                         Acknowledgement.NOT_CONFIRMED),
                 answers);
     }
 
     @Test
-    void aControllerWithoutAQuorumSendsADrainOnAtOnceThoughAnotherOneHoldsIt() {
-        contact.quorumConfirmed(loop.nowMs());
-        beInAMinority(ReplicaRegistry.CUT_OFF_MS);
+    void aControllerWithoutAQuorumRedirectsADrainAtOnceThoughAnotherOneHasIt() {
+        contact.onQuorumContact(loop.nowMs());
+        beInAMinority(ReplicaRegistry.PARTITIONED_AFTER_MS);
         registry.heartbeat(Replicas.draining(ID, 4), answers::add);
         assertEquals(List.of(Acknowledgement.NOT_CONFIRMED), answers);
-        assertEquals(ReplicaState.DRAINING, fleet.replica(ID).state(), "told to the fleet all the same");
+        assertEquals(
+                ReplicaState.DRAINING, fleet.findReplica(ID).orElseThrow().state(), "told to the fleet all the same");
         fleet.confirmAll();
         registry.heartbeat(Replicas.draining(ID, 5), answers::add);
-        assertEquals(List.of(Acknowledgement.NOT_CONFIRMED, Acknowledgement.HELD), answers, "it has come back");
+        assertEquals(List.of(Acknowledgement.NOT_CONFIRMED, Acknowledgement.CONFIRMED), answers, "it has come back");
     }
 
     @Test
-    void aReplicaThatComesBackIsStillConfirmedByAnotherControllerIfOneIsHeard() {
-        contact.quorumConfirmed(loop.nowMs());
+    void aReplicaThatCallsAgainIsConfirmedByAnotherControllerIfThereIsContact() {
+        contact.onQuorumContact(loop.nowMs());
         beInAMinority(CONTACT_MS);
         registry.heartbeat(Replicas.draining(ID, 4), answers::add);
         registry.heartbeat(Replicas.draining(ID, 5), answers::add);
         assertEquals(List.of(Acknowledgement.NOT_CONFIRMED), answers);
-        loop.advance(ReplicaRegistry.CONFIRMATION_MS);
+        loop.advance(ReplicaRegistry.CONFIRMATION_TIMEOUT_MS);
         assertEquals(List.of(Acknowledgement.NOT_CONFIRMED, Acknowledgement.NOT_CONFIRMED), answers);
-        assertEquals(0, counters.endsAcknowledgedAlone());
+        assertEquals(0, counters.removalsAcknowledgedAlone());
     }
 
     @Test
-    void aReplicaThatWasSentOnWhileReadyIsSentOnWithItsDrainAndItsDeregistrationAgain() {
-        contact.heard(loop.nowMs());
+    void aReplicaRedirectedWhileReadyIsRedirectedWithItsDrainAndDeregistrationAgain() {
+        contact.onMessage(loop.nowMs());
         silence(CONTACT_MS);
         registry.heartbeat(Replicas.ready(ID, 1), answers::add);
         registry.heartbeat(Replicas.ready(ID, 2), answers::add);
-        assertEquals(List.of(Acknowledgement.NOT_CONFIRMED, Acknowledgement.HELD), answers);
+        assertEquals(List.of(Acknowledgement.NOT_CONFIRMED, Acknowledgement.CONFIRMED), answers);
         answers.clear();
         assertEquals(Acknowledgement.NOT_CONFIRMED, drainUnconfirmed(3), "others may reach more routers");
-        assertEquals(Acknowledgement.HELD, drainUnconfirmed(4));
+        assertEquals(Acknowledgement.CONFIRMED, drainUnconfirmed(4));
         answers.clear();
         registry.deregister(ID, answers::add);
         assertEquals(List.of(Acknowledgement.NOT_CONFIRMED), answers);
         registry.deregister(ID, answers::add);
-        loop.advance(ReplicaRegistry.CONFIRMATION_MS);
-        assertEquals(List.of(Acknowledgement.NOT_CONFIRMED, Acknowledgement.HELD), answers);
+        loop.advance(ReplicaRegistry.CONFIRMATION_TIMEOUT_MS);
+        assertEquals(List.of(Acknowledgement.NOT_CONFIRMED, Acknowledgement.CONFIRMED), answers);
     }
 
     @Test
-    void aControllerThatStartsCutOffSendsOnFirst() {
+    void aControllerThatStartsPartitionedRedirectsFirst() {
         silence(CONTACT_MS);
         assertEquals(Acknowledgement.NOT_CONFIRMED, drainUnconfirmed(4));
-        assertEquals(Acknowledgement.HELD, drainUnconfirmed(5));
+        assertEquals(Acknowledgement.CONFIRMED, drainUnconfirmed(5));
     }
 
     @Test
     void aReplicaThatDeregistersFirstIsConfirmedLikeOneThatDrains() {
-        contact.quorumConfirmed(loop.nowMs());
+        contact.onQuorumContact(loop.nowMs());
         registry.heartbeat(Replicas.ready(ID, 1), answers::add);
         registry.deregister(ID, answers::add);
         assertEquals(1, answers.size(), "not before another controller holds it");
         fleet.confirmAll();
-        assertEquals(List.of(Acknowledgement.HELD, Acknowledgement.HELD), answers);
+        assertEquals(List.of(Acknowledgement.CONFIRMED, Acknowledgement.CONFIRMED), answers);
         registry.heartbeat(Replicas.ready(ID, 2), answers::add);
-        assertEquals(ReplicaState.GONE, fleet.replica(ID).state(), "though it still serves and says so");
+        assertEquals(
+                ReplicaState.GONE, fleet.findReplica(ID).orElseThrow().state(), "though it still serves and says so");
     }
 
     @Test
-    void whatIsForgottenByTheFleetStartsAfresh() {
+    void aForgottenInstanceStartsAfresh() {
         registry.heartbeat(Replicas.ready(ID, 9), answers::add);
         fleet.forget(ID);
         registry.onTick();
--- a/control/src/test/java/pinewick/control/StagePlannerTest.java
+++ b/control/src/test/java/pinewick/control/StagePlannerTest.java
@@ -43,52 +43,53 @@
     }
 
     @Test
-    void aFullStageGetsTheLeastLoadedReplicaOfARoomyOneOnceThatLasts() {
-        assertEquals(List.of(), lookFor(StagePlanner.LASTING_MS, fullPrefill()));
+    void anOverloadedStageGetsTheLeastLoadedReplicaOfTheOtherOnceThatLasts() {
+        assertEquals(List.of(), lookFor(StagePlanner.MIN_IMBALANCE_MS, fullPrefill()));
         assertEquals(List.of("d-2>prefill"), lookFor(LOOK_MS, fullPrefill()));
     }
 
     @Test
     void aPassingImbalanceChangesNothing() {
-        lookFor(StagePlanner.LASTING_MS - LOOK_MS, fullPrefill());
+        lookFor(StagePlanner.MIN_IMBALANCE_MS - LOOK_MS, fullPrefill());
         List<ReplicaLoad> calm = List.of(load("p-1", Stage.PREFILL, 0, 2), load("d-1", Stage.DECODE, 0, 3));
         lookFor(LOOK_MS, calm);
-        assertEquals(List.of(), lookFor(StagePlanner.LASTING_MS, fullPrefill()));
+        assertEquals(List.of(), lookFor(StagePlanner.MIN_IMBALANCE_MS, fullPrefill()));
     }
 
     @Test
     void changesOfAServiceAreFarApart() {
         assertEquals(
                 1,
-                lookFor(StagePlanner.LASTING_MS + StagePlanner.PAUSE_MS, fullPrefill())
+                lookFor(StagePlanner.MIN_IMBALANCE_MS + StagePlanner.MIN_CHANGE_INTERVAL_MS, fullPrefill())
                         .size());
-        assertEquals(1, lookFor(StagePlanner.PAUSE_MS, fullPrefill()).size());
+        assertEquals(
+                1, lookFor(StagePlanner.MIN_CHANGE_INTERVAL_MS, fullPrefill()).size());
     }
 
     @Test
     void whileAnOrderIsInProgressThereIsNoOther() {
         List<ReplicaLoad> loads = new ArrayList<>(fullPrefill());
         loads.add(busy("d-4", Stage.DECODE));
-        assertEquals(List.of(), lookFor(3 * StagePlanner.LASTING_MS, loads));
+        assertEquals(List.of(), lookFor(3 * StagePlanner.MIN_IMBALANCE_MS, loads));
     }
 
     @Test
     void theLastReplicaOfAStageStays() {
         List<ReplicaLoad> loads = List.of(load("p-1", Stage.PREFILL, 9, 9), load("d-1", Stage.DECODE, 0, 0));
-        assertEquals(List.of(), lookFor(3 * StagePlanner.LASTING_MS, loads));
+        assertEquals(List.of(), lookFor(3 * StagePlanner.MIN_IMBALANCE_MS, loads));
     }
 
     @Test
-    void aStageThatWouldHaveNoRoomWithoutItsReplicaKeepsIt() {
+    void aStageWithoutSpareCapacityKeepsItsReplica() {
         List<ReplicaLoad> loads = List.of(
                 load("p-1", Stage.PREFILL, 9, 9), load("d-1", Stage.DECODE, 0, 4), load("d-2", Stage.DECODE, 0, 3));
-        assertEquals(List.of(), lookFor(3 * StagePlanner.LASTING_MS, loads));
+        assertEquals(List.of(), lookFor(3 * StagePlanner.MIN_IMBALANCE_MS, loads));
     }
 
     @Test
     void replicasMoveBackWhenDecodeIsFull() {
         List<ReplicaLoad> loads = List.of(
                 load("p-1", Stage.PREFILL, 0, 1), load("p-2", Stage.PREFILL, 0, 1), load("d-1", Stage.DECODE, 3, 10));
-        assertEquals(List.of("p-1>decode"), lookFor(StagePlanner.LASTING_MS + LOOK_MS, loads));
+        assertEquals(List.of("p-1>decode"), lookFor(StagePlanner.MIN_IMBALANCE_MS + LOOK_MS, loads));
     }
 }
--- a/control/src/test/java/pinewick/control/StageReconcilerTest.java
+++ b/control/src/test/java/pinewick/control/StageReconcilerTest.java
@@ -27,13 +27,13 @@
             fleet, new StagePlanner(), calls, new FencingTokens("core-1"), () -> leadingEpoch, loop);
 
     /** Replicas that report at once, the first of them full and the only one of its stage. */
-    private static final class FakeCalls implements ReplicaCalls {
+    private static final class FakeCalls implements ReplicaClient {
         private final List<String> orders = new ArrayList<>();
         private final List<Runnable> held = new ArrayList<>();
         private final Set<String> silent = new HashSet<>();
         private final Map<String, Long> ordersTaken = new HashMap<>();
         private BooleanSupplier mayStillSend;
-        private OrderOutcome outcome = OrderOutcome.TAKEN;
+        private OrderOutcome outcome = OrderOutcome.ACCEPTED;
         private boolean holdsReports;
         private int asked;
 
@@ -66,7 +66,7 @@
                 FencingTokens.Fence fence,
                 BooleanSupplier mayStillSend,
                 Consumer<OrderOutcome> outcomeListener) {
-            orders.add(replica.instanceId() + ">" + stage.wireName() + " " + fence.holder() + " " + fence.token());
+            orders.add(replica.instanceId() + ">" + stage.wireName() + " " + fence.leaseHolder() + " " + fence.token());
             this.mayStillSend = mayStillSend;
             outcomeListener.accept(outcome);
         }
@@ -75,7 +75,7 @@
     /** Waits until this process may give orders. */
     private void settle() {
         reconciler.renewLease();
-        loop.advance(StageReconciler.SETTLING_MS);
+        loop.advance(StageReconciler.LEASE_HANDOVER_MS);
     }
 
     private void run(int rounds) {
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void whoeverDoesNotLeadNeitherAsksNorOrders() {
+    void aProcessThatDoesNotLeadNeitherAsksNorOrders() {
         addReplicas();
         leadingEpoch = Optional.empty();
         run(5);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void whoeverLostTheLeadMeanwhileDoesNotOrder() {
+    void aProcessThatSteppedDownMeanwhileDoesNotOrder() {
         addReplicas();
         settle();
         run(2);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void oneRoundIsOutAtATime() {
+    void oneCollectionIsInProgressAtATime() {
         addReplicas();
         settle();
         calls.holdsReports = true;
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void replicasThatTakeNoRequestsAreLeftAlone() {
+    void replicasThatTakeNoRequestsGetNoOrders() {
         fleet.learn(Replicas.draining("i-0", 1));
         fleet.learn(Replicas.ready("i-1", 1).withLapsed(true));
         settle();
@@ -144,14 +144,14 @@
 
     /** Long enough for the planner to want another change. */
     private void awaitNextChange() {
-        runFor(StagePlanner.PAUSE_MS + StagePlanner.LASTING_MS + 2 * StageReconciler.PERIOD_MS);
+        runFor(StagePlanner.MIN_CHANGE_INTERVAL_MS + StagePlanner.MIN_IMBALANCE_MS + 2 * StageReconciler.PERIOD_MS);
     }
 
     @Test
-    void aNewHolderWaitsUntilNoOrderOfTheOneBeforeCanBeOnItsWay() {
+    void aNewLeaseHolderWaitsUntilNoEarlierOrderCanBeInTransit() {
         addReplicas();
         reconciler.run();
-        loop.advance(StageReconciler.SETTLING_MS - 1);
+        loop.advance(StageReconciler.LEASE_HANDOVER_MS - 1);
         reconciler.run();
         assertEquals(0, calls.asked);
         loop.advance(1);
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aHolderThatLostTheLeadForAMomentWaitsAgain() {
+    void aLeaseHolderThatLostItsLeaseBrieflyWaitsAgain() {
         addReplicas();
         settle();
         leadingEpoch = Optional.empty();
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void anOrderWithoutAnAnswerIsReadBackBeforeItsServiceGetsAnother() {
+    void anOrderWithoutAResponseIsResolvedBeforeItsServiceGetsAnother() {
         addReplicas();
         settle();
         calls.outcome = OrderOutcome.UNKNOWN;
@@ -181,12 +181,12 @@
         awaitNextChange();
         assertEquals(1, calls.orders.size(), "the replica has not told yet");
         calls.silent.clear();
-        runFor(StagePlanner.LASTING_MS + 2 * StageReconciler.PERIOD_MS);
+        runFor(StagePlanner.MIN_IMBALANCE_MS + 2 * StageReconciler.PERIOD_MS);
         assertEquals(2, calls.orders.size());
     }
 
     @Test
-    void whoeverIsFencedOrdersNoMoreInThatEpoch() {
+    void aFencedProcessOrdersNoMoreInThatEpoch() {
         addReplicas();
         settle();
         calls.outcome = OrderOutcome.FENCED;
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void reportsThatWaitedThroughAFreezeLeadToNoOrder() {
+    void reportsFromBeforeAFreezeLeadToNoOrder() {
         addReplicas();
         settle();
         run(2);
@@ -223,7 +223,7 @@
     }
 
     @Test
-    void anOrderIsStoppedIfTheLeaseIsLostOrTheProcessWasFrozenBeforeItGoesOut() {
+    void anOrderIsAbortedIfTheLeaseExpiresOrTheProcessWasFrozenBeforeItIsSent() {
         addReplicas();
         settle();
         run(3);
--- a/control/src/test/java/pinewick/control/StatusReportTest.java
+++ b/control/src/test/java/pinewick/control/StatusReportTest.java
@@ -34,32 +34,32 @@
     }
 
     @Test
-    void thePrimaryTellsWhatIsBorne() {
+    void thePrimaryReportsTolerableLosses() {
         FaultTolerance tolerance =
                 new FaultTolerance(OptionalInt.of(3), OptionalInt.of(1), "", OptionalDouble.of(250.4));
         JsonObject section = configuration(tolerance, OptionalDouble.of(42));
         assertEquals(12, section.get("epoch").getAsLong());
         assertEquals(API.toString(), section.get("primary").getAsString());
         assertEquals(1, section.get("in_sync").getAsInt());
-        assertEquals(3, section.get("copies").getAsInt());
-        assertEquals(1, section.get("bears_losses").getAsInt());
-        assertEquals(250, section.get("repaired_ms").getAsLong());
-        assertFalse(section.has("bears_losses_unknown"));
+        assertEquals(3, section.get("up_to_date_stores").getAsInt());
+        assertEquals(1, section.get("tolerable_losses").getAsInt());
+        assertEquals(250, section.get("sufficient_ms").getAsLong());
+        assertFalse(section.has("tolerable_losses_unknown"));
         JsonObject member = section.getAsJsonArray("members").get(0).getAsJsonObject();
         assertEquals("store-a", member.get("identity").getAsString());
         assertEquals(INTERNAL.toString(), member.get("address").getAsString());
-        assertEquals(42, member.get("silent_ms").getAsLong());
+        assertEquals(42, member.get("since_contact_ms").getAsLong());
     }
 
     @Test
-    void whoeverCannotTellSaysWhy() {
+    void aFollowerReportsWhyTheyAreUnknown() {
         FaultTolerance unknown = new FaultTolerance(
                 OptionalInt.empty(), OptionalInt.empty(), "this process is not the primary", OptionalDouble.empty());
         JsonObject section = configuration(unknown, OptionalDouble.empty());
         assertEquals(
                 "this process is not the primary",
-                section.get("bears_losses_unknown").getAsString());
-        assertFalse(section.has("bears_losses"));
-        assertFalse(section.has("repaired_ms"));
+                section.get("tolerable_losses_unknown").getAsString());
+        assertFalse(section.has("tolerable_losses"));
+        assertFalse(section.has("sufficient_ms"));
     }
 }
--- a/control/src/test/java/pinewick/control/UnansweredOrdersTest.java
+++ b/control/src/test/java/pinewick/control/UnresolvedOrdersTest.java
@@ -8,10 +8,10 @@
 import pinewick.model.Stage;
 
 /** When it is known what became of an order without an answer. */
-class UnansweredOrdersTest {
+class UnresolvedOrdersTest {
     private static final double FAILED_MS = 10_000;
 
-    private final UnansweredOrders orders = new UnansweredOrders();
+    private final UnresolvedOrders orders = new UnresolvedOrders();
 
     private static ReplicaLoad reported(String instanceId, long ordersTaken) {
         SocketAddress address = new SocketAddress("10.128.0.9", 8080);
@@ -19,23 +19,23 @@
     }
 
     @Test
-    void aReportThatCountsAnOrderMoreTellsThatItWasTaken() {
+    void aReportThatCountsOneMoreOrderShowsItsAcceptance() {
         orders.add(reported("i-1", 4), FAILED_MS);
         orders.onReport(reported("i-1", 5), FAILED_MS + 1);
         assertEquals(Set.of(), orders.services());
     }
 
     @Test
-    void aReportThatMayBeOlderThanTheOrderTellsNothing() {
+    void aReportThatMayBeOlderThanTheOrderIsIgnored() {
         orders.add(reported("i-1", 4), FAILED_MS);
-        orders.onReport(reported("i-1", 4), FAILED_MS + UnansweredOrders.REPORT_DELAY_MS - 1);
+        orders.onReport(reported("i-1", 4), FAILED_MS + UnresolvedOrders.REPORT_DELAY_MS - 1);
         assertEquals(Set.of("s"), orders.services());
-        orders.onReport(reported("i-1", 4), FAILED_MS + UnansweredOrders.REPORT_DELAY_MS);
+        orders.onReport(reported("i-1", 4), FAILED_MS + UnresolvedOrders.REPORT_DELAY_MS);
         assertEquals(Set.of(), orders.services());
     }
 
     @Test
-    void aReportOfAnotherReplicaTellsNothing() {
+    void aReportOfAnotherReplicaIsIgnored() {
         orders.add(reported("i-1", 4), FAILED_MS);
         orders.onReport(reported("i-2", 9), FAILED_MS + 5_000);
         assertEquals(Set.of("s"), orders.services());
--- a/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
+++ b/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
@@ -105,14 +105,14 @@
     void follow(FleetState state, UpstreamConnector connector) {
         pool.setConnector(connector);
         state.addListener(this);
-        configurationChanged(state.configuration());
-        state.replicas().forEach(this::replicaChanged);
+        onConfigurationChanged(state.configuration());
+        state.replicas().forEach(this::onReplicaChanged);
     }
 
     // ---- what the fleet knows
 
     @Override
-    public void configurationChanged(ConfigurationDocument document) {
+    public void onConfigurationChanged(ConfigurationDocument document) {
         if (document.version() == 0) {
             return;
         }
@@ -140,7 +140,7 @@
     }
 
     @Override
-    public void replicaChanged(ReplicaRecord record) {
+    public void onReplicaChanged(ReplicaRecord record) {
         serial.execute(() -> {
             directory.update(record);
             if (record.state() == ReplicaState.GONE) {
--- a/dataplane/src/main/java/pinewick/dataplane/FleetLink.java
+++ b/dataplane/src/main/java/pinewick/dataplane/FleetLink.java
@@ -15,7 +15,7 @@
 import pinewick.model.SocketAddress;
 import pinewick.transport.ControlLoop;
 import pinewick.transport.MessageCodec;
-import pinewick.transport.MovableTimer;
+import pinewick.transport.ReschedulableTimer;
 import pinewick.transport.NetworkTransport;
 import pinewick.transport.TransportException;
 
@@ -25,7 +25,7 @@
     private final ControlLoop loop = new ControlLoop();
     private final NetworkTransport transport;
     private final FleetNode node;
-    private final MovableTimer ticks = loop.timer(this::tick);
+    private final ReschedulableTimer ticks = loop.timer(this::tick);
 
     FleetLink(NodeSettings settings, RandomGenerator random) throws RouterException {
         SocketAddress local = new SocketAddress(settings.ipAddress(), settings.routerPort());
@@ -55,7 +55,7 @@
         try {
             node.onTick(loop.nowMs());
         } finally {
-            ticks.set(node.nextTickMs());
+            ticks.reschedule(node.nextTickMs());
         }
     }
 
@@ -65,7 +65,7 @@
         } else {
             loop.execute(() -> {
                 node.onMessage(sender, message, loop.nowMs());
-                ticks.set(node.nextTickMs());
+                ticks.reschedule(node.nextTickMs());
             });
         }
     }
@@ -109,7 +109,7 @@
      * @param pauseMs the pause before the next run, given the number of other routers known
      */
     void repeatAtPace(Runnable task, IntToLongFunction pauseMs) {
-        loop.repeatAtPace(task, () -> pauseMs.applyAsLong(otherRouters().size()));
+        loop.repeatAtVariableInterval(task, () -> pauseMs.applyAsLong(otherRouters().size()));
     }
 
     /** Tells the peers that this process ends. */
--- a/dataplane/src/main/java/pinewick/dataplane/Router.java
+++ b/dataplane/src/main/java/pinewick/dataplane/Router.java
@@ -104,12 +104,12 @@
     }
 
     private boolean isInformed() {
-        return fleet.node().synchronised() && dataPlane.routingTable().version() > 0;
+        return fleet.node().isSynchronised() && dataPlane.routingTable().version() > 0;
     }
 
     /** What was taken from controllers that are cut off may lack routes: 404 has to wait until it is confirmed. */
     private boolean knowsRoutes() {
-        return isInformed() && fleet.node().configurationConfirmed();
+        return isInformed() && fleet.node().isConfigurationConfirmed();
     }
 
     private void refresh() {
--- a/dissemination/src/main/java/pinewick/dissemination/ConfigurationHistory.java
+++ b/dissemination/src/main/java/pinewick/dissemination/ConfigurationHistory.java
@@ -10,34 +10,37 @@
 import pinewick.model.ConfigurationDelta;
 import pinewick.model.ConfigurationDocument;
 
-/** The last configurations that this process held, and the differences to the newest as they are sent. */
+/**
+ * The last configurations of this process, and the encoded differences from each to the newest. Safe for use by several
+ * threads.
+ */
 final class ConfigurationHistory {
-    private static final int KEPT = 8;
+    private static final int MAX_DOCUMENTS = 8;
 
     /**
-     * Older documents are given up while all of them together cost more memory than so many items. What they share with
-     * the document after them costs little.
+     * Older documents are evicted while all of them together retain more than this many items. Items that a document
+     * shares with its successor cost little.
      */
-    private static final int MOST_OLDER_ITEMS = 3_000;
+    private static final int MAX_OLDER_ITEMS = 3_000;
 
-    /** So many entries for items that are shared cost as much as one item that is not. */
-    private static final int SHARED_A_ITEM = 16;
+    /** This many entries of shared items cost as much as one item that is not shared. */
+    private static final int SHARED_ENTRIES_PER_ITEM = 16;
 
     private final TreeMap<Long, ConfigurationDocument> documents = new TreeMap<>();
-    /** What each document but the newest costs, in items. */
+    /** How many items each document but the newest retains. */
     private final Map<Long, Integer> olderItems = new HashMap<>();
 
     private final Map<Long, ConfigurationUpdate> updatesByBase = new HashMap<>();
 
     /** A newer configuration is in force. */
     synchronized void add(ConfigurationDocument document) {
-        Map.Entry<Long, ConfigurationDocument> before = documents.lowerEntry(document.version());
-        if (before != null) {
-            olderItems.put(before.getKey(), itemsBeside(before.getValue(), document));
+        Map.Entry<Long, ConfigurationDocument> previous = documents.lowerEntry(document.version());
+        if (previous != null) {
+            olderItems.put(previous.getKey(), itemsNotSharedWith(previous.getValue(), document));
         }
         documents.put(document.version(), document);
         updatesByBase.clear();
-        while (documents.size() > KEPT || sum(olderItems) > MOST_OLDER_ITEMS) {
+        while (documents.size() > MAX_DOCUMENTS || sum(olderItems) > MAX_OLDER_ITEMS) {
             olderItems.remove(documents.pollFirstEntry().getKey());
         }
     }
@@ -46,8 +49,8 @@
         return items.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** What a document costs beside the one after it. */
-    private static int itemsBeside(ConfigurationDocument document, ConfigurationDocument next) {
+    /** How many items a document retains beyond its successor. */
+    private static int itemsNotSharedWith(ConfigurationDocument document, ConfigurationDocument next) {
         int own = 0;
         int shared = 0;
         for (Map.Entry<String, Map<String, JsonObject>> section :
@@ -59,39 +62,39 @@
                 shared += same ? 1 : 0;
             }
         }
-        return own + shared / SHARED_A_ITEM;
+        return own + shared / SHARED_ENTRIES_PER_ITEM;
     }
 
-    /** Keeps the bytes of an update that led to the newest document, to be sent on. */
-    synchronized void remember(ConfigurationUpdate update) {
+    /** Caches the encoded update that led to the newest document, to be forwarded. */
+    synchronized void cacheUpdate(ConfigurationUpdate update) {
         if (!documents.isEmpty() && update.version() == documents.lastKey()) {
-            updatesByBase.put(update.baseVersion(), update.inAnswerTo(OutstandingRequests.UNASKED));
+            updatesByBase.put(update.baseVersion(), update.withRequestId(OutstandingRequests.NO_REQUEST));
         }
     }
 
-    /** The version before the newest, {@link ConfigurationDelta#WHOLE} if none was held. */
+    /** The version before the newest, {@link ConfigurationDelta#WHOLE} if there is none. */
     synchronized long previousVersion() {
         Long previous = documents.isEmpty() ? null : documents.lowerKey(documents.lastKey());
         return previous == null ? ConfigurationDelta.WHOLE : previous;
     }
 
-    /** Whether the newest document would have to be sent whole to whoever holds a version. */
-    synchronized boolean sendsWhole(long version) {
+    /** Whether a process at this version needs the full newest document. */
+    synchronized boolean requiresFullDocument(long version) {
         return !updatesByBase.containsKey(version) && !documents.containsKey(version);
     }
 
     /** How many items the newest document has. */
-    synchronized int newestItems() {
+    synchronized int newestItemCount() {
         return documents.lastEntry().getValue().sections().values().stream()
                 .mapToInt(Map::size)
                 .sum();
     }
 
-    /** What turns a version into the newest one; the whole newest one where that version is not known any more. */
+    /** The update from a version to the newest one; the full newest document if that version is no longer known. */
     synchronized ConfigurationUpdate updateFrom(long version) {
-        ConfigurationUpdate remembered = updatesByBase.get(version);
-        if (remembered != null) {
-            return remembered;
+        ConfigurationUpdate cached = updatesByBase.get(version);
+        if (cached != null) {
+            return cached;
         }
         long base = documents.containsKey(version) ? version : ConfigurationDelta.WHOLE;
         return updatesByBase.computeIfAbsent(base, this::encode);
@@ -101,7 +104,7 @@
         ConfigurationDocument newest = documents.lastEntry().getValue();
         ConfigurationDocument from = documents.getOrDefault(base, ConfigurationDocument.EMPTY);
         byte[] bytes = ConfigurationChecks.writeDelta(ConfigurationDelta.between(from, newest));
-        return new ConfigurationUpdate(OutstandingRequests.UNASKED, from.version(), newest.version(), bytes);
+        return new ConfigurationUpdate(OutstandingRequests.NO_REQUEST, from.version(), newest.version(), bytes);
     }
 
     /**
@@ -111,7 +114,7 @@
      */
     static ConfigurationDocument apply(ConfigurationUpdate update, ConfigurationDocument current) {
         ConfigurationDelta delta = ConfigurationChecks.readDelta(update.body());
-        boolean whole = delta.baseVersion() == ConfigurationDelta.WHOLE;
-        return delta.applyTo(whole ? ConfigurationDocument.EMPTY : current);
+        boolean isFull = delta.baseVersion() == ConfigurationDelta.WHOLE;
+        return delta.applyTo(isFull ? ConfigurationDocument.EMPTY : current);
     }
 }
--- a/dissemination/src/main/java/pinewick/dissemination/Fanout.java
+++ b/dissemination/src/main/java/pinewick/dissemination/Fanout.java
@@ -1,26 +1,26 @@
 package pinewick.dissemination;
 
-/** How many peers are told of something new. */
+/** To how many peers an update is sent. */
 final class Fanout {
-    /** Peers told at once by the process where it arose. */
-    static final int ORIGIN = 12;
+    /** Peers to which the origin of an update pushes it at once. */
+    static final int ORIGIN_PEERS = 12;
 
-    /** Peers told by each process to which it is new, at once and again in each later wave. */
-    static final int RELAY = 4;
+    /** Peers to which each process that receives an update forwards it, at once and in each repeat. */
+    static final int RELAY_PEERS = 4;
 
-    /** Peers told at once of each of many records. */
-    static final int OF_MANY = 2;
+    /** Peers to which each record of a bulk of updates is forwarded. */
+    static final int BULK_PEERS = 2;
 
-    private static final int WAVES_IN_A_SMALL_FLEET = 1;
-    private static final int WAVES = 3;
+    private static final int REPEATS_IN_A_SMALL_FLEET = 1;
+    private static final int REPEATS = 3;
 
     private Fanout() {}
 
     /**
-     * Ticks after the first push in which a few more peers are told the number or name of what is new. In a fleet where
-     * the origin reaches nearly all, they only make up for lost datagrams.
+     * In how many ticks after the first push an update is announced again. In a fleet where the origin reaches nearly
+     * every process, repeats only make up for lost datagrams.
      */
-    static int laterWaves(int peersKnown) {
-        return peersKnown <= ORIGIN ? WAVES_IN_A_SMALL_FLEET : WAVES;
+    static int repeats(int peersKnown) {
+        return peersKnown <= ORIGIN_PEERS ? REPEATS_IN_A_SMALL_FLEET : REPEATS;
     }
 }
--- a/dissemination/src/main/java/pinewick/dissemination/FleetMessages.java
+++ b/dissemination/src/main/java/pinewick/dissemination/FleetMessages.java
@@ -8,12 +8,16 @@
 import pinewick.model.ReplicaRecord;
 import pinewick.model.ReplicaState;
 import pinewick.model.Stage;
+import pinewick.model.WireName;
 
 /** The messages of dissemination. */
 public final class FleetMessages {
     private FleetMessages() {}
 
-    /** Every type that the messages of membership and dissemination are made of, in the order of their ids. */
+    /**
+     * Every type that the messages of membership and dissemination are made of. The position is the type's id on the
+     * wire: append only.
+     */
     public static List<Class<?>> types() {
         List<Class<?>> types = new ArrayList<>(MembershipMessages.types());
         types.addAll(List.of(
@@ -26,29 +30,29 @@
                 DigestReply.class,
                 ConfigurationUpdate.class,
                 ConfigurationPull.class,
-                SpreadRecord.class,
+                GossipedReplica.class,
                 ReplicaUpdate.class,
-                ReplicaHeld.class,
+                ReplicaUpdateAck.class,
                 BucketHashes.class,
                 SummaryEntry.class,
                 ReplicaSummary.class,
                 ReplicaRequest.class,
                 SnapshotRequest.class,
                 ReplicaSnapshot.class,
-                ForgottenReplicas.class,
-                HeartbeatNote.class,
+                ExpiredReplicas.class,
+                HeartbeatReport.class,
                 HeartbeatBatch.class));
         return types;
     }
 
     /**
-     * What the sender knows, in short.
+     * A digest of what the sender knows.
      *
      * @param configurationVersion version of its configuration
-     * @param replicaCount how many replica records it has, those of replicas long gone left out
+     * @param replicaCount how many replica records it has, without those of replicas that are gone for long
      * @param replicaHash sum of the hashes of these records
-     * @param synchronised whether it has caught up since its start
-     * @param confirmedAgeMs how long ago, at most, a controller in contact with a quorum held no newer configuration,
+     * @param synchronised whether it has completed its bootstrap
+     * @param confirmedAgeMs how long ago, at most, a controller in contact with a quorum had no newer configuration,
      *     milliseconds; {@link QuorumConfirmation#NEVER} if the sender knows of none
      */
     public record Digest(
@@ -61,51 +65,52 @@
     /**
      * Answers a {@link DigestRequest}.
      *
-     * @param routerBound the highest number of routers that the sender has counted lately, as an upper bound
+     * @param routerUpperBound the highest number of routers that the sender has recently counted, as an upper bound
      */
-    public record DigestReply(long requestId, Digest digest, int routerBound) implements Message {}
+    public record DigestReply(long requestId, Digest digest, int routerUpperBound) implements Message {}
 
     /**
-     * Tells of a configuration.
+     * A configuration, or the announcement of one.
      *
-     * @param answerTo the id of the pull that this answers, {@link OutstandingRequests#UNASKED} for a push
+     * @param inReplyTo the id of the pull to which this is the reply, {@link OutstandingRequests#NO_REQUEST} for a push
      * @param baseVersion the version that {@code body} applies to
-     * @param version the version it leads to
-     * @param body the difference, as {@link pinewick.model.ConfigurationChecks#writeDelta} writes it; empty
-     * if the receiver is to ask for it
+     * @param version the version that results
+     * @param body the difference, as {@link pinewick.model.ConfigurationChecks#writeDelta} writes it; empty if the
+     *     receiver is to pull it
      */
-    public record ConfigurationUpdate(long answerTo, long baseVersion, long version, byte[] body) implements Message {
-        /** The same, as the answer to a pull. */
-        ConfigurationUpdate inAnswerTo(long requestId) {
+    public record ConfigurationUpdate(@WireName("answerTo") long inReplyTo, long baseVersion, long version, byte[] body)
+            implements Message {
+        /** The same, as the reply to a pull. */
+        ConfigurationUpdate withRequestId(long requestId) {
             return new ConfigurationUpdate(requestId, baseVersion, version, body);
         }
     }
 
     /** Asks for the newest configuration, as a difference from one that the sender has. */
-    public record ConfigurationPull(long requestId, long haveVersion) implements Message {}
+    public record ConfigurationPull(long requestId, long knownVersion) implements Message {}
 
     /**
-     * A replica record on its way.
+     * A replica record as it is gossiped.
      *
-     * @param goneAgeMs for a replica that is gone: how long it has been known to be, milliseconds
+     * @param tombstoneAgeMs for a replica that is gone: how long that has been known, milliseconds
      */
-    public record SpreadRecord(ReplicaRecord record, int goneAgeMs) {}
+    public record GossipedReplica(ReplicaRecord record, @WireName("goneAgeMs") int tombstoneAgeMs) {}
 
     /**
      * Replica records.
      *
-     * @param ackId to be confirmed by {@link ReplicaHeld} with the same id, {@link OutstandingRequests#UNASKED} for no
-     *     confirmation
+     * @param ackId to be acknowledged by {@link ReplicaUpdateAck} with the same id,
+     *     {@link OutstandingRequests#NO_REQUEST} for no acknowledgement
      */
-    public record ReplicaUpdate(long ackId, List<SpreadRecord> records) implements Message {}
+    public record ReplicaUpdate(long ackId, List<GossipedReplica> records) implements Message {}
 
-    /** The sender holds the records that came with that number. */
-    public record ReplicaHeld(long ackId) implements Message {}
+    /** The sender has merged the records that came with this id. */
+    public record ReplicaUpdateAck(long ackId) implements Message {}
 
     /** For each bucket of replica records the sum of their hashes, 32 bits each. */
     public record BucketHashes(byte[] hashes) implements Message {}
 
-    /** A replica record in short. */
+    /** A replica record as a hash. */
     public record SummaryEntry(String instanceId, int contentHash) {}
 
     /**
@@ -122,18 +127,18 @@
     public record SnapshotRequest(long requestId) implements Message {}
 
     /** Answers a {@link SnapshotRequest}: every replica record of the sender. */
-    public record ReplicaSnapshot(long requestId, List<SpreadRecord> records) implements Message {}
+    public record ReplicaSnapshot(long requestId, List<GossipedReplica> records) implements Message {}
 
-    /** Instances that ended so long ago that the sender keeps no record of them any more. */
-    public record ForgottenReplicas(List<String> instanceIds) implements Message {}
+    /** Instances that were removed so long ago that the sender no longer keeps a tombstone of them. */
+    public record ExpiredReplicas(List<String> instanceIds) implements Message {}
 
     /**
-     * A heartbeat that a controller heard.
+     * A heartbeat that a controller received.
      *
      * @param ageMs how long ago, milliseconds
      */
-    public record HeartbeatNote(String instanceId, long callSequence, int ageMs) {}
+    public record HeartbeatReport(String instanceId, long callSequence, int ageMs) {}
 
-    /** Heartbeats that a controller heard since its last batch. */
-    public record HeartbeatBatch(List<HeartbeatNote> notes) implements Message {}
+    /** Heartbeats that a controller received since its last batch. */
+    public record HeartbeatBatch(List<HeartbeatReport> reports) implements Message {}
 }
--- a/dissemination/src/main/java/pinewick/dissemination/FleetNode.java
+++ b/dissemination/src/main/java/pinewick/dissemination/FleetNode.java
@@ -9,15 +9,15 @@
 import pinewick.dissemination.FleetMessages.Digest;
 import pinewick.dissemination.FleetMessages.DigestReply;
 import pinewick.dissemination.FleetMessages.DigestRequest;
-import pinewick.dissemination.FleetMessages.ForgottenReplicas;
+import pinewick.dissemination.FleetMessages.ExpiredReplicas;
 import pinewick.dissemination.FleetMessages.HeartbeatBatch;
-import pinewick.dissemination.FleetMessages.ReplicaHeld;
 import pinewick.dissemination.FleetMessages.ReplicaRequest;
 import pinewick.dissemination.FleetMessages.ReplicaSnapshot;
 import pinewick.dissemination.FleetMessages.ReplicaSummary;
 import pinewick.dissemination.FleetMessages.ReplicaUpdate;
+import pinewick.dissemination.FleetMessages.ReplicaUpdateAck;
 import pinewick.dissemination.FleetMessages.SnapshotRequest;
-import pinewick.dissemination.ReplicaSpread.SnapshotPurpose;
+import pinewick.dissemination.ReplicaReconciliation.SnapshotPurpose;
 import pinewick.membership.NodeDescriptor;
 import pinewick.membership.NodeRole;
 import pinewick.membership.OutstandingRequests;
@@ -31,35 +31,37 @@
 /**
  * A process's part in membership and dissemination. Owned by one thread, the control loop: it calls {@link #onTick}
  * every {@link #TICK_MS}, or whenever {@link #nextTickMs} says, hands in every message, and publishes what is new here.
- * What {@link #synchronised}, {@link #configurationConfirmed}, {@link #routerCount}, {@link #routerCountUpperBound},
- * {@link #peers} and {@link #lastHeardMs} answer is as of the last tick and may be read by any thread.
+ * What {@link #isSynchronised}, {@link #isConfigurationConfirmed}, {@link #routerCount}, {@link #routerCountUpperBound},
+ * {@link #peers} and {@link #lastHeartbeatMs} answer is as of the last tick and may be read by any thread.
  */
 public final class FleetNode {
-    /** Pause between two calls of {@link #onTick} while there is something to do, milliseconds. */
+    /** Interval between two calls of {@link #onTick} while there is work, milliseconds. */
     public static final int TICK_MS = 50;
 
-    /** Longest pause between two calls of {@link #onTick}, milliseconds. */
-    public static final int LONGEST_PAUSE_MS = 500;
+    /** Longest interval between two calls of {@link #onTick}, milliseconds. */
+    public static final int MAX_TICK_INTERVAL_MS = 500;
 
-    private static final double DIGEST_MS = 500;
+    private static final double DIGEST_INTERVAL_MS = 500;
     private static final double DIGEST_JITTER = 0.2;
-    private static final double PRUNE_MS = 10_000;
-    /** Taken for the number of routers by a process that knows no peer yet. */
-    private static final int UPPER_BOUND_OF_A_STRANGER = 1_000;
+    private static final double PRUNE_INTERVAL_MS = 10_000;
+    /** The upper bound of the number of routers before the bootstrap is complete. */
+    private static final int STARTUP_ROUTER_UPPER_BOUND = 1_000;
 
     private final FleetState state;
     private final Outbox outbox;
     private final RandomGenerator random;
     private final PeerSampling sampling;
-    private final ConfigurationSpread configuration;
-    private final ReplicaSpread replicas;
-    private final ReplicaHandover handover;
-    private final HeartbeatNotes heartbeats;
-    private final Joining joining;
+    private final ConfigurationGossip configuration;
+    private final GossipedReplicas gossipedReplicas;
+    private final ReplicaReconciliation reconciliation;
+    private final ReplicaGossip replicas;
+    private final AcknowledgedReplicaPush acknowledgedPush;
+    private final HeartbeatExchange heartbeatExchange;
+    private final Bootstrap bootstrap;
     private final QuorumConfirmation confirmation = new QuorumConfirmation();
     private double nextDigestAtMs;
     private double nextPruneAtMs;
-    private double tickedAtMs = Double.NEGATIVE_INFINITY;
+    private double lastTickMs = Double.NEGATIVE_INFINITY;
     private volatile double lastNowMs;
     private volatile boolean synchronised;
     private volatile boolean configurationConfirmed;
@@ -70,9 +72,9 @@
     /**
      * @param self this process
      * @param seeds internal addresses of some controllers
-     * @param state what this process knows; changed here, listened to by others
-     * @param outbox takes messages to peers
-     * @param random source of chance, seeded by the caller
+     * @param state what this process knows; changed here, with listeners elsewhere
+     * @param outbox sends messages to peers
+     * @param random source of randomness, seeded by the caller
      */
     public FleetNode(
             NodeDescriptor self, List<SocketAddress> seeds, FleetState state, Outbox outbox, RandomGenerator random) {
@@ -80,74 +82,77 @@
         this.outbox = outbox;
         this.random = random;
         sampling = new PeerSampling(self, seeds, outbox, random);
-        configuration = new ConfigurationSpread(state, sampling, outbox, random);
-        replicas = new ReplicaSpread(state, sampling, outbox, random);
-        handover = new ReplicaHandover(sampling, outbox, random);
-        heartbeats = new HeartbeatNotes(state, sampling, outbox);
-        joining = new Joining(
+        configuration = new ConfigurationGossip(state, sampling, outbox, random);
+        gossipedReplicas = new GossipedReplicas(state, outbox);
+        reconciliation = new ReplicaReconciliation(state, gossipedReplicas, outbox, random);
+        replicas = new ReplicaGossip(state, gossipedReplicas, sampling, outbox);
+        acknowledgedPush = new AcknowledgedReplicaPush(sampling, outbox, random);
+        heartbeatExchange = new HeartbeatExchange(state, sampling, outbox);
+        bootstrap = new Bootstrap(
                 seeds,
                 sampling,
                 outbox,
                 random,
-                (peer, nowMs) -> replicas.askForSnapshot(peer, SnapshotPurpose.JOINING, nowMs));
+                (peer, nowMs) -> reconciliation.requestSnapshot(peer, SnapshotPurpose.BOOTSTRAP, nowMs));
         state.addListener(new FleetStateListener() {
             @Override
-            public void configurationChanged(ConfigurationDocument document) {
-                configuration.changed(document);
+            public void onConfigurationChanged(ConfigurationDocument document) {
+                configuration.onConfigurationChanged(document);
             }
 
             @Override
-            public void replicaChanged(ReplicaRecord record) {
-                replicas.changed(record, lastNowMs);
+            public void onReplicaChanged(ReplicaRecord record) {
+                replicas.onReplicaChanged(record, lastNowMs);
             }
         });
     }
 
     /** Time has passed. */
     public void onTick(double nowMs) {
-        tickedAtMs = nowMs;
+        lastTickMs = nowMs;
         lastNowMs = nowMs;
         confirmation.advance(nowMs);
         sampling.onTick(nowMs);
         configuration.onTick(nowMs);
+        reconciliation.onTick(nowMs);
         replicas.onTick(nowMs);
-        handover.onTick(nowMs);
-        heartbeats.onTick(nowMs);
-        configurationConfirmed = confirmation.sinceStart();
+        acknowledgedPush.onTick(nowMs);
+        heartbeatExchange.onTick(nowMs);
+        configurationConfirmed = confirmation.isConfirmedSinceStart();
         boolean needsNoConfirmation = configurationConfirmed || sampling.self().role() == NodeRole.CONTROLLER;
-        if (!joining.done() || !needsNoConfirmation) {
-            joining.onTick(digest(nowMs), needsNoConfirmation, nowMs);
+        if (!bootstrap.isDone() || !needsNoConfirmation) {
+            bootstrap.onTick(digest(nowMs), needsNoConfirmation, nowMs);
         }
         sendDigestIfDue(nowMs);
         if (nowMs >= nextPruneAtMs) {
-            nextPruneAtMs = nowMs + PRUNE_MS;
-            heartbeats.prune();
+            nextPruneAtMs = nowMs + PRUNE_INTERVAL_MS;
+            heartbeatExchange.prune();
         }
-        synchronised = joining.done();
+        synchronised = bootstrap.isDone();
         routerCount = sampling.routerCount(nowMs);
         int upperBound = sampling.routerCountUpperBound(nowMs);
-        routerCountUpperBound = synchronised ? upperBound : Math.max(upperBound, UPPER_BOUND_OF_A_STRANGER);
+        routerCountUpperBound = synchronised ? upperBound : Math.max(upperBound, STARTUP_ROUTER_UPPER_BOUND);
         peers = sampling.peers();
     }
 
     /**
-     * When {@link #onTick} has to be called next, steady time in milliseconds: {@link #TICK_MS} after the last time
-     * while there is something to spread, else when something falls due. To be asked again after each message.
+     * When {@link #onTick} has to be called next, steady time in milliseconds: {@link #TICK_MS} after the last call
+     * while there are updates to send, else when something is due. To be asked again after each message.
      */
     public double nextTickMs() {
-        boolean busy = !joining.done() || replicas.hasNews();
-        double dueMs = busy ? Double.NEGATIVE_INFINITY : Math.min(nextDigestAtMs, sampling.nextDueMs());
+        boolean hasWork = !bootstrap.isDone() || replicas.hasPendingUpdates();
+        double dueMs = hasWork ? Double.NEGATIVE_INFINITY : Math.min(nextDigestAtMs, sampling.nextDueMs());
         dueMs = Math.min(dueMs, configuration.nextDueMs());
-        dueMs = Math.min(dueMs, Math.min(handover.nextDueMs(), heartbeats.nextDueMs()));
-        return Math.max(tickedAtMs + TICK_MS, Math.min(tickedAtMs + LONGEST_PAUSE_MS, dueMs));
+        dueMs = Math.min(dueMs, Math.min(acknowledgedPush.nextDueMs(), heartbeatExchange.nextDueMs()));
+        return Math.max(lastTickMs + TICK_MS, Math.min(lastTickMs + MAX_TICK_INTERVAL_MS, dueMs));
     }
 
     private Digest digest(double nowMs) {
         return new Digest(
                 state.configuration().version(),
-                replicas.digest().count(nowMs),
-                replicas.digest().hash(nowMs),
-                joining.done(),
+                reconciliation.digest().count(nowMs),
+                reconciliation.digest().hash(nowMs),
+                bootstrap.isDone(),
                 confirmation.ageMs(nowMs));
     }
 
@@ -155,11 +160,11 @@
         if (nowMs < nextDigestAtMs) {
             return;
         }
-        nextDigestAtMs = nowMs + DIGEST_MS * (1 - DIGEST_JITTER / 2 + DIGEST_JITTER * random.nextDouble());
+        nextDigestAtMs = nowMs + DIGEST_INTERVAL_MS * (1 - DIGEST_JITTER / 2 + DIGEST_JITTER * random.nextDouble());
         sampling.randomPeers(1).forEach(peer -> outbox.send(peer, digest(nowMs)));
     }
 
-    /** Handles a message if it is of membership or dissemination; returns whether it was. */
+    /** Handles a message if it is one of {@link FleetMessages} or of membership; returns whether it was. */
     public boolean onMessage(SocketAddress sender, Message message, double nowMs) {
         lastNowMs = nowMs;
         confirmation.advance(nowMs);
@@ -172,8 +177,8 @@
 
     private boolean onDigestMessage(SocketAddress sender, Message message, double nowMs) {
         if (message instanceof Digest digest) {
-            sampling.seen(sender, nowMs);
-            confirmation.onStatement(digest, state.configuration().version(), nowMs);
+            sampling.onContact(sender, nowMs);
+            confirmation.onUnsolicitedDigest(digest, state.configuration().version(), nowMs);
             compare(sender, digest, nowMs);
         } else if (message instanceof DigestRequest request) {
             outbox.send(sender, new DigestReply(request.requestId(), digest(nowMs), sampling.ownRouterBound(nowMs)));
@@ -186,10 +191,10 @@
     }
 
     private void onDigestReply(SocketAddress sender, DigestReply reply, double nowMs) {
-        Optional<Double> askedAtMs = joining.onReply(sender, reply, nowMs);
-        if (askedAtMs.isPresent()) {
-            sampling.learnRouterBound(reply.routerBound(), nowMs);
-            confirmation.onAnswer(reply.digest(), state.configuration().version(), askedAtMs.get());
+        Optional<Double> requestSentMs = bootstrap.onReply(sender, reply, nowMs);
+        if (requestSentMs.isPresent()) {
+            sampling.addPeerRouterBound(reply.routerUpperBound(), nowMs);
+            confirmation.onDigestReply(reply.digest(), state.configuration().version(), requestSentMs.get());
             compare(sender, reply.digest(), nowMs);
         }
     }
@@ -209,19 +214,20 @@
         if (message instanceof ReplicaUpdate update) {
             onReplicaUpdate(sender, update, nowMs);
         } else if (message instanceof BucketHashes hashes) {
-            replicas.onBucketHashes(sender, hashes, nowMs);
+            reconciliation.onBucketHashes(sender, hashes, nowMs);
         } else if (message instanceof ReplicaSummary summary) {
-            replicas.onSummary(sender, summary, nowMs);
+            reconciliation.onSummary(sender, summary, nowMs);
         } else if (message instanceof ReplicaRequest request) {
-            replicas.onRequest(sender, request, nowMs);
-        } else if (message instanceof ForgottenReplicas forgotten) {
-            replicas.onForgotten(forgotten, nowMs);
+            reconciliation.onRequest(sender, request, nowMs);
+        } else if (message instanceof ExpiredReplicas expired) {
+            reconciliation.onExpired(expired, nowMs);
         } else if (message instanceof SnapshotRequest request) {
-            replicas.onSnapshotRequest(sender, request, nowMs);
+            reconciliation.onSnapshotRequest(sender, request, nowMs);
         } else if (message instanceof ReplicaSnapshot snapshot) {
-            replicas.onSnapshot(sender, snapshot, nowMs)
-                    .filter(purpose -> purpose == SnapshotPurpose.JOINING)
-                    .ifPresent(purpose -> joining.onSnapshot());
+            reconciliation
+                    .onSnapshot(sender, snapshot, nowMs)
+                    .filter(purpose -> purpose == SnapshotPurpose.BOOTSTRAP)
+                    .ifPresent(purpose -> bootstrap.onSnapshot());
         } else {
             return false;
         }
@@ -229,90 +235,90 @@
     }
 
     private boolean onControllerMessage(SocketAddress sender, Message message, double nowMs) {
-        if (message instanceof ReplicaHeld held) {
-            handover.onHeld(sender, held);
+        if (message instanceof ReplicaUpdateAck ack) {
+            acknowledgedPush.onAck(sender, ack);
         } else if (message instanceof HeartbeatBatch batch) {
-            heartbeats.onBatch(batch, nowMs);
+            heartbeatExchange.onBatch(batch, nowMs);
         } else {
             return false;
         }
         return true;
     }
 
-    /** Sends and asks for what differs from what a peer shows. */
+    /** Exchanges what differs from a peer's digest. */
     private void compare(SocketAddress sender, Digest theirs, double nowMs) {
         Digest own = digest(nowMs);
-        configuration.shown(sender, theirs.configurationVersion(), nowMs);
-        boolean same = own.replicaCount() == theirs.replicaCount() && own.replicaHash() == theirs.replicaHash();
-        if (!same) {
-            replicas.reconcile(sender, theirs.replicaCount(), nowMs);
+        configuration.onPeerVersion(sender, theirs.configurationVersion(), nowMs);
+        boolean isSame = own.replicaCount() == theirs.replicaCount() && own.replicaHash() == theirs.replicaHash();
+        if (!isSame) {
+            reconciliation.reconcile(sender, theirs.replicaCount(), nowMs);
         }
     }
 
     private void onReplicaUpdate(SocketAddress sender, ReplicaUpdate update, double nowMs) {
         replicas.onUpdate(sender, update, nowMs);
-        if (update.ackId() != OutstandingRequests.UNASKED) {
-            outbox.send(sender, new ReplicaHeld(update.ackId()));
+        if (update.ackId() != OutstandingRequests.NO_REQUEST) {
+            outbox.send(sender, new ReplicaUpdateAck(update.ackId()));
         }
     }
 
-    /** This process is a controller in contact with a quorum, and holds the newest acknowledged configuration. */
+    /** This process is a controller in contact with a quorum, and has the newest acknowledged configuration. */
     public void confirmConfiguration(double nowMs) {
         confirmation.advance(nowMs);
-        confirmation.confirmHere(nowMs);
+        confirmation.confirmLocally(nowMs);
     }
 
-    /** {@link FleetState#configuration()} was changed by this process: tell the others at once. */
+    /** This process has changed {@link FleetState#configuration()}: pushes it at once. */
     public void configurationCommitted(double nowMs) {
-        configuration.committed();
+        configuration.publish();
     }
 
     /**
-     * Merges a record that arose here and tells the others: routers only of what concerns them, so that a
-     * heartbeat that
-     * changes nothing but its number costs nothing.
-     *
-     * <p>What needs a confirmation is on its way to a few peers before any can come: whoever relies on it may do so
-     * although all controllers are lost at that moment.
-     *
-     * @param heldElsewhere run once another controller has confirmed that it holds the record; never, if
-     * none does. Null
-     *     if no confirmation is needed: the record then goes out with the next tick
+     * Merges a record of this process and pushes it with the next tick. Only what concerns routers is pushed, so that a
+     * heartbeat that changes nothing but its sequence costs nothing.
      */
-    public void publish(ReplicaRecord record, Runnable heldElsewhere, double nowMs) {
+    public void publish(ReplicaRecord record, double nowMs) {
         lastNowMs = nowMs;
-        replicas.arose(record, nowMs);
-        ReplicaRecord held = state.replica(record.instanceId());
-        if (heldElsewhere != null) {
-            replicas.pushAtOnce(record.instanceId(), nowMs);
-            handover.start(replicas.spread(held == null ? record : held, nowMs), heldElsewhere, nowMs);
-        }
+        replicas.publish(record, nowMs);
+    }
+
+    /**
+     * As {@link #publish}, and sends the record to the other controllers until one has acknowledged it. The record is
+     * pushed to some peers before any acknowledgement can arrive: whoever relies on the acknowledgement may do so even
+     * if all controllers are lost at that moment.
+     *
+     * @param onAcknowledged run once another controller has acknowledged the record; never if none does
+     */
+    public void publishUntilAcknowledged(ReplicaRecord record, Runnable onAcknowledged, double nowMs) {
+        publish(record, nowMs);
+        ReplicaRecord merged = state.findReplica(record.instanceId()).orElse(record);
+        replicas.pushNow(record.instanceId(), nowMs);
+        acknowledgedPush.start(gossipedReplicas.toGossiped(merged, nowMs), onAcknowledged, nowMs);
     }
 
-    /** Notes that this controller heard an instance; the other controllers are told with the next batch. */
-    public void heard(String instanceId, long callSequence, double nowMs) {
-        heartbeats.heard(instanceId, callSequence, nowMs);
+    /** This controller received a heartbeat; it is reported to the other controllers with the next batch. */
+    public void recordHeartbeat(String instanceId, long callSequence, double nowMs) {
+        heartbeatExchange.onHeartbeat(instanceId, callSequence, nowMs);
     }
 
     /**
-     * When any controller last heard an instance, in this process's steady time; {@link
-     * Double#NEGATIVE_INFINITY} if none
-     * has told this process of it since its start.
+     * When any controller received the last heartbeat of an instance, in this process's steady time;
+     * {@link Double#NEGATIVE_INFINITY} if none was reported since its start.
      */
-    public double lastHeardMs(String instanceId) {
-        return heartbeats.lastHeardMs(instanceId);
+    public double lastHeartbeatMs(String instanceId) {
+        return heartbeatExchange.lastHeartbeatMs(instanceId);
     }
 
-    /** Whether this process has caught up with at least one other since its start. */
-    public boolean synchronised() {
+    /** Whether this process has completed its bootstrap. */
+    public boolean isSynchronised() {
         return synchronised;
     }
 
     /**
-     * Whether the configuration was known, at some time since the start of this process, to be the newest that a quorum
-     * of controllers stands behind; before that it may be an old one, taken from peers that are cut off.
+     * Whether the configuration was confirmed by a quorum of controllers to be the newest at some time since the start
+     * of this process; before that it may be an old one, received from partitioned peers.
      */
-    public boolean configurationConfirmed() {
+    public boolean isConfigurationConfirmed() {
         return configurationConfirmed;
     }
 
@@ -331,7 +337,7 @@
         return peers;
     }
 
-    /** This process is about to end on purpose: tell the peers. */
+    /** This process is shutting down: informs the peers. */
     public void leave(double nowMs) {
         sampling.leave();
     }
--- a/dissemination/src/main/java/pinewick/dissemination/FleetState.java
+++ b/dissemination/src/main/java/pinewick/dissemination/FleetState.java
@@ -3,6 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 import pinewick.model.ConfigurationDocument;
@@ -17,7 +18,7 @@
     private final Map<String, ReplicaRecord> replicas = new ConcurrentHashMap<>();
     private final List<FleetStateListener> listeners = new CopyOnWriteArrayList<>();
     private volatile ConfigurationDocument configuration = ConfigurationDocument.EMPTY;
-    private volatile long modification;
+    private volatile long modificationCount;
 
     public void addListener(FleetStateListener listener) {
         listeners.add(listener);
@@ -28,57 +29,57 @@
         return configuration;
     }
 
-    /** Takes a committed configuration if it is newer; returns whether it was. */
+    /** Replaces the configuration by a committed one if that is newer; returns whether it was. */
     public synchronized boolean offer(ConfigurationDocument document) {
         if (document.version() <= configuration.version()) {
             return false;
         }
         configuration = document;
-        listeners.forEach(listener -> listener.configurationChanged(document));
+        listeners.forEach(listener -> listener.onConfigurationChanged(document));
         return true;
     }
 
-    /** Every record, those of replicas that are gone included. */
+    /** Every record, including those of replicas that are gone. */
     public Collection<ReplicaRecord> replicas() {
         return replicas.values();
     }
 
-    /** The record of an instance, or null. */
-    public ReplicaRecord replica(String instanceId) {
-        return replicas.get(instanceId);
+    /** The record of an instance. */
+    public Optional<ReplicaRecord> findReplica(String instanceId) {
+        return Optional.ofNullable(replicas.get(instanceId));
     }
 
     /** Merges a record; returns whether anything changed by it. */
     public synchronized boolean merge(ReplicaRecord record) {
-        ReplicaRecord known = replicas.get(record.instanceId());
-        ReplicaRecord merged = known == null ? record : ReplicaRecord.merge(known, record);
-        if (merged.equals(known)) {
+        Optional<ReplicaRecord> known = findReplica(record.instanceId());
+        ReplicaRecord merged =
+                known.map(earlier -> ReplicaRecord.merge(earlier, record)).orElse(record);
+        if (known.filter(merged::equals).isPresent()) {
             return false;
         }
         replicas.put(merged.instanceId(), merged);
-        if (!ReplicaContent.same(known, merged)) {
-            modification++;
+        if (!ReplicaContent.isSame(known, Optional.of(merged))) {
+            modificationCount++;
         }
-        listeners.forEach(listener -> listener.replicaChanged(merged));
+        listeners.forEach(listener -> listener.onReplicaChanged(merged));
         return true;
     }
 
-    /** Drops the record of an instance that ended long ago. */
-    public synchronized void forget(String instanceId) {
+    /** Removes the record of an instance that was removed long ago. */
+    public synchronized void remove(String instanceId) {
         if (replicas.remove(instanceId) != null) {
-            modification++;
+            modificationCount++;
         }
     }
 
     /**
-     * Notes a heartbeat that told nothing new but its number; listeners are not told. The record of a lapsed replica
-     * keeps its number, so that the record that ends the lapse is the newer one.
+     * Raises the call sequence of a record after a heartbeat that changed nothing else; listeners are not notified. The
+     * record of a lapsed replica keeps its sequence, so that the record that ends the lapse is the newer one.
      */
     synchronized void raiseSequence(String instanceId, long callSequence) {
-        ReplicaRecord known = replicas.get(instanceId);
-        if (known != null && !known.lapsed() && known.callSequence() < callSequence) {
-            replicas.put(instanceId, withSequence(known, callSequence));
-        }
+        findReplica(instanceId)
+                .filter(known -> !known.lapsed() && known.callSequence() < callSequence)
+                .ifPresent(known -> replicas.put(instanceId, withSequence(known, callSequence)));
     }
 
     private static ReplicaRecord withSequence(ReplicaRecord record, long callSequence) {
@@ -98,7 +99,7 @@
     }
 
     /** Rises with each change of a replica record that concerns routers. */
-    long modification() {
-        return modification;
+    long modificationCount() {
+        return modificationCount;
     }
 }
--- a/dissemination/src/main/java/pinewick/dissemination/ReplicaContent.java
+++ b/dissemination/src/main/java/pinewick/dissemination/ReplicaContent.java
@@ -1,9 +1,10 @@
 package pinewick.dissemination;
 
+import java.util.Optional;
 import pinewick.model.ReplicaRecord;
 
 /**
- * What of a replica record concerns routers: everything but the number of the call and the cold time that is left,
+ * The part of a replica record that concerns routers: everything but the call sequence and the remaining warm-up time,
  * which change with each heartbeat.
  */
 final class ReplicaContent {
@@ -12,11 +13,15 @@
 
     private ReplicaContent() {}
 
-    /** Whether two records of one instance say the same to a router; either may be null. */
-    static boolean same(ReplicaRecord left, ReplicaRecord right) {
-        if (left == null || right == null) {
-            return left == right;
-        }
+    /** Whether two records of one instance are the same to a router, or both are absent. */
+    static boolean isSame(Optional<ReplicaRecord> left, Optional<ReplicaRecord> right) {
+        return left.isPresent() && right.isPresent()
+                ? isSame(left.get(), right.get())
+                : left.isEmpty() && right.isEmpty();
+    }
+
+    /** Whether two records of one instance are the same to a router. */
+    static boolean isSame(ReplicaRecord left, ReplicaRecord right) {
         return left.state() == right.state()
                 && left.lapsed() == right.lapsed()
                 && left.stage() == right.stage()
@@ -28,7 +33,7 @@
                 && left.models().equals(right.models());
     }
 
-    /** A hash of the content, alike in every process. */
+    /** A hash of the content, the same in every process. */
     static long hash(ReplicaRecord record) {
         long hash = mix(FNV_OFFSET, record.instanceId());
         hash = mix(hash, record.service());
@@ -58,7 +63,7 @@
         return (hash ^ value) * FNV_PRIME;
     }
 
-    /** Spreads the bits, since hashes are added up and cut short. */
+    /** Mixes the bits, since hashes are added up and truncated. */
     private static long finish(long hash) {
         long mixed = (hash ^ (hash >>> 33)) * 0xFF51AFD7ED558CCDL;
         mixed = (mixed ^ (mixed >>> 33)) * 0xC4CEB9FE1A85EC53L;
--- a/dissemination/src/main/java/pinewick/dissemination/ReplicaDigest.java
+++ b/dissemination/src/main/java/pinewick/dissemination/ReplicaDigest.java
@@ -8,44 +8,44 @@
 import pinewick.dissemination.FleetMessages.SummaryEntry;
 import pinewick.model.ReplicaRecord;
 
-/** Sums of hashes over all replica records, by buckets; computed anew after a change, when asked for. */
+/** Sums of hashes over all replica records, by buckets; recomputed lazily after a change. Control loop only. */
 final class ReplicaDigest {
     static final int BUCKETS = 128;
 
     private final FleetState state;
-    private final GoneReplicas gone;
+    private final Tombstones tombstones;
     private final long[] sums = new long[BUCKETS];
     private int count;
     private long total;
-    private long computedAt = -1;
+    private long computedFor = -1;
 
-    ReplicaDigest(FleetState state, GoneReplicas gone) {
+    ReplicaDigest(FleetState state, Tombstones tombstones) {
         this.state = state;
-        this.gone = gone;
+        this.tombstones = tombstones;
     }
 
-    /** What belongs in the digest has changed without a change of the records. */
+    /** The content of the digest has changed without a change of the records. */
     void invalidate() {
-        computedAt = -1;
+        computedFor = -1;
     }
 
     private void compute(double nowMs) {
-        long modification = state.modification();
-        if (computedAt == modification) {
+        long modification = state.modificationCount();
+        if (computedFor == modification) {
             return;
         }
         count = 0;
         total = 0;
         Arrays.fill(sums, 0);
         for (ReplicaRecord record : state.replicas()) {
-            if (gone.inDigest(record, nowMs)) {
+            if (tombstones.belongsInDigest(record, nowMs)) {
                 long hash = ReplicaContent.hash(record);
                 sums[bucketOf(record.instanceId())] += hash;
                 total += hash;
                 count++;
             }
         }
-        computedAt = modification;
+        computedFor = modification;
     }
 
     int count(double nowMs) {
@@ -69,7 +69,7 @@
     }
 
     /** The buckets whose sums differ from those of a peer. */
-    BitSet differing(byte[] hashes, double nowMs) {
+    BitSet differingBuckets(byte[] hashes, double nowMs) {
         BitSet buckets = new BitSet(BUCKETS);
         if (hashes.length != BUCKETS * Integer.BYTES) {
             return buckets;
@@ -84,11 +84,11 @@
         return buckets;
     }
 
-    /** The records of some buckets, in short. */
+    /** The hashes of the records of some buckets. */
     List<SummaryEntry> entries(BitSet buckets, double nowMs) {
         List<SummaryEntry> entries = new ArrayList<>();
         for (ReplicaRecord record : state.replicas()) {
-            if (buckets.get(bucketOf(record.instanceId())) && gone.inDigest(record, nowMs)) {
+            if (buckets.get(bucketOf(record.instanceId())) && tombstones.belongsInDigest(record, nowMs)) {
                 entries.add(new SummaryEntry(record.instanceId(), (int) ReplicaContent.hash(record)));
             }
         }
--- a/dissemination/src/test/java/pinewick/dissemination/AnswerMatchingTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/AnswerMatchingTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -14,11 +13,11 @@
 import pinewick.dissemination.FleetMessages.Digest;
 import pinewick.dissemination.FleetMessages.DigestReply;
 import pinewick.dissemination.FleetMessages.DigestRequest;
-import pinewick.dissemination.FleetMessages.ReplicaHeld;
+import pinewick.dissemination.FleetMessages.GossipedReplica;
 import pinewick.dissemination.FleetMessages.ReplicaSnapshot;
 import pinewick.dissemination.FleetMessages.ReplicaUpdate;
+import pinewick.dissemination.FleetMessages.ReplicaUpdateAck;
 import pinewick.dissemination.FleetMessages.SnapshotRequest;
-import pinewick.dissemination.FleetMessages.SpreadRecord;
 import pinewick.membership.MembershipMessages.PeerEntry;
 import pinewick.membership.MembershipMessages.ShuffleReply;
 import pinewick.membership.MembershipMessages.ShuffleRequest;
@@ -36,7 +35,7 @@
     private static final SocketAddress SEED = new SocketAddress("10.2.0.4", 7_721);
     private static final SocketAddress STRANGER = new SocketAddress("10.2.0.9", 7_721);
     private static final Digest OF_SEED = new Digest(3, 1, 77, true, 0);
-    private static final SpreadRecord RECORD = new SpreadRecord(TestRecords.ready("i-1", 1), 0);
+    private static final GossipedReplica RECORD = new GossipedReplica(TestRecords.ready("i-1", 1), 0);
 
     /** One life of a process at one address, with what it has sent. */
     private static final class Life {
@@ -113,14 +112,14 @@
         later.answerDigest(10);
         long ofEarlier = earlier.lastSent(SnapshotRequest.class).requestId();
         later.node.onMessage(SEED, new ReplicaSnapshot(ofEarlier, List.of(RECORD)), 20);
-        assertNull(later.state.replica("i-1"));
+        assertTrue(later.state.findReplica("i-1").isEmpty());
         later.state.offer(TestDocuments.withRoutes(3, 1));
         later.node.onTick(300);
-        assertFalse(later.node.synchronised());
+        assertFalse(later.node.isSynchronised());
         long ofLater = later.lastSent(SnapshotRequest.class).requestId();
         later.node.onMessage(SEED, new ReplicaSnapshot(ofLater, List.of(RECORD)), 310);
         later.node.onTick(350);
-        assertTrue(later.node.synchronised());
+        assertTrue(later.node.isSynchronised());
     }
 
     @Test
@@ -146,15 +145,16 @@
         Life earlier = controllerThatKnowsTheSeed(1);
         Life later = controllerThatKnowsTheSeed(2);
         int[] confirmations = {0};
-        earlier.node.publish(TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> {}, 100);
-        later.node.publish(TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> confirmations[0]++, 100);
+        earlier.node.publishUntilAcknowledged(TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> {}, 100);
+        later.node.publishUntilAcknowledged(
+                TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> confirmations[0]++, 100);
         long ofEarlier = earlier.lastSent(ReplicaUpdate.class).ackId();
         long ofLater = later.lastSent(ReplicaUpdate.class).ackId();
-        later.node.onMessage(SEED, new ReplicaHeld(ofEarlier), 110);
-        later.node.onMessage(STRANGER, new ReplicaHeld(ofLater), 110);
+        later.node.onMessage(SEED, new ReplicaUpdateAck(ofEarlier), 110);
+        later.node.onMessage(STRANGER, new ReplicaUpdateAck(ofLater), 110);
         assertEquals(0, confirmations[0]);
-        later.node.onMessage(SEED, new ReplicaHeld(ofLater), 120);
-        later.node.onMessage(SEED, new ReplicaHeld(ofLater), 130);
+        later.node.onMessage(SEED, new ReplicaUpdateAck(ofLater), 120);
+        later.node.onMessage(SEED, new ReplicaUpdateAck(ofLater), 130);
         assertEquals(1, confirmations[0]);
     }
 
@@ -162,12 +162,13 @@
     void aDrainThatIsNotSentAnyMoreIsNotConfirmed() {
         Life life = controllerThatKnowsTheSeed(1);
         int[] confirmations = {0};
-        life.node.publish(TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> confirmations[0]++, 100);
+        life.node.publishUntilAcknowledged(
+                TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> confirmations[0]++, 100);
         long ackId = life.lastSent(ReplicaUpdate.class).ackId();
         for (double nowMs = 150; nowMs < 1_500; nowMs += FleetNode.TICK_MS) {
             life.node.onTick(nowMs);
         }
-        life.node.onMessage(SEED, new ReplicaHeld(ackId), 1_500);
+        life.node.onMessage(SEED, new ReplicaUpdateAck(ackId), 1_500);
         assertEquals(0, confirmations[0]);
     }
 
--- a/dissemination/src/test/java/pinewick/dissemination/ControllerExchangeTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/ControllerExchangeTest.java
@@ -21,7 +21,7 @@
 
     private static boolean heldWithin(FleetSimulation fleet, Process origin, ReplicaRecord record, double limitMs) {
         boolean[] held = new boolean[1];
-        origin.node.publish(record, () -> held[0] = true, origin.localMs());
+        origin.node.publishUntilAcknowledged(record, () -> held[0] = true, origin.localMs());
         return fleet.runUntil(() -> held[0], limitMs) <= limitMs;
     }
 
@@ -32,8 +32,10 @@
         assertTrue(heldWithin(fleet, origin, READY, 100));
         assertTrue(heldWithin(fleet, origin, TestRecords.draining(READY, 2), 100));
         long holders = fleet.controllers.stream()
-                .filter(process -> process != origin && process.state.replica("i-1") != null)
-                .filter(process -> process.state.replica("i-1").state() == ReplicaState.DRAINING)
+                .filter(process ->
+                        process != origin && process.state.findReplica("i-1").isPresent())
+                .filter(process ->
+                        process.state.findReplica("i-1").orElseThrow().state() == ReplicaState.DRAINING)
                 .count();
         assertTrue(holders >= 1);
     }
@@ -49,7 +51,10 @@
             fleet.controllers.forEach(Process::kill);
             fleet.run(500);
             for (Process router : fleet.routers) {
-                assertEquals(ReplicaState.DRAINING, router.state.replica("i-1").state(), "seed " + seed);
+                assertEquals(
+                        ReplicaState.DRAINING,
+                        router.state.findReplica("i-1").orElseThrow().state(),
+                        "seed " + seed);
             }
         }
     }
@@ -89,29 +94,30 @@
                         && (from.equals(alone.address()) && to.equals(other.address())
                                 || to.equals(alone.address()) && from.equals(other.address())));
         assertFalse(heldWithin(fleet, alone, READY, 3_000));
-        assertTrue(fleet.routers.stream().allMatch(router -> router.state.replica("i-1") != null));
+        assertTrue(fleet.routers.stream()
+                .allMatch(router -> router.state.findReplica("i-1").isPresent()));
     }
 
     @Test
     void heartbeatsAreKnownToAllControllersAndCostRoutersNothing() {
         FleetSimulation fleet = settled(5, 3, 9);
         Process origin = fleet.controllers.get(0);
-        origin.node.publish(READY, null, origin.localMs());
+        origin.node.publish(READY, origin.localMs());
         fleet.run(3_000);
         fleet.resetCounts();
         for (int sequence = 2; sequence < 12; sequence++) {
-            origin.node.publish(TestRecords.withSequence(READY, sequence), null, origin.localMs());
-            origin.node.heard("i-1", sequence, origin.localMs());
+            origin.node.publish(TestRecords.withSequence(READY, sequence), origin.localMs());
+            origin.node.recordHeartbeat("i-1", sequence, origin.localMs());
             fleet.run(1_200);
         }
         assertFalse(fleet.messagesByType.containsKey("ReplicaUpdate"), fleet.messagesByType.toString());
         assertFalse(fleet.messagesByType.containsKey("ReplicaSummary"), fleet.messagesByType.toString());
         for (Process controller : fleet.controllers) {
-            double ageMs = controller.localMs() - controller.node.lastHeardMs("i-1");
+            double ageMs = controller.localMs() - controller.node.lastHeartbeatMs("i-1");
             assertEquals(1_200, ageMs, 5, "heard " + ageMs + " ms ago");
-            assertEquals(11, controller.state.replica("i-1").callSequence());
+            assertEquals(11, controller.state.findReplica("i-1").orElseThrow().callSequence());
         }
-        assertEquals(Double.NEGATIVE_INFINITY, origin.node.lastHeardMs("i-2"));
+        assertEquals(Double.NEGATIVE_INFINITY, origin.node.lastHeartbeatMs("i-2"));
     }
 
     @Test
@@ -119,12 +125,14 @@
         FleetSimulation fleet = settled(6, 3, 9);
         Process hearing = fleet.controllers.get(0);
         Process judging = fleet.controllers.get(1);
-        hearing.node.publish(READY, null, hearing.localMs());
+        hearing.node.publish(READY, hearing.localMs());
         fleet.run(3_000);
-        hearing.node.publish(TestRecords.withSequence(READY, 2), null, hearing.localMs());
-        judging.node.publish(READY.withLapsed(true), null, judging.localMs());
+        hearing.node.publish(TestRecords.withSequence(READY, 2), hearing.localMs());
+        judging.node.publish(READY.withLapsed(true), judging.localMs());
         fleet.run(1_500);
-        fleet.all().forEach(process -> assertFalse(process.state.replica("i-1").lapsed()));
+        fleet.all()
+                .forEach(process -> assertFalse(
+                        process.state.findReplica("i-1").orElseThrow().lapsed()));
     }
 
     @Test
@@ -132,14 +140,18 @@
         FleetSimulation fleet = settled(7, 3, 9);
         Process first = fleet.controllers.get(0);
         Process second = fleet.controllers.get(1);
-        first.node.publish(READY, null, first.localMs());
+        first.node.publish(READY, first.localMs());
         fleet.run(1_000);
-        first.node.publish(READY.withLapsed(true), null, first.localMs());
+        first.node.publish(READY.withLapsed(true), first.localMs());
         fleet.run(1_000);
-        fleet.all().forEach(process -> assertTrue(process.state.replica("i-1").lapsed()));
-        second.node.heard("i-1", 2, second.localMs());
-        second.node.publish(TestRecords.withSequence(READY, 2), null, second.localMs());
+        fleet.all()
+                .forEach(process -> assertTrue(
+                        process.state.findReplica("i-1").orElseThrow().lapsed()));
+        second.node.recordHeartbeat("i-1", 2, second.localMs());
+        second.node.publish(TestRecords.withSequence(READY, 2), second.localMs());
         fleet.run(1_000);
-        fleet.all().forEach(process -> assertFalse(process.state.replica("i-1").lapsed()));
+        fleet.all()
+                .forEach(process -> assertFalse(
+                        process.state.findReplica("i-1").orElseThrow().lapsed()));
     }
 }
--- a/dissemination/src/test/java/pinewick/dissemination/FleetSimulation.java
+++ b/dissemination/src/test/java/pinewick/dissemination/FleetSimulation.java
@@ -108,7 +108,7 @@
             if (descriptor.role() == NodeRole.CONTROLLER && quorumContact.test(this)) {
                 node.confirmConfiguration(localMs());
             }
-            if (Double.isNaN(synchronisedAtMs) && node.synchronised()) {
+            if (Double.isNaN(synchronisedAtMs) && node.isSynchronised()) {
                 synchronisedAtMs = nowMs;
             }
             if (descriptor.role() == NodeRole.CONTROLLER) {
--- a/dissemination/src/test/java/pinewick/dissemination/FleetTroubleTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/FleetTroubleTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
@@ -36,7 +37,7 @@
     }
 
     private static void publish(Process origin, ReplicaRecord record) {
-        origin.node.publish(record, null, origin.localMs());
+        origin.node.publish(record, origin.localMs());
     }
 
     private static Predicate<Process> hasVersion(long version) {
@@ -44,10 +45,10 @@
     }
 
     private static Predicate<Process> hasState(String instanceId, ReplicaState state) {
-        return process -> {
-            ReplicaRecord record = process.state.replica(instanceId);
-            return record != null && record.state() == state;
-        };
+        return process -> process.state
+                .findReplica(instanceId)
+                .filter(record -> record.state() == state)
+                .isPresent();
     }
 
     private static Predicate<Process> knows(SocketAddress address) {
@@ -73,7 +74,7 @@
             assertEquals(11, process.node.peers().size());
             assertEquals(9, process.node.routerCount());
             assertTrue(process.node.routerCountUpperBound() >= 9);
-            assertTrue(process.node.synchronised());
+            assertTrue(process.node.isSynchronised());
         }
     }
 
@@ -94,7 +95,7 @@
         assertAll(
                 fleet,
                 CONTACT_MS,
-                process -> process.node.synchronised()
+                process -> process.node.isSynchronised()
                         && hasVersion(5).test(process)
                         && incarnationOf(process, controller.address()) > 1_000
                         && incarnationOf(process, router.address()) > 1_000);
@@ -182,14 +183,14 @@
         long[] version = new long[1];
         process.state.addListener(new FleetStateListener() {
             @Override
-            public void configurationChanged(ConfigurationDocument document) {
+            public void onConfigurationChanged(ConfigurationDocument document) {
                 assertTrue(document.version() > version[0]);
                 version[0] = document.version();
             }
 
             @Override
-            public void replicaChanged(ReplicaRecord record) {
-                assertEquals(record, process.state.replica(record.instanceId()));
+            public void onReplicaChanged(ReplicaRecord record) {
+                assertEquals(Optional.of(record), process.state.findReplica(record.instanceId()));
                 if (record.callSequence() >= 11) {
                     assertEquals(ReplicaState.DRAINING, record.state());
                 }
@@ -242,7 +243,7 @@
         assertAll(
                 fleet,
                 CONTACT_MS,
-                process -> process.node.synchronised()
+                process -> process.node.isSynchronised()
                         && hasVersion(7).test(process)
                         && hasState("i-1", ReplicaState.READY).test(process)
                         && hasState("i-2", ReplicaState.DRAINING).test(process));
@@ -261,7 +262,7 @@
         assertAll(
                 fleet,
                 CONTACT_MS,
-                process -> process.node.synchronised()
+                process -> process.node.isSynchronised()
                         && hasVersion(7).test(process)
                         && hasState("i-1", ReplicaState.READY).test(process));
     }
@@ -273,7 +274,7 @@
         assertAll(
                 fleet,
                 CONTACT_MS,
-                process -> process.node.synchronised() && hasVersion(3).test(process));
+                process -> process.node.isSynchronised() && hasVersion(3).test(process));
     }
 
     @Test
@@ -288,7 +289,7 @@
         Process restarted = fleet.startController(2, 2);
         restarted.state.offer(TestDocuments.withRoutes(5, 20));
         Process router = fleet.startRouter(1, 2);
-        double tookMs = fleet.runUntil(router.node::synchronised, CONTACT_MS);
+        double tookMs = fleet.runUntil(router.node::isSynchronised, CONTACT_MS);
         assertTrue(tookMs <= CONTACT_MS);
         assertEquals(7, router.state.configuration().version());
     }
@@ -304,12 +305,15 @@
         fleet.run(30_000);
         fleet.cutOff.add(late.address());
         fleet.run(20_000);
-        assertEquals(ReplicaState.GONE, late.state.replica("i-1").state());
+        assertEquals(
+                ReplicaState.GONE, late.state.findReplica("i-1").orElseThrow().state());
         fleet.cutOff.clear();
         fleet.run(12_000);
-        fleet.all().forEach(process -> assertEquals(null, process.state.replica("i-1")));
+        fleet.all()
+                .forEach(process -> assertTrue(process.state.findReplica("i-1").isEmpty()));
         fleet.run(60_000);
-        fleet.all().forEach(process -> assertEquals(null, process.state.replica("i-1")));
+        fleet.all()
+                .forEach(process -> assertTrue(process.state.findReplica("i-1").isEmpty()));
     }
 
     @Test
@@ -326,7 +330,8 @@
         double tookMs = fleet.runUntil(() -> hasState("i-1", ReplicaState.GONE).test(late), CONTACT_MS);
         assertTrue(tookMs <= CONTACT_MS);
         fleet.run(12_000);
-        fleet.all().forEach(process -> assertEquals(null, process.state.replica("i-1")));
+        fleet.all()
+                .forEach(process -> assertTrue(process.state.findReplica("i-1").isEmpty()));
     }
 
     @Test
--- a/dissemination/src/test/java/pinewick/dissemination/HealedCutTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/HealedCutTest.java
@@ -42,8 +42,7 @@
         Process minority = fleet.controllers.get(0);
         Process majority = fleet.controllers.get(1);
         commit(majority, FIRST_VERSION);
-        IntStream.range(0, REPLICAS)
-                .forEach(number -> majority.node.publish(replica(number), null, majority.localMs()));
+        IntStream.range(0, REPLICAS).forEach(number -> majority.node.publish(replica(number), majority.localMs()));
         fleet.run(4_000);
         Set<SocketAddress> side = new HashSet<>();
         side.add(minority.address());
@@ -56,7 +55,7 @@
         }
         for (int number = 0; number < DRAINED; number++) {
             Process origin = number % 2 == 0 ? minority : majority;
-            origin.node.publish(TestRecords.draining(replica(number), 2), null, origin.localMs());
+            origin.node.publish(TestRecords.draining(replica(number), 2), origin.localMs());
         }
         fleet.run(1_000);
         return fleet;
@@ -65,7 +64,11 @@
     private static boolean current(Process process) {
         return process.state.configuration().version() == FIRST_VERSION + CHANGES
                 && IntStream.range(0, DRAINED)
-                        .allMatch(number -> process.state.replica("i-" + number).state() == ReplicaState.DRAINING);
+                        .allMatch(number -> process.state
+                                        .findReplica("i-" + number)
+                                        .orElseThrow()
+                                        .state()
+                                == ReplicaState.DRAINING);
     }
 
     private static long messages(FleetSimulation fleet) {
--- a/dissemination/src/test/java/pinewick/dissemination/JoiningDuringCutTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/JoiningDuringCutTest.java
@@ -59,10 +59,10 @@
         FleetSimulation fleet = FleetSimulation.started(1, 3, 9);
         fleet.quorumContact = controller -> false;
         fleet.run(4_000);
-        fleet.routers.forEach(router -> assertFalse(router.node.configurationConfirmed()));
+        fleet.routers.forEach(router -> assertFalse(router.node.isConfigurationConfirmed()));
         fleet.quorumContact = controller -> true;
         fleet.run(1_000);
-        fleet.routers.forEach(router -> assertTrue(router.node.configurationConfirmed()));
+        fleet.routers.forEach(router -> assertTrue(router.node.isConfigurationConfirmed()));
     }
 
     @ParameterizedTest
@@ -75,12 +75,12 @@
         fleet.routers.get(1).kill();
         Process started = fleet.startRouter(1, 2);
         fleet.run(CUT_MS);
-        assertTrue(started.node.synchronised());
+        assertTrue(started.node.isSynchronised());
         assertEquals(OLD_VERSION, version(started));
-        assertFalse(started.node.configurationConfirmed());
+        assertFalse(started.node.isConfigurationConfirmed());
         heal(fleet);
         double tookMs = fleet.runUntil(
-                () -> version(started) == NEW_VERSION && started.node.configurationConfirmed(), CONTACT_MS);
+                () -> version(started) == NEW_VERSION && started.node.isConfigurationConfirmed(), CONTACT_MS);
         assertTrue(tookMs <= CONTACT_MS, "current and confirmed after the cut");
     }
 
@@ -105,7 +105,7 @@
         fleet.run(1_000);
         fleet.routers.get(5).kill();
         Process started = fleet.startRouter(5, 2);
-        double tookMs = fleet.runUntil(() -> started.node.configurationConfirmed(), 1_000);
+        double tookMs = fleet.runUntil(() -> started.node.isConfigurationConfirmed(), 1_000);
         assertTrue(tookMs <= 1_000, "confirmed in time");
         assertEquals(NEW_VERSION, version(started));
     }
@@ -125,7 +125,7 @@
         fleet.run(1_000);
         fleet.routers.get(5).kill();
         Process started = fleet.startRouter(5, 2);
-        double tookMs = fleet.runUntil(() -> started.node.configurationConfirmed(), 2 * CONTACT_MS);
+        double tookMs = fleet.runUntil(() -> started.node.isConfigurationConfirmed(), 2 * CONTACT_MS);
         assertTrue(tookMs <= 2 * CONTACT_MS, "confirmed by routers");
         assertEquals(NEW_VERSION, version(started));
     }
@@ -140,8 +140,8 @@
         fleet.routers.get(3).kill();
         Process started = fleet.startRouter(3, 2);
         fleet.run(CONTACT_MS);
-        assertTrue(started.node.synchronised());
+        assertTrue(started.node.isSynchronised());
         assertEquals(OLD_VERSION, version(started));
-        assertFalse(started.node.configurationConfirmed());
+        assertFalse(started.node.isConfigurationConfirmed());
     }
 }
--- a/dissemination/src/test/java/pinewick/dissemination/LargeConfigurationTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/LargeConfigurationTest.java
@@ -71,7 +71,7 @@
         for (long base = 1; base < KEPT; base++) {
             ConfigurationUpdate update = history.updateFrom(base);
             assertEquals(base, update.baseVersion());
-            assertTrue(update.body().length <= ConfigurationSpread.MAX_PUSHED_BYTES);
+            assertTrue(update.body().length <= ConfigurationGossip.MAX_PUSHED_BYTES);
         }
     }
 
--- a/dissemination/src/test/java/pinewick/dissemination/LoopbackFleetTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/LoopbackFleetTest.java
@@ -93,7 +93,7 @@
         List<CountDownLatch> latches = nodes.stream()
                 .map(node -> latch(node, listener -> new FleetStateListener() {
                     @Override
-                    public void configurationChanged(ConfigurationDocument changed) {
+                    public void onConfigurationChanged(ConfigurationDocument changed) {
                         if (changed.equals(document)) {
                             listener.countDown();
                         }
@@ -112,7 +112,7 @@
         List<CountDownLatch> latches = new ArrayList<>(nodes.stream()
                 .map(node -> latch(node, listener -> new FleetStateListener() {
                     @Override
-                    public void replicaChanged(ReplicaRecord changed) {
+                    public void onReplicaChanged(ReplicaRecord changed) {
                         if (changed.equals(record)) {
                             listener.countDown();
                         }
@@ -122,7 +122,8 @@
         CountDownLatch heldElsewhere = new CountDownLatch(1);
         latches.add(heldElsewhere);
         RunningNode origin = nodes.get(1);
-        origin.loop.execute(() -> origin.node.publish(record, heldElsewhere::countDown, origin.loop.nowMs()));
+        origin.loop.execute(
+                () -> origin.node.publishUntilAcknowledged(record, heldElsewhere::countDown, origin.loop.nowMs()));
         awaitAll(latches);
     }
 
--- a/dissemination/src/test/java/pinewick/dissemination/ManyReplicasTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/ManyReplicasTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Optional;
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 import pinewick.dissemination.FleetSimulation.Process;
@@ -27,7 +28,7 @@
             ReplicaRecord record = TestRecords.ready("i-" + Integer.toHexString(i * 7_919 + 1_000_000), 1);
             fleet.after(
                     fleet.random.nextDouble() * HEARTBEAT_MS,
-                    () -> controller.node.publish(record, null, controller.localMs()));
+                    () -> controller.node.publish(record, controller.localMs()));
         }
         fleet.run(HEARTBEAT_MS);
         return fleet;
@@ -55,7 +56,7 @@
         fleet.routers.get(3).kill();
         fleet.run(1_000);
         Process router = fleet.startRouter(3, 2);
-        double tookMs = fleet.runUntil(router.node::synchronised, 2_000);
+        double tookMs = fleet.runUntil(router.node::isSynchronised, 2_000);
         assertTrue(tookMs <= 1_000, "took " + tookMs);
         assertEquals(REPLICAS, router.state.replicas().size());
         System.out.printf(
@@ -77,7 +78,7 @@
                     .findFirst()
                     .orElseThrow();
             ReplicaRecord draining = TestRecords.draining(known, 2);
-            controller.node.publish(draining, null, controller.localMs());
+            controller.node.publish(draining, controller.localMs());
             fleet.run(500);
         }
         fleet.run(2_000);
@@ -94,6 +95,7 @@
 
     private static boolean sameContent(Process left, Process right) {
         return left.state.replicas().stream()
-                .allMatch(record -> ReplicaContent.same(record, right.state.replica(record.instanceId())));
+                .allMatch(record ->
+                        ReplicaContent.isSame(Optional.of(record), right.state.findReplica(record.instanceId())));
     }
 }
--- a/dissemination/src/test/java/pinewick/dissemination/QuorumConfirmationTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/QuorumConfirmationTest.java
@@ -26,44 +26,44 @@
 
     @Test
     void nothingIsConfirmedAtFirst() {
-        assertFalse(confirmation.sinceStart());
+        assertFalse(confirmation.isConfirmedSinceStart());
         assertEquals(QuorumConfirmation.NEVER, confirmation.ageMs(START_MS + 1_000));
-        confirmation.onAnswer(digest(VERSION, QuorumConfirmation.NEVER), VERSION, START_MS + 1_000);
-        assertFalse(confirmation.sinceStart());
+        confirmation.onDigestReply(digest(VERSION, QuorumConfirmation.NEVER), VERSION, START_MS + 1_000);
+        assertFalse(confirmation.isConfirmedSinceStart());
     }
 
     @Test
     void anAnswerCountsFromTheQuestionLessItsAge() {
-        confirmation.onAnswer(digest(VERSION, 400), VERSION, START_MS + 300);
-        assertFalse(confirmation.sinceStart(), "from before the start");
+        confirmation.onDigestReply(digest(VERSION, 400), VERSION, START_MS + 300);
+        assertFalse(confirmation.isConfirmedSinceStart(), "from before the start");
         assertEquals(1_100, confirmation.ageMs(START_MS + 1_000));
-        confirmation.onAnswer(digest(VERSION, 400), VERSION, START_MS + 500);
-        assertTrue(confirmation.sinceStart());
+        confirmation.onDigestReply(digest(VERSION, 400), VERSION, START_MS + 500);
+        assertTrue(confirmation.isConfirmedSinceStart());
         assertEquals(900, confirmation.ageMs(START_MS + 1_000));
     }
 
     @Test
     void aNewerVersionOfThePeerConfirmsNothing() {
-        confirmation.onAnswer(digest(VERSION + 1, 0), VERSION, START_MS + 500);
-        assertFalse(confirmation.sinceStart());
+        confirmation.onDigestReply(digest(VERSION + 1, 0), VERSION, START_MS + 500);
+        assertFalse(confirmation.isConfirmedSinceStart());
     }
 
     @Test
     void aPeerWithAnOlderVersionConfirms() {
-        confirmation.onAnswer(digest(VERSION - 1, 0), VERSION, START_MS + 500);
-        assertTrue(confirmation.sinceStart());
+        confirmation.onDigestReply(digest(VERSION - 1, 0), VERSION, START_MS + 500);
+        assertTrue(confirmation.isConfirmedSinceStart());
     }
 
     @Test
     void whatMayHaveWaitedThroughAPauseDoesNotCount() {
         confirmation.advance(START_MS + 20_000);
-        confirmation.onStatement(digest(VERSION, 0), VERSION, START_MS + 20_000);
+        confirmation.onUnsolicitedDigest(digest(VERSION, 0), VERSION, START_MS + 20_000);
         confirmation.advance(START_MS + 20_500);
-        confirmation.onStatement(digest(VERSION, 0), VERSION, START_MS + 20_500);
-        confirmation.confirmHere(START_MS + 20_500);
-        assertFalse(confirmation.sinceStart());
+        confirmation.onUnsolicitedDigest(digest(VERSION, 0), VERSION, START_MS + 20_500);
+        confirmation.confirmLocally(START_MS + 20_500);
+        assertFalse(confirmation.isConfirmedSinceStart());
         confirmation.advance(START_MS + 21_000);
-        confirmation.onStatement(digest(VERSION, 0), VERSION, START_MS + 21_000);
-        assertTrue(confirmation.sinceStart());
+        confirmation.onUnsolicitedDigest(digest(VERSION, 0), VERSION, START_MS + 21_000);
+        assertTrue(confirmation.isConfirmedSinceStart());
     }
 }
--- a/dissemination/src/test/java/pinewick/dissemination/SpreadBoundsTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/SpreadBoundsTest.java
@@ -76,18 +76,19 @@
 
     private void publish(FleetSimulation fleet, int controller, ReplicaRecord record) {
         FleetSimulation.Process origin = fleet.controllers.get(controller);
-        origin.node.publish(record, null, origin.localMs());
+        origin.node.publish(record, origin.localMs());
     }
 
     private void drain(FleetSimulation fleet, int controller, String instanceId) {
         FleetSimulation.Process origin = fleet.controllers.get(controller);
-        ReplicaRecord record = TestRecords.draining(origin.state.replica(instanceId), 5);
+        ReplicaRecord record =
+                TestRecords.draining(origin.state.findReplica(instanceId).orElseThrow(), 5);
         boolean[] held = new boolean[1];
-        origin.node.publish(record, () -> held[0] = true, origin.localMs());
+        origin.node.publishUntilAcknowledged(record, () -> held[0] = true, origin.localMs());
         awaitAll(
                 fleet,
-                process -> process.state.replica(instanceId) != null
-                        && process.state.replica(instanceId).state() == ReplicaState.DRAINING);
+                process -> process.state.findReplica(instanceId).isPresent()
+                        && process.state.findReplica(instanceId).orElseThrow().state() == ReplicaState.DRAINING);
         fleet.runUntil(() -> held[0], BOUND_MS);
         assertTrue(held[0], "another controller holds it");
     }
--- a/emulator/src/main/java/pinewick/emulator/control/ApiSabotage.java
+++ b/emulator/src/main/java/pinewick/emulator/control/ApiSabotage.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.Optional;
-import pinewick.control.ApiAnswer;
+import pinewick.control.ApiResponse;
 import pinewick.model.ConfigurationChecks;
 import pinewick.model.ConfigurationDocument;
 import pinewick.model.InvalidConfigurationException;
@@ -16,8 +16,8 @@
 
     private ApiSabotage() {}
 
-    private static ApiAnswer status(int status) {
-        return new ApiAnswer(status, Optional.empty(), EMPTY_OBJECT);
+    private static ApiResponse status(int status) {
+        return new ApiResponse(status, Optional.empty(), EMPTY_OBJECT);
     }
 
     /** The configuration as a primary holds it in memory, if it takes itself for the primary. */
@@ -26,14 +26,14 @@
         return controller.leads() && document.version() > 0 ? Optional.of(document) : Optional.empty();
     }
 
-    private static ApiAnswer redirect(String api, OperatorCall call) {
-        return new ApiAnswer(307, Optional.of("http://" + api + call.api().path()), EMPTY_OBJECT);
+    private static ApiResponse redirect(String api, OperatorCall call) {
+        return new ApiResponse(307, Optional.of("http://" + api + call.api().path()), EMPTY_OBJECT);
     }
 
     /** 412 is answered from memory. */
     static final class RefusesFromMemory extends Sabotage {
         @Override
-        Optional<ApiAnswer> answerInstead(ControllerLife controller, OperatorCall call) {
+        Optional<ApiResponse> answerInstead(ControllerLife controller, OperatorCall call) {
             return inMemory(controller)
                     .filter(held -> call.change() != null && call.change().base() > held.version())
                     .map(held -> status(412));
@@ -43,17 +43,17 @@
     /** Reads are answered from memory. */
     static final class ReadsFromMemory extends Sabotage {
         @Override
-        Optional<ApiAnswer> answerInstead(ControllerLife controller, OperatorCall call) {
+        Optional<ApiResponse> answerInstead(ControllerLife controller, OperatorCall call) {
             return inMemory(controller)
                     .filter(held -> call.operation() == OperatorCall.Operation.READ)
-                    .map(held -> new ApiAnswer(200, Optional.empty(), ConfigurationChecks.toJson(held)));
+                    .map(held -> new ApiResponse(200, Optional.empty(), ConfigurationChecks.toJson(held)));
         }
     }
 
     /** 400 is answered by what is in memory, current or not. */
     static final class JudgesByMemory extends Sabotage {
         @Override
-        Optional<ApiAnswer> answerInstead(ControllerLife controller, OperatorCall call) {
+        Optional<ApiResponse> answerInstead(ControllerLife controller, OperatorCall call) {
             return inMemory(controller)
                     .filter(held -> call.operation() == OperatorCall.Operation.UPDATE)
                     .filter(held -> isInvalid(held, call.change()))
@@ -73,7 +73,7 @@
     /** The version is judged before the change is known again. */
     static final class JudgesVersionFirst extends Sabotage {
         @Override
-        Optional<ApiAnswer> answerInstead(ControllerLife controller, OperatorCall call) {
+        Optional<ApiResponse> answerInstead(ControllerLife controller, OperatorCall call) {
             return inMemory(controller)
                     .filter(held -> call.change() != null && call.change().version() <= held.version())
                     .map(held -> status(400));
@@ -85,7 +85,7 @@
         private final Map<ControllerMachine, String> last = new java.util.HashMap<>();
 
         @Override
-        ApiAnswer answered(ControllerLife controller, OperatorCall call, ApiAnswer answer) {
+        ApiResponse answered(ControllerLife controller, OperatorCall call, ApiResponse answer) {
             if (answer.status() == 307) {
                 String rest = answer.location().orElseThrow().substring("http://".length());
                 last.put(controller.machine(), rest.substring(0, rest.indexOf('/')));
@@ -98,7 +98,7 @@
     /** Where no primary is known, the caller is sent to another controller, which does the same. */
     static final class RedirectsToNeighbour extends Sabotage {
         @Override
-        ApiAnswer answered(ControllerLife controller, OperatorCall call, ApiAnswer answer) {
+        ApiResponse answered(ControllerLife controller, OperatorCall call, ApiResponse answer) {
             int own = controller.machine().number();
             String neighbour = ControllerMachine.apiOf(own == 1 ? 2 : own - 1).toString();
             return answer.status() == 503 ? redirect(neighbour, call) : answer;
@@ -137,7 +137,7 @@
     /** A change is known again by its version alone. */
     static final class ComparesVersionsOnly extends Sabotage {
         @Override
-        Optional<ApiAnswer> answerInstead(ControllerLife controller, OperatorCall call) {
+        Optional<ApiResponse> answerInstead(ControllerLife controller, OperatorCall call) {
             return inMemory(controller)
                     .filter(held -> call.change() != null && call.change().version() == held.version())
                     .map(held -> status(200));
@@ -153,7 +153,7 @@
         }
 
         @Override
-        ApiAnswer answered(ControllerLife controller, OperatorCall call, ApiAnswer answer) {
+        ApiResponse answered(ControllerLife controller, OperatorCall call, ApiResponse answer) {
             boolean undecided = answer.status() == 503 && call.change() != null;
             return undecided ? status(status) : answer;
         }
--- a/emulator/src/main/java/pinewick/emulator/control/ControllerLife.java
+++ b/emulator/src/main/java/pinewick/emulator/control/ControllerLife.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import pinewick.control.ApiAnswer;
-import pinewick.control.ApiCall;
+import pinewick.control.ApiResponse;
+import pinewick.control.ApiRequest;
 import pinewick.control.Controller;
 import pinewick.control.ControllerCore;
 import pinewick.control.TaskLoop;
@@ -80,12 +80,12 @@
     /** Holds what this process takes for true against what must hold. */
     private final class Watch implements FleetStateListener {
         @Override
-        public void configurationChanged(ConfigurationDocument document) {
+        public void onConfigurationChanged(ConfigurationDocument document) {
             world.guard(() -> world.history().inForceAt(machine.host(), document));
         }
 
         @Override
-        public void replicaChanged(ReplicaRecord record) {
+        public void onReplicaChanged(ReplicaRecord record) {
             world.guard(() -> world.fleetChecker().knows(ControllerLife.this, machine.host(), record));
         }
     }
@@ -198,14 +198,14 @@
     }
 
     /** A call of an operator has come in. */
-    void operatorCalls(OperatorCall sent, Consumer<ApiAnswer> onAnswer) {
+    void operatorCalls(OperatorCall sent, Consumer<ApiResponse> onAnswer) {
         if (leaving) {
-            onAnswer.accept(new ApiAnswer(503, Optional.empty(), new byte[0]));
+            onAnswer.accept(new ApiResponse(503, Optional.empty(), new byte[0]));
             return;
         }
         CallHistory.Call record = world.history().calls().cameIn(sent.change());
-        Consumer<ApiAnswer> answer = given -> {
-            ApiAnswer altered = world.sabotage().answered(this, sent, given);
+        Consumer<ApiResponse> answer = given -> {
+            ApiResponse altered = world.sabotage().answered(this, sent, given);
             world.guard(() -> check(record, sent, altered));
             onAnswer.accept(altered);
         };
@@ -214,8 +214,8 @@
                 .ifPresentOrElse(answer, () -> dispatch(world.sabotage().called(this, sent), answer)));
     }
 
-    private void dispatch(OperatorCall call, Consumer<ApiAnswer> answer) {
-        ApiCall api = call.api();
+    private void dispatch(OperatorCall call, Consumer<ApiResponse> answer) {
+        ApiRequest api = call.api();
         switch (call.operation()) {
             case REPLACE -> core.replaceConfiguration(api, answer);
             case UPDATE -> core.updateConfiguration(api, answer);
@@ -224,7 +224,7 @@
     }
 
     /** The answer counts as given when it leaves: nothing that follows may contradict it. */
-    private void check(CallHistory.Call record, OperatorCall call, ApiAnswer answer) {
+    private void check(CallHistory.Call record, OperatorCall call, ApiResponse answer) {
         if (answer.status() == 200 && call.change() == null) {
             ConfigurationDocument document = parse(answer.body());
             world.history().reads(machine.host(), document);
@@ -260,23 +260,20 @@
     }
 
     /** A replica's call has come in. */
-    void replicaCalls(ReplicaActor.Call call, Consumer<ApiAnswer> onAnswer) {
+    void replicaCalls(ReplicaActor.Call call, Consumer<ApiResponse> onAnswer) {
         if (leaving) {
-            onAnswer.accept(new ApiAnswer(503, Optional.empty(), new byte[0]));
+            onAnswer.accept(new ApiResponse(503, Optional.empty(), new byte[0]));
             return;
         }
-        ApiCall api = new ApiCall(call.path(), call.instanceId(), null, call.body());
-        Consumer<ApiAnswer> answer = given -> {
+        ApiRequest api = new ApiRequest(call.path(), call.instanceId(), Optional.empty(), call.body());
+        Consumer<ApiResponse> answer = given -> {
             if (given.status() == 200) {
                 world.guard(() -> world.fleetChecker().endAcknowledged(machine, call.instanceId(), call.state()));
             }
             onAnswer.accept(given);
         };
         run(() -> {
-            ReplicaRecord known = core.state().replica(call.instanceId());
-            if (known != null) {
-                world.sabotage().heartbeatTaken(this, known);
-            }
+            core.state().findReplica(call.instanceId()).ifPresent(known -> world.sabotage().heartbeatTaken(this, known));
             if (call.isDeregistration()) {
                 core.deregister(api, answer);
             } else {
@@ -288,8 +285,8 @@
     /** SIGTERM: hands over, then ends. {@code onEnded} is told whether the others could do without this process. */
     void terminate(Consumer<Boolean> onEnded) {
         leaving = true;
-        double untilMs = world.nowMs() + Controller.handOverMs(GRACE_PERIOD_SECONDS);
-        run(core::leaveReplication);
+        double untilMs = world.nowMs() + Controller.handoverTimeoutMs(GRACE_PERIOD_SECONDS);
+        run(core::beginReplicationShutdown);
         awaitDetached(untilMs, onEnded);
     }
 
@@ -297,7 +294,7 @@
         world.after(
                 ControllerCore.TICK_MS,
                 () -> run(() -> {
-                    boolean detached = world.sabotage().detached(core.detached());
+                    boolean detached = world.sabotage().detached(core.isDetached());
                     if (detached || world.nowMs() >= untilMs) {
                         core.leaveFleet();
                         onEnded.accept(detached);
--- a/emulator/src/main/java/pinewick/emulator/control/FleetChecker.java
+++ b/emulator/src/main/java/pinewick/emulator/control/FleetChecker.java
@@ -3,6 +3,7 @@
 import static pinewick.emulator.control.InvariantViolation.require;
 
 import java.util.HashMap;
+import java.util.Optional;
 import java.util.IdentityHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -92,13 +93,16 @@
 
     private void requireKnown(String instanceId, ReplicaState state, double calmSinceMs) {
         for (RouterMachine router : world.routers()) {
-            ReplicaRecord record = router.life().state().replica(instanceId);
-            boolean unaware = record != null && record.state().compareTo(state) < 0;
+            Optional<ReplicaState> outdated = router.life()
+                    .state()
+                    .findReplica(instanceId)
+                    .map(ReplicaRecord::state)
+                    .filter(known -> known.compareTo(state) < 0);
             require(
-                    !unaware || !router.calmSince(calmSinceMs),
+                    outdated.isEmpty() || !router.calmSince(calmSinceMs),
                     Invariant.DRAIN_KNOWN,
-                    router.host() + " takes " + instanceId + " for " + (unaware ? record.state() : state)
-                            + ", acknowledged as " + state);
+                    router.host() + " takes " + instanceId + " for " + outdated.orElse(state) + ", acknowledged as "
+                            + state);
         }
     }
 
--- a/emulator/src/main/java/pinewick/emulator/control/FleetSabotage.java
+++ b/emulator/src/main/java/pinewick/emulator/control/FleetSabotage.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import pinewick.dissemination.FleetMessages.ConfigurationUpdate;
-import pinewick.dissemination.FleetMessages.ReplicaHeld;
+import pinewick.dissemination.FleetMessages.ReplicaUpdateAck;
 import pinewick.dissemination.FleetMessages.ReplicaSnapshot;
 import pinewick.dissemination.FleetMessages.ReplicaUpdate;
-import pinewick.dissemination.FleetMessages.SpreadRecord;
+import pinewick.dissemination.FleetMessages.GossipedReplica;
 import pinewick.model.Message;
 import pinewick.model.ReplicaRecord;
 import pinewick.model.ReplicaState;
@@ -33,7 +33,7 @@
             }
             boolean early = update.records().stream().anyMatch(spread -> isEarly(network, from, spread.record()));
             if (update.ackId() != 0) {
-                network.forge(to, from, new ReplicaHeld(update.ackId()));
+                network.forge(to, from, new ReplicaUpdateAck(update.ackId()));
             }
             return early || update.ackId() != 0 ? null : message;
         }
@@ -50,7 +50,7 @@
         @Override
         void heartbeatTaken(ControllerLife controller, ReplicaRecord record) {
             if (record.state() == ReplicaState.DRAINING) {
-                controller.state().forget(record.instanceId());
+                controller.state().remove(record.instanceId());
                 controller.state().merge(record.withState(ReplicaState.READY));
             }
         }
@@ -72,7 +72,7 @@
             return message;
         }
 
-        private static List<SpreadRecord> ready(List<SpreadRecord> records) {
+        private static List<GossipedReplica> ready(List<GossipedReplica> records) {
             return records.stream()
                     .filter(spread -> spread.record().state() == ReplicaState.READY)
                     .toList();
--- a/emulator/src/main/java/pinewick/emulator/control/Operator.java
+++ b/emulator/src/main/java/pinewick/emulator/control/Operator.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import pinewick.control.ApiAnswer;
+import pinewick.control.ApiResponse;
 import pinewick.model.SocketAddress;
 
 /**
@@ -192,7 +192,7 @@
             });
         }
 
-        private void answerLeaves(ControllerMachine from, int current, ApiAnswer answer, int redirectionsLeft) {
+        private void answerLeaves(ControllerMachine from, int current, ApiResponse answer, int redirectionsLeft) {
             if (random.nextDouble() >= answerLossShare) {
                 world.network().transfer(from.host(), host, () -> take(current, answer, redirectionsLeft));
             }
@@ -207,7 +207,7 @@
             }
         }
 
-        private void take(int current, ApiAnswer answer, int redirectionsLeft) {
+        private void take(int current, ApiResponse answer, int redirectionsLeft) {
             if (ended || tries != current) {
                 return;
             }
@@ -233,7 +233,7 @@
             onSuccess.run();
         }
 
-        private void follow(int current, ApiAnswer answer, int redirectionsLeft) {
+        private void follow(int current, ApiResponse answer, int redirectionsLeft) {
             URI location = URI.create(answer.location().orElseThrow());
             SocketAddress api = new SocketAddress(location.getHost(), location.getPort());
             Optional<ControllerMachine> target = world.controllerAt(api);
--- a/emulator/src/main/java/pinewick/emulator/control/OperatorCall.java
+++ b/emulator/src/main/java/pinewick/emulator/control/OperatorCall.java
@@ -1,6 +1,8 @@
 package pinewick.emulator.control;
 
-import pinewick.control.ApiCall;
+import java.util.Optional;
+
+import pinewick.control.ApiRequest;
 
 /**
  * A call of an operator.
@@ -9,7 +11,7 @@
  * @param change the change it carries, null for a read
  * @param api the call as the controller's API takes it
  */
-record OperatorCall(Operation operation, ChangeOrder change, ApiCall api) {
+record OperatorCall(Operation operation, ChangeOrder change, ApiRequest api) {
     /** The operator's calls. */
     enum Operation {
         REPLACE,
@@ -22,15 +24,15 @@
     static OperatorCall of(ChangeOrder change) {
         Operation operation = change.whole() ? Operation.REPLACE : Operation.UPDATE;
         String path = change.whole() ? "/config/replace" : "/config/update";
-        return new OperatorCall(operation, change, new ApiCall(path, "", Long.toString(change.base()), change.body()));
+        return new OperatorCall(operation, change, new ApiRequest(path, "", Optional.of(Long.toString(change.base())), change.body()));
     }
 
     static OperatorCall read() {
-        return new OperatorCall(Operation.READ, null, new ApiCall("/config/read", "", null, NO_BODY));
+        return new OperatorCall(Operation.READ, null, new ApiRequest("/config/read", "", Optional.empty(), NO_BODY));
     }
 
     /** The same call with another base version and body. */
     OperatorCall with(Operation other, long base, byte[] body) {
-        return new OperatorCall(other, change, new ApiCall(api.path(), "", Long.toString(base), body));
+        return new OperatorCall(other, change, new ApiRequest(api.path(), "", Optional.of(Long.toString(base)), body));
     }
 }
--- a/emulator/src/main/java/pinewick/emulator/control/ReplicaActor.java
+++ b/emulator/src/main/java/pinewick/emulator/control/ReplicaActor.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import pinewick.control.ApiAnswer;
+import pinewick.control.ApiResponse;
 import pinewick.model.ReplicaState;
 
 /**
@@ -184,7 +184,7 @@
             world.network().transfer(target.host(), host, () -> end.accept(false));
             return;
         }
-        running.get().replicaCalls(call, (ApiAnswer answer) -> world.network()
+        running.get().replicaCalls(call, (ApiResponse answer) -> world.network()
                 .transfer(target.host(), host, () -> end.accept(answer.status() == 200)));
     }
 }
--- a/emulator/src/main/java/pinewick/emulator/control/RouterLife.java
+++ b/emulator/src/main/java/pinewick/emulator/control/RouterLife.java
@@ -39,13 +39,13 @@
 
     private final class Watch implements FleetStateListener {
         @Override
-        public void configurationChanged(ConfigurationDocument document) {
+        public void onConfigurationChanged(ConfigurationDocument document) {
             world.guard(() -> world.history().inForceAt(address.host(), document));
             world.guard(() -> shows(document.version()));
         }
 
         @Override
-        public void replicaChanged(ReplicaRecord record) {
+        public void onReplicaChanged(ReplicaRecord record) {
             world.guard(() -> world.fleetChecker().knows(RouterLife.this, address.host(), record));
         }
     }
--- a/emulator/src/main/java/pinewick/emulator/control/Sabotage.java
+++ b/emulator/src/main/java/pinewick/emulator/control/Sabotage.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.function.Consumer;
-import pinewick.control.ApiAnswer;
+import pinewick.control.ApiResponse;
 import pinewick.model.Message;
 import pinewick.model.ReplicaRecord;
 import pinewick.model.SocketAddress;
@@ -25,7 +25,7 @@
     }
 
     /** A call of the operator before the controller sees it: an answer that is given instead. */
-    Optional<ApiAnswer> answerInstead(ControllerLife controller, OperatorCall call) {
+    Optional<ApiResponse> answerInstead(ControllerLife controller, OperatorCall call) {
         return Optional.empty();
     }
 
@@ -35,7 +35,7 @@
     }
 
     /** An answer to the operator: what is answered instead. */
-    ApiAnswer answered(ControllerLife controller, OperatorCall call, ApiAnswer answer) {
+    ApiResponse answered(ControllerLife controller, OperatorCall call, ApiResponse answer) {
         return answer;
     }
 
--- a/lab/src/main/java/pinewick/lab/recovery/PrimaryReport.java
+++ b/lab/src/main/java/pinewick/lab/recovery/PrimaryReport.java
@@ -17,7 +17,7 @@
 record PrimaryReport(int controller, long epoch, int bearsLosses, Set<String> inSync) {
     /** Reads a controller's configuration section; empty if it does not lead. */
     static Optional<PrimaryReport> of(int controller, JsonObject configuration) {
-        if (!configuration.has("bears_losses")) {
+        if (!configuration.has("tolerable_losses")) {
             return Optional.empty();
         }
         Set<String> inSync = new HashSet<>();
@@ -28,6 +28,6 @@
             }
         }
         return Optional.of(new PrimaryReport(
-                controller, configuration.get("epoch").getAsLong(), configuration.get("bears_losses").getAsInt(), inSync));
+                controller, configuration.get("epoch").getAsLong(), configuration.get("tolerable_losses").getAsInt(), inSync));
     }
 }
--- a/lab/src/main/java/pinewick/lab/scale/HollowNode.java
+++ b/lab/src/main/java/pinewick/lab/scale/HollowNode.java
@@ -75,7 +75,7 @@
 
     private void tick() {
         node.onTick(loop.nowMs());
-        if (synchronisedAtNs == 0 && node.synchronised()) {
+        if (synchronisedAtNs == 0 && node.isSynchronised()) {
             synchronisedAtNs = System.nanoTime();
         }
     }
@@ -155,7 +155,7 @@
     /** Notes what becomes known here, and does with a configuration what a router does. */
     private final class Witness implements FleetStateListener {
         @Override
-        public void configurationChanged(ConfigurationDocument document) {
+        public void onConfigurationChanged(ConfigurationDocument document) {
             try {
                 inForce = ConfigurationChecks.toRoutingTable(document);
             } catch (InvalidConfigurationException e) {
@@ -167,7 +167,7 @@
         }
 
         @Override
-        public void replicaChanged(ReplicaRecord record) {
+        public void onReplicaChanged(ReplicaRecord record) {
             if (record.state() != ReplicaState.READY) {
                 drainingAtNs.putIfAbsent(record.instanceId(), System.nanoTime());
             }
--- a/lab/src/main/java/pinewick/lab/scale/HollowRouters.java
+++ b/lab/src/main/java/pinewick/lab/scale/HollowRouters.java
@@ -159,7 +159,7 @@
 
     private JsonObject joining(int number) {
         JsonObject json = new JsonObject();
-        json.addProperty("done", routers.get(number).node().synchronised());
+        json.addProperty("done", routers.get(number).node().isSynchronised());
         json.addProperty("ms", routers.get(number).joiningMs());
         return json;
     }
@@ -167,7 +167,7 @@
     private JsonObject figures() {
         JsonObject json = new JsonObject();
         json.addProperty("routers", routers.size());
-        json.addProperty("synchronised", count(router -> router.node().synchronised()));
+        json.addProperty("synchronised", count(router -> router.node().isSynchronised()));
         json.addProperty("version", least(HollowNode::versionInForce));
         json.addProperty("records", least(router -> router.state().replicas().size()));
         json.addProperty("recordsMost", most(router -> router.state().replicas().size()));
--- a/membership/src/main/java/pinewick/membership/FleetSizeEstimator.java
+++ b/membership/src/main/java/pinewick/membership/FleetSizeEstimator.java
@@ -7,42 +7,42 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Counts routers. While the view holds them all the count is its size. Beyond that each router sets a bit chosen by a
- * hash of its address, the bits are joined by gossip, and the number of clear bits gives the estimate (linear counting,
- * Whang and others, 1990). The count is restarted by epochs, so that routers that are gone drop out of it; the higher
- * epoch wins, so that all restart within a few exchanges.
+ * Estimates the number of routers. While the view contains all of them, the estimate is its size. Beyond that each
+ * router sets a bit chosen by a hash of its address, the bits are merged by gossip, and the number of clear bits gives
+ * the estimate (linear counting, Whang and others, 1990). Counting restarts in each epoch, so that routers that have
+ * ended drop out; the higher epoch wins, so that all processes restart within a few exchanges. Control loop only.
  */
 final class FleetSizeEstimator {
-    static final double EPOCH_MS = 15_000;
-    /** The upper bound is the highest value of so long a time. */
-    static final double HOLD_MS = 60_000;
+    static final double EPOCH_DURATION_MS = 15_000;
+    /** The upper bound is the highest value within this time. */
+    static final double BOUND_RETENTION_MS = 60_000;
     /**
-     * So long after its own start a process takes the bound several times: others may have started with it, and those
-     * that run do not count them yet.
+     * For this long after its own start a process multiplies the bound: other routers may have started with it, and
+     * those that run do not count them yet.
      */
-    static final double YOUNG_MS = 8_000;
+    static final double STARTUP_MS = 8_000;
 
-    private static final int YOUNG_FACTOR = 4;
-    private static final int MOST_LEARNT = 32;
+    private static final int STARTUP_FACTOR = 4;
+    private static final int MAX_PEER_BOUNDS = 32;
     private static final int BITS = 1_024;
-    private static final double IN_USE_MS = 2 * EPOCH_MS;
+    private static final double SKETCH_RETENTION_MS = 2 * EPOCH_DURATION_MS;
     private static final double DEVIATIONS = 3;
-    private static final double SAMPLE_MS = 1_000;
+    private static final double SAMPLE_INTERVAL_MS = 1_000;
 
     private final NodeDescriptor self;
     private final double startedAtMs;
-    private final Deque<Sample> recent = new ArrayDeque<>();
-    /** Bounds that peers held when this process had just started. */
-    private final Deque<Sample> learnt = new ArrayDeque<>();
+    private final Deque<Sample> samples = new ArrayDeque<>();
+    /** Bounds that peers reported when this process had just started. */
+    private final Deque<Sample> peerBounds = new ArrayDeque<>();
 
     private BitSet bits = new BitSet(BITS);
     private int epoch;
     private double epochStartedAtMs;
-    private double inUseUntilMs = Double.NEGATIVE_INFINITY;
+    private double sketchUsedUntilMs = Double.NEGATIVE_INFINITY;
     private double lastEpochEstimate;
     private int routersInView;
 
-    private record Sample(double atMs, double upperBound) {}
+    private record Sample(double takenMs, double upperBound) {}
 
     FleetSizeEstimator(NodeDescriptor self, double nowMs) {
         this.self = self;
@@ -60,34 +60,36 @@
         }
     }
 
-    /** Time has passed; the view holds so many routers now. */
-    void onTick(int routersKnown, boolean viewFull, double nowMs) {
+    /** Time has passed; the view contains this many routers now. */
+    void onTick(int routersKnown, boolean isViewFull, double nowMs) {
         routersInView = routersKnown;
-        if (viewFull) {
-            inUseUntilMs = nowMs + IN_USE_MS;
+        if (isViewFull) {
+            sketchUsedUntilMs = nowMs + SKETCH_RETENTION_MS;
         }
-        if (nowMs - epochStartedAtMs >= EPOCH_MS) {
+        if (nowMs - epochStartedAtMs >= EPOCH_DURATION_MS) {
             startEpoch(epoch + 1, nowMs);
         }
-        if (recent.isEmpty() || nowMs - recent.peekLast().atMs >= SAMPLE_MS) {
-            recent.addLast(new Sample(nowMs, currentUpperBound(nowMs)));
-            while (nowMs - recent.peekFirst().atMs > HOLD_MS) {
-                recent.removeFirst();
+        if (samples.isEmpty() || nowMs - samples.peekLast().takenMs >= SAMPLE_INTERVAL_MS) {
+            samples.addLast(new Sample(nowMs, currentUpperBound(nowMs)));
+            while (nowMs - samples.peekFirst().takenMs > BOUND_RETENTION_MS) {
+                samples.removeFirst();
             }
         }
     }
 
-    /** The bits for a message, null while the view is enough. */
+    /** The bits for a message; null, as on the wire, while the view contains all routers. */
     SizeSketch sketch(double nowMs) {
-        return inUse(nowMs) ? new SizeSketch(epoch, bits.toByteArray(), (int) Math.round(lastEpochEstimate)) : null;
+        return isSketchInUse(nowMs)
+                ? new SizeSketch(epoch, bits.toByteArray(), (int) Math.round(lastEpochEstimate))
+                : null;
     }
 
-    /** Joins the bits of a peer. */
-    void join(SizeSketch sketch, double nowMs) {
+    /** Merges the bits of a peer; null for none. */
+    void merge(SizeSketch sketch, double nowMs) {
         if (sketch == null || sketch.bits().length > BITS / Byte.SIZE) {
             return;
         }
-        inUseUntilMs = Math.max(inUseUntilMs, nowMs + IN_USE_MS);
+        sketchUsedUntilMs = Math.max(sketchUsedUntilMs, nowMs + SKETCH_RETENTION_MS);
         if (sketch.epoch() > epoch) {
             startEpoch(sketch.epoch(), nowMs);
         }
@@ -97,45 +99,47 @@
         }
     }
 
-    private boolean inUse(double nowMs) {
-        return nowMs < inUseUntilMs;
+    private boolean isSketchInUse(double nowMs) {
+        return nowMs < sketchUsedUntilMs;
     }
 
-    /** Routers believed to run, this process included. */
+    /** Routers that are believed to run, including this process. */
     int estimate(double nowMs) {
         return (int) Math.max(1, Math.round(bestEstimate(nowMs)));
     }
 
     private double bestEstimate(double nowMs) {
-        return inUse(nowMs) ? Math.max(routersInView, Math.max(linearCount(), lastEpochEstimate)) : routersInView;
+        return isSketchInUse(nowMs)
+                ? Math.max(routersInView, Math.max(linearCount(), lastEpochEstimate))
+                : routersInView;
     }
 
     /**
-     * A peer has held this bound of its own. Those that this process reaches may be cut off from most of the fleet, and
-     * have counted it before.
+     * A peer has reported its own bound. The peers that this process reaches may be partitioned from most of the fleet,
+     * and have counted it before.
      */
-    void learnBound(int upperBound, double nowMs) {
-        learnt.addLast(new Sample(nowMs, upperBound));
-        while (nowMs - learnt.peekFirst().atMs > HOLD_MS || learnt.size() > MOST_LEARNT) {
-            learnt.removeFirst();
+    void addPeerBound(int upperBound, double nowMs) {
+        peerBounds.addLast(new Sample(nowMs, upperBound));
+        while (nowMs - peerBounds.peekFirst().takenMs > BOUND_RETENTION_MS || peerBounds.size() > MAX_PEER_BOUNDS) {
+            peerBounds.removeFirst();
         }
     }
 
-    /** The highest bound that this process has counted itself lately. */
+    /** The highest bound that this process has recently counted itself. */
     int ownBound(double nowMs) {
         double highest = currentUpperBound(nowMs);
-        for (Sample sample : recent) {
+        for (Sample sample : samples) {
             highest = Math.max(highest, sample.upperBound);
         }
         return (int) Math.max(1, Math.ceil(highest));
     }
 
-    /** More routers than run, most probably. */
+    /** More routers than run, with high probability. */
     int upperBound(double nowMs) {
-        boolean young = nowMs - startedAtMs < YOUNG_MS;
-        double highest = young ? (double) YOUNG_FACTOR * ownBound(nowMs) : ownBound(nowMs);
-        for (Sample sample : learnt) {
-            if (nowMs - sample.atMs <= HOLD_MS) {
+        boolean isStartingUp = nowMs - startedAtMs < STARTUP_MS;
+        double highest = isStartingUp ? (double) STARTUP_FACTOR * ownBound(nowMs) : ownBound(nowMs);
+        for (Sample sample : peerBounds) {
+            if (nowMs - sample.takenMs <= BOUND_RETENTION_MS) {
                 highest = Math.max(highest, sample.upperBound);
             }
         }
@@ -144,7 +148,7 @@
 
     private double currentUpperBound(double nowMs) {
         double estimate = bestEstimate(nowMs);
-        if (!inUse(nowMs)) {
+        if (!isSketchInUse(nowMs)) {
             return estimate;
         }
         double load = estimate / BITS;
--- a/membership/src/main/java/pinewick/membership/KnownPeer.java
+++ b/membership/src/main/java/pinewick/membership/KnownPeer.java
@@ -2,7 +2,7 @@
 
 import pinewick.membership.MembershipMessages.PeerEntry;
 
-/** A peer in a view: the youngest entry seen of it, and an estimate of when that entry was made, in local time. */
+/** A peer in a view: its newest known entry, and an estimate of when that entry was created, in local time. */
 final class KnownPeer {
     private PeerEntry entry;
     /** Local time at the peer's heartbeat 0, estimated from above. */
@@ -21,24 +21,24 @@
         return entry.node();
     }
 
-    /** Takes an entry if it is younger; returns whether it was. */
+    /** Replaces the entry by a newer one; returns whether it was newer. */
     boolean update(PeerEntry other, double nowMs) {
-        if (!other.newerThan(entry)) {
+        if (!other.isNewerThan(entry)) {
             return false;
         }
         double offset = nowMs - other.heartbeat();
-        boolean sameLife = other.node().incarnation() == entry.node().incarnation();
-        offsetMs = sameLife ? Math.min(offsetMs, offset) : offset;
+        boolean isSameIncarnation = other.node().incarnation() == entry.node().incarnation();
+        offsetMs = isSameIncarnation ? Math.min(offsetMs, offset) : offset;
         entry = other;
         return true;
     }
 
-    /** When the entry was made, at the latest. */
-    double madeAtMs() {
+    /** When the entry was created, at the latest. */
+    double entryTimeMs() {
         return offsetMs + entry.heartbeat();
     }
 
-    /** The heartbeat that the peer had at a local time, at the least. */
+    /** The heartbeat that the peer had at a local time, at least. */
     long heartbeatAt(double timeMs) {
         return (long) Math.floor(timeMs - offsetMs);
     }
--- a/membership/src/main/java/pinewick/membership/MembershipMessages.java
+++ b/membership/src/main/java/pinewick/membership/MembershipMessages.java
@@ -7,7 +7,7 @@
 public final class MembershipMessages {
     private MembershipMessages() {}
 
-    /** Every type that these messages are made of, in the order of their ids. */
+    /** Every type that these messages are made of. The position is the type's id on the wire: append only. */
     public static List<Class<?>> types() {
         return List.of(
                 NodeRole.class,
@@ -16,19 +16,19 @@
                 SizeSketch.class,
                 ShuffleRequest.class,
                 ShuffleReply.class,
-                Leaving.class);
+                LeaveAnnouncement.class);
     }
 
     /**
-     * What one process says of another, or of itself.
+     * The entry of a process in a view.
      *
      * @param node the process
-     * @param heartbeat milliseconds of its own steady clock since its start, raised by nobody else: of two entries with
-     *     one incarnation, the one with the higher heartbeat is younger
+     * @param heartbeat milliseconds of its own steady clock since its start, raised by the process alone: of two
+     *     entries with one incarnation, the one with the higher heartbeat is newer
      */
     public record PeerEntry(NodeDescriptor node, long heartbeat) {
-        /** Whether this is younger than {@code other}, an entry of the same address. */
-        boolean newerThan(PeerEntry other) {
+        /** Whether this is newer than {@code other}, an entry of the same address. */
+        boolean isNewerThan(PeerEntry other) {
             long incarnation = node.incarnation();
             long otherIncarnation = other.node.incarnation();
             return incarnation != otherIncarnation ? incarnation > otherIncarnation : heartbeat > other.heartbeat;
@@ -36,21 +36,21 @@
     }
 
     /**
-     * Bits that count routers: each sets the bit that its address hashes to in this epoch, and bits are joined.
+     * Bits that count routers: each sets the bit that its address hashes to in this epoch, and bits are merged.
      *
      * @param epoch number of the count; a higher one restarts it
-     * @param bits the joined bits
-     * @param countBefore what the epoch before came to
+     * @param bits the merged bits
+     * @param countBefore the result of the previous epoch
      */
     public record SizeSketch(int epoch, byte[] bits, int countBefore) {}
 
     /**
-     * Offers a part of the sender's view and asks for one of the receiver's.
+     * Offers a sample of the sender's view and requests one of the receiver's.
      *
      * @param requestId repeated in the reply
      * @param self the sender
      * @param sample some of the peers it knows
-     * @param sketch its count of routers, null while it knows them all
+     * @param sketch its count of routers, null while its view contains all of them
      */
     public record ShuffleRequest(long requestId, PeerEntry self, List<PeerEntry> sample, SizeSketch sketch)
             implements Message {}
@@ -59,6 +59,6 @@
     public record ShuffleReply(long requestId, PeerEntry self, List<PeerEntry> sample, SizeSketch sketch)
             implements Message {}
 
-    /** A process ends on purpose. */
-    public record Leaving(NodeDescriptor node) implements Message {}
+    /** A process is shutting down. */
+    public record LeaveAnnouncement(NodeDescriptor node) implements Message {}
 }
--- a/membership/src/main/java/pinewick/membership/OutstandingRequests.java
+++ b/membership/src/main/java/pinewick/membership/OutstandingRequests.java
@@ -7,63 +7,63 @@
 import pinewick.model.SocketAddress;
 
 /**
- * The requests of this process that wait for an answer, by their ids. Ids count up from a number drawn at random at the
- * start of the process, so that an answer to a request of an earlier life matches nothing. An answer counts once, in
- * time, and from the peer that was asked. Owned by one thread.
+ * The requests of this process that wait for a reply, by their ids. Ids count up from a number drawn at random at the
+ * start of the process, so that a reply to a request of an earlier incarnation matches none. A reply counts once, in
+ * time, and from the peer that was asked. Control loop only.
  *
- * @param <T> what the asker wants to have at hand when the answer comes
+ * @param <T> the context that is handed back with the reply
  */
 public final class OutstandingRequests<T> {
-    /** Stands for the id of a message that answers no request. */
-    public static final long UNASKED = 0;
+    /** The id of a message that is no reply. */
+    public static final long NO_REQUEST = 0;
 
     private final double timeoutMs;
-    private final int mostKept;
+    private final int maxRequests;
     private final Map<Long, Request<T>> requests = new LinkedHashMap<>();
     private long lastId;
 
     private record Request<T>(SocketAddress peer, T context, double sentAtMs) {}
 
     /**
-     * An answer that counts.
+     * A reply that counts.
      *
      * @param context as given with the request
      * @param sentAtMs when the request was sent
      */
-    public record Match<T>(T context, double sentAtMs) {}
+    public record Completed<T>(T context, double sentAtMs) {}
 
     /**
-     * @param timeoutMs an answer that comes later counts for nothing
-     * @param mostKept beyond so many requests the oldest is given up
+     * @param timeoutMs a reply that arrives later is ignored, milliseconds
+     * @param maxRequests beyond this many requests the oldest is evicted
      * @param random draws the first id
      */
-    public OutstandingRequests(double timeoutMs, int mostKept, RandomGenerator random) {
+    public OutstandingRequests(double timeoutMs, int maxRequests, RandomGenerator random) {
         this.timeoutMs = timeoutMs;
-        this.mostKept = mostKept;
+        this.maxRequests = maxRequests;
         this.lastId = random.nextLong();
     }
 
-    /** Notes a request that is about to be sent; returns its id. */
-    public long open(SocketAddress peer, T context, double nowMs) {
+    /** Registers a request that is about to be sent; returns its id. */
+    public long register(SocketAddress peer, T context, double nowMs) {
         lastId++;
-        if (lastId == UNASKED) {
+        if (lastId == NO_REQUEST) {
             lastId++;
         }
         requests.put(lastId, new Request<>(peer, context, nowMs));
-        if (requests.size() > mostKept) {
+        if (requests.size() > maxRequests) {
             requests.remove(requests.keySet().iterator().next());
         }
         return lastId;
     }
 
-    /** An answer has come: what it answers, empty if it counts for nothing. */
-    public Optional<Match<T>> close(long id, SocketAddress sender, double nowMs) {
+    /** A reply has arrived: the request that it answers, empty if it is ignored. */
+    public Optional<Completed<T>> complete(long id, SocketAddress sender, double nowMs) {
         Request<T> request = requests.get(id);
         if (request == null || !request.peer.equals(sender)) {
             return Optional.empty();
         }
         requests.remove(id);
         boolean inTime = nowMs - request.sentAtMs <= timeoutMs;
-        return inTime ? Optional.of(new Match<>(request.context, request.sentAtMs)) : Optional.empty();
+        return inTime ? Optional.of(new Completed<>(request.context, request.sentAtMs)) : Optional.empty();
     }
 }
--- a/membership/src/main/java/pinewick/membership/PartialView.java
+++ b/membership/src/main/java/pinewick/membership/PartialView.java
@@ -6,12 +6,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import pinewick.membership.MembershipMessages.PeerEntry;
 import pinewick.model.SocketAddress;
 
-/** A bounded set of peers of one role. When it is full, entries that were handed to others give way first. */
+/** A bounded set of peers of one role. When it is full, entries that were offered to others are evicted first. */
 final class PartialView {
     private final int capacity;
     private final Map<SocketAddress, KnownPeer> peers = new LinkedHashMap<>();
@@ -24,60 +25,63 @@
         return peers.size();
     }
 
-    boolean full() {
+    boolean isFull() {
         return peers.size() >= capacity;
     }
 
-    KnownPeer get(SocketAddress address) {
-        return peers.get(address);
+    boolean contains(SocketAddress address) {
+        return peers.containsKey(address);
+    }
+
+    Optional<KnownPeer> find(SocketAddress address) {
+        return Optional.ofNullable(peers.get(address));
     }
 
     Collection<KnownPeer> all() {
         return peers.values();
     }
 
-    KnownPeer remove(SocketAddress address) {
-        return peers.remove(address);
+    /** Removes a peer; returns whether it was there. */
+    boolean remove(SocketAddress address) {
+        return peers.remove(address) != null;
     }
 
     /**
-     * Takes an entry: adds it, or lets it replace an older one of its address.
+     * Adds an entry, or replaces an older one of its address.
      *
-     * @param expendable addresses that may give way if the view is full
+     * @param evictable addresses that are evicted first if the view is full
      */
-    void offer(PeerEntry entry, Set<SocketAddress> expendable, double nowMs) {
+    void offer(PeerEntry entry, Set<SocketAddress> evictable, double nowMs) {
         KnownPeer known = peers.get(entry.node().address());
         if (known != null) {
             known.update(entry, nowMs);
             return;
         }
-        if (full()) {
-            peers.remove(leastWanted(expendable));
+        if (isFull()) {
+            peers.remove(evictionCandidate(evictable));
         }
         peers.put(entry.node().address(), new KnownPeer(entry, nowMs));
     }
 
-    private SocketAddress leastWanted(Set<SocketAddress> expendable) {
-        for (SocketAddress address : expendable) {
+    private SocketAddress evictionCandidate(Set<SocketAddress> evictable) {
+        for (SocketAddress address : evictable) {
             if (peers.containsKey(address)) {
                 return address;
             }
         }
-        return oldest().node().address();
+        return oldest().orElseThrow().node().address();
     }
 
-    /** The peer whose entry was made longest ago, or null. */
-    KnownPeer oldest() {
-        return peers.values().stream()
-                .min(Comparator.comparingDouble(KnownPeer::madeAtMs))
-                .orElse(null);
+    /** The peer with the oldest entry. */
+    Optional<KnownPeer> oldest() {
+        return peers.values().stream().min(Comparator.comparingDouble(KnownPeer::entryTimeMs));
     }
 
-    /** Up to {@code count} entries drawn at random, without that of one address. */
-    List<PeerEntry> sample(int count, SocketAddress without, RandomGenerator random) {
+    /** Up to {@code count} entries drawn at random, except that of one address. */
+    List<PeerEntry> sample(int count, SocketAddress excluded, RandomGenerator random) {
         List<PeerEntry> entries = new ArrayList<>(peers.size());
         for (KnownPeer peer : peers.values()) {
-            if (!peer.node().address().equals(without)) {
+            if (!peer.node().address().equals(excluded)) {
                 entries.add(peer.entry());
             }
         }
--- a/membership/src/main/java/pinewick/membership/PeerSampling.java
+++ b/membership/src/main/java/pinewick/membership/PeerSampling.java
@@ -7,88 +7,89 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import pinewick.membership.MembershipMessages.Leaving;
+import pinewick.membership.MembershipMessages.LeaveAnnouncement;
 import pinewick.membership.MembershipMessages.PeerEntry;
 import pinewick.membership.MembershipMessages.ShuffleReply;
 import pinewick.membership.MembershipMessages.ShuffleRequest;
+import pinewick.membership.MembershipMessages.SizeSketch;
 import pinewick.model.Message;
 import pinewick.model.Outbox;
 import pinewick.model.SocketAddress;
 
 /**
- * A process's view of the fleet after Cyclon (Voulgaris and others, 2005): once a period it offers a few entries to the
- * peer it has heard of longest ago and gets a few of that peer's. Controllers have a part of the view of their own, so
- * that each process always knows some, and controllers know each other. A peer that does not answer twice is dropped.
- * Seeds, and controllers that were lost, are tried again now and then.
+ * A process's partial view of the fleet after Cyclon (Voulgaris and others, 2005): at an interval it offers a sample of
+ * its entries to the peer with the oldest entry and gets a sample of that peer's. Controllers have a view of their own,
+ * so that each process always knows some, and controllers know each other. A peer that does not answer twice becomes
+ * unreachable. Seeds and unreachable controllers are retried at intervals. Control loop only.
  */
 public final class PeerSampling {
-    /** Routers in a view; a smaller fleet is known whole. */
+    /** Routers in a view; a smaller fleet is known completely. */
     public static final int ROUTER_CAPACITY = 30;
 
     /** Controllers in a view. */
     public static final int CONTROLLER_CAPACITY = 16;
 
-    private static final double SHUFFLE_MS = 1_000;
-    private static final double EARLY_SHUFFLE_MS = 300;
-    private static final double EARLY_MS = 5_000;
+    private static final double SHUFFLE_INTERVAL_MS = 1_000;
+    private static final double STARTUP_SHUFFLE_INTERVAL_MS = 300;
+    private static final double STARTUP_MS = 5_000;
     private static final double JITTER = 0.2;
-    private static final double ANSWER_MS = 400;
-    /** A reply that comes later than this counts for nothing. */
-    private static final double LATEST_REPLY_MS = 2_000;
+    private static final double REPLY_TIMEOUT_MS = 400;
+    /** A reply that is later than this is ignored. */
+    private static final double MAX_REPLY_AGE_MS = 2_000;
 
-    private static final int MOST_OUTSTANDING = 64;
-    /** The round of requests beside the regular ones. */
-    private static final int NO_ROUND = 0;
+    private static final int MAX_OUTSTANDING = 64;
+    /** The shuffle number of requests outside the regular shuffles. */
+    private static final int OUTSIDE_SHUFFLE = 0;
 
-    private static final double CONTROLLER_RETRY_MS = 500;
-    private static final double ROUTER_RETRY_MS = 1_000;
+    private static final double CONTROLLER_RETRY_INTERVAL_MS = 500;
+    private static final double ROUTER_RETRY_INTERVAL_MS = 1_000;
     private static final int ROUTERS_IN_SAMPLE = 8;
-    private static final int ROUTERS_IN_EARLY_SAMPLE = 16;
+    private static final int ROUTERS_IN_STARTUP_SAMPLE = 16;
     private static final int CONTROLLERS_IN_SAMPLE = 5;
-    private static final int CONTROLLER_TURN = 4;
-    private static final double STALE_CONTROLLER_MS = 6_000;
-    private static final int LOST_ROUTER_TURN = 3;
-    private static final int LEAVING_FANOUT = 5;
+    private static final int SHUFFLES_PER_CONTROLLER = 4;
+    private static final double STALE_CONTROLLER_AFTER_MS = 6_000;
+    private static final int RETRIES_PER_UNREACHABLE_ROUTER = 3;
+    private static final int LEAVE_FANOUT = 5;
 
     private final List<SocketAddress> seeds;
     private final Outbox outbox;
     private final RandomGenerator random;
     private final PartialView routers = new PartialView(ROUTER_CAPACITY);
     private final PartialView controllers = new PartialView(CONTROLLER_CAPACITY);
-    private final LostPeers lost = new LostPeers();
-    /** Shuffles without a reply, with their rounds. */
+    private final UnreachablePeers unreachable = new UnreachablePeers();
+    /** Requests without a reply, with their shuffle numbers. */
     private final OutstandingRequests<Integer> requests;
-    /** Controllers in the view that have not spoken to this process yet; kept by controllers only. */
-    private final Set<SocketAddress> unmet = new LinkedHashSet<>();
+    /** Controllers in the view that have not sent a message to this process yet; used by controllers only. */
+    private final Set<SocketAddress> awaitingContact = new LinkedHashSet<>();
 
     private NodeDescriptor self;
-    private FleetSizeEstimator size;
+    private Optional<FleetSizeEstimator> sizeEstimator = Optional.empty();
     private double startedAtMs = Double.NaN;
     private double nextShuffleAtMs;
     private double nextRetryAtMs;
-    private int round;
-    private int retries;
-    private Pending pending;
+    private int shuffleNumber;
+    private int retryCount;
+    private Optional<PendingShuffle> pending = Optional.empty();
 
-    /** A shuffle without an answer yet. */
-    private record Pending(
-            KnownPeer target, int round, double firstSentAtMs, double sentAtMs, Set<SocketAddress> offered) {}
+    /** A shuffle without a reply yet. */
+    private record PendingShuffle(
+            KnownPeer target, int shuffleNumber, double firstSentAtMs, double sentAtMs, Set<SocketAddress> offered) {}
 
     /**
      * @param self this process
      * @param seeds addresses of some controllers
-     * @param outbox takes messages to peers
-     * @param random source of chance
+     * @param outbox sends messages to peers
+     * @param random source of randomness
      */
     public PeerSampling(NodeDescriptor self, List<SocketAddress> seeds, Outbox outbox, RandomGenerator random) {
         this.self = self;
         this.seeds = seeds.stream().filter(seed -> !seed.equals(self.address())).toList();
         this.outbox = outbox;
         this.random = random;
-        this.requests = new OutstandingRequests<>(LATEST_REPLY_MS, MOST_OUTSTANDING, random);
+        this.requests = new OutstandingRequests<>(MAX_REPLY_AGE_MS, MAX_OUTSTANDING, random);
     }
 
-    /** This process, with the incarnation it has now. */
+    /** This process, with its current incarnation. */
     public NodeDescriptor self() {
         return self;
     }
@@ -106,7 +107,7 @@
         return routers.size() + controllers.size();
     }
 
-    /** Addresses of every controller in the view, this process left out. */
+    /** Addresses of every controller in the view, without this process. */
     public List<SocketAddress> controllers() {
         return addresses(controllers.all());
     }
@@ -122,109 +123,113 @@
         return addresses;
     }
 
-    /** Up to {@code count} addresses drawn at random from the whole view. */
+    /** Up to {@code count} addresses drawn at random from both views. */
     public List<SocketAddress> randomPeers(int count) {
         List<SocketAddress> addresses = addresses(controllers.all());
         addresses.addAll(addresses(routers.all()));
         return RandomChoice.draw(addresses, count, random);
     }
 
-    /** Routers believed to run. */
+    /** Routers that are believed to run. */
     public int routerCount(double nowMs) {
-        return size == null ? 1 : size.estimate(nowMs);
+        return sizeEstimator.map(estimator -> estimator.estimate(nowMs)).orElse(1);
     }
 
-    /** The highest number of routers that this process has counted itself lately, as an upper bound. */
+    /** The highest number of routers that this process has recently counted itself, as an upper bound. */
     public int ownRouterBound(double nowMs) {
-        return size == null ? 1 : size.ownBound(nowMs);
+        return sizeEstimator.map(estimator -> estimator.ownBound(nowMs)).orElse(1);
     }
 
-    /** A peer has held this bound of its own when this process had just started. */
-    public void learnRouterBound(int upperBound, double nowMs) {
-        startIfNew(nowMs);
-        size.learnBound(upperBound, nowMs);
+    /** A peer has reported its own bound when this process had just started. */
+    public void addPeerRouterBound(int upperBound, double nowMs) {
+        startIfNew(nowMs).addPeerBound(upperBound, nowMs);
     }
 
     /** More routers than run, with high probability. */
     public int routerCountUpperBound(double nowMs) {
-        return size == null ? 1 : size.upperBound(nowMs);
+        return sizeEstimator.map(estimator -> estimator.upperBound(nowMs)).orElse(1);
     }
 
     /** Time has passed. */
     public void onTick(double nowMs) {
-        startIfNew(nowMs);
+        FleetSizeEstimator estimator = startIfNew(nowMs);
         checkPending(nowMs);
         if (nowMs >= nextShuffleAtMs) {
             shuffle(nowMs);
-            nextShuffleAtMs = nowMs + shufflePeriod(nowMs);
+            nextShuffleAtMs = nowMs + shuffleIntervalMs(nowMs);
         }
         if (nowMs >= nextRetryAtMs) {
-            retryLost(nowMs);
-            nextRetryAtMs = nowMs + retryPeriod();
+            retryUnreachable(nowMs);
+            nextRetryAtMs = nowMs + retryIntervalMs();
         }
         int routersKnown = routers.size() + (self.role() == NodeRole.ROUTER ? 1 : 0);
-        size.onTick(routersKnown, routers.full(), nowMs);
+        estimator.onTick(routersKnown, routers.isFull(), nowMs);
     }
 
-    /** When {@link #onTick} has something to do next, steady time in milliseconds. */
+    /** When {@link #onTick} has work next, steady time in milliseconds. */
     public double nextDueMs() {
-        double answerDueMs = pending == null ? Double.POSITIVE_INFINITY : pending.sentAtMs + ANSWER_MS;
-        return Math.min(answerDueMs, Math.min(nextShuffleAtMs, nextRetryAtMs));
+        double replyDueMs =
+                pending.map(shuffle -> shuffle.sentAtMs + REPLY_TIMEOUT_MS).orElse(Double.POSITIVE_INFINITY);
+        return Math.min(replyDueMs, Math.min(nextShuffleAtMs, nextRetryAtMs));
     }
 
-    private void startIfNew(double nowMs) {
-        if (Double.isNaN(startedAtMs)) {
+    private FleetSizeEstimator startIfNew(double nowMs) {
+        if (sizeEstimator.isEmpty()) {
             startedAtMs = nowMs;
-            size = new FleetSizeEstimator(self, nowMs);
-            nextRetryAtMs = nowMs + retryPeriod();
+            sizeEstimator = Optional.of(new FleetSizeEstimator(self, nowMs));
+            nextRetryAtMs = nowMs + retryIntervalMs();
         }
+        return sizeEstimator.get();
     }
 
-    private boolean early(double nowMs) {
-        return nowMs - startedAtMs < EARLY_MS;
+    private boolean isStartingUp(double nowMs) {
+        return nowMs - startedAtMs < STARTUP_MS;
     }
 
-    private double shufflePeriod(double nowMs) {
-        double period = early(nowMs) || controllers.size() == 0 ? EARLY_SHUFFLE_MS : SHUFFLE_MS;
+    private double shuffleIntervalMs(double nowMs) {
+        double period =
+                isStartingUp(nowMs) || controllers.size() == 0 ? STARTUP_SHUFFLE_INTERVAL_MS : SHUFFLE_INTERVAL_MS;
         return period * (1 - JITTER / 2 + JITTER * random.nextDouble());
     }
 
-    private double retryPeriod() {
-        return self.role() == NodeRole.CONTROLLER ? CONTROLLER_RETRY_MS : ROUTER_RETRY_MS;
+    private double retryIntervalMs() {
+        return self.role() == NodeRole.CONTROLLER ? CONTROLLER_RETRY_INTERVAL_MS : ROUTER_RETRY_INTERVAL_MS;
     }
 
     private void shuffle(double nowMs) {
-        round++;
+        shuffleNumber++;
         if (controllers.size() == 0) {
-            seeds.forEach(seed -> sendRequest(seed, round, nowMs));
+            seeds.forEach(seed -> sendRequest(seed, shuffleNumber, nowMs));
         }
-        KnownPeer target = pending == null ? shuffleTarget(nowMs) : null;
-        if (target != null) {
-            Set<SocketAddress> offered = sendRequest(target.node().address(), round, nowMs);
-            pending = new Pending(target, round, nowMs, nowMs, offered);
+        if (pending.isEmpty()) {
+            pending = shuffleTarget(nowMs).map(target -> {
+                Set<SocketAddress> offered = sendRequest(target.node().address(), shuffleNumber, nowMs);
+                return new PendingShuffle(target, shuffleNumber, nowMs, nowMs, offered);
+            });
         }
     }
 
-    private KnownPeer shuffleTarget(double nowMs) {
-        KnownPeer controller = controllers.oldest();
-        KnownPeer router = routers.oldest();
-        if (controller == null || router == null) {
-            return controller == null ? router : controller;
+    private Optional<KnownPeer> shuffleTarget(double nowMs) {
+        Optional<KnownPeer> controller = controllers.oldest();
+        Optional<KnownPeer> router = routers.oldest();
+        if (controller.isEmpty() || router.isEmpty()) {
+            return controller.or(() -> router);
         }
-        boolean stale = nowMs - controller.madeAtMs() > STALE_CONTROLLER_MS && round % 2 == 0;
-        return stale || round % CONTROLLER_TURN == 0 ? controller : router;
+        boolean isStale = nowMs - controller.get().entryTimeMs() > STALE_CONTROLLER_AFTER_MS && shuffleNumber % 2 == 0;
+        return isStale || shuffleNumber % SHUFFLES_PER_CONTROLLER == 0 ? controller : router;
     }
 
-    /** Asks a peer to exchange entries; returns the addresses of those offered. */
-    private Set<SocketAddress> sendRequest(SocketAddress peer, int ofRound, double nowMs) {
+    /** Requests an exchange of entries with a peer; returns the addresses of those offered. */
+    private Set<SocketAddress> sendRequest(SocketAddress peer, int ofShuffle, double nowMs) {
         List<PeerEntry> sample = sampleFor(peer, CONTROLLERS_IN_SAMPLE, nowMs);
-        long requestId = requests.open(peer, ofRound, nowMs);
-        outbox.send(peer, new ShuffleRequest(requestId, ownEntry(nowMs), sample, size.sketch(nowMs)));
+        long requestId = requests.register(peer, ofShuffle, nowMs);
+        SizeSketch sketch = startIfNew(nowMs).sketch(nowMs);
+        outbox.send(peer, new ShuffleRequest(requestId, ownEntry(nowMs), sample, sketch));
         return offeredRouters(sample);
     }
 
     private List<PeerEntry> sampleFor(SocketAddress peer, int controllerCount, double nowMs) {
-        int routerCount = early(nowMs) ? ROUTERS_IN_EARLY_SAMPLE : ROUTERS_IN_SAMPLE;
+        int routerCount = isStartingUp(nowMs) ? ROUTERS_IN_STARTUP_SAMPLE : ROUTERS_IN_SAMPLE;
         List<PeerEntry> sample = new ArrayList<>(controllers.sample(controllerCount, peer, random));
         sample.addAll(routers.sample(routerCount, peer, random));
         return sample;
@@ -245,24 +250,26 @@
     }
 
     private void checkPending(double nowMs) {
-        if (pending == null || nowMs - pending.sentAtMs < ANSWER_MS) {
+        if (pending.isEmpty() || nowMs - pending.get().sentAtMs < REPLY_TIMEOUT_MS) {
             return;
         }
-        if (pending.sentAtMs == pending.firstSentAtMs) {
-            SocketAddress address = pending.target.node().address();
-            Set<SocketAddress> offered = sendRequest(address, pending.round, nowMs);
-            offered.addAll(pending.offered);
-            pending = new Pending(pending.target, pending.round, pending.firstSentAtMs, nowMs, offered);
+        PendingShuffle shuffle = pending.get();
+        if (shuffle.sentAtMs == shuffle.firstSentAtMs) {
+            SocketAddress address = shuffle.target.node().address();
+            Set<SocketAddress> offered = sendRequest(address, shuffle.shuffleNumber, nowMs);
+            offered.addAll(shuffle.offered);
+            pending = Optional.of(
+                    new PendingShuffle(shuffle.target, shuffle.shuffleNumber, shuffle.firstSentAtMs, nowMs, offered));
         } else {
-            drop(pending.target, pending.firstSentAtMs, nowMs);
-            pending = null;
+            markUnreachable(shuffle.target, shuffle.firstSentAtMs, nowMs);
+            pending = Optional.empty();
         }
     }
 
-    /** Drops a peer that did not answer; what it said before the first question does not bring it back. */
-    private void drop(KnownPeer peer, double askedAtMs, double nowMs) {
-        if (viewOf(peer.node()).remove(peer.node().address()) != null) {
-            lost.silent(peer.node(), peer.heartbeatAt(askedAtMs), nowMs);
+    /** Removes a peer that did not answer; entries from before the first request do not bring it back. */
+    private void markUnreachable(KnownPeer peer, double firstSentAtMs, double nowMs) {
+        if (viewOf(peer.node()).remove(peer.node().address())) {
+            unreachable.markUnreachable(peer.node(), peer.heartbeatAt(firstSentAtMs), nowMs);
         }
     }
 
@@ -270,45 +277,47 @@
         return node.role() == NodeRole.CONTROLLER ? controllers : routers;
     }
 
-    /** Tries seeds and lost controllers again, and at times a lost router. */
-    private void retryLost(double nowMs) {
-        retries++;
-        Set<SocketAddress> missing = new LinkedHashSet<>(lost.worthRetrying(NodeRole.CONTROLLER, nowMs));
+    /** Retries seeds and unreachable controllers, and at a lower rate an unreachable router. */
+    private void retryUnreachable(double nowMs) {
+        retryCount++;
+        Set<SocketAddress> missing = new LinkedHashSet<>(unreachable.retryCandidates(NodeRole.CONTROLLER, nowMs));
         missing.addAll(seeds);
-        unmet.removeIf(address -> controllers.get(address) == null);
-        missing.addAll(unmet);
-        missing.removeIf(address -> controllers.get(address) != null && !unmet.contains(address));
+        awaitingContact.removeIf(address -> !controllers.contains(address));
+        missing.addAll(awaitingContact);
+        missing.removeIf(address -> controllers.contains(address) && !awaitingContact.contains(address));
         int count = self.role() == NodeRole.CONTROLLER ? missing.size() : 1;
         for (SocketAddress address : RandomChoice.draw(new ArrayList<>(missing), count, random)) {
-            sendRequest(address, NO_ROUND, nowMs);
+            sendRequest(address, OUTSIDE_SHUFFLE, nowMs);
         }
-        if (retries % LOST_ROUTER_TURN == 0) {
-            List<SocketAddress> lostRouters = lost.worthRetrying(NodeRole.ROUTER, nowMs);
-            RandomChoice.draw(lostRouters, 1, random).forEach(address -> sendRequest(address, NO_ROUND, nowMs));
+        if (retryCount % RETRIES_PER_UNREACHABLE_ROUTER == 0) {
+            List<SocketAddress> unreachableRouters = unreachable.retryCandidates(NodeRole.ROUTER, nowMs);
+            RandomChoice.draw(unreachableRouters, 1, random)
+                    .forEach(address -> sendRequest(address, OUTSIDE_SHUFFLE, nowMs));
         }
     }
 
     /**
-     * A peer has shown itself by another message. A controller that lacks it, and has room for routers, asks to
-     * exchange entries: after a start of all controllers they would know no router until one happens to ask them.
+     * Another message of a peer has arrived. A controller that does not know it, and has space for routers, requests an
+     * exchange of entries: after a restart of all controllers they would know no router until one happens to shuffle
+     * with them.
      */
-    public void seen(SocketAddress peer, double nowMs) {
-        boolean known = routers.get(peer) != null || controllers.get(peer) != null;
-        if (self.role() == NodeRole.CONTROLLER && !known && !routers.full()) {
+    public void onContact(SocketAddress peer, double nowMs) {
+        boolean isKnown = routers.contains(peer) || controllers.contains(peer);
+        if (self.role() == NodeRole.CONTROLLER && !isKnown && !routers.isFull()) {
             startIfNew(nowMs);
-            sendRequest(peer, NO_ROUND, nowMs);
+            sendRequest(peer, OUTSIDE_SHUFFLE, nowMs);
         }
     }
 
-    /** Handles a message if it is of membership; returns whether it was. */
+    /** Handles a message if it is one of {@link MembershipMessages}; returns whether it was. */
     public boolean onMessage(SocketAddress sender, Message message, double nowMs) {
         startIfNew(nowMs);
         if (message instanceof ShuffleRequest request) {
             onRequest(sender, request, nowMs);
         } else if (message instanceof ShuffleReply reply) {
             onReply(sender, reply, nowMs);
-        } else if (message instanceof Leaving leaving) {
-            onLeaving(leaving, nowMs);
+        } else if (message instanceof LeaveAnnouncement announcement) {
+            onLeave(announcement, nowMs);
         } else {
             return false;
         }
@@ -320,95 +329,100 @@
                 request.self().node().role() == NodeRole.CONTROLLER ? CONTROLLER_CAPACITY : CONTROLLERS_IN_SAMPLE;
         List<PeerEntry> sample = sampleFor(sender, controllerCount, nowMs);
         Set<SocketAddress> offered = offeredRouters(sample);
-        addReminderOfLaterLife(request.self(), sample);
-        size.join(request.sketch(), nowMs);
-        outbox.send(sender, new ShuffleReply(request.requestId(), ownEntry(nowMs), sample, size.sketch(nowMs)));
+        addNewerIncarnation(request.self(), sample);
+        FleetSizeEstimator estimator = startIfNew(nowMs);
+        estimator.merge(request.sketch(), nowMs);
+        outbox.send(sender, new ShuffleReply(request.requestId(), ownEntry(nowMs), sample, estimator.sketch(nowMs)));
         mergeFrom(sender, request.self(), request.sample(), offered, nowMs);
     }
 
-    /** Tells a process that started again with a lower incarnation what it has to exceed. */
-    private void addReminderOfLaterLife(PeerEntry entry, List<PeerEntry> sample) {
+    /** Informs a process that restarted with a lower incarnation which entry it has to exceed. */
+    private void addNewerIncarnation(PeerEntry entry, List<PeerEntry> sample) {
         NodeDescriptor node = entry.node();
-        KnownPeer known = viewOf(node).get(node.address());
-        if (known != null && known.entry().newerThan(entry)) {
-            sample.add(known.entry());
-        } else if (!lost.admits(entry)) {
-            sample.add(lost.entryOf(node.address()));
+        Optional<PeerEntry> newer =
+                viewOf(node).find(node.address()).map(KnownPeer::entry).filter(known -> known.isNewerThan(entry));
+        if (newer.isPresent()) {
+            sample.add(newer.get());
+        } else if (!unreachable.admits(entry)) {
+            unreachable.lastEntryOf(node.address()).ifPresent(sample::add);
         }
     }
 
-    /** A reply to another life of this process, a second one and a late one count for nothing. */
+    /** A reply to another incarnation of this process, a duplicate and a late one are ignored. */
     private void onReply(SocketAddress sender, ShuffleReply reply, double nowMs) {
-        Optional<OutstandingRequests.Match<Integer>> request = requests.close(reply.requestId(), sender, nowMs);
+        Optional<OutstandingRequests.Completed<Integer>> request = requests.complete(reply.requestId(), sender, nowMs);
         if (request.isEmpty()) {
             return;
         }
         Set<SocketAddress> offered = Set.of();
-        boolean awaited = pending != null
-                && pending.round == request.get().context()
-                && pending.target.node().address().equals(sender);
-        if (awaited) {
-            offered = pending.offered;
-            pending = null;
+        Optional<PendingShuffle> answered =
+                pending.filter(shuffle -> shuffle.shuffleNumber == request.get().context()
+                        && shuffle.target.node().address().equals(sender));
+        if (answered.isPresent()) {
+            offered = answered.get().offered;
+            pending = Optional.empty();
         }
-        size.join(reply.sketch(), nowMs);
+        startIfNew(nowMs).merge(reply.sketch(), nowMs);
         mergeFrom(sender, reply.self(), reply.sample(), offered, nowMs);
     }
 
     private void mergeFrom(
             SocketAddress sender, PeerEntry peer, List<PeerEntry> sample, Set<SocketAddress> offered, double nowMs) {
-        unmet.remove(sender);
-        if (peer.node().address().equals(sender) && lost.heard(peer.node())) {
+        awaitingContact.remove(sender);
+        if (peer.node().address().equals(sender) && unreachable.onContact(peer.node())) {
             viewOf(peer.node()).offer(peer, offered, nowMs);
         }
         for (PeerEntry entry : sample) {
             if (entry.node().address().equals(self.address())) {
-                outliveEarlierLife(sender, entry, nowMs);
-            } else if (lost.admits(entry)) {
-                boolean introduce = isNewController(entry.node());
+                supersedeEarlierIncarnation(sender, entry, nowMs);
+            } else if (unreachable.admits(entry)) {
+                boolean isNewController = isNewController(entry.node());
                 viewOf(entry.node()).offer(entry, offered, nowMs);
-                if (introduce) {
-                    unmet.add(entry.node().address());
-                    sendRequest(entry.node().address(), NO_ROUND, nowMs);
+                if (isNewController) {
+                    awaitingContact.add(entry.node().address());
+                    sendRequest(entry.node().address(), OUTSIDE_SHUFFLE, nowMs);
                 }
             }
         }
     }
 
-    /** Controllers make themselves known to each other at once: replication needs all of them. */
+    /** Controllers contact each other at once: replication needs all of them. */
     private boolean isNewController(NodeDescriptor node) {
         return self.role() == NodeRole.CONTROLLER
                 && node.role() == NodeRole.CONTROLLER
-                && controllers.get(node.address()) == null;
+                && !controllers.contains(node.address());
     }
 
-    /** The sender knows an earlier life of this process: exceed its incarnation, so that peers take this one. */
-    private void outliveEarlierLife(SocketAddress sender, PeerEntry entry, double nowMs) {
+    /** The sender knows an earlier incarnation of this process: exceeds it, so that peers accept this one. */
+    private void supersedeEarlierIncarnation(SocketAddress sender, PeerEntry entry, double nowMs) {
         long incarnation = entry.node().incarnation();
-        boolean laterThanNow = incarnation == self.incarnation()
+        boolean isAheadOfSelf = incarnation == self.incarnation()
                 && entry.heartbeat() > ownEntry(nowMs).heartbeat();
-        if (incarnation > self.incarnation() || laterThanNow) {
+        if (incarnation > self.incarnation() || isAheadOfSelf) {
             self = new NodeDescriptor(self.address(), incarnation + 1, self.role(), self.zone());
         }
         if (incarnation < self.incarnation()) {
-            sendRequest(sender, NO_ROUND, nowMs);
+            sendRequest(sender, OUTSIDE_SHUFFLE, nowMs);
         }
     }
 
-    private void onLeaving(Leaving leaving, double nowMs) {
-        NodeDescriptor node = leaving.node();
-        KnownPeer known = viewOf(node).get(node.address());
-        if (known != null && known.node().incarnation() > node.incarnation()) {
+    private void onLeave(LeaveAnnouncement announcement, double nowMs) {
+        NodeDescriptor node = announcement.node();
+        boolean hasRestarted = viewOf(node)
+                .find(node.address())
+                .filter(known -> known.node().incarnation() > node.incarnation())
+                .isPresent();
+        if (hasRestarted) {
             return;
         }
-        if (lost.left(node, nowMs)) {
+        if (unreachable.markLeft(node, nowMs)) {
             viewOf(node).remove(node.address());
-            randomPeers(LEAVING_FANOUT).forEach(peer -> outbox.send(peer, leaving));
+            randomPeers(LEAVE_FANOUT).forEach(peer -> outbox.send(peer, announcement));
         }
     }
 
-    /** Tells the peers that this process is about to end. */
+    /** Informs the peers that this process is shutting down. */
     public void leave() {
-        peers().forEach(peer -> outbox.send(peer.address(), new Leaving(self)));
+        peers().forEach(peer -> outbox.send(peer.address(), new LeaveAnnouncement(self)));
     }
 }
--- a/membership/src/main/java/pinewick/membership/package-info.java
+++ b/membership/src/main/java/pinewick/membership/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Which processes take part in the fleet: peer sampling with shuffled partial views, incarnations, an estimate of the
- * fleet's size. Decisions without I/O; time and chance are handed in.
+ * Which processes take part in the fleet: {@link pinewick.membership.PeerSampling} keeps shuffled partial views, {@link
+ * pinewick.membership.UnreachablePeers} those that stopped answering, {@link pinewick.membership.FleetSizeEstimator}
+ * estimates the number of routers. No I/O: time, randomness and messages are handed in.
  */
 package pinewick.membership;
--- a/membership/src/test/java/pinewick/membership/FleetSizeEstimatorTest.java
+++ b/membership/src/test/java/pinewick/membership/FleetSizeEstimatorTest.java
@@ -34,8 +34,8 @@
 
     private static void exchangeAll(List<FleetSizeEstimator> fleet, double nowMs) {
         FleetSizeEstimator first = fleet.get(0);
-        fleet.forEach(estimator -> first.join(estimator.sketch(nowMs), nowMs));
-        fleet.forEach(estimator -> estimator.join(first.sketch(nowMs), nowMs));
+        fleet.forEach(estimator -> first.merge(estimator.sketch(nowMs), nowMs));
+        fleet.forEach(estimator -> estimator.merge(first.sketch(nowMs), nowMs));
     }
 
     @Test
@@ -73,7 +73,7 @@
         FleetSizeEstimator estimator = new FleetSizeEstimator(router(0), 0);
         estimator.onTick(9, false, 100);
         assertEquals(36, estimator.upperBound(100));
-        assertEquals(9, estimator.upperBound(FleetSizeEstimator.YOUNG_MS));
+        assertEquals(9, estimator.upperBound(FleetSizeEstimator.STARTUP_MS));
     }
 
     @Test
@@ -82,7 +82,7 @@
         List<FleetSizeEstimator> left = new ArrayList<>(fleet.subList(0, 40));
         double nowMs = 10_000;
         for (int epoch = 0; epoch < 3; epoch++) {
-            nowMs += FleetSizeEstimator.EPOCH_MS;
+            nowMs += FleetSizeEstimator.EPOCH_DURATION_MS;
             for (FleetSizeEstimator estimator : left) {
                 estimator.onTick(VIEW, true, nowMs);
             }
@@ -94,23 +94,23 @@
     @Test
     void oneThatJoinsAtTheStartOfAnEpochTakesTheCountBefore() {
         FleetSizeEstimator old = converged(200, 10_000).get(0);
-        old.onTick(VIEW, true, FleetSizeEstimator.EPOCH_MS + 1);
-        SizeSketch sketch = old.sketch(FleetSizeEstimator.EPOCH_MS + 1);
+        old.onTick(VIEW, true, FleetSizeEstimator.EPOCH_DURATION_MS + 1);
+        SizeSketch sketch = old.sketch(FleetSizeEstimator.EPOCH_DURATION_MS + 1);
         assertNotNull(sketch);
         FleetSizeEstimator fresh = new FleetSizeEstimator(router(500), 0);
-        fresh.join(sketch, 10);
+        fresh.merge(sketch, 10);
         assertEquals(200, fresh.estimate(10), 20);
     }
 
     @Test
     void bitsOfAnEarlierEpochAndOfAnotherLengthAreIgnored() {
         FleetSizeEstimator estimator = new FleetSizeEstimator(router(0), 0);
-        estimator.onTick(VIEW, true, FleetSizeEstimator.EPOCH_MS);
-        int before = estimator.estimate(FleetSizeEstimator.EPOCH_MS);
+        estimator.onTick(VIEW, true, FleetSizeEstimator.EPOCH_DURATION_MS);
+        int before = estimator.estimate(FleetSizeEstimator.EPOCH_DURATION_MS);
         byte[] all = new byte[128];
         Arrays.fill(all, (byte) 0xFF);
-        estimator.join(new SizeSketch(0, all, 900), FleetSizeEstimator.EPOCH_MS);
-        estimator.join(new SizeSketch(1, new byte[129], 900), FleetSizeEstimator.EPOCH_MS);
-        assertEquals(before, estimator.estimate(FleetSizeEstimator.EPOCH_MS));
+        estimator.merge(new SizeSketch(0, all, 900), FleetSizeEstimator.EPOCH_DURATION_MS);
+        estimator.merge(new SizeSketch(1, new byte[129], 900), FleetSizeEstimator.EPOCH_DURATION_MS);
+        assertEquals(before, estimator.estimate(FleetSizeEstimator.EPOCH_DURATION_MS));
     }
 }
--- a/membership/src/test/java/pinewick/membership/PeerSamplingTest.java
+++ b/membership/src/test/java/pinewick/membership/PeerSamplingTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pinewick.membership.MembershipMessages.Leaving;
+import pinewick.membership.MembershipMessages.LeaveAnnouncement;
 import pinewick.membership.MembershipMessages.PeerEntry;
 import pinewick.membership.MembershipMessages.ShuffleReply;
 import pinewick.membership.MembershipMessages.ShuffleRequest;
@@ -119,7 +119,7 @@
         hear(router(1, 100));
         hear(router(2, 100));
         sent.clear();
-        Leaving leaving = new Leaving(node(1, 1, NodeRole.ROUTER));
+        LeaveAnnouncement leaving = new LeaveAnnouncement(node(1, 1, NodeRole.ROUTER));
         sampling.onMessage(leaving.node().address(), leaving, nowMs);
         assertTrue(sent.stream().anyMatch(each -> each.message.equals(leaving)), "told on");
         sent.clear();
@@ -135,7 +135,8 @@
     @Test
     void aLateWordOfAnEarlierLifesEndDoesNotEndTheLaterLife() {
         hear(new PeerEntry(node(1, 2, NodeRole.ROUTER), 10));
-        sampling.onMessage(node(1, 1, NodeRole.ROUTER).address(), new Leaving(node(1, 1, NodeRole.ROUTER)), nowMs);
+        sampling.onMessage(
+                node(1, 1, NodeRole.ROUTER).address(), new LeaveAnnouncement(node(1, 1, NodeRole.ROUTER)), nowMs);
         assertTrue(known().contains(node(1, 2, NodeRole.ROUTER).address()));
     }
 
--- a/membership/src/test/java/pinewick/membership/ShuffleReplyTest.java
+++ b/membership/src/test/java/pinewick/membership/ShuffleReplyTest.java
@@ -90,6 +90,6 @@
                 requests.stream().map(ShuffleRequest::requestId).distinct().count();
         assertTrue(requests.size() > 1);
         assertEquals(requests.size(), distinct);
-        assertFalse(requests.stream().anyMatch(request -> request.requestId() == OutstandingRequests.UNASKED));
+        assertFalse(requests.stream().anyMatch(request -> request.requestId() == OutstandingRequests.NO_REQUEST));
     }
 }
--- a/replication/src/test/java/pinewick/replication/AcceptedChangesTest.java
+++ b/replication/src/test/java/pinewick/replication/AcceptedChangesTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void forgetsTheOldestBeyondItsCapacity() {
+    void evictsTheOldestBeyondItsCapacity() {
         AcceptedChanges changes = AcceptedChanges.NONE;
         for (int number = 0; number <= AcceptedChanges.CAPACITY; number++) {
             changes = changes.with(key(number));
--- a/replication/src/test/java/pinewick/replication/ChangeHandlingTest.java
+++ b/replication/src/test/java/pinewick/replication/ChangeHandlingTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void ofEightAtATimeUponOneVersionOneWins() {
+    void ofEightConcurrentChangesOfOneVersionOneWins() {
         for (int operator = 0; operator < 8; operator++) {
             submit(primary, change(0, 1 + operator));
         }
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aResentChangeIsAcknowledgedAlsoWhenOthersFollowed() {
+    void aResentChangeIsAcknowledgedAfterLaterChanges() {
         Change first = change(0, 5);
         submit(primary, first);
         pass(SOON_MS);
@@ -98,13 +98,13 @@
     }
 
     @Test
-    void aBackupNamesThePrimaryAtOnce() {
+    void aFollowerNamesThePrimaryAtOnce() {
         submit(backup, change(0, 1));
         assertEquals(List.of(new NotPrimary(Optional.of(primary.operatorApi))), outcomes);
     }
 
     @Test
-    void whatCannotBeDecidedEndsInTime() {
+    void aChangeWithoutAnOutcomeExpiresAtItsDeadline() {
         world.machines.stream().filter(machine -> machine != primary).forEach(Machine::freeze);
         submit(primary, change(0, 1));
         pass(world.ackMs - SOON_MS);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aChangeUnderWayWhenTheDiskFillsIsUnknownAndCanBeSentAgain() {
+    void aChangeInFlightWhenTheDiskFillsIsUnknownAndCanBeResent() {
         primary.disk.mode = SimulatedDisk.Mode.FULL;
         Change change = change(0, 1);
         submit(primary, change);
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void noRefusalIsGivenByAPrimaryThatNobodyConfirms() {
+    void aPrimaryWithoutConfirmationRejectsNothing() {
         world.machines.stream().filter(machine -> machine != primary).forEach(Machine::freeze);
         submit(primary, change(3, 4));
         pass(world.ackMs);
