--- a/replication/src/test/java/pinewick/replication/ChangeQueueTest.java
+++ b/replication/src/test/java/pinewick/replication/ChangeQueueTest.java
@@ -21,40 +21,40 @@
         queue.add(change, DEADLINE_MS, outcome -> answered.add(name + " " + outcome));
     }
 
-    private void refuseNext() {
+    private void rejectNext() {
         queue.completeOnceConfirmed(queue.next().orElseThrow(), CONFLICT);
     }
 
     @Test
-    void aSendingAfterTheRefusalIsDecidedOnItsOwn() {
+    void aSubmissionAfterTheRejectionIsProcessedOnItsOwn() {
         send("first");
-        refuseNext();
+        rejectNext();
         queue.onHeartbeatSent(1);
         send("second");
         queue.onHeartbeatConfirmed(1);
         assertEquals(List.of("first " + CONFLICT), answered, "round 1 began before the second came");
-        refuseNext();
+        rejectNext();
         queue.onHeartbeatSent(2);
         queue.onHeartbeatConfirmed(2);
         assertEquals(List.of("first " + CONFLICT, "second " + CONFLICT), answered);
     }
 
     @Test
-    void bothAreDecidedUponAgainInANewEpoch() {
+    void bothAreProcessedAgainInANewEpoch() {
         send("first");
-        refuseNext();
+        rejectNext();
         send("second");
         queue.requeueUnconfirmed();
-        refuseNext();
+        rejectNext();
         queue.onHeartbeatSent(1);
         queue.onHeartbeatConfirmed(1);
         assertEquals(2, answered.size());
     }
 
     @Test
-    void bothEndInTime() {
+    void bothExpireAtTheirDeadline() {
         send("first");
-        refuseNext();
+        rejectNext();
         send("second");
         queue.expire(DEADLINE_MS);
         assertEquals(2, answered.size());
@@ -62,9 +62,9 @@
     }
 
     @Test
-    void bothEndWhenThePrimaryDoes() {
+    void bothFailWhenThePrimaryStepsDown() {
         send("first");
-        refuseNext();
+        rejectNext();
         send("second");
         queue.failAll(new ChangeOutcome.NotPrimary(java.util.Optional.empty()));
         assertEquals(2, answered.size());
--- a/replication/src/test/java/pinewick/replication/EarlierLifeTest.java
+++ b/replication/src/test/java/pinewick/replication/EarlierIncarnationTest.java
@@ -18,7 +18,7 @@
 import pinewick.replication.ReplicationMessages.Status;
 
 /** Answers to questions of an earlier life reach the process that has started again; they count for nothing. */
-class EarlierLifeTest {
+class EarlierIncarnationTest {
     private static final SocketAddress SELF = SocketAddress.parse("10.0.0.1:7721");
     private static final SocketAddress OTHER = SocketAddress.parse("10.0.0.2:7721");
     private static final SocketAddress THIRD = SocketAddress.parse("10.0.0.3:7721");
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aStatusDoesNotHelpToStand() {
+    void aStatusDoesNotCountForAnElection() {
         Life first = new Life(1);
         first.tick();
         Status late = answerTo(first.last(Status.class));
@@ -138,7 +138,7 @@
 
     /** The first life ends before its own promise is on disk, so the second asks for the same number. */
     @Test
-    void aPromiseMakesNoEpoch() {
+    void aPromiseDoesNotCountForAnEpoch() {
         Life first = new Life(1);
         Promise late = answerTo(first.stand());
         Life second = new Life(2);
--- a/replication/src/test/java/pinewick/replication/FailoverTest.java
+++ b/replication/src/test/java/pinewick/replication/FailoverTest.java
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void backupKilled() {
+    void followerKilled() {
         longest("backup killed", 2_000, world -> {
             Machine backup = backup(world);
             backup.kill();
@@ -138,12 +138,12 @@
     }
 
     @Test
-    void backupDiskStalls() {
+    void followerDiskStalls() {
         longest("backup's disk stalls", 2_000, world -> disk(world, backup(world), SimulatedDisk.Mode.STALLED, 3_000));
     }
 
     @Test
-    void backupDiskFull() {
+    void followerDiskFull() {
         longest("backup's disk full", 2_000, world -> disk(world, backup(world), SimulatedDisk.Mode.FULL, 3_000));
     }
 
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void backupFrozen() {
+    void followerFrozen() {
         longest("backup frozen", 2_000, world -> {
             Machine backup = backup(world);
             backup.freeze();
@@ -171,17 +171,17 @@
     }
 
     @Test
-    void primaryNotHeard() {
+    void primarysMessagesAreLost() {
         longest("primary not heard", 3_500, world -> cut(world, world.primary(), false, true, 3_000));
     }
 
     @Test
-    void primaryHearsNothing() {
+    void messagesToThePrimaryAreLost() {
         longest("primary hears nothing", 3_500, world -> cut(world, world.primary(), true, false, 3_000));
     }
 
     @Test
-    void backupHearsNothingAndDisturbsNobody() {
+    void aFollowerThatReceivesNothingDisturbsNoElection() {
         for (int seed = 0; seed < SEEDS; seed++) {
             World world = founded(seed, 3, 1);
             Machine primary = world.primary();
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void backupLeavesWithoutAPause() {
+    void followerShutsDownWithoutAnInterruption() {
         double longest = longest("backup ends on purpose", 500, world -> {
             Machine backup = backup(world);
             backup.leave();
@@ -268,12 +268,12 @@
     }
 
     @Test
-    void aReplacedMachineIsTakenInSoon() {
+    void aReplacedMachineIsAdmittedSoon() {
         returns("replaced", 3_000, world -> replace(world, backup(world), 600));
     }
 
     @Test
-    void aReplacedPrimaryIsTakenInSoon() {
+    void aReplacedPrimaryIsAdmittedSoon() {
         returns("replaced primary", 3_500, world -> replace(world, world.primary(), 600));
     }
 
@@ -328,7 +328,7 @@
     }
 
     @Test
-    void fiveControllersWithThreeSeedsAreAllTakenIn() {
+    void fiveControllersWithThreeSeedsAreAllAdmitted() {
         for (int seed = 0; seed < SEEDS; seed++) {
             World world = founded(seed, 5, 2);
             List<Member> members =
@@ -341,7 +341,7 @@
     }
 
     @Test
-    void aNewMachineWhoseSeedsAreGoneFindsTheOthers() {
+    void aNewMachineWhoseSeedsAreLostFindsTheOthers() {
         World world = founded(1, 3, 1);
         List<Machine> founders = List.copyOf(world.machines);
         for (Machine founder : founders) {
@@ -353,7 +353,7 @@
     }
 
     @Test
-    void leaseIsHeldByThePrimaryOnlyAndAfterAPause() {
+    void onlyThePrimaryHasTheLeaseAndAfterADelay() {
         World world = founded(1, 3, 1);
         Machine primary = world.primary();
         assertTrue(primary.node().leadingEpoch().isPresent());
@@ -377,7 +377,7 @@
     }
 
     @Test
-    void everyRunningProcessHearsOfACommittedConfiguration() {
+    void everyRunningProcessIsNotifiedOfACommittedConfiguration() {
         World world = founded(3, 3, 1);
         accept(world, 200);
         long version = world.checker.newestAcknowledged();
--- a/replication/src/test/java/pinewick/replication/FaultToleranceTest.java
+++ b/replication/src/test/java/pinewick/replication/FaultToleranceTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void allThreeThereBearOneLoss() {
+    void threeStoresTolerateOneLoss() {
         FaultTolerance tolerance = atPrimary(founded(3, 1));
         assertEquals(OptionalInt.of(3), tolerance.currentStores());
         assertEquals(OptionalInt.of(1), tolerance.tolerableLosses());
@@ -41,12 +41,12 @@
     }
 
     @Test
-    void fiveBearTwo() {
+    void fiveStoresTolerateTwoLosses() {
         assertEquals(OptionalInt.of(2), atPrimary(founded(5, 2)).tolerableLosses());
     }
 
     @Test
-    void othersNameTheReasonAndThePrimary() {
+    void followersNameTheReasonAndThePrimary() {
         World world = founded(3, 1);
         ReplicationReport report = backup(world).node().report();
         assertEquals(OptionalInt.empty(), report.faultTolerance().tolerableLosses());
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void afterALossNoneIsBorneUntilTheRepair() {
+    void afterALossNoneIsTolerableUntilTheRepair() {
         World world = founded(3, 1);
         Machine wiped = backup(world);
         wiped.wipe();
@@ -72,7 +72,7 @@
 
     /** The model's finding: answers that were long on their way kept a lost store among the copies. */
     @Test
-    void aLostMemberWhoseAnswersComeLateDoesNotCount() {
+    void aLostMemberWhoseRepliesAreDelayedDoesNotCount() {
         World world = founded(3, 1);
         Machine lost = backup(world);
         Machine primary = world.primary();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aMemberThatIsAboutToEndDoesNotCount() {
+    void aMemberThatIsShuttingDownDoesNotCount() {
         World world = founded(3, 1);
         backup(world).leave();
         world.runUntil(world.nowMs() + 100);
--- a/replication/src/test/java/pinewick/replication/Machine.java
+++ b/replication/src/test/java/pinewick/replication/Machine.java
@@ -153,7 +153,7 @@
 
     void deliver(SocketAddress sender, Message message) {
         run(generation, () -> {
-            if (message instanceof Prepare prepare && world.variant == BrokenVariant.PROMISES_WITHOUT_REMEMBERING) {
+            if (message instanceof Prepare prepare && world.variant == Mutant.PROMISES_WITHOUT_REMEMBERING) {
                 Status status = node.status(false);
                 Promise promise = new Promise(
                         prepare.request(),
@@ -181,7 +181,7 @@
     void wipe() {
         kill();
         world.note(address + " loses its disk");
-        if (world.variant == BrokenVariant.VOTES_ON_AN_EMPTY_DISK) {
+        if (world.variant == Mutant.VOTES_ON_AN_EMPTY_DISK) {
             disk.wipeContent();
         } else {
             disk.wipe();
@@ -240,7 +240,7 @@
 
     void read(Consumer<ReadOutcome> callback) {
         run(generation, () -> {
-            boolean careless = world.variant == BrokenVariant.READS_WITHOUT_CONFIRMATION;
+            boolean careless = world.variant == Mutant.READS_WITHOUT_CONFIRMATION;
             if (careless && leads() && newest.version() > 0) {
                 callback.accept(new ReadOutcome.Current(newest));
                 return;
--- a/replication/src/test/java/pinewick/replication/MembershipChangeTest.java
+++ b/replication/src/test/java/pinewick/replication/MembershipChangeTest.java
@@ -85,13 +85,13 @@
     }
 
     @Test
-    void oneSideAtMostGoesOn() {
+    void atMostOneSideContinues() {
         World world = playCut(record -> record);
         assertTrue(world.checker.acknowledged > 0, "the old members are a majority and go on");
     }
 
     @Test
-    void withoutTheMajorityOfThePreviousMembersBothSidesGoOn() {
+    void withoutJointConsensusBothSidesContinue() {
         assertThrows(HistoryChecker.Violation.class, () -> playCut(EpochRecord::withoutPreviousMembers));
     }
 }
--- a/replication/src/test/java/pinewick/replication/BrokenVariant.java
+++ b/replication/src/test/java/pinewick/replication/Mutant.java
@@ -1,7 +1,7 @@
 package pinewick.replication;
 
 /** Deliberate faults, each of which the invariants must catch. */
-enum BrokenVariant {
+enum Mutant {
     /** As it is built. */
     NONE,
     /** A store that lost its disk votes as if it still had it. */
--- a/replication/src/test/java/pinewick/replication/KnownPrimaryTest.java
+++ b/replication/src/test/java/pinewick/replication/PrimaryLocatorTest.java
@@ -9,7 +9,7 @@
 import pinewick.replication.ReplicationMessages.PrimaryHint;
 
 /** How old a sighting is that came by way of another process. */
-class KnownPrimaryTest {
+class PrimaryLocatorTest {
     private static final SocketAddress API = SocketAddress.parse("10.1.0.1:8166");
     private static final EpochNumber EPOCH = new EpochNumber(4, "store-a");
     private static final double START_MS = 1_000;
@@ -31,7 +31,7 @@
 
     /** The model's finding: told to and fro over slow links, a sighting stayed young for ever. */
     @Test
-    void theTimeOnTheWayMakesItNoYounger() {
+    void theTimeInTransitMakesTheHintNoYounger() {
         PrimaryHint sighting = new PrimaryHint(EPOCH, API, 0);
         double askedMs = clock.steadyMs();
         passUntil(askedMs + SLOW_MS);
@@ -42,20 +42,20 @@
     }
 
     @Test
-    void oneThatIsFreshIsNamed() {
+    void aRecentPrimaryIsNamed() {
         known.onHint(new PrimaryHint(EPOCH, API, 100), clock.steadyMs());
         assertEquals(Optional.of(API), known.operatorApi());
     }
 
     @Test
-    void oneThatDeniedSinceIsNot() {
+    void aPrimaryThatDeniedSinceIsNotNamed() {
         known.onDenial();
         known.onHint(new PrimaryHint(EPOCH, API, 100), clock.steadyMs());
         assertEquals(Optional.empty(), known.operatorApi());
     }
 
     @Test
-    void oneThatResignedIsNot() {
+    void aPrimaryThatResignedIsNotNamed() {
         known.onResigned(EPOCH);
         passUntil(START_MS + SLOW_MS);
         known.onHint(new PrimaryHint(EPOCH, API, 0), clock.steadyMs());
--- a/replication/src/test/java/pinewick/replication/PrimaryKnowledgeTest.java
+++ b/replication/src/test/java/pinewick/replication/PrimaryRedirectTest.java
@@ -10,7 +10,7 @@
 import pinewick.replication.ReplicationMessages.Heartbeat;
 
 /** Whom a process that is not the primary names to callers, and for how long after it was last heard. */
-class PrimaryKnowledgeTest {
+class PrimaryRedirectTest {
     private static final double FOUNDED_MS = 3_000;
     /** How old the knowledge behind a redirection may be, and what it takes to travel. */
     private static final double OLDEST_MS = 460;
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aPrimaryThatFellSilentIsNamedForHalfASecondAtMost() {
+    void aPrimaryWithoutHeartbeatsIsNamedForHalfASecondAtMost() {
         primary.freeze();
         pass(OLDEST_MS);
         for (Machine backup : backups) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void whatOthersTellDoesNotGrowYoungerOnTheWay() {
+    void aHintDoesNotGetYoungerOnTheWay() {
         world.cut(primary, backups.get(0));
         pass(OLDEST_MS);
         primary.freeze();
@@ -66,14 +66,14 @@
     }
 
     @Test
-    void aBackupThatOnlyMissesThePrimaryNamesItWhileOthersHearIt() {
+    void aFollowerCutOffFromThePrimaryOnlyNamesItWhileOthersHaveContact() {
         world.cut(primary, backups.get(0));
         pass(2 * OLDEST_MS);
         assertEquals(Optional.of(primary.operatorApi), backups.get(0).named());
     }
 
     @Test
-    void aThawedBackupNamesNobodyBeforeItHasHeard() {
+    void aFollowerThatWasFrozenNamesNoPrimaryBeforeAHeartbeat() {
         Machine frozen = backups.get(0);
         frozen.freeze();
         cutOff(frozen);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void whoeverWasFrozenHoldsTheNewestOnlyOnceItHasHeard() {
+    void aProcessThatWasFrozenIsUpToDateOnlyAfterAHeartbeat() {
         Change change = new Operator(world).properChange();
         primary.submit(change, outcome -> {});
         pass(OLDEST_MS);
@@ -104,7 +104,7 @@
 
     /** The model's finding: what waited in the buffers during a freeze was taken for news. */
     @Test
-    void heartbeatsThatWaitedThroughAFreezeAreOld() {
+    void heartbeatsBufferedDuringAFreezeAreIgnored() {
         Machine frozen = backups.get(0);
         frozen.freeze();
         pass(OLDEST_MS);
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void aPrimaryThatWasFrozenHoldsNoLeaseWhoeverAsksFirst() {
+    void aPrimaryThatWasFrozenHasNoLeaseWhateverEventComesFirst() {
         pass(FOUNDED_MS);
         assertEquals(true, primary.node().leadingEpoch().isPresent());
         primary.freeze();
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void aLateHeartbeatOfWhoeverResignedChangesNothing() {
+    void aDelayedHeartbeatOfAResignedPrimaryChangesNothing() {
         Machine backup = backups.get(0);
         world.cut(backups.get(0), backups.get(1));
         world.cut(backups.get(1), backups.get(0));
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void nobodyIsNamedOnceAnotherNumberWasPromised() {
+    void noPrimaryIsNamedAfterAPromiseToAnotherProposer() {
         Machine backup = backups.get(0);
         cutOff(primary);
         EpochNumber later = new EpochNumber(lastHeartbeat.number().counter() + 1, identity(backups.get(1)));
--- a/replication/src/test/java/pinewick/replication/QuorumContactTest.java
+++ b/replication/src/test/java/pinewick/replication/QuorumContactTest.java
@@ -44,12 +44,12 @@
     }
 
     @Test
-    void allOfAWholeCoreDo() {
+    void everyControllerOfAHealthyQuorumIsUpToDate() {
         world.machines.forEach(machine -> assertTrue(holdsNewest(machine)));
     }
 
     @Test
-    void aBackupThatIsCutOffDoesNot() {
+    void aFollowerThatIsCutOffIsNot() {
         Machine alone = backups().get(0);
         isolate(alone);
         runFor(LOST_MS);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aPrimaryThatIsCutOffDoesNot() {
+    void aPrimaryThatIsCutOffIsNot() {
         Machine alone = world.primary();
         isolate(alone);
         runFor(LOST_MS);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aPrimaryThatSpeaksButHearsNobodyDoesNot() {
+    void aPrimaryThatSendsButReceivesNothingIsNot() {
         Machine primary = world.primary();
         for (Machine other : backups()) {
             world.cut(other, primary);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aStoreWithoutADiskDoesOnlyOnceItHoldsTheState() {
+    void aStoreWhoseDiskWasLostIsUpToDateOnlyOnceItHasTheState() {
         Change change = new Operator(world).properChange();
         world.primary().submit(change, outcome -> {});
         runFor(1_000);
--- a/replication/src/test/java/pinewick/replication/RepairTest.java
+++ b/replication/src/test/java/pinewick/replication/RepairTest.java
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aWipedBackup() {
+    void aWipedFollower() {
         assertTrue(longest("wiped", 3, 1, world -> wipedAndStarted(world, backup(world), DOWN_MS)) < REPAIR_BOUND_MS);
     }
 
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aKilledBackup() {
+    void aKilledFollower() {
         double ms = longest("killed", 3, 1, world -> {
             Machine killed = backup(world);
             killed.kill();
@@ -123,13 +123,13 @@
     }
 
     @Test
-    void aReplacedBackupOnceItsPlaceIsVacant() {
+    void aReplacedFollowerOnceItsMembershipIsVacant() {
         double ms = longest("replaced", 3, 1, world -> replaced(world, backup(world), DOWN_MS));
         assertTrue(ms < REPAIR_BOUND_MS);
     }
 
     @Test
-    void aReplacedBackupWhoseSuccessorStartsAtOnce() {
+    void aReplacedFollowerWhoseSuccessorStartsAtOnce() {
         double ms = longest("replaced at once", 3, 1, world -> replaced(world, backup(world), AT_ONCE_MS));
         assertTrue(ms < VACANT_MS + REPAIR_BOUND_MS);
     }
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void aNewcomerThatWaitsBesideAllMembersTakesTheFirstVacancy() {
+    void anObserverBesideAllMembersTakesTheFirstVacancy() {
         double ms = longest("newcomer that waits", 3, 1, world -> {
             Machine waiting = world.addMachine();
             waiting.seeds = world.machines.get(0).seeds;
@@ -198,7 +198,7 @@
 
     /** The model's finding: the leaver ended with its place not taken, and a disk lost then left no majority. */
     @Test
-    void theLeaverStaysUntilItsSuccessorHasItsPlace() {
+    void aMemberThatShutsDownStaysUntilItsSuccessorIsAMember() {
         for (int seed = 0; seed < SEEDS; seed++) {
             World world = founded(seed, 3, 1);
             Machine leaving = seed % 2 == 0 ? world.primary() : backup(world);
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void withoutASuccessorTheLeaverGoesSoon() {
+    void withoutASuccessorAMemberThatShutsDownIsRemovedSoon() {
         for (int seed = 0; seed < SEEDS; seed++) {
             World world = founded(seed, 3, 1);
             Machine leaving = seed % 2 == 0 ? world.primary() : backup(world);
--- a/replication/src/test/java/pinewick/replication/ReplicationSimulationTest.java
+++ b/replication/src/test/java/pinewick/replication/ReplicationSimulationTest.java
@@ -20,12 +20,12 @@
     private static final double ANSWER_MS = 3_000;
 
     @Test
-    void whatIsAcknowledgedStaysAndWhatIsRefusedNeverComes() {
+    void acknowledgedChangesStayAndRejectedOnesNeverTakeEffect() {
         long acknowledged = 0;
         long refused = 0;
         long reads = 0;
         for (int seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            World world = play(seed, BrokenVariant.NONE);
+            World world = play(seed, Mutant.NONE);
             acknowledged += world.checker.acknowledged;
             refused += world.checker.refused;
             reads += world.checker.reads;
@@ -36,7 +36,7 @@
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aBrokenVariantIsCaught(BrokenVariant variant) {
+    void aBrokenVariantIsCaught(Mutant variant) {
         for (int seed = 0; seed < SEEDS_FOR_A_VARIANT; seed++) {
             try {
                 play(seed, variant);
@@ -52,7 +52,7 @@
         fail(variant + " was not caught");
     }
 
-    static World play(long seed, BrokenVariant variant) {
+    static World play(long seed, Mutant variant) {
         World world = null;
         try {
             world = newWorld(seed, variant);
@@ -80,7 +80,7 @@
         }
     }
 
-    private static World newWorld(long seed, BrokenVariant variant) {
+    private static World newWorld(long seed, Mutant variant) {
         boolean large = seed % 4 == 3;
         World world = new World(seed, large ? 2 : 1);
         world.variant = variant;
--- a/replication/src/test/java/pinewick/replication/AnswerMatchingTest.java
+++ b/replication/src/test/java/pinewick/replication/ReplyMatchingTest.java
@@ -16,7 +16,7 @@
 import pinewick.replication.ReplicationMessages.Status;
 
 /** Answers that bear the number of a question of another life count for nothing, whatever their kind. */
-class AnswerMatchingTest {
+class ReplyMatchingTest {
     private static final double FOUNDED_MS = 3_000;
 
     private static RequestId another(RequestId request) {
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void withEveryAnswerAsItIsAChangeIsTaken() {
+    void withUnalteredRepliesAChangeIsAccepted() {
         assertTrue(works(message -> message));
     }
 
@@ -108,7 +108,7 @@
 
     /** What is held is told by the answers to states and to heartbeats. */
     @Test
-    void stateReplies() {
+    void replicationReplies() {
         assertFalse(works(message -> message instanceof ReplicationReply reply
                 ? new ReplicationReply(
                         another(reply.request()),
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void anAnswerThatALaterOneOvertookTellsNothing() {
+    void aReplyThatALaterOneOvertookIsIgnored() {
         Follower replica = new Follower(new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721")), 0);
         EpochNumber number = new EpochNumber(4, "store-a");
         StateVersion tag = new StateVersion(4, 1);
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void twoAnswersToOneRoundMayPassEachOther() {
+    void twoRepliesToOneHeartbeatMayArriveInEitherOrder() {
         Follower replica = new Follower(new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721")), 0);
         EpochNumber number = new EpochNumber(4, "store-a");
         StateVersion tag = new StateVersion(4, 1);
--- a/replication/src/test/java/pinewick/replication/ResentChangeTest.java
+++ b/replication/src/test/java/pinewick/replication/ResentChangeTest.java
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void byAMemberThatGotTheStateAsACopyOnly() {
+    void byAMemberThatGotTheStateAsASnapshotOnly() {
         for (Machine founder : List.copyOf(world.machines)) {
             Machine successor = world.addMachine();
             successor.seeds = world.machines.stream()
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void afterSnapshotsWereFoldedAndEveryProcessStartedAgain() {
+    void afterSnapshotsAndARestartOfEveryProcess() {
         for (int count = 0; count < FOLDED_CHANGES; count++) {
             take(nextChange());
         }
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void beyondTheRememberedChangesThereIsNoClearAnswer() {
+    void beyondTheRetainedChangesTheOutcomeIsUnknown() {
         for (int count = 0; count < AcceptedChanges.CAPACITY; count++) {
             take(nextChange());
         }
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void notByAPrimaryThatNobodyConfirms() {
+    void notByAPrimaryWithoutConfirmation() {
         Machine primary = world.primary();
         for (Machine other : world.machines) {
             world.cut(primary, other);
--- a/replication/src/test/java/pinewick/replication/SimulatedStore.java
+++ b/replication/src/test/java/pinewick/replication/SimulatedStore.java
@@ -40,7 +40,7 @@
             return;
         }
         busy = true;
-        if (world.variant == BrokenVariant.CONFIRMS_BEFORE_THE_DISK) {
+        if (world.variant == Mutant.CONFIRMS_BEFORE_THE_DISK) {
             Write early = queue.peek();
             world.after(0.1, () -> machine.run(generation, early.onDone));
             world.after(80, () -> end(() -> machine.disk.apply(early.write), () -> {}));
@@ -87,7 +87,7 @@
     /** The process ends: what was being written may have reached the disk. */
     void crash() {
         Write write = queue.peek();
-        boolean lost = world.variant == BrokenVariant.CONFIRMS_BEFORE_THE_DISK;
+        boolean lost = world.variant == Mutant.CONFIRMS_BEFORE_THE_DISK;
         if (write != null && !lost && machine.disk.mode != SimulatedDisk.Mode.FULL && world.chance(0.5)) {
             machine.disk.apply(write.write);
         }
--- a/replication/src/test/java/pinewick/replication/FoldingTest.java
+++ b/replication/src/test/java/pinewick/replication/SnapshotTest.java
@@ -20,7 +20,7 @@
 import pinewick.replication.DurableState.Update;
 
 /** Thousands of changes on one disk, with snapshots folded beneath, and a disk that refuses one of the foldings. */
-class FoldingTest {
+class SnapshotTest {
     private static final int CHANGES = 2_000;
     private static final int LONGEST_TAIL = 200;
     private static final int SERVICES = 50;
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void afterEachFoldingTheDiskHoldsEveryChange() {
+    void afterEachSnapshotTheDiskHasEveryChange() {
         int foldings = 0;
         for (int number = 1; number <= CHANGES; number++) {
             assertEquals(Outcome.WRITTEN, applyNext());
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aFoldingThatAFullDiskRefusesChangesNothingAndIsDoneByTheNextWrite() {
+    void aSnapshotThatAFullDiskRejectsChangesNothingAndIsWrittenNext() {
         for (int number = 0; number < LONGEST_TAIL; number++) {
             applyNext();
         }
@@ -146,7 +146,7 @@
 
     /** Not known to have failed: the process ends with the write on the disk, and the next one finds it whole. */
     @Test
-    void aFoldingThatReachedTheDiskThoughItWasReportedAsFailedIsFoundWhole() {
+    void aSnapshotOnDiskThatWasReportedAsFailedIsFoundComplete() {
         for (int number = 0; number < LONGEST_TAIL; number++) {
             applyNext();
         }
--- a/replication/src/test/java/pinewick/replication/OldCopyTest.java
+++ b/replication/src/test/java/pinewick/replication/StaleDiskTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** An old, whole copy of a disk is put back and its process started, while others know better. */
-class OldCopyTest {
+class StaleDiskTest {
     private static final int SEEDS = 20;
     private static final double FOUNDED_MS = 4_000;
     private static final double SOON_MS = 100;
@@ -37,7 +37,7 @@
 
     /** Within one epoch, so quickly that the store never left the in-sync set; then the primary is lost. */
     @Test
-    void ofTheSameEpochDoesNotUndoWhatWasAcknowledged() {
+    void ofTheSameEpochDoesNotUndoAcknowledgedChanges() {
         for (int seed = 0; seed < SEEDS; seed++) {
             World world = new World(seed, 1);
             world.found(3);
@@ -95,7 +95,7 @@
 
     /** The settings still say that the whole system starts for the first time. */
     @Test
-    void aFounderWhoseDiskIsEmptyAgainStartsOver() {
+    void aFounderWhoseDiskIsEmptyAgainIsReset() {
         for (int seed = 0; seed < SEEDS; seed++) {
             World world = new World(seed, 1);
             world.found(3);
--- a/replication/src/test/java/pinewick/replication/WitnessTest.java
+++ b/replication/src/test/java/pinewick/replication/WitnessTest.java
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void whileThePrimaryIsHeardNobodyElseGetsAPromise() {
+    void withPrimaryContactNoOtherProposerGetsAPromise() {
         started();
         node.onMessage(OTHER, new RecordChosen(record(number(1, OTHER))), 10);
         finishWrites();
--- a/replication/src/test/java/pinewick/replication/World.java
+++ b/replication/src/test/java/pinewick/replication/World.java
@@ -35,7 +35,7 @@
     /** Changes messages on their way, for deliberately broken variants. */
     BiFunction<Machine, Message, Message> tamper = (sender, message) -> message;
 
-    BrokenVariant variant = BrokenVariant.NONE;
+    Mutant variant = Mutant.NONE;
     /** How long a link carries a whole state. States and changes keep their order then, as on a connection. */
     double wholeStateMs;
 
--- a/storage/src/main/java/pinewick/storage/DiskFaults.java
+++ b/storage/src/main/java/pinewick/storage/DiskErrorClassifier.java
@@ -3,11 +3,11 @@
 import jetbrains.exodus.OutOfDiskSpaceException;
 import pinewick.replication.StorageException.Kind;
 
-/** Tells a full disk from one that fails. */
-final class DiskFaults {
+/** Distinguishes a full disk from one that fails. */
+final class DiskErrorClassifier {
     private static final String NO_SPACE = "No space left on device";
 
-    private DiskFaults() {}
+    private DiskErrorClassifier() {}
 
     static Kind kindOf(Throwable fault) {
         for (Throwable cause = fault; cause != null; cause = cause.getCause()) {
--- a/storage/src/main/java/pinewick/storage/StoreFolder.java
+++ b/storage/src/main/java/pinewick/storage/StoreFolder.java
@@ -12,15 +12,15 @@
 import java.util.stream.Stream;
 import pinewick.replication.StorageException;
 
-/** The folder of a store: the live files, and at most one set that could not be read. */
+/** The folder of a store: the live files, and at most one set of files that could not be read. */
 final class StoreFolder {
     private static final String LIVE = "live";
     private static final String DAMAGED = "damaged";
-    private static final String PROBE = "probe";
-    private static final int PROBE_BYTES = 4_096;
+    private static final String WRITE_TEST_FILE = "probe";
+    private static final int WRITE_TEST_BYTES = 4_096;
 
-    /** Damaged files beyond this are not kept: the disk is small. */
-    private static final long MOST_DAMAGED_BYTES = 16L << 20;
+    /** Damaged files beyond this size are deleted: the disk is small. */
+    private static final long MAX_DAMAGED_BYTES = 16L << 20;
 
     private final Path directory;
 
@@ -32,59 +32,62 @@
         return directory.resolve(LIVE);
     }
 
-    /** Makes the folder of the live files, so that its name survives a loss of power. */
+    /** Creates the folder of the live files, and syncs its parents so that it survives a power failure. */
     void prepare() throws IOException {
         if (!Files.exists(live())) {
             Files.createDirectories(live());
-            syncNames(directory);
+            syncDirectory(directory);
             Path parent = directory.toAbsolutePath().getParent();
             if (parent != null) {
-                syncNames(parent);
+                syncDirectory(parent);
             }
         }
     }
 
-    /** Whether files were ever set aside here. */
+    /** Whether files were ever quarantined here. */
     boolean hasDamaged() {
         return Files.exists(directory.resolve(DAMAGED));
     }
 
-    /** Fails if the disk takes no write at all. */
+    /** Fails if the disk cannot be written at all. */
     void requireWritable(String step) throws StorageException {
-        Path probe = directory.resolve(PROBE);
+        Path testFile = directory.resolve(WRITE_TEST_FILE);
         try {
             Files.createDirectories(directory);
             try (FileChannel channel = FileChannel.open(
-                    probe, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-                channel.write(ByteBuffer.allocate(PROBE_BYTES));
+                    testFile,
+                    StandardOpenOption.CREATE,
+                    StandardOpenOption.WRITE,
+                    StandardOpenOption.TRUNCATE_EXISTING)) {
+                channel.write(ByteBuffer.allocate(WRITE_TEST_BYTES));
                 channel.force(true);
             }
-            Files.delete(probe);
+            Files.delete(testFile);
         } catch (IOException e) {
-            throw new StorageException(DiskFaults.kindOf(e), step, e);
+            throw new StorageException(DiskErrorClassifier.kindOf(e), step, e);
         }
     }
 
-    /** Moves the live files away, so that the store begins empty. */
-    void setAside() throws StorageException {
+    /** Moves the live files away, so that the store starts empty. */
+    void quarantine() throws StorageException {
         Path damaged = directory.resolve(DAMAGED);
         try {
             delete(damaged);
-            if (sizeOf(live()) <= MOST_DAMAGED_BYTES) {
+            if (sizeOf(live()) <= MAX_DAMAGED_BYTES) {
                 Files.move(live(), damaged, StandardCopyOption.ATOMIC_MOVE);
             } else {
                 Files.createDirectories(damaged);
                 delete(live());
             }
-            syncNames(directory);
+            syncDirectory(directory);
         } catch (IOException e) {
-            throw new StorageException(DiskFaults.kindOf(e), "set aside", e);
+            throw new StorageException(DiskErrorClassifier.kindOf(e), "set aside", e);
         }
     }
 
-    private static void syncNames(Path folder) throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+    private static void syncDirectory(Path folder) throws IOException {
+        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
--- a/storage/src/main/java/pinewick/storage/StoredFormat.java
+++ b/storage/src/main/java/pinewick/storage/StoredFormat.java
@@ -17,9 +17,9 @@
 import pinewick.replication.StoredChange;
 import pinewick.replication.StoredHead;
 
-/** The bytes of what is stored. Each value begins with the version of this format. */
+/** The binary format of stored records. Each value starts with the version of the format. */
 final class StoredFormat {
-    private static final int VERSION = 1;
+    private static final int FORMAT_VERSION = 1;
 
     private StoredFormat() {}
 
@@ -87,7 +87,7 @@
         EpochNumber number = readNumber(in);
         String primary = in.readUTF();
         List<String> inSync = new ArrayList<>();
-        for (int left = in.readInt(); left > 0; left--) {
+        for (int remaining = in.readInt(); remaining > 0; remaining--) {
             inSync.add(in.readUTF());
         }
         List<Member> members = readMembers(in);
@@ -105,7 +105,7 @@
 
     private static List<Member> readMembers(DataInputStream in) throws IOException {
         List<Member> members = new ArrayList<>();
-        for (int left = in.readInt(); left > 0; left--) {
+        for (int remaining = in.readInt(); remaining > 0; remaining--) {
             members.add(new Member(in.readUTF(), new SocketAddress(in.readUTF(), in.readInt())));
         }
         return members;
@@ -114,7 +114,7 @@
     private static byte[] write(Writer writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(VERSION);
+            out.writeByte(FORMAT_VERSION);
             writer.write(out);
         } catch (IOException e) {
             throw new UncheckedIOException("memory does not fail", e);
@@ -125,8 +125,8 @@
     private static DataInputStream open(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int version = in.readByte();
-        if (version != VERSION) {
-            throw new IOException("format " + version + " is not known here; this release reads " + VERSION);
+        if (version != FORMAT_VERSION) {
+            throw new IOException("format " + version + " is not known here; this release reads " + FORMAT_VERSION);
         }
         return in;
     }
--- a/storage/src/main/java/pinewick/storage/TornWrite.java
+++ b/storage/src/main/java/pinewick/storage/TornWriteRepair.java
@@ -9,39 +9,40 @@
 import java.util.stream.Stream;
 
 /**
- * Cuts off a write that was under way when the power was lost. Pages of it that did not reach the disk read as zeros,
- * after which Xodus takes the log for damaged. No whole log has so many zeros in a row, and what was synced is no zeros
- * afterwards: so the first of them stand in a write that was never confirmed, if no more than one write is cut off.
+ * Truncates the log at a write that was interrupted by a power failure. Sectors of it that did not reach the disk read
+ * as zeros, after which Xodus takes the log for damaged. No intact log has that many zeros in a row, and what was
+ * synced does not turn into zeros: so the first zero sector is part of a write that was never confirmed, provided that
+ * no more than one write would be truncated.
  */
-final class TornWrite {
-    /** A disk writes no smaller pieces. */
+final class TornWriteRepair {
+    /** The smallest unit that a disk writes. */
     private static final int SECTOR_BYTES = 512;
 
     private static final String LOG_FILES = "*.xd";
 
     private final Path live;
 
-    TornWrite(Path live) {
+    TornWriteRepair(Path live) {
         this.live = live;
     }
 
-    /** Cuts the log before the first missing piece; returns whether there was one and it lies in the last write. */
-    boolean cutOff() throws IOException {
+    /** Truncates the log before the first zero sector; returns whether there was one, in the last write. */
+    boolean truncate() throws IOException {
         List<Path> files = logFiles();
         for (int number = 0; number < files.size(); number++) {
-            int from = firstMissing(Files.readAllBytes(files.get(number)));
+            int from = firstZeroSector(Files.readAllBytes(files.get(number)));
             if (from >= 0) {
-                return cutOff(files.subList(number, files.size()), from);
+                return truncate(files.subList(number, files.size()), from);
             }
         }
         return false;
     }
 
-    private static boolean cutOff(List<Path> files, int from) throws IOException {
+    private static boolean truncate(List<Path> files, int from) throws IOException {
         int writes = 0;
         for (Path file : files) {
             byte[] bytes = Files.readAllBytes(file);
-            writes += marks(bytes, file.equals(files.get(0)) ? from : 0);
+            writes += countMarkers(bytes, file.equals(files.get(0)) ? from : 0);
         }
         if (writes > 1) {
             return false;
@@ -56,7 +57,7 @@
         return true;
     }
 
-    /** In the order of their addresses, which their names are. */
+    /** In the order of their log addresses, which are their names. */
     private List<Path> logFiles() throws IOException {
         try (Stream<Path> files = Files.list(live)) {
             return files.filter(file -> file.getFileSystem()
@@ -67,8 +68,8 @@
         }
     }
 
-    /** Where a sector's worth of zeros begins, -1 if nowhere. */
-    private static int firstMissing(byte[] bytes) {
+    /** Where the first sector of zeros starts, -1 if there is none. */
+    private static int firstZeroSector(byte[] bytes) {
         int zeros = 0;
         for (int index = 0; index < bytes.length; index++) {
             zeros = bytes[index] == 0 ? zeros + 1 : 0;
@@ -79,17 +80,17 @@
         return -1;
     }
 
-    private static int marks(byte[] bytes, int from) {
-        int marks = 0;
-        for (int index = from; index + WriteChecksum.MARK.length <= bytes.length; index++) {
-            marks += isMark(bytes, index) ? 1 : 0;
+    private static int countMarkers(byte[] bytes, int from) {
+        int markers = 0;
+        for (int index = from; index + WriteChecksum.MARKER.length <= bytes.length; index++) {
+            markers += isMarker(bytes, index) ? 1 : 0;
         }
-        return marks;
+        return markers;
     }
 
-    private static boolean isMark(byte[] bytes, int at) {
-        for (int index = 0; index < WriteChecksum.MARK.length; index++) {
-            if (bytes[at + index] != WriteChecksum.MARK[index]) {
+    private static boolean isMarker(byte[] bytes, int at) {
+        for (int index = 0; index < WriteChecksum.MARKER.length; index++) {
+            if (bytes[at + index] != WriteChecksum.MARKER[index]) {
                 return false;
             }
         }
--- a/storage/src/main/java/pinewick/storage/WriteChecksum.java
+++ b/storage/src/main/java/pinewick/storage/WriteChecksum.java
@@ -7,23 +7,23 @@
 import pinewick.replication.StoredSnapshot;
 
 /**
- * A checksum over everything that a store holds, renewed with each write: a chain over snapshot and changes, closed by
- * the head.
+ * A checksum over everything that is stored, updated with each write: a chain over the snapshot and the changes, closed
+ * by the head.
  */
 final class WriteChecksum {
-    /** Stands once in each write, so that the writes in a piece of the log can be counted. */
-    static final byte[] MARK = {(byte) 0x9E, 0x37, 0x79, (byte) 0xB9, 0x7F, 0x4A, 0x7C, 0x15};
+    /** Appears once in each write, so that the writes in a part of the log can be counted. */
+    static final byte[] MARKER = {(byte) 0x9E, 0x37, 0x79, (byte) 0xB9, 0x7F, 0x4A, 0x7C, 0x15};
 
     private WriteChecksum() {}
 
-    /** Of a snapshot without changes after it. */
+    /** The checksum of a snapshot without changes after it. */
     static int ofSnapshot(StoredSnapshot snapshot) {
-        return chained(chained(0, snapshot.document()), snapshot.changes());
+        return chain(chain(0, snapshot.document()), snapshot.changes());
     }
 
-    /** Of what {@code before} is the checksum of, and one more change, as it is stored. */
+    /** The checksum after one more change, as it is stored. */
     static int withChange(int before, byte[] change) {
-        return chained(before, change);
+        return chain(before, change);
     }
 
     static int ofContent(StoredSnapshot snapshot, List<StoredChange> changes) {
@@ -34,15 +34,15 @@
         return checksum;
     }
 
-    /** What is stored beside a head. */
+    /** The entry that is stored beside a head. */
     static byte[] entry(int content, byte[] head) {
-        return ByteBuffer.allocate(MARK.length + Integer.BYTES)
-                .put(MARK)
-                .putInt(chained(content, head))
+        return ByteBuffer.allocate(MARKER.length + Integer.BYTES)
+                .put(MARKER)
+                .putInt(chain(content, head))
                 .array();
     }
 
-    private static int chained(int before, byte[] bytes) {
+    private static int chain(int before, byte[] bytes) {
         CRC32C checksum = new CRC32C();
         checksum.update(ByteBuffer.allocate(Integer.BYTES).putInt(before).flip());
         checksum.update(bytes);
--- a/storage/src/main/java/pinewick/storage/XodusFiles.java
+++ b/storage/src/main/java/pinewick/storage/XodusDatabase.java
@@ -25,16 +25,18 @@
 import pinewick.replication.StoredSnapshot;
 import pinewick.replication.StoredState;
 
-/** An open Xodus environment and the layout of what is kept in it. Each write is one durable transaction. */
-final class XodusFiles {
-    private static final long MEMORY_BYTES = 8L << 20;
-    private static final long LOG_FILE_KILOBYTES = 1_024;
+/**
+ * An open Xodus environment and the layout of its stores. Each write is one durable transaction. Storage thread only.
+ */
+final class XodusDatabase {
+    private static final long MAX_MEMORY_BYTES = 8L << 20;
+    private static final long LOG_FILE_KIB = 1_024;
 
-    /** No value is longer: the log cannot hold values longer than one of its files. */
-    private static final int CHUNK_BYTES = 64 * 1024;
+    /** Longer values are split: Xodus cannot store a value that is longer than one of its log files. */
+    private static final int MAX_VALUE_BYTES = 64 * 1024;
 
-    /** Garbage is collected this often and this soon, for whole documents in a row make much of it. */
-    private static final int GC_PERIOD_MS = 1_000;
+    /** Garbage is collected at this interval and this soon, because successive snapshots produce much of it. */
+    private static final int GC_INTERVAL_MS = 1_000;
 
     private static final ByteIterable HEAD = key("head");
     private static final ByteIterable CHECKSUM = key("checksum");
@@ -47,7 +49,7 @@
     private int nextChange;
     private int contentChecksum;
 
-    private XodusFiles(Environment environment, Transaction transaction) {
+    private XodusDatabase(Environment environment, Transaction transaction) {
         this.environment = environment;
         this.heads = openStore(environment, "head", transaction);
         this.documents = openStore(environment, "document", transaction);
@@ -55,35 +57,35 @@
         this.changes = openStore(environment, "changes", transaction);
     }
 
-    static XodusFiles open(Path folder) {
+    static XodusDatabase open(Path folder) {
         EnvironmentConfig config = new EnvironmentConfig()
                 .setLogDurableWrite(true)
-                .setLogFileSize(LOG_FILE_KILOBYTES)
+                .setLogFileSize(LOG_FILE_KIB)
                 .setLogCacheShared(false)
                 .setLogCacheUseNio(false)
-                .setMemoryUsage(MEMORY_BYTES)
+                .setMemoryUsage(MAX_MEMORY_BYTES)
                 .setEnvStoreGetCacheSize(0)
                 .setEnvMonitorTxnsTimeout(0)
                 .setEnvCloseForcedly(true)
-                .setGcStartIn(GC_PERIOD_MS)
-                .setGcRunPeriod(GC_PERIOD_MS)
-                .setGcFilesDeletionDelay(GC_PERIOD_MS)
+                .setGcStartIn(GC_INTERVAL_MS)
+                .setGcRunPeriod(GC_INTERVAL_MS)
+                .setGcFilesDeletionDelay(GC_INTERVAL_MS)
                 .setEnvGatherStatistics(false)
                 .setManagementEnabled(false);
-        // One thread of one process uses the folder. A lock would stay behind when opening fails, and the next try
-        // would fail for it alone.
+        // Only one thread of one process uses the folder. A lock would be left behind when opening fails, and the next
+        // attempt would fail because of it.
         LogConfig logConfig = new LogConfig().setLocation(folder.toString());
         logConfig.setLockIgnored(true);
         Environment environment = Environments.newInstance(logConfig, config);
-        // All stores by one transaction: a new disk is waited for once.
-        return environment.computeInTransaction(transaction -> new XodusFiles(environment, transaction));
+        // All stores are opened in one transaction, so that a new disk is synced only once.
+        return environment.computeInTransaction(transaction -> new XodusDatabase(environment, transaction));
     }
 
     private static Store openStore(Environment environment, String name, Transaction transaction) {
         return environment.openStore(name, StoreConfig.WITHOUT_DUPLICATES, transaction);
     }
 
-    /** Everything that was written, or nothing before the first write. */
+    /** Everything that was written, empty before the first write. */
     Optional<StoredState> read() throws IOException {
         Transaction transaction = environment.beginReadonlyTransaction();
         try {
@@ -107,7 +109,7 @@
         }
     }
 
-    /** Stores of earlier releases have no checksum before their next write. */
+    /** Disks of earlier releases have no checksum before their next write. */
     private void requireChecksum(byte[] head, ByteIterable stored) throws IOException {
         if (stored != null && !Arrays.equals(bytesOf(stored), WriteChecksum.entry(contentChecksum, head))) {
             throw new IOException("what is stored does not have its checksum");
@@ -116,8 +118,8 @@
 
     /** Writes head and content in one durable transaction. */
     void write(StableWrite write) {
-        Content next = environment.computeInTransaction(transaction -> {
-            Content written = writeContent(write.content(), transaction);
+        ContentSummary next = environment.computeInTransaction(transaction -> {
+            ContentSummary written = writeContent(write.content(), transaction);
             byte[] head = StoredFormat.writeHead(write.head());
             heads.put(transaction, HEAD, new ArrayByteIterable(head));
             heads.put(transaction, CHECKSUM, new ArrayByteIterable(WriteChecksum.entry(written.checksum, head)));
@@ -127,22 +129,22 @@
         contentChecksum = next.checksum;
     }
 
-    /** How many changes stand after the snapshot, and the checksum of both. */
-    private record Content(int changes, int checksum) {}
+    /** How many changes follow the snapshot, and the checksum of both. */
+    private record ContentSummary(int changes, int checksum) {}
 
-    private Content writeContent(StableWrite.Content content, Transaction transaction) {
+    private ContentSummary writeContent(StableWrite.Content content, Transaction transaction) {
         if (content instanceof StableWrite.Replaced replaced) {
             clear(changes, transaction);
             writeChunks(documents, replaced.snapshot().document(), transaction);
             writeChunks(keys, replaced.snapshot().changes(), transaction);
-            return new Content(0, WriteChecksum.ofSnapshot(replaced.snapshot()));
+            return new ContentSummary(0, WriteChecksum.ofSnapshot(replaced.snapshot()));
         }
         if (content instanceof StableWrite.Appended appended) {
             byte[] bytes = StoredFormat.writeChange(appended.change());
             changes.put(transaction, IntegerBinding.intToEntry(nextChange), new ArrayByteIterable(bytes));
-            return new Content(nextChange + 1, WriteChecksum.withChange(contentChecksum, bytes));
+            return new ContentSummary(nextChange + 1, WriteChecksum.withChange(contentChecksum, bytes));
         }
-        return new Content(nextChange, contentChecksum);
+        return new ContentSummary(nextChange, contentChecksum);
     }
 
     void close() {
@@ -152,11 +154,11 @@
     private static void writeChunks(Store store, byte[] bytes, Transaction transaction) {
         clear(store, transaction);
         int chunk = 0;
-        for (int from = 0; from < bytes.length; from += CHUNK_BYTES) {
-            int length = Math.min(CHUNK_BYTES, bytes.length - from);
-            byte[] part = new byte[length];
-            System.arraycopy(bytes, from, part, 0, length);
-            store.put(transaction, IntegerBinding.intToEntry(chunk++), new ArrayByteIterable(part));
+        for (int from = 0; from < bytes.length; from += MAX_VALUE_BYTES) {
+            int length = Math.min(MAX_VALUE_BYTES, bytes.length - from);
+            byte[] chunkBytes = new byte[length];
+            System.arraycopy(bytes, from, chunkBytes, 0, length);
+            store.put(transaction, IntegerBinding.intToEntry(chunk++), new ArrayByteIterable(chunkBytes));
         }
     }
 
--- a/storage/src/main/java/pinewick/storage/XodusStore.java
+++ b/storage/src/main/java/pinewick/storage/XodusStore.java
@@ -18,14 +18,15 @@
 import pinewick.replication.StoredState;
 
 /**
- * Keeps the state of a replica in a folder. One thread reads and writes; what calls end with is run by the executor
- * that was handed in. Files that cannot be read are set aside, and the disk counts as empty.
+ * {@link StableStore} on Xodus, in a folder of its own. One thread, {@code storage}, reads and writes; callbacks run on
+ * the given executor, which is the control loop. A torn write is truncated; other files that cannot be read twice in a
+ * row are quarantined, and the disk counts as empty.
  */
 public final class XodusStore implements StableStore, AutoCloseable {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-    /** A disk in trouble is told of once in this time. */
-    private static final int QUIET_SECONDS = 5;
+    /** A failing disk is logged at most once in this time. */
+    private static final int LOG_INTERVAL_SECONDS = 5;
 
     private final StoreFolder folder;
     private final Executor completions;
@@ -34,26 +35,26 @@
         writer.setDaemon(true);
         return writer;
     });
-    private Optional<XodusFiles> files = Optional.empty();
-    private boolean foundDamaged;
+    private Optional<XodusDatabase> database = Optional.empty();
+    private boolean damageSeen;
 
     /**
-     * @param directory folder of its own for the store; made if it is not there
-     * @param completions runs what calls end with
+     * @param directory folder of the store alone; created if it does not exist
+     * @param completions runs the callbacks
      */
     public XodusStore(Path directory, Executor completions) {
         this.folder = new StoreFolder(directory);
         this.completions = completions;
-        thread.execute(this::openAhead);
+        thread.execute(this::openEagerly);
     }
 
-    /** Opening takes a large part of a process's start, and needs nothing else of it. */
-    private void openAhead() {
+    /** Opens the files early: this takes a large part of a process's start, and needs nothing else of it. */
+    private void openEagerly() {
         try {
             open();
         } catch (ExodusException | IOException e) {
-            LOGGER.atFine().withCause(e).log("Storage: not opened ahead");
-            closeFiles();
+            LOGGER.atFine().withCause(e).log("store not opened eagerly, will be opened when it is read");
+            closeDatabase();
         }
     }
 
@@ -64,7 +65,7 @@
                 LoadedState loaded = load();
                 completions.execute(() -> onLoaded.accept(loaded));
             } catch (StorageException e) {
-                LOGGER.atWarning().withCause(e).log("Storage: %s", e.getMessage());
+                LOGGER.atWarning().withCause(e).log("disk read failed: %s", e.getMessage());
                 completions.execute(() -> onFailed.accept(e));
             }
         });
@@ -77,16 +78,17 @@
                 write(write);
                 completions.execute(onDone);
             } catch (StorageException e) {
-                LOGGER.atWarning().atMostEvery(QUIET_SECONDS, TimeUnit.SECONDS).log("Storage: %s", e.getMessage());
+                LOGGER.atWarning().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+                        "disk write failed: %s", e.getMessage());
                 completions.execute(() -> onFailed.accept(e));
             }
         });
     }
 
-    /** Ends the thread after what it was asked to do; the files are closed. */
+    /** Ends the thread after the pending reads and writes; the files are closed. */
     @Override
     public void close() {
-        thread.execute(this::closeFiles);
+        thread.execute(this::closeDatabase);
         thread.shutdown();
     }
 
@@ -99,40 +101,40 @@
         try {
             return read();
         } catch (ExodusException | IOException e) {
-            closeFiles();
-            return cutOffTornWrite() ? load() : onUnreadable(e);
+            closeDatabase();
+            return repairTornWrite() ? load() : onUnreadable(e);
         }
     }
 
     private LoadedState read() throws IOException {
         Optional<StoredState> stored = open().read();
-        foundDamaged = false;
+        damageSeen = false;
         return new LoadedState(stored, folder.hasDamaged());
     }
 
-    /** Ends: each time a piece of the log is gone. */
-    private boolean cutOffTornWrite() {
+    /** Terminates: each repair shortens the log. */
+    private boolean repairTornWrite() {
         try {
-            boolean cut = new TornWrite(folder.live()).cutOff();
-            if (cut) {
-                LOGGER.atWarning().log("Storage: a write that a loss of power broke off is cut off");
+            boolean isRepaired = new TornWriteRepair(folder.live()).truncate();
+            if (isRepaired) {
+                LOGGER.atWarning().log("torn write removed: power was lost during the last write");
             }
-            return cut;
+            return isRepaired;
         } catch (IOException e) {
-            LOGGER.atWarning().withCause(e).log("Storage: the log cannot be looked through");
+            LOGGER.atWarning().withCause(e).log("torn write not removed: the log cannot be read");
             return false;
         }
     }
 
-    /** Only a disk that works and shows the same fault twice is given up. */
+    /** Only a disk that can be written and fails to be read twice in a row is quarantined. */
     private LoadedState onUnreadable(Exception cause) throws StorageException {
         folder.requireWritable("open");
-        if (!foundDamaged) {
-            foundDamaged = true;
+        if (!damageSeen) {
+            damageSeen = true;
             throw new StorageException(Kind.FAILED, "open", cause);
         }
-        LOGGER.atSevere().withCause(cause).log("Storage: unreadable files are set aside; this disk counts as empty");
-        folder.setAside();
+        LOGGER.atSevere().withCause(cause).log("store unreadable: moved to folder damaged, this disk counts as empty");
+        folder.quarantine();
         return new LoadedState(Optional.empty(), true);
     }
 
@@ -140,28 +142,28 @@
         try {
             open().write(write);
         } catch (ExodusException | IOException e) {
-            Kind kind = DiskFaults.kindOf(e);
+            Kind kind = DiskErrorClassifier.kindOf(e);
             if (kind != Kind.FULL) {
-                closeFiles();
+                closeDatabase();
             }
             throw new StorageException(kind, "write", e);
         }
     }
 
-    private XodusFiles open() throws IOException {
-        if (files.isEmpty()) {
+    private XodusDatabase open() throws IOException {
+        if (database.isEmpty()) {
             folder.prepare();
-            files = Optional.of(XodusFiles.open(folder.live()));
+            database = Optional.of(XodusDatabase.open(folder.live()));
         }
-        return files.get();
+        return database.get();
     }
 
-    private void closeFiles() {
+    private void closeDatabase() {
         try {
-            files.ifPresent(XodusFiles::close);
+            database.ifPresent(XodusDatabase::close);
         } catch (ExodusException e) {
-            LOGGER.atInfo().log("Storage: closed with a fault: %s", e.getMessage());
+            LOGGER.atInfo().log("closing the store failed: %s", e.getMessage());
         }
-        files = Optional.empty();
+        database = Optional.empty();
     }
 }
--- a/storage/src/test/java/pinewick/storage/EarlierReleaseStoreTest.java
+++ b/storage/src/test/java/pinewick/storage/EarlierReleaseStoreTest.java
@@ -69,7 +69,8 @@
                 List.of("identity-a", "identity-b"),
                 List.of(first, second),
                 List.of(first));
-        StoredHead head = new StoredHead("identity-a", new EpochNumber(8, "identity-b"), record, new StateVersion(7, 42));
+        StoredHead head =
+                new StoredHead("identity-a", new EpochNumber(8, "identity-b"), record, new StateVersion(7, 42));
         StoredChange change = new StoredChange(new byte[] {1, 2, 3}, new ChangeKey(41, 42, "digest"));
         HexFormat hex = HexFormat.of();
         List<String> written = List.of(
--- a/storage/src/test/java/pinewick/storage/PowerLossTest.java
+++ b/storage/src/test/java/pinewick/storage/PowerLossTest.java
@@ -110,7 +110,7 @@
         int middle = log.length / 2;
         Arrays.fill(log, middle, middle + SECTOR_BYTES, (byte) 0);
         spoilt.put(spoilt.keySet().iterator().next(), log);
-        assertFalse(new TornWrite(copy(spoilt, "spoilt").resolve(LIVE)).cutOff());
+        assertFalse(new TornWriteRepair(copy(spoilt, "spoilt").resolve(LIVE)).truncate());
         assertArrayEquals(
                 log,
                 filesIn(directory.resolve("spoilt"))
--- a/storage/src/test/java/pinewick/storage/XodusStoreTest.java
+++ b/storage/src/test/java/pinewick/storage/XodusStoreTest.java
@@ -229,8 +229,8 @@
     void aFullDiskIsToldFromOneThatFails() {
         assertEquals(
                 StorageException.Kind.FULL,
-                DiskFaults.kindOf(new RuntimeException(new IOException("No space left on device"))));
-        assertEquals(StorageException.Kind.FAILED, DiskFaults.kindOf(new IOException("Input/output error")));
+                DiskErrorClassifier.kindOf(new RuntimeException(new IOException("No space left on device"))));
+        assertEquals(StorageException.Kind.FAILED, DiskErrorClassifier.kindOf(new IOException("Input/output error")));
         assertFalse(new StoreFolder(directory).hasDamaged());
     }
 }
--- a/transport/src/main/java/pinewick/transport/ChannelHandler.java
+++ b/transport/src/main/java/pinewick/transport/ChannelHandler.java
@@ -1,9 +1,9 @@
 package pinewick.transport;
 
-/** What the selector's thread calls for one channel. */
+/** Handles the events of one channel, on the selector's thread. */
 interface ChannelHandler {
-    /** The channel is ready for something it was registered for. */
-    void ready(double nowMs);
+    /** The channel is ready for an operation for which it was registered. */
+    void onReady(double nowMs);
 
     /** Closes the channel. */
     void close();
--- a/transport/src/main/java/pinewick/transport/ControlLoop.java
+++ b/transport/src/main/java/pinewick/transport/ControlLoop.java
@@ -7,13 +7,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one thread that owns membership, dissemination and replication of a process. A task that throws is
- * logged; the loop
- * and the task's later runs go on.
+ * The one thread that owns membership, dissemination and replication of a process. A task that throws is logged; the
+ * loop and the task's later runs continue.
  */
 public final class ControlLoop implements AutoCloseable {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-    private static final double NANOS_A_MILLISECOND = 1e6;
+    private static final double NANOS_PER_MILLISECOND = 1e6;
 
     private final ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1, task -> {
         Thread thread = new Thread(task, "control-loop");
@@ -27,7 +26,7 @@
 
     /** Steady time, milliseconds. */
     public double nowMs() {
-        return System.nanoTime() / NANOS_A_MILLISECOND;
+        return System.nanoTime() / NANOS_PER_MILLISECOND;
     }
 
     /** Runs a task on the loop, soon. */
@@ -41,39 +40,39 @@
     }
 
     /**
-     * Runs a task on the loop at a time that may be moved.
+     * Runs a task on the loop at a time that may be changed.
      *
-     * @see MovableTimer
+     * @see ReschedulableTimer
      */
-    public MovableTimer timer(Runnable task) {
-        return new MovableTimer(this, task);
+    public ReschedulableTimer timer(Runnable task) {
+        return new ReschedulableTimer(this, task);
     }
 
     /** Runs a task once on the loop, at a time as {@link #nowMs} counts; may be cancelled. */
     Future<?> runAt(Runnable task, double atMs) {
-        long delayNs = (long) (Math.max(0, atMs - nowMs()) * NANOS_A_MILLISECOND);
+        long delayNs = (long) (Math.max(0, atMs - nowMs()) * NANOS_PER_MILLISECOND);
         return executor.schedule(() -> run(task), delayNs, TimeUnit.NANOSECONDS);
     }
 
-    /** Runs a task on the loop over and over, with a pause between runs. */
+    /** Runs a task on the loop periodically, with a fixed delay between runs. */
     public void repeat(Runnable task, long periodMs) {
         executor.scheduleWithFixedDelay(() -> run(task), periodMs, periodMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs a task on the loop over and over; the pause is asked for, on the loop, before each run. */
-    public void repeatAtPace(Runnable task, LongSupplier pauseMs) {
-        if (closed()) {
+    /** Runs a task on the loop periodically; the delay is asked for, on the loop, before each run. */
+    public void repeatAtVariableInterval(Runnable task, LongSupplier intervalMs) {
+        if (isClosed()) {
             return;
         }
         schedule(
                 () -> {
                     run(task);
-                    repeatAtPace(task, pauseMs);
+                    repeatAtVariableInterval(task, intervalMs);
                 },
-                pauseMs.getAsLong());
+                intervalMs.getAsLong());
     }
 
-    boolean closed() {
+    boolean isClosed() {
         return executor.isShutdown();
     }
 
--- a/transport/src/main/java/pinewick/transport/IncomingConnection.java
+++ b/transport/src/main/java/pinewick/transport/IncomingConnection.java
@@ -6,26 +6,27 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A connection that a peer dialled: frames are read from it. A byte is written back when frames have been read, so that
- * the peer can tell a process that reads from one that is frozen or gone, whose machine may still take bytes.
+ * A connection that a peer opened: frames are read from it. A byte is written back as an acknowledgement when frames
+ * have been read, so that the peer can tell a process that reads from one that is frozen or dead, whose machine may
+ * still accept bytes. Selector's thread only.
  */
 final class IncomingConnection implements ChannelHandler {
-    /** A peer closes after a shorter time; one that did not is gone. */
-    static final double IDLE_MS = 30_000;
+    /** A peer closes an idle connection after a shorter time; one that did not is dead. */
+    static final double IDLE_TIMEOUT_MS = 30_000;
 
-    private static final byte[] CONFIRMATION = {1};
-    private static final int USUAL_BUFFER_BYTES = 4_096;
-    /** A long frame is confirmed as it comes, with so long between. */
-    private static final double CONFIRM_MS = 250;
+    private static final byte[] ACKNOWLEDGEMENT = {1};
+    private static final int INITIAL_BUFFER_BYTES = 4_096;
+    /** While a long frame arrives, it is acknowledged at this interval. */
+    private static final double ACKNOWLEDGEMENT_INTERVAL_MS = 250;
 
     private final SocketChannel channel;
     private final InetSocketAddress remote;
     private final FrameReceiver receiver;
     private final TransportCounters counters;
-    private ByteBuffer buffer = ByteBuffer.allocate(USUAL_BUFFER_BYTES);
+    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
     private double lastReadMs;
-    private double confirmedAtMs;
-    private long framesTaken;
+    private double acknowledgedAtMs;
+    private long framesRead;
     private boolean open = true;
 
     IncomingConnection(SocketChannel channel, FrameReceiver receiver, TransportCounters counters, double nowMs)
@@ -35,28 +36,28 @@
         this.receiver = receiver;
         this.counters = counters;
         this.lastReadMs = nowMs;
-        this.confirmedAtMs = nowMs;
+        this.acknowledgedAtMs = nowMs;
     }
 
     @Override
-    public void ready(double nowMs) {
+    public void onReady(double nowMs) {
         lastReadMs = nowMs;
         try {
-            long framesBefore = framesTaken;
+            long framesBefore = framesRead;
             int count = channel.read(buffer);
-            if (count < 0 || !takeFrames()) {
+            if (count < 0 || !readFrames()) {
                 close();
-            } else if (framesTaken > framesBefore || nowMs - confirmedAtMs >= CONFIRM_MS) {
-                confirmedAtMs = nowMs;
-                channel.write(ByteBuffer.wrap(CONFIRMATION));
+            } else if (framesRead > framesBefore || nowMs - acknowledgedAtMs >= ACKNOWLEDGEMENT_INTERVAL_MS) {
+                acknowledgedAtMs = nowMs;
+                channel.write(ByteBuffer.wrap(ACKNOWLEDGEMENT));
             }
         } catch (IOException e) {
             close();
         }
     }
 
-    /** Hands on every whole frame; returns whether what came makes sense. */
-    private boolean takeFrames() {
+    /** Passes on every complete frame; returns whether the bytes are valid. */
+    private boolean readFrames() {
         buffer.flip();
         while (buffer.remaining() >= Integer.BYTES) {
             int length = buffer.getInt(buffer.position());
@@ -65,24 +66,27 @@
                 return false;
             }
             if (buffer.remaining() < Integer.BYTES + length) {
-                makeRoom(Integer.BYTES + length);
+                ensureCapacity(Integer.BYTES + length);
                 return true;
             }
             int start = buffer.position() + Integer.BYTES;
-            framesTaken++;
+            framesRead++;
             counters.framesReceived.increment();
             receiver.receive(remote, buffer.array(), start, length);
             buffer.position(start + length);
         }
-        makeRoom(USUAL_BUFFER_BYTES);
+        ensureCapacity(INITIAL_BUFFER_BYTES);
         return true;
     }
 
-    /** Moves what is left to the front of a buffer that can grow to {@code wanted} bytes, by doubling as they come. */
-    private void makeRoom(int wanted) {
+    /**
+     * Moves the remaining bytes to the front of a buffer that can grow to {@code requiredBytes}, by doubling as they
+     * arrive.
+     */
+    private void ensureCapacity(int requiredBytes) {
         int left = buffer.remaining();
-        int capacity = USUAL_BUFFER_BYTES;
-        while (capacity < wanted && capacity <= left) {
+        int capacity = INITIAL_BUFFER_BYTES;
+        while (capacity < requiredBytes && capacity <= left) {
             capacity *= 2;
         }
         if (capacity == buffer.capacity() || capacity < buffer.capacity() && left > 0) {
@@ -94,12 +98,12 @@
         buffer = next;
     }
 
-    boolean open() {
+    boolean isOpen() {
         return open;
     }
 
-    boolean idle(double nowMs) {
-        return nowMs - lastReadMs > IDLE_MS;
+    boolean isIdle(double nowMs) {
+        return nowMs - lastReadMs > IDLE_TIMEOUT_MS;
     }
 
     @Override
--- a/transport/src/main/java/pinewick/transport/MalformedFrameException.java
+++ b/transport/src/main/java/pinewick/transport/MalformedFrameException.java
@@ -1,6 +1,9 @@
 package pinewick.transport;
 
-/** Bytes that are no frame of this protocol version, or that carry no known message. */
+/**
+ * Bytes that are no frame of this protocol version, or that carry no known message. The frame is ignored and counted;
+ * many of them mean that processes of incompatible releases run together.
+ */
 public final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/transport/src/main/java/pinewick/transport/MessageCodec.java
+++ b/transport/src/main/java/pinewick/transport/MessageCodec.java
@@ -13,8 +13,8 @@
 
 /**
  * Turns messages into frames and back. A frame is a byte with the protocol version, two bytes with the sender's
- * listening port, and the message as Kryo writes it. Only registered types are written and read; their ids are their
- * places in the list, so that all processes must be given the same list. May be used by any thread.
+ * listening port, and the message as Kryo writes it. Only registered types are written and read; a type's id is its
+ * position in the list, so that all processes must use the same list. Thread-safe.
  */
 public final class MessageCodec {
     /** Version of the protocol; a frame with another one is not read. */
@@ -30,12 +30,12 @@
     private static final int BYTES_ID = 11;
     private static final int ADDRESS_ID = 12;
     private static final int FIRST_TYPE_ID = 16;
-    private static final int USUAL_BUFFER_BYTES = 4_096;
+    private static final int INITIAL_BUFFER_BYTES = 4_096;
 
     private final Kryo writer;
     private final Kryo reader;
     private final Input input = new Input();
-    private Output output = new Output(USUAL_BUFFER_BYTES, MAX_FRAME_BYTES);
+    private Output output = new Output(INITIAL_BUFFER_BYTES, MAX_FRAME_BYTES);
 
     /**
      * @param types every type that messages are made of: the messages, the records within them, enums; text, numbers,
@@ -88,8 +88,8 @@
             throw new IllegalArgumentException(
                     "cannot write " + message.getClass().getSimpleName(), e);
         } finally {
-            if (output.getBuffer().length > USUAL_BUFFER_BYTES) {
-                output = new Output(USUAL_BUFFER_BYTES, MAX_FRAME_BYTES);
+            if (output.getBuffer().length > INITIAL_BUFFER_BYTES) {
+                output = new Output(INITIAL_BUFFER_BYTES, MAX_FRAME_BYTES);
             }
         }
     }
--- a/transport/src/main/java/pinewick/transport/NetworkTransport.java
+++ b/transport/src/main/java/pinewick/transport/NetworkTransport.java
@@ -14,6 +14,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
@@ -22,9 +23,9 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Messages over sockets: those that fit a datagram by UDP, larger ones over a connection that is kept to each peer. One
- * thread accepts, reads, writes connections and calls the receiver; datagrams leave on the thread that sends them. A
- * peer that does not read holds up nothing but its own bounded queue.
+ * Messages over sockets: by UDP if they fit a datagram, else over a TCP connection that is kept to each peer. One
+ * thread, the selector's, accepts, reads and writes connections and calls the receiver; datagrams are sent by the
+ * caller's thread. A peer that does not read blocks only its own bounded queue.
  */
 public final class NetworkTransport implements Transport {
     /** Longest frame that is sent as a datagram, bytes. */
@@ -32,12 +33,12 @@
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int RECEIVE_BUFFER_BYTES = 65_536;
-    private static final int DATAGRAMS_A_TURN = 64;
+    private static final int MAX_DATAGRAMS_PER_SELECT = 64;
     private static final int MAX_CACHED_ADDRESSES = 4_096;
     private static final int BACKLOG = 256;
-    private static final long BUSY_SWEEP_MS = 100;
-    private static final long QUIET_SWEEP_MS = 5_000;
-    private static final double NANOS_A_MILLISECOND = 1e6;
+    private static final long BUSY_CHECK_INTERVAL_MS = 100;
+    private static final long IDLE_CHECK_INTERVAL_MS = 5_000;
+    private static final double NANOS_PER_MILLISECOND = 1e6;
 
     private final MessageCodec codec;
     private final TransportCounters counters = new TransportCounters();
@@ -49,17 +50,17 @@
     private final Map<SocketAddress, OutgoingConnection> outgoing = new ConcurrentHashMap<>();
     private final Map<SocketAddress, InetSocketAddress> resolved = new ConcurrentHashMap<>();
     private final Map<InetSocketAddress, SocketAddress> senders = new HashMap<>();
-    private final Queue<OutgoingConnection> toService = new ConcurrentLinkedQueue<>();
+    private final Queue<OutgoingConnection> pendingConnections = new ConcurrentLinkedQueue<>();
     private final List<IncomingConnection> incoming = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "transport");
     private BiConsumer<SocketAddress, Message> receiver;
-    private double sweptAtMs = nowMs();
+    private double lastCheckMs = nowMs();
     private volatile boolean closed;
 
     /**
      * Binds both sockets.
      *
-     * @param local where to listen; port 0 takes any that is free for both
+     * @param local where to listen; port 0 chooses any that is free for both
      * @throws TransportException if the address cannot be used
      */
     public NetworkTransport(SocketAddress local, MessageCodec codec) throws TransportException {
@@ -83,7 +84,7 @@
         thread.setDaemon(true);
     }
 
-    /** What was sent, received and dropped. */
+    /** Counts of what was sent, received and dropped. */
     public TransportCounters counters() {
         return counters;
     }
@@ -101,10 +102,7 @@
 
     @Override
     public void send(SocketAddress peer, Message message) {
-        byte[] frame = encode(peer, message);
-        if (frame != null) {
-            sendFrame(peer, frame);
-        }
+        encode(peer, message).ifPresent(frame -> sendFrame(peer, frame));
     }
 
     /** Sends one message to several peers; it is encoded once. */
@@ -112,10 +110,7 @@
         if (peers.isEmpty()) {
             return;
         }
-        byte[] frame = encode(peers.get(0), message);
-        if (frame != null) {
-            peers.forEach(peer -> sendFrame(peer, frame));
-        }
+        encode(peers.get(0), message).ifPresent(frame -> peers.forEach(peer -> sendFrame(peer, frame)));
     }
 
     private void sendFrame(SocketAddress peer, byte[] frame) {
@@ -128,19 +123,17 @@
 
     @Override
     public void sendOrdered(SocketAddress peer, Message message) {
-        byte[] frame = encode(peer, message);
-        if (frame != null) {
-            enqueue(peer, frame);
-        }
+        encode(peer, message).ifPresent(frame -> enqueue(peer, frame));
     }
 
-    private byte[] encode(SocketAddress peer, Message message) {
+    /** The frame of a message; empty for one that cannot be encoded, a programming error that costs that message only. */
+    private Optional<byte[]> encode(SocketAddress peer, Message message) {
         try {
-            return codec.encode(local.port(), message);
+            return Optional.of(codec.encode(local.port(), message));
         } catch (IllegalArgumentException e) {
             counters.dropped.increment();
-            LOGGER.atSevere().withCause(e).log("encode for %s", peer);
-            return null;
+            LOGGER.atSevere().withCause(e).log("message to %s dropped: it cannot be encoded", peer);
+            return Optional.empty();
         }
     }
 
@@ -151,7 +144,7 @@
                 return;
             }
         } catch (IOException | RuntimeException e) {
-            LOGGER.atFine().withCause(e).log("datagram to %s", peer);
+            LOGGER.atFine().withCause(e).log("datagram to %s dropped", peer);
         }
         counters.dropped.increment();
     }
@@ -160,7 +153,7 @@
         OutgoingConnection connection =
                 outgoing.computeIfAbsent(peer, address -> new OutgoingConnection(resolve(address), selector, counters));
         connection.enqueue(frame, nowMs());
-        toService.add(connection);
+        pendingConnections.add(connection);
         selector.wakeup();
     }
 
@@ -174,12 +167,12 @@
     private void run() {
         while (!closed) {
             try {
-                selector.select(NetworkTransport::handleReady, sweepPeriodMs());
+                selector.select(NetworkTransport::handleReady, checkIntervalMs());
                 serviceQueued();
-                sweepIfDue();
+                checkConnectionsIfDue();
             } catch (IOException | RuntimeException e) {
                 if (!closed) {
-                    LOGGER.atSevere().withCause(e).log("transport loop");
+                    LOGGER.atSevere().withCause(e).log("transport loop failed, continuing");
                 }
             }
         }
@@ -187,43 +180,43 @@
     }
 
     private static void handleReady(SelectionKey key) {
-        ((ChannelHandler) key.attachment()).ready(nowMs());
+        ((ChannelHandler) key.attachment()).onReady(nowMs());
     }
 
     private void serviceQueued() {
         double nowMs = nowMs();
-        for (OutgoingConnection next = toService.poll(); next != null; next = toService.poll()) {
+        for (OutgoingConnection next = pendingConnections.poll(); next != null; next = pendingConnections.poll()) {
             next.service(nowMs);
         }
     }
 
-    /** How long the thread may sleep: for ever if there is no connection. */
-    private long sweepPeriodMs() {
-        boolean any = !incoming.isEmpty();
+    /** How long the thread may sleep, milliseconds: 0, without limit, if there is no connection. */
+    private long checkIntervalMs() {
+        boolean hasConnections = !incoming.isEmpty();
         for (OutgoingConnection connection : outgoing.values()) {
-            if (connection.waits()) {
-                return BUSY_SWEEP_MS;
+            if (connection.hasPendingWork()) {
+                return BUSY_CHECK_INTERVAL_MS;
             }
-            any |= connection.active();
+            hasConnections |= connection.isActive();
         }
-        return any ? QUIET_SWEEP_MS : 0;
+        return hasConnections ? IDLE_CHECK_INTERVAL_MS : 0;
     }
 
-    private void sweepIfDue() {
+    private void checkConnectionsIfDue() {
         double nowMs = nowMs();
-        if (nowMs - sweptAtMs < BUSY_SWEEP_MS) {
+        if (nowMs - lastCheckMs < BUSY_CHECK_INTERVAL_MS) {
             return;
         }
-        sweptAtMs = nowMs;
-        outgoing.values().forEach(connection -> connection.sweep(nowMs));
+        lastCheckMs = nowMs;
+        outgoing.values().forEach(connection -> connection.checkDeadlines(nowMs));
         incoming.removeIf(connection -> closeIfIdle(connection, nowMs));
     }
 
     private static boolean closeIfIdle(IncomingConnection connection, double nowMs) {
-        if (connection.open() && connection.idle(nowMs)) {
+        if (connection.isOpen() && connection.isIdle(nowMs)) {
             connection.close();
         }
-        return !connection.open();
+        return !connection.isOpen();
     }
 
     private void receive(InetSocketAddress remote, byte[] bytes, int offset, int length) {
@@ -232,9 +225,9 @@
             receiver.accept(sender(remote, frame.senderPort()), frame.message());
         } catch (MalformedFrameException e) {
             counters.malformed.increment();
-            LOGGER.atFine().withCause(e).log("frame from %s", remote);
+            LOGGER.atFine().withCause(e).log("frame from %s ignored: malformed", remote);
         } catch (RuntimeException e) {
-            LOGGER.atSevere().withCause(e).log("receiver failed on a message from %s", remote);
+            LOGGER.atSevere().withCause(e).log("handling a message from %s failed", remote);
         }
     }
 
@@ -268,18 +261,18 @@
             datagrams.close();
             selector.close();
         } catch (IOException e) {
-            LOGGER.atWarning().withCause(e).log("close at %s", local);
+            LOGGER.atWarning().withCause(e).log("closing the transport at %s failed", local);
         }
     }
 
     private static double nowMs() {
-        return System.nanoTime() / NANOS_A_MILLISECOND;
+        return System.nanoTime() / NANOS_PER_MILLISECOND;
     }
 
-    /** Takes connections that peers dial. */
+    /** Accepts connections of peers. */
     private final class Acceptor implements ChannelHandler {
         @Override
-        public void ready(double nowMs) {
+        public void onReady(double nowMs) {
             try {
                 for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
                     channel.configureBlocking(false);
@@ -297,11 +290,11 @@
         public void close() {}
     }
 
-    /** Takes datagrams, a bounded number at a time. */
+    /** Receives datagrams, a bounded number at a time. */
     private final class DatagramReader implements ChannelHandler {
         @Override
-        public void ready(double nowMs) {
-            for (int i = 0; i < DATAGRAMS_A_TURN; i++) {
+        public void onReady(double nowMs) {
+            for (int i = 0; i < MAX_DATAGRAMS_PER_SELECT; i++) {
                 receiveBuffer.clear();
                 try {
                     InetSocketAddress remote = (InetSocketAddress) datagrams.receive(receiveBuffer);
--- a/transport/src/main/java/pinewick/transport/OutgoingConnection.java
+++ b/transport/src/main/java/pinewick/transport/OutgoingConnection.java
@@ -9,21 +9,21 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * The connection on which this process writes to one peer: dialled when there is something to write, closed when it was
- * idle, and dialled again after a failure. A frame that was written in part is sent again whole on the next connection;
- * the peer cannot have read it. The peer writes a byte back when it has read: where none comes in time, the
- * machine may be
- * cut off or without power while the local buffers still take bytes, and retransmissions come ever more rarely; a new
- * connection notices its return sooner. Runs on the selector's thread; only the queue is filled by others.
+ * The connection on which this process writes to one peer: opened when there is something to write, closed when it is
+ * idle, and reopened after a failure. A frame that was written in part is sent again completely on the next connection;
+ * the peer cannot have read it. The peer writes a byte back when it has read: if none arrives in time, its machine may
+ * be partitioned or without power while the local buffers still accept bytes, and retransmissions become ever rarer; a
+ * new connection notices its return sooner. Selector's thread only, except for {@link #enqueue}. {@code channel},
+ * {@code key}, {@code currentFrame} and {@code currentBuffers} are null while there is none.
  */
 final class OutgoingConnection implements ChannelHandler {
     static final double CONNECT_TIMEOUT_MS = 700;
-    static final double STUCK_WRITE_MS = 1_500;
-    static final double CONFIRMATION_TIMEOUT_MS = 1_500;
-    static final double IDLE_MS = 10_000;
-    static final double REDIAL_PAUSE_MS = 100;
-    /** A frame that waited for a connection for longer is not sent any more. */
-    static final double STALE_MS = 2_000;
+    static final double WRITE_TIMEOUT_MS = 1_500;
+    static final double ACKNOWLEDGEMENT_TIMEOUT_MS = 1_500;
+    static final double IDLE_TIMEOUT_MS = 10_000;
+    static final double RECONNECT_DELAY_MS = 100;
+    /** A frame that waited for a connection for longer is dropped. */
+    static final double MAX_QUEUE_TIME_MS = 2_000;
 
     private static final int MAX_QUEUED_FRAMES = 512;
     private static final int MAX_QUEUED_BYTES = 10 << 20;
@@ -31,20 +31,20 @@
     private final InetSocketAddress peer;
     private final Selector selector;
     private final TransportCounters counters;
-    private final ByteBuffer scratch = ByteBuffer.allocate(64);
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(64);
     private final PeerQueue queue = new PeerQueue(MAX_QUEUED_FRAMES, MAX_QUEUED_BYTES);
 
     private SocketChannel channel;
     private SelectionKey key;
     private boolean connected;
-    private PeerQueue.QueuedFrame current;
+    private PeerQueue.QueuedFrame currentFrame;
     private ByteBuffer[] currentBuffers;
-    private double dialledAtMs;
-    private double progressAtMs;
-    /** When the first frame was written of which no reading was confirmed, NaN if there is none. */
-    private double unconfirmedSinceMs = Double.NaN;
+    private double connectingSinceMs;
+    private double lastProgressMs;
+    /** When the first unacknowledged frame was written, NaN if there is none. */
+    private double unacknowledgedSinceMs = Double.NaN;
 
-    private double redialAtMs = Double.NEGATIVE_INFINITY;
+    private double reconnectAtMs = Double.NEGATIVE_INFINITY;
 
     OutgoingConnection(InetSocketAddress peer, Selector selector, TransportCounters counters) {
         this.peer = peer;
@@ -57,131 +57,133 @@
         counters.dropped.add(queue.add(frame, nowMs));
     }
 
-    /** Writes what it can, dialling first if there is no connection. */
+    /** Writes what it can, after connecting if there is no connection. */
     void service(double nowMs) {
         if (channel == null) {
-            dialIfWanted(nowMs);
-        } else if (connected && current == null) {
+            connectIfNeeded(nowMs);
+        } else if (connected && currentFrame == null) {
             write(nowMs);
         }
     }
 
-    private void dialIfWanted(double nowMs) {
-        counters.dropped.add(queue.dropOlderThan(nowMs - STALE_MS));
-        if (queue.isEmpty() || nowMs < redialAtMs) {
+    private void connectIfNeeded(double nowMs) {
+        counters.dropped.add(queue.dropOlderThan(nowMs - MAX_QUEUE_TIME_MS));
+        if (queue.isEmpty() || nowMs < reconnectAtMs) {
             return;
         }
         try {
             channel = SocketChannel.open();
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            dialledAtMs = nowMs;
+            connectingSinceMs = nowMs;
             connected = channel.connect(peer);
             key = channel.register(selector, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
             if (connected) {
-                opened(nowMs);
+                onConnected(nowMs);
             }
         } catch (IOException | RuntimeException e) {
-            fail(nowMs);
+            onFailure(nowMs);
         }
     }
 
-    private void opened(double nowMs) {
+    private void onConnected(double nowMs) {
         connected = true;
-        progressAtMs = nowMs;
+        lastProgressMs = nowMs;
         write(nowMs);
     }
 
     @Override
-    public void ready(double nowMs) {
+    public void onReady(double nowMs) {
         if (channel == null) {
             return;
         }
         try {
             if (key.isConnectable() && channel.finishConnect()) {
                 key.interestOps(SelectionKey.OP_READ);
-                opened(nowMs);
-            } else if (key.isReadable() && !readConfirmation()) {
-                fail(nowMs);
+                onConnected(nowMs);
+            } else if (key.isReadable() && !readAcknowledgement()) {
+                onFailure(nowMs);
             } else if (key.isWritable()) {
                 write(nowMs);
             }
         } catch (IOException e) {
-            fail(nowMs);
+            onFailure(nowMs);
         }
     }
 
-    /** Takes the peer's confirmations; returns false at the end of the connection. */
-    private boolean readConfirmation() throws IOException {
-        scratch.clear();
-        unconfirmedSinceMs = Double.NaN;
-        return channel.read(scratch) >= 0;
+    /** Reads the peer's acknowledgements; returns false at the end of the connection. */
+    private boolean readAcknowledgement() throws IOException {
+        readBuffer.clear();
+        unacknowledgedSinceMs = Double.NaN;
+        return channel.read(readBuffer) >= 0;
     }
 
     private void write(double nowMs) {
         try {
-            while (takeNext()) {
+            while (pollNext()) {
                 if (channel.write(currentBuffers) > 0) {
-                    progressAtMs = nowMs;
+                    lastProgressMs = nowMs;
                 }
                 if (currentBuffers[1].hasRemaining()) {
                     key.interestOps(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
                     return;
                 }
                 counters.framesSent.increment();
-                current = null;
-                if (Double.isNaN(unconfirmedSinceMs)) {
-                    unconfirmedSinceMs = nowMs;
+                currentFrame = null;
+                if (Double.isNaN(unacknowledgedSinceMs)) {
+                    unacknowledgedSinceMs = nowMs;
                 }
             }
             key.interestOps(SelectionKey.OP_READ);
         } catch (IOException e) {
-            fail(nowMs);
+            onFailure(nowMs);
         }
     }
 
-    private boolean takeNext() {
-        if (current == null) {
-            current = queue.poll();
-            currentBuffers = current == null ? null : current.buffers();
+    private boolean pollNext() {
+        if (currentFrame == null) {
+            queue.poll().ifPresent(next -> {
+                currentFrame = next;
+                currentBuffers = next.buffers();
+            });
         }
-        return current != null;
+        return currentFrame != null;
     }
 
-    /** Looks after deadlines; to be called now and then while {@link #active}. */
-    void sweep(double nowMs) {
+    /** Checks time-outs; to be called at intervals while {@link #isActive}. */
+    void checkDeadlines(double nowMs) {
         if (channel == null) {
-            dialIfWanted(nowMs);
+            connectIfNeeded(nowMs);
         } else if (!connected) {
-            if (nowMs - dialledAtMs > CONNECT_TIMEOUT_MS) {
-                fail(nowMs);
+            if (nowMs - connectingSinceMs > CONNECT_TIMEOUT_MS) {
+                onFailure(nowMs);
             }
-        } else if (current != null) {
-            if (nowMs - progressAtMs > STUCK_WRITE_MS) {
-                fail(nowMs);
+        } else if (currentFrame != null) {
+            if (nowMs - lastProgressMs > WRITE_TIMEOUT_MS) {
+                onFailure(nowMs);
             }
-        } else if (nowMs - unconfirmedSinceMs > CONFIRMATION_TIMEOUT_MS) {
-            fail(nowMs);
-        } else if (nowMs - progressAtMs > IDLE_MS) {
+        } else if (nowMs - unacknowledgedSinceMs > ACKNOWLEDGEMENT_TIMEOUT_MS) {
+            onFailure(nowMs);
+        } else if (nowMs - lastProgressMs > IDLE_TIMEOUT_MS) {
             close();
         }
     }
 
-    private void fail(double nowMs) {
+    private void onFailure(double nowMs) {
         counters.failedConnections.increment();
-        if (current != null && !queue.putBack(current)) {
+        if (currentFrame != null && !queue.requeue(currentFrame)) {
             counters.dropped.increment();
         }
         close();
-        redialAtMs = nowMs + REDIAL_PAUSE_MS;
+        reconnectAtMs = nowMs + RECONNECT_DELAY_MS;
     }
 
     @Override
     public void close() {
-        current = null;
+        currentFrame = null;
         currentBuffers = null;
         connected = false;
-        unconfirmedSinceMs = Double.NaN;
+        unacknowledgedSinceMs = Double.NaN;
         key = null;
         if (channel != null) {
             try {
@@ -193,14 +195,14 @@
         }
     }
 
-    /** Whether it dials, or has frames that wait to be written or confirmed. */
-    boolean waits() {
-        boolean dials = channel != null && !connected;
-        return dials || current != null || !queue.isEmpty() || !Double.isNaN(unconfirmedSinceMs);
+    /** Whether it is connecting, or has frames that wait to be written or acknowledged. */
+    boolean hasPendingWork() {
+        boolean isConnecting = channel != null && !connected;
+        return isConnecting || currentFrame != null || !queue.isEmpty() || !Double.isNaN(unacknowledgedSinceMs);
     }
 
-    /** Whether there is anything to look after. */
-    boolean active() {
+    /** Whether there is a connection or a queued frame. */
+    boolean isActive() {
         return channel != null || !queue.isEmpty();
     }
 }
--- a/transport/src/main/java/pinewick/transport/PeerQueue.java
+++ b/transport/src/main/java/pinewick/transport/PeerQueue.java
@@ -2,8 +2,9 @@
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
+import java.util.Optional;
 
-/** Frames that wait for one peer's connection: bounded, the oldest are dropped first. May be used by any thread. */
+/** Frames that wait for one peer's connection: bounded, the oldest are dropped first. Thread-safe. */
 final class PeerQueue {
     private final int maxFrames;
     private final int maxBytes;
@@ -24,7 +25,7 @@
         }
     }
 
-    /** Adds a frame; returns how many older ones were dropped for it. */
+    /** Adds a frame; returns how many older ones were dropped. */
     synchronized int add(byte[] frame, double nowMs) {
         frames.addLast(new QueuedFrame(frame, nowMs));
         bytes += frame.length;
@@ -36,8 +37,8 @@
         return dropped;
     }
 
-    /** Puts a frame back in front, if there is room. */
-    synchronized boolean putBack(QueuedFrame frame) {
+    /** Puts a frame back in front, if there is space. */
+    synchronized boolean requeue(QueuedFrame frame) {
         if (frames.size() >= maxFrames || bytes + frame.frame().length > maxBytes) {
             return false;
         }
@@ -46,12 +47,10 @@
         return true;
     }
 
-    /** Takes the oldest frame, or null. */
-    synchronized QueuedFrame poll() {
-        QueuedFrame frame = frames.pollFirst();
-        if (frame != null) {
-            bytes -= frame.frame().length;
-        }
+    /** Removes the oldest frame. */
+    synchronized Optional<QueuedFrame> poll() {
+        Optional<QueuedFrame> frame = Optional.ofNullable(frames.pollFirst());
+        frame.ifPresent(polled -> bytes -= polled.frame().length);
         return frame;
     }
 
--- /dev/null
+++ b/transport/src/main/java/pinewick/transport/ReschedulableTimer.java
@@ -0,0 +1,36 @@
+package pinewick.transport;
+
+import java.util.concurrent.Future;
+
+/**
+ * Runs one task on a control loop at a time that may be changed, so that the loop sleeps until something is due.
+ * Control loop only.
+ */
+public final class ReschedulableTimer {
+    private final ControlLoop loop;
+    private final Runnable task;
+    private Future<?> scheduled;
+    private double scheduledAtMs;
+
+    ReschedulableTimer(ControlLoop loop, Runnable task) {
+        this.loop = loop;
+        this.task = task;
+    }
+
+    /** The task runs at this time, instead of the time that was set before. */
+    public void reschedule(double atMs) {
+        if (loop.isClosed() || (scheduled != null && scheduledAtMs == atMs)) {
+            return;
+        }
+        if (scheduled != null) {
+            scheduled.cancel(false);
+        }
+        scheduledAtMs = atMs;
+        scheduled = loop.runAt(this::run, atMs);
+    }
+
+    private void run() {
+        scheduled = null;
+        task.run();
+    }
+}
--- a/transport/src/main/java/pinewick/transport/Serializers.java
+++ b/transport/src/main/java/pinewick/transport/Serializers.java
@@ -9,19 +9,20 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import pinewick.model.SocketAddress;
 
 /**
- * Serializers for the values that messages are made of. Each checks a length against the bytes that are left before it
- * allocates, so that a damaged frame cannot exhaust the memory.
+ * Serializers for the values that messages are made of. Each checks a length against the remaining bytes before it
+ * allocates, so that a malformed frame cannot exhaust the memory.
  */
 final class Serializers {
     private Serializers() {}
 
     private static int checkedLength(Input input, int length) {
-        int left = input.limit() - input.position();
-        if (length < 0 || length > left) {
-            throw new KryoException("length " + length + " with " + left + " bytes left");
+        int remaining = input.limit() - input.position();
+        if (length < 0 || length > remaining) {
+            throw new KryoException("length " + length + " with " + remaining + " bytes left");
         }
         return length;
     }
@@ -113,9 +114,10 @@
     /** An address in 7 bytes where its host is an IPv4 number, else as text. */
     static final class OfSocketAddress extends Serializer<SocketAddress> {
         private static final int NULL = 0;
-        private static final int NUMBER = 1;
+        private static final int IPV4 = 1;
         private static final int TEXT = 2;
-        private static final int PARTS = 4;
+        private static final int IPV4_BYTES = 4;
+        private static final int MAX_BYTE = 255;
 
         OfSocketAddress() {
             super(true, true);
@@ -127,13 +129,13 @@
                 output.writeByte(NULL);
                 return;
             }
-            byte[] number = parseNumber(address.host());
-            if (number == null) {
+            Optional<byte[]> ipv4 = parseIpv4(address.host());
+            if (ipv4.isPresent()) {
+                output.writeByte(IPV4);
+                output.writeBytes(ipv4.get());
+            } else {
                 output.writeByte(TEXT);
                 kryo.writeObject(output, address.host());
-            } else {
-                output.writeByte(NUMBER);
-                output.writeBytes(number);
             }
             output.writeShort(address.port());
         }
@@ -144,13 +146,13 @@
             if (form == NULL) {
                 return null;
             }
-            String host = form == NUMBER ? readNumber(input) : kryo.readObject(input, String.class);
+            String host = form == IPV4 ? readIpv4(input) : kryo.readObject(input, String.class);
             return new SocketAddress(host, input.readShortUnsigned());
         }
 
-        private static String readNumber(Input input) {
+        private static String readIpv4(Input input) {
             StringBuilder host = new StringBuilder();
-            for (int part = 0; part < PARTS; part++) {
+            for (int part = 0; part < IPV4_BYTES; part++) {
                 if (part > 0) {
                     host.append('.');
                 }
@@ -159,29 +161,29 @@
             return host.toString();
         }
 
-        /** The four bytes of a host such as {@code 10.1.0.9}, or null if it is written in any other way. */
-        private static byte[] parseNumber(String host) {
-            byte[] number = new byte[PARTS];
+        /** The four bytes of a host such as {@code 10.1.0.9}; empty if it is written in any other way. */
+        private static Optional<byte[]> parseIpv4(String host) {
+            byte[] bytes = new byte[IPV4_BYTES];
             int part = 0;
             int value = -1;
             for (int i = 0; i <= host.length(); i++) {
                 char c = i < host.length() ? host.charAt(i) : '.';
                 if (c == '.') {
-                    if (value < 0 || part == PARTS) {
-                        return null;
+                    if (value < 0 || part == IPV4_BYTES) {
+                        return Optional.empty();
                     }
-                    number[part++] = (byte) value;
+                    bytes[part++] = (byte) value;
                     value = -1;
                 } else if (c < '0' || c > '9' || value == 0) {
-                    return null;
+                    return Optional.empty();
                 } else {
                     value = Math.max(value, 0) * 10 + (c - '0');
-                    if (value > 255) {
-                        return null;
+                    if (value > MAX_BYTE) {
+                        return Optional.empty();
                     }
                 }
             }
-            return part == PARTS ? number : null;
+            return part == IPV4_BYTES ? Optional.of(bytes) : Optional.empty();
         }
     }
 }
--- a/transport/src/main/java/pinewick/transport/Transport.java
+++ b/transport/src/main/java/pinewick/transport/Transport.java
@@ -10,19 +10,18 @@
     /** Where this process listens, TCP and UDP. */
     SocketAddress localAddress();
 
-    /** Every message received is handed to {@code receiver} with its sender's listening address, on one thread. */
+    /** Passes every received message to {@code receiver} with its sender's listening address, on one thread. */
     void start(BiConsumer<SocketAddress, Message> receiver);
 
     /**
-     * Sends over the peer's connection whatever the size. Messages sent this way to one peer arrive in
-     * order, apart from
-     * those that are lost because the connection breaks or the peer does not read.
+     * Sends over the peer's connection, regardless of the size. Messages that are sent this way to one peer arrive in
+     * order, except for those that are lost because the connection breaks or the peer does not read.
      */
     default void sendOrdered(SocketAddress peer, Message message) {
         send(peer, message);
     }
 
-    /** Stops; what is queued is dropped. */
+    /** Stops; queued messages are dropped. */
     @Override
     void close();
 }
--- a/transport/src/main/java/pinewick/transport/TransportCounters.java
+++ b/transport/src/main/java/pinewick/transport/TransportCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** What a transport has sent, received and dropped since its start. */
+/** Counts of what a transport has sent, received and dropped since its start. Thread-safe. */
 public final class TransportCounters {
     final LongAdder datagramsSent = new LongAdder();
     final LongAdder datagramsReceived = new LongAdder();
@@ -12,22 +12,22 @@
     final LongAdder dropped = new LongAdder();
     final LongAdder failedConnections = new LongAdder();
 
-    /** Messages that left as datagrams. */
+    /** Messages sent as datagrams. */
     public long datagramsSent() {
         return datagramsSent.sum();
     }
 
-    /** Messages that came as datagrams. */
+    /** Messages received as datagrams. */
     public long datagramsReceived() {
         return datagramsReceived.sum();
     }
 
-    /** Messages that left over connections. */
+    /** Messages sent over connections. */
     public long framesSent() {
         return framesSent.sum();
     }
 
-    /** Messages that came over connections. */
+    /** Messages received over connections. */
     public long framesReceived() {
         return framesReceived.sum();
     }
@@ -37,12 +37,12 @@
         return malformed.sum();
     }
 
-    /** Messages given up before they left: full queues, full buffers, too late. */
+    /** Messages dropped before they were sent: full queue, full buffer, or too late. */
     public long dropped() {
         return dropped.sum();
     }
 
-    /** Connections that did not come up, broke or stuck. */
+    /** Connections that could not be opened, broke or timed out. */
     public long failedConnections() {
         return failedConnections.sum();
     }
--- a/transport/src/main/java/pinewick/transport/TransportException.java
+++ b/transport/src/main/java/pinewick/transport/TransportException.java
@@ -2,7 +2,10 @@
 
 import pinewick.model.SocketAddress;
 
-/** The transport could not be set up. */
+/**
+ * The transport could not be started. An operator has to check that the address is of this machine and that no other
+ * process listens there.
+ */
 public final class TransportException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient SocketAddress address;
@@ -12,7 +15,7 @@
         this.address = address;
     }
 
-    /** The address that was to be used. */
+    /** The address that could not be used. */
     public SocketAddress address() {
         return address;
     }
--- a/transport/src/test/java/pinewick/transport/ControlLoopTest.java
+++ b/transport/src/test/java/pinewick/transport/ControlLoopTest.java
@@ -27,7 +27,7 @@
         Queue<Double> runsAtMs = new ConcurrentLinkedQueue<>();
         CountDownLatch threeRuns = new CountDownLatch(3);
         AtomicInteger asked = new AtomicInteger();
-        loop.repeatAtPace(
+        loop.repeatAtVariableInterval(
                 () -> {
                     runsAtMs.add(loop.nowMs());
                     threeRuns.countDown();
@@ -44,7 +44,7 @@
     @Test
     void aTaskThatThrowsIsRunAgain() throws InterruptedException {
         CountDownLatch runs = new CountDownLatch(3);
-        loop.repeatAtPace(
+        loop.repeatAtVariableInterval(
                 () -> {
                     runs.countDown();
                     throw new IllegalStateException("for the test");
@@ -57,7 +57,7 @@
     void aClosedLoopTakesNoTask() {
         loop.close();
         AtomicInteger runs = new AtomicInteger();
-        loop.repeatAtPace(runs::incrementAndGet, () -> 0);
+        loop.repeatAtVariableInterval(runs::incrementAndGet, () -> 0);
         assertEquals(0, runs.get());
     }
 }
--- a/transport/src/test/java/pinewick/transport/OutgoingConnectionTest.java
+++ b/transport/src/test/java/pinewick/transport/OutgoingConnectionTest.java
@@ -48,7 +48,7 @@
     /** Handles what the selector reports, at one moment, until something holds. */
     private void selectUntil(BooleanSupplier condition, double nowMs) throws IOException {
         while (!condition.getAsBoolean()) {
-            selector.select(key -> ((ChannelHandler) key.attachment()).ready(nowMs));
+            selector.select(key -> ((ChannelHandler) key.attachment()).onReady(nowMs));
         }
     }
 
@@ -77,23 +77,23 @@
     void anIdleConnectionIsClosed() throws IOException {
         sendSmall(0);
         server.accept().getOutputStream().write(1);
-        selectUntil(() -> !connection.waits(), 1);
-        connection.sweep(OutgoingConnection.IDLE_MS);
-        assertTrue(connection.active());
-        connection.sweep(OutgoingConnection.IDLE_MS + 1);
-        assertFalse(connection.active());
+        selectUntil(() -> !connection.hasPendingWork(), 1);
+        connection.checkDeadlines(OutgoingConnection.IDLE_TIMEOUT_MS);
+        assertTrue(connection.isActive());
+        connection.checkDeadlines(OutgoingConnection.IDLE_TIMEOUT_MS + 1);
+        assertFalse(connection.isActive());
         assertEquals(0, counters.failedConnections());
     }
 
     @Test
     void aPeerThatConfirmsNothingIsDialledAgain() throws IOException {
         sendSmall(0);
-        connection.sweep(OutgoingConnection.CONFIRMATION_TIMEOUT_MS);
+        connection.checkDeadlines(OutgoingConnection.ACKNOWLEDGEMENT_TIMEOUT_MS);
         assertEquals(0, counters.failedConnections());
-        assertTrue(connection.waits());
-        connection.sweep(OutgoingConnection.CONFIRMATION_TIMEOUT_MS + 1);
+        assertTrue(connection.hasPendingWork());
+        connection.checkDeadlines(OutgoingConnection.ACKNOWLEDGEMENT_TIMEOUT_MS + 1);
         assertEquals(1, counters.failedConnections());
-        assertFalse(connection.active(), "a frame that was written whole is not sent twice");
+        assertFalse(connection.isActive(), "a frame that was written whole is not sent twice");
     }
 
     @Test
@@ -104,14 +104,14 @@
         connection.service(0);
         Socket stuck = server.accept();
         selectUntil(() -> selector.keys().stream().anyMatch(key -> key.isValid() && key.interestOps() == 5), 0);
-        connection.sweep(OutgoingConnection.STUCK_WRITE_MS - 1);
+        connection.checkDeadlines(OutgoingConnection.WRITE_TIMEOUT_MS - 1);
         assertEquals(0, counters.failedConnections());
-        connection.sweep(OutgoingConnection.STUCK_WRITE_MS + 1);
+        connection.checkDeadlines(OutgoingConnection.WRITE_TIMEOUT_MS + 1);
         assertEquals(1, counters.failedConnections());
-        assertTrue(connection.waits());
+        assertTrue(connection.hasPendingWork());
 
-        double againAtMs = OutgoingConnection.STUCK_WRITE_MS + OutgoingConnection.REDIAL_PAUSE_MS + 2;
-        connection.sweep(againAtMs);
+        double againAtMs = OutgoingConnection.WRITE_TIMEOUT_MS + OutgoingConnection.RECONNECT_DELAY_MS + 2;
+        connection.checkDeadlines(againAtMs);
         Thread writer = new Thread(() -> {
             try {
                 selectUntil(() -> counters.framesSent() == 1, againAtMs);
@@ -141,13 +141,13 @@
                     new OutgoingConnection((InetSocketAddress) full.getLocalSocketAddress(), selector, counters);
             hanging.enqueue(SMALL, 0);
             hanging.service(0);
-            hanging.sweep(OutgoingConnection.CONNECT_TIMEOUT_MS);
+            hanging.checkDeadlines(OutgoingConnection.CONNECT_TIMEOUT_MS);
             assertEquals(0, counters.failedConnections());
-            hanging.sweep(OutgoingConnection.CONNECT_TIMEOUT_MS + 1);
+            hanging.checkDeadlines(OutgoingConnection.CONNECT_TIMEOUT_MS + 1);
             assertEquals(1, counters.failedConnections());
-            assertTrue(hanging.waits(), "the frame waits for the next dial");
-            hanging.sweep(OutgoingConnection.STALE_MS + 1);
-            assertFalse(hanging.active(), "a stale frame is not sent any more");
+            assertTrue(hanging.hasPendingWork(), "the frame waits for the next dial");
+            hanging.checkDeadlines(OutgoingConnection.MAX_QUEUE_TIME_MS + 1);
+            assertFalse(hanging.isActive(), "a stale frame is not sent any more");
             assertEquals(1, counters.dropped());
             for (SocketChannel filler : fillers) {
                 filler.close();
@@ -165,8 +165,8 @@
         connection.service(1);
         assertEquals(1, counters.failedConnections(), "no dial right after a failed one");
         server = new ServerSocket(port, 5, InetAddress.getByName("127.0.0.1"));
-        connection.sweep(OutgoingConnection.REDIAL_PAUSE_MS + 1);
-        selectUntil(() -> counters.framesSent() == 1, OutgoingConnection.REDIAL_PAUSE_MS + 1);
+        connection.checkDeadlines(OutgoingConnection.RECONNECT_DELAY_MS + 1);
+        selectUntil(() -> counters.framesSent() == 1, OutgoingConnection.RECONNECT_DELAY_MS + 1);
         try (Socket accepted = server.accept()) {
             assertArrayEquals(SMALL, readFrame(new DataInputStream(accepted.getInputStream())));
         }
@@ -177,7 +177,7 @@
         sendSmall(0);
         server.accept().close();
         selectUntil(() -> counters.failedConnections() == 1, 1);
-        sendSmall(OutgoingConnection.REDIAL_PAUSE_MS + 1);
+        sendSmall(OutgoingConnection.RECONNECT_DELAY_MS + 1);
         try (Socket accepted = server.accept()) {
             assertArrayEquals(SMALL, readFrame(new DataInputStream(accepted.getInputStream())));
         }
@@ -189,12 +189,12 @@
         for (byte i = 0; i < 5; i++) {
             queue.add(new byte[] {i}, i);
         }
-        assertEquals(2, queue.poll().frame()[0]);
+        assertEquals(2, queue.poll().orElseThrow().frame()[0]);
         assertEquals(1, queue.add(new byte[99], 5));
-        assertEquals(4, queue.poll().frame()[0]);
+        assertEquals(4, queue.poll().orElseThrow().frame()[0]);
         assertEquals(1, queue.add(new byte[5_000], 6), "a frame above the bound stands alone");
-        PeerQueue.QueuedFrame large = queue.poll();
-        assertFalse(queue.putBack(large));
+        PeerQueue.QueuedFrame large = queue.poll().orElseThrow();
+        assertFalse(queue.requeue(large));
         assertTrue(queue.isEmpty());
     }
 }
