--- a/control/src/main/java/pinewick/control/HeartbeatParser.java
+++ b/control/src/main/java/pinewick/control/HeartbeatParser.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import pinewick.model.Ipv4Address;
 import pinewick.model.ReplicaRecord;
 import pinewick.model.ReplicaState;
 import pinewick.model.SocketAddress;
@@ -62,7 +63,7 @@
         } catch (IllegalArgumentException e) {
             throw new InvalidFieldException("address", e.getMessage());
         }
-        if (!Ipv4.isLiteral(address.host())) {
+        if (!Ipv4Address.isLiteral(address.host())) {
             throw new InvalidFieldException("address", "'" + address.host() + "' is not an IPv4 address");
         }
         return address;
--- a/control/src/main/java/pinewick/control/RecordChanges.java
+++ b/control/src/main/java/pinewick/control/RecordChanges.java
@@ -15,7 +15,7 @@
     }
 
     private static boolean isWarmingUp(ReplicaRecord record) {
-        return record.coldRemainingMs() > 0;
+        return record.warmUpRemainingMs() > 0;
     }
 
     private static ReplicaRecord withCountersOf(ReplicaRecord known, ReplicaRecord next) {
@@ -27,7 +27,7 @@
                 known.softwareVersion(),
                 known.slots(),
                 known.state(),
-                next.coldRemainingMs(),
+                next.warmUpRemainingMs(),
                 known.stage(),
                 known.models(),
                 next.callSequence(),
--- a/control/src/main/java/pinewick/control/StageReconciler.java
+++ b/control/src/main/java/pinewick/control/StageReconciler.java
@@ -82,7 +82,7 @@
             return;
         }
         List<ReplicaRecord> replicas = fleet.replicas().stream()
-                .filter(record -> record.stage() != Stage.NONE && record.takesRequests())
+                .filter(record -> record.stage() != Stage.NONE && record.acceptsRequests())
                 .toList();
         retainOnly(replicas);
         if (!replicas.isEmpty()) {
--- a/control/src/test/java/pinewick/control/ReplicaFailureDetectorTest.java
+++ b/control/src/test/java/pinewick/control/ReplicaFailureDetectorTest.java
@@ -222,7 +222,7 @@
                 record.softwareVersion(),
                 record.slots(),
                 record.state(),
-                record.coldRemainingMs(),
+                record.warmUpRemainingMs(),
                 record.stage(),
                 record.models(),
                 callSequence,
--- a/control/src/test/java/pinewick/control/ReplicaRegistryTest.java
+++ b/control/src/test/java/pinewick/control/ReplicaRegistryTest.java
@@ -67,7 +67,7 @@
         registry.heartbeat(Replicas.cold(ID, 2, 2_800), answers::add);
         registry.heartbeat(Replicas.cold(ID, 3, 0), answers::add);
         assertEquals(2, fleet.published.size());
-        assertEquals(0, fleet.findReplica(ID).orElseThrow().coldRemainingMs());
+        assertEquals(0, fleet.findReplica(ID).orElseThrow().warmUpRemainingMs());
     }
 
     @Test
--- a/dataplane/src/main/java/pinewick/dataplane/ReplicaCall.java
+++ b/dataplane/src/main/java/pinewick/dataplane/ReplicaCall.java
@@ -97,7 +97,7 @@
                 : services.selector().begin(replica, kind, lifecycle.shape(), now());
         int priority = CallPriority.of(lifecycle.shape(), measured.expectedServiceMs(), now());
         upstream = services.calls().send(replica, requestOfPriority.apply(priority), this);
-        if (kind == CallKind.PREFILL || lifecycle.shape().route().repeatable()) {
+        if (kind == CallKind.PREFILL || lifecycle.shape().route().isRetriable()) {
             patience = services.timers().schedule(patienceMs(), () -> lifecycle.tryAnother(this));
         }
     }
@@ -236,7 +236,7 @@
         if (!route.resumable() || route.kind() != RouteKind.STREAMING) {
             return;
         }
-        double longest = Math.max(LONGEST_SILENCE_MS, SILENCE_OF_GAP_AIM * route.gapAimMs());
+        double longest = Math.max(LONGEST_SILENCE_MS, SILENCE_OF_GAP_AIM * route.targetGapMs());
         double left = lastEventAtMs + longest - now();
         patience = services.timers().schedule(left > 0 ? left : longest, () -> {
             boolean silent = now() - lastEventAtMs >= longest;
--- a/dataplane/src/main/java/pinewick/dataplane/ReplicaDirectory.java
+++ b/dataplane/src/main/java/pinewick/dataplane/ReplicaDirectory.java
@@ -31,7 +31,7 @@
         List<ReplicaRecord> candidates = new ArrayList<>();
         List<ReplicaRecord> lapsed = new ArrayList<>();
         for (ReplicaRecord record : byService.getOrDefault(service, Map.of()).values()) {
-            if (record.takesRequests()) {
+            if (record.acceptsRequests()) {
                 candidates.add(record);
             } else if (record.state() == ReplicaState.READY) {
                 lapsed.add(record.withLapsed(false));
--- a/dataplane/src/main/java/pinewick/dataplane/ReportPoller.java
+++ b/dataplane/src/main/java/pinewick/dataplane/ReportPoller.java
@@ -59,7 +59,7 @@
      * is priced.
      */
     private boolean wantsReport(ReplicaRecord replica) {
-        return replica.stage() != Stage.NONE && replica.takesRequests() && !asked.contains(replica.instanceId());
+        return replica.stage() != Stage.NONE && replica.acceptsRequests() && !asked.contains(replica.instanceId());
     }
 
     /** Whether {@code self} is the router that asks a replica. */
--- a/dataplane/src/main/java/pinewick/dataplane/RequestLifecycle.java
+++ b/dataplane/src/main/java/pinewick/dataplane/RequestLifecycle.java
@@ -203,7 +203,7 @@
         readWhole = true;
         boolean mayGoOn = isStreaming()
                 ? shape.route().kind() == RouteKind.STREAMING && shape.route().resumable() && call.passesEvents()
-                : shape.route().repeatable();
+                : shape.route().isRetriable();
         if (mayGoOn) {
             attempt(this::giveUp);
         } else {
@@ -219,7 +219,7 @@
         releaseHandle();
         if (isStreaming()) {
             attempt(this::giveUp);
-        } else if (shape.route().repeatable() && call.head().isServerError()) {
+        } else if (shape.route().isRetriable() && call.head().isServerError()) {
             attempt(answer);
         } else {
             answer.run();
--- a/dataplane/src/test/java/pinewick/dataplane/RequestLifecyclePropertyTest.java
+++ b/dataplane/src/test/java/pinewick/dataplane/RequestLifecyclePropertyTest.java
@@ -92,7 +92,7 @@
         List<PlayedCall> calls = world.calls.all;
         assertTrue(calls.stream().allMatch(call -> call.over || call.isRelease()), "no call is left open");
         long runs = calls.stream().filter(PlayedCall::mayHaveRun).count();
-        if (!world.route.repeatable()) {
+        if (!world.route.isRetriable()) {
             assertTrue(runs <= 1, "run at most once");
         }
         long sent =
--- a/dissemination/src/main/java/pinewick/dissemination/ConfigurationHistory.java
+++ b/dissemination/src/main/java/pinewick/dissemination/ConfigurationHistory.java
@@ -72,10 +72,10 @@
         }
     }
 
-    /** The version before the newest, {@link ConfigurationDelta#WHOLE} if there is none. */
+    /** The version before the newest, {@link ConfigurationDelta#FULL_DOCUMENT} if there is none. */
     synchronized long previousVersion() {
         Long previous = documents.isEmpty() ? null : documents.lowerKey(documents.lastKey());
-        return previous == null ? ConfigurationDelta.WHOLE : previous;
+        return previous == null ? ConfigurationDelta.FULL_DOCUMENT : previous;
     }
 
     /** Whether a process at this version needs the full newest document. */
@@ -96,7 +96,7 @@
         if (cached != null) {
             return cached;
         }
-        long base = documents.containsKey(version) ? version : ConfigurationDelta.WHOLE;
+        long base = documents.containsKey(version) ? version : ConfigurationDelta.FULL_DOCUMENT;
         return updatesByBase.computeIfAbsent(base, this::encode);
     }
 
@@ -114,7 +114,7 @@
      */
     static ConfigurationDocument apply(ConfigurationUpdate update, ConfigurationDocument current) {
         ConfigurationDelta delta = ConfigurationChecks.readDelta(update.body());
-        boolean isFull = delta.baseVersion() == ConfigurationDelta.WHOLE;
+        boolean isFull = delta.baseVersion() == ConfigurationDelta.FULL_DOCUMENT;
         return delta.applyTo(isFull ? ConfigurationDocument.EMPTY : current);
     }
 }
--- a/dissemination/src/main/java/pinewick/dissemination/FleetState.java
+++ b/dissemination/src/main/java/pinewick/dissemination/FleetState.java
@@ -91,7 +91,7 @@
                 record.softwareVersion(),
                 record.slots(),
                 record.state(),
-                record.coldRemainingMs(),
+                record.warmUpRemainingMs(),
                 record.stage(),
                 record.models(),
                 callSequence,
--- a/dissemination/src/test/java/pinewick/dissemination/TestRecords.java
+++ b/dissemination/src/test/java/pinewick/dissemination/TestRecords.java
@@ -43,7 +43,7 @@
                 record.softwareVersion(),
                 record.slots(),
                 record.state(),
-                record.coldRemainingMs(),
+                record.warmUpRemainingMs(),
                 record.stage(),
                 record.models(),
                 callSequence,
--- a/emulator/src/main/java/pinewick/emulator/control/CallHistory.java
+++ b/emulator/src/main/java/pinewick/emulator/control/CallHistory.java
@@ -3,31 +3,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** When calls came in at controllers and when their answers left, in order. */
+/** When requests arrived at controllers and when their responses were sent, in order. */
 final class CallHistory {
-    /** What a call found out, if it was answered. */
+    /** The result of a request, if it was answered. */
     enum Finding {
-        /** No clear answer. */
+        /** No definite result. */
         NONE,
         /** The configuration had this version. */
         READ,
         /** Another version than the change's base was current. */
         CONFLICT,
-        /** The change was invalid upon the current version. */
+        /** The change was invalid for the current version. */
         INVALID
     }
 
-    /** One call, from when it came in at the controller that answered it. */
+    /** One request, since it arrived at the controller that answered it. */
     static final class Call {
-        private final ChangeOrder change;
+        private final SubmittedChange change;
         private Finding finding = Finding.NONE;
         private long version;
 
-        private Call(ChangeOrder change) {
+        private Call(SubmittedChange change) {
             this.change = change;
         }
 
-        ChangeOrder change() {
+        SubmittedChange change() {
             return change;
         }
 
@@ -40,19 +40,19 @@
         }
     }
 
-    /** What happened at one moment. */
+    /** One event of the history. */
     sealed interface Event {}
 
     /** A change was sent for the first time. */
-    record FirstSent(ChangeOrder change) implements Event {}
+    record FirstSent(SubmittedChange change) implements Event {}
 
     /** A change was acknowledged. */
-    record Acknowledged(ChangeOrder change) implements Event {}
+    record Acknowledged(SubmittedChange change) implements Event {}
 
-    /** A call came in. */
-    record CameIn(Call call) implements Event {}
+    /** A request arrived. */
+    record Received(Call call) implements Event {}
 
-    /** The answer to a call left. */
+    /** The response to a request was sent. */
     record Answered(Call call) implements Event {}
 
     private final List<Event> events = new ArrayList<>();
@@ -61,22 +61,22 @@
         return events;
     }
 
-    void firstSent(ChangeOrder change) {
+    void onFirstSent(SubmittedChange change) {
         events.add(new FirstSent(change));
     }
 
-    void acknowledged(ChangeOrder change) {
+    void onAcknowledged(SubmittedChange change) {
         events.add(new Acknowledged(change));
     }
 
-    /** A call comes in at a controller; the change is null for a read. */
-    Call cameIn(ChangeOrder change) {
+    /** A request arrives at a controller; the change is null for a read. */
+    Call onReceived(SubmittedChange change) {
         Call call = new Call(change);
-        events.add(new CameIn(call));
+        events.add(new Received(call));
         return call;
     }
 
-    void answered(Call call, Finding finding, long version) {
+    void onAnswered(Call call, Finding finding, long version) {
         call.finding = finding;
         call.version = version;
         events.add(new Answered(call));
--- /dev/null
+++ b/emulator/src/main/java/pinewick/emulator/control/ControlPlaneSimulation.java
@@ -0,0 +1,215 @@
+package pinewick.emulator.control;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.SplittableRandom;
+
+/** Simulates one run from its seed: starts a system, injects faults, heals them, and checks the invariants. */
+public final class ControlPlaneSimulation {
+    private static final double FAULTS_FROM_MS = 2_000;
+    private static final double FAULTS_DURATION_MS = 8_000;
+    private static final double RECOVERY_MS = SimulatedSystem.CONTACT_MS + SimulatedSystem.CONFIG_APPLY_MS;
+    private static final double MAX_READ_INTERVAL_MS = 150;
+    private static final double KILL_AFTER_REMOVAL_PROBABILITY = 0.1;
+
+    /** The fault scenarios, in turn by seed. */
+    private enum Scenario {
+        RANDOM,
+        LONG_PARTITION,
+        RANDOM_AGAIN,
+        SECOND_LOSS,
+        PRIMARY_LOSSES,
+        HANDOVER,
+        DELAYED_REPLIES,
+        STALE_MEMBERS_FIRST
+    }
+
+    private final long seed;
+    private final SplittableRandom random;
+    private final SimulatedSystem system;
+    private final Scenario scenario;
+    private final Operator first;
+    private final Operator second;
+    private final List<Double> changeLatenciesMs = new ArrayList<>();
+    private List<Double> repairTimesMs = List.of();
+    private double endMs = FAULTS_FROM_MS + FAULTS_DURATION_MS;
+
+    private ControlPlaneSimulation(long seed, Mutant mutant, boolean isTraced) {
+        this.seed = seed;
+        this.random = new SplittableRandom(seed);
+        boolean large = seed % 4 == 3;
+        scenario = Scenario.values()[(int) Math.floorMod(seed / 4, Scenario.values().length)];
+        system = new SimulatedSystem(random.nextLong(), large ? 2 : 1, mutant.newMutation(), isTraced);
+        switch (random.nextInt(6)) {
+            case 0 -> system.setLinkQuality(0, random.nextDouble(0.05), random.nextDouble(0.2), 0.5);
+            case 1, 2 -> system.setLinkQuality(
+                    random.nextDouble(0.05), random.nextDouble(0.05), random.nextDouble(0.05), 0.1);
+            default -> system.setLinkQuality(0, random.nextDouble(0.05), 0, 0);
+        }
+        int controllers = large ? 5 : 3 + (seed % 8 == 5 ? 1 : 0);
+        system.startAll(controllers, 2, 2);
+        first = operator(1);
+        second = operator(2);
+        first.setPartner(second);
+        second.setPartner(first);
+    }
+
+    private Operator operator(int number) {
+        Operator operator = new Operator(system, number, random.split());
+        operator.loseResponses(scenario == Scenario.PRIMARY_LOSSES ? 0.7 : random.nextBoolean() ? 0.02 : 0.3);
+        operator.sendLongDocuments(random.nextInt(6) == 0 ? 0.08 : 0);
+        operator.setMeanIntervalMs(scenario == Scenario.LONG_PARTITION || scenario == Scenario.DELAYED_REPLIES ? 1_200 : 500);
+        return operator;
+    }
+
+    /**
+     * Simulates a run.
+     *
+     * @param mutant which variant of the code runs
+     * @param isTraced whether events are recorded
+     */
+    public static SimulationResult run(long seed, Mutant mutant, boolean isTraced) {
+        ControlPlaneSimulation simulation = new ControlPlaneSimulation(seed, mutant, isTraced);
+        Optional<InvariantViolation> violation = simulation.run();
+        violation
+                .filter(broken -> simulation.system.firstViolation().isEmpty())
+                .ifPresent(broken -> simulation.system.trace("BROKEN " + broken.getMessage()));
+        List<Double> latenciesMs = new ArrayList<>(simulation.first.acknowledgementTimesMs());
+        latenciesMs.addAll(simulation.second.acknowledgementTimesMs());
+        HistoryChecker history = simulation.system.history();
+        return new SimulationResult(
+                seed,
+                violation,
+                history.acknowledged(),
+                history.rejected(),
+                history.reads(),
+                simulation.system.fleetChecker().removalsAcknowledged(),
+                latenciesMs,
+                simulation.changeLatenciesMs,
+                simulation.repairTimesMs,
+                simulation.system.traceLines());
+    }
+
+    private Optional<InvariantViolation> run() {
+        try {
+            runFaults();
+            return system.firstViolation();
+        } catch (InvariantViolation violation) {
+            return system.firstViolation().or(() -> Optional.of(violation));
+        } catch (RuntimeException failure) {
+            system.trace("FAILED " + failure);
+            InvariantViolation violation = new InvariantViolation(Invariant.NO_FAILURE, failure.toString());
+            violation.initCause(failure);
+            return Optional.of(violation);
+        }
+    }
+
+    private void runFaults() {
+        FaultInjector faults = startFaults();
+        system.after(500, () -> first.work(endMs));
+        system.after(700, () -> second.work(endMs));
+        system.time().runUntil(endMs);
+        faults.heal();
+        system.setLinkQuality(0, 0, 0, 0);
+        system.time().runUntil(endMs + RECOVERY_MS);
+        faults.heal();
+        system.fleetChecker().requireAllCurrent(system.history().newestAcknowledged());
+        verifyRecovery();
+        LinearizabilityChecker.check(system.history().calls(), system.history().chain());
+    }
+
+    private FaultInjector startFaults() {
+        if (scenario == Scenario.RANDOM || scenario == Scenario.RANDOM_AGAIN) {
+            RandomFaults scenarios = new RandomFaults(system, random.split(), endMs);
+            FaultScenarios replicaScenarios = new FaultScenarios(system, random.split());
+            replicaScenarios.churnReplicas(FAULTS_FROM_MS, endMs);
+            replicaScenarios.killAfterRemovals(random.nextBoolean() ? KILL_AFTER_REMOVAL_PROBABILITY : 0, endMs);
+            scenarios.start(FAULTS_FROM_MS);
+            return scenarios.faults();
+        }
+        FaultScenarios scenarios = new FaultScenarios(system, random.split());
+        repairTimesMs = scenarios.repairTimesMs();
+        switch (scenario) {
+            case LONG_PARTITION -> longPartition(scenarios);
+            case SECOND_LOSS -> scenarios.secondLoss(random.nextDouble(FAULTS_FROM_MS, 4_000));
+            case STALE_MEMBERS_FIRST -> scenarios.staleMembersReturnFirst(random.nextDouble(FAULTS_FROM_MS, 4_000));
+            case DELAYED_REPLIES -> delayedReplies(scenarios);
+            case HANDOVER -> scenarios.lossAfterHandover(random.nextDouble(FAULTS_FROM_MS, 4_000));
+            default -> scenarios.primaryLosses(FAULTS_FROM_MS, endMs);
+        }
+        scenarios.churnReplicas(FAULTS_FROM_MS, endMs);
+        return scenarios.faults();
+    }
+
+    /** An operator reads often, at every controller, while one of them receives replies from long ago. */
+    private void delayedReplies(FaultScenarios scenarios) {
+        scenarios.delayedReplies(random.nextDouble(FAULTS_FROM_MS, 3_000));
+        Operator reader = new Operator(system, 5, random.split());
+        system.after(FAULTS_FROM_MS, () -> readOften(reader));
+    }
+
+    private void readOften(Operator reader) {
+        if (system.nowMs() < endMs) {
+            if (!reader.isBusy()) {
+                reader.read(() -> {});
+            }
+            system.after(random.nextDouble(MAX_READ_INTERVAL_MS), () -> readOften(reader));
+        }
+    }
+
+    private void longPartition(FaultScenarios scenarios) {
+        double atMs = random.nextDouble(FAULTS_FROM_MS, 4_000);
+        scenarios.longPartition(atMs);
+        endMs = atMs + FaultScenarios.LONG_PARTITION_MS + 2_000;
+        Operator operator = new Operator(system, 3, random.split());
+        system.after(atMs + SimulatedSystem.CONTACT_MS, () -> submitPeriodically(operator, scenarios, atMs + FaultScenarios.LONG_PARTITION_MS));
+    }
+
+    /** While a controller is partitioned, an operator that reaches both sides submits changes. */
+    private void submitPeriodically(Operator operator, FaultScenarios scenarios, double untilMs) {
+        double beganMs = system.nowMs();
+        if (beganMs + SimulatedSystem.ACK_MS >= untilMs) {
+            return;
+        }
+        boolean[] answered = new boolean[1];
+        operator.submit(
+                operator.validChange(),
+                () -> {
+                    answered[0] = true;
+                    changeLatenciesMs.add(system.nowMs() - beganMs);
+                },
+                () -> answered[0] = true);
+        system.after(SimulatedSystem.ACK_MS, () -> {
+            boolean isExcused = !scenarios.isOnlyPartitionBetween(beganMs, system.nowMs());
+            InvariantViolation.require(
+                    isExcused || answered[0],
+                    Invariant.ACKNOWLEDGED_IN_TIME,
+                    "beside a controller that is cut off, a change has no answer in " + SimulatedSystem.ACK_MS + " ms");
+            submitPeriodically(operator, scenarios, untilMs);
+        });
+    }
+
+    /** After all faults have ended, a change is accepted and read back. */
+    private void verifyRecovery() {
+        Operator last = new Operator(system, 4, random.split());
+        long acknowledged = system.history().newestAcknowledged();
+        boolean[] ended = new boolean[3];
+        last.read(() -> ended[0] = true);
+        await(ended, 0, Invariant.READ_IN_TIME, "a read");
+        InvariantViolation.require(
+                system.history().newestInForce() >= acknowledged,
+                Invariant.ACKNOWLEDGED_IS_DURABLE,
+                "version " + acknowledged + " is lost");
+        last.submit(last.validChange(), () -> ended[1] = true);
+        await(ended, 1, Invariant.ACKNOWLEDGED_IN_TIME, "a change");
+        last.read(() -> ended[2] = true);
+        await(ended, 2, Invariant.READ_IN_TIME, "a read");
+    }
+
+    private void await(boolean[] ended, int step, Invariant invariant, String what) {
+        double tookMs = system.time().runUntil(() -> ended[step], SimulatedSystem.ACK_MS);
+        InvariantViolation.require(
+                !Double.isNaN(tookMs), invariant, what + " has no answer in " + SimulatedSystem.ACK_MS + " ms");
+    }
+}
--- a/emulator/src/main/java/pinewick/emulator/control/ControllerMachine.java
+++ b/emulator/src/main/java/pinewick/emulator/control/ControllerMachine.java
@@ -6,13 +6,13 @@
 import java.util.function.Consumer;
 import pinewick.model.SocketAddress;
 
-/** A machine with a disk and, at times, a controller's process. */
+/** A machine with a disk and, while it runs, a controller's process. */
 final class ControllerMachine {
     private static final double FIRST_WALL_CLOCK_MS = 1.8e12;
     private static final int INTERNAL_PORT = 7721;
     private static final int API_PORT = 8166;
 
-    private final ControlWorld world;
+    private final SimulatedSystem system;
     private final int number;
     private final String host;
     private final SocketAddress internal;
@@ -20,23 +20,23 @@
     private final SplittableRandom random;
     private final SimulatedDisk disk = new SimulatedDisk();
     private List<SocketAddress> seeds = List.of();
-    private Optional<ControllerLife> life = Optional.empty();
+    private Optional<ControllerProcess> process = Optional.empty();
     private double wallClockStepMs;
-    private double troubledUntilMs;
-    private double lastTroubleMs;
-    private double lastThawMs = Double.NEGATIVE_INFINITY;
-    private double lastLedMs = Double.NEGATIVE_INFINITY;
+    private double lostUntilMs;
+    private double lastFaultMs;
+    private double lastResumeMs = Double.NEGATIVE_INFINITY;
+    private double lastHeartbeatSentMs = Double.NEGATIVE_INFINITY;
     private boolean removed;
 
-    ControllerMachine(ControlWorld world, int number, SplittableRandom random) {
-        this.world = world;
+    ControllerMachine(SimulatedSystem system, int number, SplittableRandom random) {
+        this.system = system;
         this.number = number;
         this.api = apiOf(number);
         this.host = api.host();
         this.internal = new SocketAddress(host, INTERNAL_PORT);
         this.random = random;
-        world.network()
-                .listen(internal, (sender, message) -> life.ifPresent(running -> running.onMessage(sender, message)));
+        system.network()
+                .listen(internal, (sender, message) -> process.ifPresent(running -> running.onMessage(sender, message)));
     }
 
     static SocketAddress apiOf(int number) {
@@ -72,109 +72,109 @@
         return seeds;
     }
 
-    void seeds(List<SocketAddress> told) {
-        seeds = List.copyOf(told);
+    void seeds(List<SocketAddress> addresses) {
+        seeds = List.copyOf(addresses);
     }
 
     double wallClockMs() {
-        return FIRST_WALL_CLOCK_MS + world.nowMs() + wallClockStepMs;
+        return FIRST_WALL_CLOCK_MS + system.nowMs() + wallClockStepMs;
     }
 
     void stepClock(double byMs) {
         wallClockStepMs += byMs;
     }
 
-    Optional<ControllerLife> life() {
-        return life;
+    Optional<ControllerProcess> process() {
+        return process;
     }
 
-    boolean running() {
-        return life.isPresent();
+    boolean isRunning() {
+        return process.isPresent();
     }
 
-    boolean frozen() {
-        return life.filter(ControllerLife::frozen).isPresent();
+    boolean isFrozen() {
+        return process.filter(ControllerProcess::isFrozen).isPresent();
     }
 
-    /** Whether its process runs, is not frozen, and its disk is good. */
-    boolean sound() {
-        return running() && !frozen() && disk.mode == SimulatedDisk.Mode.GOOD;
+    /** Whether its process runs, is not frozen, and its disk is healthy. */
+    boolean isHealthy() {
+        return isRunning() && !isFrozen() && disk.mode == SimulatedDisk.Mode.HEALTHY;
     }
 
-    boolean leads() {
-        return life.filter(ControllerLife::leads).isPresent();
+    boolean isPrimary() {
+        return process.filter(ControllerProcess::isPrimary).isPresent();
     }
 
-    /** It said as a primary that it leads. */
-    void led() {
-        lastLedMs = world.nowMs();
+    /** It sent a heartbeat as primary. */
+    void onHeartbeatSent() {
+        lastHeartbeatSentMs = system.nowMs();
     }
 
-    /** When it last said that it leads. */
-    double lastLedMs() {
-        return lastLedMs;
+    /** When it last sent a heartbeat as primary. */
+    double lastHeartbeatSentMs() {
+        return lastHeartbeatSentMs;
     }
 
-    /** Something befell it at this moment, or it could not reach the controllers that matter. */
-    void troubled() {
-        lastTroubleMs = world.nowMs();
+    /** It has a fault at this moment, or cannot reach the majority. */
+    void onFault() {
+        lastFaultMs = system.nowMs();
     }
 
-    /** Whether it ran, and reached every controller that matters, from {@code sinceMs} on. */
-    boolean calmSince(double sinceMs) {
-        return lastTroubleMs < sinceMs;
+    /** Whether it ran, and reached the majority, from {@code sinceMs} on. */
+    boolean isUndisturbedSince(double sinceMs) {
+        return lastFaultMs < sinceMs;
     }
 
-    /** When it was last thawed. */
-    double lastThawMs() {
-        return lastThawMs;
+    /** When it last resumed from a freeze. */
+    double lastResumeMs() {
+        return lastResumeMs;
     }
 
-    boolean removed() {
+    boolean isRemoved() {
         return removed;
     }
 
-    /** Until then this machine counts as lost. */
-    double troubledUntilMs() {
-        return troubledUntilMs;
+    /** Until when this machine counts as lost. */
+    double lostUntilMs() {
+        return lostUntilMs;
     }
 
-    void troubledUntil(double atMs) {
-        troubledUntilMs = Math.max(troubledUntilMs, atMs);
+    void markLostUntil(double atMs) {
+        lostUntilMs = Math.max(lostUntilMs, atMs);
     }
 
     void start(boolean firstStart) {
-        if (removed || running()) {
+        if (removed || isRunning()) {
             return;
         }
-        world.note(host + " starts" + (firstStart ? " for the first time" : ""));
-        world.coreTrouble();
-        troubled();
-        ControllerLife started = new ControllerLife(world, this, random.split(), firstStart);
-        life = Optional.of(started);
+        system.trace(host + " starts" + (firstStart ? " for the first time" : ""));
+        system.onControllerFault();
+        onFault();
+        ControllerProcess started = new ControllerProcess(system, this, random.split(), firstStart);
+        process = Optional.of(started);
         started.start();
     }
 
-    /** The process ends without a word; what it had asked the disk for may be there. */
+    /** SIGKILL or loss of power; a pending write may be on the disk or not. */
     void kill() {
-        if (running()) {
-            world.note(host + " killed");
-            world.coreTrouble();
-            life.get().end();
-            life = Optional.empty();
+        if (isRunning()) {
+            system.trace(host + " killed");
+            system.onControllerFault();
+            process.get().end();
+            process = Optional.empty();
         }
     }
 
-    /** SIGTERM. {@code onEnded} is told whether the others could do without this process. */
+    /** SIGTERM. {@code onEnded} receives whether the process was detached by then. */
     void terminate(Consumer<Boolean> onEnded) {
-        if (running() && !life.get().leaving()) {
-            world.note(host + " is asked to end");
-            world.coreTrouble();
-            ControllerLife ending = life.get();
+        if (isRunning() && !process.get().isShuttingDown()) {
+            system.trace(host + " is asked to end");
+            system.onControllerFault();
+            ControllerProcess ending = process.get();
             ending.terminate(detached -> {
-                world.note(host + " ends, detached " + detached);
+                system.trace(host + " ends, detached " + detached);
                 if (detached) {
-                    world.guard(() -> world.detached(this));
+                    system.guard(() -> system.onDetached(this));
                 }
                 kill();
                 onEnded.accept(detached);
@@ -184,7 +184,7 @@
 
     void wipe() {
         kill();
-        world.note(host + " loses its disk");
+        system.trace(host + " loses its disk");
         disk.wipe();
     }
 
@@ -194,17 +194,17 @@
     }
 
     void freeze() {
-        world.note(host + " frozen");
-        life.ifPresent(ControllerLife::freeze);
+        system.trace(host + " frozen");
+        process.ifPresent(ControllerProcess::freeze);
     }
 
-    void thaw() {
-        if (frozen()) {
-            world.note(host + " thaws");
-            lastThawMs = world.nowMs();
-            troubled();
-            world.coreTrouble();
-            life.get().thaw();
+    void resume() {
+        if (isFrozen()) {
+            system.trace(host + " thaws");
+            lastResumeMs = system.nowMs();
+            onFault();
+            system.onControllerFault();
+            process.get().resume();
         }
     }
 
--- a/emulator/src/main/java/pinewick/emulator/control/DiskSabotage.java
+++ b/emulator/src/main/java/pinewick/emulator/control/DiskMutations.java
@@ -22,21 +22,21 @@
 import pinewick.replication.StoredSnapshot;
 import pinewick.replication.StoredState;
 
-/** Broken variants at the disk, and in what a process is told. */
-final class DiskSabotage {
+/** Mutations of the disk, and of a process's settings. */
+final class DiskMutations {
     private static final byte[] NOTHING = {};
 
-    private DiskSabotage() {}
+    private DiskMutations() {}
 
     /**
-     * A store that lost its disk, and nothing tells it so: what the others say of it would otherwise make it start over
-     * under another identity.
+     * A store that lost its disk unnoticed: messages of others that would make it reset to an empty store with another
+     * identity are altered.
      */
-    private abstract static class LosesUnnoticed extends Sabotage {
+    private abstract static class UnnoticedWipe extends Mutation {
         private final Set<SocketAddress> processes = new HashSet<>();
 
         @Override
-        LoadedState loaded(SocketAddress process, SimulatedDisk disk, LoadedState loaded) {
+        LoadedState onLoaded(SocketAddress process, SimulatedDisk disk, LoadedState loaded) {
             if (disk.headBeforeWipe() != null) {
                 processes.add(process);
             }
@@ -44,7 +44,7 @@
         }
 
         @Override
-        Message received(SocketAddress from, SocketAddress to, Message message) {
+        Message onReceived(SocketAddress from, SocketAddress to, Message message) {
             if (!processes.contains(to)) {
                 return message;
             }
@@ -76,18 +76,18 @@
     }
 
     /** A store that lost its disk votes as if it still had it. */
-    static final class FoundsAfterWipe extends LosesUnnoticed {
+    static final class FoundsAfterWipe extends UnnoticedWipe {
         @Override
         boolean foundsAfterWipe() {
             return true;
         }
     }
 
-    /** A store that lost its disk goes on under its old identity. */
-    static final class ReusesIdentity extends LosesUnnoticed {
+    /** A store that lost its disk continues with its old identity. */
+    static final class ReusesIdentity extends UnnoticedWipe {
         @Override
-        LoadedState loaded(SocketAddress process, SimulatedDisk disk, LoadedState loaded) {
-            super.loaded(process, disk, loaded);
+        LoadedState onLoaded(SocketAddress process, SimulatedDisk disk, LoadedState loaded) {
+            super.onLoaded(process, disk, loaded);
             if (loaded.stored().isPresent() || disk.headBeforeWipe() == null) {
                 return loaded;
             }
@@ -101,95 +101,95 @@
     }
 
     /** Writes are confirmed before they are durable. */
-    static final class ConfirmsBeforeWriting extends Sabotage {
+    static final class ConfirmsBeforeWriting extends Mutation {
         @Override
         boolean confirmsBeforeWriting() {
             return true;
         }
     }
 
-    /** A witness forgets at a restart what it promised. */
-    static final class ForgetsPromise extends Sabotage {
+    /** A witness loses its promise at a restart. */
+    static final class LosesPromise extends Mutation {
         @Override
-        LoadedState loaded(SocketAddress process, SimulatedDisk disk, LoadedState loaded) {
-            return loaded.stored().map(ForgetsPromise::withoutPromise).orElse(loaded);
+        LoadedState onLoaded(SocketAddress process, SimulatedDisk disk, LoadedState loaded) {
+            return loaded.stored().map(LosesPromise::withoutPromise).orElse(loaded);
         }
 
         private static LoadedState withoutPromise(StoredState stored) {
             StoredHead head = stored.head();
-            StoredHead forgetful =
+            StoredHead incomplete =
                     new StoredHead(head.identity(), EpochNumber.FOUNDING, head.accepted(), head.stateVersion());
-            return new LoadedState(Optional.of(new StoredState(forgetful, stored.snapshot(), stored.changes())), false);
+            return new LoadedState(Optional.of(new StoredState(incomplete, stored.snapshot(), stored.changes())), false);
         }
     }
 
-    /** Folding the changes into a snapshot loses the last one. */
-    static final class FoldingLosesLastChange extends Sabotage {
+    /** A snapshot loses the last change. */
+    static final class SnapshotLosesLastChange extends Mutation {
         @Override
-        StableWrite written(SimulatedDisk disk, StableWrite write) {
-            boolean folds = write.content() instanceof StableWrite.Replaced
-                    && disk.holds(write.head().stateVersion().epoch());
-            return folds ? new StableWrite(write.head(), new StableWrite.Unchanged()) : write;
+        StableWrite onWrite(SimulatedDisk disk, StableWrite write) {
+            boolean isSnapshot = write.content() instanceof StableWrite.Replaced
+                    && disk.hasChangesOf(write.head().stateVersion().epoch());
+            return isSnapshot ? new StableWrite(write.head(), new StableWrite.Unchanged()) : write;
         }
     }
 
-    /** A snapshot leaves out which changes were accepted. */
-    static final class SnapshotForgetsAccepted extends Sabotage {
+    /** A snapshot lacks the accepted changes. */
+    static final class SnapshotLosesAcceptedChanges extends Mutation {
         @Override
-        StableWrite written(SimulatedDisk disk, StableWrite write) {
+        StableWrite onWrite(SimulatedDisk disk, StableWrite write) {
             if (write.content() instanceof StableWrite.Replaced replaced) {
-                StoredSnapshot forgetful =
+                StoredSnapshot incomplete =
                         new StoredSnapshot(replaced.snapshot().document(), NOTHING);
-                return new StableWrite(write.head(), new StableWrite.Replaced(forgetful));
+                return new StableWrite(write.head(), new StableWrite.Replaced(incomplete));
             }
             return write;
         }
     }
 
-    /** The primary acknowledges with fewer copies than losses are tolerated. */
-    static final class NeedsOneCopy extends Sabotage {
+    /** The primary acknowledges with fewer stores than f + 1. */
+    static final class NeedsOneStore extends Mutation {
         @Override
-        ReplicationSettings settings(ReplicationSettings told) {
+        ReplicationSettings settings(ReplicationSettings configured) {
             return new ReplicationSettings(
-                    told.address(),
-                    told.operatorApi(),
-                    told.seeds(),
-                    told.firstStart(),
+                    configured.address(),
+                    configured.operatorApi(),
+                    configured.seeds(),
+                    configured.firstStart(),
                     0,
-                    told.ackMs(),
-                    told.leaseMs());
+                    configured.ackMs(),
+                    configured.leaseMs());
         }
     }
 
-    /** A new primary uses the lease before the old one's has ended. */
-    static final class SkipsLeaseWait extends Sabotage {
+    /** A new primary uses the lease before the earlier one has expired. */
+    static final class SkipsLeaseWait extends Mutation {
         private static final int NO_WAIT_MS = -800;
 
         @Override
-        ReplicationSettings settings(ReplicationSettings told) {
+        ReplicationSettings settings(ReplicationSettings configured) {
             return new ReplicationSettings(
-                    told.address(),
-                    told.operatorApi(),
-                    told.seeds(),
-                    told.firstStart(),
-                    told.toleratedMachines(),
-                    told.ackMs(),
+                    configured.address(),
+                    configured.operatorApi(),
+                    configured.seeds(),
+                    configured.firstStart(),
+                    configured.toleratedMachines(),
+                    configured.ackMs(),
                     NO_WAIT_MS);
         }
     }
 
-    /** All epochs give orders under one token. */
-    static final class KeepsToken extends Sabotage {
+    /** All epochs use one fencing token. */
+    static final class ReusesToken extends Mutation {
         @Override
-        Optional<Long> leadingEpoch(ControllerLife controller, Optional<Long> epoch) {
+        Optional<Long> leadingEpoch(ControllerProcess controller, Optional<Long> epoch) {
             return epoch.map(real -> 1L);
         }
     }
 
-    /** A leaving process ends before the others can do without it. */
-    static final class LeavesAtOnce extends Sabotage {
+    /** A process shuts down before it is detached. */
+    static final class ShutsDownAtOnce extends Mutation {
         @Override
-        boolean detached(boolean really) {
+        boolean isDetached(boolean really) {
             return true;
         }
     }
--- a/emulator/src/main/java/pinewick/emulator/control/FleetChecker.java
+++ b/emulator/src/main/java/pinewick/emulator/control/FleetChecker.java
@@ -10,105 +10,105 @@
 import pinewick.model.ReplicaRecord;
 import pinewick.model.ReplicaState;
 
-/** Whether routers learn acknowledged configurations and ends of replicas in time, and never forget them. */
+/** Checks that routers learn acknowledged configurations and removals of replicas in time, and never revert them. */
 final class FleetChecker {
-    private final ControlWorld world;
-    private final Map<Object, Map<String, ReplicaState>> knownByLife = new IdentityHashMap<>();
-    private final Map<String, ReplicaState> acknowledgedEnds = new HashMap<>();
-    private int endsAcknowledged;
+    private final SimulatedSystem system;
+    private final Map<Object, Map<String, ReplicaState>> knownByProcess = new IdentityHashMap<>();
+    private final Map<String, ReplicaState> acknowledgedRemovals = new HashMap<>();
+    private int removalsAcknowledged;
     private Consumer<ControllerMachine> onFirstAcknowledged = by -> {};
 
-    FleetChecker(ControlWorld world) {
-        this.world = world;
+    FleetChecker(SimulatedSystem system) {
+        this.system = system;
     }
 
-    /** Told of the controller that acknowledged an end first, at that moment. */
+    /** Sets the callback for the first acknowledgement of each removal. */
     void onFirstAcknowledged(Consumer<ControllerMachine> listener) {
         onFirstAcknowledged = listener;
     }
 
-    int endsAcknowledged() {
-        return endsAcknowledged;
+    int removalsAcknowledged() {
+        return removalsAcknowledged;
     }
 
-    /** One life of a process holds a record. */
-    void knows(Object life, String host, ReplicaRecord record) {
-        Map<String, ReplicaState> known = knownByLife.computeIfAbsent(life, key -> new HashMap<>());
+    /** One incarnation of a process has a record. */
+    void onReplicaKnown(Object process, String host, ReplicaRecord record) {
+        Map<String, ReplicaState> known = knownByProcess.computeIfAbsent(process, key -> new HashMap<>());
         ReplicaState before = known.put(record.instanceId(), record.state());
         if (before != record.state()) {
-            world.note(host + " knows " + record.instanceId() + " as " + record.state());
+            system.trace(host + " knows " + record.instanceId() + " as " + record.state());
         }
         require(
                 before == null || before.compareTo(record.state()) <= 0,
-                Invariant.DRAIN_STAYS,
+                Invariant.DRAIN_IS_PERMANENT,
                 host + " takes " + record.instanceId() + " from " + before + " back to " + record.state());
     }
 
     /** A controller acknowledges a configuration. */
-    void configurationAcknowledged(ControllerMachine by, long version) {
-        double atMs = world.nowMs();
-        if (!world.cleanLinks()) {
+    void onConfigurationAcknowledged(ControllerMachine by, long version) {
+        double atMs = system.nowMs();
+        if (!system.hasCleanLinks()) {
             return;
         }
-        world.after(ControlWorld.CONFIG_APPLY_MS, () -> {
-            if (world.coreCalmSince(atMs - ControlWorld.CONTACT_MS)) {
-                requireCurrent(version, atMs - ControlWorld.CONTACT_MS);
+        system.after(SimulatedSystem.CONFIG_APPLY_MS, () -> {
+            if (system.isUndisturbedSince(atMs - SimulatedSystem.CONTACT_MS)) {
+                requireCurrent(version, atMs - SimulatedSystem.CONTACT_MS);
             }
         });
-        world.after(ControlWorld.OUTER_MS, () -> requireCurrent(version, atMs - ControlWorld.CONTACT_MS));
+        system.after(SimulatedSystem.MAX_SPREAD_MS, () -> requireCurrent(version, atMs - SimulatedSystem.CONTACT_MS));
     }
 
-    private void requireCurrent(long version, double calmSinceMs) {
-        for (RouterMachine router : world.routers()) {
+    private void requireCurrent(long version, double undisturbedSinceMs) {
+        for (RouterMachine router : system.routers()) {
             require(
-                    !router.calmSince(calmSinceMs) || router.life().shownVersion() >= version,
+                    !router.isUndisturbedSince(undisturbedSinceMs) || router.process().shownVersion() >= version,
                     Invariant.ROUTERS_CURRENT,
-                    router.host() + " has version " + router.life().shownVersion() + ", acknowledged is " + version);
+                    router.host() + " has version " + router.process().shownVersion() + ", acknowledged is " + version);
         }
     }
 
-    /** A controller acknowledges what a replica said of itself. */
-    void endAcknowledged(ControllerMachine by, String instanceId, ReplicaState state) {
-        boolean inTouch = by.calmSince(world.nowMs() - ControlWorld.CONTACT_MS) && world.inMajority(by);
-        if (state == ReplicaState.READY || !inTouch) {
+    /** A controller acknowledges a heartbeat or deregistration of a replica. */
+    void onRemovalAcknowledged(ControllerMachine by, String instanceId, ReplicaState state) {
+        boolean isInContact = by.isUndisturbedSince(system.nowMs() - SimulatedSystem.CONTACT_MS) && system.isInMajority(by);
+        if (state == ReplicaState.READY || !isInContact) {
             return;
         }
-        if (acknowledgedEnds.get(instanceId) != state) {
-            world.note(by + " acknowledges " + instanceId + " as " + state);
-            endsAcknowledged++;
+        if (acknowledgedRemovals.get(instanceId) != state) {
+            system.trace(by + " acknowledges " + instanceId + " as " + state);
+            removalsAcknowledged++;
             onFirstAcknowledged.accept(by);
         }
-        double atMs = world.nowMs();
-        acknowledgedEnds.merge(instanceId, state, (left, right) -> left.compareTo(right) > 0 ? left : right);
-        if (!world.cleanLinks()) {
+        double atMs = system.nowMs();
+        acknowledgedRemovals.merge(instanceId, state, (left, right) -> left.compareTo(right) > 0 ? left : right);
+        if (!system.hasCleanLinks()) {
             return;
         }
-        world.after(ControlWorld.DRAIN_MS, () -> {
-            if (world.coreCalmSince(atMs - ControlWorld.CONTACT_MS)) {
-                requireKnown(instanceId, state, atMs - ControlWorld.CONTACT_MS);
+        system.after(SimulatedSystem.DRAIN_MS, () -> {
+            if (system.isUndisturbedSince(atMs - SimulatedSystem.CONTACT_MS)) {
+                requireKnown(instanceId, state, atMs - SimulatedSystem.CONTACT_MS);
             }
         });
-        world.after(ControlWorld.OUTER_MS, () -> requireKnown(instanceId, state, atMs - ControlWorld.CONTACT_MS));
+        system.after(SimulatedSystem.MAX_SPREAD_MS, () -> requireKnown(instanceId, state, atMs - SimulatedSystem.CONTACT_MS));
     }
 
-    private void requireKnown(String instanceId, ReplicaState state, double calmSinceMs) {
-        for (RouterMachine router : world.routers()) {
-            Optional<ReplicaState> outdated = router.life()
+    private void requireKnown(String instanceId, ReplicaState state, double undisturbedSinceMs) {
+        for (RouterMachine router : system.routers()) {
+            Optional<ReplicaState> outdated = router.process()
                     .state()
                     .findReplica(instanceId)
                     .map(ReplicaRecord::state)
                     .filter(known -> known.compareTo(state) < 0);
             require(
-                    outdated.isEmpty() || !router.calmSince(calmSinceMs),
+                    outdated.isEmpty() || !router.isUndisturbedSince(undisturbedSinceMs),
                     Invariant.DRAIN_KNOWN,
                     router.host() + " takes " + instanceId + " for " + outdated.orElse(state) + ", acknowledged as "
                             + state);
         }
     }
 
-    /** All troubles ended {@code contact_ms} and {@code config_apply_ms} ago. */
+    /** All faults ended {@code contact_ms} and {@code config_apply_ms} ago. */
     void requireAllCurrent(long newestAcknowledged) {
         requireCurrent(newestAcknowledged, Double.POSITIVE_INFINITY);
-        acknowledgedEnds.forEach((instance, state) -> requireKnown(instance, state, Double.POSITIVE_INFINITY));
+        acknowledgedRemovals.forEach((instance, state) -> requireKnown(instance, state, Double.POSITIVE_INFINITY));
     }
 }
--- a/emulator/src/main/java/pinewick/emulator/control/FleetSabotage.java
+++ b/emulator/src/main/java/pinewick/emulator/control/GossipMutations.java
@@ -14,41 +14,41 @@
 import pinewick.model.ReplicaState;
 import pinewick.model.SocketAddress;
 
-/** Broken variants in what the fleet is told of replicas and configurations. */
-final class FleetSabotage {
-    private FleetSabotage() {}
+/** Mutations of the gossip of replicas and configurations. */
+final class GossipMutations {
+    private GossipMutations() {}
 
-    /** An announced end is acknowledged by the controller that took it, before it has told anybody. */
-    static final class AcknowledgesEndsAlone extends Sabotage {
-        private static final double TELLS_AFTER_MS = 40;
+    /** A removal is acknowledged by the controller that received it, before it has pushed it. */
+    static final class AcknowledgesRemovalsAlone extends Mutation {
+        private static final double FIRST_PUSH_MS = 40;
 
-        private record End(SocketAddress controller, String instanceId, ReplicaState state) {}
+        private record Removal(SocketAddress controller, String instanceId, ReplicaState state) {}
 
-        private final Map<End, Double> takenMs = new HashMap<>();
+        private final Map<Removal, Double> firstSentMs = new HashMap<>();
 
         @Override
-        Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
+        Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             if (!(message instanceof ReplicaUpdate update) || RouterMachine.isRouter(from)) {
                 return message;
             }
-            boolean early = update.records().stream().anyMatch(spread -> isEarly(network, from, spread.record()));
+            boolean isEarly = update.records().stream().anyMatch(gossiped -> isEarly(network, from, gossiped.record()));
             if (update.ackId() != 0) {
                 network.forge(to, from, new ReplicaUpdateAck(update.ackId()));
             }
-            return early || update.ackId() != 0 ? null : message;
+            return isEarly || update.ackId() != 0 ? null : message;
         }
 
         private boolean isEarly(Network network, SocketAddress controller, ReplicaRecord record) {
-            End end = new End(controller, record.instanceId(), record.state());
-            double firstMs = takenMs.computeIfAbsent(end, key -> network.nowMs());
-            return record.state() != ReplicaState.READY && network.nowMs() - firstMs < TELLS_AFTER_MS;
+            Removal end = new Removal(controller, record.instanceId(), record.state());
+            double firstMs = firstSentMs.computeIfAbsent(end, key -> network.nowMs());
+            return record.state() != ReplicaState.READY && network.nowMs() - firstMs < FIRST_PUSH_MS;
         }
     }
 
-    /** A heartbeat that comes after an announced end takes it back. */
-    static final class HeartbeatTakesEndBack extends Sabotage {
+    /** A heartbeat after a removal reverts it. */
+    static final class HeartbeatRevertsRemoval extends Mutation {
         @Override
-        void heartbeatTaken(ControllerLife controller, ReplicaRecord record) {
+        void onHeartbeat(ControllerProcess controller, ReplicaRecord record) {
             if (record.state() == ReplicaState.DRAINING) {
                 controller.state().remove(record.instanceId());
                 controller.state().merge(record.withState(ReplicaState.READY));
@@ -56,10 +56,10 @@
         }
     }
 
-    /** Routers are not told that a replica drains. */
-    static final class RoutersMissEnds extends Sabotage {
+    /** Routers do not receive the drain of a replica. */
+    static final class RoutersMissRemovals extends Mutation {
         @Override
-        Message received(SocketAddress from, SocketAddress to, Message message) {
+        Message onReceived(SocketAddress from, SocketAddress to, Message message) {
             if (!RouterMachine.isRouter(to)) {
                 return message;
             }
@@ -74,30 +74,30 @@
 
         private static List<GossipedReplica> ready(List<GossipedReplica> records) {
             return records.stream()
-                    .filter(spread -> spread.record().state() == ReplicaState.READY)
+                    .filter(gossiped -> gossiped.record().state() == ReplicaState.READY)
                     .toList();
         }
     }
 
-    /** A router shows whatever configuration it was sent last. */
-    static final class RouterTakesOlder extends Sabotage {
+    /** A router applies whatever configuration it received last. */
+    static final class RouterAppliesOlder extends Mutation {
         @Override
-        void routerReceived(RouterLife router, Message message, Consumer<Long> shows) {
+        void onRouterReceived(RouterProcess router, Message message, Consumer<Long> show) {
             if (message instanceof ConfigurationUpdate update && update.body().length > 0) {
-                shows.accept(update.version());
+                show.accept(update.version());
             }
         }
     }
 
-    /** A router believes for good the one from which it had its first configuration. */
-    static final class RouterBelievesFirst extends Sabotage {
+    /** A router accepts configurations only from the source of its first one. */
+    static final class RouterTrustsFirstSource extends Mutation {
         private final Map<SocketAddress, SocketAddress> first = new HashMap<>();
 
         @Override
-        Message received(SocketAddress from, SocketAddress to, Message message) {
+        Message onReceived(SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof ConfigurationUpdate && RouterMachine.isRouter(to)) {
-                SocketAddress believed = first.computeIfAbsent(to, key -> from);
-                return believed.equals(from) ? message : null;
+                SocketAddress trusted = first.computeIfAbsent(to, key -> from);
+                return trusted.equals(from) ? message : null;
             }
             return message;
         }
--- a/emulator/src/main/java/pinewick/emulator/control/HistoryChecker.java
+++ b/emulator/src/main/java/pinewick/emulator/control/HistoryChecker.java
@@ -9,15 +9,15 @@
 import java.util.Optional;
 import pinewick.model.ConfigurationDocument;
 
-/** Holds every configuration in force, and every answer to an operator, against what must hold. */
+/** Checks every configuration in force, and every response to an operator, against the invariants. */
 final class HistoryChecker {
     private enum Answer {
         NONE,
         ACCEPTED,
-        REFUSED
+        REJECTED
     }
 
-    private final List<ChangeOrder> changes = new ArrayList<>();
+    private final List<SubmittedChange> changes = new ArrayList<>();
     private final List<Answer> answers = new ArrayList<>();
     private final Map<Long, ConfigurationDocument> inForce = new HashMap<>();
     private final Map<Long, Long> successors = new HashMap<>();
@@ -25,16 +25,16 @@
     private long newestAcknowledged;
     private long newestInForce;
     private int acknowledged;
-    private int refused;
+    private int rejected;
     private int reads;
 
     HistoryChecker() {
         inForce.put(0L, ConfigurationDocument.EMPTY);
     }
 
-    ChangeOrder make(boolean whole, long base, long version, boolean wellFormed, int paddingBytes) {
-        Optional<String> routed = Optional.ofNullable(inForce.get(base)).flatMap(HistoryChecker::someService);
-        ChangeOrder change = ChangeOrder.make(changes.size(), whole, base, version, wellFormed, paddingBytes, routed);
+    SubmittedChange make(boolean replacesAll, long base, long version, boolean wellFormed, int paddingBytes) {
+        Optional<String> routedService = Optional.ofNullable(inForce.get(base)).flatMap(HistoryChecker::someService);
+        SubmittedChange change = SubmittedChange.make(changes.size(), replacesAll, base, version, wellFormed, paddingBytes, routedService);
         changes.add(change);
         answers.add(Answer.NONE);
         return change;
@@ -57,21 +57,21 @@
         return acknowledged;
     }
 
-    int refused() {
-        return refused;
+    int rejected() {
+        return rejected;
     }
 
     int reads() {
         return reads;
     }
 
-    /** The answered calls, in the order of their beginnings and ends. */
+    /** The answered requests, in the order of their arrivals and responses. */
     CallHistory calls() {
         return calls;
     }
 
-    /** Some process takes a document to be in force. */
-    void inForceAt(String where, ConfigurationDocument document) {
+    /** Some process considers a document to be in force. */
+    void onInForce(String where, ConfigurationDocument document) {
         ConfigurationDocument known = inForce.get(document.version());
         if (known != null) {
             require(
@@ -80,13 +80,13 @@
                     where + ": two contents of version " + document.version());
             return;
         }
-        ChangeOrder change = changes.get(ChangeOrder.markOf(document));
-        String what = where + ": change " + change.mark();
+        SubmittedChange change = changes.get(SubmittedChange.idOf(document));
+        String what = where + ": change " + change.id();
         require(change.version() == document.version(), Invariant.AS_SENT, what + " under another version");
         require(change.valid(), Invariant.AS_SENT, what + " is invalid and in force");
         require(
-                answers.get(change.mark()) != Answer.REFUSED,
-                Invariant.REFUSED_STAYS_OUT,
+                answers.get(change.id()) != Answer.REJECTED,
+                Invariant.REJECTED_STAYS_OUT,
                 what + " was refused and is in force");
         Long before = successors.put(change.base(), change.version());
         require(
@@ -100,36 +100,36 @@
         newestInForce = Math.max(newestInForce, document.version());
     }
 
-    private boolean isInForce(ChangeOrder change) {
+    private boolean isInForce(SubmittedChange change) {
         ConfigurationDocument document = inForce.get(change.version());
-        return document != null && document.version() > 0 && ChangeOrder.markOf(document) == change.mark();
+        return document != null && document.version() > 0 && SubmittedChange.idOf(document) == change.id();
     }
 
-    /** A controller acknowledges a change: the answer leaves it now, whether or not it arrives. */
-    void acknowledges(String where, ChangeOrder change) {
-        String what = where + ": change " + change.mark();
-        require(isInForce(change), Invariant.ACKNOWLEDGED_IS_KEPT, what + " is acknowledged and not in force");
+    /** A controller acknowledges a change: the response is sent now, whether or not it arrives. */
+    void onAcknowledged(String where, SubmittedChange change) {
+        String what = where + ": change " + change.id();
+        require(isInForce(change), Invariant.ACKNOWLEDGED_IS_DURABLE, what + " is acknowledged and not in force");
         require(
-                answers.get(change.mark()) != Answer.REFUSED,
-                Invariant.REFUSED_STAYS_OUT,
+                answers.get(change.id()) != Answer.REJECTED,
+                Invariant.REJECTED_STAYS_OUT,
                 what + " was refused and is acknowledged");
-        answers.set(change.mark(), Answer.ACCEPTED);
+        answers.set(change.id(), Answer.ACCEPTED);
         newestAcknowledged = Math.max(newestAcknowledged, change.version());
         acknowledged++;
     }
 
-    /** A controller refuses a change. */
-    void refuses(String where, ChangeOrder change, int status) {
-        String what = where + ": change " + change.mark() + " upon " + change.base();
-        require(!isInForce(change), Invariant.NOT_WRONGLY_REFUSED, what + " is in force and gets " + status);
+    /** A controller rejects a change. */
+    void onRejected(String where, SubmittedChange change, int status) {
+        String what = where + ": change " + change.id() + " upon " + change.base();
+        require(!isInForce(change), Invariant.NOT_WRONGLY_REJECTED, what + " is in force and gets " + status);
         require(
-                answers.get(change.mark()) != Answer.ACCEPTED,
-                Invariant.NOT_WRONGLY_REFUSED,
+                answers.get(change.id()) != Answer.ACCEPTED,
+                Invariant.NOT_WRONGLY_REJECTED,
                 what + " was acknowledged and gets " + status);
-        boolean proper = change.valid() && change.base() == newestInForce;
-        require(!proper, Invariant.NOT_WRONGLY_REFUSED, what + " is valid upon the newest version and gets " + status);
-        answers.set(change.mark(), Answer.REFUSED);
-        refused++;
+        boolean isAcceptable = change.valid() && change.base() == newestInForce;
+        require(!isAcceptable, Invariant.NOT_WRONGLY_REJECTED, what + " is valid upon the newest version and gets " + status);
+        answers.set(change.id(), Answer.REJECTED);
+        rejected++;
     }
 
     /** A controller answers a read. */
@@ -142,13 +142,13 @@
         reads++;
     }
 
-    /** The changes in force, one upon the other, the empty configuration left out. */
-    List<ChangeOrder> chain() {
-        List<ChangeOrder> chain = new ArrayList<>();
+    /** The changes in force, in order, without the empty configuration. */
+    List<SubmittedChange> chain() {
+        List<SubmittedChange> chain = new ArrayList<>();
         long version = 0;
         while (successors.containsKey(version)) {
             version = successors.get(version);
-            chain.add(changes.get(ChangeOrder.markOf(inForce.get(version))));
+            chain.add(changes.get(SubmittedChange.idOf(inForce.get(version))));
         }
         return chain;
     }
--- a/emulator/src/main/java/pinewick/emulator/control/InvariantViolation.java
+++ b/emulator/src/main/java/pinewick/emulator/control/InvariantViolation.java
@@ -1,6 +1,6 @@
 package pinewick.emulator.control;
 
-/** Something that must hold does not. */
+/** An invariant is violated. */
 public final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -11,7 +11,7 @@
         this.invariant = invariant;
     }
 
-    /** Which invariant is broken. */
+    /** The violated invariant. */
     public Invariant invariant() {
         return invariant;
     }
--- a/emulator/src/main/java/pinewick/emulator/control/LeaseChecker.java
+++ b/emulator/src/main/java/pinewick/emulator/control/LeaseChecker.java
@@ -5,31 +5,34 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One holder a fencing token, tokens that rise, and a pause between two holders. */
+/**
+ * Checks that each fencing token has one lease holder, that tokens rise, and that there is a delay between two lease
+ * holders.
+ */
 final class LeaseChecker {
-    private final Map<Long, String> holders = new HashMap<>();
-    private String holder = "";
+    private final Map<Long, String> holderByToken = new HashMap<>();
+    private String lastHolder = "";
     private long highestToken = -1;
-    private double heldMs;
+    private double lastUseMs;
 
-    /** A process says that it holds the lease under a token. */
-    void holds(String process, long token, double nowMs) {
-        String before = holders.putIfAbsent(token, process);
+    /** A process uses the lease with a token. */
+    void onLeaseUsed(String process, long token, double nowMs) {
+        String earlier = holderByToken.putIfAbsent(token, process);
         require(
-                before == null || before.equals(process),
-                Invariant.ONE_HOLDER,
-                before + " and " + process + " share token " + token);
+                earlier == null || earlier.equals(process),
+                Invariant.ONE_LEASE_HOLDER,
+                earlier + " and " + process + " share token " + token);
         require(
                 token >= highestToken,
-                Invariant.ONE_HOLDER,
+                Invariant.ONE_LEASE_HOLDER,
                 process + " holds token " + token + " after " + highestToken);
-        boolean turns = !holder.isEmpty() && !holder.equals(process);
+        boolean hasChanged = !lastHolder.isEmpty() && !lastHolder.equals(process);
         require(
-                !turns || nowMs - heldMs >= ControlWorld.LEASE_MS,
-                Invariant.ONE_HOLDER,
-                process + " follows " + holder + " after " + (nowMs - heldMs) + " ms");
+                !hasChanged || nowMs - lastUseMs >= SimulatedSystem.LEASE_MS,
+                Invariant.ONE_LEASE_HOLDER,
+                process + " follows " + lastHolder + " after " + (nowMs - lastUseMs) + " ms");
         highestToken = token;
-        holder = process;
-        heldMs = nowMs;
+        lastHolder = process;
+        lastUseMs = nowMs;
     }
 }
--- a/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
+++ b/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
@@ -12,37 +12,38 @@
 import pinewick.emulator.control.CallHistory.Acknowledged;
 import pinewick.emulator.control.CallHistory.Answered;
 import pinewick.emulator.control.CallHistory.Call;
-import pinewick.emulator.control.CallHistory.CameIn;
+import pinewick.emulator.control.CallHistory.Received;
 import pinewick.emulator.control.CallHistory.Event;
 import pinewick.emulator.control.CallHistory.Finding;
 import pinewick.emulator.control.CallHistory.FirstSent;
 
 /**
- * Whether a history of calls fits a compare-and-set register with versions, after Wing and Gong (1993). The changes
- * in force form a chain, so their order is known; what is searched for is when each took effect. A candidate is how far
- * the register has come and which of the calls under way have found what they answered; the candidates are carried from
- * event to event, and a history fits while one is left.
+ * Checks whether a history of requests is linearizable as a compare-and-set register with versions, after Wing and Gong
+ * (1993). The changes in force form a chain, so their order is known; the search is for when each took effect. A
+ * candidate is the position of the register in the chain, and which of the concurrent requests could have had their
+ * result by then; the candidates are updated event by event, and the history is linearizable while at least one
+ * remains.
  */
 final class LinearizabilityChecker {
-    private static final int MOST_CALLS = 64;
+    private static final int MAX_CONCURRENT_CALLS = 64;
 
-    private final List<ChangeOrder> chain;
-    private final Map<Integer, Integer> placeOfMark = new HashMap<>();
-    private final Set<Integer> sentMarks = new HashSet<>();
+    private final List<SubmittedChange> chain;
+    private final Map<Integer, Integer> positionOfChange = new HashMap<>();
+    private final Set<Integer> sentChanges = new HashSet<>();
     private final Map<Call, Integer> slots = new HashMap<>();
     private TreeMap<Integer, Set<Long>> candidates = new TreeMap<>();
-    private long slotsTaken;
+    private long usedSlots;
 
-    private LinearizabilityChecker(List<ChangeOrder> chain) {
+    private LinearizabilityChecker(List<SubmittedChange> chain) {
         this.chain = chain;
-        for (int place = 0; place < chain.size(); place++) {
-            placeOfMark.put(chain.get(place).mark(), place + 1);
+        for (int position = 0; position < chain.size(); position++) {
+            positionOfChange.put(chain.get(position).id(), position + 1);
         }
         candidates.put(0, new HashSet<>(Set.of(0L)));
     }
 
     /** Checks a history. */
-    static void check(CallHistory history, List<ChangeOrder> chain) {
+    static void check(CallHistory history, List<SubmittedChange> chain) {
         LinearizabilityChecker checker = new LinearizabilityChecker(chain);
         for (Event event : history.events()) {
             checker.on(event);
@@ -51,9 +52,9 @@
 
     private void on(Event event) {
         if (event instanceof FirstSent sent) {
-            sentMarks.add(sent.change().mark());
+            sentChanges.add(sent.change().id());
             advance();
-        } else if (event instanceof CameIn begun && begun.call().finding() != Finding.NONE) {
+        } else if (event instanceof Received begun && begun.call().finding() != Finding.NONE) {
             begin(begun.call());
         } else if (event instanceof Answered ended) {
             end(ended.call());
@@ -63,14 +64,14 @@
     }
 
     private void begin(Call call) {
-        int slot = Long.numberOfTrailingZeros(~slotsTaken);
-        if (slot >= MOST_CALLS) {
-            throw new IllegalStateException("more than " + MOST_CALLS + " calls at once");
+        int slot = Long.numberOfTrailingZeros(~usedSlots);
+        if (slot >= MAX_CONCURRENT_CALLS) {
+            throw new IllegalStateException("more than " + MAX_CONCURRENT_CALLS + " calls at once");
         }
-        slotsTaken |= 1L << slot;
+        usedSlots |= 1L << slot;
         slots.put(call, slot);
         TreeMap<Integer, Set<Long>> next = new TreeMap<>();
-        candidates.forEach((place, found) -> next.put(place, withFindings(place, found)));
+        candidates.forEach((position, found) -> next.put(position, withFindings(position, found)));
         candidates = next;
         advance();
     }
@@ -79,48 +80,48 @@
         int slot = slots.remove(call);
         long bit = 1L << slot;
         TreeMap<Integer, Set<Long>> next = new TreeMap<>();
-        candidates.forEach((place, all) -> {
-            Set<Long> left = new HashSet<>();
-            all.stream().filter(found -> (found & bit) != 0).forEach(found -> left.add(found & ~bit));
-            if (!left.isEmpty()) {
-                next.put(place, left);
+        candidates.forEach((position, all) -> {
+            Set<Long> remaining = new HashSet<>();
+            all.stream().filter(found -> (found & bit) != 0).forEach(found -> remaining.add(found & ~bit));
+            if (!remaining.isEmpty()) {
+                next.put(position, remaining);
             }
         });
-        slotsTaken &= ~bit;
+        usedSlots &= ~bit;
         candidates = next;
         require(!candidates.isEmpty(), Invariant.LINEARIZABLE, "no order of the changes fits " + describe(call));
     }
 
-    private void acknowledge(ChangeOrder change) {
-        Integer place = placeOfMark.get(change.mark());
-        require(place != null, Invariant.ACKNOWLEDGED_IS_KEPT, "change " + change.mark() + " is not in the chain");
-        candidates = new TreeMap<>(candidates.tailMap(place, true));
+    private void acknowledge(SubmittedChange change) {
+        Integer position = positionOfChange.get(change.id());
+        require(position != null, Invariant.ACKNOWLEDGED_IS_DURABLE, "change " + change.id() + " is not in the chain");
+        candidates = new TreeMap<>(candidates.tailMap(position, true));
         require(
                 !candidates.isEmpty(),
                 Invariant.LINEARIZABLE,
-                "change " + change.mark() + " was acknowledged before it can have taken effect");
+                "change " + change.id() + " was acknowledged before it can have taken effect");
     }
 
-    /** The register may go on by any change that was sent. */
+    /** The register may advance by any change that was sent. */
     private void advance() {
-        for (int place = candidates.firstKey(); place < chain.size(); place++) {
-            Set<Long> here = candidates.get(place);
-            if (here == null || !sentMarks.contains(chain.get(place).mark())) {
-                if (here == null && candidates.higherKey(place) == null) {
+        for (int position = candidates.firstKey(); position < chain.size(); position++) {
+            Set<Long> here = candidates.get(position);
+            if (here == null || !sentChanges.contains(chain.get(position).id())) {
+                if (here == null && candidates.higherKey(position) == null) {
                     return;
                 }
                 continue;
             }
-            Set<Long> there = candidates.computeIfAbsent(place + 1, key -> new HashSet<>());
-            there.addAll(withFindings(place + 1, here));
+            Set<Long> there = candidates.computeIfAbsent(position + 1, key -> new HashSet<>());
+            there.addAll(withFindings(position + 1, here));
             dropDominated(there);
         }
     }
 
-    private Set<Long> withFindings(int place, Set<Long> all) {
+    private Set<Long> withFindings(int position, Set<Long> all) {
         long bits = 0;
         for (Map.Entry<Call, Integer> entry : slots.entrySet()) {
-            if (fits(entry.getKey(), place)) {
+            if (fits(entry.getKey(), position)) {
                 bits |= 1L << entry.getValue();
             }
         }
@@ -138,9 +139,9 @@
         }
     }
 
-    /** Whether a call would have found what it answered, had it looked with the register at this place. */
-    private boolean fits(Call call, int place) {
-        long current = place == 0 ? 0 : chain.get(place - 1).version();
+    /** Whether a request would have had its result if it took effect with the register at this position. */
+    private boolean fits(Call call, int position) {
+        long current = position == 0 ? 0 : chain.get(position - 1).version();
         return switch (call.finding()) {
             case READ -> call.version() == current;
             case CONFLICT -> call.change().base() != current;
@@ -152,7 +153,7 @@
     private static String describe(Call call) {
         String what = call.change() == null
                 ? ""
-                : " of change " + call.change().mark() + " upon "
+                : " of change " + call.change().id() + " upon "
                         + call.change().base();
         return call.finding() + what + (call.finding() == Finding.READ ? " of version " + call.version() : "");
     }
--- a/emulator/src/main/java/pinewick/emulator/control/MembershipChecker.java
+++ b/emulator/src/main/java/pinewick/emulator/control/MembershipChecker.java
@@ -16,36 +16,36 @@
 import pinewick.replication.ReplicationMessages.Accepted;
 import pinewick.replication.ReplicationMessages.RecordChosen;
 
-/** Watches who accepts epoch records: one that stands has a majority of its members and of the members before. */
+/** Checks that each chosen epoch record was accepted by a majority of its members and of the earlier members. */
 final class MembershipChecker {
     private final Map<EpochNumber, Set<String>> acceptors = new HashMap<>();
-    private final TreeMap<EpochNumber, List<Member>> standing = new TreeMap<>();
+    private final TreeMap<EpochNumber, List<Member>> chosen = new TreeMap<>();
 
     /** A process sends a message. */
-    void sent(Message message) {
+    void onSent(Message message) {
         if (message instanceof Accepted accepted) {
             acceptors
                     .computeIfAbsent(accepted.number(), number -> new HashSet<>())
                     .add(accepted.identity());
-        } else if (message instanceof RecordChosen established) {
-            stands(established.record());
+        } else if (message instanceof RecordChosen chosenMessage) {
+            onChosen(chosenMessage.record());
         }
     }
 
-    private void stands(EpochRecord record) {
-        if (standing.containsKey(record.number())) {
+    private void onChosen(EpochRecord record) {
+        if (chosen.containsKey(record.number())) {
             return;
         }
         Set<String> all = new HashSet<>(acceptors.getOrDefault(record.number(), Set.of()));
         all.add(record.primary());
-        Map.Entry<EpochNumber, List<Member>> before = standing.lowerEntry(record.number());
+        Map.Entry<EpochNumber, List<Member>> before = chosen.lowerEntry(record.number());
         boolean byOld = before == null || isMajority(before.getValue(), all);
         require(
                 byOld && isMajority(record.members(), all),
                 Invariant.MEMBERS_BY_MAJORITY,
                 "epoch " + record.number().counter() + " of members " + identities(record.members()) + ", before "
                         + (before == null ? "none" : identities(before.getValue())) + ", was accepted by " + all);
-        standing.put(record.number(), record.members());
+        chosen.put(record.number(), record.members());
     }
 
     private static boolean isMajority(List<Member> members, Collection<String> identities) {
--- a/emulator/src/main/java/pinewick/emulator/control/MessageSabotage.java
+++ b/emulator/src/main/java/pinewick/emulator/control/MessageMutations.java
@@ -20,25 +20,25 @@
 import pinewick.replication.ReplicationMessages.ReplicationResult;
 import pinewick.replication.ReplicationMessages.Status;
 
-/** Broken variants in what controllers make of each other's messages. */
-final class MessageSabotage {
+/** Mutations of the messages between controllers. */
+final class MessageMutations {
     private static final byte[] NOTHING = {};
 
-    private MessageSabotage() {}
+    private MessageMutations() {}
 
-    /** From whom to whom. */
-    private record Way(SocketAddress from, SocketAddress to) {}
+    /** A direction between two processes. */
+    private record Link(SocketAddress from, SocketAddress to) {}
 
-    /** A promise that a store gave once counts for every later number. */
-    static final class CountsOldPromises extends Sabotage {
-        private final Map<Way, Promise> promises = new HashMap<>();
+    /** An earlier promise of a store counts for every later number. */
+    static final class CountsStalePromises extends Mutation {
+        private final Map<Link, Promise> promises = new HashMap<>();
 
         @Override
-        Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
+        Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof Promise promise) {
-                promises.put(new Way(from, to), promise);
+                promises.put(new Link(from, to), promise);
             }
-            Promise old = promises.get(new Way(to, from));
+            Promise old = promises.get(new Link(to, from));
             if (message instanceof Prepare prepare && old != null) {
                 network.forge(
                         to,
@@ -56,16 +56,16 @@
         }
     }
 
-    /** An acceptance that a store gave once counts for every later record. */
-    static final class CountsOldAcceptances extends Sabotage {
-        private final Map<Way, Accepted> acceptances = new HashMap<>();
+    /** An earlier acceptance of a store counts for every later record. */
+    static final class CountsStaleAcceptances extends Mutation {
+        private final Map<Link, Accepted> acceptances = new HashMap<>();
 
         @Override
-        Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
+        Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof Accepted accepted) {
-                acceptances.put(new Way(from, to), accepted);
+                acceptances.put(new Link(from, to), accepted);
             }
-            Accepted old = acceptances.get(new Way(to, from));
+            Accepted old = acceptances.get(new Link(to, from));
             if (message instanceof Accept accept && old != null) {
                 network.forge(
                         to, from, new Accepted(accept.request(), accept.record().number(), old.identity()));
@@ -75,16 +75,16 @@
         }
     }
 
-    /** An answer to a heartbeat that a store gave once counts for every later round. */
-    static final class CountsOldRounds extends Sabotage {
-        private final Map<Way, HeartbeatReply> replies = new HashMap<>();
+    /** An earlier heartbeat reply of a store counts for every later heartbeat. */
+    static final class CountsStaleHeartbeatReplies extends Mutation {
+        private final Map<Link, HeartbeatReply> replies = new HashMap<>();
 
         @Override
-        Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
+        Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof HeartbeatReply reply) {
-                replies.put(new Way(from, to), reply);
+                replies.put(new Link(from, to), reply);
             }
-            HeartbeatReply old = replies.get(new Way(to, from));
+            HeartbeatReply old = replies.get(new Link(to, from));
             if (message instanceof Heartbeat heartbeat
                     && old != null
                     && old.number().equals(heartbeat.number())) {
@@ -107,21 +107,21 @@
                 reply.diskHealthy());
     }
 
-    /** A late answer to a heartbeat confirms the newest round. */
-    static final class LateRoundsConfirm extends Sabotage {
-        private final Map<Way, Heartbeat> newest = new HashMap<>();
+    /** A late heartbeat reply confirms the newest heartbeat. */
+    static final class LateRepliesConfirm extends Mutation {
+        private final Map<Link, Heartbeat> newest = new HashMap<>();
 
         @Override
-        Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
+        Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof Heartbeat heartbeat) {
-                newest.put(new Way(from, to), heartbeat);
+                newest.put(new Link(from, to), heartbeat);
             }
             return message;
         }
 
         @Override
-        Message received(SocketAddress from, SocketAddress to, Message message) {
-            Heartbeat asked = newest.get(new Way(to, from));
+        Message onReceived(SocketAddress from, SocketAddress to, Message message) {
+            Heartbeat asked = newest.get(new Link(to, from));
             if (message instanceof HeartbeatReply reply
                     && asked != null
                     && reply.number().equals(asked.number())) {
@@ -131,16 +131,16 @@
         }
     }
 
-    /** A store that held a state once is taken to hold every later one. */
-    static final class CountsOldCopies extends Sabotage {
-        private final Map<Way, ReplicationReply> replies = new HashMap<>();
+    /** An earlier replication reply of a store counts for every later state. */
+    static final class CountsStaleReplicationReplies extends Mutation {
+        private final Map<Link, ReplicationReply> replies = new HashMap<>();
 
         @Override
-        Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
+        Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof ReplicationReply reply && reply.result() == ReplicationResult.STORED) {
-                replies.put(new Way(from, to), reply);
+                replies.put(new Link(from, to), reply);
             }
-            ReplicationReply old = replies.get(new Way(to, from));
+            ReplicationReply old = replies.get(new Link(to, from));
             if (message instanceof Replicate replicate && old != null) {
                 network.forge(
                         to,
@@ -157,10 +157,10 @@
         }
     }
 
-    /** A copied state leaves out which changes were accepted. */
-    static final class CopyForgetsAccepted extends Sabotage {
+    /** A transferred snapshot lacks the accepted changes. */
+    static final class StateTransferLosesAcceptedChanges extends Mutation {
         @Override
-        Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
+        Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             return message instanceof InstallSnapshot install
                     ? new InstallSnapshot(
                             install.request(), install.number(), install.stateVersion(), install.document(), NOTHING)
@@ -168,10 +168,10 @@
         }
     }
 
-    /** The members change without the old ones having accepted it. */
-    static final class MembersWithoutOldMajority extends Sabotage {
+    /** The members change without the acceptance of the old ones. */
+    static final class MembersWithoutJointConsensus extends Mutation {
         @Override
-        Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
+        Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof Accept accept && !accept.record().hasSingleQuorum()) {
                 EpochRecord record = accept.record();
                 List<Member> all = new ArrayList<>(record.previousMembers());
@@ -185,11 +185,11 @@
     }
 
     /** A store stands for election although it is not in sync. */
-    static final class OldStateLeads extends Sabotage {
+    static final class StaleStoreBecomesPrimary extends Mutation {
         private final Map<SocketAddress, String> identities = new HashMap<>();
 
         @Override
-        Message sent(Network network, SocketAddress from, SocketAddress to, Message message) {
+        Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof Status status) {
                 identities.put(from, status.self().identity());
             } else if (message instanceof HeartbeatReply reply) {
@@ -199,7 +199,7 @@
         }
 
         @Override
-        Message received(SocketAddress from, SocketAddress to, Message message) {
+        Message onReceived(SocketAddress from, SocketAddress to, Message message) {
             String own = identities.get(to);
             if (own == null) {
                 return message;
--- /dev/null
+++ b/emulator/src/main/java/pinewick/emulator/control/Mutation.java
@@ -0,0 +1,85 @@
+package pinewick.emulator.control;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import pinewick.control.ApiResponse;
+import pinewick.model.Message;
+import pinewick.model.ReplicaRecord;
+import pinewick.model.SocketAddress;
+import pinewick.replication.LoadedState;
+import pinewick.replication.ReplicationSettings;
+import pinewick.replication.StableWrite;
+
+/**
+ * The points at which a {@link Mutant} alters the behaviour. This one alters nothing; a mutant overrides what it
+ * breaks.
+ */
+class Mutation {
+    static final Mutation NONE = new Mutation();
+
+    /** A message is sent: returns the message that is transmitted instead, null for none. */
+    Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
+        return message;
+    }
+
+    /** A message is received: returns the message that is handled instead, null for none. */
+    Message onReceived(SocketAddress from, SocketAddress to, Message message) {
+        return message;
+    }
+
+    /** Before the controller handles a request of the operator: a response that is given instead. */
+    Optional<ApiResponse> responseInstead(ControllerProcess controller, OperatorCall call) {
+        return Optional.empty();
+    }
+
+    /** The request of the operator that the controller handles instead. */
+    OperatorCall onCall(ControllerProcess controller, OperatorCall call) {
+        return call;
+    }
+
+    /** The response that the operator gets instead. */
+    ApiResponse onResponse(ControllerProcess controller, OperatorCall call, ApiResponse response) {
+        return response;
+    }
+
+    /** The settings of a process. */
+    ReplicationSettings settings(ReplicationSettings settings) {
+        return settings;
+    }
+
+    /** Whether a machine whose disk was wiped restarts as a founder. */
+    boolean foundsAfterWipe() {
+        return false;
+    }
+
+    /** The state that a process reads from its disk. */
+    LoadedState onLoaded(SocketAddress process, SimulatedDisk disk, LoadedState loaded) {
+        return loaded;
+    }
+
+    /** The write that is applied to a disk instead. */
+    StableWrite onWrite(SimulatedDisk disk, StableWrite write) {
+        return write;
+    }
+
+    /** Whether writes are confirmed before they are durable. */
+    boolean confirmsBeforeWriting() {
+        return false;
+    }
+
+    /** Whether a process that shuts down believes to be detached. */
+    boolean isDetached(boolean really) {
+        return really;
+    }
+
+    /** The epoch under which a process orders replicas. */
+    Optional<Long> leadingEpoch(ControllerProcess controller, Optional<Long> epoch) {
+        return epoch;
+    }
+
+    /** A controller receives a heartbeat of a replica. */
+    void onHeartbeat(ControllerProcess controller, ReplicaRecord record) {}
+
+    /** A router receives a message. {@code show} makes it apply a configuration. */
+    void onRouterReceived(RouterProcess router, Message message, Consumer<Long> show) {}
+}
--- a/emulator/src/main/java/pinewick/emulator/control/Network.java
+++ b/emulator/src/main/java/pinewick/emulator/control/Network.java
@@ -8,14 +8,15 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Links between hosts. A message may be lost, doubled, late by seconds, and reach a later life of its receiver. Chance
- * is drawn a link, so that it does not depend on the order in which a process sends to several others.
+ * Links between hosts. A message may be lost, duplicated, delayed by seconds, and reach a later incarnation of its
+ * receiver. Each link has its own random numbers, so that they do not depend on the order in which a process sends to
+ * several others.
  */
 final class Network {
     private static final double MIN_DELAY_MS = 0.3;
     private static final double MAX_DELAY_MS = 1.5;
-    private static final double LATEST_MS = 400;
-    static final double STALEST_MS = 4_000;
+    private static final double MAX_LATE_MS = 400;
+    static final double MAX_STALE_MS = 4_000;
 
     /** Receives what the network carries. */
     interface Receiver {
@@ -24,19 +25,19 @@
 
     private record Link(String from, String to) {}
 
-    private record Slowness(double leastMs, double mostMs, Predicate<Message> concerned) {}
+    private record ExtraDelay(double minMs, double maxMs, Predicate<Message> concerned) {}
 
     private final VirtualTime time;
     private final long seed;
-    private final Map<Link, SplittableRandom> chances = new HashMap<>();
-    private final Map<Link, Integer> cuts = new HashMap<>();
-    private final Map<Link, Slowness> slow = new HashMap<>();
+    private final Map<Link, SplittableRandom> randomByLink = new HashMap<>();
+    private final Map<Link, Integer> blockedLinks = new HashMap<>();
+    private final Map<Link, ExtraDelay> extraDelays = new HashMap<>();
     private final Map<SocketAddress, Receiver> receivers = new HashMap<>();
-    private Sabotage sabotage = Sabotage.NONE;
-    private double lossShare;
-    private double duplicateShare;
-    private double lateShare;
-    private double staleShare;
+    private Mutation mutation = Mutation.NONE;
+    private double lossProbability;
+    private double duplicateProbability;
+    private double lateProbability;
+    private double staleProbability;
 
     Network(VirtualTime time, long seed) {
         this.time = time;
@@ -47,50 +48,47 @@
         return time.nowMs();
     }
 
-    void sabotage(Sabotage by) {
-        sabotage = by;
+    void setMutation(Mutation by) {
+        mutation = by;
     }
 
-    /**
-     * How bad the links are: shares of messages that are lost, that come twice, that are late, and of the late ones
-     * those that are late by seconds.
-     */
-    void quality(double lost, double doubled, double late, double stale) {
-        staleShare = stale;
-        lossShare = lost;
-        duplicateShare = doubled;
-        lateShare = late;
+    /** Sets the probabilities that a message is lost, duplicated or late, and that a late one is late by seconds. */
+    void setQuality(double lost, double doubled, double late, double stale) {
+        staleProbability = stale;
+        lossProbability = lost;
+        duplicateProbability = doubled;
+        lateProbability = late;
     }
 
     void listen(SocketAddress address, Receiver receiver) {
         receivers.put(address, receiver);
     }
 
-    /** Nothing gets from one host to another until the cut is undone as often as it was made. */
-    void cut(String from, String to) {
-        cuts.merge(new Link(from, to), 1, Integer::sum);
+    /** Blocks the link from one host to another until it is unblocked as often. */
+    void block(String from, String to) {
+        blockedLinks.merge(new Link(from, to), 1, Integer::sum);
     }
 
-    void join(String from, String to) {
-        cuts.computeIfPresent(new Link(from, to), (link, count) -> count == 1 ? null : count - 1);
+    void unblock(String from, String to) {
+        blockedLinks.computeIfPresent(new Link(from, to), (link, count) -> count == 1 ? null : count - 1);
     }
 
-    void joinAll() {
-        cuts.clear();
-        slow.clear();
+    void unblockAll() {
+        blockedLinks.clear();
+        extraDelays.clear();
     }
 
-    /** Messages between processes that are sent from now on take so much longer one way, if they are concerned. */
-    void slow(String from, String to, double leastMs, double mostMs, Predicate<Message> concerned) {
-        slow.put(new Link(from, to), new Slowness(leastMs, mostMs, concerned));
+    /** Delays the matching messages that are sent from now on from one host to another. */
+    void delay(String from, String to, double minMs, double maxMs, Predicate<Message> concerned) {
+        extraDelays.put(new Link(from, to), new ExtraDelay(minMs, maxMs, concerned));
     }
 
-    void slowNoMore(String from, String to) {
-        slow.remove(new Link(from, to));
+    void removeDelay(String from, String to) {
+        extraDelays.remove(new Link(from, to));
     }
 
     boolean isOpen(String from, String to) {
-        return cuts.isEmpty() || !cuts.containsKey(new Link(from, to));
+        return blockedLinks.isEmpty() || !blockedLinks.containsKey(new Link(from, to));
     }
 
     boolean isOpenBothWays(String one, String other) {
@@ -99,34 +97,34 @@
 
     /** Sends a message between processes. */
     void send(SocketAddress from, SocketAddress to, Message message) {
-        Message carried = sabotage.sent(this, from, to, message);
+        Message carried = mutation.onSent(this, from, to, message);
         if (carried == null || !isOpen(from.host(), to.host())) {
             return;
         }
-        SplittableRandom chance = chanceOf(from.host(), to.host());
-        if (lossShare > 0 && chance.nextDouble() < lossShare) {
+        SplittableRandom random = randomOf(from.host(), to.host());
+        if (lossProbability > 0 && random.nextDouble() < lossProbability) {
             return;
         }
-        carry(from, to, carried, chance);
-        if (duplicateShare > 0 && chance.nextDouble() < duplicateShare) {
-            carry(from, to, carried, chance);
+        carry(from, to, carried, random);
+        if (duplicateProbability > 0 && random.nextDouble() < duplicateProbability) {
+            carry(from, to, carried, random);
         }
     }
 
-    private void carry(SocketAddress from, SocketAddress to, Message message, SplittableRandom chance) {
-        double delayMs = MIN_DELAY_MS + (MAX_DELAY_MS - MIN_DELAY_MS) * chance.nextDouble();
-        if (lateShare > 0 && chance.nextDouble() < lateShare) {
-            double latestMs = chance.nextDouble() < staleShare ? STALEST_MS : LATEST_MS;
-            delayMs += latestMs * chance.nextDouble();
+    private void carry(SocketAddress from, SocketAddress to, Message message, SplittableRandom random) {
+        double delayMs = MIN_DELAY_MS + (MAX_DELAY_MS - MIN_DELAY_MS) * random.nextDouble();
+        if (lateProbability > 0 && random.nextDouble() < lateProbability) {
+            double latestMs = random.nextDouble() < staleProbability ? MAX_STALE_MS : MAX_LATE_MS;
+            delayMs += latestMs * random.nextDouble();
         }
-        Slowness slowness = slow.isEmpty() ? null : slow.get(new Link(from.host(), to.host()));
-        if (slowness != null && slowness.concerned.test(message)) {
-            delayMs += slowness.leastMs + (slowness.mostMs - slowness.leastMs) * chance.nextDouble();
+        ExtraDelay extraDelay = extraDelays.isEmpty() ? null : extraDelays.get(new Link(from.host(), to.host()));
+        if (extraDelay != null && extraDelay.concerned.test(message)) {
+            delayMs += extraDelay.minMs + (extraDelay.maxMs - extraDelay.minMs) * random.nextDouble();
         }
         deliverAfter(delayMs, from, to, message);
     }
 
-    /** Delivers a message that nobody sent, cut or not, as a sabotage makes it up. */
+    /** Delivers a message that a mutation forges, even over a blocked link. */
     void forge(SocketAddress from, SocketAddress to, Message message) {
         time.after(MIN_DELAY_MS, () -> {
             Receiver receiver = receivers.get(to);
@@ -145,13 +143,13 @@
         });
     }
 
-    /** Runs something at another host, or nothing if the link is cut at either end of the way. */
+    /** Runs a task at another host, unless the link is blocked at the start or the end of the transfer. */
     void transfer(String from, String to, Runnable arrival) {
         if (!isOpen(from, to)) {
             return;
         }
-        SplittableRandom chance = chanceOf(from, to);
-        double delayMs = MIN_DELAY_MS + (MAX_DELAY_MS - MIN_DELAY_MS) * chance.nextDouble();
+        SplittableRandom random = randomOf(from, to);
+        double delayMs = MIN_DELAY_MS + (MAX_DELAY_MS - MIN_DELAY_MS) * random.nextDouble();
         time.after(delayMs, () -> {
             if (isOpen(from, to)) {
                 arrival.run();
@@ -159,13 +157,13 @@
         });
     }
 
-    private SplittableRandom chanceOf(String from, String to) {
+    private SplittableRandom randomOf(String from, String to) {
         Link link = new Link(from, to);
-        SplittableRandom chance = chances.get(link);
-        if (chance == null) {
-            chance = new SplittableRandom(seed * 1_000_003 + link.hashCode());
-            chances.put(link, chance);
+        SplittableRandom random = randomByLink.get(link);
+        if (random == null) {
+            random = new SplittableRandom(seed * 1_000_003 + link.hashCode());
+            randomByLink.put(link, random);
         }
-        return chance;
+        return random;
     }
 }
--- a/emulator/src/main/java/pinewick/emulator/control/Operator.java
+++ b/emulator/src/main/java/pinewick/emulator/control/Operator.java
@@ -9,33 +9,34 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Sends changes and reads as the protocol says: follows a redirection twice, waits a second for an answer, then calls
- * another controller after a pause that grows, and sends the same call again unchanged until its answer is clear.
+ * Submits changes and reads according to the protocol: follows up to two redirects, times out after a second, then
+ * calls another controller after an exponential backoff, and resends the same request unchanged until its result is
+ * definite.
  */
 final class Operator {
-    private static final int MOST_REDIRECTIONS = 2;
-    private static final int MOST_CALLS = 8;
-    private static final double TIME_OUT_MS = 1_000;
-    private static final double FIRST_PAUSE_MS = 50;
-    private static final double LONGEST_PAUSE_MS = 800;
+    private static final int MAX_REDIRECTS = 2;
+    private static final int MAX_CALLS = 8;
+    private static final double TIMEOUT_MS = 1_000;
+    private static final double INITIAL_BACKOFF_MS = 50;
+    private static final double MAX_BACKOFF_MS = 800;
     private static final double GIVE_UP_MS = 12_000;
     private static final int LONG_DOCUMENT_BYTES = 90_000;
 
-    private final ControlWorld world;
+    private final SimulatedSystem system;
     private final String host;
     private final SplittableRandom random;
-    private final List<ChangeOrder> sentBefore = new ArrayList<>();
-    private final List<Double> acknowledgedAfterMs = new ArrayList<>();
+    private final List<SubmittedChange> sentBefore = new ArrayList<>();
+    private final List<Double> acknowledgementTimesMs = new ArrayList<>();
     private Optional<Operator> partner = Optional.empty();
-    private double answerLossShare;
-    private double longDocumentShare;
-    private double paceMs = 500;
+    private double responseLossProbability;
+    private double longDocumentProbability;
+    private double meanIntervalMs = 500;
     private double workUntilMs;
     private long believedCurrent;
-    private int callsUnderWay;
+    private int callsInFlight;
 
-    Operator(ControlWorld world, int number, SplittableRandom random) {
-        this.world = world;
+    Operator(SimulatedSystem system, int number, SplittableRandom random) {
+        this.system = system;
         this.host = "10.4.0." + number;
         this.random = random;
     }
@@ -44,31 +45,31 @@
         return host;
     }
 
-    void loseAnswers(double share) {
-        answerLossShare = share;
+    void loseResponses(double probability) {
+        responseLossProbability = probability;
     }
 
-    void sendLongDocuments(double share) {
-        longDocumentShare = share;
+    void sendLongDocuments(double probability) {
+        longDocumentProbability = probability;
     }
 
-    void pace(double meanMs) {
-        paceMs = meanMs;
+    void setMeanIntervalMs(double meanMs) {
+        meanIntervalMs = meanMs;
     }
 
-    /** Another operator, to whom some bodies are handed to be sent as well. */
-    void partner(Operator other) {
+    /** Another operator that also submits some of the changes. */
+    void setPartner(Operator other) {
         partner = Optional.of(other);
     }
 
-    /** How long each change took from its first sending to its acknowledgement. */
-    List<Double> acknowledgedAfterMs() {
-        return acknowledgedAfterMs;
+    /** How long each change took from its first submission to its acknowledgement. */
+    List<Double> acknowledgementTimesMs() {
+        return acknowledgementTimesMs;
     }
 
-    /** Whether as many calls are under way as it makes at once. */
-    boolean busy() {
-        return callsUnderWay >= MOST_CALLS;
+    /** Whether the maximum of concurrent requests is in flight. */
+    boolean isBusy() {
+        return callsInFlight >= MAX_CALLS;
     }
 
     void work(double untilMs) {
@@ -77,14 +78,14 @@
     }
 
     private void next() {
-        if (world.nowMs() >= workUntilMs) {
+        if (system.nowMs() >= workUntilMs) {
             return;
         }
-        if (!busy()) {
+        if (!isBusy()) {
             act();
         }
         boolean burst = random.nextDouble() < 0.3;
-        world.after(burst ? random.nextDouble(1, 30) : paceMs * random.nextDouble(0.2, 1.8), this::next);
+        system.after(burst ? random.nextDouble(1, 30) : meanIntervalMs * random.nextDouble(0.2, 1.8), this::next);
     }
 
     private void act() {
@@ -94,7 +95,7 @@
         } else if (choice < 0.3 && !sentBefore.isEmpty()) {
             submit(sentBefore.get(random.nextInt(sentBefore.size())), () -> {});
         } else {
-            ChangeOrder change = nextChange();
+            SubmittedChange change = nextChange();
             submit(change, () -> {});
             if (random.nextDouble() < 0.1) {
                 partner.ifPresent(other -> other.submit(change, () -> {}));
@@ -102,59 +103,59 @@
         }
     }
 
-    private ChangeOrder nextChange() {
+    private SubmittedChange nextChange() {
         long known = Math.max(
-                believedCurrent, random.nextDouble() < 0.8 ? world.history().newestAcknowledged() : 0);
+                believedCurrent, random.nextDouble() < 0.8 ? system.history().newestAcknowledged() : 0);
         long base = random.nextDouble() < 0.9 ? known : Math.max(0, known - random.nextInt(4));
         long version = base + (random.nextDouble() < 0.95 ? 1 + random.nextInt(3) : 0);
-        boolean whole = random.nextBoolean();
+        boolean replacesAll = random.nextBoolean();
         boolean wellFormed = random.nextDouble() < 0.95;
-        int padding = random.nextDouble() < longDocumentShare ? LONG_DOCUMENT_BYTES : 0;
-        ChangeOrder change = world.history().make(whole, base, version, wellFormed, padding);
-        world.history().calls().firstSent(change);
+        int padding = random.nextDouble() < longDocumentProbability ? LONG_DOCUMENT_BYTES : 0;
+        SubmittedChange change = system.history().make(replacesAll, base, version, wellFormed, padding);
+        system.history().calls().onFirstSent(change);
         sentBefore.add(change);
         return change;
     }
 
-    /** A valid change upon what is in force. */
-    ChangeOrder validChange() {
-        long base = world.history().newestInForce();
-        ChangeOrder change = world.history().make(true, base, base + 1, true, 0);
-        world.history().calls().firstSent(change);
+    /** A valid change of the newest version in force. */
+    SubmittedChange validChange() {
+        long base = system.history().newestInForce();
+        SubmittedChange change = system.history().make(true, base, base + 1, true, 0);
+        system.history().calls().onFirstSent(change);
         return change;
     }
 
-    void submit(ChangeOrder change, Runnable onAcknowledged) {
+    void submit(SubmittedChange change, Runnable onAcknowledged) {
         submit(change, onAcknowledged, () -> {});
     }
 
-    void submit(ChangeOrder change, Runnable onAcknowledged, Runnable onRefused) {
-        new Sending(OperatorCall.of(change), onAcknowledged, onRefused).begin();
+    void submit(SubmittedChange change, Runnable onAcknowledged, Runnable onRejected) {
+        new Submission(OperatorCall.of(change), onAcknowledged, onRejected).begin();
     }
 
     void read(Runnable onAnswered) {
-        new Sending(OperatorCall.read(), onAnswered, () -> {}).begin();
+        new Submission(OperatorCall.read(), onAnswered, () -> {}).begin();
     }
 
-    /** One call until its answer is clear. */
-    private final class Sending {
+    /** One request until its result is definite. */
+    private final class Submission {
         private final OperatorCall call;
         private final Runnable onSuccess;
-        private final Runnable onRefused;
-        private final double beganMs = world.nowMs();
-        private double pauseMs = FIRST_PAUSE_MS;
+        private final Runnable onRejected;
+        private final double beganMs = system.nowMs();
+        private double backoffMs = INITIAL_BACKOFF_MS;
         private int controller;
-        private int tries;
+        private int attempts;
         private boolean ended;
 
-        Sending(OperatorCall call, Runnable onSuccess, Runnable onRefused) {
+        Submission(OperatorCall call, Runnable onSuccess, Runnable onRejected) {
             this.call = call;
             this.onSuccess = onSuccess;
-            this.onRefused = onRefused;
+            this.onRejected = onRejected;
         }
 
         void begin() {
-            callsUnderWay++;
+            callsInFlight++;
             controller = random.nextInt(64);
             attempt();
         }
@@ -163,84 +164,84 @@
             if (ended) {
                 return;
             }
-            if (world.nowMs() - beganMs > GIVE_UP_MS) {
+            if (system.nowMs() - beganMs > GIVE_UP_MS) {
                 end();
                 return;
             }
-            List<ControllerMachine> present = world.present();
-            send(present.get(Math.floorMod(controller, present.size())), MOST_REDIRECTIONS);
+            List<ControllerMachine> present = system.present();
+            send(present.get(Math.floorMod(controller, present.size())), MAX_REDIRECTS);
         }
 
         private void end() {
             if (!ended) {
                 ended = true;
-                callsUnderWay--;
+                callsInFlight--;
             }
         }
 
-        private void send(ControllerMachine target, int redirectionsLeft) {
-            int current = ++tries;
-            world.after(TIME_OUT_MS, () -> fail(current));
-            world.network().transfer(host, target.host(), () -> {
-                if (target.life().isEmpty()) {
-                    world.network().transfer(target.host(), host, () -> fail(current));
+        private void send(ControllerMachine target, int redirectsLeft) {
+            int current = ++attempts;
+            system.after(TIMEOUT_MS, () -> fail(current));
+            system.network().transfer(host, target.host(), () -> {
+                if (target.process().isEmpty()) {
+                    system.network().transfer(target.host(), host, () -> fail(current));
                     return;
                 }
-                target.life()
+                target.process()
                         .get()
-                        .operatorCalls(call, answer -> answerLeaves(target, current, answer, redirectionsLeft));
+                        .onOperatorCall(call, response -> sendResponse(target, current, response, redirectsLeft));
             });
         }
 
-        private void answerLeaves(ControllerMachine from, int current, ApiResponse answer, int redirectionsLeft) {
-            if (random.nextDouble() >= answerLossShare) {
-                world.network().transfer(from.host(), host, () -> take(current, answer, redirectionsLeft));
+        private void sendResponse(ControllerMachine from, int current, ApiResponse response, int redirectsLeft) {
+            if (random.nextDouble() >= responseLossProbability) {
+                system.network().transfer(from.host(), host, () -> onResponse(current, response, redirectsLeft));
             }
         }
 
         private void fail(int current) {
-            if (!ended && tries == current) {
-                tries++;
+            if (!ended && attempts == current) {
+                attempts++;
                 controller++;
-                world.after(pauseMs * random.nextDouble(0.5, 1), this::attempt);
-                pauseMs = Math.min(LONGEST_PAUSE_MS, 2 * pauseMs);
+                system.after(backoffMs * random.nextDouble(0.5, 1), this::attempt);
+                backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
             }
         }
 
-        private void take(int current, ApiResponse answer, int redirectionsLeft) {
-            if (ended || tries != current) {
+        private void onResponse(int current, ApiResponse response, int redirectsLeft) {
+            if (ended || attempts != current) {
                 return;
             }
-            switch (answer.status()) {
+            switch (response.status()) {
                 case 200 -> succeed();
-                case 400, 412 -> refused();
-                case 307 -> follow(current, answer, redirectionsLeft);
+                case 400, 412 -> reject();
+                case 307 -> follow(current, response, redirectsLeft);
                 default -> fail(current);
             }
         }
 
-        private void refused() {
+        private void reject() {
             end();
-            onRefused.run();
+            onRejected.run();
         }
 
         private void succeed() {
             end();
             if (call.change() != null) {
                 believedCurrent = Math.max(believedCurrent, call.change().version());
-                acknowledgedAfterMs.add(world.nowMs() - beganMs);
+                acknowledgementTimesMs.add(system.nowMs() - beganMs);
             }
             onSuccess.run();
         }
 
-        private void follow(int current, ApiResponse answer, int redirectionsLeft) {
-            URI location = URI.create(answer.location().orElseThrow());
+        private void follow(int current, ApiResponse response, int redirectsLeft) {
+            URI location = URI.create(response.location().orElseThrow());
             SocketAddress api = new SocketAddress(location.getHost(), location.getPort());
-            Optional<ControllerMachine> target = world.controllerAt(api);
-            if (redirectionsLeft == 0 || target.isEmpty()) {
+            Optional<ControllerMachine> target = system.controllerAt(api);
+            if (redirectsLeft == 0 || target.isEmpty()) {
                 fail(current);
             } else {
-                send(target.get(), redirectionsLeft - 1);
+                send(target.get(), redirectsLeft - 1);
             }
         }
     }
--- a/emulator/src/main/java/pinewick/emulator/control/OperatorCall.java
+++ b/emulator/src/main/java/pinewick/emulator/control/OperatorCall.java
@@ -5,14 +5,14 @@
 import pinewick.control.ApiRequest;
 
 /**
- * A call of an operator.
+ * A request of an operator.
  *
- * @param operation what it asks for
+ * @param operation the requested operation
  * @param change the change it carries, null for a read
- * @param api the call as the controller's API takes it
+ * @param api the request as the controller's API receives it
  */
-record OperatorCall(Operation operation, ChangeOrder change, ApiRequest api) {
-    /** The operator's calls. */
+record OperatorCall(Operation operation, SubmittedChange change, ApiRequest api) {
+    /** The operations. */
     enum Operation {
         REPLACE,
         UPDATE,
@@ -21,9 +21,9 @@
 
     private static final byte[] NO_BODY = {};
 
-    static OperatorCall of(ChangeOrder change) {
-        Operation operation = change.whole() ? Operation.REPLACE : Operation.UPDATE;
-        String path = change.whole() ? "/config/replace" : "/config/update";
+    static OperatorCall of(SubmittedChange change) {
+        Operation operation = change.replacesAll() ? Operation.REPLACE : Operation.UPDATE;
+        String path = change.replacesAll() ? "/config/replace" : "/config/update";
         return new OperatorCall(operation, change, new ApiRequest(path, "", Optional.of(Long.toString(change.base())), change.body()));
     }
 
@@ -31,7 +31,7 @@
         return new OperatorCall(Operation.READ, null, new ApiRequest("/config/read", "", Optional.empty(), NO_BODY));
     }
 
-    /** The same call with another base version and body. */
+    /** The same request with another base version and body. */
     OperatorCall with(Operation other, long base, byte[] body) {
         return new OperatorCall(other, change, new ApiRequest(api.path(), "", Optional.of(Long.toString(base)), body));
     }
--- a/emulator/src/main/java/pinewick/emulator/control/ReplicaActor.java
+++ b/emulator/src/main/java/pinewick/emulator/control/ReplicaActor.java
@@ -10,19 +10,19 @@
 import pinewick.model.ReplicaState;
 
 /**
- * A replica's calls: heartbeats, the announcement of an end, the deregistration. A call without a 2xx within a second
- * goes to the next controller. After its end another instance comes up at the same address.
+ * A replica's requests: heartbeats, the drain, the deregistration. A request without a 2xx within a second is retried
+ * at the next controller. After its end another instance starts at the same address.
  */
 final class ReplicaActor {
-    private static final double TIME_OUT_MS = 1_000;
-    private static final double LATE_SHARE = 0.05;
-    private static final double UNACKNOWLEDGED_END_MS = 4_000;
-    private static final int MOST_TRIES = 6;
+    private static final double TIMEOUT_MS = 1_000;
+    private static final double LATE_PROBABILITY = 0.05;
+    private static final double MAX_DRAIN_MS = 4_000;
+    private static final int MAX_ATTEMPTS = 6;
 
     /**
-     * One call.
+     * One request.
      *
-     * @param state what the replica says of itself, {@link ReplicaState#GONE} for a deregistration
+     * @param state the reported state, {@link ReplicaState#GONE} for a deregistration
      */
     record Call(String instanceId, ReplicaState state, byte[] body) {
         boolean isDeregistration() {
@@ -34,59 +34,59 @@
         }
     }
 
-    private final ControlWorld world;
+    private final SimulatedSystem system;
     private final String host;
     private final SplittableRandom random;
     private int instances;
-    private int life;
+    private int incarnation;
     private long callSequence;
     private ReplicaState state;
     private int controller;
-    private Optional<ControllerMachine> lure = Optional.empty();
-    private double lureUntilMs;
+    private Optional<ControllerMachine> preferredController = Optional.empty();
+    private double preferredUntilMs;
 
-    ReplicaActor(ControlWorld world, int number, SplittableRandom random) {
-        this.world = world;
+    ReplicaActor(SimulatedSystem system, int number, SplittableRandom random) {
+        this.system = system;
         this.host = "10.3.0." + number;
         this.random = random;
     }
 
-    /** Until then its calls go to this controller first. */
-    void lureTo(ControllerMachine machine, double untilMs) {
-        lure = Optional.of(machine);
-        lureUntilMs = untilMs;
+    /** Until then its requests are sent to this controller first. */
+    void preferController(ControllerMachine machine, double untilMs) {
+        preferredController = Optional.of(machine);
+        preferredUntilMs = untilMs;
     }
 
-    /** A new instance comes up. */
+    /** A new instance starts. */
     void start() {
-        life++;
+        incarnation++;
         instances++;
         callSequence = 0;
         state = ReplicaState.READY;
-        int current = life;
-        world.after(random.nextDouble(ControlWorld.HEARTBEAT_MS), () -> beat(current));
+        int current = incarnation;
+        system.after(random.nextDouble(SimulatedSystem.HEARTBEAT_MS), () -> heartbeat(current));
     }
 
     private String instanceId() {
         return host + "-" + instances;
     }
 
-    private void beat(int current) {
-        if (life != current || state == ReplicaState.GONE) {
+    private void heartbeat(int current) {
+        if (incarnation != current || state == ReplicaState.GONE) {
             return;
         }
         Call call = new Call(instanceId(), state, body());
-        tryCall(call, 1, current, acknowledged -> {
+        attempt(call, 1, current, acknowledged -> {
             if (acknowledged && call.state() == ReplicaState.DRAINING) {
-                world.after(ControlWorld.DRAIN_MS, () -> deregister(current));
+                system.after(SimulatedSystem.DRAIN_MS, () -> deregister(current));
             }
         });
-        if (random.nextDouble() < LATE_SHARE) {
+        if (random.nextDouble() < LATE_PROBABILITY) {
             ControllerMachine other = next();
-            world.after(random.nextDouble(500, 4_000), () -> other.life()
-                    .ifPresent(running -> running.replicaCalls(call, answer -> {})));
+            system.after(random.nextDouble(500, 4_000), () -> other.process()
+                    .ifPresent(running -> running.onReplicaCall(call, answer -> {})));
         }
-        world.after(ControlWorld.HEARTBEAT_MS * random.nextDouble(0.95, 1.05), () -> beat(current));
+        system.after(SimulatedSystem.HEARTBEAT_MS * random.nextDouble(0.95, 1.05), () -> heartbeat(current));
     }
 
     private byte[] body() {
@@ -97,63 +97,63 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Announces the end of this instance. */
+    /** Drains this instance. */
     void drain() {
         if (state != ReplicaState.READY) {
             return;
         }
-        world.note(host + " drains " + instanceId());
+        system.trace(host + " drains " + instanceId());
         state = ReplicaState.DRAINING;
-        int current = life;
-        beat(current);
-        world.after(UNACKNOWLEDGED_END_MS + ControlWorld.DRAIN_MS, () -> endOf(current));
+        int current = incarnation;
+        heartbeat(current);
+        system.after(MAX_DRAIN_MS + SimulatedSystem.DRAIN_MS, () -> endIncarnation(current));
     }
 
-    /** Ends without having said draining. */
+    /** Deregisters without a drain. */
     void deregisterFirst() {
         if (state == ReplicaState.READY) {
-            int current = life;
+            int current = incarnation;
             deregister(current);
-            world.after(ControlWorld.DRAIN_MS, () -> endOf(current));
+            system.after(SimulatedSystem.DRAIN_MS, () -> endIncarnation(current));
         }
     }
 
-    /** Ends and says nothing. */
+    /** Ends without a request. */
     void crash() {
-        endOf(life);
+        endIncarnation(incarnation);
     }
 
     private void deregister(int current) {
-        if (life != current || state == ReplicaState.GONE) {
+        if (incarnation != current || state == ReplicaState.GONE) {
             return;
         }
-        world.note(host + " deregisters " + instanceId());
+        system.trace(host + " deregisters " + instanceId());
         state = ReplicaState.GONE;
         Call call = new Call(instanceId(), ReplicaState.GONE, new byte[0]);
-        tryCall(call, 1, current, acknowledged -> endOf(current));
+        attempt(call, 1, current, acknowledged -> endIncarnation(current));
     }
 
-    private void endOf(int current) {
-        if (life == current) {
-            life++;
+    private void endIncarnation(int current) {
+        if (incarnation == current) {
+            incarnation++;
             state = ReplicaState.GONE;
-            world.after(random.nextDouble(200, 1_500), this::start);
+            system.after(random.nextDouble(200, 1_500), this::start);
         }
     }
 
     private ControllerMachine next() {
-        if (lure.isPresent() && world.nowMs() < lureUntilMs && lure.get().running()) {
-            return lure.get();
+        if (preferredController.isPresent() && system.nowMs() < preferredUntilMs && preferredController.get().isRunning()) {
+            return preferredController.get();
         }
-        List<ControllerMachine> present = world.present();
+        List<ControllerMachine> present = system.present();
         return present.get(Math.floorMod(controller, present.size()));
     }
 
-    private void tryCall(Call call, int tries, int current, Consumer<Boolean> onEnd) {
-        if (life != current) {
+    private void attempt(Call call, int attempts, int current, Consumer<Boolean> onEnd) {
+        if (incarnation != current) {
             return;
         }
-        ControllerMachine target = tries == 1 ? next() : nextButLured();
+        ControllerMachine target = attempts == 1 ? next() : nextUnpreferred();
         List<Boolean> ended = new ArrayList<>();
         Consumer<Boolean> end = acknowledged -> {
             if (!ended.isEmpty()) {
@@ -162,29 +162,29 @@
             ended.add(acknowledged);
             if (acknowledged) {
                 onEnd.accept(true);
-            } else if (tries < MOST_TRIES) {
+            } else if (attempts < MAX_ATTEMPTS) {
                 controller++;
-                tryCall(call, tries + 1, current, onEnd);
+                attempt(call, attempts + 1, current, onEnd);
             } else {
                 onEnd.accept(false);
             }
         };
-        world.after(TIME_OUT_MS, () -> end.accept(false));
-        world.network().transfer(host, target.host(), () -> arrive(call, target, end));
+        system.after(TIMEOUT_MS, () -> end.accept(false));
+        system.network().transfer(host, target.host(), () -> arrive(call, target, end));
     }
 
-    private ControllerMachine nextButLured() {
-        List<ControllerMachine> present = world.present();
+    private ControllerMachine nextUnpreferred() {
+        List<ControllerMachine> present = system.present();
         return present.get(Math.floorMod(controller, present.size()));
     }
 
     private void arrive(Call call, ControllerMachine target, Consumer<Boolean> end) {
-        Optional<ControllerLife> running = target.life();
+        Optional<ControllerProcess> running = target.process();
         if (running.isEmpty()) {
-            world.network().transfer(target.host(), host, () -> end.accept(false));
+            system.network().transfer(target.host(), host, () -> end.accept(false));
             return;
         }
-        running.get().replicaCalls(call, (ApiResponse answer) -> world.network()
+        running.get().onReplicaCall(call, (ApiResponse answer) -> system.network()
                 .transfer(target.host(), host, () -> end.accept(answer.status() == 200)));
     }
 }
--- a/emulator/src/main/java/pinewick/emulator/control/RouterMachine.java
+++ b/emulator/src/main/java/pinewick/emulator/control/RouterMachine.java
@@ -3,22 +3,22 @@
 import java.util.SplittableRandom;
 import pinewick.model.SocketAddress;
 
-/** A machine with a router's process that ends and starts again at times. */
+/** A machine with a router's process that restarts at times. */
 final class RouterMachine {
     private static final int INTERNAL_PORT = 7720;
 
-    private final ControlWorld world;
+    private final SimulatedSystem system;
     private final SocketAddress address;
     private final SplittableRandom random;
-    private RouterLife life;
-    private double lastTroubleMs = Double.NEGATIVE_INFINITY;
+    private RouterProcess process;
+    private double lastFaultMs = Double.NEGATIVE_INFINITY;
 
-    RouterMachine(ControlWorld world, int number, SplittableRandom random) {
-        this.world = world;
+    RouterMachine(SimulatedSystem system, int number, SplittableRandom random) {
+        this.system = system;
         this.address = new SocketAddress("10.2.0." + number, INTERNAL_PORT);
         this.random = random;
-        world.network().listen(address, (sender, message) -> life.onMessage(sender, message));
-        life = new RouterLife(world, address, world.seeds(), random.split());
+        system.network().listen(address, (sender, message) -> process.onMessage(sender, message));
+        process = new RouterProcess(system, address, system.seeds(), random.split());
     }
 
     static boolean isRouter(SocketAddress address) {
@@ -29,23 +29,23 @@
         return address.host();
     }
 
-    RouterLife life() {
-        return life;
+    RouterProcess process() {
+        return process;
     }
 
     void restart() {
-        world.note(host() + " restarts");
-        life.end();
-        life = new RouterLife(world, address, world.seeds(), random.split());
+        system.trace(host() + " restarts");
+        process.end();
+        process = new RouterProcess(system, address, system.seeds(), random.split());
     }
 
-    /** It could not reach the controllers at this moment. */
-    void troubled() {
-        lastTroubleMs = world.nowMs();
+    /** It cannot reach the controllers at this moment. */
+    void onFault() {
+        lastFaultMs = system.nowMs();
     }
 
-    /** Whether it ran, and reached every controller that matters, from {@code sinceMs} on. */
-    boolean calmSince(double sinceMs) {
-        return lastTroubleMs < sinceMs && life.startedAtMs() < sinceMs;
+    /** Whether it ran, and reached the majority, from {@code sinceMs} on. */
+    boolean isUndisturbedSince(double sinceMs) {
+        return lastFaultMs < sinceMs && process.startedAtMs() < sinceMs;
     }
 }
--- a/emulator/src/main/java/pinewick/emulator/control/RouterLife.java
+++ b/emulator/src/main/java/pinewick/emulator/control/RouterProcess.java
@@ -12,65 +12,65 @@
 import pinewick.model.ReplicaRecord;
 import pinewick.model.SocketAddress;
 
-/** One life of a router's process, as far as it takes configurations and replica records. */
-final class RouterLife {
-    private final ControlWorld world;
+/** One incarnation of a router's process, as far as it receives configurations and replica records. */
+final class RouterProcess {
+    private final SimulatedSystem system;
     private final SocketAddress address;
     private final SplittableRandom random;
     private final FleetState state = new FleetState();
     private final FleetNode node;
     private final double clockOffsetMs;
     private final double startedAtMs;
-    private boolean alive = true;
+    private boolean running = true;
     private long shownVersion;
 
-    RouterLife(ControlWorld world, SocketAddress address, List<SocketAddress> seeds, SplittableRandom random) {
-        this.world = world;
+    RouterProcess(SimulatedSystem system, SocketAddress address, List<SocketAddress> seeds, SplittableRandom random) {
+        this.system = system;
         this.address = address;
         this.random = random;
         this.clockOffsetMs = random.nextDouble(1_000_000);
-        this.startedAtMs = world.nowMs();
-        NodeDescriptor self = new NodeDescriptor(address, (long) world.nowMs(), NodeRole.ROUTER, "zone-a");
+        this.startedAtMs = system.nowMs();
+        NodeDescriptor self = new NodeDescriptor(address, (long) system.nowMs(), NodeRole.ROUTER, "zone-a");
         this.node = new FleetNode(
-                self, seeds, state, (peer, message) -> world.network().send(address, peer, message), random.split());
-        state.addListener(new Watch());
-        world.after(random.nextDouble(FleetNode.TICK_MS), this::tick);
+                self, seeds, state, (peer, message) -> system.network().send(address, peer, message), random.split());
+        state.addListener(new StateObserver());
+        system.after(random.nextDouble(FleetNode.TICK_MS), this::tick);
     }
 
-    private final class Watch implements FleetStateListener {
+    private final class StateObserver implements FleetStateListener {
         @Override
         public void onConfigurationChanged(ConfigurationDocument document) {
-            world.guard(() -> world.history().inForceAt(address.host(), document));
-            world.guard(() -> shows(document.version()));
+            system.guard(() -> system.history().onInForce(address.host(), document));
+            system.guard(() -> onVersionShown(document.version()));
         }
 
         @Override
         public void onReplicaChanged(ReplicaRecord record) {
-            world.guard(() -> world.fleetChecker().knows(RouterLife.this, address.host(), record));
+            system.guard(() -> system.fleetChecker().onReplicaKnown(RouterProcess.this, address.host(), record));
         }
     }
 
-    /** Requests are handled by this version from now on. */
-    private void shows(long version) {
+    /** Requests are routed by this version from now on. */
+    private void onVersionShown(long version) {
         InvariantViolation.require(
                 version >= shownVersion,
-                Invariant.NO_REGRESS,
+                Invariant.NO_REGRESSION,
                 address.host() + " goes from version " + shownVersion + " back to " + version);
         shownVersion = version;
     }
 
     private void tick() {
-        if (alive) {
-            node.onTick(world.nowMs() + clockOffsetMs);
-            world.after(random.nextDouble(49, 53), this::tick);
+        if (running) {
+            node.onTick(system.nowMs() + clockOffsetMs);
+            system.after(random.nextDouble(49, 53), this::tick);
         }
     }
 
     void onMessage(SocketAddress sender, Message message) {
-        Message taken = world.sabotage().received(sender, address, message);
-        if (alive && taken != null) {
-            node.onMessage(sender, taken, world.nowMs() + clockOffsetMs);
-            world.sabotage().routerReceived(this, taken, this::shows);
+        Message delivered = system.mutation().onReceived(sender, address, message);
+        if (running && delivered != null) {
+            node.onMessage(sender, delivered, system.nowMs() + clockOffsetMs);
+            system.mutation().onRouterReceived(this, delivered, this::onVersionShown);
         }
     }
 
@@ -91,6 +91,6 @@
     }
 
     void end() {
-        alive = false;
+        running = false;
     }
 }
--- a/emulator/src/main/java/pinewick/emulator/control/SimulatedDisk.java
+++ b/emulator/src/main/java/pinewick/emulator/control/SimulatedDisk.java
@@ -12,17 +12,17 @@
 import pinewick.replication.StoredSnapshot;
 import pinewick.replication.StoredState;
 
-/** What survives a loss of power. */
+/** The state of a disk, which survives a power failure. */
 final class SimulatedDisk {
     /** How a disk behaves at present. */
     enum Mode {
-        GOOD,
+        HEALTHY,
         SLOW,
         STALLED,
         FULL
     }
 
-    Mode mode = Mode.GOOD;
+    Mode mode = Mode.HEALTHY;
     double slowMs;
     private StoredHead head;
     private StoredSnapshot snapshot;
@@ -52,7 +52,7 @@
         changes.clear();
     }
 
-    /** The version of the configuration it holds, -1 if none. */
+    /** The version of the stored configuration, -1 for none. */
     long version() {
         if (head == null) {
             return -1;
@@ -65,12 +65,12 @@
         return document.version();
     }
 
-    /** Whether it holds a state of an epoch, with changes after its snapshot. */
-    boolean holds(long epoch) {
+    /** Whether it has a state of an epoch, with changes after its snapshot. */
+    boolean hasChangesOf(long epoch) {
         return head != null && head.stateVersion().epoch() == epoch && !changes.isEmpty();
     }
 
-    /** The head as it was before the last wipe, or null. */
+    /** The head before the last wipe, null if there was none. */
     StoredHead headBeforeWipe() {
         return headBeforeWipe;
     }
--- a/emulator/src/main/java/pinewick/emulator/control/SimulatedStore.java
+++ b/emulator/src/main/java/pinewick/emulator/control/SimulatedStore.java
@@ -9,38 +9,38 @@
 import pinewick.replication.StableWrite;
 import pinewick.replication.StorageException;
 
-/** The disk as one process sees it. Writes are taken in order, one at a time. */
+/** The disk as one process uses it. Writes are processed in order, one at a time. */
 final class SimulatedStore implements StableStore {
-    private static final double RETRY_MS = 20;
+    private static final double RETRY_INTERVAL_MS = 20;
     private static final double LATE_WRITE_MS = 80;
-    private static final double FULL_BUT_WRITTEN_SHARE = 0.2;
-    private static final double POWER_LOST_BUT_WRITTEN_SHARE = 0.5;
+    private static final double FULL_BUT_WRITTEN_PROBABILITY = 0.2;
+    private static final double POWER_LOST_BUT_WRITTEN_PROBABILITY = 0.5;
 
     private record Write(StableWrite write, Runnable onDone, Consumer<StorageException> onFailed) {}
 
     private final VirtualTime time;
     private final SimulatedDisk disk;
-    private final ControllerLife life;
+    private final ControllerProcess process;
     private final SplittableRandom random;
-    private final Sabotage sabotage;
+    private final Mutation mutation;
     private final Deque<Write> queue = new ArrayDeque<>();
-    private boolean busy;
+    private boolean writing;
 
-    SimulatedStore(VirtualTime time, SimulatedDisk disk, ControllerLife life, SplittableRandom random, Sabotage by) {
+    SimulatedStore(VirtualTime time, SimulatedDisk disk, ControllerProcess process, SplittableRandom random, Mutation by) {
         this.time = time;
         this.disk = disk;
-        this.life = life;
+        this.process = process;
         this.random = random;
-        this.sabotage = by;
+        this.mutation = by;
     }
 
     @Override
     public void load(Consumer<LoadedState> onLoaded, Consumer<StorageException> onFailed) {
         time.after(
                 random.nextDouble(1, 20),
-                () -> life.run(() -> {
+                () -> process.run(() -> {
                     LoadedState loaded = disk.load();
-                    onLoaded.accept(sabotage.loaded(life.machine().internal(), disk, loaded));
+                    onLoaded.accept(mutation.onLoaded(process.machine().internal(), disk, loaded));
                 }));
     }
 
@@ -51,13 +51,13 @@
     }
 
     private void next() {
-        if (busy || queue.isEmpty() || !life.alive()) {
+        if (writing || queue.isEmpty() || !process.isRunning()) {
             return;
         }
-        busy = true;
-        if (sabotage.confirmsBeforeWriting()) {
+        writing = true;
+        if (mutation.confirmsBeforeWriting()) {
             Write early = queue.peek();
-            time.after(0.1, () -> life.run(early.onDone));
+            time.after(0.1, () -> process.run(early.onDone));
             time.after(LATE_WRITE_MS, () -> end(() -> apply(early.write), () -> {}));
             return;
         }
@@ -65,13 +65,13 @@
     }
 
     private void step() {
-        if (!life.alive()) {
+        if (!process.isRunning()) {
             return;
         }
         Write write = queue.peek();
         switch (disk.mode) {
-            case STALLED -> time.after(RETRY_MS, this::step);
-            case FULL -> time.after(0.3, () -> refuse(write));
+            case STALLED -> time.after(RETRY_INTERVAL_MS, this::step);
+            case FULL -> time.after(0.3, () -> fail(write));
             default -> {
                 double slowMs = disk.mode == SimulatedDisk.Mode.SLOW ? disk.slowMs : 0;
                 time.after(random.nextDouble(0.8, 2.5) + slowMs, () -> end(() -> apply(write.write), write.onDone));
@@ -80,32 +80,32 @@
     }
 
     private void apply(StableWrite write) {
-        disk.apply(sabotage.written(disk, write));
+        disk.apply(mutation.onWrite(disk, write));
     }
 
-    /** A write that failed may be on the disk all the same. */
-    private void refuse(Write write) {
+    /** A failed write may be on the disk nevertheless. */
+    private void fail(Write write) {
         StorageException full = new StorageException(StorageException.Kind.FULL, "write", null);
-        boolean written = random.nextDouble() < FULL_BUT_WRITTEN_SHARE;
+        boolean written = random.nextDouble() < FULL_BUT_WRITTEN_PROBABILITY;
         end(written ? () -> apply(write.write) : () -> {}, () -> write.onFailed.accept(full));
     }
 
     private void end(Runnable effect, Runnable completion) {
-        if (!life.alive()) {
+        if (!process.isRunning()) {
             return;
         }
         effect.run();
         queue.poll();
-        busy = false;
-        life.run(completion);
+        writing = false;
+        process.run(completion);
         next();
     }
 
-    /** The process ends: what was being written is on the disk whole, or not at all. */
+    /** The process ends: the write in progress is on the disk completely, or not at all. */
     void crash() {
         Write write = queue.peek();
-        boolean canWrite = busy && disk.mode != SimulatedDisk.Mode.FULL && !sabotage.confirmsBeforeWriting();
-        if (write != null && canWrite && random.nextDouble() < POWER_LOST_BUT_WRITTEN_SHARE) {
+        boolean canWrite = writing && disk.mode != SimulatedDisk.Mode.FULL && !mutation.confirmsBeforeWriting();
+        if (write != null && canWrite && random.nextDouble() < POWER_LOST_BUT_WRITTEN_PROBABILITY) {
             apply(write.write);
         }
     }
--- a/emulator/src/main/java/pinewick/emulator/control/ControlWorld.java
+++ b/emulator/src/main/java/pinewick/emulator/control/SimulatedSystem.java
@@ -8,25 +8,25 @@
 import pinewick.model.SocketAddress;
 import pinewick.replication.ReplicationMessages.Heartbeat;
 
-/** Everything in one simulated run: time, network, machines, actors and what is checked. */
-final class ControlWorld {
+/** Everything in one simulated run: time, network, machines, actors and checkers. */
+final class SimulatedSystem {
     static final int CONTACT_MS = 3_000;
     static final int CONFIG_APPLY_MS = 2_000;
     static final int DRAIN_MS = 2_000;
-    static final int OUTER_MS = 5_000;
+    static final int MAX_SPREAD_MS = 5_000;
     static final int ACK_MS = 4_000;
     static final int LEASE_MS = 1_000;
     static final int HEARTBEAT_MS = 500;
-    /** So old may the knowledge be on which a redirection rests. */
-    static final double REDIRECT_AGE_MS = 1_500;
+    /** A redirect may be based on knowledge of at most this age. */
+    static final double MAX_REDIRECT_AGE_MS = 1_500;
 
-    private static final int MOST_SEEDS = 3;
-    private static final double LOOK_MS = 100;
+    private static final int MAX_SEEDS = 3;
+    private static final double OBSERVATION_INTERVAL_MS = 100;
 
     private final VirtualTime time = new VirtualTime();
     private final SplittableRandom random;
     private final Network network;
-    private final Sabotage sabotage;
+    private final Mutation mutation;
     private final HistoryChecker history = new HistoryChecker();
     private final FleetChecker fleetChecker = new FleetChecker(this);
     private final LeaseChecker lease = new LeaseChecker();
@@ -38,36 +38,36 @@
     private final Optional<List<String>> trace;
     private List<SocketAddress> seeds = List.of();
     private boolean cleanLinks = true;
-    private double dirtyUntilMs;
-    private double coreTroubleMs;
+    private double disturbedLinksUntilMs;
+    private double lastControllerFaultMs;
     private Optional<InvariantViolation> firstViolation = Optional.empty();
 
     /**
      * @param toleratedMachines how many machines may be lost at once
-     * @param sabotage what a broken variant interposes
-     * @param traced whether events are kept
+     * @param mutation the mutation of the code, if any
+     * @param isTraced whether events are recorded
      */
-    ControlWorld(long seed, int toleratedMachines, Sabotage sabotage, boolean traced) {
+    SimulatedSystem(long seed, int toleratedMachines, Mutation mutation, boolean isTraced) {
         this.random = new SplittableRandom(seed);
         this.toleratedMachines = toleratedMachines;
-        this.sabotage = sabotage;
-        this.trace = traced ? Optional.of(new ArrayList<>()) : Optional.empty();
+        this.mutation = mutation;
+        this.trace = isTraced ? Optional.of(new ArrayList<>()) : Optional.empty();
         this.network = new Network(time, seed);
-        network.sabotage(new MembershipWatch());
-        time.after(LOOK_MS, this::look);
+        network.setMutation(new MembershipObserver());
+        time.after(OBSERVATION_INTERVAL_MS, this::observe);
     }
 
-    /** Sees every message before a sabotage does. */
-    private final class MembershipWatch extends Sabotage {
+    /** Observes every message before the mutation does. */
+    private final class MembershipObserver extends Mutation {
         @Override
-        Message sent(Network on, SocketAddress from, SocketAddress to, Message message) {
-            membership.sent(message);
+        Message onSent(Network on, SocketAddress from, SocketAddress to, Message message) {
+            membership.onSent(message);
             if (message instanceof Heartbeat) {
                 controllers.stream()
                         .filter(machine -> machine.internal().equals(from))
-                        .forEach(ControllerMachine::led);
+                        .forEach(ControllerMachine::onHeartbeatSent);
             }
-            return sabotage.sent(on, from, to, message);
+            return mutation.onSent(on, from, to, message);
         }
     }
 
@@ -87,8 +87,8 @@
         return network;
     }
 
-    Sabotage sabotage() {
-        return sabotage;
+    Mutation mutation() {
+        return mutation;
     }
 
     HistoryChecker history() {
@@ -119,61 +119,61 @@
         return replicas;
     }
 
-    boolean traced() {
+    boolean isTraced() {
         return trace.isPresent();
     }
 
-    void note(String what) {
+    void trace(String what) {
         trace.ifPresent(lines -> lines.add(String.format("%9.1f %s", nowMs(), what)));
     }
 
-    List<String> trace() {
+    List<String> traceLines() {
         return trace.orElse(List.of());
     }
 
-    /** Whether no message is lost or late but by cuts. */
-    boolean cleanLinks() {
-        return cleanLinks && nowMs() >= dirtyUntilMs;
+    /** Whether messages are lost or late only because of partitions. */
+    boolean hasCleanLinks() {
+        return cleanLinks && nowMs() >= disturbedLinksUntilMs;
     }
 
-    /** See {@link Network#quality}. */
-    void linkQuality(double lost, double doubled, double late, double stale) {
+    /** See {@link Network#setQuality}. */
+    void setLinkQuality(double lost, double doubled, double late, double stale) {
         if (!cleanLinks) {
-            dirtyUntilMs = nowMs() + Network.STALEST_MS;
+            disturbedLinksUntilMs = nowMs() + Network.MAX_STALE_MS;
         }
         cleanLinks = lost == 0 && late == 0;
-        note(String.format("links lose %.3f, double %.3f, delay %.3f of all", lost, doubled, late));
-        network.quality(lost, doubled, late, stale);
+        trace(String.format("links lose %.3f, double %.3f, delay %.3f of all", lost, doubled, late));
+        network.setQuality(lost, doubled, late, stale);
     }
 
     /**
-     * A controller ends because the others can do without it, as it says: more copies are left than losses are
-     * tolerated, but for those that are lost already.
+     * A controller ends as detached: more stores must have the newest configuration than losses are tolerated, apart
+     * from those that are lost already.
      */
-    void detached(ControllerMachine leaving) {
+    void onDetached(ControllerMachine ending) {
         long newest = history.newestAcknowledged();
         List<ControllerMachine> others = new ArrayList<>(present());
-        others.remove(leaving);
-        long copies = others.stream()
+        others.remove(ending);
+        long stores = others.stream()
                 .filter(machine -> machine.disk().version() >= newest)
                 .count();
-        long lost = others.stream().filter(machine -> !machine.sound()).count();
+        long lost = others.stream().filter(machine -> !machine.isHealthy()).count();
         InvariantViolation.require(
-                copies + lost > toleratedMachines,
-                Invariant.COPIES_LEFT,
-                leaving + " ends as detached, version " + newest + " is on " + copies + " other disks");
+                stores + lost > toleratedMachines,
+                Invariant.ENOUGH_STORES_LEFT,
+                ending + " ends as detached, version " + newest + " is on " + stores + " other disks");
     }
 
-    /** Some messages are late from now on, for as long as the latest of them take. */
+    /** Some messages are delayed from now on, for as long as the latest of them take. */
     void slowLinks() {
-        dirtyUntilMs = nowMs() + 2 * Network.STALEST_MS;
+        disturbedLinksUntilMs = nowMs() + 2 * Network.MAX_STALE_MS;
     }
 
-    /** Controllers that have not been taken away. */
+    /** Controllers that have not been removed. */
     List<ControllerMachine> present() {
         List<ControllerMachine> present = new ArrayList<>();
         for (ControllerMachine machine : controllers) {
-            if (!machine.removed()) {
+            if (!machine.isRemoved()) {
                 present.add(machine);
             }
         }
@@ -184,9 +184,9 @@
         return controllers.stream().filter(machine -> machine.api().equals(api)).findFirst();
     }
 
-    /** The machine that leads, as far as one knows itself to; if several do, the last to be seen. */
+    /** A machine that believes to be primary; the last one if there are several. */
     Optional<ControllerMachine> primary() {
-        return present().stream().filter(ControllerMachine::leads).reduce((first, second) -> second);
+        return present().stream().filter(ControllerMachine::isPrimary).reduce((first, second) -> second);
     }
 
     ControllerMachine addController() {
@@ -195,13 +195,13 @@
         return machine;
     }
 
-    /** The first controllers, of which up to three are seeds, routers and replicas, all started. */
-    void found(int controllerCount, int routerCount, int replicaCount) {
+    /** Starts the first controllers, of which up to three are seeds, the routers and the replicas. */
+    void startAll(int controllerCount, int routerCount, int replicaCount) {
         for (int index = 0; index < controllerCount; index++) {
             addController();
         }
         seeds = controllers.stream()
-                .limit(MOST_SEEDS)
+                .limit(MAX_SEEDS)
                 .map(ControllerMachine::internal)
                 .toList();
         for (ControllerMachine machine : controllers) {
@@ -219,8 +219,8 @@
     }
 
     /**
-     * Runs a check from within the code under test, which may catch what is thrown in it: a run whose check failed is
-     * broken, whatever that code makes of it.
+     * Runs a check from within the code under test, which may catch what the check throws: the violation is recorded in
+     * any case.
      */
     void guard(Runnable check) {
         try {
@@ -228,7 +228,7 @@
         } catch (InvariantViolation violation) {
             if (firstViolation.isEmpty()) {
                 firstViolation = Optional.of(violation);
-                note("BROKEN " + violation.getMessage());
+                trace("BROKEN " + violation.getMessage());
             }
             time.stop();
         }
@@ -240,70 +240,70 @@
     }
 
     /**
-     * A controller redirects an operator. Knowledge may be old while messages are late or lost, or where a process has
-     * just thawed: it hears what waited for it, and tells others.
+     * A controller redirects an operator. Its knowledge may be old while messages are late or lost, or after a process
+     * has resumed from a freeze: it receives buffered messages, and informs others.
      */
-    void redirects(ControllerMachine from, SocketAddress api) {
-        boolean thawed = present().stream().anyMatch(machine -> nowMs() - machine.lastThawMs() < REDIRECT_AGE_MS);
-        boolean excused = !cleanLinks() || thawed;
+    void onRedirect(ControllerMachine from, SocketAddress api) {
+        boolean hasRecentlyResumed = present().stream().anyMatch(machine -> nowMs() - machine.lastResumeMs() < MAX_REDIRECT_AGE_MS);
+        boolean isExcused = !hasCleanLinks() || hasRecentlyResumed;
         Optional<ControllerMachine> target = controllerAt(api);
-        boolean ledLately = target.isPresent() && nowMs() - target.get().lastLedMs() < REDIRECT_AGE_MS;
+        boolean ledRecently = target.isPresent() && nowMs() - target.get().lastHeartbeatSentMs() < MAX_REDIRECT_AGE_MS;
         InvariantViolation.require(
-                excused || ledLately,
+                isExcused || ledRecently,
                 Invariant.REDIRECTS_TO_A_PRIMARY,
                 from + " redirects to " + api + ", which led "
-                        + target.map(machine -> nowMs() - machine.lastLedMs()).orElse(Double.NaN) + " ms ago");
+                        + target.map(machine -> nowMs() - machine.lastHeartbeatSentMs()).orElse(Double.NaN) + " ms ago");
     }
 
-    /** Something befell a controller. */
-    void coreTrouble() {
-        coreTroubleMs = nowMs();
+    /** A fault of a controller. */
+    void onControllerFault() {
+        lastControllerFaultMs = nowMs();
     }
 
-    boolean coreCalmSince(double sinceMs) {
-        return coreTroubleMs < sinceMs;
+    boolean isUndisturbedSince(double sinceMs) {
+        return lastControllerFaultMs < sinceMs;
     }
 
-    /** Notes which machines are in trouble at this moment. */
-    private void look() {
+    /** Observes which machines are disturbed at this moment. */
+    private void observe() {
         List<ControllerMachine> present = present();
-        boolean calm = present.stream().allMatch(ControllerMachine::sound);
+        boolean isUndisturbed = present.stream().allMatch(ControllerMachine::isHealthy);
         for (ControllerMachine one : present) {
             for (ControllerMachine other : present) {
-                calm &= one == other || network.isOpen(one.host(), other.host());
+                isUndisturbed &= one == other || network.isOpen(one.host(), other.host());
             }
         }
-        if (!calm) {
-            coreTrouble();
+        if (!isUndisturbed) {
+            onControllerFault();
         }
         List<ControllerMachine> core =
-                calm ? present : present.stream().filter(this::inMajority).toList();
+                isUndisturbed ? present : present.stream().filter(this::isInMajority).toList();
         for (ControllerMachine machine : present) {
-            boolean reaches = inMajority(machine)
+            boolean reaches = isInMajority(machine)
                     && core.stream()
                             .allMatch(
                                     other -> other == machine || network.isOpenBothWays(machine.host(), other.host()));
             if (!reaches) {
-                machine.troubled();
+                machine.onFault();
             }
         }
         for (RouterMachine router : routers) {
             boolean reaches = !core.isEmpty()
                     && core.stream().allMatch(machine -> network.isOpenBothWays(router.host(), machine.host()));
             if (!reaches) {
-                router.troubled();
+                router.onFault();
             }
         }
-        after(LOOK_MS, this::look);
+        after(OBSERVATION_INTERVAL_MS, this::observe);
     }
 
-    /** Whether a controller is sound and reaches, both ways, more than half of the controllers, itself counted in. */
-    boolean inMajority(ControllerMachine machine) {
+    /** Whether a controller is healthy and reaches, both ways, a majority of the controllers including itself. */
+    boolean isInMajority(ControllerMachine machine) {
         List<ControllerMachine> present = present();
         long reached = present.stream()
                 .filter(other ->
-                        other.sound() && (other == machine || network.isOpenBothWays(machine.host(), other.host())))
+                        other.isHealthy() && (other == machine || network.isOpenBothWays(machine.host(), other.host())))
                 .count();
-        return machine.sound() && 2 * reached > present.size();
+        return machine.isHealthy() && 2 * reached > present.size();
     }
 }
--- /dev/null
+++ b/emulator/src/main/java/pinewick/emulator/control/SimulationResult.java
@@ -0,0 +1,31 @@
+package pinewick.emulator.control;
+
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * The result of one simulated run.
+ *
+ * @param seed the run is a function of it
+ * @param violation the invariant that was violated, if any
+ * @param acknowledged changes that controllers acknowledged
+ * @param rejected requests rejected with 400 or 412
+ * @param reads reads answered
+ * @param removalsAcknowledged removals of replicas that were acknowledged
+ * @param acknowledgementTimesMs for each change, how long it took to be acknowledged
+ * @param changeLatenciesMs for each change beside a partitioned controller with the others healthy, how long it took
+ * @param repairTimesMs for each repair, how long after a store's return, or a replacement's first start, the primary
+ *     reported as many tolerable losses as required
+ * @param trace recorded events, if the run was traced
+ */
+public record SimulationResult(
+        long seed,
+        Optional<InvariantViolation> violation,
+        int acknowledged,
+        int rejected,
+        int reads,
+        int removalsAcknowledged,
+        List<Double> acknowledgementTimesMs,
+        List<Double> changeLatenciesMs,
+        List<Double> repairTimesMs,
+        List<String> trace) {}
--- a/emulator/src/main/java/pinewick/emulator/control/VirtualTime.java
+++ b/emulator/src/main/java/pinewick/emulator/control/VirtualTime.java
@@ -18,7 +18,7 @@
         return nowMs;
     }
 
-    /** Nothing runs any more. */
+    /** No further task runs. */
     void stop() {
         stopped = true;
     }
--- a/emulator/src/test/java/pinewick/emulator/control/ControlDayTest.java
+++ b/emulator/src/test/java/pinewick/emulator/control/ControlDayTest.java
@@ -24,9 +24,9 @@
 
     @Test
     void everyInvariantHolds() {
-        List<DayResult> results = LongStream.range(0, SEEDS)
+        List<SimulationResult> results = LongStream.range(0, SEEDS)
                 .parallel()
-                .mapToObj(seed -> ControlDay.play(seed, BrokenVariant.NONE, false))
+                .mapToObj(seed -> ControlPlaneSimulation.run(seed, Mutant.NONE, false))
                 .toList();
         List<String> broken = results.stream()
                 .filter(result -> result.violation().isPresent())
@@ -34,8 +34,8 @@
                         + result.violation().get().getMessage())
                 .toList();
         assertEquals(List.of(), broken);
-        long acknowledged = results.stream().mapToLong(DayResult::acknowledged).sum();
-        long ends = results.stream().mapToLong(DayResult::endsAcknowledged).sum();
+        long acknowledged = results.stream().mapToLong(SimulationResult::acknowledged).sum();
+        long ends = results.stream().mapToLong(SimulationResult::removalsAcknowledged).sum();
         assertTrue(acknowledged > 20L * SEEDS, "too few changes: " + acknowledged);
         assertTrue(ends > 3L * SEEDS, "too few ends of replicas: " + ends);
     }
@@ -43,10 +43,10 @@
     /** The known seed is tried first; as the code changes, another one may be the first to catch a variant. */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aBrokenVariantIsCaught(BrokenVariant variant) {
+    void aBrokenVariantIsCaught(Mutant variant) {
         LongStream seeds =
                 LongStream.concat(LongStream.of(variant.knownSeed()), LongStream.range(0, SEEDS_FOR_A_VARIANT));
-        Optional<DayResult> caught = seeds.mapToObj(seed -> ControlDay.play(seed, variant, false))
+        Optional<SimulationResult> caught = seeds.mapToObj(seed -> ControlPlaneSimulation.run(seed, variant, false))
                 .filter(result -> result.violation().isPresent())
                 .findFirst();
         assertTrue(caught.isPresent(), variant + " is not caught by " + SEEDS_FOR_A_VARIANT + " seeds");
@@ -56,9 +56,9 @@
 
     @Test
     void aSeedRepeatsItself() {
-        DayResult first = ControlDay.play(4, BrokenVariant.NONE, true);
-        DayResult again = ControlDay.play(4, BrokenVariant.NONE, true);
+        SimulationResult first = ControlPlaneSimulation.run(4, Mutant.NONE, true);
+        SimulationResult again = ControlPlaneSimulation.run(4, Mutant.NONE, true);
         assertEquals(first.trace(), again.trace());
-        assertEquals(first.acknowledgedAfterMs(), again.acknowledgedAfterMs());
+        assertEquals(first.acknowledgementTimesMs(), again.acknowledgementTimesMs());
     }
 }
--- a/lab/src/main/java/pinewick/lab/ControlLab.java
+++ b/lab/src/main/java/pinewick/lab/ControlLab.java
@@ -11,9 +11,9 @@
 import java.util.stream.LongStream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import pinewick.emulator.control.BrokenVariant;
-import pinewick.emulator.control.ControlDay;
-import pinewick.emulator.control.DayResult;
+import pinewick.emulator.control.Mutant;
+import pinewick.emulator.control.ControlPlaneSimulation;
+import pinewick.emulator.control.SimulationResult;
 
 /**
  * Plays the whole control side in virtual time, from many seeds, and holds it against its invariants; then plays
@@ -40,7 +40,7 @@
     private Optional<Long> seed = Optional.empty();
 
     @Option(names = "--variant", description = "plays this broken variant, alone or with --seed")
-    private Optional<BrokenVariant> variant = Optional.empty();
+    private Optional<Mutant> variant = Optional.empty();
 
     @Option(names = "--no-variants", description = "leaves the broken variants out")
     private boolean withoutVariants;
@@ -66,7 +66,7 @@
     }
 
     private int replay(long asked) {
-        DayResult result = ControlDay.play(asked, variant.orElse(BrokenVariant.NONE), true);
+        SimulationResult result = ControlPlaneSimulation.run(asked, variant.orElse(Mutant.NONE), true);
         result.trace().forEach(System.out::println);
         result.violation().filter(broken -> broken.getCause() != null).ifPresent(broken -> broken.getCause()
                 .printStackTrace(System.out));
@@ -81,13 +81,13 @@
     private boolean playSeeds(JsonObject figures) {
         int count = seeds.orElse(quick ? QUICK_SEEDS : FULL_SEEDS);
         long beganNanos = System.nanoTime();
-        List<DayResult> results = LongStream.range(first, first + count)
+        List<SimulationResult> results = LongStream.range(first, first + count)
                 .parallel()
-                .mapToObj(one -> ControlDay.play(one, BrokenVariant.NONE, false))
+                .mapToObj(one -> ControlPlaneSimulation.run(one, Mutant.NONE, false))
                 .toList();
         double tookS = (System.nanoTime() - beganNanos) / 1e9;
         JsonArray broken = new JsonArray();
-        for (DayResult result : results) {
+        for (SimulationResult result : results) {
             result.violation().ifPresent(violation -> {
                 System.out.println("seed " + result.seed() + ": " + violation.getMessage());
                 broken.add(result.seed());
@@ -96,14 +96,14 @@
         figures.addProperty("firstSeed", first);
         figures.addProperty("seeds", count);
         figures.addProperty("seedsASecond", Math.round(count / tookS));
-        figures.addProperty("acknowledged", results.stream().mapToLong(DayResult::acknowledged).sum());
-        figures.addProperty("refused", results.stream().mapToLong(DayResult::refused).sum());
-        figures.addProperty("reads", results.stream().mapToLong(DayResult::reads).sum());
-        figures.addProperty("endsAcknowledged", results.stream().mapToLong(DayResult::endsAcknowledged).sum());
-        addQuantiles(figures, "besideACutMs", results.stream().flatMap(result -> result.probeAfterMs().stream()).toList());
-        addQuantiles(figures, "repairedMs", results.stream().flatMap(result -> result.repairedAfterMs().stream()).toList());
+        figures.addProperty("acknowledged", results.stream().mapToLong(SimulationResult::acknowledged).sum());
+        figures.addProperty("refused", results.stream().mapToLong(SimulationResult::rejected).sum());
+        figures.addProperty("reads", results.stream().mapToLong(SimulationResult::reads).sum());
+        figures.addProperty("endsAcknowledged", results.stream().mapToLong(SimulationResult::removalsAcknowledged).sum());
+        addQuantiles(figures, "besideACutMs", results.stream().flatMap(result -> result.changeLatenciesMs().stream()).toList());
+        addQuantiles(figures, "repairedMs", results.stream().flatMap(result -> result.repairTimesMs().stream()).toList());
         addQuantiles(
-                figures, "acknowledgedMs", results.stream().flatMap(result -> result.acknowledgedAfterMs().stream()).toList());
+                figures, "acknowledgedMs", results.stream().flatMap(result -> result.acknowledgementTimesMs().stream()).toList());
         figures.add("brokenSeeds", broken);
         System.out.println(figures);
         return broken.isEmpty();
@@ -123,18 +123,18 @@
     }
 
     private boolean catchesAll(JsonObject figures) {
-        return Arrays.stream(BrokenVariant.values())
+        return Arrays.stream(Mutant.values())
                 .parallel()
-                .filter(broken -> broken != BrokenVariant.NONE)
+                .filter(broken -> broken != Mutant.NONE)
                 .map(broken -> catches(broken, figures))
                 .reduce(true, Boolean::logicalAnd);
     }
 
     /** Whether a broken variant is caught within the bounded number of seeds. */
-    private boolean catches(BrokenVariant broken, JsonObject figures) {
+    private boolean catches(Mutant broken, JsonObject figures) {
         int most = seeds.filter(count -> variant.isPresent()).orElse(MOST_SEEDS_A_VARIANT);
         LongStream order = LongStream.concat(LongStream.of(broken.knownSeed()), LongStream.range(first, first + most));
-        Optional<DayResult> caught = order.mapToObj(one -> ControlDay.play(one, broken, false))
+        Optional<SimulationResult> caught = order.mapToObj(one -> ControlPlaneSimulation.run(one, broken, false))
                 .filter(result -> result.violation().isPresent())
                 .findFirst();
         String how = caught.map(result -> "caught by seed " + result.seed() + ", "
@@ -142,7 +142,7 @@
                 .orElse("NOT CAUGHT by " + most + " seeds");
         synchronized (figures) {
             System.out.println(broken + " " + how);
-            figures.addProperty(broken.name(), caught.map(DayResult::seed).orElse(-1L));
+            figures.addProperty(broken.name(), caught.map(SimulationResult::seed).orElse(-1L));
         }
         return caught.isPresent();
     }
--- a/model/src/main/java/pinewick/model/ConfigurationChecks.java
+++ b/model/src/main/java/pinewick/model/ConfigurationChecks.java
@@ -6,27 +6,27 @@
 import java.util.Map;
 
 /**
- * Reads the operator's bodies and checks them. A body is refused only for what makes a configuration invalid; fields
- * and sections that this release does not know are kept as they came.
+ * Parses and validates the operator's bodies. A body is rejected only for what makes a configuration invalid; fields
+ * and sections that this release does not know are kept unchanged.
  */
 public final class ConfigurationChecks {
     private ConfigurationChecks() {}
 
     /**
-     * Reads and checks a whole configuration ({@code POST /config/replace}).
+     * Parses and validates a full configuration ({@code POST /config/replace}).
      *
      * @throws InvalidConfigurationException with every fault
      */
     public static ConfigurationDocument parseReplacement(byte[] body) throws InvalidConfigurationException {
         JsonObject json = parseObject(body);
         FaultList faults = new FaultList();
-        ConfigurationDocument document = new DocumentReader(faults).readWhole(json);
+        ConfigurationDocument document = new DocumentReader(faults).readDocument(json);
         return checked(document, faults);
     }
 
     /**
-     * Reads an update ({@code POST /config/update}) and applies it to {@code base}; the result is checked as a whole.
-     * Names to remove that are not there are ignored; fields beside {@code upserts} and {@code removals} replace
+     * Reads an update ({@code POST /config/update}) and applies it to {@code base}; the complete result is validated.
+     * Names to remove that do not exist are ignored; fields other than {@code upserts} and {@code removals} replace
      * those of {@code base}.
      *
      * @throws InvalidConfigurationException with every fault
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Refuses a document that is not newer than the current one. Not part of the parsing, because only the store knows
-     * which version is current.
+     * Rejects a document that is not newer than the current one. Not part of the parsing, because only the store knows
+     * the current version.
      *
      * @throws InvalidConfigurationException if the document's version is not higher than {@code currentVersion}
      */
@@ -65,7 +65,7 @@
         return table;
     }
 
-    /** The JSON of a document, as {@code GET /config/read} answers it: the version, the sections, the other fields. */
+    /** The JSON of a document, as {@code GET /config/read} returns it: the version, the sections, the other fields. */
     public static byte[] toJson(ConfigurationDocument document) {
         StringBuilder text = new StringBuilder();
         text.append("{\"version\":").append(document.version());
@@ -74,7 +74,7 @@
         return text.append('}').toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A delta as compact bytes, for disks and links; read back by {@link #readDelta}. */
+    /** Encodes a delta compactly, for disks and the network; decoded by {@link #readDelta}. */
     public static byte[] writeDelta(ConfigurationDelta delta) {
         return DeltaFormat.write(delta);
     }
--- a/model/src/main/java/pinewick/model/ConfigurationDelta.java
+++ b/model/src/main/java/pinewick/model/ConfigurationDelta.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * What turns one version of the configuration into another. The one form in which changes are replicated, stored and
- * disseminated.
+ * The difference between two versions of the configuration. The only form in which changes are replicated, stored and
+ * gossiped.
  *
- * @param baseVersion the version it applies to; {@link #WHOLE} for one that applies to {@link
- *     ConfigurationDocument#EMPTY}
- * @param version the version it leads to
+ * @param baseVersion the version it applies to; {@link #FULL_DOCUMENT} for one that applies to
+ *     {@link ConfigurationDocument#EMPTY}
+ * @param version the resulting version
  * @param upserts items to add or replace, by section and name
  * @param removals names to remove, by section
- * @param fields every field beside the sections, as they are in the new version
+ * @param fields all other fields, as they are in the new version
  */
 public record ConfigurationDelta(
         long baseVersion,
@@ -23,12 +23,12 @@
         Map<String, Map<String, JsonObject>> upserts,
         Map<String, List<String>> removals,
         Map<String, JsonElement> fields) {
-    /** Base of a delta that carries a whole document. */
-    public static final long WHOLE = 0;
+    /** Base of a delta that carries a full document. */
+    public static final long FULL_DOCUMENT = 0;
 
     /**
-     * The difference from {@code from} to {@code to}, in which items keep their letter and their order. A section that
-     * {@code to} does not have stands among the removals only; see {@link #applyTo}.
+     * The difference from {@code from} to {@code to}, in which items keep their exact text and their order. A section
+     * that {@code to} does not have is in the removals only; see {@link #applyTo}.
      */
     public static ConfigurationDelta between(ConfigurationDocument from, ConfigurationDocument to) {
         Map<String, Map<String, JsonObject>> upserts = new LinkedHashMap<>();
@@ -39,8 +39,8 @@
             if (!difference.removals().isEmpty()) {
                 removals.put(section, difference.removals());
             }
-            boolean emptied = after.isEmpty() && !difference.removals().isEmpty();
-            if (before == null || emptied || !difference.upserts().isEmpty()) {
+            boolean isEmptied = after.isEmpty() && !difference.removals().isEmpty();
+            if (before == null || isEmptied || !difference.upserts().isEmpty()) {
                 upserts.put(section, difference.upserts());
             }
         });
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Applies this to {@code base}: first the removals, then the upserts, which stay in place or go to the end. A
-     * section that the removals leave empty and that has no upserts ceases to exist.
+     * Applies this to {@code base}: first the removals, then the upserts, which replace items in place or are appended.
+     * A section that is empty after the removals and has no upserts is removed.
      *
      * @throws IllegalArgumentException if {@code base} has another version than {@link #baseVersion}
      */
--- a/model/src/main/java/pinewick/model/ConfigurationDocument.java
+++ b/model/src/main/java/pinewick/model/ConfigurationDocument.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 
 /**
- * A whole configuration as the operator sent it: lists of named items by section ({@code routes}, {@code services},
- * and any section a later release of the platform adds), and the remaining fields ({@code limits}). Items keep their
- * JSON to the letter, fields that this release does not know included, so that what is read back is what was sent.
- * Immutable: nobody changes the JSON that it hands out.
+ * A full configuration as the operator sent it: lists of named items by section ({@code routes}, {@code services}, and
+ * any section that a later release of the platform adds), and the remaining fields ({@code limits}). Items keep their
+ * exact JSON, including fields that this release does not know, so that what is read back is what was sent. Immutable:
+ * the JSON that it returns must not be modified.
  */
 public final class ConfigurationDocument {
-    /** The document before the first change: version 0, nothing in it. */
+    /** The document before the first change: version 0, empty. */
     public static final ConfigurationDocument EMPTY =
             new ConfigurationDocument(0, Collections.emptyMap(), Collections.emptyMap());
 
@@ -25,7 +25,7 @@
     /**
      * @param version number of this version, 0 for none
      * @param sections items by section and name, in the operator's order
-     * @param fields whatever is not a list of named items, the version left out
+     * @param fields everything that is not a list of named items, except the version
      */
     public ConfigurationDocument(
             long version, Map<String, Map<String, JsonObject>> sections, Map<String, JsonElement> fields) {
@@ -45,19 +45,20 @@
         return sections;
     }
 
-    /** Fields beside the lists of items, the version left out. */
+    /** Fields other than the lists of items, except the version. */
     public Map<String, JsonElement> fields() {
         return fields;
     }
 
-    /** Whether both have the same version, and sections and fields that are written alike, items in the same order. */
+    /** Whether both have the same version, and sections and fields with the same text, items in the same order. */
     @Override
     public boolean equals(Object other) {
         return other instanceof ConfigurationDocument that
                 && version == that.version
                 && sections.keySet().equals(that.sections.keySet())
                 && fields.keySet().equals(that.fields.keySet())
-                && fields.keySet().stream().allMatch(name -> JsonText.alike(fields.get(name), that.fields.get(name)))
+                && fields.keySet().stream()
+                        .allMatch(name -> JsonText.isSameText(fields.get(name), that.fields.get(name)))
                 && sections.keySet().stream().allMatch(name -> sameItems(sections.get(name), that.sections.get(name)));
     }
 
@@ -69,6 +70,7 @@
     private static boolean sameItems(Map<String, JsonObject> left, Map<String, JsonObject> right) {
         return left == right
                 || (List.copyOf(left.keySet()).equals(List.copyOf(right.keySet()))
-                        && left.keySet().stream().allMatch(name -> JsonText.alike(left.get(name), right.get(name))));
+                        && left.keySet().stream()
+                                .allMatch(name -> JsonText.isSameText(left.get(name), right.get(name))));
     }
 }
--- a/model/src/main/java/pinewick/model/DeltaFormat.java
+++ b/model/src/main/java/pinewick/model/DeltaFormat.java
@@ -17,18 +17,18 @@
 import java.util.zip.Inflater;
 
 /**
- * Deltas as bytes: a byte that names the format, a checksum of what follows it, and the delta. In the format {@link
- * #PLAIN} that is JSON text; in {@link #DEFLATED} it is the length of the text and the deflated text. Texts too short
- * to gain anything stay plain.
+ * The binary format of deltas: a byte that names the format, a checksum of the rest, and the delta. In the format
+ * {@link #PLAIN} that is JSON text; in {@link #DEFLATED} it is the length of the text and the deflated text. Texts that
+ * are too short to benefit stay plain.
  */
 final class DeltaFormat {
     private static final byte PLAIN = 1;
     private static final byte DEFLATED = 2;
-    private static final int SHORTEST_DEFLATED = 600;
-    private static final int LONGEST_TEXT = 64 << 20;
+    private static final int MIN_DEFLATED_BYTES = 600;
+    private static final int MAX_TEXT_BYTES = 64 << 20;
     /** The format and the checksum. */
-    private static final int HEAD_BYTES = 1 + Integer.BYTES;
-    /** More than deflate adds to what it can't shorten: a few bytes for each block of thousands. */
+    private static final int HEADER_BYTES = 1 + Integer.BYTES;
+    /** An upper bound of what deflate adds to incompressible data: a few bytes for each block of thousands. */
     private static final int DEFLATE_OVERHEAD = 64;
 
     private static final String BASE = "base";
@@ -41,7 +41,7 @@
 
     static byte[] write(ConfigurationDelta delta) {
         byte[] text = toJson(delta).toString().getBytes(StandardCharsets.UTF_8);
-        return text.length < SHORTEST_DEFLATED ? plain(text) : deflated(text);
+        return text.length < MIN_DEFLATED_BYTES ? plain(text) : deflated(text);
     }
 
     /** @throws IllegalArgumentException if the bytes are not what {@link #write} wrote */
@@ -54,9 +54,9 @@
     }
 
     private static byte[] plain(byte[] text) {
-        ByteBuffer buffer = ByteBuffer.allocate(HEAD_BYTES + text.length);
-        buffer.position(HEAD_BYTES).put(text);
-        return finish(PLAIN, buffer);
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + text.length);
+        buffer.position(HEADER_BYTES).put(text);
+        return withHeader(PLAIN, buffer);
     }
 
     private static byte[] deflated(byte[] text) {
@@ -64,19 +64,19 @@
         try {
             deflater.setInput(text);
             deflater.finish();
-            int most = text.length + text.length / 1_000 + DEFLATE_OVERHEAD;
-            ByteBuffer buffer = ByteBuffer.allocate(HEAD_BYTES + Integer.BYTES + most);
-            buffer.position(HEAD_BYTES).putInt(text.length);
+            int maxDeflatedBytes = text.length + text.length / 1_000 + DEFLATE_OVERHEAD;
+            ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + Integer.BYTES + maxDeflatedBytes);
+            buffer.position(HEADER_BYTES).putInt(text.length);
             deflater.deflate(buffer);
-            return finish(DEFLATED, buffer);
+            return withHeader(DEFLATED, buffer);
         } finally {
             deflater.end();
         }
     }
 
-    private static byte[] finish(byte format, ByteBuffer buffer) {
+    private static byte[] withHeader(byte format, ByteBuffer buffer) {
         buffer.flip();
-        buffer.put(0, format).putInt(1, checksum(buffer.duplicate().position(HEAD_BYTES)));
+        buffer.put(0, format).putInt(1, checksum(buffer.duplicate().position(HEADER_BYTES)));
         return Arrays.copyOf(buffer.array(), buffer.limit());
     }
 
@@ -93,14 +93,14 @@
             throw new DataFormatException("the checksum does not fit");
         }
         return switch (format) {
-            case PLAIN -> Arrays.copyOfRange(bytes, HEAD_BYTES, bytes.length);
+            case PLAIN -> Arrays.copyOfRange(bytes, HEADER_BYTES, bytes.length);
             case DEFLATED -> inflated(buffer.getInt(), buffer);
             default -> throw new DataFormatException("unknown format " + format);
         };
     }
 
     private static byte[] inflated(int length, ByteBuffer deflated) throws DataFormatException {
-        if (length < 0 || length > LONGEST_TEXT) {
+        if (length < 0 || length > MAX_TEXT_BYTES) {
             throw new DataFormatException("a text of " + length + " bytes");
         }
         Inflater inflater = new Inflater(true);
--- a/model/src/main/java/pinewick/model/DocumentReader.java
+++ b/model/src/main/java/pinewick/model/DocumentReader.java
@@ -11,12 +11,14 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Turns the operator's bodies into documents: sections, fields and version, their contents not yet checked. */
+/**
+ * Converts the operator's bodies into documents: sections, fields and version, whose contents are not validated yet.
+ */
 final class DocumentReader {
     private static final String VERSION = "version";
     private static final String UPSERTS = "upserts";
     private static final String REMOVALS = "removals";
-    /** Sections that a whole configuration has, and whose items always need a name of their own. */
+    /** Sections that a full configuration must have, whose items always need a unique name. */
     private static final Set<String> KNOWN_SECTIONS = Set.of(RoutingTableBuilder.ROUTES, RoutingTableBuilder.SERVICES);
 
     private final FaultList faults;
@@ -25,8 +27,8 @@
         this.faults = faults;
     }
 
-    /** Reads a whole configuration. */
-    ConfigurationDocument readWhole(JsonObject body) {
+    /** Reads a full configuration. */
+    ConfigurationDocument readDocument(JsonObject body) {
         Map<String, Map<String, JsonObject>> sections = new LinkedHashMap<>();
         Map<String, JsonElement> fields = new LinkedHashMap<>();
         body.entrySet().forEach(entry -> readTopLevel(entry.getKey(), entry.getValue(), sections, fields));
@@ -64,7 +66,7 @@
                 return number.get().longValueExact();
             }
         } catch (ArithmeticException e) {
-            // Told below: it has a fraction or is too large.
+            // Reported below: it has a fraction or is too large.
         }
         faults.add(FaultList.DOCUMENT, VERSION, body.get(VERSION) + " is not a whole number above 0");
         return 0;
@@ -89,7 +91,7 @@
         }
     }
 
-    /** Whether a list of a kind unknown to this release can be held by the names of its items. */
+    /** Whether a list that this release does not know can be stored by the names of its items. */
     private static boolean isListOfNamedItems(JsonElement value) {
         if (!(value instanceof JsonArray list)) {
             return false;
@@ -112,10 +114,10 @@
         }
         int index = 0;
         for (JsonElement item : list) {
-            String place = section + "[" + index++ + "]";
+            String position = section + "[" + index++ + "]";
             Optional<String> name = nameOf(item);
             if (name.isEmpty()) {
-                faults.add(place, "name", "is missing or no text; give each item a name");
+                faults.add(position, "name", "is missing or no text; give each item a name");
             } else if (items.put(name.get(), (JsonObject) item) != null) {
                 faults.add(section + "/" + name.get(), "name", "is used twice; give each item a name of its own");
             }
--- a/model/src/main/java/pinewick/model/FaultList.java
+++ b/model/src/main/java/pinewick/model/FaultList.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects the faults of one document, so that all are told at once. */
+/** Collects the faults of one document, so that all are reported at once. */
 final class FaultList {
-    /** The item that faults of the document as a whole are told of. */
+    /** The item that is named for faults of the complete document. */
     static final String DOCUMENT = "configuration";
 
     private final List<ConfigurationFault> faults = new ArrayList<>();
@@ -25,7 +25,7 @@
         }
     }
 
-    /** An exception with a single fault of the whole document. */
+    /** An exception with a single fault of the complete document. */
     static InvalidConfigurationException single(String field, String reason) {
         return new InvalidConfigurationException(List.of(new ConfigurationFault(DOCUMENT, field, reason)));
     }
--- a/model/src/main/java/pinewick/model/InvalidConfigurationException.java
+++ b/model/src/main/java/pinewick/model/InvalidConfigurationException.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A configuration that cannot be taken, with every fault that was found. */
+/**
+ * A configuration that is rejected, with every fault that was found, so that the operator can correct all of them at
+ * once.
+ */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<ConfigurationFault> faults;
--- a/control/src/main/java/pinewick/control/Ipv4.java
+++ b/model/src/main/java/pinewick/model/Ipv4Address.java
@@ -1,15 +1,15 @@
-package pinewick.control;
+package pinewick.model;
 
-/** Checks of IPv4 addresses; there is no name look-up on the machines. */
-final class Ipv4 {
+/** Checks of IPv4 addresses; names are not resolved. */
+public final class Ipv4Address {
     private static final int PARTS = 4;
-    private static final int HIGHEST_PART = 255;
-    private static final int LONGEST_PART = 3;
+    private static final int MAX_PART = 255;
+    private static final int MAX_PART_LENGTH = 3;
 
-    private Ipv4() {}
+    private Ipv4Address() {}
 
     /** Whether {@code text} is an IPv4 address in dotted form. */
-    static boolean isLiteral(String text) {
+    public static boolean isLiteral(String text) {
         String[] parts = text.split("\\.", -1);
         if (parts.length != PARTS) {
             return false;
@@ -23,7 +23,7 @@
     }
 
     private static boolean isPart(String part) {
-        if (part.isEmpty() || part.length() > LONGEST_PART) {
+        if (part.isEmpty() || part.length() > MAX_PART_LENGTH) {
             return false;
         }
         for (int i = 0; i < part.length(); i++) {
@@ -31,6 +31,6 @@
                 return false;
             }
         }
-        return Integer.parseInt(part) <= HIGHEST_PART;
+        return Integer.parseInt(part) <= MAX_PART;
     }
 }
--- a/model/src/main/java/pinewick/model/ItemFields.java
+++ b/model/src/main/java/pinewick/model/ItemFields.java
@@ -13,12 +13,12 @@
  * null} counts as absent.
  */
 final class ItemFields {
-    private static final int LONGEST_NUMBER = 40;
+    private static final int MAX_NUMBER_LENGTH = 40;
     /** Digits that always fit into an {@code int}. */
-    private static final int LONGEST_PLAIN_NUMBER = 9;
+    private static final int MAX_PLAIN_DIGITS = 9;
 
-    private static final BigDecimal LARGEST_INT = BigDecimal.valueOf(Integer.MAX_VALUE);
-    private static final BigDecimal LARGEST_LONG = BigDecimal.valueOf(Long.MAX_VALUE);
+    private static final BigDecimal MAX_INT = BigDecimal.valueOf(Integer.MAX_VALUE);
+    private static final BigDecimal MAX_LONG = BigDecimal.valueOf(Long.MAX_VALUE);
 
     private final String item;
     private final JsonObject object;
@@ -44,7 +44,7 @@
         return value != null && !value.isJsonNull();
     }
 
-    /** A text that must be there and not be empty; {@code ""} after a fault. */
+    /** A required text that must not be empty; {@code ""} after a fault. */
     String requiredText(String field) {
         if (!has(field)) {
             fault(field, "is missing; give a text");
@@ -80,34 +80,34 @@
         return false;
     }
 
-    /** A number held to {@code lowest} and the range of {@code int}; fractions are rounded up. */
-    int wholeNumber(String field, int lowest, int byDefault) {
-        return (int) heldNumber(field, lowest, LARGEST_INT, byDefault);
+    /** A number, clamped to {@code min} and the range of {@code int}; fractions are rounded up. */
+    int intNumber(String field, int min, int defaultValue) {
+        return (int) clampedNumber(field, min, MAX_INT, defaultValue);
     }
 
-    /** As {@link #wholeNumber}, in the range of {@code long}. */
-    long longNumber(String field, long lowest, long byDefault) {
-        return heldNumber(field, lowest, LARGEST_LONG, byDefault);
+    /** Like {@link #intNumber}, in the range of {@code long}. */
+    long longNumber(String field, long min, long defaultValue) {
+        return clampedNumber(field, min, MAX_LONG, defaultValue);
     }
 
-    private long heldNumber(String field, long lowest, BigDecimal highest, long byDefault) {
+    private long clampedNumber(String field, long min, BigDecimal max, long defaultValue) {
         int plain = plainNumber(object.get(field));
         if (plain >= 0) {
-            return Math.max(lowest, plain);
+            return Math.max(min, plain);
         }
         Optional<BigDecimal> number = number(field);
         if (number.isEmpty()) {
-            return byDefault;
+            return defaultValue;
         }
-        BigDecimal whole = number.get().setScale(0, RoundingMode.CEILING);
-        return whole.max(BigDecimal.valueOf(lowest)).min(highest).longValue();
+        BigDecimal rounded = number.get().setScale(0, RoundingMode.CEILING);
+        return rounded.max(BigDecimal.valueOf(min)).min(max).longValue();
     }
 
-    double fraction(String field, double byDefault) {
-        return number(field).map(BigDecimal::doubleValue).orElse(byDefault);
+    double fraction(String field, double defaultValue) {
+        return number(field).map(BigDecimal::doubleValue).orElse(defaultValue);
     }
 
-    /** A number of any size; a fault if the field holds something else. */
+    /** A number of any size; a fault if the field has another type. */
     Optional<BigDecimal> number(String field) {
         if (!has(field)) {
             return Optional.empty();
@@ -143,7 +143,7 @@
         return Optional.empty();
     }
 
-    /** The number that a JSON value holds, unless it is something else or its text is out of all proportion. */
+    /** The value of a JSON number; empty for another type or an excessively long text. */
     static Optional<BigDecimal> toNumber(JsonElement element) {
         int plain = plainNumber(element);
         if (plain >= 0) {
@@ -153,25 +153,25 @@
             return Optional.empty();
         }
         String text = value.getAsString();
-        if (text.length() > LONGEST_NUMBER) {
+        if (text.length() > MAX_NUMBER_LENGTH) {
             return Optional.empty();
         }
         try {
             BigDecimal number = new BigDecimal(text);
-            // An exponent in the thousands would make the arithmetic on it costly.
-            return Math.abs((long) number.scale()) > LONGEST_NUMBER ? Optional.empty() : Optional.of(number);
+            // An exponent in the thousands would make arithmetic on it expensive.
+            return Math.abs((long) number.scale()) > MAX_NUMBER_LENGTH ? Optional.empty() : Optional.of(number);
         } catch (NumberFormatException e) {
             return Optional.empty();
         }
     }
 
-    /** The number written in a few digits and nothing else, which nearly all are; -1 for any other value. */
+    /** The number if it is written in a few digits only, as nearly all are; -1 for any other value. */
     private static int plainNumber(JsonElement element) {
         if (!(element instanceof JsonPrimitive value) || !value.isNumber()) {
             return -1;
         }
         String text = value.getAsString();
-        if (text.isEmpty() || text.length() > LONGEST_PLAIN_NUMBER) {
+        if (text.isEmpty() || text.length() > MAX_PLAIN_DIGITS) {
             return -1;
         }
         int number = 0;
--- a/model/src/main/java/pinewick/model/JsonText.java
+++ b/model/src/main/java/pinewick/model/JsonText.java
@@ -18,11 +18,11 @@
 import java.util.Iterator;
 import java.util.Map;
 
-/** Strict reading of JSON text, and comparison of JSON to the letter. */
+/** Strict parsing of JSON text, and comparison of JSON by its exact text. */
 final class JsonText {
     private JsonText() {}
 
-    /** Text that is not one whole JSON value. */
+    /** Text that is not one complete JSON value. */
     static final class UnreadableException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Reads one JSON value that takes up all of {@code body}. Numbers keep their text.
+     * Parses one JSON value that is all of {@code body}. Numbers keep their text.
      *
-     * @throws UnreadableException if the body is cut off, is followed by more, or is not JSON in UTF-8
+     * @throws UnreadableException if the body is truncated, has trailing text, or is not JSON in UTF-8
      */
     static JsonElement parse(byte[] body) throws UnreadableException {
         try (JsonReader reader = new JsonReader(new StringReader(decode(body)))) {
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Whether two values are written alike: the same members in the same order, and numbers with the same text.
-     * Gson's own comparison takes 1 and 1.0, or two large numbers that a {@code double} can't tell apart, for equal.
+     * Whether two values have the same text: the same members in the same order, and numbers with the same digits.
+     * Gson's own comparison considers 1 and 1.0 equal, and so two large numbers with the same {@code double} value.
      */
-    static boolean alike(JsonElement left, JsonElement right) {
+    static boolean isSameText(JsonElement left, JsonElement right) {
         if (left == right) {
             return true;
         }
@@ -63,44 +63,44 @@
             return false;
         }
         if (left instanceof JsonObject object) {
-            return alike(object, (JsonObject) right);
+            return isSameText(object, (JsonObject) right);
         }
         if (left instanceof JsonArray array) {
-            return alike(array, (JsonArray) right);
+            return isSameText(array, (JsonArray) right);
         }
         if (left instanceof JsonPrimitive primitive) {
-            return alike(primitive, (JsonPrimitive) right);
+            return isSameText(primitive, (JsonPrimitive) right);
         }
         return true;
     }
 
-    private static boolean alike(JsonObject left, JsonObject right) {
+    private static boolean isSameText(JsonObject left, JsonObject right) {
         if (left.size() != right.size()) {
             return false;
         }
         Iterator<Map.Entry<String, JsonElement>> others = right.entrySet().iterator();
         for (Map.Entry<String, JsonElement> member : left.entrySet()) {
             Map.Entry<String, JsonElement> other = others.next();
-            if (!member.getKey().equals(other.getKey()) || !alike(member.getValue(), other.getValue())) {
+            if (!member.getKey().equals(other.getKey()) || !isSameText(member.getValue(), other.getValue())) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean alike(JsonArray left, JsonArray right) {
+    private static boolean isSameText(JsonArray left, JsonArray right) {
         if (left.size() != right.size()) {
             return false;
         }
         for (int index = 0; index < left.size(); index++) {
-            if (!alike(left.get(index), right.get(index))) {
+            if (!isSameText(left.get(index), right.get(index))) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean alike(JsonPrimitive left, JsonPrimitive right) {
+    private static boolean isSameText(JsonPrimitive left, JsonPrimitive right) {
         return left.isString() == right.isString()
                 && left.isBoolean() == right.isBoolean()
                 && left.getAsString().equals(right.getAsString());
