--- a/model/src/main/java/pinewick/model/NodeSettings.java
+++ b/model/src/main/java/pinewick/model/NodeSettings.java
@@ -6,28 +6,28 @@
 import java.util.Optional;
 
 /**
- * The settings file of one process, checked. Fields that are not known are ignored when it is read.
+ * The settings file of one process, validated. Unknown fields are ignored when it is read.
  *
  * @param nodeName name of the machine
  * @param role name of the role in the deploy file
- * @param serves who may call this process from outside: {@code frontend}, {@code control_plane}
+ * @param serves the interfaces that this process serves: {@code frontend}, {@code control_plane}
  * @param ipAddress the machine's own address
- * @param zone where it stands
- * @param region where the zone stands
+ * @param zone the zone of the machine
+ * @param region the region of the zone
  * @param firstInternalPort first of the ports for internal messages
  * @param lastInternalPort last of these ports
  * @param seedNodes {@code control_plane} addresses of some controllers
  * @param firstStart whether the whole system starts for the first time, with empty disks
- * @param countsForQuorum whether this machine's loss is counted in {@link #toleratedMachines}
- * @param dataDirectory where files are kept, empty on machines without a disk
- * @param heartbeatMs how often replicas send heartbeats
+ * @param countsForQuorum whether the loss of this machine counts towards {@link #toleratedMachines}
+ * @param dataDirectory directory for persistent files, empty on machines without a disk
+ * @param heartbeatMs interval between the heartbeats of a replica, milliseconds
  * @param zones region of each zone
- * @param frontend where clients call, if this process serves them
- * @param readiness where the platform asks whether it is ready
- * @param controlPlane where replicas and the operator call, if this process serves them
- * @param limits what the machine grants this process
- * @param toleratedMachines machines that count and may be lost at once
- * @param bounds figures that the rules name
+ * @param frontend address for clients, if this process serves them
+ * @param readiness address of the platform's readiness check
+ * @param controlPlane address for replicas and operators, if this process serves them
+ * @param limits resources of this process
+ * @param toleratedMachines how many machines that count may be lost at once (f)
+ * @param bounds time-outs and ratios from the platform's rules
  */
 public record NodeSettings(
         String nodeName,
@@ -57,11 +57,11 @@
         zones = Map.copyOf(zones);
     }
 
-    /** What a machine grants a process. */
+    /** The resources that a machine grants a process. */
     public record MachineLimits(
             double cpuShare, int cpuCores, int memoryMb, int fileDescriptors, double linkBandwidthMbps, int diskMb) {}
 
-    /** Figures that the rules name; names as in the settings file. */
+    /** Time-outs and ratios from the platform's rules; the names are those of the settings file. */
     public record Bounds(
             double seedLagSeconds,
             double addressReuseSeconds,
@@ -83,12 +83,12 @@
             int leaseMs,
             int thawSlackMs) {}
 
-    /** The port on which routers take internal messages, on every machine. */
+    /** The port on which routers receive internal messages, on every machine. */
     public int routerPort() {
         return firstInternalPort;
     }
 
-    /** The port on which controllers take internal messages, on every machine. */
+    /** The port on which controllers receive internal messages, on every machine. */
     public int controllerPort() {
         return firstInternalPort + 1;
     }
--- a/model/src/main/java/pinewick/model/Outbox.java
+++ b/model/src/main/java/pinewick/model/Outbox.java
@@ -1,6 +1,6 @@
 package pinewick.model;
 
-/** Where the deciding classes put messages for other processes. Best effort, never blocks. */
+/** Sends messages to other processes, for classes that do no I/O themselves. Best effort, never blocks. */
 @FunctionalInterface
 public interface Outbox {
     /** Sends a message to the process that listens at {@code peer}. */
--- a/model/src/main/java/pinewick/model/ReplicaRecord.java
+++ b/model/src/main/java/pinewick/model/ReplicaRecord.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * What one replica instance last said of itself. Records of one instance are ordered by {@code callSequence}; see
+ * The last reported state of one replica instance. Records of one instance are ordered by {@code callSequence}; see
  * {@link #merge}.
  *
- * @param instanceId the id of this start of the replica
+ * @param instanceId id of the instance, unique for each start of the replica
  * @param service name of the service it belongs to
- * @param address where it takes requests
+ * @param address address for requests
  * @param zone the zone it runs in
  * @param softwareVersion version of its software
- * @param slots requests it works on at the same time
- * @param state where it is in its life
- * @param coldRemainingMs how much longer it is slow from its start, milliseconds
- * @param stage the part it serves, {@link Stage#NONE} for a service without an engine
- * @param models names of the models it holds
- * @param callSequence rises with each call of the instance
- * @param lapsed whether the control plane has not heard from it for longer than heartbeats allow
+ * @param slots requests that it can run at the same time
+ * @param state its lifecycle state
+ * @param warmUpRemainingMs remaining warm-up time, in which it is slower, milliseconds
+ * @param stage the stage that it serves, {@link Stage#NONE} for a service without an engine
+ * @param models the models that it serves
+ * @param callSequence rises with each heartbeat of the instance
+ * @param lapsed whether the control plane has received no heartbeat for too long
  */
 public record ReplicaRecord(
         String instanceId,
@@ -28,15 +28,15 @@
         String softwareVersion,
         int slots,
         ReplicaState state,
-        int coldRemainingMs,
+        @WireName("coldRemainingMs") int warmUpRemainingMs,
         Stage stage,
         List<ModelVersion> models,
         long callSequence,
         boolean lapsed) {
 
     /**
-     * Orders records of one instance by age. Everything but the state takes part, so that two records which a faulty
-     * replica sent under one number are still merged alike everywhere.
+     * Orders records of one instance by age. Every component but the state takes part, so that two records that a
+     * faulty replica sent with one call sequence are merged to the same result everywhere.
      */
     private static final Comparator<ReplicaRecord> BY_AGE = Comparator.comparingLong(ReplicaRecord::callSequence)
             .thenComparing(ReplicaRecord::lapsed)
@@ -45,7 +45,7 @@
             .thenComparing(ReplicaRecord::zone)
             .thenComparing(ReplicaRecord::softwareVersion)
             .thenComparingInt(ReplicaRecord::slots)
-            .thenComparingInt(ReplicaRecord::coldRemainingMs)
+            .thenComparingInt(ReplicaRecord::warmUpRemainingMs)
             .thenComparing(ReplicaRecord::stage)
             .thenComparing(record -> record.models().toString());
 
@@ -53,16 +53,16 @@
         models = List.copyOf(models);
     }
 
-    /** A model that a replica holds. */
+    /** A model that a replica serves. */
     public record ModelVersion(String name, int version) {}
 
     /** Whether a new request may be sent to it. */
-    public boolean takesRequests() {
+    public boolean acceptsRequests() {
         return state == ReplicaState.READY && !lapsed;
     }
 
     /** The same record with another {@code lapsed}. */
-    public ReplicaRecord withLapsed(boolean nowLapsed) {
+    public ReplicaRecord withLapsed(boolean isLapsed) {
         return new ReplicaRecord(
                 instanceId,
                 service,
@@ -71,11 +71,11 @@
                 softwareVersion,
                 slots,
                 state,
-                coldRemainingMs,
+                warmUpRemainingMs,
                 stage,
                 models,
                 callSequence,
-                nowLapsed);
+                isLapsed);
     }
 
     /** The same record in another state. */
@@ -88,7 +88,7 @@
                 softwareVersion,
                 slots,
                 next,
-                coldRemainingMs,
+                warmUpRemainingMs,
                 stage,
                 models,
                 callSequence,
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Joins two records of one instance: the newer call wins, but an announced end is never taken back. Commutative,
+     * Merges two records of one instance: the newer call wins, but a later state is never reverted. Commutative,
      * associative and idempotent.
      */
     public static ReplicaRecord merge(ReplicaRecord left, ReplicaRecord right) {
--- a/model/src/main/java/pinewick/model/ReplicaState.java
+++ b/model/src/main/java/pinewick/model/ReplicaState.java
@@ -1,10 +1,10 @@
 package pinewick.model;
 
-/** The life of one replica instance. A later state is never left for an earlier one. */
+/** The lifecycle of one replica instance. A state is never left for an earlier one. */
 public enum ReplicaState {
-    /** Takes requests. */
+    /** Accepts requests. */
     READY,
-    /** Has announced its end: it finishes what runs and takes no new request. */
+    /** Is shutting down gracefully: it completes running requests and accepts no new ones. */
     DRAINING,
     /** Has deregistered. */
     GONE
--- a/model/src/main/java/pinewick/model/Route.java
+++ b/model/src/main/java/pinewick/model/Route.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * One route of the operator's configuration, checked.
+ * One route of the operator's configuration, validated.
  *
  * @param name unique name
  * @param hostname value of the {@code Host} header, without a port, in lower case
- * @param pathPrefix begins the path, begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMs the longest time a request is held, milliseconds
- * @param targetLatencyMs time within which an answer earns its full worth, milliseconds
+ * @param pathPrefix prefix of the path, starts and ends with a slash
+ * @param kind which requests may be retried
+ * @param timeoutMs time-out of a request, milliseconds
+ * @param targetLatencyMs latency target (SLO), milliseconds
  * @param priority 0 is the most urgent
  * @param split services and their weights; one entry of weight 1 for a plain {@code service}
- * @param maxAttempts the most replicas that one request may be sent to
- * @param sessionAffinity whether requests name the parts of their prompt
- * @param resumable whether a broken stream may go on at another replica
- * @param gapAimMs the longest pause between events that keeps an answer in time, 0 if not told
+ * @param maxAttempts to how many replicas one request may be sent at most
+ * @param sessionAffinity whether requests name the parts of their prompt, for prefix-cache affinity
+ * @param resumable whether an interrupted stream may be resumed at another replica
+ * @param targetGapMs target for the longest gap between events, milliseconds; 0 for none
  */
 public record Route(
         String name,
@@ -30,17 +30,17 @@
         int maxAttempts,
         boolean sessionAffinity,
         boolean resumable,
-        int gapAimMs) {
+        int targetGapMs) {
 
     public Route {
         split = List.copyOf(split);
     }
 
-    /** A service and its share of a route's requests. */
+    /** A service and its weight among a route's requests. */
     public record WeightedService(String service, int weight) {}
 
-    /** Whether a request that may have run can be sent again. */
-    public boolean repeatable() {
+    /** Whether a request that may have been executed can be sent again. */
+    public boolean isRetriable() {
         return kind == RouteKind.IDEMPOTENT || (kind == RouteKind.STREAMING && resumable);
     }
 }
--- a/model/src/main/java/pinewick/model/RouteBuilder.java
+++ b/model/src/main/java/pinewick/model/RouteBuilder.java
@@ -13,28 +13,28 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Builds a {@link Route} from the operator's item, and tells every fault of it. */
+/** Builds a {@link Route} from the operator's item, and reports every fault of it. */
 final class RouteBuilder {
-    private static final int SHORTEST_TIMEOUT_MS = 1;
-    /** The sum to which weights are scaled that are not whole numbers. */
+    private static final int MIN_TIMEOUT_MS = 1;
+    /** The sum to which weights that are not integers are scaled. */
     private static final BigDecimal SCALED_SUM = BigDecimal.valueOf(1_000_000);
 
     private static final Map<String, RouteKind> KINDS = Map.of(
             "idempotent", RouteKind.IDEMPOTENT,
             "non_idempotent", RouteKind.NON_IDEMPOTENT,
             "streaming", RouteKind.STREAMING);
-    private static final BigDecimal LARGEST_SUM = BigDecimal.valueOf(Integer.MAX_VALUE);
+    private static final BigDecimal MAX_SUM = BigDecimal.valueOf(Integer.MAX_VALUE);
 
     private final ItemFields fields;
     private final Set<String> services;
 
-    /** @param services names of the services that the document knows */
+    /** @param services names of the services of the document */
     RouteBuilder(ItemFields fields, Set<String> services) {
         this.fields = fields;
         this.services = services;
     }
 
-    /** The route; what faults left out stands at its default, and the caller refuses the document. */
+    /** The route; after faults with defaults, and the caller rejects the document. */
     Route build() {
         String name = fields.requiredText("name");
         String hostname = fields.requiredText("hostname").toLowerCase(Locale.ROOT);
@@ -48,13 +48,13 @@
                 pathPrefix,
                 kind,
                 timeoutMs,
-                fields.wholeNumber("target_latency_ms", 1, timeoutMs),
-                fields.wholeNumber("priority", 0, 0),
+                fields.intNumber("target_latency_ms", 1, timeoutMs),
+                fields.intNumber("priority", 0, 0),
                 split,
-                fields.wholeNumber("max_attempts", 1, 1),
+                fields.intNumber("max_attempts", 1, 1),
                 fields.flag("session_affinity"),
                 fields.flag("resumable"),
-                fields.wholeNumber("gap_aim_ms", 0, 0));
+                fields.intNumber("gap_aim_ms", 0, 0));
     }
 
     private String pathPrefix() {
@@ -80,16 +80,16 @@
     private int timeoutMs() {
         if (!fields.has("timeout_ms")) {
             fields.fault("timeout_ms", "is missing; give a time above 0");
-            return SHORTEST_TIMEOUT_MS;
+            return MIN_TIMEOUT_MS;
         }
         Optional<BigDecimal> timeout = fields.number("timeout_ms");
         if (timeout.isEmpty()) {
-            return SHORTEST_TIMEOUT_MS;
+            return MIN_TIMEOUT_MS;
         }
         if (timeout.get().signum() <= 0) {
             fields.fault("timeout_ms", "is " + timeout.get().toPlainString() + "; give a time above 0");
         }
-        return fields.wholeNumber("timeout_ms", SHORTEST_TIMEOUT_MS, SHORTEST_TIMEOUT_MS);
+        return fields.intNumber("timeout_ms", MIN_TIMEOUT_MS, MIN_TIMEOUT_MS);
     }
 
     private List<Route.WeightedService> split() {
@@ -113,11 +113,11 @@
         List<BigDecimal> weights = new ArrayList<>();
         int index = 0;
         for (JsonElement entry : split) {
-            String place = "traffic_split[" + index++ + "]";
+            String position = "traffic_split[" + index++ + "]";
             if (entry instanceof JsonObject object) {
-                readWeightedService(place, object, names, weights);
+                readWeightedService(position, object, names, weights);
             } else {
-                fields.fault(place, "is not an object with service and weight");
+                fields.fault(position, "is not an object with service and weight");
             }
         }
         BigDecimal sum = BigDecimal.ZERO;
@@ -128,41 +128,41 @@
             fields.fault("traffic_split", "has weights that add up to " + sum.toPlainString() + "; give one above 0");
             return List.of();
         }
-        return toWholeWeights(names, weights, sum);
+        return toIntegerWeights(names, weights, sum);
     }
 
-    private void readWeightedService(String place, JsonObject object, List<String> names, List<BigDecimal> weights) {
+    private void readWeightedService(String position, JsonObject object, List<String> names, List<BigDecimal> weights) {
         String service = object.get("service") instanceof JsonPrimitive name ? name.getAsString() : "";
         if (service.isEmpty()) {
-            fields.fault(place + ".service", "is missing; name a service");
+            fields.fault(position + ".service", "is missing; name a service");
         } else {
-            requireKnown(place + ".service", service);
+            requireKnown(position + ".service", service);
         }
         Optional<BigDecimal> weight = ItemFields.toNumber(object.get("weight"));
         if (weight.isEmpty()) {
-            fields.fault(place + ".weight", "is missing or no number; give one from 0 up");
+            fields.fault(position + ".weight", "is missing or no number; give one from 0 up");
         } else if (weight.get().signum() < 0) {
-            fields.fault(place + ".weight", "is below 0; give one from 0 up");
+            fields.fault(position + ".weight", "is below 0; give one from 0 up");
         }
         names.add(service);
         weights.add(weight.orElse(BigDecimal.ZERO));
     }
 
-    private static List<Route.WeightedService> toWholeWeights(
+    private static List<Route.WeightedService> toIntegerWeights(
             List<String> names, List<BigDecimal> weights, BigDecimal sum) {
-        boolean whole = sum.compareTo(LARGEST_SUM) <= 0;
+        boolean isWhole = sum.compareTo(MAX_SUM) <= 0;
         for (BigDecimal weight : weights) {
-            whole &= weight.scale() <= 0 || weight.remainder(BigDecimal.ONE).signum() == 0;
+            isWhole &= weight.scale() <= 0 || weight.remainder(BigDecimal.ONE).signum() == 0;
         }
         List<Route.WeightedService> split = new ArrayList<>();
         for (int index = 0; index < names.size(); index++) {
             BigDecimal weight = weights.get(index);
-            int share = whole
+            int scaledWeight = isWhole
                     ? weight.intValue()
                     : weight.multiply(SCALED_SUM)
                             .divide(sum, 0, RoundingMode.CEILING)
                             .intValue();
-            split.add(new Route.WeightedService(names.get(index), share));
+            split.add(new Route.WeightedService(names.get(index), scaledWeight));
         }
         return split;
     }
--- a/model/src/main/java/pinewick/model/RouteKind.java
+++ b/model/src/main/java/pinewick/model/RouteKind.java
@@ -1,11 +1,11 @@
 package pinewick.model;
 
-/** What may be repeated of a route's requests. */
+/** Which requests of a route may be retried. */
 public enum RouteKind {
-    /** May run more than once. */
+    /** May be executed more than once. */
     IDEMPOTENT,
-    /** May run at most once for each id. */
+    /** May be executed at most once for each request id. */
     NON_IDEMPOTENT,
-    /** Answers with a series of events; as {@link #NON_IDEMPOTENT} unless the route is resumable. */
+    /** The response is a stream of events; like {@link #NON_IDEMPOTENT} unless the route is resumable. */
     STREAMING
 }
--- a/model/src/main/java/pinewick/model/RoutingTable.java
+++ b/model/src/main/java/pinewick/model/RoutingTable.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The checked, typed view of one configuration version that the data plane looks routes up in. Immutable. */
+/** The validated, typed view of one configuration version, in which the data plane finds routes. Immutable. */
 public final class RoutingTable {
     /** No routes. */
     public static final RoutingTable EMPTY = new RoutingTable(0, List.of(), List.of(), RequestLimits.DEFAULT);
@@ -16,7 +16,7 @@
     private final Map<String, ServiceSpec> services;
     private final RequestLimits limits;
 
-    /** @param routes routes whose prefixes begin and end with a slash, no two with the same host and prefix */
+    /** @param routes routes whose prefixes start and end with a slash, with unique pairs of host and prefix */
     public RoutingTable(long version, List<Route> routes, List<ServiceSpec> services, RequestLimits limits) {
         this.version = version;
         this.limits = limits;
@@ -39,12 +39,11 @@
     }
 
     /**
-     * The route of {@code host} whose prefix begins {@code path} and is longest. Because prefixes end with a slash,
-     * only the parts of the path up to one of its slashes are looked up.
+     * The route of {@code host} with the longest prefix of {@code path}. Because prefixes end with a slash, only the
+     * parts of the path up to each of its slashes are looked up.
      */
     public Optional<Route> find(String host, String path) {
-        HostRoutes routes = routesByHost.get(host);
-        return routes == null ? Optional.empty() : Optional.ofNullable(routes.find(path));
+        return Optional.ofNullable(routesByHost.get(host)).flatMap(routes -> routes.find(path));
     }
 
     public Optional<ServiceSpec> service(String name) {
@@ -66,16 +65,16 @@
             longestPrefix = Math.max(longestPrefix, route.pathPrefix().length());
         }
 
-        Route find(String path) {
+        Optional<Route> find(String path) {
             int slash = path.lastIndexOf('/', longestPrefix - 1);
             while (slash >= 0) {
                 Route route = byPrefix.get(path.substring(0, slash + 1));
                 if (route != null) {
-                    return route;
+                    return Optional.of(route);
                 }
                 slash = path.lastIndexOf('/', slash - 1);
             }
-            return null;
+            return Optional.empty();
         }
     }
 }
--- a/model/src/main/java/pinewick/model/RoutingTableBuilder.java
+++ b/model/src/main/java/pinewick/model/RoutingTableBuilder.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds the typed view of a whole document, and tells every fault of it. */
+/** Builds the typed view of a document, and reports every fault of it. */
 final class RoutingTableBuilder {
-    /** Section that holds the routes. */
+    /** Section with the routes. */
     static final String ROUTES = "routes";
-    /** Section that holds the services. */
+    /** Section with the services. */
     static final String SERVICES = "services";
-    /** Field that holds the limits of what clients may send. */
+    /** Field with the limits of what clients may send. */
     static final String LIMITS = "limits";
 
     private final ConfigurationDocument document;
@@ -24,7 +24,7 @@
         this.faults = faults;
     }
 
-    /** The table; only to be used if no fault was told. */
+    /** The table; only to be used if no fault was reported. */
     RoutingTable build() {
         List<Route> routes = routes();
         List<ServiceSpec> services = new ArrayList<>();
@@ -52,21 +52,21 @@
     }
 
     private RequestLimits limits() {
-        JsonElement given = document.fields().get(LIMITS);
-        if (given == null || given.isJsonNull()) {
+        JsonElement value = document.fields().get(LIMITS);
+        if (value == null || value.isJsonNull()) {
             return RequestLimits.DEFAULT;
         }
-        if (!(given instanceof JsonObject object)) {
+        if (!(value instanceof JsonObject object)) {
             faults.add(LIMITS, "", "is not an object");
             return RequestLimits.DEFAULT;
         }
         ItemFields limits = new ItemFields(LIMITS, object, faults);
-        RequestLimits standard = RequestLimits.DEFAULT;
+        RequestLimits defaults = RequestLimits.DEFAULT;
         return new RequestLimits(
-                limits.wholeNumber("max_header_bytes", 0, standard.maxHeaderBytes()),
-                limits.wholeNumber("max_body_bytes", 0, standard.maxBodyBytes()),
-                limits.wholeNumber("header_timeout_ms", 0, standard.headerTimeoutMs()),
-                limits.wholeNumber("idle_timeout_ms", 0, standard.idleTimeoutMs()));
+                limits.intNumber("max_header_bytes", 0, defaults.maxHeaderBytes()),
+                limits.intNumber("max_body_bytes", 0, defaults.maxBodyBytes()),
+                limits.intNumber("header_timeout_ms", 0, defaults.headerTimeoutMs()),
+                limits.intNumber("idle_timeout_ms", 0, defaults.idleTimeoutMs()));
     }
 
     private Map<String, JsonObject> items(String section) {
--- a/model/src/main/java/pinewick/model/ServiceBuilder.java
+++ b/model/src/main/java/pinewick/model/ServiceBuilder.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonObject;
 
-/** Builds a {@link ServiceSpec} from the operator's item, and tells every fault of it. */
+/** Builds a {@link ServiceSpec} from the operator's item, and reports every fault of it. */
 final class ServiceBuilder {
     private static final String DEFAULT_HEALTH_CHECK_PATH = "/health";
     private static final int DEFAULT_MAX_CONNECTIONS = 64;
@@ -21,23 +21,23 @@
         this.faults = faults;
     }
 
-    /** The service; what faults left out stands at its default, and the caller refuses the document. */
+    /** The service; after faults with defaults, and the caller rejects the document. */
     ServiceSpec build() {
         return new ServiceSpec(
                 fields.requiredText("name"),
                 fields.text("health_check_path").orElse(DEFAULT_HEALTH_CHECK_PATH),
-                fields.wholeNumber("max_connections", 1, DEFAULT_MAX_CONNECTIONS),
+                fields.intNumber("max_connections", 1, DEFAULT_MAX_CONNECTIONS),
                 fields.object("engine").map(this::engine));
     }
 
     private EngineSpec engine(JsonObject object) {
         ItemFields engine = new ItemFields(fields.item() + ".engine", object, faults);
         return new EngineSpec(
-                engine.wholeNumber("slots", 1, DEFAULT_SLOTS),
+                engine.intNumber("slots", 1, DEFAULT_SLOTS),
                 engine.longNumber("kv_cache_tokens", 0, DEFAULT_KV_CACHE_TOKENS),
-                engine.wholeNumber("kv_token_bytes", 0, DEFAULT_KV_TOKEN_BYTES),
+                engine.intNumber("kv_token_bytes", 0, DEFAULT_KV_TOKEN_BYTES),
                 engine.fraction("link_bandwidth_mbps", DEFAULT_LINK_BANDWIDTH_MBPS),
-                engine.wholeNumber("stride", 1, 1),
+                engine.intNumber("stride", 1, 1),
                 engine.fraction("handle_ttl_s", DEFAULT_HANDLE_TTL_SECONDS),
                 engine.fraction("switch_time_s", DEFAULT_SWITCH_TIME_SECONDS));
     }
--- a/model/src/main/java/pinewick/model/SocketAddress.java
+++ b/model/src/main/java/pinewick/model/SocketAddress.java
@@ -2,7 +2,7 @@
 
 /** An IPv4 address and a port. */
 public record SocketAddress(String host, int port) implements Comparable<SocketAddress> {
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     /**
      * Parses {@code HOST:PORT}.
@@ -20,13 +20,16 @@
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException("'" + text + "' has no number as its port", e);
         }
-        if (port < 1 || port > HIGHEST_PORT) {
+        if (port < 1 || port > MAX_PORT) {
             throw new IllegalArgumentException("'" + text + "' has a port out of range");
         }
         return new SocketAddress(text.substring(0, colon), port);
     }
 
-    /** Written out: what a record has by itself is linked at its first use, which costs a starting process much. */
+    /**
+     * Written out because the generated methods of a record are linked at their first use, which is expensive at the
+     * start of a process.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof SocketAddress address && port == address.port && host.equals(address.host);
--- a/model/src/main/java/pinewick/model/Stage.java
+++ b/model/src/main/java/pinewick/model/Stage.java
@@ -3,11 +3,11 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Which part of a generation a replica serves. */
+/** The stage of a generation that a replica serves. */
 public enum Stage {
-    /** Reads prompts and keeps their memory until a decode replica fetches it. */
+    /** Reads prompts (prefill) and keeps their KV cache until a decode replica fetches it. */
     PREFILL,
-    /** Makes tokens, and reads short prompts itself. */
+    /** Generates tokens (decode), and prefills short prompts itself. */
     DECODE,
     /** The replica belongs to a service without an engine. */
     NONE;
--- a/model/src/main/java/pinewick/model/package-info.java
+++ b/model/src/main/java/pinewick/model/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The documents that the whole fleet shares: the operator's configuration, the records of replicas, and the checks
- * that refuse a wrong one. No I/O, no threads.
+ * The documents that the complete fleet shares: the operator's configuration ({@link
+ * pinewick.model.ConfigurationDocument}, validated by {@link pinewick.model.ConfigurationChecks}), its typed view {@link
+ * pinewick.model.RoutingTable}, the records of replicas and the settings of a process. Immutable; no I/O, no threads.
  */
 package pinewick.model;
--- a/model/src/test/java/pinewick/model/ConfigurationDeltaPropertyTest.java
+++ b/model/src/test/java/pinewick/model/ConfigurationDeltaPropertyTest.java
@@ -40,7 +40,7 @@
         ConfigurationDelta delta = ConfigurationDelta.between(ConfigurationDocument.EMPTY, to);
         ConfigurationDelta read = ConfigurationChecks.readDelta(ConfigurationChecks.writeDelta(delta));
 
-        assertEquals(ConfigurationDelta.WHOLE, read.baseVersion());
+        assertEquals(ConfigurationDelta.FULL_DOCUMENT, read.baseVersion());
         assertEquals(to, read.applyTo(ConfigurationDocument.EMPTY));
     }
 
--- a/model/src/test/java/pinewick/model/ReplacementTest.java
+++ b/model/src/test/java/pinewick/model/ReplacementTest.java
@@ -16,7 +16,7 @@
         assertEquals(
                 List.of(new Route.WeightedService("s-1", 90), new Route.WeightedService("s-2", 10)), route.split());
         assertEquals(RouteKind.STREAMING, route.kind());
-        assertTrue(route.repeatable());
+        assertTrue(route.isRetriable());
         assertEquals(
                 new EngineSpec(24, 610_342, 18_432, 180_000, 10, 5, 3.6),
                 table.service("s-1").orElseThrow().engine().orElseThrow());
--- a/replication/src/test/java/pinewick/replication/FailoverTest.java
+++ b/replication/src/test/java/pinewick/replication/FailoverTest.java
@@ -69,7 +69,7 @@
 
     private static void disk(World world, Machine machine, SimulatedDisk.Mode mode, double forMs) {
         machine.disk.mode = mode;
-        world.after(forMs, () -> machine.disk.mode = SimulatedDisk.Mode.GOOD);
+        world.after(forMs, () -> machine.disk.mode = SimulatedDisk.Mode.HEALTHY);
     }
 
     private static void cut(World world, Machine machine, boolean inbound, boolean outbound, double forMs) {
--- a/replication/src/test/java/pinewick/replication/FaultPlan.java
+++ b/replication/src/test/java/pinewick/replication/FaultPlan.java
@@ -201,7 +201,7 @@
         machine.disk.mode = mode;
         world.after(forMs, () -> {
             world.note(machine + " disk good");
-            machine.disk.mode = SimulatedDisk.Mode.GOOD;
+            machine.disk.mode = SimulatedDisk.Mode.HEALTHY;
         });
     }
 
@@ -294,7 +294,7 @@
         world.note("all troubles end");
         world.joinAll();
         for (Machine machine : present()) {
-            machine.disk.mode = SimulatedDisk.Mode.GOOD;
+            machine.disk.mode = SimulatedDisk.Mode.HEALTHY;
             machine.thaw();
             machine.start(false);
         }
--- a/replication/src/test/java/pinewick/replication/RepairTest.java
+++ b/replication/src/test/java/pinewick/replication/RepairTest.java
@@ -248,7 +248,7 @@
             leaving.leave();
             world.runUntil(world.nowMs() + DOWN_MS);
             assertFalse(leaving.node().isDetached(), "there would be one copy only");
-            slow.disk.mode = SimulatedDisk.Mode.GOOD;
+            slow.disk.mode = SimulatedDisk.Mode.HEALTHY;
             double ms = world.runUntil(() -> leaving.node().isDetached(), GIVEN_UP_MS);
             assertTrue(ms < DOWN_MS + 2 * SOON_MS, "took " + ms);
         }
--- a/replication/src/test/java/pinewick/replication/SimulatedDisk.java
+++ b/replication/src/test/java/pinewick/replication/SimulatedDisk.java
@@ -8,13 +8,13 @@
 final class SimulatedDisk {
     /** How a disk behaves at present. */
     enum Mode {
-        GOOD,
+        HEALTHY,
         SLOW,
         STALLED,
         FULL
     }
 
-    Mode mode = Mode.GOOD;
+    Mode mode = Mode.HEALTHY;
     double slowMs;
     private StoredHead head;
     private StoredSnapshot snapshot;
--- a/selection/src/main/java/pinewick/selection/ReplicaSelector.java
+++ b/selection/src/main/java/pinewick/selection/ReplicaSelector.java
@@ -151,7 +151,7 @@
         prefills.clear();
         decodes.clear();
         for (ReplicaRecord each : candidates) {
-            if (!each.takesRequests() || excluded.contains(each.instanceId()) || !holdsModel(each, request)) {
+            if (!each.acceptsRequests() || excluded.contains(each.instanceId()) || !holdsModel(each, request)) {
                 continue;
             }
             ReplicaMeasurements measured = measurements(each);
--- a/system/src/main/java/pinewick/system/Commands.java
+++ b/system/src/main/java/pinewick/system/Commands.java
@@ -57,10 +57,10 @@
             spec.commandLine()
                     .getOut()
                     .println("settings of " + settings.nodeName() + " in " + settings.zone() + " are sound");
-            return ProgramRunner.DONE;
+            return ProgramRunner.EXIT_OK;
         } catch (InvalidSettingsException e) {
             e.faults().forEach(spec.commandLine().getErr()::println);
-            return ProgramRunner.MISUSED;
+            return ProgramRunner.EXIT_USAGE;
         }
     }
 
@@ -72,13 +72,13 @@
                     .getOut()
                     .println("configuration " + document.version() + " is sound: " + count(document, "routes")
                             + " routes, " + count(document, "services") + " services");
-            return ProgramRunner.DONE;
+            return ProgramRunner.EXIT_OK;
         } catch (InvalidConfigurationException e) {
             e.faults().forEach(spec.commandLine().getErr()::println);
-            return ProgramRunner.MISUSED;
+            return ProgramRunner.EXIT_USAGE;
         } catch (IOException e) {
             spec.commandLine().getErr().println(file + " can't be read: " + e + "; name a readable file");
-            return ProgramRunner.MISUSED;
+            return ProgramRunner.EXIT_USAGE;
         }
     }
 
@@ -97,28 +97,28 @@
             throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage());
         }
         try {
-            HttpCall.Answer answer = HttpCall.get(process, "/status").send();
+            HttpCall.Response answer = HttpCall.get(process, "/status").send();
             if (answer.status() == HttpURLConnection.HTTP_NOT_FOUND) {
                 answer = HttpCall.get(process, "/ready").send();
             }
             spec.commandLine().getOut().println(answer.status() + " " + answer.body());
-            return answer.status() == HttpURLConnection.HTTP_OK ? ProgramRunner.DONE : ProgramRunner.FAILED;
+            return answer.status() == HttpURLConnection.HTTP_OK ? ProgramRunner.EXIT_OK : ProgramRunner.EXIT_FAILED;
         } catch (IOException e) {
             spec.commandLine().getErr().println(address + " does not answer: " + e);
-            return ProgramRunner.FAILED;
+            return ProgramRunner.EXIT_FAILED;
         }
     }
 
     @Command(name = "version", description = "Tells the version.")
     int version() {
         spec.commandLine().getOut().println(new ManifestVersion().getVersion()[0]);
-        return ProgramRunner.DONE;
+        return ProgramRunner.EXIT_OK;
     }
 
     @Command(name = "rehearse", hidden = true, description = "Plays a short life of both programs.")
     int rehearse(@Option(names = "--strict", description = "fail if a step of it fails") boolean strict) {
-        int code = new Rehearsal().run();
-        return strict ? code : ProgramRunner.DONE;
+        int code = new TrainingRun().run();
+        return strict ? code : ProgramRunner.EXIT_OK;
     }
 
     /** The version in the jar's manifest. */
--- a/system/src/main/java/pinewick/system/StandInReplica.java
+++ b/system/src/main/java/pinewick/system/FakeReplica.java
@@ -14,22 +14,22 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Answers as a replica would, for the rehearsal: one request a connection at a time, health and load reports, prompts
- * that are read, streams of two events, and plain bodies.
+ * Answers like a replica, for the {@link TrainingRun}: health and load reports, prefill, streams of two events, and
+ * plain bodies; one request per connection at a time.
  */
-final class StandInReplica implements Closeable {
+final class FakeReplica implements Closeable {
     private static final String SIGNATURE = "X-Pinewick-Server-Signature: rehearsal\r\n";
-    private static final int MOST_CONNECTIONS_WAITING = 50;
+    private static final int MAX_BACKLOG = 50;
 
     private final String instanceId;
     private final String stage;
     private final ServerSocket server;
 
-    /** @param stage the part it serves, empty for a plain service */
-    StandInReplica(String instanceId, String stage, InetAddress host) throws IOException {
+    /** @param stage the stage that it serves, empty for a plain service */
+    FakeReplica(String instanceId, String stage, InetAddress host) throws IOException {
         this.instanceId = instanceId;
         this.stage = stage;
-        this.server = new ServerSocket(0, MOST_CONNECTIONS_WAITING, host);
+        this.server = new ServerSocket(0, MAX_BACKLOG, host);
         startThread(this::acceptAll);
     }
 
@@ -63,7 +63,7 @@
                 startThread(() -> serve(socket));
             }
         } catch (IOException e) {
-            // Closed: the rehearsal is over.
+            // Closed: the training run has ended.
         }
     }
 
@@ -74,39 +74,39 @@
             while (!requestLine.isEmpty()) {
                 Map<String, String> headers = readHeaders(input);
                 input.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-                socket.getOutputStream().write(answer(requestLine, headers).getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream().write(responseTo(requestLine, headers).getBytes(StandardCharsets.ISO_8859_1));
                 requestLine = readLine(input);
             }
         } catch (IOException | NumberFormatException e) {
-            // The caller has gone, or is not one that this stand-in understands.
+            // The caller has closed the connection, or sent what this fake does not understand.
         }
     }
 
-    private String answer(String requestLine, Map<String, String> headers) {
+    private String responseTo(String requestLine, Map<String, String> headers) {
         String id = "X-Pinewick-Request-Id: " + headers.getOrDefault("x-pinewick-request-id", "") + "\r\n";
         if (requestLine.startsWith("GET /report ")) {
-            return whole(
+            return fullResponse(
                     "",
                     "{\"stage\":\"" + stage + "\",\"models\":[{\"name\":\"m\",\"version\":1,\"adapters\":[]}],"
                             + "\"busy\":false,\"call_sequence\":0,\"waiting\":0,\"running\":0,\"kv_used\":0,"
                             + "\"kv_total\":90000,\"prefill_handles\":0}");
         }
         if (requestLine.startsWith("GET /health ")) {
-            return whole("X-Pinewick-Instance-Id: " + instanceId + "\r\n", "");
+            return fullResponse("X-Pinewick-Instance-Id: " + instanceId + "\r\n", "");
         }
         if (requestLine.startsWith("DELETE /kv-handle/") || requestLine.startsWith("POST /order ")) {
-            return whole("", "");
+            return fullResponse("", "");
         }
         if (headers.containsKey("x-pinewick-serving-stage")) {
-            return whole(id + SIGNATURE, "{\"prefill_handle\":\"1\",\"tokens\":30,\"version\":1}");
+            return fullResponse(id + SIGNATURE, "{\"prefill_handle\":\"1\",\"tokens\":30,\"version\":1}");
         }
         if (headers.containsKey("x-pinewick-model")) {
             return stream(id);
         }
-        return whole(id + SIGNATURE, "plain");
+        return fullResponse(id + SIGNATURE, "plain");
     }
 
-    private static String whole(String headers, String body) {
+    private static String fullResponse(String headers, String body) {
         return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
--- a/system/src/main/java/pinewick/system/HttpCall.java
+++ b/system/src/main/java/pinewick/system/HttpCall.java
@@ -9,28 +9,28 @@
 import java.util.Map;
 import pinewick.model.SocketAddress;
 
-/** One HTTP call of the tools, on a connection of its own. */
+/** One HTTP request of the command-line tools, on a connection of its own. */
 record HttpCall(SocketAddress address, String method, String path, Map<String, String> headers, String body) {
-    private static final int CONNECT_TIME_OUT_MS = 1_000;
-    private static final int READ_TIME_OUT_MS = 5_000;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int READ_TIMEOUT_MS = 5_000;
 
     /** A status and a body. */
-    record Answer(int status, String body) {}
+    record Response(int status, String body) {}
 
     static HttpCall get(SocketAddress address, String path) {
         return new HttpCall(address, "GET", path, Map.of(), "");
     }
 
     /**
-     * Sends the call and reads the whole answer.
+     * Sends the request and reads the complete response.
      *
-     * @throws IOException if there is no connection, or no whole answer in time
+     * @throws IOException if there is no connection, or no complete response in time
      */
-    Answer send() throws IOException {
+    Response send() throws IOException {
         URL url = new URL("http", address.host(), address.port(), path);
         HttpURLConnection connection = (HttpURLConnection) url.openConnection();
-        connection.setConnectTimeout(CONNECT_TIME_OUT_MS);
-        connection.setReadTimeout(READ_TIME_OUT_MS);
+        connection.setConnectTimeout(CONNECT_TIMEOUT_MS);
+        connection.setReadTimeout(READ_TIMEOUT_MS);
         connection.setRequestMethod(method);
         connection.setRequestProperty("Connection", "close");
         headers.forEach(connection::setRequestProperty);
@@ -41,7 +41,8 @@
         try (InputStream stream = status < HttpURLConnection.HTTP_BAD_REQUEST
                 ? connection.getInputStream()
                 : connection.getErrorStream()) {
-            return new Answer(status, stream == null ? "" : new String(stream.readAllBytes(), StandardCharsets.UTF_8));
+            return new Response(
+                    status, stream == null ? "" : new String(stream.readAllBytes(), StandardCharsets.UTF_8));
         }
     }
 
--- a/system/src/main/java/pinewick/system/InvalidSettingsException.java
+++ b/system/src/main/java/pinewick/system/InvalidSettingsException.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A settings file that a program can't start with, with every fault that was found. */
+/**
+ * A settings file with which a program cannot start, with every fault that was found, so that an operator can correct
+ * all of them at once.
+ */
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<SettingsFault> faults;
--- a/system/src/main/java/pinewick/system/LogLine.java
+++ b/system/src/main/java/pinewick/system/LogLineFormatter.java
@@ -5,17 +5,17 @@
 import java.util.logging.LogRecord;
 
 /**
- * One line a record: the time of day (UTC), the level's first letter, the class, the message, and for an exception
- * its chain of causes with the place where the last one arose.
+ * One line per record: the time of day (UTC), the level's first letter, the class, the message, and for an exception
+ * its chain of causes with the stack frame where the last one occurred.
  */
-final class LogLine extends Formatter {
-    private static final long MILLIS_A_DAY = 86_400_000L;
-    private static final int LONGEST_CHAIN = 6;
+final class LogLineFormatter extends Formatter {
+    private static final long MILLIS_PER_DAY = 86_400_000L;
+    private static final int MAX_CAUSES = 6;
 
     @Override
     public String format(LogRecord record) {
         StringBuilder line = new StringBuilder(160);
-        appendTime(line, Math.floorMod(record.getMillis(), MILLIS_A_DAY));
+        appendTime(line, Math.floorMod(record.getMillis(), MILLIS_PER_DAY));
         line.append(' ').append(letter(record.getLevel())).append(' ');
         String name = String.valueOf(record.getLoggerName());
         line.append(name, name.lastIndexOf('.') + 1, name.length()).append(": ");
@@ -33,8 +33,8 @@
         appendDigits(line, millisOfDay % 1_000, 3, '.');
     }
 
-    private static void appendDigits(StringBuilder line, long value, int digits, char before) {
-        appendDigits(line.append(before), value, digits);
+    private static void appendDigits(StringBuilder line, long value, int digits, char prefix) {
+        appendDigits(line.append(prefix), value, digits);
     }
 
     private static void appendDigits(StringBuilder line, long value, int digits) {
@@ -52,7 +52,7 @@
     private static void appendChain(StringBuilder line, Throwable thrown) {
         Throwable last = thrown;
         Throwable cause = thrown;
-        for (int length = 0; cause != null && length < LONGEST_CHAIN; length++) {
+        for (int length = 0; cause != null && length < MAX_CAUSES; length++) {
             appendOnOneLine(line.append(" | "), cause.toString());
             last = cause;
             cause = cause.getCause();
--- a/system/src/main/java/pinewick/system/LogSetup.java
+++ b/system/src/main/java/pinewick/system/LoggingSetup.java
@@ -12,16 +12,15 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Sends the log to standard output, a line and a write a record. */
-final class LogSetup {
+/** Sends the log to standard output, one line and one write per record. */
+final class LoggingSetup {
     /**
-     * Libraries that tell much of their ordinary life. Held here, because the log manager forgets loggers nobody
-     * holds.
+     * Libraries with verbose logs. Referenced here, because the log manager forgets loggers without a strong reference.
      */
     private static final List<Logger> LIBRARIES =
             List.of(Logger.getLogger("org.eclipse.jetty"), Logger.getLogger("jetbrains.exodus"));
 
-    private LogSetup() {}
+    private LoggingSetup() {}
 
     /** Replaces whatever handlers there are. */
     static void install() {
@@ -37,7 +36,7 @@
     /** Writes each record as a line of its own. */
     static final class LineHandler extends Handler {
         private final OutputStream output;
-        private final LogLine line = new LogLine();
+        private final LogLineFormatter line = new LogLineFormatter();
 
         LineHandler(OutputStream output) {
             this.output = output;
@@ -48,13 +47,13 @@
             try {
                 output.write(line.format(record).getBytes(StandardCharsets.UTF_8));
             } catch (IOException e) {
-                // Standard output is gone; there is nobody left to tell.
+                // Standard output is closed; there is nowhere to report it.
             }
         }
 
         @Override
         public void flush() {
-            // Nothing is kept back.
+            // Nothing is buffered.
         }
 
         @Override
--- a/system/src/main/java/pinewick/system/Main.java
+++ b/system/src/main/java/pinewick/system/Main.java
@@ -1,6 +1,6 @@
 package pinewick.system;
 
-/** Where the programs start. */
+/** The entry point of both programs. */
 public final class Main {
     private Main() {}
 
@@ -9,7 +9,7 @@
         System.exit(run(words));
     }
 
-    /** What machines start goes round the parser of the command line, which is slow to load. */
+    /** The commands of the deploy file bypass the command-line parser, which is slow to load. */
     private static int run(String[] words) {
         String command = words.length == 1 ? words[0] : "";
         return switch (command) {
@@ -20,9 +20,9 @@
         };
     }
 
-    /** Whatever comes of it, the build goes on: the archive only makes the start quicker. */
+    /** The build continues even if it fails: the archive only makes the start faster. */
     private static int rehearse() {
-        new Rehearsal().run();
-        return ProgramRunner.DONE;
+        new TrainingRun().run();
+        return ProgramRunner.EXIT_OK;
     }
 }
--- a/system/src/main/java/pinewick/system/ProcessEvent.java
+++ b/system/src/main/java/pinewick/system/ProcessEvent.java
@@ -1,6 +1,6 @@
 package pinewick.system;
 
-/** What the platform asks of a running process. */
+/** Requests of the platform to a running process. */
 enum ProcessEvent {
     /** The settings file has changed (SIGHUP). */
     REREAD_SETTINGS,
--- a/system/src/main/java/pinewick/system/Program.java
+++ b/system/src/main/java/pinewick/system/Program.java
@@ -6,18 +6,18 @@
 import pinewick.model.NodeSettings;
 import pinewick.model.SocketAddress;
 
-/** What the command line needs of the two programs. */
+/** The two programs as the command line runs them. */
 interface Program {
     /** Starts serving. */
     void start() throws Exception;
 
-    /** Ends what is under way within the grace period, and returns when all has stopped. */
+    /** Completes requests in flight within the grace period, and returns when everything has stopped. */
     void stop() throws Exception;
 
-    /** Takes note of other seeds. */
+    /** The seeds have changed. */
     void updateSeeds(List<SocketAddress> seeds);
 
-    /** Makes a program of its settings. */
+    /** Creates a program from its settings. */
     @FunctionalInterface
     interface Factory {
         Program create(NodeSettings settings);
@@ -36,7 +36,7 @@
             this.factory = factory;
         }
 
-        /** What it serves, by the name in the settings. */
+        /** The interface that it serves, by its name in the settings. */
         String service() {
             return service;
         }
--- a/system/src/main/java/pinewick/system/ProgramRunner.java
+++ b/system/src/main/java/pinewick/system/ProgramRunner.java
@@ -9,20 +9,17 @@
 import pinewick.model.NodeSettings;
 import sun.misc.Signal;
 
-/**
- * Runs one program from its settings file until SIGTERM. The thread that calls it waits for signals and watches the
- * file.
- */
+/** Runs one program with its settings file until SIGTERM. The calling thread waits for signals and watches the file. */
 final class ProgramRunner {
-    /** Everything went as asked. */
-    static final int DONE = 0;
-    /** The program could not start or stop as it should. */
-    static final int FAILED = 1;
-    /** The settings or the command line are wrong. */
-    static final int MISUSED = 2;
+    /** Success. */
+    static final int EXIT_OK = 0;
+    /** The program could not start or stop properly. */
+    static final int EXIT_FAILED = 1;
+    /** The settings or the command line are invalid. */
+    static final int EXIT_USAGE = 2;
 
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final long SETTINGS_POLL_SECONDS = 1;
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+    private static final long SETTINGS_POLL_INTERVAL_SECONDS = 1;
 
     private final Path settingsFile;
     private final String service;
@@ -31,9 +28,9 @@
 
     /**
      * @param settingsFile read once at the start, and watched
-     * @param service what the program serves; settings that do not name it are refused
-     * @param factory makes the program
-     * @param events what the platform asks
+     * @param service the interface that the program serves; settings that do not name it are rejected
+     * @param factory creates the program
+     * @param events requests of the platform
      */
     ProgramRunner(Path settingsFile, String service, Program.Factory factory, BlockingQueue<ProcessEvent> events) {
         this.settingsFile = settingsFile;
@@ -44,7 +41,7 @@
 
     /** Runs a program with the settings file of the environment, and returns its exit code. */
     static int run(Program.Kind kind) {
-        LogSetup.install();
+        LoggingSetup.install();
         BlockingQueue<ProcessEvent> events = new LinkedBlockingQueue<>();
         Signal.handle(new Signal("TERM"), signal -> events.add(ProcessEvent.STOP));
         Signal.handle(new Signal("INT"), signal -> events.add(ProcessEvent.STOP));
@@ -60,32 +57,32 @@
             requireService(settings);
         } catch (InvalidSettingsException e) {
             e.faults().forEach(System.err::println);
-            return MISUSED;
+            return EXIT_USAGE;
         }
         try {
             Program program = factory.create(settings);
             program.start();
-            logger.atInfo().log("started as %s on %s", settings.role(), settings.nodeName());
-            waitForEnd(new SettingsWatcher(settingsFile, settings, program::updateSeeds));
+            LOGGER.atInfo().log("process started: role %s on node %s", settings.role(), settings.nodeName());
+            awaitShutdown(new SettingsWatcher(settingsFile, settings, program::updateSeeds));
             program.stop();
-            logger.atInfo().log("stopped");
-            return DONE;
+            LOGGER.atInfo().log("process stopped");
+            return EXIT_OK;
         } catch (Exception e) {
-            logger.atSevere().withCause(e).log("%s ends", settings.nodeName());
-            return FAILED;
+            LOGGER.atSevere().withCause(e).log("process ends with an error: node %s", settings.nodeName());
+            return EXIT_FAILED;
         }
     }
 
     private void requireService(NodeSettings settings) throws InvalidSettingsException {
         if (!settings.serves().contains(service)) {
-            String sentence = "does not name " + service + "; start this program in a role that serves it";
-            throw new InvalidSettingsException(List.of(new SettingsFault("serves", sentence)));
+            String reason = "does not name " + service + "; start this program in a role that serves it";
+            throw new InvalidSettingsException(List.of(new SettingsFault("serves", reason)));
         }
     }
 
-    private void waitForEnd(SettingsWatcher watcher) throws InterruptedException {
+    private void awaitShutdown(SettingsWatcher watcher) throws InterruptedException {
         while (true) {
-            ProcessEvent event = events.poll(SETTINGS_POLL_SECONDS, TimeUnit.SECONDS);
+            ProcessEvent event = events.poll(SETTINGS_POLL_INTERVAL_SECONDS, TimeUnit.SECONDS);
             if (event == ProcessEvent.STOP) {
                 return;
             }
--- a/system/src/main/java/pinewick/system/SettingsReader.java
+++ b/system/src/main/java/pinewick/system/SettingsReader.java
@@ -9,23 +9,24 @@
 import java.util.Optional;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
+import pinewick.model.Ipv4Address;
 import pinewick.model.NodeSettings;
 import pinewick.model.NodeSettings.Bounds;
 import pinewick.model.NodeSettings.MachineLimits;
 import pinewick.model.SocketAddress;
 
 /**
- * Reads and checks the settings file of a process. Fields that are not known are ignored; figures of rules that are
- * not in force may be absent and take defaults.
+ * Reads and validates the settings file of a process. Unknown fields are ignored; values of rules that are not in force
+ * may be absent and have defaults.
  */
 public final class SettingsReader {
-    /** Names the settings file. */
+    /** The environment variable that names the settings file. */
     public static final String PATH_VARIABLE = "PINEWICK_CONFIG";
-    /** Where the settings file is unless the variable says otherwise. */
+    /** The path of the settings file unless the variable is set. */
     public static final Path DEFAULT_PATH = Path.of("/etc/pinewick/node.toml");
 
-    private static final int HIGHEST_PORT = 65_535;
-    private static final int INTERNAL_PORTS_NEEDED = 2;
+    private static final int MAX_PORT = 65_535;
+    private static final int MIN_INTERNAL_PORTS = 2;
     private static final int DEFAULT_HEARTBEAT_MS = 1_000;
     private static final MachineLimits DEFAULT_LIMITS = new MachineLimits(1, 1, 256, 1_024, 1_000, 0);
     private static final Bounds DEFAULT_BOUNDS =
@@ -48,16 +49,16 @@
         try {
             return parse(Files.readString(file), file.toString());
         } catch (IOException e) {
-            String sentence = "can't be read: " + e + "; name a readable file in " + PATH_VARIABLE;
-            throw new InvalidSettingsException(List.of(new SettingsFault(file.toString(), sentence)));
+            String reason = "can't be read: " + e + "; name a readable file in " + PATH_VARIABLE;
+            throw new InvalidSettingsException(List.of(new SettingsFault(file.toString(), reason)));
         }
     }
 
     /**
-     * Checks the text of a settings file.
+     * Validates the text of a settings file.
      *
      * @param text the text
-     * @param source where it comes from, for the faults
+     * @param source its origin, for the faults
      * @throws InvalidSettingsException with every fault
      */
     public static NodeSettings parse(String text, String source) throws InvalidSettingsException {
@@ -77,7 +78,7 @@
 
     private static NodeSettings settings(TomlFields root) {
         List<String> serves = root.texts("serves");
-        int[] ports = internalPorts(root);
+        PortRange ports = internalPorts(root);
         TomlFields listen = root.table("listen_addresses");
         Map<String, String> zones = root.table("zones").textsByKey();
         String zone = root.requiredText("zone", "name the zone of this machine");
@@ -88,44 +89,47 @@
                 ipAddress(root),
                 zone,
                 root.text("region", zones.getOrDefault(zone, "")),
-                ports[0],
-                ports[1],
+                ports.first,
+                ports.last,
                 seedNodes(root),
                 root.flag("first_start", false),
                 root.flag("counts_for_quorum", false),
                 dataDirectory(root),
-                root.wholeNumber("heartbeat_ms", DEFAULT_HEARTBEAT_MS),
+                root.intNumber("heartbeat_ms", DEFAULT_HEARTBEAT_MS),
                 zones,
                 listenAddress(listen, "frontend", serves.contains("frontend")),
                 listenAddress(listen, "readiness", serves.contains("frontend")),
                 listenAddress(listen, "control_plane", serves.contains("control_plane")),
                 limits(root.table("limits")),
-                root.table("fault_tolerance").wholeNumber("machines", 0),
+                root.table("fault_tolerance").intNumber("machines", 0),
                 bounds(root.table("bounds")));
     }
 
-    private static int[] internalPorts(TomlFields root) {
+    /** The ports of a range, both ends included. */
+    private record PortRange(int first, int last) {}
+
+    private static PortRange internalPorts(TomlFields root) {
         String key = "internal_port_range";
         List<Object> range = root.list(key).orElse(List.of());
         if (range.size() == 2
                 && range.get(0) instanceof Long first
                 && range.get(1) instanceof Long last
                 && first > 0
-                && last <= HIGHEST_PORT
-                && last - first + 1 >= INTERNAL_PORTS_NEEDED) {
-            return new int[] {first.intValue(), last.intValue()};
+                && last <= MAX_PORT
+                && last - first + 1 >= MIN_INTERNAL_PORTS) {
+            return new PortRange(first.intValue(), last.intValue());
         }
         root.fault(
                 key,
-                "is " + root.written(key) + "; give the first and the last of at least " + INTERNAL_PORTS_NEEDED
+                "is " + root.written(key) + "; give the first and the last of at least " + MIN_INTERNAL_PORTS
                         + " free ports, as [7720,7735]");
-        return new int[2];
+        return new PortRange(0, 0);
     }
 
     private static String ipAddress(TomlFields root) {
         String remedy = "give this machine's IPv4 address";
         String address = root.requiredText("ip_address", remedy);
-        if (!address.isEmpty() && !Ipv4Text.isAddress(address)) {
+        if (!address.isEmpty() && !Ipv4Address.isLiteral(address)) {
             root.fault("ip_address", "is '" + address + "'; " + remedy);
         }
         return address;
@@ -155,34 +159,34 @@
     private static MachineLimits limits(TomlFields limits) {
         return new MachineLimits(
                 limits.number("cpu_share", DEFAULT_LIMITS.cpuShare()),
-                limits.wholeNumber("cpu_cores", DEFAULT_LIMITS.cpuCores()),
-                limits.wholeNumber("memory_mb", DEFAULT_LIMITS.memoryMb()),
-                limits.wholeNumber("file_descriptors", DEFAULT_LIMITS.fileDescriptors()),
+                limits.intNumber("cpu_cores", DEFAULT_LIMITS.cpuCores()),
+                limits.intNumber("memory_mb", DEFAULT_LIMITS.memoryMb()),
+                limits.intNumber("file_descriptors", DEFAULT_LIMITS.fileDescriptors()),
                 limits.number("link_bandwidth_mbps", DEFAULT_LIMITS.linkBandwidthMbps()),
-                limits.wholeNumber("disk_mb", DEFAULT_LIMITS.diskMb()));
+                limits.intNumber("disk_mb", DEFAULT_LIMITS.diskMb()));
     }
 
     private static Bounds bounds(TomlFields bounds) {
-        Bounds standard = DEFAULT_BOUNDS;
+        Bounds defaults = DEFAULT_BOUNDS;
         return new Bounds(
-                bounds.number("seed_lag_s", standard.seedLagSeconds()),
-                bounds.number("address_reuse_s", standard.addressReuseSeconds()),
-                bounds.wholeNumber("contact_ms", standard.contactMs()),
-                bounds.wholeNumber("ack_ms", standard.ackMs()),
-                bounds.number("catch_up_s", standard.catchUpSeconds()),
-                bounds.wholeNumber("drain_ms", standard.drainMs()),
-                bounds.number("grace_period_s", standard.gracePeriodSeconds()),
-                bounds.wholeNumber("loss_slack_ms", standard.lossSlackMs()),
-                bounds.wholeNumber("config_apply_ms", standard.configApplyMs()),
-                bounds.wholeNumber("rollback_slack_ms", standard.rollbackSlackMs()),
-                bounds.number("retry_budget_ratio", standard.retryBudgetRatio()),
-                bounds.number("budget_window_s", standard.budgetWindowSeconds()),
-                bounds.number("retry_budget_slack", standard.retryBudgetSlack()),
-                bounds.number("recovery_s", standard.recoverySeconds()),
-                bounds.wholeNumber("transit_ms", standard.transitMs()),
-                bounds.number("again_s", standard.againSeconds()),
-                bounds.flag("fencing_enabled", standard.fencingEnabled()),
-                bounds.wholeNumber("lease_ms", standard.leaseMs()),
-                bounds.wholeNumber("thaw_slack_ms", standard.thawSlackMs()));
+                bounds.number("seed_lag_s", defaults.seedLagSeconds()),
+                bounds.number("address_reuse_s", defaults.addressReuseSeconds()),
+                bounds.intNumber("contact_ms", defaults.contactMs()),
+                bounds.intNumber("ack_ms", defaults.ackMs()),
+                bounds.number("catch_up_s", defaults.catchUpSeconds()),
+                bounds.intNumber("drain_ms", defaults.drainMs()),
+                bounds.number("grace_period_s", defaults.gracePeriodSeconds()),
+                bounds.intNumber("loss_slack_ms", defaults.lossSlackMs()),
+                bounds.intNumber("config_apply_ms", defaults.configApplyMs()),
+                bounds.intNumber("rollback_slack_ms", defaults.rollbackSlackMs()),
+                bounds.number("retry_budget_ratio", defaults.retryBudgetRatio()),
+                bounds.number("budget_window_s", defaults.budgetWindowSeconds()),
+                bounds.number("retry_budget_slack", defaults.retryBudgetSlack()),
+                bounds.number("recovery_s", defaults.recoverySeconds()),
+                bounds.intNumber("transit_ms", defaults.transitMs()),
+                bounds.number("again_s", defaults.againSeconds()),
+                bounds.flag("fencing_enabled", defaults.fencingEnabled()),
+                bounds.intNumber("lease_ms", defaults.leaseMs()),
+                bounds.intNumber("thaw_slack_ms", defaults.thawSlackMs()));
     }
 }
--- a/system/src/main/java/pinewick/system/SettingsWatcher.java
+++ b/system/src/main/java/pinewick/system/SettingsWatcher.java
@@ -10,28 +10,27 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Notices that the settings file has changed and hands over the seeds of the new one. The file's time and size are
- * looked at on each poll; every few polls, and after a signal, the file itself is read, because a time may be too
- * coarse to tell two writes apart. A file that is faulty is told of once and left unheeded: the process goes on with
- * what it has.
+ * Detects changes of the settings file and passes on its seeds. The file's time and size are checked on each poll;
+ * every few polls, and after a signal, the file itself is read, because a time may be too coarse to distinguish two
+ * writes. An invalid file is logged once and ignored: the current settings stay in force. Used by one thread.
  */
 final class SettingsWatcher {
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** Polls from one reading of the file to the next, whatever its time says. */
-    private static final int POLLS_BETWEEN_READINGS = 15;
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+    /** After this many polls the file is read, even if its time has not changed. */
+    private static final int MAX_POLLS_BETWEEN_READS = 15;
 
     private final Path file;
     private final Consumer<List<SocketAddress>> onSeeds;
     private List<SocketAddress> seeds;
-    private String stamp = "";
-    private String text = "";
-    private int pollsSinceReading;
+    private String lastStamp = "";
+    private String lastText = "";
+    private int pollsSinceRead;
     private boolean unreadable;
 
     /**
      * @param file the settings file
-     * @param current what the process has started with
-     * @param onSeeds told of seeds that differ from the last ones, on the thread that polls
+     * @param current the settings with which the process has started
+     * @param onSeeds receives seeds that differ from the last ones, on the polling thread
      */
     SettingsWatcher(Path file, NodeSettings current, Consumer<List<SocketAddress>> onSeeds) {
         this.file = file;
@@ -39,40 +38,40 @@
         this.onSeeds = onSeeds;
     }
 
-    /** Looks whether the file has changed. To be called about once a second. */
+    /** Checks whether the file has changed. To be called about once a second. */
     void poll() {
-        pollsSinceReading++;
+        pollsSinceRead++;
         String now = currentStamp();
-        if (!now.equals(stamp) || pollsSinceReading >= POLLS_BETWEEN_READINGS) {
-            stamp = now;
+        if (!now.equals(lastStamp) || pollsSinceRead >= MAX_POLLS_BETWEEN_READS) {
+            lastStamp = now;
             reread();
         }
     }
 
-    /** Reads the file, whatever its time says. */
+    /** Reads the file, even if its time has not changed. */
     void reread() {
-        pollsSinceReading = 0;
+        pollsSinceRead = 0;
         try {
             String now = Files.readString(file);
             unreadable = false;
-            if (!now.equals(text)) {
-                text = now;
-                handOver(SettingsReader.parse(now, file.toString()));
+            if (!now.equals(lastText)) {
+                lastText = now;
+                notifyIfSeedsChanged(SettingsReader.parse(now, file.toString()));
             }
         } catch (IOException e) {
             if (!unreadable) {
-                logger.atWarning().log("settings file can't be read again, going on with the last: %s", e);
+                LOGGER.atWarning().log("settings file unreadable, the current settings stay in force: %s", e);
             }
             unreadable = true;
         } catch (InvalidSettingsException e) {
-            logger.atWarning().log("changed settings file is faulty, going on with the last: %s", e.faults());
+            LOGGER.atWarning().log("settings file invalid, the current settings stay in force: %s", e.faults());
         }
     }
 
-    private void handOver(NodeSettings settings) {
+    private void notifyIfSeedsChanged(NodeSettings settings) {
         if (!settings.seedNodes().equals(seeds)) {
             seeds = settings.seedNodes();
-            logger.atInfo().log("seeds are now %s", seeds);
+            LOGGER.atInfo().log("settings changed: seeds are %s", seeds);
             onSeeds.accept(seeds);
         }
     }
--- a/system/src/main/java/pinewick/system/TomlFields.java
+++ b/system/src/main/java/pinewick/system/TomlFields.java
@@ -10,8 +10,8 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Typed access to one table of a settings file. What is missing or of the wrong type becomes a fault and reads as a
- * default, so that all faults are told at once.
+ * Typed access to one table of a settings file. A field that is missing or of the wrong type becomes a fault and reads
+ * as a default, so that all faults are reported at once.
  */
 final class TomlFields {
     private final String path;
@@ -40,7 +40,7 @@
         return new TomlFields(path + key + ".", null, faults);
     }
 
-    /** How the value of a field is written, {@code missing} if it is absent. */
+    /** The text of a field's value, {@code missing} if it is absent. */
     String written(String key) {
         Object value = value(key);
         if (value instanceof TomlArray array) {
@@ -49,8 +49,8 @@
         return value == null ? "missing" : value.toString();
     }
 
-    void fault(String key, String sentence) {
-        faults.add(new SettingsFault(path + key, sentence));
+    void fault(String key, String reason) {
+        faults.add(new SettingsFault(path + key, reason));
     }
 
     boolean has(String key) {
@@ -69,46 +69,46 @@
         return text;
     }
 
-    String text(String key, String byDefault) {
+    String text(String key, String defaultValue) {
         Object value = value(key);
         if (value == null) {
-            return byDefault;
+            return defaultValue;
         }
         if (value instanceof String text) {
             return text;
         }
         fault(key, "is " + value + "; put a text in quotes");
-        return byDefault;
+        return defaultValue;
     }
 
-    boolean flag(String key, boolean byDefault) {
+    boolean flag(String key, boolean defaultValue) {
         Object value = value(key);
         if (value == null) {
-            return byDefault;
+            return defaultValue;
         }
         if (value instanceof Boolean flag) {
             return flag;
         }
         fault(key, "is " + value + "; write true or false");
-        return byDefault;
+        return defaultValue;
     }
 
-    /** A number from 0 up, a fraction rounded to the nearest whole. */
-    int wholeNumber(String key, int byDefault) {
-        return (int) Math.min(Integer.MAX_VALUE, Math.round(number(key, byDefault)));
+    /** A number from 0 up, rounded to the nearest integer. */
+    int intNumber(String key, int defaultValue) {
+        return (int) Math.min(Integer.MAX_VALUE, Math.round(number(key, defaultValue)));
     }
 
     /** A number from 0 up. */
-    double number(String key, double byDefault) {
+    double number(String key, double defaultValue) {
         Object value = value(key);
         if (value == null) {
-            return byDefault;
+            return defaultValue;
         }
         if (value instanceof Number number && Double.isFinite(number.doubleValue()) && number.doubleValue() >= 0) {
             return number.doubleValue();
         }
         fault(key, "is " + value + "; give a number from 0 up");
-        return byDefault;
+        return defaultValue;
     }
 
     List<String> texts(String key) {
--- a/system/src/main/java/pinewick/system/RehearsalStage.java
+++ b/system/src/main/java/pinewick/system/TrainingEnvironment.java
@@ -14,29 +14,29 @@
 import pinewick.model.SocketAddress;
 
 /**
- * What the rehearsal stands on: free ports and stand-in replicas on loopback, a folder, and settings for both
- * programs.
+ * The environment of the {@link TrainingRun}: free ports and fake replicas on loopback, a folder, and settings for both
+ * programs. The owner closes it, which removes the folder.
  */
-final class RehearsalStage implements Closeable {
-    private static final int TRIES_FOR_PORTS = 50;
-    private static final int LOWEST_PAIR = 20_000;
-    private static final int HIGHEST_PAIR = 30_000;
+final class TrainingEnvironment implements Closeable {
+    private static final int MAX_PORT_ATTEMPTS = 50;
+    private static final int MIN_PORT = 20_000;
+    private static final int MAX_PORT = 30_000;
 
     private final InetAddress host = InetAddress.getByName("127.0.0.1");
-    private final int internalPort = freePairOfPorts();
+    private final int internalPort = freePortPair();
     private final SocketAddress frontend = freeAddress();
     private final SocketAddress readiness = freeAddress();
     private final SocketAddress controlPlane = freeAddress();
     private final Path folder;
-    private final List<StandInReplica> replicas;
+    private final List<FakeReplica> replicas;
 
-    /** @param parent where the folder is made, removed again by {@link #close} */
-    RehearsalStage(Path parent) throws IOException {
+    /** @param parent where the folder is created, removed by {@link #close} */
+    TrainingEnvironment(Path parent) throws IOException {
         folder = Files.createTempDirectory(parent, "rehearsal");
         replicas = List.of(
-                new StandInReplica("i-prefill", "prefill", host),
-                new StandInReplica("i-decode", "decode", host),
-                new StandInReplica("i-plain", "", host));
+                new FakeReplica("i-prefill", "prefill", host),
+                new FakeReplica("i-decode", "decode", host),
+                new FakeReplica("i-plain", "", host));
     }
 
     SocketAddress frontend() {
@@ -51,7 +51,7 @@
         return controlPlane;
     }
 
-    List<StandInReplica> replicas() {
+    List<FakeReplica> replicas() {
         return replicas;
     }
 
@@ -83,10 +83,10 @@
         }
     }
 
-    /** Two neighbouring ports, looked for below those that the kernel gives away. */
-    private int freePairOfPorts() throws IOException {
-        for (int tries = 0; tries < TRIES_FOR_PORTS; tries++) {
-            int port = ThreadLocalRandom.current().nextInt(LOWEST_PAIR, HIGHEST_PAIR);
+    /** Two consecutive free ports, below the kernel's ephemeral range. */
+    private int freePortPair() throws IOException {
+        for (int attempts = 0; attempts < MAX_PORT_ATTEMPTS; attempts++) {
+            int port = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
             if (isFree(port) && isFree(port + 1)) {
                 return port;
             }
@@ -104,7 +104,7 @@
 
     @Override
     public void close() throws IOException {
-        for (StandInReplica replica : replicas) {
+        for (FakeReplica replica : replicas) {
             replica.close();
         }
         try (Stream<Path> files = Files.walk(folder)) {
--- a/system/src/main/java/pinewick/system/Rehearsal.java
+++ b/system/src/main/java/pinewick/system/TrainingRun.java
@@ -9,97 +9,108 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Plays a short life of both programs on loopback, so that the classes they use are loaded and the virtual machine
- * writes them to its archive when it ends. Of no use beside the build. A step that fails is logged, and the play goes
- * on without it, which costs the programs some time at their start and nothing else.
+ * Runs both programs on loopback for a short time, so that the classes they use are loaded and the virtual machine
+ * writes them to its class-data-sharing archive at exit ({@code -XX:ArchiveClassesAtExit}). Used by the build only. A
+ * failed step is logged and skipped, which costs the programs some time at their start and nothing else.
  */
-final class Rehearsal {
-    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final long LONGEST_PLAY_SECONDS = 40;
-    private static final int TRIES_A_STEP = 40;
-    private static final long PAUSE_BETWEEN_TRIES_MS = 100;
-    private static final int TRIES_BETWEEN_HEARTBEATS = 8;
-    private static final int REQUESTS_OF_A_KIND = 20;
+final class TrainingRun {
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+    private static final long MAX_DURATION_SECONDS = 40;
+    private static final int MAX_ATTEMPTS_PER_STEP = 40;
+    private static final long RETRY_INTERVAL_MS = 100;
+    private static final int ATTEMPTS_PER_HEARTBEAT = 8;
+    private static final int REQUESTS_PER_KIND = 20;
     private static final int OK = 200;
 
-    private volatile boolean over;
+    private volatile boolean completed;
     private volatile boolean failed;
     private int callSequence;
 
-    /** A condition that comes true after some tries. */
+    /** A condition that becomes true after some attempts. */
     private interface Step {
         boolean succeeds() throws IOException;
     }
 
-    /** Plays, and returns {@link ProgramRunner#DONE}, or {@link ProgramRunner#FAILED} if some step failed. */
+    /**
+     * Runs all steps; returns {@link ProgramRunner#EXIT_OK}, or {@link ProgramRunner#EXIT_FAILED} if some step failed.
+     */
     int run() {
-        LogSetup.install();
-        Thread play = new Thread(this::play, "rehearsal");
-        play.setDaemon(true);
-        play.start();
+        LoggingSetup.install();
+        Thread runner = new Thread(this::runPrograms, "rehearsal");
+        runner.setDaemon(true);
+        runner.start();
         try {
-            play.join(TimeUnit.SECONDS.toMillis(LONGEST_PLAY_SECONDS));
+            runner.join(TimeUnit.SECONDS.toMillis(MAX_DURATION_SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        boolean complete = over && !failed;
-        logger.atInfo().log(complete ? "rehearsal complete" : "rehearsal incomplete");
-        return complete ? ProgramRunner.DONE : ProgramRunner.FAILED;
+        boolean complete = completed && !failed;
+        LOGGER.atInfo().log(complete ? "training run complete" : "training run incomplete");
+        return complete ? ProgramRunner.EXIT_OK : ProgramRunner.EXIT_FAILED;
     }
 
-    private void play() {
+    private void runPrograms() {
         Path target = Path.of("target");
         Path parent = Files.isDirectory(target) ? target : Path.of(System.getProperty("java.io.tmpdir"));
-        try (RehearsalStage stage = new RehearsalStage(parent)) {
-            Program controller = Program.controller(stage.controllerSettings());
-            Program router = Program.router(stage.routerSettings());
+        try (TrainingEnvironment environment = new TrainingEnvironment(parent)) {
+            Program controller = Program.controller(environment.controllerSettings());
+            Program router = Program.router(environment.routerSettings());
             controller.start();
             router.start();
-            playOn(stage);
+            runSteps(environment);
             router.stop();
             controller.stop();
-            over = true;
+            completed = true;
         } catch (Exception | LinkageError e) {
-            logger.atSevere().withCause(e).log("rehearsal broken off");
+            LOGGER.atSevere().withCause(e).log("training run aborted");
         }
     }
 
-    private void playOn(RehearsalStage stage) throws InterruptedException {
-        String whole = wholeConfiguration(stage);
-        step(stage, "configuration", () -> post(stage.controlPlane(), "/config/replace", 0, whole) == OK);
-        step(stage, "heartbeats", () -> heartbeats(stage));
+    private void runSteps(TrainingEnvironment environment) throws InterruptedException {
+        String configuration = fullConfiguration(environment);
         step(
-                stage,
+                environment,
+                "configuration",
+                () -> post(environment.controlPlane(), "/config/replace", 0, configuration) == OK);
+        step(environment, "heartbeats", () -> heartbeats(environment));
+        step(
+                environment,
                 "readiness",
-                () -> HttpCall.get(stage.readiness(), "/ready").send().status() == OK);
-        step(stage, "plain request", () -> plainRequest(stage, "first") == OK);
-        step(stage, "generation", () -> generation(stage, "first") == OK);
-        for (int number = 0; number < REQUESTS_OF_A_KIND; number++) {
+                () -> HttpCall.get(environment.readiness(), "/ready").send().status() == OK);
+        step(environment, "plain request", () -> plainRequest(environment, "first") == OK);
+        step(environment, "generation", () -> generation(environment, "first") == OK);
+        for (int number = 0; number < REQUESTS_PER_KIND; number++) {
             String id = "again-" + number;
-            succeeds(() -> plainRequest(stage, id) == OK && generation(stage, id) == OK);
+            succeeds(() -> plainRequest(environment, id) == OK && generation(environment, id) == OK);
         }
-        step(stage, "update", () -> post(stage.controlPlane(), "/config/update", 1, "{\"version\":2}") == OK);
         step(
-                stage,
+                environment,
+                "update",
+                () -> post(environment.controlPlane(), "/config/update", 1, "{\"version\":2}") == OK);
+        step(
+                environment,
                 "read",
-                () -> HttpCall.get(stage.controlPlane(), "/config/read").send().status() == OK);
-        step(stage, "second heartbeats", () -> heartbeats(stage));
+                () -> HttpCall.get(environment.controlPlane(), "/config/read")
+                                .send()
+                                .status()
+                        == OK);
+        step(environment, "second heartbeats", () -> heartbeats(environment));
     }
 
-    /** Tries a step again and again; meanwhile the replicas go on with their heartbeats. */
-    private void step(RehearsalStage stage, String name, Step step) throws InterruptedException {
-        for (int tries = 0; tries < TRIES_A_STEP; tries++) {
+    /** Retries a step; meanwhile the replicas send further heartbeats. */
+    private void step(TrainingEnvironment environment, String name, Step step) throws InterruptedException {
+        for (int attempts = 0; attempts < MAX_ATTEMPTS_PER_STEP; attempts++) {
             if (succeeds(step)) {
-                logger.atInfo().log("rehearsed %s", name);
+                LOGGER.atInfo().log("training step done: %s", name);
                 return;
             }
-            Thread.sleep(PAUSE_BETWEEN_TRIES_MS);
-            if (tries % TRIES_BETWEEN_HEARTBEATS == 0) {
-                succeeds(() -> heartbeats(stage));
+            Thread.sleep(RETRY_INTERVAL_MS);
+            if (attempts % ATTEMPTS_PER_HEARTBEAT == 0) {
+                succeeds(() -> heartbeats(environment));
             }
         }
         failed = true;
-        logger.atWarning().log("step '%s' did not succeed in %d tries", name, TRIES_A_STEP);
+        LOGGER.atWarning().log("training step failed: %s, after %d attempts", name, MAX_ATTEMPTS_PER_STEP);
     }
 
     private static boolean succeeds(Step step) {
@@ -116,10 +127,10 @@
         return new HttpCall(address, "POST", path, headers, body).send().status();
     }
 
-    private boolean heartbeats(RehearsalStage stage) throws IOException {
+    private boolean heartbeats(TrainingEnvironment environment) throws IOException {
         callSequence++;
         boolean acknowledged = true;
-        for (StandInReplica replica : stage.replicas()) {
+        for (FakeReplica replica : environment.replicas()) {
             boolean plain = replica.stage().isEmpty();
             String engine = plain
                     ? ""
@@ -129,32 +140,32 @@
                     + "\",\"zone\":\"z\",\"version\":\"v1\",\"slots\":8,\"state\":\"ready\",\"cold_remaining_ms\":0,"
                     + engine + "\"call_sequence\":" + callSequence + "}";
             String path = "/instances/" + replica.instanceId() + "/heartbeat";
-            acknowledged &= post(stage.controlPlane(), path, 0, body) == OK;
+            acknowledged &= post(environment.controlPlane(), path, 0, body) == OK;
         }
         return acknowledged;
     }
 
-    private static int plainRequest(RehearsalStage stage, String id) throws IOException {
+    private static int plainRequest(TrainingEnvironment environment, String id) throws IOException {
         Map<String, String> headers = Map.of("X-Pinewick-Request-Id", "plain-" + id, "X-Pinewick-Deadline-Ms", "4000");
-        return new HttpCall(stage.frontend(), "POST", "/plain/1", headers, "body")
+        return new HttpCall(environment.frontend(), "POST", "/plain/1", headers, "body")
                 .send()
                 .status();
     }
 
-    private static int generation(RehearsalStage stage, String id) throws IOException {
+    private static int generation(TrainingEnvironment environment, String id) throws IOException {
         Map<String, String> headers = Map.of(
                 "X-Pinewick-Request-Id", "generation-" + id,
                 "X-Pinewick-Deadline-Ms", "4000",
                 "X-Pinewick-Model", "m",
                 "X-Pinewick-Token-Count", "2000,10",
                 "X-Pinewick-Prompt-Prefix", "5c1e07a2:800,91bd3f06:1200");
-        return new HttpCall(stage.frontend(), "POST", "/engine/1", headers, "body")
+        return new HttpCall(environment.frontend(), "POST", "/engine/1", headers, "body")
                 .send()
                 .status();
     }
 
-    private static String wholeConfiguration(RehearsalStage stage) {
-        String host = "\"hostname\":\"" + stage.frontend().host() + "\"";
+    private static String fullConfiguration(TrainingEnvironment environment) {
+        String host = "\"hostname\":\"" + environment.frontend().host() + "\"";
         return "{\"version\":1,\"routes\":[{\"name\":\"r-1\"," + host + ",\"path_prefix\":\"/plain/\","
                 + "\"route_kind\":\"idempotent\",\"timeout_ms\":4000,\"target_latency_ms\":400,\"priority\":1,"
                 + "\"service\":\"plain\",\"max_attempts\":2,\"session_affinity\":false,\"resumable\":false},"
--- a/system/src/test/java/pinewick/system/CommandsTest.java
+++ b/system/src/test/java/pinewick/system/CommandsTest.java
@@ -76,7 +76,7 @@
 
     @Test
     void asksAProcessHowItIs() throws IOException {
-        try (StandInReplica process = new StandInReplica("i", "", InetAddress.getByName("127.0.0.1"))) {
+        try (FakeReplica process = new FakeReplica("i", "", InetAddress.getByName("127.0.0.1"))) {
             assertEquals(0, run("status", process.address().toString()));
         }
         assertEquals("200 plain", out.toString().strip());
@@ -84,7 +84,7 @@
 
     @Test
     void tellsThatAProcessDoesNotAnswer() throws IOException {
-        StandInReplica process = new StandInReplica("i", "", InetAddress.getByName("127.0.0.1"));
+        FakeReplica process = new FakeReplica("i", "", InetAddress.getByName("127.0.0.1"));
         process.close();
 
         assertEquals(1, run("status", process.address().toString()));
--- a/system/src/test/java/pinewick/system/InternalMessageBytesTest.java
+++ b/system/src/test/java/pinewick/system/InternalMessageBytesTest.java
@@ -74,7 +74,8 @@
 
     private static byte[] reencode(MessageCodec codec, byte[] frame) {
         try {
-            return codec.encode(SENDER_PORT, codec.decode(frame, 0, frame.length).message());
+            return codec.encode(
+                    SENDER_PORT, codec.decode(frame, 0, frame.length).message());
         } catch (MalformedFrameException e) {
             throw new AssertionError(e);
         }
--- a/system/src/test/java/pinewick/system/LogLineTest.java
+++ b/system/src/test/java/pinewick/system/LogLineTest.java
@@ -18,8 +18,8 @@
 
     @Test
     void putsARecordOnOneLine() {
-        assertEquals("09:05:07.042 I ApiServer: ready\n", new LogLine().format(record(Level.INFO, "ready")));
-        assertEquals("09:05:07.042 W ApiServer: a / b\n", new LogLine().format(record(Level.WARNING, "a\nb")));
+        assertEquals("09:05:07.042 I ApiServer: ready\n", new LogLineFormatter().format(record(Level.INFO, "ready")));
+        assertEquals("09:05:07.042 W ApiServer: a / b\n", new LogLineFormatter().format(record(Level.WARNING, "a\nb")));
     }
 
     @Test
@@ -32,7 +32,7 @@
         assertEquals(
                 "09:05:07.042 E ApiServer: ends | java.lang.IllegalStateException: call to 10.0.0.1:80"
                         + " | java.io.IOException: reset / by peer at Peer.read(Peer.java:7)\n",
-                new LogLine().format(record));
+                new LogLineFormatter().format(record));
     }
 
     @Test
@@ -40,6 +40,6 @@
         LogRecord record = record(Level.INFO, null);
         record.setLoggerName(null);
 
-        assertEquals("09:05:07.042 I null: null\n", new LogLine().format(record));
+        assertEquals("09:05:07.042 I null: null\n", new LogLineFormatter().format(record));
     }
 }
--- a/system/src/test/java/pinewick/system/RehearsalStageTest.java
+++ b/system/src/test/java/pinewick/system/RehearsalStageTest.java
@@ -19,7 +19,7 @@
 
     @Test
     void givesBothProgramsSoundSettingsThatFitTogether() throws IOException, InvalidSettingsException {
-        try (RehearsalStage stage = new RehearsalStage(folder)) {
+        try (TrainingEnvironment stage = new TrainingEnvironment(folder)) {
             NodeSettings router = stage.routerSettings();
             NodeSettings controller = stage.controllerSettings();
 
@@ -35,7 +35,7 @@
 
     @Test
     void leavesNothingBehind() throws IOException, InvalidSettingsException {
-        RehearsalStage stage = new RehearsalStage(folder);
+        TrainingEnvironment stage = new TrainingEnvironment(folder);
         Files.writeString(
                 stage.controllerSettings().dataDirectory().orElseThrow().resolve("store"), "x");
         stage.close();
--- a/system/src/test/java/pinewick/system/StandInReplicaTest.java
+++ b/system/src/test/java/pinewick/system/StandInReplicaTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 class StandInReplicaTest {
-    private StandInReplica replica;
+    private FakeReplica replica;
 
     @BeforeEach
     void open() throws IOException {
-        replica = new StandInReplica("i-1", "decode", InetAddress.getByName("127.0.0.1"));
+        replica = new FakeReplica("i-1", "decode", InetAddress.getByName("127.0.0.1"));
     }
 
     @AfterEach
@@ -23,7 +23,7 @@
         replica.close();
     }
 
-    private HttpCall.Answer post(Map<String, String> headers) throws IOException {
+    private HttpCall.Response post(Map<String, String> headers) throws IOException {
         return new HttpCall(replica.address(), "POST", "/x", headers, "body").send();
     }
 
