--- a/core/src/main/java/pinewick/DeploymentTerms.java
+++ b/core/src/main/java/pinewick/DeploymentTerms.java
@@ -13,8 +13,7 @@
  * ones mean "not limited".
  */
 public final class DeploymentTerms {
-    private DeploymentTerms() {
-    }
+    private DeploymentTerms() {}
 
     public static Host.Deployment read(String text) {
         try {
@@ -32,33 +31,56 @@
         for (JsonElement each : array(all, "categories")) {
             JsonObject grade = each.getAsJsonObject();
             int row = grades.size();
-            Host.Repeat repeat = switch (text(grade, "effect", "fragile")) {
-                case "retryable" -> Host.Repeat.IDEMPOTENT;
-                case "dedup" -> Host.Repeat.DEDUPLICATED;
-                default -> Host.Repeat.UNREPEATABLE;
-            };
+            Host.Repeat repeat =
+                    switch (text(grade, "effect", "fragile")) {
+                        case "retryable" -> Host.Repeat.IDEMPOTENT;
+                        case "dedup" -> Host.Repeat.DEDUPLICATED;
+                        default -> Host.Repeat.UNREPEATABLE;
+                    };
             double hardStop = seconds(grade, "hard-limit-ns", Double.POSITIVE_INFINITY);
-            grades.add(new Host.GradeTerms(text(grade, "name", ""), seconds(grade, "slo-ns", hardStop),
-                number(grade, "aim-stretch", 0), hardStop, number(grade, "worth", 1),
-                number(grade, "late-worth", 0), repeat, seconds(grade, "dedup-window-ns", 0),
-                item(family, "class-floor", row, 1), item(family, "complete-from", row, 1),
-                item(family, "incomplete-worth", row, 0), (int) item(family, "class-fetch", row, 0)));
+            grades.add(new Host.GradeTerms(
+                    text(grade, "name", ""),
+                    seconds(grade, "slo-ns", hardStop),
+                    number(grade, "aim-stretch", 0),
+                    hardStop,
+                    number(grade, "worth", 1),
+                    number(grade, "late-worth", 0),
+                    repeat,
+                    seconds(grade, "dedup-window-ns", 0),
+                    item(family, "class-floor", row, 1),
+                    item(family, "complete-from", row, 1),
+                    item(family, "incomplete-worth", row, 0),
+                    (int) item(family, "class-fetch", row, 0)));
         }
         boolean rationed = number(rules, "repeat-ratio", 0) > 0 || rules.has("free-resends");
-        Host.RuleTerms terms = new Host.RuleTerms(seconds(rules, "drain-grace-ns", 0),
-            number(rules, "cold-from", 1), seconds(rules, "cold-ns", 0), number(rules, "overload-factor", 1),
-            seconds(rules, "fall-ns", 0),
-            rationed ? number(rules, "free-resends", 0) : Double.POSITIVE_INFINITY,
-            number(rules, "repeat-ratio", 0), seconds(rules, "extra-window-ns", 0),
-            seconds(rules, "ask-within-ns", Double.POSITIVE_INFINITY));
-        return new Host.Deployment((int) number(all, "instances", 1),
-            text(all, "locality", ""), seconds(all, "granularity-ns", 0), grades, terms,
-            text(all, "registry-mode", "automatic").equals("subscribe"),
-            yes(bounds, "probing"), yes(bounds, "may-cancel"), yes(bounds, "parallel-tries"),
-            yes(bounds, "retry-after"), yes(object(all, "clients"), "marks-retry"), seconds(bounds, "max-retry-after-ns", 0),
-            (int) number(bounds, "try-limit", 1), (int) number(family, "cells", 1),
-            (int) number(family, "reach", 1), (int) number(family, "per-call", 1),
-            seconds(family, "overhead-ns", 0));
+        Host.RuleTerms terms = new Host.RuleTerms(
+                seconds(rules, "drain-grace-ns", 0),
+                number(rules, "cold-from", 1),
+                seconds(rules, "cold-ns", 0),
+                number(rules, "overload-factor", 1),
+                seconds(rules, "fall-ns", 0),
+                rationed ? number(rules, "free-resends", 0) : Double.POSITIVE_INFINITY,
+                number(rules, "repeat-ratio", 0),
+                seconds(rules, "extra-window-ns", 0),
+                seconds(rules, "ask-within-ns", Double.POSITIVE_INFINITY));
+        return new Host.Deployment(
+                (int) number(all, "instances", 1),
+                text(all, "locality", ""),
+                seconds(all, "granularity-ns", 0),
+                grades,
+                terms,
+                text(all, "registry-mode", "automatic").equals("subscribe"),
+                yes(bounds, "probing"),
+                yes(bounds, "may-cancel"),
+                yes(bounds, "parallel-tries"),
+                yes(bounds, "retry-after"),
+                yes(object(all, "clients"), "marks-retry"),
+                seconds(bounds, "max-retry-after-ns", 0),
+                (int) number(bounds, "try-limit", 1),
+                (int) number(family, "cells", 1),
+                (int) number(family, "reach", 1),
+                (int) number(family, "per-call", 1),
+                seconds(family, "overhead-ns", 0));
     }
 
     private static JsonObject object(JsonObject from, String key) {
--- a/core/src/main/java/pinewick/Grade.java
+++ b/core/src/main/java/pinewick/Grade.java
@@ -23,7 +23,8 @@
     /** A quantile of answer times; the first guess until a few answers are in. */
     double answerTime(double quantile) {
         return answerTimes.total() < FleetStats.ENOUGH
-            ? FleetStats.FIRST_GUESS * terms.latencyGoal() : answerTimes.quantile(quantile);
+                ? FleetStats.FIRST_GUESS * terms.latencyGoal()
+                : answerTimes.quantile(quantile);
     }
 
     double meanWork() {
@@ -38,7 +39,8 @@
 
     /** How long a launch may take before it is overdue and may be hedged. */
     double hedgeDelay() {
-        return Math.max(SHORTEST_HEDGE_DELAY * terms.latencyGoal(),
-            Math.min(LONGEST_HEDGE_DELAY * terms.latencyGoal(), HEDGE_FACTOR * answerTime(0.95)));
+        return Math.max(
+                SHORTEST_HEDGE_DELAY * terms.latencyGoal(),
+                Math.min(LONGEST_HEDGE_DELAY * terms.latencyGoal(), HEDGE_FACTOR * answerTime(0.95)));
     }
 }
--- a/core/src/main/java/pinewick/Host.java
+++ b/core/src/main/java/pinewick/Host.java
@@ -34,8 +34,7 @@
     void track(boolean on);
 
     /** What this router measured: a replica's smoothed latency (seconds), reported queue, failures in a row. */
-    default void saw(String replica, double latency, double queue, int failures) {
-    }
+    default void saw(String replica, double latency, double queue, int failures) {}
 
     /** The latency other routers see there, seconds; 0 where none is known. Late, and may be wrong. */
     default double othersPace(String replica) {
@@ -52,7 +51,14 @@
 
     /** How a launch or a probe ended. */
     enum Ending {
-        FULFILLED, ERROR, REJECTED, TIMED_OUT, NOT_CONNECTED, DROPPED, CANCELLED, MOOT;
+        FULFILLED,
+        ERROR,
+        REJECTED,
+        TIMED_OUT,
+        NOT_CONNECTED,
+        DROPPED,
+        CANCELLED,
+        MOOT;
 
         /** Whether this ending proves that the part never ran. */
         public boolean neverRan() {
@@ -61,25 +67,46 @@
     }
 
     /** What a repeat of a grade's parts does. */
-    enum Repeat { IDEMPOTENT, DEDUPLICATED, UNREPEATABLE }
+    enum Repeat {
+        IDEMPOTENT,
+        DEDUPLICATED,
+        UNREPEATABLE
+    }
 
-    enum Stage { GONE, READY, DRAINING }
+    enum Stage {
+        GONE,
+        READY,
+        DRAINING
+    }
 
     /** How a piece of the list relates to the list in hand. */
-    enum ListForm { CHANGES, WHOLE, CACHED, FAILED }
+    enum ListForm {
+        CHANGES,
+        WHOLE,
+        CACHED,
+        FAILED
+    }
 
     /** One line of the list of replicas; {@code startedAt} 0 means long ago. */
-    record Listing(String replica, int cell, String zone, Stage stage, double startedAt) {
-    }
+    record Listing(String replica, int cell, String zone, Stage stage, double startedAt) {}
 
     /** A replica's load report; a value that it does not carry is NaN. */
-    record LoadReport(double pending, double inFlight, double busyShare, double servedRate) {
-    }
+    record LoadReport(double pending, double inFlight, double busyShare, double servedRate) {}
 
     /** A service grade as the deployment states it. */
-    record GradeTerms(String name, double latencyGoal, double goalStretch, double hardStop, double value,
-                      double lateValue, Repeat repeat, double repeatWindow, double leastShare,
-                      double wholeFrom, double partValue, int secondStep) {
+    record GradeTerms(
+            String name,
+            double latencyGoal,
+            double goalStretch,
+            double hardStop,
+            double value,
+            double lateValue,
+            Repeat repeat,
+            double repeatWindow,
+            double leastShare,
+            double wholeFrom,
+            double partValue,
+            int secondStep) {
         /** The latency goal of a query of so much work. */
         double goal(double work) {
             return latencyGoal + goalStretch * work;
@@ -87,9 +114,16 @@
     }
 
     /** The rules' figures; an absent budget has an infinite {@code freeLaunches}. */
-    record RuleTerms(double drainGrace, double coldFrom, double coldTime, double overloadFactor,
-                     double fallTime, double freeLaunches, double launchShare, double launchWindow,
-                     double askWithin) {
+    record RuleTerms(
+            double drainGrace,
+            double coldFrom,
+            double coldTime,
+            double overloadFactor,
+            double fallTime,
+            double freeLaunches,
+            double launchShare,
+            double launchWindow,
+            double askWithin) {
         /** The share of its full work that a replica may be sent so long after its start. */
         double capacity(double age) {
             return coldFrom + (1 - coldFrom) * Math.min(1, age / coldTime);
@@ -97,10 +131,22 @@
     }
 
     /** What a deployment hands a router at its start. */
-    record Deployment(int routers, String zone, double tick, List<GradeTerms> grades,
-                      RuleTerms rules, boolean mustAsk,
-                      boolean mayProbe, boolean mayCancel, boolean mayOverlap, boolean mayAdvise, boolean marksRetries,
-                      double longestAdvice, int mostLaunches, int cells, int reach, int callSize,
-                      double callWork) {
-    }
+    record Deployment(
+            int routers,
+            String zone,
+            double tick,
+            List<GradeTerms> grades,
+            RuleTerms rules,
+            boolean mustAsk,
+            boolean mayProbe,
+            boolean mayCancel,
+            boolean mayOverlap,
+            boolean mayAdvise,
+            boolean marksRetries,
+            double longestAdvice,
+            int mostLaunches,
+            int cells,
+            int reach,
+            int callSize,
+            double callWork) {}
 }
--- a/core/src/main/java/pinewick/Launch.java
+++ b/core/src/main/java/pinewick/Launch.java
@@ -7,10 +7,12 @@
     final double overdueAt;
     /** Parts known to be in the replica's queue before this one. */
     final double queuedAhead;
+
     boolean over;
     boolean neverRan;
     /** Whether it was still outstanding when the part was launched again. */
     boolean outstandingAtNext;
+
     boolean cancelled;
 
     Launch(Replica replica, double sentAt, double overdueAt, double queuedAhead) {
--- a/core/src/main/java/pinewick/LoadProbes.java
+++ b/core/src/main/java/pinewick/LoadProbes.java
@@ -20,8 +20,10 @@
     boolean awaited(Query query) {
         double now = router.now(), wait = Replica.PROBE_WAIT * router.latencyGoal;
         boolean first = now <= query.takenAt + 2 * wait, again = now >= query.probeAgainAt;
-        if (!router.deployment.mayProbe() || (!first && !again) || router.held.size() > MOST_HELD
-            || router.routers < 2 * Replica.FEW_ROUTERS) {
+        if (!router.deployment.mayProbe()
+                || (!first && !again)
+                || router.held.size() > MOST_HELD
+                || router.routers < 2 * Replica.FEW_ROUTERS) {
             return false;
         }
         query.probeAgainAt = again ? now + AGAIN_AFTER * router.latencyGoal : query.probeAgainAt;
@@ -44,8 +46,9 @@
         boolean sent = false;
         for (Replica replica : fit) {
             double age = router.now() - Math.max(replica.probedAt, replica.reportedAt);
-            if (age > OLD * router.latencyGoal && !replica.probing
-                && router.random.nextDouble() < LEAST_CHANCE + router.fleet.busy) {
+            if (age > OLD * router.latencyGoal
+                    && !replica.probing
+                    && router.random.nextDouble() < LEAST_CHANCE + router.fleet.busy) {
                 probe(replica);
                 sent = true;
             }
@@ -58,8 +61,11 @@
     void probeAfterBackoff(Replica replica) {
         double few = 2 * Replica.FEW_ROUTERS;
         boolean useful = replica.stage == Host.Stage.READY && !replica.probing && !replica.warmingUp();
-        if (useful && replica.failures > 0 && router.now() >= replica.backoffUntil && !replica.trialAllowed
-            && router.deployment.mayProbe()) {
+        if (useful
+                && replica.failures > 0
+                && router.now() >= replica.backoffUntil
+                && !replica.trialAllowed
+                && router.deployment.mayProbe()) {
             replica.trialAllowed = router.routers > few && router.random.nextDouble() >= few / router.routers;
             if (!replica.trialAllowed) {
                 probe(replica);
--- a/core/src/main/java/pinewick/Logic.java
+++ b/core/src/main/java/pinewick/Logic.java
@@ -107,8 +107,8 @@
         double longestWait = order.isEmpty() ? 0 : router.now() - order.get(0).takenAt;
         boolean overload = longestWait > OVERLOAD_WAIT * router.latencyGoal;
         if (overload) {
-            order.forEach(query -> query.valueForWork = query.grade.terms.value()
-                / (query.parts.size() * query.grade.answerTime(0.5)));
+            order.forEach(query -> query.valueForWork =
+                    query.grade.terms.value() / (query.parts.size() * query.grade.answerTime(0.5)));
             order.sort((one, other) -> Double.compare(other.valueForWork, one.valueForWork));
         }
         boolean mayReserve = overload && grades.size() > 1;
@@ -130,7 +130,8 @@
     /** What cannot be fulfilled in time is declined before work or half of the client's time is spent. */
     private boolean hopeless(Query query) {
         return router.now() + query.grade.runTime() > Math.min(query.goalAt, query.stopAt)
-            || router.now() > query.startBy || placement.lacksHolders(query);
+                || router.now() > query.startBy
+                || placement.lacksHolders(query);
     }
 
     /** Looks after what is outstanding: answers that are due, overdue launches, replicas after a backoff. */
--- a/core/src/main/java/pinewick/Part.java
+++ b/core/src/main/java/pinewick/Part.java
@@ -10,6 +10,7 @@
     final int shard;
     /** The first of the cells that hold its shard. */
     final int firstCell;
+
     final double weight;
     final List<Launch> launches = new ArrayList<>();
     int outstanding;
--- a/core/src/main/java/pinewick/Placement.java
+++ b/core/src/main/java/pinewick/Placement.java
@@ -72,18 +72,22 @@
 
     /** Whether so many shards have no holder at all that no answer could be given. */
     boolean lacksHolders(Query query) {
-        return query.weightOf(part -> part.launches.isEmpty() && router.replicas.holders(part).isEmpty())
-            > query.mayLack();
+        return query.weightOf(part ->
+                        part.launches.isEmpty() && router.replicas.holders(part).isEmpty())
+                > query.mayLack();
     }
 
     /** Whether one part goes first: some queries bring down all that begin them. So for the widest (until
      *  that part is overdue), clients' retries, and all after a lost connection. Cost: an answer's time. */
     boolean needsCanary(Query query) {
-        boolean alarm = router.now() < router.connectionLostAt + router.deployment.rules().coldTime();
+        boolean alarm = router.now()
+                < router.connectionLostAt + router.deployment.rules().coldTime();
         int width = query.parts.size();
         boolean wide = width > Math.max(NARROW, WIDE * router.replicas.ready());
-        return query.answered == 0 && query.step == 1 && width > 1
-            && (alarm || query.clientRetry || (wide && query.overdueParts(router.now()) == 0));
+        return query.answered == 0
+                && query.step == 1
+                && width > 1
+                && (alarm || query.clientRetry || (wide && query.overdueParts(router.now()) == 0));
     }
 
     /** The lowest score among the holders fit to take so many parts now; null if there is none. */
@@ -93,8 +97,9 @@
         for (Replica replica : router.replicas.holders(part)) {
             if (fits(replica, part, count)) {
                 // Where a call costs work, a part joins one of this turn for nothing, another costs one more.
-                double score = !callsCostWork() ? replica.score(part, replica.planned)
-                    : replica.score(part, 0) + (replica.planned > 0 ? 0 : router.deployment.callWork());
+                double score = !callsCostWork()
+                        ? replica.score(part, replica.planned)
+                        : replica.score(part, 0) + (replica.planned > 0 ? 0 : router.deployment.callWork());
                 if (best == null || score < lowest) {
                     best = replica;
                     lowest = score;
@@ -106,9 +111,12 @@
 
     /** An unhealthy holder is the last resort, for one part at a time: it may be judged wrongly. */
     private boolean fits(Replica replica, Part part, int count) {
-        return !part.outstandingAt(replica) && replica.hasColdBudget(part.query, count)
-            && (replica.healthy() ? replica.hasRoom(count) : replica.load() == 0
-            && router.replicas.holders(part).stream().noneMatch(Replica::healthy));
+        return !part.outstandingAt(replica)
+                && replica.hasColdBudget(part.query, count)
+                && (replica.healthy()
+                        ? replica.hasRoom(count)
+                        : replica.load() == 0
+                                && router.replicas.holders(part).stream().noneMatch(Replica::healthy));
     }
 
     /** Whether any holder may take a part never launched: looked up once a turn, unless a draw decides. */
--- a/core/src/main/java/pinewick/Query.java
+++ b/core/src/main/java/pinewick/Query.java
@@ -6,14 +6,20 @@
     private static final double START_SHARE = 0.45, RETRY_LACKS = 0.02; // of the client's time; the hard stop
     private static final double ROUNDING = 1e-4, PAUSE = 5; // of weights; checks missed by a router's pause
     private static final int LETHAL = 2, EARLY_TICKS = 4; // lost connections; partial answer before its goal
-
     final double goalAt, stopAt, startBy, randomDraw;
     final boolean clientRetry;
     private final RouterState router;
     private final Retries retries;
 
-    Query(RouterState router, Retries retries, String id, Grade grade, double timeToLive, int parts,
-          double workHint, boolean marked) {
+    Query(
+            RouterState router,
+            Retries retries,
+            String id,
+            Grade grade,
+            double timeToLive,
+            int parts,
+            double workHint,
+            boolean marked) {
         super(id, grade, parts, router.now());
         this.router = router;
         this.retries = retries;
@@ -23,10 +29,10 @@
         // A client's retry has used up part of its goal. It is told by less time where clients mark none.
         grade.longestTimeToLive = Math.max(grade.longestTimeToLive, timeToLive);
         double hardStop = grade.terms.hardStop();
-        clientRetry = router.deployment.marksRetries() ? marked
-            : timeToLive < grade.longestTimeToLive - RETRY_LACKS * hardStop;
-        goalAt = takenAt - (clientRetry ? hardStop - timeToLive : 0)
-            + Math.min(hardStop, grade.terms.goal(workHint));
+        clientRetry = router.deployment.marksRetries()
+                ? marked
+                : timeToLive < grade.longestTimeToLive - RETRY_LACKS * hardStop;
+        goalAt = takenAt - (clientRetry ? hardStop - timeToLive : 0) + Math.min(hardStop, grade.terms.goal(workHint));
     }
 
     /** One of the query's parts; the last one awaited lets the query start. */
@@ -73,7 +79,8 @@
     private double withoutOwnPause(double took, Replica replica) {
         double gap = router.now() - router.batchEndedAt;
         return gap > PAUSE * Logic.CHECK_INTERVAL * router.latencyGoal
-            ? Math.max(Math.min(took, replica.lowestLatency()), took - gap) : took;
+                ? Math.max(Math.min(took, replica.lowestLatency()), took - gap)
+                : took;
     }
 
     private void answered(Part part, Launch launch, double took, double expected) {
@@ -157,8 +164,10 @@
 
     private boolean mayAnswerPartly() {
         Host.GradeTerms terms = grade.terms;
-        return terms.secondStep() == 0 && terms.leastShare() < terms.wholeFrom()
-            && weightIn >= terms.leastShare() && terms.partValue() > terms.lateValue();
+        return terms.secondStep() == 0
+                && terms.leastShare() < terms.wholeFrom()
+                && weightIn >= terms.leastShare()
+                && terms.partValue() > terms.lateValue();
     }
 
     boolean due() {
--- a/core/src/main/java/pinewick/QueryState.java
+++ b/core/src/main/java/pinewick/QueryState.java
@@ -18,6 +18,7 @@
     int outstanding;
     /** Parts answered, and parts of which no answer can come any more; with the weight of each. */
     int answered;
+
     double weightIn;
     int exhausted;
     double weightLost;
@@ -25,12 +26,15 @@
     int crashes;
     /** 2 for the second of two steps. */
     int step = 1;
+
     double startedAt = Double.NEGATIVE_INFINITY;
     /** From when on its holders may be probed again. */
     double probeAgainAt;
+
     double valueForWork;
     /** Whether one part was sent first and its answer is awaited. */
     boolean canary;
+
     boolean ended;
 
     QueryState(String id, Grade grade, int awaited, double takenAt) {
--- a/core/src/main/java/pinewick/Replica.java
+++ b/core/src/main/java/pinewick/Replica.java
@@ -52,13 +52,18 @@
 
     /** The queue beyond reports that own answers tell of, as far as such queues were found to last. */
     private double hiddenQueue() {
-        return router.routers < 2 * FEW_ROUTERS ? 0 : hiddenDelay * freshness()
-            * router.fleet.hiddenDelays.share(router.now() - hiddenDelayAt) / router.fleet.drainTime();
+        return router.routers < 2 * FEW_ROUTERS
+                ? 0
+                : hiddenDelay
+                        * freshness()
+                        * router.fleet.hiddenDelays.share(router.now() - hiddenDelayAt)
+                        / router.fleet.drainTime();
     }
 
     double lowestLatency() {
-        return lowestLatency.get() < Double.POSITIVE_INFINITY ? lowestLatency.get()
-            : FleetStats.FIRST_GUESS * router.latencyGoal;
+        return lowestLatency.get() < Double.POSITIVE_INFINITY
+                ? lowestLatency.get()
+                : FleetStats.FIRST_GUESS * router.latencyGoal;
     }
 
     boolean canAnswerInTime(Query query) {
@@ -69,12 +74,13 @@
     boolean healthy() {
         double now = router.now();
         if (failures > 0 || (probing && now > probedAt + PROBE_WAIT * router.latencyGoal)) {
-            return failures > 0 && now >= backoffUntil && outstanding.isEmpty()
-                && (trialAllowed || !router.deployment.mayProbe() || warmingUp());
+            return failures > 0
+                    && now >= backoffUntil
+                    && outstanding.isEmpty()
+                    && (trialAllowed || !router.deployment.mayProbe() || warmingUp());
         }
         double silence = now - Math.max(answeredAt, oldestSentAt(now));
-        return silence <= Grade.LONGEST_HEDGE_DELAY * router.latencyGoal
-            && !router.host.othersWarn(id, answeredAt);
+        return silence <= Grade.LONGEST_HEDGE_DELAY * router.latencyGoal && !router.host.othersWarn(id, answeredAt);
     }
 
     /** Whether so many more parts would wait shortly; for one, hidden queues hinder only many routers. */
@@ -82,12 +88,13 @@
         double most = LONGEST_QUEUE * router.latencyGoal / router.fleet.drainTime();
         boolean staleReport = router.now() - reportedAt >= REPORT_LIFETIME * router.latencyGoal;
         return (load() == 0 || load() + count <= room)
-            && (staleReport || queue + launchedSinceReport + planned + count - 1 <= most)
-            && (hiddenQueue() <= most || (load() == 0 && router.routers <= most));
+                && (staleReport || queue + launchedSinceReport + planned + count - 1 <= most)
+                && (hiddenQueue() <= most || (load() == 0 && router.routers <= most));
     }
 
     boolean warmingUp() {
-        return startedAt > 0 && router.now() < startedAt + router.deployment.rules().coldTime();
+        return startedAt > 0
+                && router.now() < startedAt + router.deployment.rules().coldTime();
     }
 
     /** Rule 4: this router's share of what a cold replica may be sent, over the window that counts. */
@@ -99,8 +106,8 @@
         double window = rules.fallTime(), from = router.now() - window;
         double capacity = rules.capacity(Math.max(startedAt, from) - startedAt);
         double spent = coldWork.since(from), work = query.grade.meanWork();
-        double share = COLD_MARGIN * rules.overloadFactor() * capacity * router.fleet.warmCores(work)
-            / router.sendingRouters;
+        double share =
+                COLD_MARGIN * rules.overloadFactor() * capacity * router.fleet.warmCores(work) / router.sendingRouters;
         if (share * window >= (count + planned) * work) {
             return spent + (count + planned) * work <= share * window;
         }
@@ -110,9 +117,10 @@
         double calls = share * window * router.sendingRouters / COLD_MARGIN / work;
         double came = 1 + router.replicas.partsTakenFor(cell, router.now() - rules.coldTime());
         double lived = Math.min(rules.coldTime(), router.now() - router.openedAt);
-        return spent == 0 && load() == 0
-            && (count * router.sendingRouters < calls + Math.sqrt(calls) + 1
-            || query.randomDraw * came * work < share * lived);
+        return spent == 0
+                && load() == 0
+                && (count * router.sendingRouters < calls + Math.sqrt(calls) + 1
+                        || query.randomDraw * came * work < share * lived);
     }
 
     /** Takes in a load report; null where none came. */
@@ -120,8 +128,9 @@
         if (report == null) {
             return;
         }
-        queue = !Double.isNaN(report.pending()) ? report.pending()
-            : !Double.isNaN(report.inFlight()) ? report.inFlight() : 0;
+        queue = !Double.isNaN(report.pending())
+                ? report.pending()
+                : !Double.isNaN(report.inFlight()) ? report.inFlight() : 0;
         busyShare = Double.isNaN(report.busyShare()) ? 0 : report.busyShare();
         reportedAt = router.now();
         launchedSinceReport = 0;
--- a/core/src/main/java/pinewick/ReplicaList.java
+++ b/core/src/main/java/pinewick/ReplicaList.java
@@ -15,6 +15,7 @@
     private final Map<String, Replica> replicas = new LinkedHashMap<>();
     /** The ready holders of a shard and the parts taken for it, by the shard's first cell. */
     private final List<List<Replica>> holders = new ArrayList<>();
+
     private final List<SlidingSum> partsTaken = new ArrayList<>();
     private int ready;
 
--- a/core/src/main/java/pinewick/ReplicaState.java
+++ b/core/src/main/java/pinewick/ReplicaState.java
@@ -9,6 +9,7 @@
     final String id;
     /** As listed; {@code startedAt} 0 means long ago. */
     Host.Stage stage = Host.Stage.READY;
+
     int cell;
     boolean sameZone;
     double startedAt;
@@ -16,21 +17,25 @@
     double goneAt = Double.POSITIVE_INFINITY;
     /** The last load report: parts in its queue, busy share of its cores, when it came. */
     double queue;
+
     double busyShare;
     double reportedAt = Double.NEGATIVE_INFINITY;
     int launchedSinceReport;
     /** Whether any launch was measured since its start, and the smoothed latency. */
     boolean measured;
+
     double latency;
     RecentLowest lowestLatency = new RecentLowest();
     /** How much longer launches took than load reports foretold, smoothed, and when that was last measured. */
     double hiddenDelay;
+
     double hiddenDelayAt;
     double answeredAt = Double.NEGATIVE_INFINITY;
     /** When the newest of the launches that it has answered was sent. */
     double newestAnsweredSentAt = Double.NEGATIVE_INFINITY;
     /** How many parts may be outstanding, and when that was last cut. */
     double room;
+
     double roomCutAt = Double.NEGATIVE_INFINITY;
     private final double firstRoom;
     /** Launches without an outcome yet. */
@@ -47,6 +52,7 @@
     boolean unreachable;
     /** Whether the last probe or connection brought no word from it. */
     boolean silent;
+
     boolean probing;
     double probedAt;
     /** Whether it may get one part as a trial once its backoff is over. */
--- a/core/src/main/java/pinewick/Retries.java
+++ b/core/src/main/java/pinewick/Retries.java
@@ -37,9 +37,14 @@
     private boolean mayHedge(Part part, long overdue) {
         Launch latest = part.latest();
         boolean heavy = overdue > Math.max(1, HEAVY * part.query.parts.size());
-        return part.outstanding == 1 && !latest.over && !latest.cancelled && part.overdue(router.now())
-            && !(overdue > 1 && part.query.hasLeastShare()) && !(heavy && latest.replica.failures == 0)
-            && mayRepeat(part) && hasBudget(!latest.replica.healthy());
+        return part.outstanding == 1
+                && !latest.over
+                && !latest.cancelled
+                && part.overdue(router.now())
+                && !(overdue > 1 && part.query.hasLeastShare())
+                && !(heavy && latest.replica.failures == 0)
+                && mayRepeat(part)
+                && hasBudget(!latest.replica.healthy());
     }
 
     private void hedge(Part part, Launch latest) {
@@ -61,9 +66,11 @@
         Host.GradeTerms terms = part.query.grade.terms;
         double soon = router.now() + 2 * router.deployment.tick();
         return part.launches.size() < router.deployment.mostLaunches()
-            && (terms.repeat() == Host.Repeat.IDEMPOTENT || part.launches.stream().allMatch(launch ->
-            (launch.neverRan && !launch.outstandingAtNext) || (terms.repeat() == Host.Repeat.DEDUPLICATED
-            && soon < launch.sentAt + terms.repeatWindow())));
+                && (terms.repeat() == Host.Repeat.IDEMPOTENT
+                        || part.launches.stream()
+                                .allMatch(launch -> (launch.neverRan && !launch.outstandingAtNext)
+                                        || (terms.repeat() == Host.Repeat.DEDUPLICATED
+                                                && soon < launch.sentAt + terms.repeatWindow())));
     }
 
     /** Rule 6, one launch short of the stated budget; where none is stated, a limit of our own. */
--- a/core/src/main/java/pinewick/RouterState.java
+++ b/core/src/main/java/pinewick/RouterState.java
@@ -11,17 +11,21 @@
     final SplittableRandom random;
     /** The shortest latency goal of all grades, in seconds. */
     final double latencyGoal;
+
     final double openedAt;
     final ReplicaList replicas;
     final FleetStats fleet;
     /** Queries without a final answer, and those of them with parts that wait for their first launch. */
     final LinkedHashSet<Query> live = new LinkedHashSet<>();
+
     final LinkedHashSet<Query> held = new LinkedHashSet<>();
     /** Queries and parts taken, and further launches of parts: what budgets are counted against. */
     final SlidingSum taken = new SlidingSum();
+
     final SlidingSum relaunched = new SlidingSum();
     /** Routers that live, and those of them that may send. */
     int routers;
+
     int sendingRouters;
     double batchEndedAt;
     /** When a connection was last lost with work outstanding. */
@@ -35,7 +39,10 @@
         this.random = random;
         routers = deployment.routers();
         sendingRouters = deployment.routers();
-        latencyGoal = deployment.grades().stream().mapToDouble(Host.GradeTerms::latencyGoal).min().orElse(1);
+        latencyGoal = deployment.grades().stream()
+                .mapToDouble(Host.GradeTerms::latencyGoal)
+                .min()
+                .orElse(1);
         replicas = new ReplicaList(deployment, id -> new Replica(id, this));
         fleet = new FleetStats(latencyGoal);
         openedAt = host.now();
--- a/core/src/test/java/pinewick/ColdFleetTest.java
+++ b/core/src/test/java/pinewick/ColdFleetTest.java
@@ -20,8 +20,8 @@
     private static final class Mixer {
         final FakeHost host;
         int queries;
-        final PriorityQueue<Object[]> answers = new PriorityQueue<>((one, other) ->
-            Double.compare((double) one[0], (double) other[0]));
+        final PriorityQueue<Object[]> answers =
+                new PriorityQueue<>((one, other) -> Double.compare((double) one[0], (double) other[0]));
 
         Mixer(double clock, long seed, int believed, int holders) {
             host = new FakeHost();
@@ -68,8 +68,8 @@
     }
 
     /** How far the fullest window went over what it may hold and chance explains; at most 0 where the rule holds. */
-    private static double overrun(int mixers, double partsASecond, double wrong, double restarted, boolean heavy,
-                                  int holders, long seed) {
+    private static double overrun(
+            int mixers, double partsASecond, double wrong, double restarted, boolean heavy, int holders, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         Host.RuleTerms rules = new FakeHost().rules;
         int believed = Math.max(1, (int) Math.round(mixers * (1 + wrong)));
@@ -113,8 +113,10 @@
                 window.poll();
             }
             double from = Math.max(0, clock - rules.fallTime() - startedAt) / rules.coldTime();
-            double allowed = rules.overloadFactor() * (rules.coldFrom() + (1 - rules.coldFrom()) * from)
-                * rules.fallTime() / WORK;
+            double allowed = rules.overloadFactor()
+                    * (rules.coldFrom() + (1 - rules.coldFrom()) * from)
+                    * rules.fallTime()
+                    / WORK;
             worst = Math.max(worst, window.size() - allowed - 2 * Math.sqrt(allowed) - 2);
         }
         return worst;
--- a/core/src/test/java/pinewick/FakeHost.java
+++ b/core/src/test/java/pinewick/FakeHost.java
@@ -31,12 +31,29 @@
 
     /** A mixer over one cell of searchers a, b, ... that all hold every shard. */
     FakeHost open(String... names) {
-        Host.GradeTerms grade = new Host.GradeTerms("any", 2, 0, 8, 1, lateValue, repeat, 3, leastShare, 1,
-            0.9, 0);
+        Host.GradeTerms grade = new Host.GradeTerms("any", 2, 0, 8, 1, lateValue, repeat, 3, leastShare, 1, 0.9, 0);
         Host.GradeTerms rich = new Host.GradeTerms("rich", 2, 0, 8, 10, 0, Host.Repeat.IDEMPOTENT, 0, 1, 1, 0, 0);
-        logic = new Logic(this, new Host.Deployment(mixers, "near", 0.005, List.of(grade, rich), rules,
-            mustAsk, probing, true, overlap, true, marksRetries, 1, 4, cells, reach, callWork > 0 ? 16 : 1, callWork),
-            new SplittableRandom(seed));
+        logic = new Logic(
+                this,
+                new Host.Deployment(
+                        mixers,
+                        "near",
+                        0.005,
+                        List.of(grade, rich),
+                        rules,
+                        mustAsk,
+                        probing,
+                        true,
+                        overlap,
+                        true,
+                        marksRetries,
+                        1,
+                        4,
+                        cells,
+                        reach,
+                        callWork > 0 ? 16 : 1,
+                        callWork),
+                new SplittableRandom(seed));
         list(Host.ListForm.CACHED, Host.Stage.READY, 0, names);
         return this;
     }
--- a/core/src/test/java/pinewick/PlacementTest.java
+++ b/core/src/test/java/pinewick/PlacementTest.java
@@ -98,8 +98,11 @@
             host.listAt("s" + cell, cell);
         }
         host.take("q", 3);
-        long calls = host.said.stream().filter(line -> line.startsWith("launch q"))
-            .map(line -> line.split(" ")[2]).distinct().count();
+        long calls = host.said.stream()
+                .filter(line -> line.startsWith("launch q"))
+                .map(line -> line.split(" ")[2])
+                .distinct()
+                .count();
         assertEquals(1, calls, "the first part has one holder, which holds the others too");
     }
 
@@ -219,7 +222,10 @@
 
     /** The part of query q launched last. */
     private static String lastOf(FakeHost host) {
-        return host.said.stream().filter(line -> line.startsWith("launch q")).reduce((one, other) -> other)
-            .orElseThrow().split(" ")[1];
+        return host.said.stream()
+                .filter(line -> line.startsWith("launch q"))
+                .reduce((one, other) -> other)
+                .orElseThrow()
+                .split(" ")[1];
     }
 }
--- a/core/src/test/java/pinewick/ReplicaTest.java
+++ b/core/src/test/java/pinewick/ReplicaTest.java
@@ -59,8 +59,10 @@
         for (int queued = 0; queued < 2; queued++) {
             FakeHost each = new FakeHost().open("a", "b");
             for (int query = 0; query < 12; query++) {
-                each.logic.probed("a", Ending.FULFILLED, new LoadReport(4 * queued, Double.NaN, Double.NaN, Double.NaN));
-                each.logic.probed("b", Ending.FULFILLED, new LoadReport(4 * queued, Double.NaN, Double.NaN, Double.NaN));
+                each.logic.probed(
+                        "a", Ending.FULFILLED, new LoadReport(4 * queued, Double.NaN, Double.NaN, Double.NaN));
+                each.logic.probed(
+                        "b", Ending.FULFILLED, new LoadReport(4 * queued, Double.NaN, Double.NaN, Double.NaN));
                 each.warmUp(1, 0.2);
             }
             each.list(ListForm.CHANGES, Stage.GONE, 0, "b");
@@ -287,7 +289,8 @@
         host.logic.probed("a", Ending.FULFILLED, queued(0));
         host.said.clear();
         asked("r");
-        assertEquals(1, host.count("launch r-0 a"), "with its first word the silence is over, and no queue is left of it");
+        assertEquals(
+                1, host.count("launch r-0 a"), "with its first word the silence is over, and no queue is left of it");
     }
 
     @Test
--- a/dataplane/src/main/java/pinewick/dataplane/FleetLink.java
+++ b/dataplane/src/main/java/pinewick/dataplane/FleetLink.java
@@ -15,8 +15,8 @@
 import pinewick.model.SocketAddress;
 import pinewick.transport.ControlLoop;
 import pinewick.transport.MessageCodec;
-import pinewick.transport.ReschedulableTimer;
 import pinewick.transport.NetworkTransport;
+import pinewick.transport.ReschedulableTimer;
 import pinewick.transport.TransportException;
 
 /** A router's part in the fleet: the control loop, the sockets for internal messages, and what they learn. */
@@ -109,7 +109,8 @@
      * @param pauseMs the pause before the next run, given the number of other routers known
      */
     void repeatAtPace(Runnable task, IntToLongFunction pauseMs) {
-        loop.repeatAtVariableInterval(task, () -> pauseMs.applyAsLong(otherRouters().size()));
+        loop.repeatAtVariableInterval(
+                task, () -> pauseMs.applyAsLong(otherRouters().size()));
     }
 
     /** Tells the peers that this process ends. */
--- a/dial/src/main/java/pinewick/dial/Address.java
+++ b/dial/src/main/java/pinewick/dial/Address.java
@@ -7,7 +7,11 @@
  * @param port 0 for a Unix socket
  */
 public record Address(Kind kind, String host, int port) {
-    public enum Kind { UNIX, IPV6, IPV4 }
+    public enum Kind {
+        UNIX,
+        IPV6,
+        IPV4
+    }
 
     private static final int PATH_MOST = 104;
 
@@ -17,7 +21,7 @@
             String path = text.substring(5);
             if (!path.startsWith("/") || path.length() > PATH_MOST || path.indexOf('\0') >= 0) {
                 throw new IllegalArgumentException("'" + text + "': a path from the root of at most " + PATH_MOST
-                    + " characters is expected after unix:");
+                        + " characters is expected after unix:");
             }
             return new Address(Kind.UNIX, path, 0);
         }
@@ -26,12 +30,16 @@
         String port = text.substring(colon + 1);
         boolean six = host.matches("\\[[0-9a-fA-F:.]+]");
         boolean four = host.matches("([0-9]{1,3}\\.){3}[0-9]{1,3}");
-        if ((!six && !four) || !port.matches("[0-9]{1,5}") || Integer.parseInt(port) < 1
-            || Integer.parseInt(port) > 65_535) {
-            throw new IllegalArgumentException("'" + text + "': unix:/path, [address]:port or address:port is expected");
+        if ((!six && !four)
+                || !port.matches("[0-9]{1,5}")
+                || Integer.parseInt(port) < 1
+                || Integer.parseInt(port) > 65_535) {
+            throw new IllegalArgumentException(
+                    "'" + text + "': unix:/path, [address]:port or address:port is expected");
         }
-        return six ? new Address(Kind.IPV6, host.substring(1, host.length() - 1).toLowerCase(), Integer.parseInt(port))
-            : new Address(Kind.IPV4, host, Integer.parseInt(port));
+        return six
+                ? new Address(Kind.IPV6, host.substring(1, host.length() - 1).toLowerCase(), Integer.parseInt(port))
+                : new Address(Kind.IPV4, host, Integer.parseInt(port));
     }
 
     @Override
--- a/dial/src/main/java/pinewick/dial/AddressBook.java
+++ b/dial/src/main/java/pinewick/dial/AddressBook.java
@@ -14,16 +14,19 @@
 public final class AddressBook {
     /** The newest connect time's weight in the smoothed one, and in its spread. */
     private static final double NEWEST = 0.25;
+
     private static final double REST_LEAST = 0.25;
     private static final double REST_MOST = 30;
     /** Without failures for this long the count of failures in a row is halved. */
     private static final double FORGIVES = 60;
+
     private static final double FIRST_GUESS = 0.05;
     private static final double STAGGER_LEAST = 0.01;
     /** RFC 8305's least recommended; its 250 ms would take two hung addresses past 300 ms. */
     private static final double STAGGER_MOST = 0.1;
     /** An address this many times slower than the best one, and by this much, comes after the others. */
     private static final double SLOW_FACTOR = 2;
+
     private static final double SLOW_LEAST = 0.01;
     private static final double TRY_AGAIN = 30;
     private static final double CONNECT_LEAST = 0.05;
--- a/dial/src/main/java/pinewick/dial/AddressClaims.java
+++ b/dial/src/main/java/pinewick/dial/AddressClaims.java
@@ -27,7 +27,8 @@
         given.remove(searcher);
         if (!addresses.isEmpty()) {
             given.put(searcher, List.copyOf(new LinkedHashSet<>(addresses)));
-            given.get(searcher).forEach(each -> claims.computeIfAbsent(each, any -> new LinkedHashSet<>()).add(searcher));
+            given.get(searcher).forEach(each -> claims.computeIfAbsent(each, any -> new LinkedHashSet<>())
+                    .add(searcher));
         }
     }
 
--- a/dial/src/main/java/pinewick/dial/PathWatch.java
+++ b/dial/src/main/java/pinewick/dial/PathWatch.java
@@ -73,7 +73,9 @@
         path.aside = false;
         book.served(address, now);
         for (Map.Entry<Address, Path> each : List.copyOf(paths.entrySet())) {
-            if (suspect(each.getValue(), now) && !each.getValue().aside && !each.getKey().equals(address)) {
+            if (suspect(each.getValue(), now)
+                    && !each.getValue().aside
+                    && !each.getKey().equals(address)) {
                 // Both are of one searcher, and this one speaks since the other fell silent.
                 each.getValue().aside = true;
                 book.failed(each.getKey(), now);
--- a/dial/src/test/java/pinewick/dial/DialPropertyTest.java
+++ b/dial/src/test/java/pinewick/dial/DialPropertyTest.java
@@ -19,11 +19,12 @@
         List<Address> addresses = new ArrayList<>();
         int count = 1 + chance.nextInt(5);
         for (int each = 0; each < count; each++) {
-            addresses.add(Address.read(switch (chance.nextInt(3)) {
-                case 0 -> "unix:/s" + each;
-                case 1 -> "[::" + (each + 1) + "]:1";
-                default -> "10.0.0." + each + ":1";
-            }));
+            addresses.add(Address.read(
+                    switch (chance.nextInt(3)) {
+                        case 0 -> "unix:/s" + each;
+                        case 1 -> "[::" + (each + 1) + "]:1";
+                        default -> "10.0.0." + each + ":1";
+                    }));
         }
         book.set(addresses);
         double now = 0;
@@ -72,7 +73,7 @@
                                 cancelled = true;
                             }
                         }
-                        default -> { }
+                        default -> {}
                     }
                 }
                 assertTrue(now - from < 0.6, "a race that does not end");
--- a/dial/src/test/java/pinewick/dial/DialTest.java
+++ b/dial/src/test/java/pinewick/dial/DialTest.java
@@ -29,8 +29,9 @@
     @Test
     void aSocketOfTheOwnMachineComesFirstThenFamiliesByTurns() {
         DialWorld world = world("192.0.2.1:1", 0.01, "192.0.2.2:1", 0.01, "[::2]:1", 0.01, UNIX, 0.001);
-        assertEquals(List.of(UNIX, "[::2]:1", "192.0.2.1:1", "192.0.2.2:1"),
-            world.book.order(0).stream().map(Address::toString).toList());
+        assertEquals(
+                List.of(UNIX, "[::2]:1", "192.0.2.1:1", "192.0.2.2:1"),
+                world.book.order(0).stream().map(Address::toString).toList());
     }
 
     @Test
@@ -152,7 +153,9 @@
     void whatAnotherSearcherAnswersOnIsNotUsed() {
         DialWorld world = world(SIX, 0.002, FOUR, 0.004);
         world.book.stranger(Address.read(SIX));
-        assertEquals(List.of(FOUR), world.book.order(0).stream().map(Address::toString).toList());
+        assertEquals(
+                List.of(FOUR),
+                world.book.order(0).stream().map(Address::toString).toList());
     }
 
     @Test
@@ -229,10 +232,19 @@
 
     @Test
     void addressesThatCannotBeReadAreNamed() {
-        for (String bad : new String[] {"", "unix:run/x", "1.2.3:1", "[::1]", "[::1]:0", "1.2.3.4:65536", "a.example.org:1",
-            "unix:/" + "x".repeat(200)}) {
-            assertTrue(assertThrows(IllegalArgumentException.class, () -> Address.read(bad)).getMessage()
-                .startsWith("'" + bad + "'"));
+        for (String bad : new String[] {
+            "",
+            "unix:run/x",
+            "1.2.3:1",
+            "[::1]",
+            "[::1]:0",
+            "1.2.3.4:65536",
+            "a.example.org:1",
+            "unix:/" + "x".repeat(200)
+        }) {
+            assertTrue(assertThrows(IllegalArgumentException.class, () -> Address.read(bad))
+                    .getMessage()
+                    .startsWith("'" + bad + "'"));
         }
         assertEquals("[fe80::1]:7", Address.read("[FE80::1]:7").toString());
     }
--- a/dial/src/test/java/pinewick/dial/DialWorld.java
+++ b/dial/src/test/java/pinewick/dial/DialWorld.java
@@ -10,14 +10,15 @@
 final class DialWorld {
     /** NaN hangs; negative refuses after that many seconds; else opens after so many. */
     final Map<Address, Double> behaviour = new LinkedHashMap<>();
+
     final AddressBook book = new AddressBook();
     final List<String> events = new ArrayList<>();
     double now;
     Address winner;
     boolean lost;
     int abandoned;
-    private record Due(double at, Runnable what) {
-    }
+
+    private record Due(double at, Runnable what) {}
 
     private final PriorityQueue<Due> queue = new PriorityQueue<>((one, other) -> Double.compare(one.at, other.at));
 
--- a/dissemination/src/test/java/pinewick/dissemination/LargeConfigurationTest.java
+++ b/dissemination/src/test/java/pinewick/dissemination/LargeConfigurationTest.java
@@ -82,7 +82,8 @@
             history.add(TestDocuments.withRoutes(version, ROUTES));
         }
         assertEquals(KEPT - 1, history.previousVersion());
-        assertEquals(ConfigurationDelta.FULL_DOCUMENT, history.updateFrom(KEPT - 2).baseVersion());
+        assertEquals(
+                ConfigurationDelta.FULL_DOCUMENT, history.updateFrom(KEPT - 2).baseVersion());
     }
 
     @Test
--- a/emulator/src/main/java/pinewick/emulator/control/ControlPlaneSimulation.java
+++ b/emulator/src/main/java/pinewick/emulator/control/ControlPlaneSimulation.java
@@ -59,7 +59,8 @@
         Operator operator = new Operator(system, number, random.split());
         operator.loseResponses(scenario == Scenario.PRIMARY_LOSSES ? 0.7 : random.nextBoolean() ? 0.02 : 0.3);
         operator.sendLongDocuments(random.nextInt(6) == 0 ? 0.08 : 0);
-        operator.setMeanIntervalMs(scenario == Scenario.LONG_PARTITION || scenario == Scenario.DELAYED_REPLIES ? 1_200 : 500);
+        operator.setMeanIntervalMs(
+                scenario == Scenario.LONG_PARTITION || scenario == Scenario.DELAYED_REPLIES ? 1_200 : 500);
         return operator;
     }
 
@@ -163,7 +164,9 @@
         scenarios.longPartition(atMs);
         endMs = atMs + FaultScenarios.LONG_PARTITION_MS + 2_000;
         Operator operator = new Operator(system, 3, random.split());
-        system.after(atMs + SimulatedSystem.CONTACT_MS, () -> submitPeriodically(operator, scenarios, atMs + FaultScenarios.LONG_PARTITION_MS));
+        system.after(
+                atMs + SimulatedSystem.CONTACT_MS,
+                () -> submitPeriodically(operator, scenarios, atMs + FaultScenarios.LONG_PARTITION_MS));
     }
 
     /** While a controller is partitioned, an operator that reaches both sides submits changes. */
--- a/emulator/src/main/java/pinewick/emulator/control/ControllerMachine.java
+++ b/emulator/src/main/java/pinewick/emulator/control/ControllerMachine.java
@@ -36,7 +36,9 @@
         this.internal = new SocketAddress(host, INTERNAL_PORT);
         this.random = random;
         system.network()
-                .listen(internal, (sender, message) -> process.ifPresent(running -> running.onMessage(sender, message)));
+                .listen(
+                        internal,
+                        (sender, message) -> process.ifPresent(running -> running.onMessage(sender, message)));
     }
 
     static SocketAddress apiOf(int number) {
--- a/emulator/src/main/java/pinewick/emulator/control/ControllerProcess.java
+++ b/emulator/src/main/java/pinewick/emulator/control/ControllerProcess.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import pinewick.control.ApiResponse;
 import pinewick.control.ApiRequest;
+import pinewick.control.ApiResponse;
 import pinewick.control.Controller;
 import pinewick.control.ControllerCore;
 import pinewick.control.TaskLoop;
@@ -68,7 +68,8 @@
         NodeDescriptor self = new NodeDescriptor(
                 machine.internal(), (long) machine.wallClockMs(), NodeRole.CONTROLLER, machine.zone());
         this.core = new ControllerCore(
-                new ControllerCore.Settings(self, replication, SimulatedSystem.CONTACT_MS, SimulatedSystem.HEARTBEAT_MS),
+                new ControllerCore.Settings(
+                        self, replication, SimulatedSystem.CONTACT_MS, SimulatedSystem.HEARTBEAT_MS),
                 this,
                 store,
                 (peer, message) -> system.network().send(machine.internal(), peer, message),
@@ -268,12 +269,14 @@
         ApiRequest api = new ApiRequest(call.path(), call.instanceId(), Optional.empty(), call.body());
         Consumer<ApiResponse> responder = response -> {
             if (response.status() == 200) {
-                system.guard(() -> system.fleetChecker().onRemovalAcknowledged(machine, call.instanceId(), call.state()));
+                system.guard(
+                        () -> system.fleetChecker().onRemovalAcknowledged(machine, call.instanceId(), call.state()));
             }
             onResponse.accept(response);
         };
         run(() -> {
-            core.state().findReplica(call.instanceId()).ifPresent(known -> system.mutation().onHeartbeat(this, known));
+            core.state().findReplica(call.instanceId()).ifPresent(known -> system.mutation()
+                    .onHeartbeat(this, known));
             if (call.isDeregistration()) {
                 core.deregister(api, responder);
             } else {
--- a/emulator/src/main/java/pinewick/emulator/control/DiskMutations.java
+++ b/emulator/src/main/java/pinewick/emulator/control/DiskMutations.java
@@ -119,7 +119,8 @@
             StoredHead head = stored.head();
             StoredHead incomplete =
                     new StoredHead(head.identity(), EpochNumber.FOUNDING, head.accepted(), head.stateVersion());
-            return new LoadedState(Optional.of(new StoredState(incomplete, stored.snapshot(), stored.changes())), false);
+            return new LoadedState(
+                    Optional.of(new StoredState(incomplete, stored.snapshot(), stored.changes())), false);
         }
     }
 
--- a/emulator/src/main/java/pinewick/emulator/control/FaultInjector.java
+++ b/emulator/src/main/java/pinewick/emulator/control/FaultInjector.java
@@ -48,8 +48,9 @@
 
     /** The machine, if any fault is allowed: no more machines than tolerated are lost. */
     Optional<ControllerMachine> forAnyFault(ControllerMachine machine) {
-        boolean isAllowed =
-                machine.isRunning() && machine.lostUntilMs() <= system.nowMs() && lostMachines() < system.toleratedMachines();
+        boolean isAllowed = machine.isRunning()
+                && machine.lostUntilMs() <= system.nowMs()
+                && lostMachines() < system.toleratedMachines();
         return isAllowed ? Optional.of(machine) : Optional.empty();
     }
 
@@ -198,8 +199,9 @@
 
     void splitInTwo(double forMs) {
         system.trace("the controllers are cut in two for " + (long) forMs + " ms");
-        List<ControllerMachine> left =
-                system.present().stream().filter(machine -> random.nextBoolean()).toList();
+        List<ControllerMachine> left = system.present().stream()
+                .filter(machine -> random.nextBoolean())
+                .toList();
         for (ControllerMachine one : system.present()) {
             markLost(one, forMs);
             for (ControllerMachine other : system.present()) {
--- a/emulator/src/main/java/pinewick/emulator/control/FaultScenarios.java
+++ b/emulator/src/main/java/pinewick/emulator/control/FaultScenarios.java
@@ -52,7 +52,8 @@
                 faults.isolate(target, LONG_PARTITION_MS, random.nextBoolean());
             }
             if (random.nextBoolean()) {
-                system.replicas().forEach(replica -> replica.preferController(target, system.nowMs() + LONG_PARTITION_MS));
+                system.replicas()
+                        .forEach(replica -> replica.preferController(target, system.nowMs() + LONG_PARTITION_MS));
             }
             if (random.nextBoolean()) {
                 isolateRouter(target);
@@ -133,7 +134,8 @@
         system.after(
                 atMs,
                 () -> faults.replacePlanned(
-                        target(), detached -> whenRepaired(0, REPORT_LAG_MS, () -> faults.wipe(faults.anyController()))));
+                        target(),
+                        detached -> whenRepaired(0, REPORT_LAG_MS, () -> faults.wipe(faults.anyController()))));
     }
 
     /**
@@ -160,7 +162,8 @@
     private int tolerableLosses() {
         return system.primary()
                 .flatMap(ControllerMachine::process)
-                .map(process -> process.report().faultTolerance().tolerableLosses().orElse(0))
+                .map(process ->
+                        process.report().faultTolerance().tolerableLosses().orElse(0))
                 .orElse(0);
     }
 
--- a/emulator/src/main/java/pinewick/emulator/control/FleetChecker.java
+++ b/emulator/src/main/java/pinewick/emulator/control/FleetChecker.java
@@ -3,9 +3,9 @@
 import static pinewick.emulator.control.InvariantViolation.require;
 
 import java.util.HashMap;
-import java.util.Optional;
 import java.util.IdentityHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import pinewick.model.ReplicaRecord;
 import pinewick.model.ReplicaState;
@@ -61,7 +61,8 @@
     private void requireCurrent(long version, double undisturbedSinceMs) {
         for (RouterMachine router : system.routers()) {
             require(
-                    !router.isUndisturbedSince(undisturbedSinceMs) || router.process().shownVersion() >= version,
+                    !router.isUndisturbedSince(undisturbedSinceMs)
+                            || router.process().shownVersion() >= version,
                     Invariant.ROUTERS_CURRENT,
                     router.host() + " has version " + router.process().shownVersion() + ", acknowledged is " + version);
         }
@@ -69,7 +70,8 @@
 
     /** A controller acknowledges a heartbeat or deregistration of a replica. */
     void onRemovalAcknowledged(ControllerMachine by, String instanceId, ReplicaState state) {
-        boolean isInContact = by.isUndisturbedSince(system.nowMs() - SimulatedSystem.CONTACT_MS) && system.isInMajority(by);
+        boolean isInContact =
+                by.isUndisturbedSince(system.nowMs() - SimulatedSystem.CONTACT_MS) && system.isInMajority(by);
         if (state == ReplicaState.READY || !isInContact) {
             return;
         }
@@ -88,7 +90,9 @@
                 requireKnown(instanceId, state, atMs - SimulatedSystem.CONTACT_MS);
             }
         });
-        system.after(SimulatedSystem.MAX_SPREAD_MS, () -> requireKnown(instanceId, state, atMs - SimulatedSystem.CONTACT_MS));
+        system.after(
+                SimulatedSystem.MAX_SPREAD_MS,
+                () -> requireKnown(instanceId, state, atMs - SimulatedSystem.CONTACT_MS));
     }
 
     private void requireKnown(String instanceId, ReplicaState state, double undisturbedSinceMs) {
--- a/emulator/src/main/java/pinewick/emulator/control/HistoryChecker.java
+++ b/emulator/src/main/java/pinewick/emulator/control/HistoryChecker.java
@@ -34,7 +34,8 @@
 
     SubmittedChange make(boolean replacesAll, long base, long version, boolean wellFormed, int paddingBytes) {
         Optional<String> routedService = Optional.ofNullable(inForce.get(base)).flatMap(HistoryChecker::someService);
-        SubmittedChange change = SubmittedChange.make(changes.size(), replacesAll, base, version, wellFormed, paddingBytes, routedService);
+        SubmittedChange change = SubmittedChange.make(
+                changes.size(), replacesAll, base, version, wellFormed, paddingBytes, routedService);
         changes.add(change);
         answers.add(Answer.NONE);
         return change;
@@ -127,7 +128,10 @@
                 Invariant.NOT_WRONGLY_REJECTED,
                 what + " was acknowledged and gets " + status);
         boolean isAcceptable = change.valid() && change.base() == newestInForce;
-        require(!isAcceptable, Invariant.NOT_WRONGLY_REJECTED, what + " is valid upon the newest version and gets " + status);
+        require(
+                !isAcceptable,
+                Invariant.NOT_WRONGLY_REJECTED,
+                what + " is valid upon the newest version and gets " + status);
         answers.set(change.id(), Answer.REJECTED);
         rejected++;
     }
--- a/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
+++ b/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
@@ -12,10 +12,10 @@
 import pinewick.emulator.control.CallHistory.Acknowledged;
 import pinewick.emulator.control.CallHistory.Answered;
 import pinewick.emulator.control.CallHistory.Call;
-import pinewick.emulator.control.CallHistory.Received;
 import pinewick.emulator.control.CallHistory.Event;
 import pinewick.emulator.control.CallHistory.Finding;
 import pinewick.emulator.control.CallHistory.FirstSent;
+import pinewick.emulator.control.CallHistory.Received;
 
 /**
  * Checks whether a history of requests is linearizable as a compare-and-set register with versions, after Wing and Gong
@@ -153,8 +153,7 @@
     private static String describe(Call call) {
         String what = call.change() == null
                 ? ""
-                : " of change " + call.change().id() + " upon "
-                        + call.change().base();
+                : " of change " + call.change().id() + " upon " + call.change().base();
         return call.finding() + what + (call.finding() == Finding.READ ? " of version " + call.version() : "");
     }
 }
--- a/emulator/src/main/java/pinewick/emulator/control/OperatorCall.java
+++ b/emulator/src/main/java/pinewick/emulator/control/OperatorCall.java
@@ -1,7 +1,6 @@
 package pinewick.emulator.control;
 
 import java.util.Optional;
-
 import pinewick.control.ApiRequest;
 
 /**
@@ -24,7 +23,8 @@
     static OperatorCall of(SubmittedChange change) {
         Operation operation = change.replacesAll() ? Operation.REPLACE : Operation.UPDATE;
         String path = change.replacesAll() ? "/config/replace" : "/config/update";
-        return new OperatorCall(operation, change, new ApiRequest(path, "", Optional.of(Long.toString(change.base())), change.body()));
+        return new OperatorCall(
+                operation, change, new ApiRequest(path, "", Optional.of(Long.toString(change.base())), change.body()));
     }
 
     static OperatorCall read() {
--- a/emulator/src/main/java/pinewick/emulator/control/RandomFaults.java
+++ b/emulator/src/main/java/pinewick/emulator/control/RandomFaults.java
@@ -73,7 +73,8 @@
             case 9 -> onAnyController(machine -> faults.disk(machine, SimulatedDisk.Mode.STALLED));
             case 10 -> onAnyController(machine -> faults.disk(machine, SimulatedDisk.Mode.FULL));
             case 11 -> onPrimary(machine -> faults.disk(machine, SimulatedDisk.Mode.STALLED));
-            case 12 -> onAnyController(machine -> faults.isolate(machine, random.nextDouble(100, 5_000), random.nextBoolean()));
+            case 12 -> onAnyController(
+                    machine -> faults.isolate(machine, random.nextDouble(100, 5_000), random.nextBoolean()));
             case 13 -> onAnyController(machine -> faults.isolateOneWay(machine, random.nextDouble(100, 5_000)));
             case 14 -> faults.forAnyFault(faults.anyController()).ifPresent(this::replace);
             case 15 -> onAnyController(faults::restartGracefully);
--- a/emulator/src/main/java/pinewick/emulator/control/ReplicaActor.java
+++ b/emulator/src/main/java/pinewick/emulator/control/ReplicaActor.java
@@ -142,7 +142,9 @@
     }
 
     private ControllerMachine next() {
-        if (preferredController.isPresent() && system.nowMs() < preferredUntilMs && preferredController.get().isRunning()) {
+        if (preferredController.isPresent()
+                && system.nowMs() < preferredUntilMs
+                && preferredController.get().isRunning()) {
             return preferredController.get();
         }
         List<ControllerMachine> present = system.present();
--- a/emulator/src/main/java/pinewick/emulator/control/SimulatedStore.java
+++ b/emulator/src/main/java/pinewick/emulator/control/SimulatedStore.java
@@ -26,7 +26,8 @@
     private final Deque<Write> queue = new ArrayDeque<>();
     private boolean writing;
 
-    SimulatedStore(VirtualTime time, SimulatedDisk disk, ControllerProcess process, SplittableRandom random, Mutation by) {
+    SimulatedStore(
+            VirtualTime time, SimulatedDisk disk, ControllerProcess process, SplittableRandom random, Mutation by) {
         this.time = time;
         this.disk = disk;
         this.process = process;
--- a/emulator/src/main/java/pinewick/emulator/control/SimulatedSystem.java
+++ b/emulator/src/main/java/pinewick/emulator/control/SimulatedSystem.java
@@ -244,7 +244,8 @@
      * has resumed from a freeze: it receives buffered messages, and informs others.
      */
     void onRedirect(ControllerMachine from, SocketAddress api) {
-        boolean hasRecentlyResumed = present().stream().anyMatch(machine -> nowMs() - machine.lastResumeMs() < MAX_REDIRECT_AGE_MS);
+        boolean hasRecentlyResumed =
+                present().stream().anyMatch(machine -> nowMs() - machine.lastResumeMs() < MAX_REDIRECT_AGE_MS);
         boolean isExcused = !hasCleanLinks() || hasRecentlyResumed;
         Optional<ControllerMachine> target = controllerAt(api);
         boolean ledRecently = target.isPresent() && nowMs() - target.get().lastHeartbeatSentMs() < MAX_REDIRECT_AGE_MS;
@@ -252,7 +253,8 @@
                 isExcused || ledRecently,
                 Invariant.REDIRECTS_TO_A_PRIMARY,
                 from + " redirects to " + api + ", which led "
-                        + target.map(machine -> nowMs() - machine.lastHeartbeatSentMs()).orElse(Double.NaN) + " ms ago");
+                        + target.map(machine -> nowMs() - machine.lastHeartbeatSentMs())
+                                .orElse(Double.NaN) + " ms ago");
     }
 
     /** A fault of a controller. */
@@ -276,8 +278,9 @@
         if (!isUndisturbed) {
             onControllerFault();
         }
-        List<ControllerMachine> core =
-                isUndisturbed ? present : present.stream().filter(this::isInMajority).toList();
+        List<ControllerMachine> core = isUndisturbed
+                ? present
+                : present.stream().filter(this::isInMajority).toList();
         for (ControllerMachine machine : present) {
             boolean reaches = isInMajority(machine)
                     && core.stream()
--- a/emulator/src/main/java/pinewick/emulator/control/SubmittedChange.java
+++ b/emulator/src/main/java/pinewick/emulator/control/SubmittedChange.java
@@ -92,7 +92,9 @@
 
     ConfigurationDocument applyTo(ConfigurationDocument current) {
         try {
-            return replacesAll ? ConfigurationChecks.parseReplacement(body) : ConfigurationChecks.parseUpdate(current, body);
+            return replacesAll
+                    ? ConfigurationChecks.parseReplacement(body)
+                    : ConfigurationChecks.parseUpdate(current, body);
         } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
--- a/emulator/src/test/java/pinewick/emulator/control/ControlDayTest.java
+++ b/emulator/src/test/java/pinewick/emulator/control/ControlDayTest.java
@@ -34,8 +34,11 @@
                         + result.violation().get().getMessage())
                 .toList();
         assertEquals(List.of(), broken);
-        long acknowledged = results.stream().mapToLong(SimulationResult::acknowledged).sum();
-        long ends = results.stream().mapToLong(SimulationResult::removalsAcknowledged).sum();
+        long acknowledged =
+                results.stream().mapToLong(SimulationResult::acknowledged).sum();
+        long ends = results.stream()
+                .mapToLong(SimulationResult::removalsAcknowledged)
+                .sum();
         assertTrue(acknowledged > 20L * SEEDS, "too few changes: " + acknowledged);
         assertTrue(ends > 3L * SEEDS, "too few ends of replicas: " + ends);
     }
--- a/fleet/src/main/java/pinewick/fleet/Datagram.java
+++ b/fleet/src/main/java/pinewick/fleet/Datagram.java
@@ -28,16 +28,19 @@
     public static final int MOST = 256;
     /** Places are below this, as three bits of sixteen tell the standing. */
     public static final int PLACES = 1 << 13;
+
     static final byte VERSION = (byte) 0xF1;
     private static final int HEAD = 21;
     private static final int SUM = Seal.BYTES;
     private static final int ENTRY = 8;
     /** The most that accuse in one entry. */
     static final int ACCUSERS = 4;
+
     private static final int LONGEST = ENTRY + 3 + 2 * ACCUSERS;
     private static final double STEPS = 20; // a second
     /** Danger: above the highest there is no room to object, so half of what fits is refused; milliseconds reach it in 6429. */
     private static final long INCARNATIONS = (1L << 47) - 1;
+
     private static final Standing[] STANDINGS = Standing.values();
     private static final Kind[] KINDS = Kind.values();
 
@@ -162,8 +165,7 @@
         int number = in.getInt();
         int about = in.getShort() & 0xFFFF;
         int entries = in.get() & 0xFF;
-        if (kind < 0 || kind >= KINDS.length || sender >= PLACES || about >= PLACES
-            || incarnation > INCARNATIONS) {
+        if (kind < 0 || kind >= KINDS.length || sender >= PLACES || about >= PLACES || incarnation > INCARNATIONS) {
             return "form";
         }
         if (reader != null) {
--- a/fleet/src/main/java/pinewick/fleet/DatagramSender.java
+++ b/fleet/src/main/java/pinewick/fleet/DatagramSender.java
@@ -115,8 +115,10 @@
     /** A datagram with what concerns the receiver first, then news, then some plain state. */
     private byte[] compose(int to, Datagram.Kind kind, int number, int about) {
         begin(kind, number, about);
-        if (kind == Datagram.Kind.LOOK || kind == Datagram.Kind.SEEN || kind == Datagram.Kind.NOT_SEEN
-            || kind == Datagram.Kind.ASK) {
+        if (kind == Datagram.Kind.LOOK
+                || kind == Datagram.Kind.SEEN
+                || kind == Datagram.Kind.NOT_SEEN
+                || kind == Datagram.Kind.ASK) {
             return out.end(); // These go out in numbers while links are bad; the rest carries the news.
         }
         Member receiver = table.get(to);
--- a/fleet/src/main/java/pinewick/fleet/FailureDetector.java
+++ b/fleet/src/main/java/pinewick/fleet/FailureDetector.java
@@ -29,17 +29,19 @@
     private final Map<Integer, Probe> probes = new HashMap<>();
     /** By the number of this router's own ping. */
     private final Map<Integer, IndirectProbe> indirectProbes = new TreeMap<>();
+
     private int numbers;
     /** Probes since the last turn that found a member silent. */
     private int silences;
+
     private long lastTurn = Long.MIN_VALUE;
     private double heardAt = Double.NEGATIVE_INFINITY;
     private double lastProbesAt = Double.NEGATIVE_INFINITY;
     private long suspicions;
     private long deaths;
 
-    FailureDetector(MemberTable table, DatagramSender sender, FleetTerms terms, FleetView.News news,
-                    SplittableRandom random) {
+    FailureDetector(
+            MemberTable table, DatagramSender sender, FleetTerms terms, FleetView.News news, SplittableRandom random) {
         this.table = table;
         this.sender = sender;
         this.terms = terms;
--- a/fleet/src/main/java/pinewick/fleet/FleetTerms.java
+++ b/fleet/src/main/java/pinewick/fleet/FleetTerms.java
@@ -16,9 +16,18 @@
  * @param lowerAfter how long a death must have stood before it raises this mixer's share of a budget
  * @param leastShare the budget's count never falls below this share of the listed members
  */
-public record FleetTerms(double period, double again, double probe, double silence, double silenceMost,
-                         int confirmations, int helpers, double gossip, int spread, double lowerAfter,
-                         double leastShare) {
+public record FleetTerms(
+        double period,
+        double again,
+        double probe,
+        double silence,
+        double silenceMost,
+        int confirmations,
+        int helpers,
+        double gossip,
+        int spread,
+        double lowerAfter,
+        double leastShare) {
 
     /** What suits a tier on one platform, where datagrams take some milliseconds and a tenth of them is lost. */
     public static FleetTerms usual() {
@@ -28,12 +37,16 @@
     public FleetTerms {
         if (!(period > 0 && again > 0 && probe >= 3 * again && silence > probe && silenceMost >= silence)) {
             throw new IllegalArgumentException("fleet: period and again above 0, probe at least three times again, "
-                + "silence above probe and not above silenceMost are expected");
+                    + "silence above probe and not above silenceMost are expected");
         }
-        if (confirmations < 0 || helpers < 1 || !(gossip > 0) || spread < 1 || !(lowerAfter >= 0)
-            || !(leastShare >= 0 && leastShare <= 1)) {
-            throw new IllegalArgumentException("fleet: confirmations, helpers, gossip, spread, lowerAfter or leastShare "
-                + "is out of range");
+        if (confirmations < 0
+                || helpers < 1
+                || !(gossip > 0)
+                || spread < 1
+                || !(lowerAfter >= 0)
+                || !(leastShare >= 0 && leastShare <= 1)) {
+            throw new IllegalArgumentException(
+                    "fleet: confirmations, helpers, gossip, spread, lowerAfter or leastShare " + "is out of range");
         }
     }
 }
--- a/fleet/src/main/java/pinewick/fleet/FleetView.java
+++ b/fleet/src/main/java/pinewick/fleet/FleetView.java
@@ -34,6 +34,7 @@
     private static final int MOST_REQUESTS = 400;
     /** With more news than this waiting, differences between views are no sign of loss. */
     private static final int MUCH_NEWS = 24;
+
     private static final int ANNOUNCEMENTS_AT_START = 3;
     private static final int ANNOUNCEMENTS_AT_CHANGE = 2;
     private static final int NO_REQUEST = -1;
@@ -49,11 +50,13 @@
     private double now;
     /** Whose datagram is being read. */
     private int from;
+
     private double newsSentAt = Double.NEGATIVE_INFINITY;
     private double announcedAt = Double.NEGATIVE_INFINITY;
     private int announcementsLeft;
     /** The place from which on the others' state is still to be asked for. */
     private int requestFrom;
+
     private int requests;
     private double requestedAt = Double.NEGATIVE_INFINITY;
     private long received;
@@ -66,8 +69,8 @@
      * @param self this one's place
      * @param incarnation above that of any start before; milliseconds since 1970 serve
      */
-    public FleetView(int size, int self, long incarnation, FleetTerms terms, SplittableRandom random, Wire wire,
-                     News news) {
+    public FleetView(
+            int size, int self, long incarnation, FleetTerms terms, SplittableRandom random, Wire wire, News news) {
         this.terms = terms;
         this.news = news;
         this.random = random;
--- a/fleet/src/main/java/pinewick/fleet/IndirectProbe.java
+++ b/fleet/src/main/java/pinewick/fleet/IndirectProbe.java
@@ -4,9 +4,11 @@
 final class IndirectProbe {
     /** The member that asked for it, and the number of its own probe. */
     final int requester;
+
     final int requesterNumber;
     /** From when on the requester is told that no answer came so far, and until when it is told anything. */
     private final double reportAt;
+
     private final double endsAt;
     private boolean reported;
 
--- a/fleet/src/main/java/pinewick/fleet/LocalHealth.java
+++ b/fleet/src/main/java/pinewick/fleet/LocalHealth.java
@@ -8,6 +8,7 @@
     private static final int WORST = 8;
     /** A gap between two looks of so many periods is this mixer's own standing still. */
     private static final double STILL = 0.75;
+
     private final double period;
     private int score;
     private double lookedAt = Double.NaN;
--- a/fleet/src/main/java/pinewick/fleet/Member.java
+++ b/fleet/src/main/java/pinewick/fleet/Member.java
@@ -19,6 +19,7 @@
     double heardAt = Double.NEGATIVE_INFINITY;
     /** What it adds to the sums of the view, and whether it counts as live and as a suspect there. */
     long mark;
+
     boolean counted;
     boolean suspect;
     /** Whether its view differed from this mixer's when it last sent something. */
--- a/fleet/src/main/java/pinewick/fleet/MemberTable.java
+++ b/fleet/src/main/java/pinewick/fleet/MemberTable.java
@@ -10,6 +10,7 @@
     private static final int STRETCHES = 64;
     /** Draws before the choice of a live member looks at all of them. */
     private static final int DRAWS = 6;
+
     private static final long DIGEST_SEED = 17;
     private static final long DIGEST_PLACE = 31;
     private static final long DIGEST_MEMBER = 1_000_003;
@@ -38,7 +39,7 @@
     void replaceMembers(int size, int place) {
         if (size < 1 || size > Datagram.PLACES || place < 0 || place >= size) {
             throw new IllegalArgumentException("peers: 1 to " + Datagram.PLACES + " mixers are expected, this one "
-                + "among them; there are " + size + " and this one's place is " + place);
+                    + "among them; there are " + size + " and this one's place is " + place);
         }
         Member[] next = new Member[size];
         for (int each = 0; each < size; each++) {
--- a/fleet/src/main/java/pinewick/fleet/Probe.java
+++ b/fleet/src/main/java/pinewick/fleet/Probe.java
@@ -10,7 +10,12 @@
  */
 final class Probe {
     /** What is due next of a probe. */
-    enum Due { NOTHING, PING_AGAIN, ASK_OTHERS, SILENT }
+    enum Due {
+        NOTHING,
+        PING_AGAIN,
+        ASK_OTHERS,
+        SILENT
+    }
 
     final int target;
     final int number;
--- a/fleet/src/main/java/pinewick/fleet/Rumours.java
+++ b/fleet/src/main/java/pinewick/fleet/Rumours.java
@@ -17,9 +17,11 @@
 
     /** Neighbours in the ring; rings' own ends stand behind the places. */
     private int[] next;
+
     private int[] before;
     /** How often each place's news was sent; -1 where there is none. */
     private int[] sends;
+
     private int size;
     private int waiting;
 
--- a/fleet/src/main/java/pinewick/fleet/Seal.java
+++ b/fleet/src/main/java/pinewick/fleet/Seal.java
@@ -8,8 +8,7 @@
     /** Bytes of the sum. */
     public static final int BYTES = 4;
 
-    private Seal() {
-    }
+    private Seal() {}
 
     /** Ends what was written so far with its sum. */
     public static void put(ByteBuffer out) {
--- a/fleet/src/main/java/pinewick/fleet/Suspicion.java
+++ b/fleet/src/main/java/pinewick/fleet/Suspicion.java
@@ -29,8 +29,8 @@
             return terms.silence();
         }
         double confirmed = Math.max(0, Math.min(needed, accusers - 1));
-        return terms.silenceMost() - (terms.silenceMost() - terms.silence())
-            * Math.log(confirmed + 1) / Math.log(needed + 1);
+        return terms.silenceMost()
+                - (terms.silenceMost() - terms.silence()) * Math.log(confirmed + 1) / Math.log(needed + 1);
     }
 
     /**
--- a/fleet/src/main/java/pinewick/fleet/state/Agreed.java
+++ b/fleet/src/main/java/pinewick/fleet/state/Agreed.java
@@ -51,8 +51,12 @@
     private boolean warned(int key, FactKind kind, int self, double now, double since) {
         int origins = 0;
         for (Fact each : store.of(key, kind)) {
-            origins += each.origin() != self && each.first() > 0 && each.age(now) <= kind.most()
-                && each.stamp() / 1e3 > since ? 1 : 0;
+            origins += each.origin() != self
+                            && each.first() > 0
+                            && each.age(now) <= kind.most()
+                            && each.stamp() / 1e3 > since
+                    ? 1
+                    : 0;
         }
         return origins >= WARNED;
     }
--- a/fleet/src/main/java/pinewick/fleet/state/Fact.java
+++ b/fleet/src/main/java/pinewick/fleet/state/Fact.java
@@ -34,7 +34,8 @@
 
     /** A figure in two bytes, within a part in two thousand; what is under a millionth is 0. */
     public static short coded(double figure) {
-        return (short) (figure < LEAST ? 0 : Math.min(65535, 1 + Math.round(Math.log(figure / LEAST) / Math.log(2) * STEPS)));
+        return (short)
+                (figure < LEAST ? 0 : Math.min(65535, 1 + Math.round(Math.log(figure / LEAST) / Math.log(2) * STEPS)));
     }
 
     public static double decoded(short code) {
--- a/fleet/src/main/java/pinewick/fleet/state/FactStore.java
+++ b/fleet/src/main/java/pinewick/fleet/state/FactStore.java
@@ -21,9 +21,10 @@
     public static final int ORIGINS = 3;
     /** Stretches of the keys that have a sum each. */
     static final int STRETCHES = 32;
+
     private static final FactKind[] KINDS = FactKind.values();
-    private static final Comparator<Fact> NEWEST = Comparator.comparingLong(Fact::stamp).thenComparing(Fact::origin)
-        .reversed();
+    private static final Comparator<Fact> NEWEST =
+            Comparator.comparingLong(Fact::stamp).thenComparing(Fact::origin).reversed();
 
     /** Of one searcher: a list a kind, the newest first. */
     private static final class Kept {
@@ -87,8 +88,11 @@
     }
 
     private static int mark(Fact fact) {
-        return (int) (new SplittableRandom(fact.stamp() << 16 ^ (long) fact.key() << 8 ^ fact.origin() * 5L
-            + fact.kind().ordinal()).nextLong() >>> 32);
+        return (int) (new SplittableRandom(fact.stamp() << 16
+                                ^ (long) fact.key() << 8
+                                ^ fact.origin() * 5L + fact.kind().ordinal())
+                        .nextLong()
+                >>> 32);
     }
 
     static int stretch(int key) {
@@ -136,7 +140,9 @@
                 each.getValue().kinds.forEach(all::addAll);
             }
         }
-        all.sort(Comparator.comparingInt((Fact each) -> each.key()).thenComparing(Fact::kind).thenComparing(NEWEST));
+        all.sort(Comparator.comparingInt((Fact each) -> each.key())
+                .thenComparing(Fact::kind)
+                .thenComparing(NEWEST));
         return all;
     }
 
--- a/fleet/src/main/java/pinewick/fleet/state/FactText.java
+++ b/fleet/src/main/java/pinewick/fleet/state/FactText.java
@@ -26,6 +26,7 @@
     private static final int SUM = Seal.BYTES;
     /** Facts that one datagram takes. */
     public static final int FACTS = (Datagram.MOST - HEAD - SUM) / FACT;
+
     private static final FactKind[] KINDS = FactKind.values();
 
     /** Is told what a datagram says, after the whole of it was found sound. */
@@ -47,11 +48,11 @@
 
     /** Searchers that one datagram names with their sums, and without. */
     static final int SEARCHERS = (Datagram.MOST - HEAD - SUM) / 8;
+
     static final int WANTED = (Datagram.MOST - HEAD - SUM) / 4;
     private static final int[] SIZES = {FACT, 4, FACT, 8, 4};
 
-    private FactText() {
-    }
+    private FactText() {}
 
     /** @param last whether it ends an answer to sums */
     public static byte[] facts(List<Fact> facts, boolean last) {
@@ -92,9 +93,13 @@
     }
 
     static void put(ByteBuffer out, Fact fact) {
-        out.put((byte) fact.kind().ordinal()).putInt(fact.key()).putShort((short) fact.origin())
-            .putShort((short) (fact.stamp() >>> 32)).putInt((int) fact.stamp())
-            .putShort(Fact.coded(fact.first())).putShort(Fact.coded(fact.second()));
+        out.put((byte) fact.kind().ordinal())
+                .putInt(fact.key())
+                .putShort((short) fact.origin())
+                .putShort((short) (fact.stamp() >>> 32))
+                .putInt((int) fact.stamp())
+                .putShort(Fact.coded(fact.first()))
+                .putShort(Fact.coded(fact.second()));
     }
 
     /** One fact; null where it can't be one. */
@@ -105,8 +110,9 @@
         long stamp = (in.getShort() & 0xFFFFL) << 32 | in.getInt() & 0xFFFFFFFFL;
         double first = Fact.decoded(in.getShort());
         double second = Fact.decoded(in.getShort());
-        return kind < 0 || kind >= KINDS.length || origin >= Datagram.PLACES ? null
-            : new Fact(key, KINDS[kind], origin, stamp, first, second);
+        return kind < 0 || kind >= KINDS.length || origin >= Datagram.PLACES
+                ? null
+                : new Fact(key, KINDS[kind], origin, stamp, first, second);
     }
 
     private static byte[] summed(ByteBuffer out) {
--- a/fleet/src/main/java/pinewick/fleet/state/SnapshotText.java
+++ b/fleet/src/main/java/pinewick/fleet/state/SnapshotText.java
@@ -23,15 +23,17 @@
     private static final int RECORD = FactText.FACT + 4;
 
     /** What was read: facts, or why nothing can be believed. */
-    public record Read(List<Fact> facts, String refused) {
-    }
+    public record Read(List<Fact> facts, String refused) {}
 
-    private SnapshotText() {
-    }
+    private SnapshotText() {}
 
     public static byte[] write(int self, int size, double now, List<Fact> facts) {
         ByteBuffer out = ByteBuffer.allocate(HEAD + facts.size() * RECORD + 4);
-        out.putInt(MAGIC).putShort((short) self).putShort((short) size).putLong(Math.round(now * 1e3)).putInt(facts.size());
+        out.putInt(MAGIC)
+                .putShort((short) self)
+                .putShort((short) size)
+                .putLong(Math.round(now * 1e3))
+                .putInt(facts.size());
         for (Fact each : facts) {
             int from = out.position();
             FactText.put(out, each);
--- a/fleet/src/main/java/pinewick/fleet/state/StateShare.java
+++ b/fleet/src/main/java/pinewick/fleet/state/StateShare.java
@@ -23,7 +23,8 @@
 
     private static final double CHANGED = 8; // times as often where the searcher changed
     private static final int ILL = 2; // failures in a row that are told: one alone is often a lost answer
-    private static final int TRIES = 40; // comparisons that a mixer that returns makes at most before it goes on without
+    private static final int TRIES =
+            40; // comparisons that a mixer that returns makes at most before it goes on without
     private static final int ANSWERS = 12; // datagrams that answer one comparison
     private static final int AGREED = 2; // members that held nothing else, until a mixer says it has caught up
 
@@ -37,9 +38,11 @@
     private final IntPredicate takesPart;
     /** To be handed on: facts that were news here, each once. */
     private final ArrayDeque<Fact> news = new ArrayDeque<>();
+
     private final ArrayDeque<Fact> urgent = new ArrayDeque<>();
     /** Warnings handed on once, to be handed on once more. */
     private final ArrayDeque<Fact> again = new ArrayDeque<>();
+
     private final ArrayDeque<Double> againAt = new ArrayDeque<>();
     /** By searcher: when this mixer saw it last, and the smoothed time between. */
     private final Map<Integer, double[]> seen = new HashMap<>();
@@ -47,6 +50,7 @@
     private final Set<Integer> warnedOf = new HashSet<>();
     /** Whom this mixer sent sums to last, -1 where no answer is awaited; whether the answer named searchers that differ. */
     private int asked = -1;
+
     private boolean differed;
     private double now;
     private int from;
@@ -67,7 +71,8 @@
     private long held;
 
     /** @param takesPart whether the member at a place takes part, as the fleet's view has it */
-    public StateShare(int size, int self, StateTerms terms, SplittableRandom chance, Wire wire, IntPredicate takesPart) {
+    public StateShare(
+            int size, int self, StateTerms terms, SplittableRandom chance, Wire wire, IntPredicate takesPart) {
         this.size = size;
         this.self = self;
         this.terms = terms;
@@ -224,13 +229,15 @@
 
     @Override
     public void fact(Fact fact) {
-        // Danger: a stamp far ahead would prevail for good, and under this mixer's name would make all its later words such
+        // Danger: a stamp far ahead would prevail for good, and under this mixer's name would make all its later words
+        // such
         // that nobody takes them. Harm: where clocks differ by more, facts are not taken.
         if (FactStore.old(fact, now) || fact.age(now) < -1) {
             return;
         }
         if (fact.origin() == self) {
-            // A word of this mixer's from before its restart, maybe by a clock that went ahead: later words must be newer.
+            // A word of this mixer's from before its restart, maybe by a clock that went ahead: later words must be
+            // newer.
             stamp = Math.max(stamp, fact.stamp());
         }
         if (!store.merge(fact)) {
@@ -373,8 +380,9 @@
     /** A line a figure. */
     public String figures() {
         return "state-facts " + store.size() + "\nstate-digest " + Long.toHexString(store.digest()) + "\nstate-merged "
-            + merged + "\nstate-sent " + sent + "\nstate-sent-bytes " + sentBytes + "\nstate-left-out " + held
-            + "\nstate-caught-up " + (Double.isNaN(caughtUpAt) ? "no" : String.format(java.util.Locale.ROOT, "%.2f",
-            caughtUpAfter())) + "\n";
+                + merged + "\nstate-sent " + sent + "\nstate-sent-bytes " + sentBytes + "\nstate-left-out " + held
+                + "\nstate-caught-up "
+                + (Double.isNaN(caughtUpAt) ? "no" : String.format(java.util.Locale.ROOT, "%.2f", caughtUpAfter()))
+                + "\n";
     }
 }
--- a/fleet/src/test/java/pinewick/fleet/FleetPropertyTest.java
+++ b/fleet/src/test/java/pinewick/fleet/FleetPropertyTest.java
@@ -23,13 +23,17 @@
 
 /** What must hold of merges, datagrams, rumours and turns whatever comes. */
 class FleetPropertyTest {
-    record Said(Standing standing, long incarnation) {
-    }
+    record Said(Standing standing, long incarnation) {}
 
     @Provide
     Arbitrary<List<Said>> news() {
-        return Combinators.combine(Arbitraries.of(Standing.ALIVE, Standing.SUSPECT, Standing.DEAD, Standing.LEFT),
-            Arbitraries.longs().between(1, 4)).as(Said::new).list().ofMinSize(1).ofMaxSize(12);
+        return Combinators.combine(
+                        Arbitraries.of(Standing.ALIVE, Standing.SUSPECT, Standing.DEAD, Standing.LEFT),
+                        Arbitraries.longs().between(1, 4))
+                .as(Said::new)
+                .list()
+                .ofMinSize(1)
+                .ofMaxSize(12);
     }
 
     @Property(tries = 500, seed = "20261201")
@@ -61,13 +65,16 @@
         @Override
         public void entry(int place, Standing standing, long incarnation, int[] accusers, double silent) {
             said.add(place + " " + standing + " " + incarnation + " " + Arrays.toString(accusers)
-                + (standing == Standing.SUSPECT ? " " + Math.round(silent * 20) : ""));
+                    + (standing == Standing.SUSPECT ? " " + Math.round(silent * 20) : ""));
         }
     }
 
     @Property(tries = 500, seed = "20261201")
-    void whatIsWrittenIsReadAndNeverLongerThanAllowed(@ForAll @IntRange(min = 0, max = 8191) int sender,
-                                                      @ForAll long incarnation, @ForAll int number, @ForAll long seed) {
+    void whatIsWrittenIsReadAndNeverLongerThanAllowed(
+            @ForAll @IntRange(min = 0, max = 8191) int sender,
+            @ForAll long incarnation,
+            @ForAll int number,
+            @ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         double now = 1.79e9 + chance.nextDouble();
         long bounded = Datagram.bounded(incarnation);
@@ -78,11 +85,12 @@
             Standing standing = Standing.values()[1 + chance.nextInt(4)];
             int place = chance.nextInt(Datagram.PLACES);
             long at = chance.nextLong(1L << 47);
-            int[] accusers = chance.ints(standing == Standing.SUSPECT ? chance.nextInt(5) : 0, 0, 8192).toArray();
+            int[] accusers = chance.ints(standing == Standing.SUSPECT ? chance.nextInt(5) : 0, 0, 8192)
+                    .toArray();
             double silent = now - 12 * chance.nextDouble();
             out.entry(place, standing, at, accusers, silent);
             expected.add(place + " " + standing + " " + at + " " + Arrays.toString(accusers)
-                + (standing == Standing.SUSPECT ? " " + Math.round(silent * 20) : ""));
+                    + (standing == Standing.SUSPECT ? " " + Math.round(silent * 20) : ""));
         }
         byte[] whole = out.end();
         assertTrue(whole.length <= 256, whole.length + " bytes");
@@ -114,17 +122,24 @@
         java.util.zip.CRC32 sum = new java.util.zip.CRC32();
         sum.update(whole, 0, noise.length);
         java.nio.ByteBuffer.wrap(whole).putInt(noise.length, (int) sum.getValue());
-        FleetView view = new FleetView(4, 0, 1, FleetTerms.usual(), new SplittableRandom(1), new FleetView.Wire() {
-            @Override
-            public void send(int place, byte[] datagram) {
-                assertTrue(place > 0 && place < 4 && datagram.length <= 256);
-            }
-
-            @Override
-            public boolean sendAll(byte[] datagram) {
-                return true;
-            }
-        }, (place, was, is) -> { });
+        FleetView view = new FleetView(
+                4,
+                0,
+                1,
+                FleetTerms.usual(),
+                new SplittableRandom(1),
+                new FleetView.Wire() {
+                    @Override
+                    public void send(int place, byte[] datagram) {
+                        assertTrue(place > 0 && place < 4 && datagram.length <= 256);
+                    }
+
+                    @Override
+                    public boolean sendAll(byte[] datagram) {
+                        return true;
+                    }
+                },
+                (place, was, is) -> {});
         view.start(100);
         view.heard(100.1, 2, whole, whole.length);
         view.tick(100.2);
@@ -141,8 +156,8 @@
     }
 
     @Property(tries = 200, seed = "20261201")
-    void everyPieceOfNewsIsSentSoOftenAndTheLeastSentGoesFirst(@ForAll @IntRange(min = 1, max = 50) int size,
-                                                               @ForAll @IntRange(min = 1, max = 7) int room) {
+    void everyPieceOfNewsIsSentSoOftenAndTheLeastSentGoesFirst(
+            @ForAll @IntRange(min = 1, max = 50) int size, @ForAll @IntRange(min = 1, max = 7) int room) {
         Rumours rumours = new Rumours(size);
         int[] sent = new int[size];
         for (int place = 0; place < size; place++) {
@@ -166,8 +181,8 @@
     }
 
     @Property(tries = 200, seed = "20261201")
-    void inATurnEachMemberThatTakesPartIsLookedAtByExactlyOne(@ForAll @IntRange(min = 2, max = 60) int size,
-                                                            @ForAll long turn, @ForAll long seed) {
+    void inATurnEachMemberThatTakesPartIsLookedAtByExactlyOne(
+            @ForAll @IntRange(min = 2, max = 60) int size, @ForAll long turn, @ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         Member[] members = new Member[size];
         for (int place = 0; place < size; place++) {
@@ -188,8 +203,8 @@
     }
 
     @Property(tries = 200, seed = "20261201")
-    void moreAccusersNeverLengthenAndAreNeverShorterThanTheLeastSilence(@ForAll @IntRange(min = 2, max = 1000) int members,
-                                                                      @ForAll @IntRange(min = 1, max = 6) int accusers) {
+    void moreAccusersNeverLengthenAndAreNeverShorterThanTheLeastSilence(
+            @ForAll @IntRange(min = 2, max = 1000) int members, @ForAll @IntRange(min = 1, max = 6) int accusers) {
         FleetTerms terms = FleetTerms.usual();
         Suspicion suspicion = new Suspicion(terms);
         double allowed = suspicion.allowed(accusers, members);
--- a/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
+++ b/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
@@ -26,12 +26,18 @@
 class StatePropertyTest {
     @Provide
     Arbitrary<List<Fact>> facts() {
-        return Combinators.combine(Arbitraries.integers().between(1, 4), Arbitraries.of(FactKind.values()),
-            Arbitraries.integers().between(0, 7), Arbitraries.longs().between(1_000, 1_020),
-            Arbitraries.integers().between(1, 9)).as((key, kind, origin, stamp, figure) ->
-            // One origin says one thing with one stamp.
-            new Fact(key << 28, kind, origin, stamp, Fact.decoded(Fact.coded(origin * 7 + stamp)), 0))
-            .list().ofMinSize(1).ofMaxSize(60);
+        return Combinators.combine(
+                        Arbitraries.integers().between(1, 4),
+                        Arbitraries.of(FactKind.values()),
+                        Arbitraries.integers().between(0, 7),
+                        Arbitraries.longs().between(1_000, 1_020),
+                        Arbitraries.integers().between(1, 9))
+                .as((key, kind, origin, stamp, figure) ->
+                        // One origin says one thing with one stamp.
+                        new Fact(key << 28, kind, origin, stamp, Fact.decoded(Fact.coded(origin * 7 + stamp)), 0))
+                .list()
+                .ofMinSize(1)
+                .ofMaxSize(60);
     }
 
     private static FactStore store(List<Fact> facts) {
@@ -53,8 +59,8 @@
     }
 
     @Property(tries = 500, seed = "20261201")
-    void mergingCopiesIsTheSameHoweverTheyAreGrouped(@ForAll("facts") List<Fact> facts, @ForAll("facts") List<Fact> more,
-                                                     @ForAll("facts") List<Fact> most) {
+    void mergingCopiesIsTheSameHoweverTheyAreGrouped(
+            @ForAll("facts") List<Fact> facts, @ForAll("facts") List<Fact> more, @ForAll("facts") List<Fact> most) {
         FactStore left = store(store(facts).all(-1));
         store(more).all(-1).forEach(left::merge);
         store(most).all(-1).forEach(left::merge);
@@ -76,9 +82,10 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void oneLiarMovesAMedianOfThreeNoFurtherThanToAnHonestWord(@ForAll @DoubleRange(min = 0.01, max = 1) double honest,
-                                                               @ForAll @DoubleRange(min = 0.01, max = 1) double second,
-                                                               @ForAll @DoubleRange(min = 1e-6, max = 1e6) @Scale(6) double lie) {
+    void oneLiarMovesAMedianOfThreeNoFurtherThanToAnHonestWord(
+            @ForAll @DoubleRange(min = 0.01, max = 1) double honest,
+            @ForAll @DoubleRange(min = 0.01, max = 1) double second,
+            @ForAll @DoubleRange(min = 1e-6, max = 1e6) @Scale(6) double lie) {
         FactStore store = new FactStore();
         store.merge(new Fact(1, FactKind.PACE, 1, 100_000, honest, 0));
         store.merge(new Fact(1, FactKind.PACE, 2, 100_000, second, 0));
@@ -139,7 +146,9 @@
         assertTrue(sums.length <= 256);
         assertNull(FactText.read(sums, sums.length, kept));
         assertTrue(Arrays.equals(store(facts).sums(), kept.sums));
-        List<Integer> keys = java.util.stream.IntStream.range(0, FactText.SEARCHERS).mapToObj(each -> each * 7919).toList();
+        List<Integer> keys = java.util.stream.IntStream.range(0, FactText.SEARCHERS)
+                .mapToObj(each -> each * 7919)
+                .toList();
         List<Integer> keySums = keys.stream().map(each -> each * 31).toList();
         byte[] searchers = FactText.searchers(keys, keySums);
         assertTrue(searchers.length <= 256);
@@ -170,15 +179,21 @@
         java.util.zip.CRC32 sum = new java.util.zip.CRC32();
         sum.update(whole, 0, noise.length);
         java.nio.ByteBuffer.wrap(whole).putInt(noise.length, (int) sum.getValue());
-        StateShare state = new StateShare(4, 0, StateTerms.usual(), new java.util.SplittableRandom(1),
-            (place, datagram) -> assertTrue(place > 0 && place < 4 && datagram.length <= 256), place -> true);
+        StateShare state = new StateShare(
+                4,
+                0,
+                StateTerms.usual(),
+                new java.util.SplittableRandom(1),
+                (place, datagram) -> assertTrue(place > 0 && place < 4 && datagram.length <= 256),
+                place -> true);
         state.start(100);
         state.heard(100.1, 2, whole, whole.length);
         state.tick(100.2);
     }
 
     @Property(tries = 300, seed = "20261201")
-    void aFigureInTwoBytesIsWithinAPartInTwoThousand(@ForAll @DoubleRange(min = 1e-6, max = 9e5) @Scale(6) double figure) {
+    void aFigureInTwoBytesIsWithinAPartInTwoThousand(
+            @ForAll @DoubleRange(min = 1e-6, max = 9e5) @Scale(6) double figure) {
         assertEquals(figure, Fact.decoded(Fact.coded(figure)), figure / 2000);
     }
 
@@ -190,8 +205,10 @@
         }
         Agreed agreed = new Agreed(store);
         assertEquals(origins >= 2, agreed.ill(1, 9, 100.5, 0));
-        assertEquals(Math.min(origins, FactStore.ORIGINS) - (origins >= 1 && origins <= 3 ? 1 : 0) >= 2,
-            agreed.ill(1, 0, 100.5, 0), "its own word is none of the others'");
+        assertEquals(
+                Math.min(origins, FactStore.ORIGINS) - (origins >= 1 && origins <= 3 ? 1 : 0) >= 2,
+                agreed.ill(1, 0, 100.5, 0),
+                "its own word is none of the others'");
         assertFalse(agreed.ill(1, 9, 110, 0), "an old warning is none");
     }
 
@@ -199,7 +216,8 @@
     void aSnapshotSpoiltAtAnyByteOrTornAnywhereIsRefused() {
         List<Fact> facts = new ArrayList<>();
         for (int each = 0; each < 40; each++) {
-            facts.add(new Fact(each * 77_777, FactKind.PACE, each % 5, 100_000 + each, Fact.decoded(Fact.coded(0.1 + each)), 0));
+            facts.add(new Fact(
+                    each * 77_777, FactKind.PACE, each % 5, 100_000 + each, Fact.decoded(Fact.coded(0.1 + each)), 0));
         }
         byte[] whole = SnapshotText.write(3, 9, 100, facts);
         assertEquals(facts, SnapshotText.read(whole, 3, 9, 101, 60).facts());
@@ -210,7 +228,8 @@
                 SnapshotText.Read read = SnapshotText.read(odd, 3, 9, 101, 60);
                 assertTrue(read.refused() != null && read.facts().isEmpty(), "byte " + at + ", bit " + bit);
             }
-            assertTrue(SnapshotText.read(Arrays.copyOf(whole, at), 3, 9, 101, 60).refused() != null, "cut at " + at);
+            assertTrue(
+                    SnapshotText.read(Arrays.copyOf(whole, at), 3, 9, 101, 60).refused() != null, "cut at " + at);
         }
         byte[] longer = Arrays.copyOf(whole, whole.length + 1);
         assertTrue(SnapshotText.read(longer, 3, 9, 101, 60).refused().startsWith("torn"));
--- a/lab/src/main/java/pinewick/lab/ControlLab.java
+++ b/lab/src/main/java/pinewick/lab/ControlLab.java
@@ -11,8 +11,8 @@
 import java.util.stream.LongStream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import pinewick.emulator.control.Mutant;
 import pinewick.emulator.control.ControlPlaneSimulation;
+import pinewick.emulator.control.Mutant;
 import pinewick.emulator.control.SimulationResult;
 
 /**
@@ -96,14 +96,37 @@
         figures.addProperty("firstSeed", first);
         figures.addProperty("seeds", count);
         figures.addProperty("seedsASecond", Math.round(count / tookS));
-        figures.addProperty("acknowledged", results.stream().mapToLong(SimulationResult::acknowledged).sum());
-        figures.addProperty("refused", results.stream().mapToLong(SimulationResult::rejected).sum());
-        figures.addProperty("reads", results.stream().mapToLong(SimulationResult::reads).sum());
-        figures.addProperty("endsAcknowledged", results.stream().mapToLong(SimulationResult::removalsAcknowledged).sum());
-        addQuantiles(figures, "besideACutMs", results.stream().flatMap(result -> result.changeLatenciesMs().stream()).toList());
-        addQuantiles(figures, "repairedMs", results.stream().flatMap(result -> result.repairTimesMs().stream()).toList());
+        figures.addProperty(
+                "acknowledged",
+                results.stream().mapToLong(SimulationResult::acknowledged).sum());
+        figures.addProperty(
+                "refused",
+                results.stream().mapToLong(SimulationResult::rejected).sum());
+        figures.addProperty(
+                "reads", results.stream().mapToLong(SimulationResult::reads).sum());
+        figures.addProperty(
+                "endsAcknowledged",
+                results.stream()
+                        .mapToLong(SimulationResult::removalsAcknowledged)
+                        .sum());
+        addQuantiles(
+                figures,
+                "besideACutMs",
+                results.stream()
+                        .flatMap(result -> result.changeLatenciesMs().stream())
+                        .toList());
+        addQuantiles(
+                figures,
+                "repairedMs",
+                results.stream()
+                        .flatMap(result -> result.repairTimesMs().stream())
+                        .toList());
         addQuantiles(
-                figures, "acknowledgedMs", results.stream().flatMap(result -> result.acknowledgementTimesMs().stream()).toList());
+                figures,
+                "acknowledgedMs",
+                results.stream()
+                        .flatMap(result -> result.acknowledgementTimesMs().stream())
+                        .toList());
         figures.add("brokenSeeds", broken);
         System.out.println(figures);
         return broken.isEmpty();
@@ -142,7 +165,8 @@
                 .orElse("NOT CAUGHT by " + most + " seeds");
         synchronized (figures) {
             System.out.println(broken + " " + how);
-            figures.addProperty(broken.name(), caught.map(SimulationResult::seed).orElse(-1L));
+            figures.addProperty(
+                    broken.name(), caught.map(SimulationResult::seed).orElse(-1L));
         }
         return caught.isPresent();
     }
--- a/lab/src/main/java/pinewick/lab/RecoveryLab.java
+++ b/lab/src/main/java/pinewick/lab/RecoveryLab.java
@@ -19,10 +19,13 @@
 
     @Option(names = "--quick", description = "ends within 45 s: one run of each, fewer changes")
     private boolean quick;
+
     @Option(names = "--runs", description = "of each trial (default ${DEFAULT-VALUE}; 1 with --quick)")
     private int runs = 5;
+
     @Option(names = "--trials", split = ",", description = "some of repair, freeze, pace, cost, away (default: all)")
     private List<String> trials = List.of();
+
     @Option(names = "--results", description = "folder for table and figures (default ${DEFAULT-VALUE})")
     private Path results = Path.of("results/recovery");
 
--- a/lab/src/main/java/pinewick/lab/recovery/ChangesTrial.java
+++ b/lab/src/main/java/pinewick/lab/recovery/ChangesTrial.java
@@ -57,7 +57,10 @@
     void pace(double aSecond, int seconds) throws InterruptedException {
         try (SteadyChanges changes = new SteadyChanges(writer, aSecond)) {
             Thread.sleep(seconds * SECOND_MS);
-            double[] times = changes.times().stream().mapToDouble(Double::doubleValue).sorted().toArray();
+            double[] times = changes.times().stream()
+                    .mapToDouble(Double::doubleValue)
+                    .sorted()
+                    .toArray();
             String name = " of " + (int) aSecond + " changes a second for " + seconds + " s, " + routes + " routes";
             figures.add("acknowledged" + name, times.length);
             figures.add("median ms" + name, times[times.length / 2]);
@@ -68,7 +71,10 @@
     /** A controller is away for a number of changes, and returns while more of them come. */
     void away(int missed, double aSecond) throws IOException, InterruptedException {
         int primary = cluster.primary();
-        int away = cluster.running().stream().filter(number -> number != primary).findFirst().orElseThrow();
+        int away = cluster.running().stream()
+                .filter(number -> number != primary)
+                .findFirst()
+                .orElseThrow();
         cluster.process(away).kill();
         for (int number = 0; number < missed; number++) {
             if (number % WHOLE_EVERY == 0) {
@@ -77,7 +83,8 @@
                 writer.touch();
             }
         }
-        String name = "away for " + missed + " changes, " + routes + " routes, back at " + (int) aSecond + " a second: ";
+        String name =
+                "away for " + missed + " changes, " + routes + " routes, back at " + (int) aSecond + " a second: ";
         try (SteadyChanges changes = new SteadyChanges(writer, aSecond)) {
             cluster.restart(away);
             long startedNs = cluster.process(away).startedAtNs();
--- a/lab/src/main/java/pinewick/lab/recovery/Cluster.java
+++ b/lab/src/main/java/pinewick/lab/recovery/Cluster.java
@@ -115,7 +115,9 @@
     Optional<PrimaryReport> primaryAmong(List<Integer> numbers) throws InterruptedException {
         List<PrimaryReport> reports = new ArrayList<>();
         for (int number : numbers) {
-            configuration(number).flatMap(found -> PrimaryReport.of(number, found)).ifPresent(reports::add);
+            configuration(number)
+                    .flatMap(found -> PrimaryReport.of(number, found))
+                    .ifPresent(reports::add);
         }
         return reports.stream().max(Comparator.comparingLong(PrimaryReport::epoch));
     }
@@ -132,30 +134,41 @@
 
     /** Whether a primary says that so many machines may be lost. */
     boolean bears(int losses) throws InterruptedException {
-        return primaryAmong(running()).filter(report -> report.bearsLosses() >= losses).isPresent();
+        return primaryAmong(running())
+                .filter(report -> report.bearsLosses() >= losses)
+                .isPresent();
     }
 
     /** Whether a primary says that the tolerated losses are borne with this controller in sync. */
     boolean repairedWith(int number) throws InterruptedException {
         return primaryAmong(running())
-                .filter(report -> report.bearsLosses() >= TOLERATED && report.inSync().contains(internalAddress(number)))
+                .filter(report ->
+                        report.bearsLosses() >= TOLERATED && report.inSync().contains(internalAddress(number)))
                 .isPresent();
     }
 
     /** The version that a controller holds, -1 if it does not answer. */
     long version(int number) throws InterruptedException {
-        return configuration(number).map(found -> found.get("version").getAsLong()).orElse(-1L);
+        return configuration(number)
+                .map(found -> found.get("version").getAsLong())
+                .orElse(-1L);
     }
 
     /** Processor time of all that run, milliseconds. */
     double cpuMs() {
-        return running().stream().map(number -> controllers.get(number).usage()).mapToDouble(ProcessUsage::cpuMs).sum();
+        return running().stream()
+                .map(number -> controllers.get(number).usage())
+                .mapToDouble(ProcessUsage::cpuMs)
+                .sum();
     }
 
     /** What a controller's files take, bytes. */
     long diskBytes(int number) throws IOException {
         try (Stream<Path> files = Files.walk(data(number))) {
-            return files.map(Path::toFile).filter(java.io.File::isFile).mapToLong(java.io.File::length).sum();
+            return files.map(Path::toFile)
+                    .filter(java.io.File::isFile)
+                    .mapToLong(java.io.File::length)
+                    .sum();
         }
     }
 
--- a/lab/src/main/java/pinewick/lab/recovery/ConfigurationWriter.java
+++ b/lab/src/main/java/pinewick/lab/recovery/ConfigurationWriter.java
@@ -44,7 +44,8 @@
         return change("/config/update", SampleConfiguration.touch(version + 1), controllers);
     }
 
-    private synchronized double change(String path, byte[] body, List<Integer> controllers) throws InterruptedException {
+    private synchronized double change(String path, byte[] body, List<Integer> controllers)
+            throws InterruptedException {
         long askedNs = System.nanoTime();
         List<Integer> order = new ArrayList<>(controllers);
         order.sort((first, second) -> Boolean.compare(second == last, first == last));
--- a/lab/src/main/java/pinewick/lab/recovery/Figures.java
+++ b/lab/src/main/java/pinewick/lab/recovery/Figures.java
@@ -47,10 +47,15 @@
 
     /** A table in Markdown. */
     public String table() {
-        StringBuilder table = new StringBuilder("| figure | runs | least | median | most |\n| --- | --- | --- | --- | --- |\n");
+        StringBuilder table =
+                new StringBuilder("| figure | runs | least | median | most |\n| --- | --- | --- | --- | --- |\n");
         values.forEach((name, runs) -> table.append(String.format(
-                Locale.ROOT, "| %s | %d | %.1f | %.1f | %.1f |%n", name, runs.size(),
-                runs.stream().mapToDouble(Double::doubleValue).min().orElse(Double.NaN), median(runs),
+                Locale.ROOT,
+                "| %s | %d | %.1f | %.1f | %.1f |%n",
+                name,
+                runs.size(),
+                runs.stream().mapToDouble(Double::doubleValue).min().orElse(Double.NaN),
+                median(runs),
                 runs.stream().mapToDouble(Double::doubleValue).max().orElse(Double.NaN))));
         return table.toString();
     }
--- a/lab/src/main/java/pinewick/lab/recovery/FreezeTrial.java
+++ b/lab/src/main/java/pinewick/lab/recovery/FreezeTrial.java
@@ -34,21 +34,31 @@
     /** A backup stands still while changes go on. */
     void backup(long durationMs, double changesASecond) throws IOException, InterruptedException {
         int primary = cluster.primary();
-        int frozen = cluster.running().stream().filter(number -> number != primary).findFirst().orElseThrow();
+        int frozen = cluster.running().stream()
+                .filter(number -> number != primary)
+                .findFirst()
+                .orElseThrow();
         try (SteadyChanges changes = new SteadyChanges(writer, changesASecond)) {
             cluster.process(frozen).freeze();
             Thread.sleep(durationMs);
             cluster.process(frozen).thaw();
-            afterReturn("backup frozen for " + durationMs / 1_000 + " s, " + (int) changesASecond + " changes a second", frozen);
-            figures.add("longest change meanwhile, ms",
-                    changes.times().stream().mapToDouble(Double::doubleValue).max().orElse(Double.NaN));
+            afterReturn(
+                    "backup frozen for " + durationMs / 1_000 + " s, " + (int) changesASecond + " changes a second",
+                    frozen);
+            figures.add(
+                    "longest change meanwhile, ms",
+                    changes.times().stream()
+                            .mapToDouble(Double::doubleValue)
+                            .max()
+                            .orElse(Double.NaN));
         }
     }
 
     private void afterReturn(String kind, int returned) throws InterruptedException {
         long thawedNs = System.nanoTime();
         long version = writer.version();
-        long currentNs = Waiting.require(LONGEST_MS, kind + " to be current", () -> cluster.version(returned) >= version);
+        long currentNs =
+                Waiting.require(LONGEST_MS, kind + " to be current", () -> cluster.version(returned) >= version);
         long repairedNs = Waiting.require(LONGEST_MS, kind + " to be in sync", () -> cluster.repairedWith(returned));
         figures.add(kind + ", ms from its return until current", Waiting.ms(thawedNs, currentNs));
         figures.add(kind + ", ms from its return until f is borne", Waiting.ms(thawedNs, repairedNs));
--- a/lab/src/main/java/pinewick/lab/recovery/PrimaryReport.java
+++ b/lab/src/main/java/pinewick/lab/recovery/PrimaryReport.java
@@ -28,6 +28,9 @@
             }
         }
         return Optional.of(new PrimaryReport(
-                controller, configuration.get("epoch").getAsLong(), configuration.get("tolerable_losses").getAsInt(), inSync));
+                controller,
+                configuration.get("epoch").getAsLong(),
+                configuration.get("tolerable_losses").getAsInt(),
+                inSync));
     }
 }
--- a/lab/src/main/java/pinewick/lab/recovery/RepairTrial.java
+++ b/lab/src/main/java/pinewick/lab/recovery/RepairTrial.java
@@ -53,7 +53,8 @@
         int leaving = mostRecent();
         int spare = nextSpare();
         cluster.add(spare);
-        Waiting.require(LONGEST_MS, "the new controller to answer", () -> cluster.configuration(spare).isPresent());
+        Waiting.require(LONGEST_MS, "the new controller to answer", () -> cluster.configuration(spare)
+                .isPresent());
         long askedNs = System.nanoTime();
         cluster.process(leaving).terminate();
         List<Integer> below = new ArrayList<>();
@@ -88,8 +89,8 @@
 
     private void repaired(String kind, int number) throws InterruptedException {
         SystemProcess process = cluster.process(number);
-        long answeredNs =
-                Waiting.require(LONGEST_MS, "an answer", () -> cluster.configuration(number).isPresent());
+        long answeredNs = Waiting.require(
+                LONGEST_MS, "an answer", () -> cluster.configuration(number).isPresent());
         long repairedNs = Waiting.require(LONGEST_MS, kind + " to be repaired", () -> cluster.repairedWith(number));
         figures.add(kind + ", ms from process start" + size, Waiting.ms(process.startedAtNs(), repairedNs), aimMs);
         figures.add(kind + ", ms from first answer" + size, Waiting.ms(answeredNs, repairedNs));
--- a/lab/src/main/java/pinewick/lab/scale/HttpPeer.java
+++ b/lab/src/main/java/pinewick/lab/scale/HttpPeer.java
@@ -62,7 +62,8 @@
     }
 
     /** Sends a change of the configuration; returns the status of the answer, 0 for none. */
-    public int change(SocketAddress controlPlane, String path, long baseVersion, byte[] body) throws InterruptedException {
+    public int change(SocketAddress controlPlane, String path, long baseVersion, byte[] body)
+            throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(uri(controlPlane, path))
                 .timeout(patience)
                 .header("Content-Type", "application/json")
--- a/lab/src/main/java/pinewick/lab/scale/SystemProcess.java
+++ b/lab/src/main/java/pinewick/lab/scale/SystemProcess.java
@@ -129,7 +129,9 @@
     }
 
     private void signal(String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, Long.toString(program.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + name, Long.toString(program.pid()))
+                .start()
+                .waitFor();
     }
 
     /** Waits until the program has ended; returns whether it has. */
--- a/lab/src/test/java/pinewick/lab/recovery/FiguresTest.java
+++ b/lab/src/test/java/pinewick/lab/recovery/FiguresTest.java
@@ -28,10 +28,14 @@
     @Test
     void onlyAPrimaryTellsOfLosses() {
         String backup = "{\"version\":3,\"epoch\":4,\"members\":[],\"tolerable_losses_unknown\":\"not the primary\"}";
-        assertEquals(Optional.empty(), PrimaryReport.of(1, JsonParser.parseString(backup).getAsJsonObject()));
+        assertEquals(
+                Optional.empty(),
+                PrimaryReport.of(1, JsonParser.parseString(backup).getAsJsonObject()));
         String primary = "{\"version\":3,\"epoch\":4,\"tolerable_losses\":1,\"members\":["
                 + "{\"address\":\"10.0.0.1:7721\",\"in_sync\":true},{\"address\":\"10.0.0.2:7721\",\"in_sync\":false}]}";
-        PrimaryReport report = PrimaryReport.of(2, JsonParser.parseString(primary).getAsJsonObject()).orElseThrow();
+        PrimaryReport report = PrimaryReport.of(
+                        2, JsonParser.parseString(primary).getAsJsonObject())
+                .orElseThrow();
         assertEquals(4, report.epoch());
         assertEquals(1, report.bearsLosses());
         assertEquals(1, report.inSync().size());
--- a/registry/src/main/java/pinewick/registry/Answer.java
+++ b/registry/src/main/java/pinewick/registry/Answer.java
@@ -13,8 +13,18 @@
  * @param fragment further pieces of the same news follow
  * @param fault words of the registry where it failed, else null
  */
-public record Answer(String cluster, String member, long revision, List<Entry> entries, boolean more, long count,
-                     boolean created, boolean cancelled, long compacted, boolean fragment, String fault) {
+public record Answer(
+        String cluster,
+        String member,
+        long revision,
+        List<Entry> entries,
+        boolean more,
+        long count,
+        boolean created,
+        boolean cancelled,
+        long compacted,
+        boolean fragment,
+        String fault) {
 
     /** Whether the registry no longer knows the revision that was asked for. */
     public boolean tooOld() {
--- a/registry/src/main/java/pinewick/registry/EtcdText.java
+++ b/registry/src/main/java/pinewick/registry/EtcdText.java
@@ -20,8 +20,7 @@
     public static final String GRANT = "/v3/lease/grant";
     public static final String RENEW = "/v3/lease/keepalive";
 
-    private EtcdText() {
-    }
+    private EtcdText() {}
 
     /** The first key after all that begin with this prefix. */
     public static byte[] rangeEnd(String prefix) {
@@ -98,8 +97,7 @@
     }
 
     /** A lease as an answer tells it: its id and the seconds left, 0 where the registry does not know it. */
-    public record Lease(long id, double left) {
-    }
+    public record Lease(long id, double left) {}
 
     /** Reads an answer to a grant, a put or a renewal; a fault brings an IllegalArgumentException with its words. */
     public static Lease lease(String text) {
@@ -121,8 +119,9 @@
             JsonObject all = JsonParser.parseString(text).getAsJsonObject();
             if (all.has("error")) {
                 JsonElement error = all.get("error");
-                String words = error.isJsonObject() ? text(error.getAsJsonObject(), "message", "an error")
-                    : error.getAsString();
+                String words = error.isJsonObject()
+                        ? text(error.getAsJsonObject(), "message", "an error")
+                        : error.getAsString();
                 return new Answer("", "", 0, List.of(), false, 0, false, false, 0, false, words);
             }
             JsonObject body = all.has("result") ? all.getAsJsonObject("result") : all;
@@ -131,17 +130,27 @@
             if (body.has("events")) {
                 for (JsonElement each : body.getAsJsonArray("events")) {
                     JsonObject event = each.getAsJsonObject();
-                    entries.add(entry(event.getAsJsonObject("kv"), text(event, "type", "PUT").equals("DELETE")));
+                    entries.add(entry(
+                            event.getAsJsonObject("kv"),
+                            text(event, "type", "PUT").equals("DELETE")));
                 }
             }
             JsonArray pairs = body.has("kvs") ? body.getAsJsonArray("kvs") : new JsonArray();
             for (JsonElement each : pairs) {
                 entries.add(entry(each.getAsJsonObject(), false));
             }
-            return new Answer(text(header, "cluster_id", ""), text(header, "member_id", ""),
-                number(header, "revision"), entries, flag(body, "more"), number(body, "count"),
-                flag(body, "created"), flag(body, "canceled"), number(body, "compact_revision"),
-                flag(body, "fragment"), null);
+            return new Answer(
+                    text(header, "cluster_id", ""),
+                    text(header, "member_id", ""),
+                    number(header, "revision"),
+                    entries,
+                    flag(body, "more"),
+                    number(body, "count"),
+                    flag(body, "created"),
+                    flag(body, "canceled"),
+                    number(body, "compact_revision"),
+                    flag(body, "fragment"),
+                    null);
         } catch (RuntimeException odd) {
             throw new IllegalArgumentException("not in the registry's form: " + odd.getMessage());
         }
--- a/registry/src/main/java/pinewick/registry/HttpAnswer.java
+++ b/registry/src/main/java/pinewick/registry/HttpAnswer.java
@@ -18,7 +18,16 @@
         }
     }
 
-    private enum Stage { STATUS, HEAD, BODY, SIZE, CHUNK, CHUNK_END, TRAILER, DONE }
+    private enum Stage {
+        STATUS,
+        HEAD,
+        BODY,
+        SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        DONE
+    }
 
     private static final int HEAD_MOST = 16 << 10;
 
@@ -61,7 +70,8 @@
                         throw new TooLong("a head of more than " + HEAD_MOST + " bytes");
                     }
                     if (one == '\n') {
-                        String text = words.toString(StandardCharsets.ISO_8859_1).strip();
+                        String text =
+                                words.toString(StandardCharsets.ISO_8859_1).strip();
                         words.reset();
                         headLine(text, lines);
                     } else {
@@ -69,7 +79,7 @@
                     }
                 }
                 case BODY, CHUNK -> body(bytes, lines);
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -132,7 +142,7 @@
             }
             case "transfer-encoding" -> chunked = value.toLowerCase(Locale.ROOT).endsWith("chunked");
             case "connection" -> keeps &= !value.equalsIgnoreCase("close");
-            default -> { }
+            default -> {}
         }
     }
 
--- a/registry/src/main/java/pinewick/registry/KeptCodec.java
+++ b/registry/src/main/java/pinewick/registry/KeptCodec.java
@@ -25,16 +25,16 @@
     /** A view read back, what changed since, and how many bytes of the file were sound. */
     public record Kept(long wholeRevision, List<Entry> entries, List<Changes> changes, int sound) {
         public long revision() {
-            return changes.isEmpty() ? wholeRevision : changes.get(changes.size() - 1).revision();
+            return changes.isEmpty()
+                    ? wholeRevision
+                    : changes.get(changes.size() - 1).revision();
         }
     }
 
     /** Events that took a view to a revision. */
-    public record Changes(long revision, List<Entry> events) {
-    }
+    public record Changes(long revision, List<Entry> events) {}
 
-    private KeptCodec() {
-    }
+    private KeptCodec() {}
 
     public static byte[] whole(long revision, List<Entry> entries) {
         return record(WHOLE, revision, entries);
--- a/registry/src/main/java/pinewick/registry/KeptFiles.java
+++ b/registry/src/main/java/pinewick/registry/KeptFiles.java
@@ -58,7 +58,7 @@
                     newest = KeptCodec.read(bytes);
                     if (newest == null || newest.sound() < bytes.length) {
                         log.accept("kept copy " + file.getFileName() + ": " + (newest == null ? 0 : newest.sound())
-                            + " of " + bytes.length + " bytes are sound");
+                                + " of " + bytes.length + " bytes are sound");
                     }
                 } catch (IOException odd) {
                     log.accept("kept copy " + file.getFileName() + " can't be read: " + odd.getMessage());
@@ -81,8 +81,8 @@
         submit(() -> {
             Files.createDirectories(folder);
             Path made = folder.resolve("view-" + mine + ".new");
-            FileChannel next = FileChannel.open(made, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-                StandardOpenOption.WRITE);
+            FileChannel next = FileChannel.open(
+                    made, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
             writeAll(next, record.get());
             Path named = folder.resolve("view-" + mine + ".kept");
             Files.move(made, named, StandardCopyOption.ATOMIC_MOVE);
--- a/registry/src/main/java/pinewick/registry/LeaseKeeper.java
+++ b/registry/src/main/java/pinewick/registry/LeaseKeeper.java
@@ -18,7 +18,14 @@
         void drop(long question);
     }
 
-    private enum Stage { GRANT, PUT, HELD, RENEW, WAIT, OFF }
+    private enum Stage {
+        GRANT,
+        PUT,
+        HELD,
+        RENEW,
+        WAIT,
+        OFF
+    }
 
     private static final double RENEW_SHARE = 1.0 / 3;
 
@@ -96,7 +103,7 @@
                     failed(now, question);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/registry/src/main/java/pinewick/registry/RegistrySession.java
+++ b/registry/src/main/java/pinewick/registry/RegistrySession.java
@@ -38,7 +38,12 @@
         void say(String text);
     }
 
-    public enum State { OFF, READING, WATCHING, WAITING }
+    public enum State {
+        OFF,
+        READING,
+        WATCHING,
+        WAITING
+    }
 
     /**
      * What an operator may set, in seconds but for the first two.
@@ -51,8 +56,16 @@
      * @param waitLeast and waitMost: bounds of the growing waits after all members failed in turn
      * @param believe how long the registry must say nothing but a lower revision, or another cluster, before it counts
      */
-    public record Terms(int endpoints, int pageKeys, double answer, double probeEvery, double probeAnswer, double owed,
-                        double waitLeast, double waitMost, double believe) {
+    public record Terms(
+            int endpoints,
+            int pageKeys,
+            double answer,
+            double probeEvery,
+            double probeAnswer,
+            double owed,
+            double waitLeast,
+            double waitMost,
+            double believe) {
         public static Terms usual(int endpoints) {
             return new Terms(endpoints, 500, 1, 0.15, 0.25, 0.1, 0.05, 2, 10);
         }
@@ -74,6 +87,7 @@
     private boolean watchOpen, caughtUp, accepting, keysOnly, readAgain, probedAway;
     /** Since when nothing but a lower revision, or another cluster, answers; NaN while the known one does. */
     private double strangeSince = Double.NaN;
+
     private int steps, rebuilds, left;
 
     public RegistrySession(String prefix, RegistryView view, Terms terms, Wire wire, SplittableRandom chance) {
@@ -102,7 +116,7 @@
     /** Steps taken, views read whole, members left; for the operators. */
     public String figures() {
         return "steps " + steps + "\nviews-read-whole " + rebuilds + "\nmembers-left " + left + "\nrevision "
-            + view.revision() + "\nkeys " + view.size() + "\n";
+                + view.revision() + "\nkeys " + view.size() + "\n";
     }
 
     /** Starts from what the view holds: a kept one is watched onward, an empty one is read. */
@@ -172,7 +186,8 @@
         failedInTurn++;
         boolean more = failedInTurn % terms.endpoints() != 0;
         int rounds = Math.min(10, failedInTurn / terms.endpoints());
-        double wait = more ? 0 : Math.min(terms.waitMost(), terms.waitLeast() * (1 << rounds)) * (0.5 + chance.nextDouble());
+        double wait =
+                more ? 0 : Math.min(terms.waitMost(), terms.waitLeast() * (1 << rounds)) * (0.5 + chance.nextDouble());
         resumeAt = now + wait;
         state = State.WAITING;
         wire.say("left a member, " + why + (wait > 0 ? "; next in " + Math.round(wait * 1e3) + " ms" : ""));
@@ -219,7 +234,7 @@
                     wire.probe(probing, (endpoint + away) % terms.endpoints());
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -267,7 +282,9 @@
         if (question == 0 || (question != reading && question != watching && question != probing)) {
             return;
         }
-        if (question == probing && probedAway && (answer.fault() != null || !answer.cluster().equals(cluster))) {
+        if (question == probing
+                && probedAway
+                && (answer.fault() != null || !answer.cluster().equals(cluster))) {
             probing = 0;
         } else if (answer.tooOld()) {
             // What lies between is not known any more: only a whole view can tell it.
@@ -291,8 +308,9 @@
     }
 
     private String strange(Answer answer) {
-        return cluster != null && !answer.cluster().equals(cluster) ? "it belongs to cluster " + answer.cluster()
-            + ", not " + cluster : "its revision " + answer.revision() + " is behind " + view.revision();
+        return cluster != null && !answer.cluster().equals(cluster)
+                ? "it belongs to cluster " + answer.cluster() + ", not " + cluster
+                : "its revision " + answer.revision() + " is behind " + view.revision();
     }
 
     /**
@@ -368,7 +386,8 @@
         }
         boolean restored = accepting;
         if (restored) {
-            wire.say("the registry is believed again, cluster " + answer.cluster() + " at revision " + answer.revision());
+            wire.say("the registry is believed again, cluster " + answer.cluster() + " at revision "
+                    + answer.revision());
             cluster = answer.cluster();
             accepting = false;
             strangeSince = Double.NaN;
--- a/registry/src/main/java/pinewick/registry/RegistryView.java
+++ b/registry/src/main/java/pinewick/registry/RegistryView.java
@@ -17,6 +17,7 @@
 public final class RegistryView {
     /** More than this share gone in one step, and at least {@link #MASS_LEAST} of them, is a loss in mass. */
     private static final double MASS_SHARE = 0.5;
+
     private static final int MASS_LEAST = 3;
 
     private static final class Row {
@@ -120,9 +121,11 @@
             Row row = each.getValue();
             Row old = before.get(each.getKey());
             boolean drained = old != null && old.store != null && old.store.stage() == Host.Stage.DRAINING;
-            if (row.store != null && row.store.stage() == Host.Stage.READY && drained
-                && row.store.startedAt() <= old.store.startedAt()
-                && (restored || (old.distrusted && row.modRevision == old.modRevision))) {
+            if (row.store != null
+                    && row.store.stage() == Host.Stage.READY
+                    && drained
+                    && row.store.startedAt() <= old.store.startedAt()
+                    && (restored || (old.distrusted && row.modRevision == old.modRevision))) {
                 row.distrusted = true;
                 row.store = row.store.at(Host.Stage.DRAINING);
             }
--- a/registry/src/main/java/pinewick/registry/Store.java
+++ b/registry/src/main/java/pinewick/registry/Store.java
@@ -15,8 +15,8 @@
  *
  * @param startedAt seconds since 1970, 0 means long ago
  */
-public record Store(String id, List<String> addresses, String zone, int cell, Host.Stage stage, double size,
-                    double startedAt) {
+public record Store(
+        String id, List<String> addresses, String zone, int cell, Host.Stage stage, double size, double startedAt) {
 
     /** What the decisions are told of it. */
     public Host.Listing listing() {
@@ -31,7 +31,8 @@
     static Store read(String id, byte[] value) {
         JsonObject all;
         try {
-            all = JsonParser.parseString(new String(value, StandardCharsets.UTF_8)).getAsJsonObject();
+            all = JsonParser.parseString(new String(value, StandardCharsets.UTF_8))
+                    .getAsJsonObject();
         } catch (RuntimeException odd) {
             throw new IllegalArgumentException("the value is no JSON object");
         }
@@ -47,11 +48,12 @@
             throw new IllegalArgumentException("addresses: at least one is expected");
         }
         String phase = text(all, "phase", "ready");
-        Host.Stage stage = switch (phase) {
-            case "ready" -> Host.Stage.READY;
-            case "draining" -> Host.Stage.DRAINING;
-            default -> throw new IllegalArgumentException("phase: ready or draining is expected, not " + phase);
-        };
+        Host.Stage stage =
+                switch (phase) {
+                    case "ready" -> Host.Stage.READY;
+                    case "draining" -> Host.Stage.DRAINING;
+                    default -> throw new IllegalArgumentException("phase: ready or draining is expected, not " + phase);
+                };
         if (!text(all, "id", id).equals(id)) {
             throw new IllegalArgumentException("id: differs from the key's");
         }
@@ -59,8 +61,14 @@
         if (cell != Math.rint(cell) || cell < 0 || cell > Integer.MAX_VALUE) {
             throw new IllegalArgumentException("cell: a whole number from 0 is expected");
         }
-        return new Store(id, List.copyOf(addresses), text(all, "zone", ""), (int) cell, stage,
-            number(all, "size", 1), number(all, "started_at_ms", 0) / 1e3);
+        return new Store(
+                id,
+                List.copyOf(addresses),
+                text(all, "zone", ""),
+                (int) cell,
+                stage,
+                number(all, "size", 1),
+                number(all, "started_at_ms", 0) / 1e3);
     }
 
     private static String text(JsonObject all, String field, String absent) {
--- a/registry/src/test/java/pinewick/registry/HttpAnswerTest.java
+++ b/registry/src/test/java/pinewick/registry/HttpAnswerTest.java
@@ -18,8 +18,9 @@
 
     @Test
     void linesAreTheSameWhereverTheBytesAreSplit() {
-        byte[] all = bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\":\r\n9;x=1\r\n1}\n{\"b\"\n}\r\n"
-            + "3\r\n\n\nz\r\n0\r\nTrailer: 1\r\n\r\n");
+        byte[] all =
+                bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\":\r\n9;x=1\r\n1}\n{\"b\"\n}\r\n"
+                        + "3\r\n\n\nz\r\n0\r\nTrailer: 1\r\n\r\n");
         for (int split = 0; split <= all.length; split++) {
             List<String> lines = new ArrayList<>();
             HttpAnswer answer = new HttpAnswer(100);
@@ -34,7 +35,9 @@
     void whatAnEndLeavesUnfinishedIsNotHandedOn() {
         List<String> lines = new ArrayList<>();
         HttpAnswer answer = new HttpAnswer(100);
-        answer.feed(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"whole\":1}\n{\"hal")), lines::add);
+        answer.feed(
+                ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"whole\":1}\n{\"hal")),
+                lines::add);
         assertEquals(List.of("{\"whole\":1}"), lines);
         assertFalse(answer.done());
     }
@@ -42,8 +45,9 @@
     @Test
     void aLineTooLongIsTold() {
         HttpAnswer answer = new HttpAnswer(10);
-        assertThrows(HttpAnswer.TooLong.class, () -> answer.feed(ByteBuffer.wrap(
-            bytes("HTTP/1.1 200 OK\r\n\r\n01234567890123")), any -> { }));
+        assertThrows(
+                HttpAnswer.TooLong.class,
+                () -> answer.feed(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\n01234567890123")), any -> {}));
     }
 
     @Test
@@ -53,15 +57,19 @@
         kept.feed(ByteBuffer.wrap(bytes("HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\n{}")), lines::add);
         assertTrue(kept.done() && kept.keepsConnection() && kept.status() == 400);
         HttpAnswer closed = new HttpAnswer(100);
-        closed.feed(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")), lines::add);
+        closed.feed(
+                ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")),
+                lines::add);
         assertTrue(closed.done() && !closed.keepsConnection());
     }
 
     @Test
     void whatIsNoHttpEndsAtOnce() {
-        assertThrows(IllegalArgumentException.class, () -> new HttpAnswer(100).feed(ByteBuffer.wrap(
-            bytes("SSH-2.0\r\n")), any -> { }));
-        assertThrows(IllegalArgumentException.class, () -> new HttpAnswer(100).feed(ByteBuffer.wrap(
-            bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")), any -> { }));
+        assertThrows(IllegalArgumentException.class, () -> new HttpAnswer(100)
+                .feed(ByteBuffer.wrap(bytes("SSH-2.0\r\n")), any -> {}));
+        assertThrows(IllegalArgumentException.class, () -> new HttpAnswer(100)
+                .feed(
+                        ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")),
+                        any -> {}));
     }
 }
--- a/registry/src/test/java/pinewick/registry/KeptCopyTest.java
+++ b/registry/src/test/java/pinewick/registry/KeptCopyTest.java
@@ -34,8 +34,9 @@
     }
 
     private static List<Entry> change(int number) {
-        return number % 3 == 0 ? List.of(new Entry("s/a", null, 10 + number, 0))
-            : List.of(new Entry("s/a", value(number % 2 == 0 ? "draining" : "ready"), 10 + number, 1));
+        return number % 3 == 0
+                ? List.of(new Entry("s/a", null, 10 + number, 0))
+                : List.of(new Entry("s/a", value(number % 2 == 0 ? "draining" : "ready"), 10 + number, 1));
     }
 
     @Test
@@ -76,7 +77,8 @@
             byte[] spoilt = file.clone();
             spoilt[at] ^= 0x20;
             KeptCodec.Kept kept = KeptCodec.read(spoilt);
-            assertTrue(at < good.length ? kept == null : kept.revision() == 10 && kept.sound() == good.length, "at " + at);
+            assertTrue(
+                    at < good.length ? kept == null : kept.revision() == 10 && kept.sound() == good.length, "at " + at);
         }
     }
 
--- a/registry/src/test/java/pinewick/registry/MembershipTest.java
+++ b/registry/src/test/java/pinewick/registry/MembershipTest.java
@@ -100,7 +100,8 @@
         registry.keeper.start(0);
         assertEquals(List.of("grant", "put 42"), registry.asked);
         registry.run(30);
-        long renewals = registry.asked.stream().filter(each -> each.equals("renew 42")).count();
+        long renewals =
+                registry.asked.stream().filter(each -> each.equals("renew 42")).count();
         assertTrue(renewals >= 8 && renewals <= 14, "renewals " + renewals);
         assertTrue(registry.keeper.held(registry.now));
     }
@@ -124,7 +125,8 @@
         registry.answers = false;
         registry.run(60);
         assertFalse(registry.keeper.held(registry.now));
-        long tries = registry.asked.stream().filter(each -> !each.equals("drop")).count();
+        long tries =
+                registry.asked.stream().filter(each -> !each.equals("drop")).count();
         assertTrue(tries > 15 && tries < 60, "tries " + tries);
         registry.answers = true;
         registry.run(4);
--- a/registry/src/test/java/pinewick/registry/RegistryPropertyTest.java
+++ b/registry/src/test/java/pinewick/registry/RegistryPropertyTest.java
@@ -31,16 +31,16 @@
         for (int each = 0; each < 40; each++) {
             int member = chance.nextInt(world.members.size());
             switch (chance.nextInt(13)) {
-                case 0, 1, 2, 3 -> world.registry.put("s/s-" + chance.nextInt(20),
-                    World.value(each, chance.nextBoolean() ? "draining" : "ready"));
+                case 0, 1, 2, 3 -> world.registry.put(
+                        "s/s-" + chance.nextInt(20), World.value(each, chance.nextBoolean() ? "draining" : "ready"));
                 case 4 -> world.registry.remove(List.of("s/s-" + chance.nextInt(20), "s/s-" + chance.nextInt(20)));
                 case 5 -> world.registry.compact(world.registry.revision() - chance.nextInt(4));
                 case 6 -> world.drop(member);
                 case 7 -> world.members.get(member).down ^= true;
                 case 8 -> world.members.get(member).silent ^= true;
                 case 9 -> world.members.get(member).watchMute ^= true;
-                case 10 -> world.members.get(member).old = world.members.get(member).old == null
-                    ? world.registry.copy() : null;
+                case 10 -> world.members.get(member).old =
+                        world.members.get(member).old == null ? world.registry.copy() : null;
                 case 11 -> world.restart(chance.nextBoolean());
                 default -> world.registry.put("else/" + each, "x");
             }
--- a/registry/src/test/java/pinewick/registry/RegistrySessionTest.java
+++ b/registry/src/test/java/pinewick/registry/RegistrySessionTest.java
@@ -176,8 +176,11 @@
         assertEquals(5, world.seen().size());
         List<String> wrong = new ArrayList<>();
         world.steps.forEach(step -> wrong.addAll(step.wrong()));
-        assertEquals(List.of("s/s-2: phase: ready or draining is expected, not resting",
-            "s/s-9: the value is no JSON object"), wrong);
+        assertEquals(
+                List.of(
+                        "s/s-2: phase: ready or draining is expected, not resting",
+                        "s/s-9: the value is no JSON object"),
+                wrong);
     }
 
     @Test
@@ -200,7 +203,10 @@
         world.registry.remove(List.of("s/s-1"));
         world.registry.put("s/s-1", "{\"addresses\":[\"127.0.0.1:9\"],\"started_at_ms\":5000}");
         world.run(0.2);
-        Store back = world.view.stores().stream().filter(each -> each.id().equals("s-1")).findFirst().orElseThrow();
+        Store back = world.view.stores().stream()
+                .filter(each -> each.id().equals("s-1"))
+                .findFirst()
+                .orElseThrow();
         assertEquals(5, back.startedAt());
         assertEquals(3, world.seen().size());
     }
--- a/registry/src/test/java/pinewick/registry/World.java
+++ b/registry/src/test/java/pinewick/registry/World.java
@@ -21,11 +21,9 @@
         double delay = 0.002;
     }
 
-    private record Due(double at, long order, Runnable what) {
-    }
+    private record Due(double at, long order, Runnable what) {}
 
-    private record OpenWatch(int endpoint, long[] next) {
-    }
+    private record OpenWatch(int endpoint, long[] next) {}
 
     final RegistryState registry = new RegistryState();
     final List<Member> members = new ArrayList<>();
@@ -40,9 +38,10 @@
     /** What each key of a page costs its member, seconds. */
     double delayAKey;
     /** What the view held at each whole state, by step; to be checked by tests. */
-    Runnable afterStep = () -> { };
-    private final PriorityQueue<Due> queue = new PriorityQueue<>((one, other) -> one.at != other.at
-        ? Double.compare(one.at, other.at) : Long.compare(one.order, other.order));
+    Runnable afterStep = () -> {};
+
+    private final PriorityQueue<Due> queue = new PriorityQueue<>((one, other) ->
+            one.at != other.at ? Double.compare(one.at, other.at) : Long.compare(one.order, other.order));
     private final Map<Long, OpenWatch> watches = new LinkedHashMap<>();
     private long order, life;
 
@@ -129,14 +128,32 @@
         }
     }
 
-    private Answer reply(int endpoint, List<Entry> entries, boolean more, long count, boolean created, long compacted,
-                         boolean fragment) {
-        return new Answer(members.get(endpoint).cluster, "m" + endpoint, state(endpoint).revision(), entries, more,
-            count, created, compacted > 0, compacted, fragment, null);
+    private Answer reply(
+            int endpoint,
+            List<Entry> entries,
+            boolean more,
+            long count,
+            boolean created,
+            long compacted,
+            boolean fragment) {
+        return new Answer(
+                members.get(endpoint).cluster,
+                "m" + endpoint,
+                state(endpoint).revision(),
+                entries,
+                more,
+                count,
+                created,
+                compacted > 0,
+                compacted,
+                fragment,
+                null);
     }
 
     private static List<Entry> entries(List<RegistryState.Version> versions) {
-        return versions.stream().map(each -> new Entry(each.key(), each.value(), each.revision(), each.lease())).toList();
+        return versions.stream()
+                .map(each -> new Entry(each.key(), each.value(), each.revision(), each.lease()))
+                .toList();
     }
 
     @Override
@@ -144,9 +161,13 @@
         answer(endpoint, question, limit, () -> {
             try {
                 RegistryState.Page page = state(endpoint).range(from, END, atRevision, limit);
-                boolean tooLong = page.keys().stream().mapToInt(each -> each.value().length).sum() > valueLimit;
-                return tooLong && !keysOnly ? null
-                    : reply(endpoint, entries(page.keys()), page.more(), page.count(), false, 0, false);
+                boolean tooLong = page.keys().stream()
+                                .mapToInt(each -> each.value().length)
+                                .sum()
+                        > valueLimit;
+                return tooLong && !keysOnly
+                        ? null
+                        : reply(endpoint, entries(page.keys()), page.more(), page.count(), false, 0, false);
             } catch (RegistryState.Compacted old) {
                 return new Answer("", "", 0, List.of(), false, 0, false, false, 0, false, old.getMessage());
             }
@@ -159,7 +180,8 @@
             try {
                 RegistryState.Version newest = state(endpoint).newest(PREFIX, END);
                 long count = state(endpoint).range(PREFIX, END, 0, 1).count();
-                return reply(endpoint, newest == null ? List.of() : entries(List.of(newest)), false, count, false, 0, false);
+                return reply(
+                        endpoint, newest == null ? List.of() : entries(List.of(newest)), false, count, false, 0, false);
             } catch (RegistryState.Compacted never) {
                 throw new IllegalStateException(never);
             }
@@ -200,8 +222,10 @@
                 }
             } catch (RegistryState.Compacted old) {
                 watches.remove(question);
-                in(0.001, () -> session.answered(now, question,
-                    reply(watch.endpoint, List.of(), false, 0, false, old.upTo, false)));
+                in(
+                        0.001,
+                        () -> session.answered(
+                                now, question, reply(watch.endpoint, List.of(), false, 0, false, old.upTo, false)));
             }
         }
     }
@@ -225,15 +249,20 @@
     /** The registry's searchers as they stood at a revision. */
     List<String> truth(long atRevision) {
         try {
-            return registry.range(PREFIX, END, atRevision, 0).keys().stream().map(each ->
-                each.key().substring(PREFIX.length()) + " " + Store.read(each.key().substring(PREFIX.length()),
-                    each.value()).stage()).toList();
+            return registry.range(PREFIX, END, atRevision, 0).keys().stream()
+                    .map(each -> each.key().substring(PREFIX.length()) + " "
+                            + Store.read(each.key().substring(PREFIX.length()), each.value())
+                                    .stage())
+                    .toList();
         } catch (RegistryState.Compacted old) {
             return null;
         }
     }
 
     List<String> seen() {
-        return view.stores().stream().map(each -> each.id() + " " + each.stage()).sorted().toList();
+        return view.stores().stream()
+                .map(each -> each.id() + " " + each.stage())
+                .sorted()
+                .toList();
     }
 }
--- a/standins/src/main/java/pinewick/rules/RuleChecker.java
+++ b/standins/src/main/java/pinewick/rules/RuleChecker.java
@@ -88,7 +88,7 @@
                         toldAt.putIfAbsent(searcher, each.at());
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
         double end = events.isEmpty() ? 0 : events.get(events.size() - 1).at();
--- a/standins/src/main/java/pinewick/rules/Trace.java
+++ b/standins/src/main/java/pinewick/rules/Trace.java
@@ -28,15 +28,23 @@
     public record Event(double at, String mixer, Kind kind, String query, String part, String searcher, String detail) {
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "%.6f\t%s\t%s\t%s\t%s\t%s\t%s", at, mixer,
-                kind.name().toLowerCase(Locale.ROOT), query, part, searcher, detail);
+            return String.format(
+                    Locale.ROOT,
+                    "%.6f\t%s\t%s\t%s\t%s\t%s\t%s",
+                    at,
+                    mixer,
+                    kind.name().toLowerCase(Locale.ROOT),
+                    query,
+                    part,
+                    searcher,
+                    detail);
         }
     }
 
     private final List<Event> events = new ArrayList<>();
 
-    public synchronized void add(double at, String mixer, Kind kind, String query, String part, String searcher,
-                                 String detail) {
+    public synchronized void add(
+            double at, String mixer, Kind kind, String query, String part, String searcher, String detail) {
         events.add(new Event(at, mixer, kind, query, part, searcher, detail));
     }
 
@@ -53,11 +61,18 @@
         for (int number = 0; number < lines.size(); number++) {
             String[] fields = lines.get(number).split("\t", -1);
             if (fields.length != 7) {
-                throw new IllegalArgumentException("line " + (number + 1) + ": 7 fields are expected, not " + fields.length);
+                throw new IllegalArgumentException(
+                        "line " + (number + 1) + ": 7 fields are expected, not " + fields.length);
             }
             try {
-                trace.add(Double.parseDouble(fields[0]), fields[1], Kind.valueOf(fields[2].toUpperCase(Locale.ROOT)),
-                    fields[3], fields[4], fields[5], fields[6]);
+                trace.add(
+                        Double.parseDouble(fields[0]),
+                        fields[1],
+                        Kind.valueOf(fields[2].toUpperCase(Locale.ROOT)),
+                        fields[3],
+                        fields[4],
+                        fields[5],
+                        fields[6]);
             } catch (IllegalArgumentException odd) {
                 throw new IllegalArgumentException("line " + (number + 1) + ": time or event: " + odd.getMessage());
             }
--- a/standins/src/main/java/pinewick/standins/DatagramRelay.java
+++ b/standins/src/main/java/pinewick/standins/DatagramRelay.java
@@ -20,11 +20,9 @@
  * one for all, as the platform gives them; what it sends there reaches the other from the address that stands for it.
  */
 public final class DatagramRelay implements AutoCloseable {
-    private record Late(long at, long number, int from, int to, byte[] bytes) {
-    }
+    private record Late(long at, long number, int from, int to, byte[] bytes) {}
 
-    private record Way(int from, int to) {
-    }
+    private record Way(int from, int to) {}
 
     private static final int ALL = -1;
 
@@ -32,8 +30,8 @@
     private final DatagramChannel[][] ways;
     private final DatagramChannel[] toAll;
     private final List<InetSocketAddress> homes;
-    private final PriorityQueue<Late> late = new PriorityQueue<>((one, other) -> one.at != other.at
-        ? Long.compare(one.at, other.at) : Long.compare(one.number, other.number));
+    private final PriorityQueue<Late> late = new PriorityQueue<>((one, other) ->
+            one.at != other.at ? Long.compare(one.at, other.at) : Long.compare(one.number, other.number));
     private final ConcurrentLinkedQueue<Runnable> asked = new ConcurrentLinkedQueue<>();
     private final SplittableRandom chance;
     private final Thread thread;
--- a/standins/src/main/java/pinewick/standins/FleetProcesses.java
+++ b/standins/src/main/java/pinewick/standins/FleetProcesses.java
@@ -13,7 +13,8 @@
 
 /** Several mixers, each a process of its own, that reach each other through a relay which breaks the way. */
 public final class FleetProcesses implements AutoCloseable {
-    private static final String GRADE = "{\"name\":\"any\",\"slo-ns\":1e9,\"hard-limit-ns\":3e9,\"effect\":\"retryable\"}";
+    private static final String GRADE =
+            "{\"name\":\"any\",\"slo-ns\":1e9,\"hard-limit-ns\":3e9,\"effect\":\"retryable\"}";
 
     private final List<MixerProcess> mixers = new ArrayList<>();
     private final List<InetSocketAddress> homes = new ArrayList<>();
@@ -30,12 +31,17 @@
 
     /** @param searchers addresses of searchers s-0, s-1, ..., each of which holds a shard of its own */
     public FleetProcesses(int size, Path jar, Path folder, Path operator, long seed, List<String> searchers)
-        throws IOException {
+            throws IOException {
         StringBuilder known = new StringBuilder();
         for (int each = 0; each < searchers.size(); each++) {
-            known.append(each == 0 ? "" : ",").append("{\"id\":\"s-").append(each).append("\",\"host_port\":\"")
-                .append(searchers.get(each)).append("\",\"locality\":\"a\",\"cell\":").append(each)
-                .append(",\"phase\":\"ready\",\"up_since_ms\":0}");
+            known.append(each == 0 ? "" : ",")
+                    .append("{\"id\":\"s-")
+                    .append(each)
+                    .append("\",\"host_port\":\"")
+                    .append(searchers.get(each))
+                    .append("\",\"locality\":\"a\",\"cell\":")
+                    .append(each)
+                    .append(",\"phase\":\"ready\",\"up_since_ms\":0}");
         }
         for (int each = 0; each < size; each++) {
             try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -46,8 +52,8 @@
         listed = size;
         for (int each = 0; each < size; each++) {
             Path own = Files.createDirectories(folder.resolve("mixer-" + each));
-            mixers.add(new MixerProcess(jar, own, operator, GRADE, searchers.size(), known.toString(), peers(each),
-                size, each));
+            mixers.add(new MixerProcess(
+                    jar, own, operator, GRADE, searchers.size(), known.toString(), peers(each), size, each));
         }
     }
 
@@ -55,10 +61,13 @@
     private String peers(int self) throws IOException {
         StringBuilder peers = new StringBuilder();
         for (int to = 0; to < listed; to++) {
-            peers.append(to == 0 ? "" : ",").append('"').append(text(relay.address(self, to))).append('"');
+            peers.append(to == 0 ? "" : ",")
+                    .append('"')
+                    .append(text(relay.address(self, to)))
+                    .append('"');
         }
         return "\"peer_listen\":\"" + text(homes.get(self)) + "\",\"peers\":[" + peers + "],\"peers_all\":\""
-            + text(relay.addressOfAll(self)) + "\",";
+                + text(relay.addressOfAll(self)) + "\",";
     }
 
     private static String text(InetSocketAddress address) {
--- a/standins/src/main/java/pinewick/standins/MixerProcess.java
+++ b/standins/src/main/java/pinewick/standins/MixerProcess.java
@@ -16,7 +16,8 @@
 
 /** A real mixer as a process of its own, on loopback, with an operator's file. */
 public final class MixerProcess implements AutoCloseable {
-    private static final HttpClient CLIENT = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
+    private static final HttpClient CLIENT =
+            HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
 
     private final Path jar;
     private final Path folder;
@@ -45,8 +46,17 @@
      * @param instances how many mixers the settings state
      * @param self this one's number among them
      */
-    public MixerProcess(Path jar, Path folder, Path operator, String categories, int cells, String known, String peers,
-                        int instances, int self) throws IOException {
+    public MixerProcess(
+            Path jar,
+            Path folder,
+            Path operator,
+            String categories,
+            int cells,
+            String known,
+            String peers,
+            int instances,
+            int self)
+            throws IOException {
         this.categories = categories;
         this.cells = cells;
         this.known = known;
@@ -61,13 +71,18 @@
 
     /** Writes another configuration, for the next start or {@link #reload}. */
     public void configure(String peers, int instances, int self) throws IOException {
-        Files.writeString(folder.resolve("config.json"), "{" + peers + "\"listen\":\"127.0.0.1:" + port
-            + "\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},"
-            + "\"known\":{\"revision\":0,\"complete\":true,\"members\":[" + known + "]},\"settings\":{\"instances\":" + instances
-            + ",\"self-index\":" + self + ","
-            + "\"granularity-ns\":5e6,\"categories\":[" + categories + "],\"bounds\":{\"peers\":" + !peers.isEmpty() + ",\"multiplex\":100,\"try-limit\":4,"
-            + "\"max-open\":2000,\"conn-idle-ns\":15e9,\"dial-timeout-ns\":250e6},\"family-info\":{\"cells\":" + cells
-            + ",\"reach\":1,\"slabs\":" + cells + ",\"per-call\":16}}}");
+        Files.writeString(
+                folder.resolve("config.json"),
+                "{" + peers + "\"listen\":\"127.0.0.1:" + port
+                        + "\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},"
+                        + "\"known\":{\"revision\":0,\"complete\":true,\"members\":[" + known
+                        + "]},\"settings\":{\"instances\":" + instances
+                        + ",\"self-index\":" + self + ","
+                        + "\"granularity-ns\":5e6,\"categories\":[" + categories + "],\"bounds\":{\"peers\":"
+                        + !peers.isEmpty() + ",\"multiplex\":100,\"try-limit\":4,"
+                        + "\"max-open\":2000,\"conn-idle-ns\":15e9,\"dial-timeout-ns\":250e6},\"family-info\":{\"cells\":"
+                        + cells
+                        + ",\"reach\":1,\"slabs\":" + cells + ",\"per-call\":16}}}");
     }
 
     public int port() {
@@ -75,14 +90,20 @@
     }
 
     public void start() throws IOException {
-        List<String> words = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:TieredStopAtLevel=1", "-Xmx64m", "-XX:+UseSerialGC"));
-        words.addAll(jar == null ? List.of("-cp", System.getProperty("java.class.path"), "pinewick.Main")
-            : List.of("-jar", jar.toAbsolutePath().toString()));
+        List<String> words = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-Xmx64m",
+                "-XX:+UseSerialGC"));
+        words.addAll(
+                jar == null
+                        ? List.of("-cp", System.getProperty("java.class.path"), "pinewick.Main")
+                        : List.of("-jar", jar.toAbsolutePath().toString()));
         words.addAll(operator == null ? List.of("serve") : List.of("serve", "--operator", operator.toString()));
         ProcessBuilder builder = new ProcessBuilder(words);
         builder.environment().put("EDGE_CONFIG", folder.resolve("config.json").toString());
-        builder.redirectErrorStream(true).redirectOutput(folder.resolve("log-" + ++starts + ".txt").toFile());
+        builder.redirectErrorStream(true)
+                .redirectOutput(folder.resolve("log-" + ++starts + ".txt").toFile());
         process = builder.start();
     }
 
@@ -101,8 +122,11 @@
     /** The body of a 200 answer; null where there is none. */
     public String get(String path) throws InterruptedException {
         try {
-            HttpResponse<String> answer = CLIENT.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
-                .timeout(Duration.ofSeconds(2)).build(), HttpResponse.BodyHandlers.ofString());
+            HttpResponse<String> answer = CLIENT.send(
+                    HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
+                            .timeout(Duration.ofSeconds(2))
+                            .build(),
+                    HttpResponse.BodyHandlers.ofString());
             return answer.statusCode() == 200 ? answer.body() : null;
         } catch (IOException none) {
             return null;
@@ -113,15 +137,24 @@
     public int ask(String id, String grade, int shards, double seconds) throws InterruptedException {
         StringBuilder body = new StringBuilder("{\"slices\":[");
         for (int shard = 0; shard < shards; shard++) {
-            body.append(shard == 0 ? "" : ",").append("{\"slice\":").append(shard).append(",\"mass\":")
-                .append(1.0 / shards).append('}');
+            body.append(shard == 0 ? "" : ",")
+                    .append("{\"slice\":")
+                    .append(shard)
+                    .append(",\"mass\":")
+                    .append(1.0 / shards)
+                    .append('}');
         }
         try {
-            return CLIENT.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/api"))
-                .timeout(Duration.ofMillis(Math.round(seconds * 1e3) + 500)).header("Req-Id", id)
-                .header("Req-Kind", grade).header("Req-Deadline", Double.toString(seconds))
-                .POST(HttpRequest.BodyPublishers.ofString(body + "],\"filter\":\"f\"}")).build(),
-                HttpResponse.BodyHandlers.discarding()).statusCode();
+            return CLIENT.send(
+                            HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/api"))
+                                    .timeout(Duration.ofMillis(Math.round(seconds * 1e3) + 500))
+                                    .header("Req-Id", id)
+                                    .header("Req-Kind", grade)
+                                    .header("Req-Deadline", Double.toString(seconds))
+                                    .POST(HttpRequest.BodyPublishers.ofString(body + "],\"filter\":\"f\"}"))
+                                    .build(),
+                            HttpResponse.BodyHandlers.discarding())
+                    .statusCode();
         } catch (java.net.ConnectException refused) {
             return -1;
         } catch (IOException none) {
@@ -131,7 +164,9 @@
 
     /** Sends it a signal by its name, such as HUP, STOP or CONT. */
     public void signal(String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                .start()
+                .waitFor();
     }
 
     /** Ends it: in order (SIGTERM), or at once. */
--- a/standins/src/main/java/pinewick/standins/RegistryState.java
+++ b/standins/src/main/java/pinewick/standins/RegistryState.java
@@ -9,12 +9,10 @@
 /** What a stand-in registry holds: keys with all their versions, revisions, compaction, leases. No I/O. */
 public final class RegistryState {
     /** A key at one revision; a null value says that it was removed there. */
-    public record Version(String key, byte[] value, long revision, long lease) {
-    }
+    public record Version(String key, byte[] value, long revision, long lease) {}
 
     /** One page: the keys, whether more follow, and how many there are in all. */
-    public record Page(List<Version> keys, boolean more, long count) {
-    }
+    public record Page(List<Version> keys, boolean more, long count) {}
 
     /** The revision asked for is not known any more. */
     public static final class Compacted extends Exception {
@@ -31,8 +29,7 @@
     private long revision = 1;
     private long compacted;
 
-    public RegistryState() {
-    }
+    public RegistryState() {}
 
     /** A copy as it stands now, as a backup would hold it or a member that was cut off. */
     public RegistryState copy() {
@@ -110,8 +107,10 @@
                 versions.remove(0);
             }
         }
-        keys.values().removeIf(versions -> versions.size() == 1 && versions.get(0).value() == null
-            && versions.get(0).revision() <= compacted);
+        keys.values()
+                .removeIf(versions -> versions.size() == 1
+                        && versions.get(0).value() == null
+                        && versions.get(0).revision() <= compacted);
     }
 
     /** Keys from {@code from} on and before {@code end}, as they stood at a revision; 0 for the newest. */
@@ -122,7 +121,8 @@
         long at = atRevision == 0 ? revision : atRevision;
         List<Version> page = new ArrayList<>();
         long count = 0;
-        for (Map.Entry<String, List<Version>> each : keys.subMap(from, true, end, false).entrySet()) {
+        for (Map.Entry<String, List<Version>> each :
+                keys.subMap(from, true, end, false).entrySet()) {
             Version latest = latest(each.getKey(), at);
             if (latest != null) {
                 count++;
--- a/standins/src/main/java/pinewick/standins/StandinRegistry.java
+++ b/standins/src/main/java/pinewick/standins/StandinRegistry.java
@@ -39,6 +39,7 @@
         public volatile boolean mute;
         /** Answers from what it held when it was cut off. */
         private volatile RegistryState old;
+
         public volatile String cluster = "77";
         /** Bytes a write at most; 0 for all at once. */
         public volatile int split;
@@ -115,7 +116,10 @@
                     }
                     String path = head.split(" ")[1];
                     int at = head.toLowerCase().indexOf("content-length:");
-                    int length = at < 0 ? 0 : Integer.parseInt(head.substring(at + 15).split("\r\n")[0].strip());
+                    int length = at < 0
+                            ? 0
+                            : Integer.parseInt(
+                                    head.substring(at + 15).split("\r\n")[0].strip());
                     String body = new String(in.readNBytes(length), StandardCharsets.UTF_8);
                     while (silent) {
                         Thread.sleep(5);
@@ -126,15 +130,18 @@
                         return;
                     }
                     byte[] answer = (switch (path) {
-                        case "/v3/kv/range" -> range(asked);
-                        case "/v3/kv/put" -> put(asked);
-                        case "/v3/lease/grant" -> grant(asked);
-                        case "/v3/lease/keepalive" -> renew(asked);
-                        default -> fault("unknown path", 12) + "\n";
-                    })
-                        .getBytes(StandardCharsets.UTF_8);
-                    write(out, ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + answer.length
-                        + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
+                                case "/v3/kv/range" -> range(asked);
+                                case "/v3/kv/put" -> put(asked);
+                                case "/v3/lease/grant" -> grant(asked);
+                                case "/v3/lease/keepalive" -> renew(asked);
+                                default -> fault("unknown path", 12) + "\n";
+                            })
+                            .getBytes(StandardCharsets.UTF_8);
+                    write(
+                            out,
+                            ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + answer.length
+                                            + "\r\n\r\n")
+                                    .getBytes(StandardCharsets.ISO_8859_1));
                     write(out, answer);
                 }
             } catch (IOException | RuntimeException gone) {
@@ -169,8 +176,8 @@
                 String end = key(asked, "range_end");
                 try {
                     boolean keysOnly = asked.has("keys_only");
-                    RegistryState.Page page = held().range(from, end, number(asked, "revision"),
-                        (int) number(asked, "limit"));
+                    RegistryState.Page page =
+                            held().range(from, end, number(asked, "revision"), (int) number(asked, "limit"));
                     List<RegistryState.Version> keys = page.keys();
                     if (asked.has("sort_target")) {
                         RegistryState.Version newest = held().newest(from, end);
@@ -198,8 +205,10 @@
                 if (lease != 0 && !leases.containsKey(lease)) {
                     return fault("etcdserver: requested lease not found", 5) + "\n";
                 }
-                StandinRegistry.this.put(key(asked, "key"), Base64.getDecoder().decode(asked.get("value").getAsString()),
-                    lease);
+                StandinRegistry.this.put(
+                        key(asked, "key"),
+                        Base64.getDecoder().decode(asked.get("value").getAsString()),
+                        lease);
                 JsonObject answer = new JsonObject();
                 answer.add("header", header());
                 return answer + "\n";
@@ -309,6 +318,7 @@
     private final List<Member> members = new ArrayList<>();
     /** Leases that were granted: their length, and when they run out. */
     private final Map<Long, double[]> leases = new LinkedHashMap<>();
+
     private long lastLease = 1000;
     private volatile boolean closed;
 
--- a/standins/src/main/java/pinewick/standins/StandinSearchers.java
+++ b/standins/src/main/java/pinewick/standins/StandinSearchers.java
@@ -16,8 +16,7 @@
 /** Searchers on loopback that answer every part after a stated time and keep when each part came, by searcher. */
 public final class StandinSearchers implements AutoCloseable {
     /** A part that came; seconds by {@link System#nanoTime}. */
-    public record Arrival(double at, int searcher, String part) {
-    }
+    public record Arrival(double at, int searcher, String part) {}
 
     private final List<ServerSocket> listeners = new ArrayList<>();
     private final ConcurrentLinkedQueue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
@@ -25,7 +24,9 @@
 
     /** @param answerTime seconds from a part's arrival to its answer */
     public StandinSearchers(int count, double answerTime) throws IOException {
-        this(java.util.stream.DoubleStream.generate(() -> answerTime).limit(count).toArray());
+        this(java.util.stream.DoubleStream.generate(() -> answerTime)
+                .limit(count)
+                .toArray());
     }
 
     /** @param answerTimes seconds from a part's arrival to its answer, by searcher */
@@ -76,7 +77,7 @@
                     case '1' -> call(frame, searcher, at, out);
                     case '3' -> send(out, '3', "S");
                     case '4' -> send(out, '4', "pending=0");
-                    default -> { }
+                    default -> {}
                 }
             }
         } catch (IOException | InterruptedException gone) {
@@ -84,7 +85,8 @@
         }
     }
 
-    private void call(byte[] frame, int searcher, double at, OutputStream out) throws IOException, InterruptedException {
+    private void call(byte[] frame, int searcher, double at, OutputStream out)
+            throws IOException, InterruptedException {
         List<String> parts = new ArrayList<>();
         int from = 1;
         while (from < frame.length) {
--- a/standins/src/test/java/pinewick/rules/RuleCheckerTest.java
+++ b/standins/src/test/java/pinewick/rules/RuleCheckerTest.java
@@ -9,7 +9,8 @@
 /** A broken trace for each thing the checker knows, and a good one that it must not blame. */
 class RuleCheckerTest {
     private static List<RuleChecker.Breach> judge(String... lines) {
-        List<String> tabbed = List.of(lines).stream().map(each -> each.replace(' ', '\t')).toList();
+        List<String> tabbed =
+                List.of(lines).stream().map(each -> each.replace(' ', '\t')).toList();
         return new RuleChecker(0.5, 0.05).judge(Trace.read(tabbed).events());
     }
 
@@ -22,14 +23,29 @@
 
     @Test
     void aGoodTraceIsNotBlamed() {
-        assertEquals(List.of(), judge("0 m taken q - - 1", "0.1 m sent q q.0 s 0", "0.2 m told - - s draining",
-            "0.6 m sent q q.1 s 0", "0.9 m answered q - - fulfilled", "1 m told - - s ready", "5 m taken p - - 1",
-            "5.1 m sent p p.0 s 0", "5.2 m withdrawn p - - -", "9 other sent x x.0 s 0"));
+        assertEquals(
+                List.of(),
+                judge(
+                        "0 m taken q - - 1",
+                        "0.1 m sent q q.0 s 0",
+                        "0.2 m told - - s draining",
+                        "0.6 m sent q q.1 s 0",
+                        "0.9 m answered q - - fulfilled",
+                        "1 m told - - s ready",
+                        "5 m taken p - - 1",
+                        "5.1 m sent p p.0 s 0",
+                        "5.2 m withdrawn p - - -",
+                        "9 other sent x x.0 s 0"));
     }
 
     @Test
     void aSecondAnswerBreaksRuleOne() {
-        blames(1, "a second final answer", "0 m taken q - - 1", "0.5 m answered q - - declined", "0.6 m answered q - - fulfilled");
+        blames(
+                1,
+                "a second final answer",
+                "0 m taken q - - 1",
+                "0.5 m answered q - - declined",
+                "0.6 m answered q - - fulfilled");
     }
 
     @Test
@@ -44,7 +60,12 @@
 
     @Test
     void aPartAfterTheAnswerBreaksRuleOne() {
-        blames(1, "a part sent after the final answer", "0 m taken q - - 1", "0.2 m answered q - - part", "0.3 m sent q q.0 s 1");
+        blames(
+                1,
+                "a part sent after the final answer",
+                "0 m taken q - - 1",
+                "0.2 m answered q - - part",
+                "0.3 m sent q q.0 s 1");
     }
 
     @Test
@@ -54,7 +75,12 @@
 
     @Test
     void aPartPastTheGraceBreaksRuleThree() {
-        blames(3, "a part sent past the grace", "0 m told - - s draining", "0.3 m told - - s gone", "0.51 m sent q q.0 s 0");
+        blames(
+                3,
+                "a part sent past the grace",
+                "0 m told - - s draining",
+                "0.3 m told - - s gone",
+                "0.51 m sent q q.0 s 0");
     }
 
     @Test
@@ -64,7 +90,9 @@
 
     @Test
     void aLineThatCannotBeReadIsNamed() {
-        assertEquals("line 2: 7 fields are expected, not 3", assertThrows(IllegalArgumentException.class,
-            () -> judge("0 m taken q - - 1", "1 m sent")).getMessage());
+        assertEquals(
+                "line 2: 7 fields are expected, not 3",
+                assertThrows(IllegalArgumentException.class, () -> judge("0 m taken q - - 1", "1 m sent"))
+                        .getMessage());
     }
 }
