--- a/query-mixer/core/src/main/java/pinewick/Grade.java
+++ b/query-mixer/core/src/main/java/pinewick/Grade.java
@@ -1,16 +1,23 @@
 package pinewick;
 
-import pinewick.selection.CoarseTimes;
+import pinewick.selection.DecayingHistogram;
 
 /** A service grade: its terms, and how long its parts and queries were seen to take. */
 final class Grade {
     static final double LONGEST_HEDGE_DELAY = 0.5; // of the latency goal, like the next two
-    private static final double SHORTEST_HEDGE_DELAY = 0.125, LONGEST_RUN = 0.6;
-    private static final double HEDGE_FACTOR = 1.5, RUN_QUANTILE = 0.8, LONGEST_MEASURED = 3; // goals
+    private static final double SHORTEST_HEDGE_DELAY = 0.125;
+    private static final double LONGEST_RUN = 0.6;
+    // goals
+    private static final double HEDGE_FACTOR = 1.5;
+    private static final double RUN_QUANTILE = 0.8;
+    private static final double LONGEST_MEASURED = 3;
 
     final Host.GradeTerms terms;
-    final CoarseTimes answerTimes, runTimes;
-    double longestTimeToLive, lethalUntil; // since a query of this grade brought replicas down
+    final DecayingHistogram answerTimes;
+    final DecayingHistogram runTimes;
+    // since a query of this grade brought replicas down
+    double longestTimeToLive;
+    double lethalUntil;
     private final double callWork;
 
     Grade(Host.GradeTerms terms, double callWork) {
--- a/query-mixer/core/src/main/java/pinewick/Host.java
+++ b/query-mixer/core/src/main/java/pinewick/Host.java
@@ -73,6 +73,7 @@
         UNREPEATABLE
     }
 
+    /** The lifecycle state of a searcher in the list. */
     enum Stage {
         GONE,
         READY,
--- a/query-mixer/core/src/main/java/pinewick/LoadProbes.java
+++ b/query-mixer/core/src/main/java/pinewick/LoadProbes.java
@@ -5,7 +5,9 @@
 
 /** Probes: of holders whose load reports are old, before a query starts, and of replicas after failures. */
 final class LoadProbes {
-    private static final double OLD = 0.1, AGAIN_AFTER = 0.2; // of the latency goal: reports; while held
+    // of the latency goal: reports; while held
+    private static final double OLD = 0.1;
+    private static final double AGAIN_AFTER = 0.2;
     private static final double LEAST_CHANCE = 0.3; // of probing an old report; more the busier replicas are
     private static final int MOST_HELD = 32; // queries; with more of them held none is probed for
 
@@ -18,8 +20,10 @@
     /** Probes two of each part's holders, by chance, where their reports are old: with many routers reports
      *  come rarely. Seldom while queues are short, as probes cost. True if the query should wait a moment. */
     boolean awaited(Query query) {
-        double now = router.now(), wait = Replica.PROBE_WAIT * router.latencyGoal;
-        boolean first = now <= query.takenAt + 2 * wait, again = now >= query.probeAgainAt;
+        double now = router.now();
+        double wait = Replica.PROBE_WAIT * router.latencyGoal;
+        boolean first = now <= query.takenAt + 2 * wait;
+        boolean again = now >= query.probeAgainAt;
         if (!router.deployment.mayProbe()
                 || (!first && !again)
                 || router.held.size() > MOST_HELD
--- a/query-mixer/core/src/main/java/pinewick/Logic.java
+++ b/query-mixer/core/src/main/java/pinewick/Logic.java
@@ -12,8 +12,11 @@
 public final class Logic {
     static final double CHECK_INTERVAL = 0.01; // of the latency goal, like the next
     private static final double OVERLOAD_WAIT = 0.1; // of the oldest held query
-    private static final double LIST_SHARE = 0.25, LIST_SPREAD = 0.5; // of `askWithin`; least share of a wait
-    private static final long CHECK_TIMER = 0, QUERY_TIMER = 1;
+    // of `askWithin`; least share of a wait
+    private static final double LIST_SHARE = 0.25;
+    private static final double LIST_SPREAD = 0.5;
+    private static final long CHECK_TIMER = 0;
+    private static final long QUERY_TIMER = 1;
 
     private final RouterState router;
     private final Placement placement;
@@ -45,7 +48,8 @@
     /** News of the list. Draining and gone replicas get nothing new from this call on (rule 3). */
     public void list(Host.ListForm form, List<Host.Listing> entries) {
         Host.RuleTerms rules = router.deployment.rules();
-        double now = router.now(), goal = router.latencyGoal;
+        double now = router.now();
+        double goal = router.latencyGoal;
         if (form == Host.ListForm.FAILED) {
             // Waits are spread, or all routers would ask the list's service again at once.
             double wait = Replica.BACKOFF * goal * (1 << Math.min(listFailures++, 5));
--- a/query-mixer/core/src/main/java/pinewick/Placement.java
+++ b/query-mixer/core/src/main/java/pinewick/Placement.java
@@ -6,7 +6,9 @@
 
 /** Where parts go: starts queries, chooses a replica among the holders of a shard, and launches. */
 final class Placement {
-    private static final double START_LACKS = 0.9, WIDE = 0.5; // of what may lack; of the ready replicas
+    // of what may lack; of the ready replicas
+    private static final double START_LACKS = 0.9;
+    private static final double WIDE = 0.5;
     private static final int NARROW = 8; // parts; such a query is never wide
 
     private final RouterState router;
@@ -125,7 +127,8 @@
         if (Math.abs(roomAtTurn[first]) == router.turn) {
             return roomAtTurn[first] > 0; // asking each time took half of a busy router's time
         }
-        boolean found = false, sameForAll = true;
+        boolean found = false;
+        boolean sameForAll = true;
         for (Replica replica : router.replicas.holders(part)) {
             sameForAll &= !replica.warmingUp();
             found = found || fits(replica, part, 1);
--- a/query-mixer/core/src/main/java/pinewick/Query.java
+++ b/query-mixer/core/src/main/java/pinewick/Query.java
@@ -2,11 +2,22 @@
 
 /** A query's handle: all that happens to it after it was taken is a call on this. */
 public final class Query extends QueryState {
-    private static final double PROMPT = 0.15, BARE_FACTOR = 1.5; // of the goal; of the quickest tenth
-    private static final double START_SHARE = 0.45, RETRY_LACKS = 0.02; // of the client's time; the hard stop
-    private static final double ROUNDING = 1e-4, PAUSE = 5; // of weights; checks missed by a router's pause
-    private static final int LETHAL = 2, EARLY_TICKS = 4; // lost connections; partial answer before its goal
-    final double goalAt, stopAt, startBy, randomDraw;
+    // of the goal; of the quickest tenth
+    private static final double PROMPT = 0.15;
+    private static final double BARE_FACTOR = 1.5;
+    // of the client's time; the hard stop
+    private static final double START_SHARE = 0.45;
+    private static final double RETRY_LACKS = 0.02;
+    // of weights; checks missed by a router's pause
+    private static final double ROUNDING = 1e-4;
+    private static final double PAUSE = 5;
+    // lost connections; partial answer before its goal
+    private static final int LETHAL = 2;
+    private static final int EARLY_TICKS = 4;
+    final double goalAt;
+    final double stopAt;
+    final double startBy;
+    final double randomDraw;
     final boolean clientRetry;
     private final RouterState router;
     private final Retries retries;
--- a/query-mixer/core/src/main/java/pinewick/Replica.java
+++ b/query-mixer/core/src/main/java/pinewick/Replica.java
@@ -3,11 +3,20 @@
 /** A replica as one router judges it: its score, its health, and how much more it may be sent. */
 final class Replica extends ReplicaState {
     // Shares of the latency goal: how long a report counts, a probe may take, and failures keep it unused.
-    static final double REPORT_LIFETIME = 0.5, PROBE_WAIT = 0.02, BACKOFF = 0.25, LONGEST_BACKOFF = 2;
+    static final double REPORT_LIFETIME = 0.5;
+    static final double PROBE_WAIT = 0.02;
+    static final double BACKOFF = 0.25;
+    static final double LONGEST_BACKOFF = 2;
     static final double FEW_ROUTERS = 4; // from twice as many on, each hears little of a replica
-    private static final double LONGEST_QUEUE = 0.3, OTHER_ZONE = 1e-6; // goals; decides between equal scores
-    private static final double NEWEST_WEIGHT = 0.3, COLD_MARGIN = 0.8; // of smoothed values; of budgets
-    private static final double FIRST_ROOM = 4, ROOM_CUT = 0.8; // parts; factor after a slow answer
+    // goals; decides between equal scores
+    private static final double LONGEST_QUEUE = 0.3;
+    private static final double OTHER_ZONE = 1e-6;
+    // of smoothed values; of budgets
+    private static final double NEWEST_WEIGHT = 0.3;
+    private static final double COLD_MARGIN = 0.8;
+    // parts; factor after a slow answer
+    private static final double FIRST_ROOM = 4;
+    private static final double ROOM_CUT = 0.8;
 
     private final RouterState router;
 
@@ -18,8 +27,12 @@
 
     /** The C3 score of docs/design.md; unlike there, measurements fade with age and silence counts. */
     double score(Part part, int planned) {
-        double now = router.now(), guess = FleetStats.FIRST_GUESS * part.query.grade.terms.latencyGoal();
-        double known = 0, meanLatency = 0, meanLowest = 0, meanQueue = 0;
+        double now = router.now();
+        double guess = FleetStats.FIRST_GUESS * part.query.grade.terms.latencyGoal();
+        double known = 0;
+        double meanLatency = 0;
+        double meanLowest = 0;
+        double meanQueue = 0;
         for (Replica holder : router.replicas.holders(part)) {
             if (holder.measured) {
                 known++;
@@ -56,7 +69,7 @@
                 ? 0
                 : hiddenDelay
                         * freshness()
-                        * router.fleet.hiddenDelays.share(router.now() - hiddenDelayAt)
+                        * router.fleet.hiddenDelays.fractionAt(router.now() - hiddenDelayAt)
                         / router.fleet.drainTime();
     }
 
@@ -103,9 +116,11 @@
             return true;
         }
         Host.RuleTerms rules = router.deployment.rules();
-        double window = rules.fallTime(), from = router.now() - window;
+        double window = rules.fallTime();
+        double from = router.now() - window;
         double capacity = rules.capacity(Math.max(startedAt, from) - startedAt);
-        double spent = coldWork.since(from), work = query.grade.meanWork();
+        double spent = coldWork.since(from);
+        double work = query.grade.meanWork();
         double share =
                 COLD_MARGIN * rules.overloadFactor() * capacity * router.fleet.warmCores(work) / router.sendingRouters;
         if (share * window >= (count + planned) * work) {
@@ -164,8 +179,9 @@
     /** Takes in a latency; a silent replica's time-outs tell of no queue, or it would be shunned too long. */
     void measured(double took, double expected, boolean tellsOfQueue) {
         if (tellsOfQueue) {
-            double now = router.now(), extra = Math.max(0, took - expected);
-            router.fleet.hiddenDelays.add(now - hiddenDelayAt, hiddenDelay, Math.min(extra, 2 * hiddenDelay));
+            double now = router.now();
+            double extra = Math.max(0, took - expected);
+            router.fleet.hiddenDelays.record(now - hiddenDelayAt, hiddenDelay, Math.min(extra, 2 * hiddenDelay));
             hiddenDelay += NEWEST_WEIGHT * (extra - hiddenDelay);
             hiddenDelayAt = now;
         }
--- a/query-mixer/core/src/main/java/pinewick/ReplicaList.java
+++ b/query-mixer/core/src/main/java/pinewick/ReplicaList.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import pinewick.selection.SlidingSum;
+import pinewick.selection.WindowedSum;
 
 /** The replicas as they were last listed, which of them hold a shard, and how many parts came for each. */
 final class ReplicaList {
@@ -16,7 +16,7 @@
     /** The ready holders of a shard and the parts taken for it, by the shard's first cell. */
     private final List<List<Replica>> holders = new ArrayList<>();
 
-    private final List<SlidingSum> partsTaken = new ArrayList<>();
+    private final List<WindowedSum> partsTaken = new ArrayList<>();
     private int ready;
 
     ReplicaList(Host.Deployment deployment, Function<String, Replica> newReplica) {
@@ -24,7 +24,7 @@
         this.newReplica = newReplica;
         for (int cell = 0; cell < deployment.cells(); cell++) {
             holders.add(new ArrayList<>());
-            partsTaken.add(new SlidingSum());
+            partsTaken.add(new WindowedSum());
         }
     }
 
--- a/query-mixer/core/src/main/java/pinewick/ReplicaState.java
+++ b/query-mixer/core/src/main/java/pinewick/ReplicaState.java
@@ -1,8 +1,8 @@
 package pinewick;
 
 import java.util.LinkedHashSet;
-import pinewick.selection.RecentLowest;
-import pinewick.selection.SlidingSum;
+import pinewick.selection.WindowedMinimum;
+import pinewick.selection.WindowedSum;
 
 /** What one router was told of a replica and saw of it; what follows from that is decided in {@link Follower}. */
 class ReplicaState {
@@ -25,7 +25,7 @@
     boolean measured;
 
     double latency;
-    RecentLowest lowestLatency = new RecentLowest();
+    WindowedMinimum lowestLatency = new WindowedMinimum();
     /** How much longer launches took than load reports foretold, smoothed, and when that was last measured. */
     double hiddenDelay;
 
@@ -43,7 +43,7 @@
     /** Parts that the plan being made would add. */
     int planned;
     /** Work sent to it during its warm-up. */
-    final SlidingSum coldWork = new SlidingSum();
+    final WindowedSum coldWork = new WindowedSum();
     /** Failures in a row. */
     int failures;
     /** Until when it is left alone after failures. */
@@ -105,6 +105,6 @@
         queue = 0;
         busyShare = 0;
         room = firstRoom;
-        lowestLatency = new RecentLowest();
+        lowestLatency = new WindowedMinimum();
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/Retries.java
+++ b/query-mixer/core/src/main/java/pinewick/Retries.java
@@ -3,7 +3,9 @@
 /** Further launches of parts: retries after failures, and hedges of launches that are overdue. */
 final class Retries {
     private static final double HEAVY = 0.15; // of a query's parts; with more of them overdue it is heavy
-    private static final double OWN_SHARE = 0.1, OWN_FREE = 5; // the budget where none is stated
+    // the budget where none is stated
+    private static final double OWN_SHARE = 0.1;
+    private static final double OWN_FREE = 5;
 
     private final RouterState router;
     private final Placement placement;
@@ -78,7 +80,8 @@
         Host.RuleTerms rules = router.deployment.rules();
         boolean stated = rules.freeLaunches() < Double.POSITIVE_INFINITY;
         double window = stated ? rules.launchWindow() : 2 * Replica.LONGEST_BACKOFF * router.latencyGoal;
-        double from = router.now() - window, tick = router.deployment.tick();
+        double from = router.now() - window;
+        double tick = router.deployment.tick();
         double free = stated ? rules.freeLaunches() : OWN_FREE;
         double most = free + (stated ? rules.launchShare() : OWN_SHARE) * router.taken.since(from + tick);
         return router.relaunched.since(from - tick) + 2 <= most || (!stated && replacesFailed);
--- a/query-mixer/core/src/main/java/pinewick/RouterState.java
+++ b/query-mixer/core/src/main/java/pinewick/RouterState.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashSet;
 import java.util.SplittableRandom;
-import pinewick.selection.SlidingSum;
+import pinewick.selection.WindowedSum;
 
 /** What all decisions of one router share: its deployment, its queries and replicas, and what it measured. */
 final class RouterState {
@@ -20,9 +20,9 @@
 
     final LinkedHashSet<Query> held = new LinkedHashSet<>();
     /** Queries and parts taken, and further launches of parts: what budgets are counted against. */
-    final SlidingSum taken = new SlidingSum();
+    final WindowedSum taken = new WindowedSum();
 
-    final SlidingSum relaunched = new SlidingSum();
+    final WindowedSum relaunched = new WindowedSum();
     /** Routers that live, and those of them that may send. */
     int routers;
 
--- a/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
@@ -107,7 +107,6 @@
         searchers.allLinks().forEach(link -> link.close("end of the rehearsal"));
     }
 
-    /** Figures of what this chain does not own. */
     /** Is handed each piece of the list that came, after the decisions. */
     void listener(Consumer<List<Host.Listing>> to) {
         alsoListed = to;
--- a/query-mixer/daemon/src/main/java/pinewick/life/OperatorFile.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/OperatorFile.java
@@ -131,8 +131,8 @@
         double period = number(in, "/fleet", "period-s", usual.period(), 0.1, 10, false);
         double silence = number(in, "/fleet", "silence-s", usual.silence(), 0.6, 60, false);
         if (silence < 4 * period) {
-            wrong.add(
-                    "/fleet/silence-s: at least four times period-s is expected, or a lost datagram would look like death");
+            wrong.add("/fleet/silence-s: at least four times period-s is expected, or a lost datagram would "
+                    + "look like death");
         }
         boolean state =
                 choice(in, "/fleet", "state", "off", List.of("on", "off")).equals("on");
--- a/query-mixer/daemon/src/main/java/pinewick/life/SnapshotFile.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/SnapshotFile.java
@@ -16,8 +16,9 @@
 import java.util.function.Consumer;
 
 /**
- * The file of a mixer's snapshot, beside the loop: a thread of its own writes it, to another name first, has the disk take
- * it, renames it and reads it back. Whatever goes wrong is said once, and again only after it went well in between.
+ * The file of a mixer's snapshot, beside the loop: a thread of its own writes it, to another name first, has the disk
+ * take it, renames it and reads it back. Whatever goes wrong is said once, and again only after it went well in
+ * between.
  */
 final class SnapshotFile {
     private static final int MOST = 16 << 20; // bytes; a longer file is nobody's snapshot
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
@@ -117,8 +117,8 @@
     /**
      * Whether a launch may begin at this moment: asked right before its first byte. Danger: between the decision and
      * the byte lie a dial, a long batch (bad clients in hundreds) or timers that ring before the sockets are looked at,
-     * and in that time the client may have left, a window have ended, or a drain have come. Harm: a read for each launch
-     * of a query not seen for a moment, and one of the list.
+     * and in that time the client may have left, a window have ended, or a drain have come. Harm: a read for each
+     * launch of a query not seen for a moment, and one of the list.
      */
     boolean mayBegin(LiveLaunch launch) {
         OpenQuery query = launch.piece.query;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
@@ -172,7 +172,9 @@
         return guests.size() > limits.clientSockets() / limits.crowdedPart();
     }
 
-    /** What comes between this look and the close is read and thrown away: its client asks again, as it got no answer. */
+    /**
+     * What comes between this look and the close is read and thrown away: its client asks again, as it got no answer.
+     */
     private void closeIfEmpty(Guest guest) {
         if (guest.empty()) {
             end(guest, "");
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ListFreshness.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/ListFreshness.java
@@ -161,7 +161,9 @@
         next = wholeNeeded || (now >= doubtAt() && next == Ask.WATCH) ? Ask.WHOLE : Ask.WATCH;
     }
 
-    /** Another address was told: it has to prove itself within a try's time, and the tries go on without long pauses. */
+    /**
+     * Another address was told: it has to prove itself within a try's time, and the tries go on without long pauses.
+     */
     public void moved(double now) {
         state = State.PAUSED;
         until = now;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/PeerSocket.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/PeerSocket.java
@@ -16,8 +16,8 @@
 import pinewick.loop.Loop;
 
 /**
- * The one datagram channel to the other mixers, on the loop. It knows addresses and places and nothing of what datagrams
- * say. A datagram that the system does not take at once is lost, as datagrams may be.
+ * The one datagram channel to the other mixers, on the loop. It knows addresses and places and nothing of what
+ * datagrams say. A datagram that the system does not take at once is lost, as datagrams may be.
  */
 public final class PeerSocket {
     /** Is handed what came. */
--- a/query-mixer/daemon/src/test/java/pinewick/MixerHarness.java
+++ b/query-mixer/daemon/src/test/java/pinewick/MixerHarness.java
@@ -19,6 +19,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -121,7 +122,8 @@
                         + String.format(grade, "idempotent", "retryable") + ','
                         + String.format(grade, "deduplicated", "dedup") + ','
                         + String.format(grade, "unrepeatable", "fragile")
-                        + "],\"bounds\":{\"multiplex\":100,\"try-limit\":4,\"parallel-tries\":true,\"may-cancel\":true,\"probing\":"
+                        + "],\"bounds\":{\"multiplex\":100,\"try-limit\":4,\"parallel-tries\":true,"
+                        + "\"may-cancel\":true,\"probing\":"
                         + "true,\"max-open\":1000,\"dial-timeout-ns\":" + dial + "},"
                         + "\"family-info\":{\"cells\":2,\"reach\":1,\"slabs\":4,\"per-call\":4,"
                         + "\"class-floor\":[" + floor + ",1,1],\"incomplete-worth\":[0.9,0,0]}}}");
@@ -205,7 +207,10 @@
         thread.start();
     }
 
-    /** Answers a watch with the list and then with whatever is told, on the newest watch; says each second that it lives. */
+    /**
+     * Answers a watch with the list and then with whatever is told, on the newest watch; says each second that it
+     * lives.
+     */
     final class Discovery {
         ServerSocket server = listen();
         final int place = server.getLocalPort();
@@ -431,7 +436,7 @@
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             for (int each = 0; each < 4; each++) {
-                all.write(bytes.length >> 8 * each);
+                all.write(bytes.length >> (8 * each));
             }
             all.writeBytes(bytes);
             socket.getOutputStream().write(all.toByteArray());
@@ -502,7 +507,7 @@
             }
             int length = 0;
             for (String line : head.split("\r\n")) {
-                if (line.toLowerCase().startsWith("content-length:")) {
+                if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
                     length = Integer.parseInt(line.substring(15).trim());
                 }
             }
--- a/query-mixer/daemon/src/test/java/pinewick/life/OperatorFileTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/life/OperatorFileTest.java
@@ -40,7 +40,8 @@
             "{\"fleet\":{}}",
             "{\"fleet\":{\"view\":\"off\"}}",
             "{\"fleet\":{\"period-s\":1,\"silence-s\":5}}",
-            "{\"registry\":{\"endpoints\":[\"[::1]:2379\"],\"prefix\":\"p\",\"page-keys\":1,\"answer-s\":0.05,\"kept\":\"/x\"}}"
+            "{\"registry\":{\"endpoints\":[\"[::1]:2379\"],\"prefix\":\"p\",\"page-keys\":1,"
+                    + "\"answer-s\":0.05,\"kept\":\"/x\"}}"
         }) {
             OperatorFile.of(JsonParser.parseString(text));
             assertTrue(schema().validate(text, InputFormat.JSON).isEmpty(), text);
--- a/query-mixer/dial/src/main/java/pinewick/dial/Address.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/Address.java
@@ -1,5 +1,7 @@
 package pinewick.dial;
 
+import java.util.Locale;
+
 /**
  * One way to a searcher: {@code unix:/path}, {@code [v6]:port} or {@code v4:port}.
  *
@@ -7,6 +9,7 @@
  * @param port 0 for a Unix socket
  */
 public record Address(Kind kind, String host, int port) {
+    /** The address family. */
     public enum Kind {
         UNIX,
         IPV6,
@@ -38,7 +41,10 @@
                     "'" + text + "': unix:/path, [address]:port or address:port is expected");
         }
         return six
-                ? new Address(Kind.IPV6, host.substring(1, host.length() - 1).toLowerCase(), Integer.parseInt(port))
+                ? new Address(
+                        Kind.IPV6,
+                        host.substring(1, host.length() - 1).toLowerCase(Locale.ROOT),
+                        Integer.parseInt(port))
                 : new Address(Kind.IPV4, host, Integer.parseInt(port));
     }
 
--- a/query-mixer/dial/src/main/java/pinewick/dial/AddressBook.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/AddressBook.java
@@ -50,7 +50,9 @@
     private final Map<Address, Row> rows = new LinkedHashMap<>();
     private Address.Kind lastGood = Address.Kind.IPV6;
 
-    /** The addresses from now on, in the order listed; what is known of those that stay is kept. Tells those that left. */
+    /**
+     * The addresses from now on, in the order listed; what is known of those that stay is kept. Tells those that left.
+     */
     public List<Address> set(Collection<Address> addresses) {
         List<Address> left = new ArrayList<>(rows.keySet());
         left.removeAll(addresses);
@@ -129,7 +131,10 @@
         return row != null && now < row.restUntil;
     }
 
-    /** Addresses that rest no more after failures, or were outrun a while ago, and may be tried in the background, none of them needed. */
+    /**
+     * Addresses that rest no more after failures, or were outrun a while ago, and may be tried in the background, none
+     * of them needed.
+     */
     public List<Address> returning(double now) {
         List<Address> due = new ArrayList<>();
         rows.values().forEach(row -> {
--- a/query-mixer/dial/src/main/java/pinewick/dial/PathWatch.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/PathWatch.java
@@ -8,8 +8,8 @@
 /**
  * Tells a hung path from a hung searcher, for one searcher. No I/O; times in seconds. A path with something owed and
  * nothing heard for a while is suspect; then another address is probed. If that one answers, the path is at fault, gets
- * nothing new and rests; if it is silent as well, it is the searcher, and nothing is decided here: the mixer's decisions
- * see silence as they always did. What was written on a silent path may have run: it is never moved.
+ * nothing new and rests; if it is silent as well, it is the searcher, and nothing is decided here: the mixer's
+ * decisions see silence as they always did. What was written on a silent path may have run: it is never moved.
  */
 public final class PathWatch {
     /** What the watch asks for. */
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
@@ -18,7 +18,8 @@
  * byte  how many entries follow, or in SUMS how many sums of 2 bytes; then each entry:
  *   2     place, its standing in the three highest bits
  *   6     incarnation
- *   2, 1  of a suspect only: since when it is silent, the last bits of twentieths of a second since 1970; how many accuse it
+ *   2, 1 of a suspect only: since when it is silent, the last bits of twentieths of a second since 1970; how many
+ * accuse it
  *   2     of a suspect only, each: place of an accuser
  * 4     CRC-32 of all before
  * </pre>
@@ -38,7 +39,10 @@
 
     private static final int LONGEST = ENTRY + 3 + 2 * ACCUSERS;
     private static final double STEPS = 20; // a second
-    /** Danger: above the highest there is no room to object, so half of what fits is refused; milliseconds reach it in 6429. */
+    /**
+     * Danger: above the highest there is no room to object, so half of what fits is refused; milliseconds reach it in
+     * 6429.
+     */
     private static final long INCARNATIONS = (1L << 47) - 1;
 
     private static final Standing[] STANDINGS = Standing.values();
@@ -61,7 +65,10 @@
         ASK,
         /** What was asked for. */
         STATE,
-        /** Sums over stretches of the list, for the receiver to answer with what differs; the number is the list's length. */
+        /**
+         * Sums over stretches of the list, for the receiver to answer with what differs; the number is the list's
+         * length.
+         */
         SUMS
     }
 
@@ -136,7 +143,8 @@
     }
 
     /**
-     * Reads one datagram. Returns why it can't be used, or null where it could; then, and only then, the reader was told.
+     * Reads one datagram. Returns why it can't be used, or null where it could; then, and only then, the reader was
+     * told.
      *
      * @param now the clock that all share, seconds
      * @param size how many members are known here: entries of places from there on are passed over
@@ -160,7 +168,7 @@
         in.get();
         int kind = in.get();
         int sender = in.getShort() & 0xFFFF;
-        long incarnation = (in.getShort() & 0xFFFFL) << 32 | in.getInt() & 0xFFFFFFFFL;
+        long incarnation = (in.getShort() & 0xFFFFL) << 32 | (in.getInt() & 0xFFFFFFFFL);
         int digest = in.getInt();
         int number = in.getInt();
         int about = in.getShort() & 0xFFFF;
@@ -185,7 +193,7 @@
             int head = in.getShort() & 0xFFFF;
             int place = head & PLACES - 1;
             int standing = head >>> 13;
-            long at = (in.getShort() & 0xFFFFL) << 32 | in.getInt() & 0xFFFFFFFFL;
+            long at = (in.getShort() & 0xFFFFL) << 32 | (in.getInt() & 0xFFFFFFFFL);
             if (standing >= STANDINGS.length || standing == 0 || at > INCARNATIONS) {
                 return "form";
             }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/LocalHealth.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/LocalHealth.java
@@ -1,8 +1,8 @@
 package pinewick.fleet;
 
 /**
- * How far this mixer itself is to blame when others seem silent (Lifeguard, DSN 2018, section IV-A). Its own probes take
- * longer the worse it stands; nothing else changes, so that a healthy fleet is not slowed. No clock of its own.
+ * How far this mixer itself is to blame when others seem silent (Lifeguard, DSN 2018, section IV-A). Its own probes
+ * take longer the worse it stands; nothing else changes, so that a healthy fleet is not slowed. No clock of its own.
  */
 final class LocalHealth {
     private static final int WORST = 8;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Member.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Member.java
@@ -9,8 +9,8 @@
     Standing standing = Standing.UNHEARD;
     long incarnation;
     /**
-     * Only while suspected: when the first ping went out that it left unanswered or, if later, when anybody last heard it.
-     * Of two the later prevails, as the sign of life that it is.
+     * Only while suspected: when the first ping went out that it left unanswered or, if later, when anybody last heard
+     * it. Of two the later prevails, as the sign of life that it is.
      */
     double silentSince = Double.NEGATIVE_INFINITY;
     /** Who noticed, each once, as many as count. */
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/ProbeTurns.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/ProbeTurns.java
@@ -5,9 +5,9 @@
 /**
  * Whom a member probes in a period. SWIM draws at random and, to bound the time, goes round in a shuffled order; then a
  * member is probed by none in a third of the periods. Here all members draw the same shift for a period, from the clock
- * they share, and each probes the one so many places on among those that take part: so each of them is probed by exactly
- * one, and a crash is noticed within a period where the prober lives. Where views or clocks differ, the choice is as good
- * as random, since the shift is drawn anew each period.
+ * they share, and each probes the one so many places on among those that take part: so each of them is probed by
+ * exactly one, and a crash is noticed within a period where the prober lives. Where views or clocks differ, the choice
+ * is as good as random, since the shift is drawn anew each period.
  */
 final class ProbeTurns {
     private final double period;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Rumours.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Rumours.java
@@ -4,10 +4,10 @@
 import java.util.function.IntPredicate;
 
 /**
- * Which members there is news of, and how often each piece was sent. What was sent least goes first (SWIM, section 4.1), so
- * that under much news each piece gets round; what comes back from others counts as sent (rumour mongering with feedback,
- * Demers et al., PODC 1987), so that news everybody has dies at once. Only the place is kept: what is said of it is read
- * when it is written, so an older word never goes out after a newer one.
+ * Which members there is news of, and how often each piece was sent. What was sent least goes first (SWIM, section
+ * 4.1), so that under much news each piece gets round; what comes back from others counts as sent (rumour mongering
+ * with feedback, Demers et al., PODC 1987), so that news everybody has dies at once. Only the place is kept: what is
+ * said of it is read when it is written, so an older word never goes out after a newer one.
  *
  * <p>A ring for each number of sends, linked through arrays by place: adding, moving and dropping cost the same for ten
  * members and for a thousand.
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
@@ -34,8 +34,9 @@
     }
 
     /**
-     * Seconds until a suspect is to be declared dead; 0 or less from then on. Danger: a rumour of silence that is older than a word heard from the member
-     * itself must not kill it. Harm: where the members' clocks of rumours differ, a death comes some milliseconds late.
+     * Seconds until a suspect is to be declared dead; 0 or less from then on. Danger: a rumour of silence that is older
+     * than a word heard from the member itself must not kill it. Harm: where the members' clocks of rumours differ, a
+     * death comes some milliseconds late.
      */
     double left(double now, Member suspect, int takingPart) {
         double silent = Math.max(suspect.silentSince, suspect.heardAt);
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/Agreed.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/Agreed.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * What the words of several mixers come to. Each figure is a median over origins, weighted by age, so that one wrong origin,
- * however far off, moves it no further than to the next honest word; a warning needs two origins. Danger: replicated facts
- * are late, wrong or from a mixer that sees another network; so what comes out may only make a mixer more careful than its
- * own observations, never less ({@link #worse}). Harm: with fewer than three origins a single liar can make a searcher look
- * bad to those that never heard it, which costs choice but breaks no rule.
+ * What the words of several mixers come to. Each figure is a median over origins, weighted by age, so that one wrong
+ * origin, however far off, moves it no further than to the next honest word; a warning needs two origins. Danger:
+ * replicated facts are late, wrong or from a mixer that sees another network; so what comes out may only make a mixer
+ * more careful than its own observations, never less ({@link #worse}). Harm: with fewer than three origins a single
+ * liar can make a searcher look bad to those that never heard it, which costs choice but breaks no rule.
  */
 public final class Agreed {
     /** Seconds in which a word's weight halves. */
@@ -33,7 +33,10 @@
         return median(key, FactKind.PACE, self, now, true);
     }
 
-    /** What this mixer may take for a searcher's figure: its own, or the others' if that is worse; theirs if it has none. */
+    /**
+     * What this mixer may take for a searcher's figure: its own, or the others' if that is worse; theirs if it has
+     * none.
+     */
     public static double worse(double own, double others) {
         return Double.isNaN(own) ? others : Double.isNaN(others) ? own : Math.max(own, others);
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/Fact.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/Fact.java
@@ -1,8 +1,8 @@
 package pinewick.fleet.state;
 
 /**
- * One register: what one mixer said last of one searcher, in one kind. Of two words of one origin the later prevails, so
- * merging is the same in any order and any number of times.
+ * One register: what one mixer said last of one searcher, in one kind. Of two words of one origin the later prevails,
+ * so merging is the same in any order and any number of times.
  *
  * @param key the searcher, as {@link #key} makes it from its id
  * @param origin place of the mixer that saw it
@@ -15,7 +15,10 @@
     private static final double LEAST = 1e-6;
     private static final double STEPS = 1600; // a doubling; 2 bytes reach from a millionth to a million
 
-    /** A searcher's id as four bytes. Two ids with one key are told apart by nobody; the store's user must leave both out. */
+    /**
+     * A searcher's id as four bytes. Two ids with one key are told apart by nobody; the store's user must leave both
+     * out.
+     */
     public static int key(String id) {
         // FNV-1a, and the bits mixed once more, since ids often differ in few letters.
         int hash = 0x811C9DC5;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactKind.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactKind.java
@@ -2,7 +2,9 @@
 
 /** What is replicated of a searcher, each with how old it may be and still count. */
 public enum FactKind {
-    /** Smoothed latency, seconds, and reported queue, as one mixer saw them: a mixer that returns need not learn anew. */
+    /**
+     * Smoothed latency, seconds, and reported queue, as one mixer saw them: a mixer that returns need not learn anew.
+     */
     PACE(65),
     /** Failures in a row at one mixer, and 0: each mixer alone would pay to learn the same bad searcher. */
     ILL(3),
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactStore.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactStore.java
@@ -13,8 +13,8 @@
 /**
  * All facts a mixer holds: for each searcher and kind the newest words of some origins, {@link #ORIGINS} at most. A
  * state-based replicated map: merging keeps the newest word of each origin and of those the newest origins, which is
- * commutative, associative and idempotent, as a word once left out is older than so many others that it never counts again.
- * So memory is bounded by the searchers, however many mixers there are. No I/O, no clock.
+ * commutative, associative and idempotent, as a word once left out is older than so many others that it never counts
+ * again. So memory is bounded by the searchers, however many mixers there are. No I/O, no clock.
  */
 public final class FactStore {
     /** Origins kept of each searcher and kind: enough for a median that one liar can't drag away. */
@@ -152,8 +152,8 @@
     }
 
     /**
-     * Whether a fact is too old to count. By whole seconds, so that all members, which share a clock, forget the same at the
-     * same moment; else copies would differ by what one has forgotten and another not yet.
+     * Whether a fact is too old to count. By whole seconds, so that all members, which share a clock, forget the same
+     * at the same moment; else copies would differ by what one has forgotten and another not yet.
      */
     public static boolean old(Fact fact, double now) {
         return fact.stamp() / 1e3 < Math.floor(now) - fact.kind().most();
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactText.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactText.java
@@ -7,14 +7,15 @@
 import pinewick.fleet.Seal;
 
 /**
- * Datagrams of replicated facts, written and read; never over {@link Datagram#MOST} bytes, numbers most significant first.
+ * Datagrams of replicated facts, written and read; never over {@link Datagram#MOST} bytes, numbers most significant
+ * first.
  *
  * <pre>
  * byte  version, 0xF2
  * byte  what: 0 facts, 1 sums (asks for what differs), 2 facts, the last piece of an answer to sums, 3 searchers whose
  *       stretch differs, 4 searchers wanted
  * byte  how many
- *       facts, 17 bytes each: kind 1, key 4, origin 2, stamp 6, figures 2 and 2; sums, 4 bytes each; searchers, key 4 and
+ *   facts, 17 bytes each: kind 1, key 4, origin 2, stamp 6, figures 2 and 2; sums, 4 bytes each; searchers, key 4 and
  *       sum 4; or keys wanted, 4 bytes each
  * 4     CRC-32 of all before
  * </pre>
@@ -107,7 +108,7 @@
         int kind = in.get();
         int key = in.getInt();
         int origin = in.getShort() & 0xFFFF;
-        long stamp = (in.getShort() & 0xFFFFL) << 32 | in.getInt() & 0xFFFFFFFFL;
+        long stamp = (in.getShort() & 0xFFFFL) << 32 | (in.getInt() & 0xFFFFFFFFL);
         double first = Fact.decoded(in.getShort());
         double second = Fact.decoded(in.getShort());
         return kind < 0 || kind >= KINDS.length || origin >= Datagram.PLACES
@@ -120,7 +121,10 @@
         return out.array();
     }
 
-    /** Reads one datagram. Returns why it can't be used, or null where it could; then, and only then, the reader was told. */
+    /**
+     * Reads one datagram. Returns why it can't be used, or null where it could; then, and only then, the reader was
+     * told.
+     */
     public static String read(byte[] whole, int length, Reader reader) {
         String fault = Seal.fault(whole, length, VERSION, HEAD);
         if (fault != null) {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/StateShare.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/StateShare.java
@@ -11,9 +11,10 @@
 import java.util.function.IntPredicate;
 
 /**
- * One mixer's part in replicating facts of searchers among the mixers: what it saw goes out, what comes is merged and handed
- * on, copies are compared by sums over stretches of the keys, and a mixer that returns pulls what it lacks, at a bounded
- * rate. No I/O, no clock; the same events give the same datagrams. Times are seconds on the clock that all share.
+ * One mixer's part in replicating facts of searchers among the mixers: what it saw goes out, what comes is merged and
+ * handed on, copies are compared by sums over stretches of the keys, and a mixer that returns pulls what it lacks, at a
+ * bounded rate. No I/O, no clock; the same events give the same datagrams. Times are seconds on the clock that all
+ * share.
  */
 public final class StateShare implements FactText.Reader {
     /** Sends datagrams; they may be lost. */
@@ -48,7 +49,9 @@
     private final Map<Integer, double[]> seen = new HashMap<>();
     /** Searchers that this mixer warned the others of. */
     private final Set<Integer> warnedOf = new HashSet<>();
-    /** Whom this mixer sent sums to last, -1 where no answer is awaited; whether the answer named searchers that differ. */
+    /**
+     * Whom this mixer sent sums to last, -1 where no answer is awaited; whether the answer named searchers that differ.
+     */
     private int asked = -1;
 
     private boolean differed;
@@ -102,8 +105,8 @@
     }
 
     /**
-     * Something this mixer saw itself. A pace that enough others told alike a moment ago is not told once more, so that the
-     * load of telling stays the same however many mixers there are.
+     * Something this mixer saw itself. A pace that enough others told alike a moment ago is not told once more, so that
+     * the load of telling stays the same however many mixers there are.
      *
      * @return whether it is told to the others
      */
@@ -139,9 +142,9 @@
     }
 
     /**
-     * Whether a pace is told: where fewer than enough mixers told one like it of late, and then by lot, since all that see the
-     * searcher would tell at once. The lot is such that among all that see it about as many tell as are wanted; eight times
-     * as many where the others' word is another one, as that is news.
+     * Whether a pace is told: where fewer than enough mixers told one like it of late, and then by lot, since all that
+     * see the searcher would tell at once. The lot is such that among all that see it about as many tell as are wanted;
+     * eight times as many where the others' word is another one, as that is news.
      */
     private boolean worthTelling(int key, double pace) {
         double[] times = seen.computeIfAbsent(key, any -> new double[] {now, terms.fresh() / terms.enough()});
@@ -251,8 +254,8 @@
     }
 
     /**
-     * Answers a comparison. Where the other holds nothing of a stretch it gets the facts; where it holds others, the searchers
-     * with a sum each, so that only what differs crosses the network.
+     * Answers a comparison. Where the other holds nothing of a stretch it gets the facts; where it holds others, the
+     * searchers with a sum each, so that only what differs crosses the network.
      */
     @Override
     public void sums(int[] others) {
--- a/query-mixer/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
+++ b/query-mixer/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
@@ -1,5 +1,6 @@
 package pinewick.fleet.state;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -237,6 +238,8 @@
         assertTrue(SnapshotText.read(whole, 3, 10, 101, 60).refused().startsWith("of another mixer"));
         assertTrue(SnapshotText.read(whole, 3, 9, 161.1, 60).refused().startsWith("stale"));
         assertTrue(SnapshotText.read(whole, 3, 9, 98, 60).refused().startsWith("stale"), "of the future");
-        assertTrue(SnapshotText.read("someone else's".getBytes(), 3, 9, 101, 60).refused() != null);
+        assertTrue(SnapshotText.read("someone else's".getBytes(UTF_8), 3, 9, 101, 60)
+                        .refused()
+                != null);
     }
 }
--- a/query-mixer/registry/src/main/java/pinewick/registry/RegistrySession.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/RegistrySession.java
@@ -38,6 +38,7 @@
         void say(String text);
     }
 
+    /** Progress of the session. */
     public enum State {
         OFF,
         READING,
@@ -78,17 +79,35 @@
     private final String prefix;
     private final List<Entry> pieces = new ArrayList<>();
     private State state = State.OFF;
-    private long lastQuestion, reading, watching, probing;
-    private int endpoint, failedInTurn, limit, firstLimit;
-    private double askedAt, probedAt, resumeAt, owedSince = Double.NaN;
-    private String from, cluster;
-    private long readRevision, probedFrom;
+    private long lastQuestion;
+    private long reading;
+    private long watching;
+    private long probing;
+    private int endpoint;
+    private int failedInTurn;
+    private int limit;
+    private int firstLimit;
+    private double askedAt;
+    private double probedAt;
+    private double resumeAt;
+    private double owedSince = Double.NaN;
+    private String from;
+    private String cluster;
+    private long readRevision;
+    private long probedFrom;
     private final boolean[] strangeAt;
-    private boolean watchOpen, caughtUp, accepting, keysOnly, readAgain, probedAway;
+    private boolean watchOpen;
+    private boolean caughtUp;
+    private boolean accepting;
+    private boolean keysOnly;
+    private boolean readAgain;
+    private boolean probedAway;
     /** Since when nothing but a lower revision, or another cluster, answers; NaN while the known one does. */
     private double strangeSince = Double.NaN;
 
-    private int steps, rebuilds, left;
+    private int steps;
+    private int rebuilds;
+    private int left;
 
     public RegistrySession(String prefix, RegistryView view, Terms terms, Wire wire, SplittableRandom chance) {
         if (terms.endpoints() < 1) {
--- a/query-mixer/registry/src/test/java/pinewick/registry/RegistrySessionTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/RegistrySessionTest.java
@@ -1,5 +1,6 @@
 package pinewick.registry;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -187,7 +188,7 @@
     void leasesThatRunOutInBulkCountAtOnceAndAreReadAgain() {
         World world = following(1, 0);
         for (int each = 0; each < 20; each++) {
-            world.registry.put("s/b-" + each, World.value(each, "ready").getBytes(), 77);
+            world.registry.put("s/b-" + each, World.value(each, "ready").getBytes(UTF_8), 77);
         }
         world.run(0.5);
         world.registry.expire(77);
--- a/query-mixer/registry/src/test/java/pinewick/registry/World.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/World.java
@@ -16,7 +16,9 @@
     /** One member: what it holds (its own copy while cut off) and what is wrong with it. */
     static final class Member {
         RegistryState old;
-        boolean down, silent, watchMute;
+        boolean down;
+        boolean silent;
+        boolean watchMute;
         String cluster = "c1";
         double delay = 0.002;
     }
@@ -43,7 +45,8 @@
     private final PriorityQueue<Due> queue = new PriorityQueue<>((one, other) ->
             one.at != other.at ? Double.compare(one.at, other.at) : Long.compare(one.order, other.order));
     private final Map<Long, OpenWatch> watches = new LinkedHashMap<>();
-    private long order, life;
+    private long order;
+    private long life;
 
     World(int count, long seed) {
         chance = new SplittableRandom(seed);
--- a/router-fleet/control/src/main/java/pinewick/control/ApiHandler.java
+++ b/router-fleet/control/src/main/java/pinewick/control/ApiHandler.java
@@ -10,8 +10,8 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Finds the endpoint of a request and starts an {@link ApiExchange} for it. Never blocks, so that it runs on the selector
- * thread.
+ * Finds the endpoint of a request and starts an {@link ApiExchange} for it. Never blocks, so that it runs on the
+ * selector thread.
  */
 final class ApiHandler extends Handler.Abstract.NonBlocking {
     private static final long MAX_BODIES_BYTES = 10 * 1024 * 1024;
--- a/router-fleet/control/src/main/java/pinewick/control/ApiServer.java
+++ b/router-fleet/control/src/main/java/pinewick/control/ApiServer.java
@@ -71,6 +71,7 @@
         try {
             server.start();
         } catch (Exception e) {
+            // Jetty's lifecycle methods declare Exception.
             throw new ControllerException("listen", address.toString(), e);
         }
     }
@@ -95,6 +96,7 @@
         try {
             server.stop();
         } catch (Exception e) {
+            // Jetty's lifecycle methods declare Exception; a failure must not keep the process from ending.
             LOGGER.atWarning().withCause(e).log("closing the API at %s failed", address);
         }
     }
--- a/router-fleet/control/src/main/java/pinewick/control/Controller.java
+++ b/router-fleet/control/src/main/java/pinewick/control/Controller.java
@@ -298,6 +298,7 @@
         try {
             closeable.close();
         } catch (Exception e) {
+            // AutoCloseable may throw anything; a store that cannot be closed must not keep the process from ending.
             LOGGER.atWarning().withCause(e).log("closing the store failed");
         }
     }
--- a/router-fleet/control/src/main/java/pinewick/control/GuardedControlLoop.java
+++ b/router-fleet/control/src/main/java/pinewick/control/GuardedControlLoop.java
@@ -44,6 +44,7 @@
             try {
                 task.run();
             } catch (RuntimeException | Error e) {
+                // Boundary of the control loop: a task that fails must not end the tasks after it.
                 LOGGER.atSevere().withCause(e).atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
                         "control loop task failed");
             }
--- a/router-fleet/control/src/main/java/pinewick/control/HttpReplicaClient.java
+++ b/router-fleet/control/src/main/java/pinewick/control/HttpReplicaClient.java
@@ -61,6 +61,7 @@
         try {
             client.start();
         } catch (Exception e) {
+            // Jetty's lifecycle methods declare Exception.
             throw new ControllerException("start the client", "calls to replicas", e);
         }
     }
@@ -108,7 +109,8 @@
         try {
             client.stop();
         } catch (Exception e) {
-            LOGGER.atWarning().withCause(e).log("closing the client failed");
+            // Jetty's lifecycle methods declare Exception; a failure must not keep the process from ending.
+            LOGGER.atWarning().withCause(e).log("closing the replica client failed");
         }
     }
 
--- a/router-fleet/control/src/main/java/pinewick/control/LoopDispatcher.java
+++ b/router-fleet/control/src/main/java/pinewick/control/LoopDispatcher.java
@@ -13,6 +13,7 @@
             try {
                 task.run();
             } catch (RuntimeException | Error e) {
+                // Boundary to callers: the request gets a response before the loop logs the failure.
                 responder.accept(ApiResponse.error(HttpStatus.INTERNAL_SERVER_ERROR_500, "the call has failed"));
                 throw e;
             }
--- a/router-fleet/control/src/main/java/pinewick/control/ReplicaFailureDetector.java
+++ b/router-fleet/control/src/main/java/pinewick/control/ReplicaFailureDetector.java
@@ -21,7 +21,8 @@
  * <ul>
  *   <li>A replica is judged by the controller that received its last heartbeat; by others only once that one no longer
  *       runs.
- *   <li>After its own start, a pause of its own, or the loss of another controller, time without contact counts from that
+ *   <li>After its own start, a pause of its own, or the loss of another controller, time without contact counts from
+ *       that
  *       moment on, and nothing lapses before {@code contact_ms} have passed.
  *   <li>Within a short time at most a third of a service's replicas lapse, unless this process is in contact with most
  *       replicas of the fleet and with at least one of that service.
--- a/router-fleet/control/src/test/java/pinewick/control/HttpReplicaClientTest.java
+++ b/router-fleet/control/src/test/java/pinewick/control/HttpReplicaClientTest.java
@@ -12,6 +12,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Locale;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.AfterEach;
@@ -62,7 +63,7 @@
             int length = 0;
             for (String line = reader.readLine(); !line.isEmpty(); line = reader.readLine()) {
                 request.append(line).append('\n');
-                if (line.toLowerCase().startsWith("content-length:")) {
+                if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
                     length = Integer.parseInt(
                             line.substring(line.indexOf(':') + 1).trim());
                 }
--- a/router-fleet/control/src/test/java/pinewick/control/LoopCallTest.java
+++ b/router-fleet/control/src/test/java/pinewick/control/LoopDispatcherTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Calls whose part on the loop fails. */
-class LoopCallTest {
+class LoopDispatcherTest {
     @Test
     void aTaskThatFailsIsAnsweredAndSeenByTheLoop() {
         ManualLoop loop = new ManualLoop(0);
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/CallListener.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/CallListener.java
@@ -3,8 +3,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Told how a call to a replica goes. Exactly one of {@link #onNotSent}, {@link #onComplete} and {@link #onBroken}
- * ends a call, and nothing comes after an abort.
+ * Receives the events of a call to a replica. Exactly one of {@link #onNotSent}, {@link #onComplete} and
+ * {@link #onBroken} ends a call, and none follows an abort.
  */
 interface CallListener {
     /** Why a call did not leave this router. */
@@ -13,22 +13,22 @@
         NOT_CONNECTED,
         /** This router's share of the replica's connections is in use. */
         NO_CONNECTION_FREE,
-        /** The replica announced its end while the connection was being made. */
-        REPLICA_LEFT
+        /** The replica started to drain while the connection was being established. */
+        REPLICA_DRAINING
     }
 
-    /** No byte went out. */
+    /** No byte of the request was sent. */
     void onNotSent(NotSent reason);
 
-    /** The head of the answer to this very request came. */
+    /** The head of the response to this request arrived. */
     void onHead(ResponseHead head);
 
-    /** A piece of the answer's body; the buffer is the listener's for the time of the call only. */
+    /** A chunk of the response body; the buffer may be used only during this invocation. */
     void onContent(ByteBuffer content);
 
-    /** The answer is whole. */
+    /** The response is complete. */
     void onComplete();
 
-    /** Bytes went out, and the connection failed or brought something that is not the answer. */
+    /** Bytes of the request were sent, and the connection failed or delivered something that is not the response. */
     void onBroken(String reason);
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientConnection.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientConnection.java
@@ -13,17 +13,17 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Jetty's connection to a client, with three differences: chunks are sent whole, a connection at rest is not read
- * before something comes, and a request's head must come within a time.
+ * Jetty's connection to a client, with three differences: chunks are sent complete, an idle connection is not read
+ * before there is input, and a request's head must arrive within a timeout.
  */
 final class ClientConnection extends HttpConnection {
     private static final double NANOS_A_MILLISECOND = 1e6;
 
     private final IntSupplier headerTimeoutMs;
-    private long headBeganNanos;
-    private volatile boolean lastRequestTaken;
-    private boolean readsOn;
-    private boolean cameAhead;
+    private long headStartedNanos;
+    private volatile boolean rejectsRequests;
+    private boolean continuesReading;
+    private boolean wasPipelined;
 
     private ClientConnection(
             HttpConfiguration configuration, Connector connector, EndPoint endPoint, IntSupplier headerTimeoutMs) {
@@ -52,42 +52,42 @@
 
     @Override
     protected HttpGenerator newHttpGenerator() {
-        HttpGenerator generator = new PromptChunkGenerator();
+        HttpGenerator generator = new CompleteChunkGenerator();
         generator.setMaxHeaderBytes(getHttpConfiguration().getResponseHeaderSize());
         return generator;
     }
 
     /**
-     * No request is taken from this connection any more. Jetty may otherwise read one on between an answer that closes
-     * the connection, if that is written by another thread than the one that reads, and the close.
+     * Accepts no more requests from this connection. Jetty may otherwise read one between a response that closes the
+     * connection, if that is written by another thread than the reading one, and the close.
      */
-    void takeNoMoreRequests() {
-        lastRequestTaken = true;
+    void rejectFurtherRequests() {
+        rejectsRequests = true;
     }
 
-    /** Whether a request that was read may be run; Jetty hands on what it has in its buffer after a close, too. */
-    boolean takesRequests() {
-        return !lastRequestTaken && getEndPoint().isOpen();
+    /** Whether a request that was read may be executed; Jetty delivers what is in its buffer after a close, too. */
+    boolean acceptsRequests() {
+        return !rejectsRequests && getEndPoint().isOpen();
     }
 
-    /** A request's head has come; called on the thread that reads. */
-    void requestBegins() {
-        cameAhead = readsOn;
+    /** A request's head arrived; called on the reading thread. */
+    void onRequestHead() {
+        wasPipelined = continuesReading;
     }
 
     /**
-     * Whether the client had left before the request that was just read whole began, as it may have if that had come
-     * ahead of the answer to the one before it. Called on the thread that reads, as it may fill the buffer.
+     * Whether the client had disconnected before the request that was just read started, which is possible if it was
+     * pipelined. Called on the reading thread, as it may fill the buffer.
      */
-    boolean hasLeftBefore() {
-        if (!cameAhead || !isRequestBufferEmpty()) {
+    boolean hasDisconnected() {
+        if (!wasPipelined || !isRequestBufferEmpty()) {
             return false;
         }
-        ByteBuffer room = BufferUtil.allocate(JettyClientExchange.MOST_BYTES_AHEAD);
+        ByteBuffer buffer = BufferUtil.allocate(JettyClientExchange.MAX_READ_AHEAD_BYTES);
         try {
-            int filled = getEndPoint().fill(room);
+            int filled = getEndPoint().fill(buffer);
             if (filled > 0) {
-                onUpgradeTo(room);
+                onUpgradeTo(buffer);
             }
             return filled < 0;
         } catch (IOException e) {
@@ -95,18 +95,18 @@
         }
     }
 
-    /** An answer was completed: looks for the next request. */
+    /** A response was completed: reads the next request. */
     @Override
     public void run() {
         if (isRequestBufferEmpty() && getParser().isStart() && getEndPoint().isOpen()) {
             fillInterested();
             return;
         }
-        readsOn = true;
+        continuesReading = true;
         try {
             super.run();
         } finally {
-            readsOn = false;
+            continuesReading = false;
         }
     }
 
@@ -114,10 +114,10 @@
     public void onFillable() {
         super.onFillable();
         if (!isInHead()) {
-            headBeganNanos = 0;
-        } else if (headBeganNanos == 0) {
-            headBeganNanos = System.nanoTime();
-        } else if ((System.nanoTime() - headBeganNanos) / NANOS_A_MILLISECOND > headerTimeoutMs.getAsInt()) {
+            headStartedNanos = 0;
+        } else if (headStartedNanos == 0) {
+            headStartedNanos = System.nanoTime();
+        } else if ((System.nanoTime() - headStartedNanos) / NANOS_A_MILLISECOND > headerTimeoutMs.getAsInt()) {
             getEndPoint().close();
         }
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientExchange.java
@@ -2,23 +2,23 @@
 
 import org.eclipse.jetty.http.HttpFields;
 
-/** The client's side of one request. One of {@link #answer}, {@link #endStream} and {@link #abort} ends it. */
+/** The client's side of one request. One of {@link #respond}, {@link #endStream} and {@link #abort} ends it. */
 interface ClientExchange {
-    /** A whole answer. */
-    void answer(int status, HttpFields fields, byte[] body);
+    /** Sends a complete response. */
+    void respond(int status, HttpFields fields, byte[] body);
 
-    /** The head of an answer that is passed on in pieces. */
+    /** Sends the head of a response that is forwarded in chunks. */
     void beginStream(int status, HttpFields fields);
 
-    /** A piece of it, sent at once. */
-    void passOn(byte[] piece);
+    /** Sends a chunk of it at once. */
+    void forward(byte[] chunk);
 
-    /** The answer is whole. */
+    /** The response is complete. */
     void endStream();
 
-    /** Closes the connection so that the answer does not look complete. */
+    /** Closes the connection so that the response does not look complete. */
     void abort();
 
-    /** Bytes handed in and not yet taken by the client's connection. */
+    /** Bytes that were not yet written to the client's connection. */
     long pendingBytes();
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientIntake.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientIntake.java
@@ -15,8 +15,8 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * Reads one client request whole, within the limits in force, and hands it to the data plane. A body that has not come
- * by the time the request may be held for is waited for no longer.
+ * Reads one complete client request within the limits in force, and passes it to the data plane. An incomplete body
+ * times out at the request's deadline.
  */
 final class ClientIntake implements Invocable.Task {
     private static final String RETRY_AFTER_SECONDS = "0.5";
@@ -32,21 +32,21 @@
     private final DataPlane dataPlane;
     private final Request request;
     private final Response response;
-    private final Callback unadmitted;
+    private final Callback notAdmittedCallback;
     private final Callback callback;
-    private final int mostBodyBytes;
+    private final int maxBodyBytes;
     private ByteArrayOutputStream body;
-    private long keptBytes;
-    private boolean settled;
+    private long reservedBytes;
+    private boolean finished;
     private Timers.Timer timeout;
 
     ClientIntake(DataPlane dataPlane, Request request, Response response, Callback callback) {
         this.dataPlane = dataPlane;
         this.request = request;
         this.response = response;
-        this.unadmitted = callback;
-        this.callback = Callback.from(callback, () -> dataPlane.admission().leave(keptBytes));
-        this.mostBodyBytes = dataPlane.routingTable().limits().maxBodyBytes();
+        this.notAdmittedCallback = callback;
+        this.callback = Callback.from(callback, () -> dataPlane.admission().release(reservedBytes));
+        this.maxBodyBytes = dataPlane.routingTable().limits().maxBodyBytes();
     }
 
     @Override
@@ -54,20 +54,20 @@
         return InvocationType.NON_BLOCKING;
     }
 
-    /** Reads what has come; runs again when there is more. */
+    /** Reads the available content; runs again when there is more. */
     @Override
     public synchronized void run() {
-        if (!settled) {
+        if (!finished) {
             read();
         }
     }
 
     private void read() {
-        if (request.getLength() > mostBodyBytes) {
-            settle(this::refuseTooLarge);
+        if (request.getLength() > maxBodyBytes) {
+            finish(this::rejectTooLarge);
             return;
         }
-        while (!settled) {
+        while (!finished) {
             Content.Chunk chunk = request.read();
             if (chunk == null) {
                 scheduleTimeout();
@@ -75,23 +75,23 @@
                 return;
             }
             if (Content.Chunk.isFailure(chunk)) {
-                settle(() -> callback.failed(chunk.getFailure()));
+                finish(() -> callback.failed(chunk.getFailure()));
                 return;
             }
             boolean last = chunk.isLast();
-            Runnable refusal = take(chunk.getByteBuffer());
+            Runnable rejection = append(chunk.getByteBuffer());
             chunk.release();
-            if (refusal != null) {
-                settle(refusal);
+            if (rejection != null) {
+                finish(rejection);
             } else if (last) {
-                settle(this::complete);
+                finish(this::complete);
             }
         }
     }
 
-    /** Ends the reading, in one way only. */
-    private void settle(Runnable outcome) {
-        settled = true;
+    /** Ends the intake, once only. */
+    private void finish(Runnable outcome) {
+        finished = true;
         if (timeout != null) {
             timeout.cancel();
         }
@@ -100,25 +100,25 @@
 
     private void scheduleTimeout() {
         if (timeout == null) {
-            timeout = dataPlane.scheduleWhenDue(request, this::onTimeout);
+            timeout = dataPlane.scheduleAtDeadline(request, this::onTimeout);
         }
     }
 
-    /** The body is not whole in time, so the request has not run and never will. */
+    /** The body was not complete in time: the request has not been executed and never will be. */
     private synchronized void onTimeout() {
-        if (!settled) {
-            settle(() -> {
+        if (!finished) {
+            finish(() -> {
                 if (request.getConnectionMetaData().getConnection() instanceof ClientConnection connection) {
-                    connection.takeNoMoreRequests();
+                    connection.rejectFurtherRequests();
                 }
                 response.getHeaders().put(HttpHeader.CONNECTION, "close");
-                answer(HttpStatus.REQUEST_TIMEOUT_408);
+                respond(HttpStatus.REQUEST_TIMEOUT_408);
             });
         }
     }
 
-    /** Keeps a piece of the body; returns how it is refused, or null. */
-    private Runnable take(ByteBuffer content) {
+    /** Appends a chunk of the body; returns the rejection, or null. */
+    private Runnable append(ByteBuffer content) {
         int length = content.remaining();
         if (length == 0) {
             return null;
@@ -126,56 +126,56 @@
         if (body == null) {
             body = new ByteArrayOutputStream(Math.max(length, FIRST_BODY_BYTES));
         }
-        if (body.size() + length > mostBodyBytes) {
-            return this::refuseTooLarge;
+        if (body.size() + length > maxBodyBytes) {
+            return this::rejectTooLarge;
         }
-        if (!dataPlane.admission().keep(length)) {
-            return () -> refuseForNow(callback);
+        if (!dataPlane.admission().tryReserveBody(length)) {
+            return () -> rejectTemporarily(callback);
         }
-        keptBytes += length;
+        reservedBytes += length;
         byte[] bytes = new byte[length];
         content.get(bytes);
         body.writeBytes(bytes);
         return null;
     }
 
-    /** Begins to read, unless too many requests are under way. */
+    /** Starts to read, unless too many requests are in flight. */
     void start() {
-        if (dataPlane.admission().enter()) {
+        if (dataPlane.admission().tryAdmit()) {
             run();
         } else {
-            refuseForNow(unadmitted);
+            rejectTemporarily(notAdmittedCallback);
         }
     }
 
-    /** The request has not run: a later try may find room. */
-    private void refuseForNow(Callback told) {
+    /** The request was not executed: a retry may succeed. */
+    private void rejectTemporarily(Callback completion) {
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
         response.getHeaders().put(HttpHeader.RETRY_AFTER, RETRY_AFTER_SECONDS);
         response.setStatus(HttpStatus.SERVICE_UNAVAILABLE_503);
-        response.write(true, null, told);
+        response.write(true, null, completion);
     }
 
-    private void refuseTooLarge() {
+    private void rejectTooLarge() {
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
-        answer(HttpStatus.PAYLOAD_TOO_LARGE_413);
+        respond(HttpStatus.PAYLOAD_TOO_LARGE_413);
     }
 
     private void complete() {
         HttpFields fields = request.getHeaders();
         if (headBytes(fields) > dataPlane.routingTable().limits().maxHeaderBytes()) {
-            answer(HttpStatus.REQUEST_HEADER_FIELDS_TOO_LARGE_431);
+            respond(HttpStatus.REQUEST_HEADER_FIELDS_TOO_LARGE_431);
             return;
         }
         List<String> ids = fields.getValuesList(HeaderNames.REQUEST_ID);
         if (ids.size() != 1
                 || ids.get(0).isEmpty()
                 || !isPlainText(request.getHttpURI().getPathQuery())) {
-            answer(HttpStatus.BAD_REQUEST_400);
+            respond(HttpStatus.BAD_REQUEST_400);
             return;
         }
         if (request.getConnectionMetaData().getConnection() instanceof ClientConnection connection
-                && connection.hasLeftBefore()) {
+                && connection.hasDisconnected()) {
             callback.failed(new EofException("the client has closed its connection"));
             return;
         }
@@ -189,7 +189,7 @@
         dataPlane.accept(read, request, response, callback);
     }
 
-    /** Length of the head as it came, but for spaces that Jetty has taken out. */
+    /** Length of the head as received, but for spaces that Jetty has removed. */
     private int headBytes(HttpFields fields) {
         int bytes = request.getMethod().length()
                 + request.getHttpURI().getPathQuery().length()
@@ -201,12 +201,12 @@
         return bytes;
     }
 
-    /** Jetty has decoded other bytes, so they could not be sent on as they came. */
+    /** Jetty has decoded other bytes, so that they could not be forwarded as received. */
     private static boolean isPlainText(String target) {
         return target != null && target.chars().allMatch(each -> each > ' ' && each < DELETE_CHARACTER);
     }
 
-    private void answer(int status) {
+    private void respond(int status) {
         response.setStatus(status);
         response.write(true, null, callback);
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientReply.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientReply.java
@@ -6,19 +6,19 @@
 import org.eclipse.jetty.http.HttpMethod;
 import org.eclipse.jetty.http.HttpStatus;
 
-/** What the client of one request is told: a replica's answer, whole or in pieces, or a failure of the router's own. */
+/** The response to one client request: a replica's, complete or in chunks, or an error of the router's own. */
 final class ClientReply {
-    /** Bytes waiting for the client beyond which nothing more should be read from the replica. */
-    static final long MOST_PENDING_BYTES = 256 * 1024;
+    /** Bytes pending for the client beyond which reading from the replica is paused. */
+    static final long MAX_PENDING_BYTES = 256 * 1024;
 
-    private static final double SHORTEST_RETRY_AFTER_SECONDS = 0.15;
-    private static final double RETRY_AFTER_SPREAD_SECONDS = 0.25;
+    private static final double MIN_RETRY_AFTER_SECONDS = 0.15;
+    private static final double RETRY_AFTER_JITTER_SECONDS = 0.25;
     private static final double MILLISECONDS = 1e3;
 
     private final ClientRequest request;
     private final ClientExchange client;
     private final RandomGenerator random;
-    private boolean begun;
+    private boolean headSent;
 
     ClientReply(ClientRequest request, ClientExchange client, RandomGenerator random) {
         this.request = request;
@@ -26,43 +26,43 @@
         this.random = random;
     }
 
-    /** Whether the head of an answer has gone to the client. */
-    boolean isBegun() {
-        return begun;
+    /** Whether the head of a response was sent to the client. */
+    boolean isHeadSent() {
+        return headSent;
     }
 
-    /** A piece of a replica's answer, behind its head; returns whether the client takes more at present. */
-    boolean passOn(ResponseHead head, byte[] piece) {
+    /** Forwards a chunk of a replica's response, after its head; returns whether more may be read from the replica. */
+    boolean forward(ResponseHead head, byte[] chunk) {
         begin(head);
-        client.passOn(piece);
-        return client.pendingBytes() <= MOST_PENDING_BYTES;
+        client.forward(chunk);
+        return client.pendingBytes() <= MAX_PENDING_BYTES;
     }
 
-    /** The answer that was passed on in pieces, or has none, is whole. */
-    void endPieces(ResponseHead head) {
+    /** Ends a response that was forwarded in chunks. */
+    void endStream(ResponseHead head) {
         begin(head);
         client.endStream();
     }
 
     private void begin(ResponseHead head) {
-        if (!begun) {
-            begun = true;
+        if (!headSent) {
+            headSent = true;
             client.beginStream(head.status(), HeaderRules.responseFields(head.fields()));
         }
     }
 
-    /** A replica's whole answer. */
-    void whole(ResponseHead head, byte[] body) {
+    /** Forwards a replica's complete response. */
+    void respond(ResponseHead head, byte[] body) {
         HttpFields.Mutable fields = HeaderRules.responseFields(head.fields());
         if (HttpMethod.HEAD.is(request.method()) && head.fields().contains(HttpHeader.CONTENT_LENGTH)) {
             fields.put(HttpHeader.CONTENT_LENGTH, head.fields().get(HttpHeader.CONTENT_LENGTH));
         }
-        client.answer(head.status(), fields, body);
+        client.respond(head.status(), fields, body);
     }
 
-    /** No replica's answer: a failure with the given status, or a broken connection if an answer has begun. */
+    /** Responds with an error status, or aborts the connection if the head of a response was already sent. */
     void fail(int status) {
-        if (begun) {
+        if (headSent) {
             client.abort();
             return;
         }
@@ -71,11 +71,11 @@
         if (status == HttpStatus.SERVICE_UNAVAILABLE_503) {
             fields.put(HttpHeader.RETRY_AFTER, retryAfter());
         }
-        client.answer(status, fields, UpstreamRequest.NO_BODY);
+        client.respond(status, fields, UpstreamRequest.NO_BODY);
     }
 
     private String retryAfter() {
-        double seconds = SHORTEST_RETRY_AFTER_SECONDS + RETRY_AFTER_SPREAD_SECONDS * random.nextDouble();
+        double seconds = MIN_RETRY_AFTER_SECONDS + RETRY_AFTER_JITTER_SECONDS * random.nextDouble();
         return Double.toString(Math.round(seconds * MILLISECONDS) / MILLISECONDS);
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PromptChunkGenerator.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/CompleteChunkGenerator.java
@@ -7,19 +7,19 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Sends the line end of a chunk with the chunk. Jetty's own generator sends it with the next one, so a client that
- * reads chunks whole would get each event only when the next is made. Content that is to be sent so is made by {@link
- * #withLineEnd}.
+ * Sends the line end of a chunk together with the chunk. Jetty's own generator sends it with the next one, so that a
+ * client that reads complete chunks would get each event only with the next. Content to be sent this way is made by
+ * {@link #withLineEnd}.
  */
-final class PromptChunkGenerator extends HttpGenerator {
+final class CompleteChunkGenerator extends HttpGenerator {
     private static final int LINE_END_BYTES = 2;
 
     private boolean lineEndSent;
 
-    /** The pieces joined, with a line end behind the limit. */
-    static ByteBuffer withLineEnd(Iterable<byte[]> pieces, int length) {
+    /** The chunks joined, with a line end behind the limit. */
+    static ByteBuffer withLineEnd(Iterable<byte[]> chunks, int length) {
         ByteBuffer content = ByteBuffer.allocate(length + LINE_END_BYTES);
-        pieces.forEach(content::put);
+        chunks.forEach(content::put);
         content.put((byte) '\r').put((byte) '\n').flip();
         return content.limit(length);
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ConnectionExecutor.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ConnectionExecutor.java
@@ -4,8 +4,9 @@
 import org.eclipse.jetty.io.Connection;
 
 /**
- * Jetty's executor, but for one task: a connection whose answer was completed looks for its next request on the thread
- * that completed it, in place of a wake-up of another thread. Nothing blocks there, and completing holds no lock.
+ * Jetty's executor, but for one task: a connection whose response was completed reads its next request on the thread
+ * that completed it, which saves the wake-up of another thread. Nothing blocks there, and no lock is held on
+ * completion.
  */
 final class ConnectionExecutor implements Executor {
     private final Executor threads;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
@@ -30,25 +30,25 @@
 import pinewick.model.ServiceSpec;
 import pinewick.model.SocketAddress;
 import pinewick.selection.AdmissionControl;
-import pinewick.selection.Decision;
+import pinewick.selection.AdmissionDecision;
 import pinewick.selection.ReplicaSelector;
 import pinewick.selection.RequestShape;
 import pinewick.selection.RetryBudget;
 
 /**
- * Everything of the data plane that requests share: the routing table in force, the replicas, the requests under way.
+ * The state of the data plane that requests share: the routing table in force, the replicas, the requests in flight.
  * Follows {@link FleetState}.
  */
 final class DataPlane implements FleetStateListener {
-    private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int FEWEST_CONNECTIONS = 4;
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+    private static final int MIN_CONNECTIONS = 4;
     private static final double MILLISECONDS = 1e3;
 
-    /** How long the body of a request is waited for if there is no route for it. */
-    private static final double LONGEST_HELD_WITHOUT_ROUTE_MS = 5_000;
+    /** Timeout of a request's body if there is no route for it. */
+    private static final double BODY_TIMEOUT_WITHOUT_ROUTE_MS = 5_000;
 
-    /** When clients of a router that does not know the fleet's routes yet may come back. */
-    private static final double UNINFORMED_RETRY_SECONDS = 0.2;
+    /** {@code Retry-After} while the configuration is not confirmed to be the fleet's. */
+    private static final double UNCONFIRMED_RETRY_AFTER_SECONDS = 0.2;
 
     private final SerialExecutor serial;
     private final Timers timers;
@@ -56,27 +56,28 @@
     private final RequestRouting routing;
     private final UpstreamPool pool;
     private final DataPlaneServices services;
-    private final Set<RequestLifecycle> underWay = new HashSet<>();
+    private final Set<RequestLifecycle> activeRequests = new HashSet<>();
     private final AdmissionControl admissionControl;
-    private final LoadSharing sharing;
+    private final LoadReportExchange sharing;
     private final ReportPoller reports;
-    private final Admission admission = new Admission();
-    private final DepartureWatch departures;
-    private final ByteBuffer probeBuffer = BufferUtil.allocateDirect(JettyClientExchange.MOST_BYTES_AHEAD);
+    private final InFlightLimits admission = new InFlightLimits();
+    private final ClientDisconnectDetector disconnects;
+    private final ByteBuffer readAheadBuffer = BufferUtil.allocateDirect(JettyClientExchange.MAX_READ_AHEAD_BYTES);
     private final List<CompletableFuture<Void>> waitingForIdle = new ArrayList<>();
     private final Consumer<RequestLimits> onLimits;
-    private final BooleanSupplier informed;
+    private final BooleanSupplier isConfigurationConfirmed;
     private volatile RoutingTable routingTable = RoutingTable.EMPTY;
     private volatile boolean stopping;
-    private boolean refusesNew;
-    /** Requests that were read whole and whose answers have not gone out whole. */
-    private int unanswered;
+    private boolean rejectsNew;
+    /** Requests that were received completely and whose responses were not fully written. */
+    private int openRequests;
 
     private int routerCountUpperBound = 1;
 
     /**
-     * @param informed whether the configuration known here is the fleet's, so that a route it lacks does not exist
-     * @param onLimits told of the limits in force when they change
+     * @param isConfigurationConfirmed whether the configuration known here is the fleet's, so that a route it lacks
+     *     does not exist
+     * @param onLimits called with the limits in force when they change
      */
     DataPlane(
             SerialExecutor serial,
@@ -85,23 +86,23 @@
             ReplicaSelector selector,
             PairChooser chooser,
             RandomGenerator random,
-            BooleanSupplier informed,
+            BooleanSupplier isConfigurationConfirmed,
             Consumer<RequestLimits> onLimits) {
         this.onLimits = onLimits;
-        this.informed = informed;
+        this.isConfigurationConfirmed = isConfigurationConfirmed;
         this.serial = serial;
         this.timers = timers;
         this.routing = new RequestRouting(() -> routingTable, directory, random);
-        this.departures = new DepartureWatch(timers);
+        this.disconnects = new ClientDisconnectDetector(timers);
         this.pool = new UpstreamPool(serial, timers, directory, this::connectionLimit);
-        this.services =
-                new DataPlaneServices(selector, chooser, budget, new HandleHealth(), directory, pool, timers, random);
+        this.services = new DataPlaneServices(
+                selector, chooser, budget, new KvTransferHealth(), directory, pool, timers, random);
         this.admissionControl = new AdmissionControl(selector, random);
-        this.sharing = new LoadSharing(selector);
+        this.sharing = new LoadReportExchange(selector);
         this.reports = new ReportPoller(services, sharing::onReport);
     }
 
-    /** Takes over what is known, and follows every change. */
+    /** Takes over the fleet's state, and listens to its changes. */
     void follow(FleetState state, UpstreamConnector connector) {
         pool.setConnector(connector);
         state.addListener(this);
@@ -120,21 +121,21 @@
             RoutingTable next = ConfigurationChecks.toRoutingTable(document);
             serial.execute(() -> {
                 if (next.version() > routingTable.version()) {
-                    putInForce(next);
+                    activate(next);
                 }
             });
         } catch (InvalidConfigurationException e) {
-            LOG.atSevere().withCause(e).log(
-                    "Configuration %d cannot be read; the one before stays", document.version());
+            LOGGER.atSevere().withCause(e).log(
+                    "configuration %d cannot be read, the previous version stays in force", document.version());
         }
     }
 
-    private void putInForce(RoutingTable next) {
-        boolean otherLimits = !next.limits().equals(routingTable.limits());
+    private void activate(RoutingTable next) {
+        boolean limitsChanged = !next.limits().equals(routingTable.limits());
         routingTable = next;
         next.services().values().forEach(service -> service.engine()
                 .ifPresent(engine -> services.selector().setEngine(service.name(), engine)));
-        if (otherLimits) {
+        if (limitsChanged) {
             onLimits.accept(next.limits());
         }
     }
@@ -145,7 +146,7 @@
             directory.update(record);
             if (record.state() == ReplicaState.GONE) {
                 pool.closeIdle(record.instanceId());
-                services.selector().forget(record.instanceId());
+                services.selector().removeReplica(record.instanceId());
             }
         });
     }
@@ -167,24 +168,24 @@
         return services;
     }
 
-    /** Most connections that this router may hold to one replica of a service. */
+    /** Most connections of this router to one replica of a service. */
     private int connectionLimit(String service) {
-        int ofAll =
+        int limitOfAllRouters =
                 routingTable.service(service).map(ServiceSpec::maxConnections).orElse(0);
-        return Math.max(FEWEST_CONNECTIONS, ofAll / routerCountUpperBound);
+        return Math.max(MIN_CONNECTIONS, limitOfAllRouters / routerCountUpperBound);
     }
 
-    /** Closes connections to replicas that have rested long enough. */
+    /** Closes connections to replicas that were idle too long. */
     void sweep() {
         serial.execute(pool::sweep);
     }
 
-    /** Looks now for clients that have left, which is otherwise done at regular times. */
-    void lookForDepartures() {
-        serial.execute(departures::lookAtAll);
+    /** Checks for disconnected clients now, which is otherwise done periodically. */
+    void checkDisconnects() {
+        serial.execute(disconnects::checkAll);
     }
 
-    /** Asks replicas for their load, where it is this router's turn. */
+    /** Polls the load of those replicas that this router is responsible for. */
     void pollReports(SocketAddress self, List<SocketAddress> otherRouters) {
         serial.execute(() -> {
             if (!stopping) {
@@ -193,123 +194,124 @@
         });
     }
 
-    /** Hands over what this router has learnt of replicas since the last call, if anything. */
-    void shareLoad(Consumer<LoadNews> tell) {
-        serial.execute(() -> sharing.takeNews(timers.nowMs()).ifPresent(tell));
+    /** Sends the load reports and hints since the last call, if there are any. */
+    void shareLoadReports(Consumer<LoadReportMessage> send) {
+        serial.execute(() -> sharing.takeMessage(timers.nowMs()).ifPresent(send));
     }
 
-    /** Another router tells what it saw of replicas. */
-    void onNews(LoadNews news) {
-        serial.execute(() -> sharing.onNews(news, timers.nowMs()));
+    /** A message of another router arrived. */
+    void onLoadReport(LoadReportMessage message) {
+        serial.execute(() -> sharing.onMessage(message, timers.nowMs()));
     }
 
-    Admission admission() {
+    InFlightLimits admission() {
         return admission;
     }
 
     // ---- requests
 
-    /** Takes a request that was read whole. May be called on any thread. */
+    /** Accepts a complete request. May be called on any thread. */
     void accept(ClientRequest read, Request request, Response response, Callback callback) {
         serial.execute(() -> {
-            unanswered++;
+            openRequests++;
             begin(read, request, response, callback);
         });
     }
 
     /**
-     * Runs a task at the time by which the request must have its answer, as its route and its client have it. May be
-     * called on any thread; the task runs on the data plane's executor.
+     * Runs a task at the deadline of a request, by its route and its client. May be called on any thread; the task runs
+     * on the data plane's executor.
      */
-    Timers.Timer scheduleWhenDue(Request request, Runnable task) {
-        double heldMs = routing.find(request)
-                .map(route -> ClientDeadline.heldMs(request.getHeaders(), route.timeoutMs()))
-                .orElse(LONGEST_HELD_WITHOUT_ROUTE_MS);
-        return timers.schedule(RequestRouting.arrivedAtMs(request) + heldMs - timers.nowMs(), task);
+    Timers.Timer scheduleAtDeadline(Request request, Runnable task) {
+        double timeoutMs = routing.find(request)
+                .map(route -> ClientDeadline.timeoutMs(request.getHeaders(), route.timeoutMs()))
+                .orElse(BODY_TIMEOUT_WITHOUT_ROUTE_MS);
+        return timers.schedule(RequestRouting.arrivedAtMs(request) + timeoutMs - timers.nowMs(), task);
     }
 
-    /** The request has not run and never will; the client may come back after a while. */
-    private static void answerNotRun(ClientExchange client, String id, double retryAfterSeconds) {
+    /** The request was not executed and never will be; the client may retry. */
+    private static void rejectNotExecuted(ClientExchange client, String id, double retryAfterSeconds) {
         HttpFields.Mutable fields = HttpFields.build();
         fields.add(HeaderNames.REQUEST_ID, id);
         fields.add(
                 HttpHeader.RETRY_AFTER, Double.toString(Math.round(retryAfterSeconds * MILLISECONDS) / MILLISECONDS));
-        client.answer(HttpStatus.SERVICE_UNAVAILABLE_503, fields, UpstreamRequest.NO_BODY);
+        client.respond(HttpStatus.SERVICE_UNAVAILABLE_503, fields, UpstreamRequest.NO_BODY);
     }
 
     private void begin(ClientRequest read, Request request, Response response, Callback callback) {
         JettyClientExchange client = new JettyClientExchange(
-                request, response, callback, serial, () -> stopping, probeBuffer, this::answered);
+                request, response, callback, serial, () -> stopping, readAheadBuffer, this::onResponseComplete);
         Optional<RequestShape> found = routing.find(request).flatMap(route -> routing.shapeOf(route, request));
-        if (refusesNew || found.isEmpty()) {
-            refuse(client, read.id());
+        if (rejectsNew || found.isEmpty()) {
+            rejectUnrouted(client, read.id());
             return;
         }
         RequestShape shape = found.get();
-        Decision decision = admissionControl.decide(shape, directory.candidates(shape.service()), timers.nowMs());
-        if (decision instanceof Decision.Refuse refusal) {
+        AdmissionDecision decision =
+                admissionControl.decide(shape, directory.candidates(shape.service()), timers.nowMs());
+        if (decision instanceof AdmissionDecision.Reject rejection) {
             services.budget().onRequest(shape.service(), timers.nowMs());
-            answerNotRun(client, read.id(), refusal.retryAfterSeconds());
+            rejectNotExecuted(client, read.id(), rejection.retryAfterSeconds());
             return;
         }
-        RequestLifecycle lifecycle = new RequestLifecycle(read, shape, client, services, underWay::remove);
+        RequestLifecycle lifecycle = new RequestLifecycle(read, shape, client, services, activeRequests::remove);
         client.setLifecycle(lifecycle, shape.deadlineAtMs());
-        underWay.add(lifecycle);
-        departures.add(client);
+        activeRequests.add(lifecycle);
+        disconnects.add(client);
         request.addIdleTimeoutListener(timeout -> false);
-        request.addFailureListener(failure -> serial.execute(() -> client.gone(failure)));
+        request.addFailureListener(failure -> serial.execute(() -> client.onDisconnected(failure)));
         lifecycle.start();
     }
 
-    /** No route, as far as this router knows; one that does not know enough promises that the request has not run. */
-    private void refuse(ClientExchange client, String id) {
-        if (!refusesNew && informed.getAsBoolean()) {
+    /** There is no route: 404 if the configuration is confirmed to be the fleet's, otherwise 503 as not executed. */
+    private void rejectUnrouted(ClientExchange client, String id) {
+        if (!rejectsNew && isConfigurationConfirmed.getAsBoolean()) {
             HttpFields fields = HttpFields.build().add(HeaderNames.REQUEST_ID, id);
-            client.answer(HttpStatus.NOT_FOUND_404, fields, UpstreamRequest.NO_BODY);
+            client.respond(HttpStatus.NOT_FOUND_404, fields, UpstreamRequest.NO_BODY);
         } else {
-            answerNotRun(client, id, UNINFORMED_RETRY_SECONDS);
+            rejectNotExecuted(client, id, UNCONFIRMED_RETRY_AFTER_SECONDS);
         }
     }
 
     // ---- the end
 
-    /** From now on each answer closes its connection. */
+    /** From now on each response closes its connection. */
     void beginStopping() {
         stopping = true;
     }
 
-    /** Completes once every request that was read whole has its whole answer, or its connection is gone. */
+    /** Completes once every request that was received has its complete response, or its connection is closed. */
     CompletableFuture<Void> whenIdle() {
         CompletableFuture<Void> idle = new CompletableFuture<>();
         serial.execute(() -> {
             waitingForIdle.add(idle);
-            tellIfIdle();
+            notifyIfIdle();
         });
         return idle;
     }
 
-    private void answered(JettyClientExchange client) {
-        departures.remove(client);
-        unanswered--;
-        tellIfIdle();
+    private void onResponseComplete(JettyClientExchange client) {
+        disconnects.remove(client);
+        openRequests--;
+        notifyIfIdle();
     }
 
-    private void tellIfIdle() {
-        if (unanswered == 0 && !waitingForIdle.isEmpty()) {
-            List<CompletableFuture<Void>> told = List.copyOf(waitingForIdle);
+    private void notifyIfIdle() {
+        if (openRequests == 0 && !waitingForIdle.isEmpty()) {
+            List<CompletableFuture<Void>> waiters = List.copyOf(waitingForIdle);
             waitingForIdle.clear();
-            told.forEach(idle -> idle.complete(null));
+            waiters.forEach(idle -> idle.complete(null));
         }
     }
 
-    /** What comes from now on is told that it has not run; what is under way goes on. */
-    void refuseNewRequests() {
-        serial.execute(() -> refusesNew = true);
+    /** Rejects new requests as not executed; those in flight continue. */
+    void rejectNewRequests() {
+        serial.execute(() -> rejectsNew = true);
     }
 
-    /** Answers whatever has not been answered, and refuses what still comes. */
-    void answerTheRest() {
-        refuseNewRequests();
-        serial.execute(() -> List.copyOf(underWay).forEach(RequestLifecycle::onShutdown));
+    /** Ends all requests in flight with an error, and rejects new ones. */
+    void failRemainingRequests() {
+        rejectNewRequests();
+        serial.execute(() -> List.copyOf(activeRequests).forEach(RequestLifecycle::onShutdown));
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlaneServices.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlaneServices.java
@@ -4,13 +4,13 @@
 import pinewick.selection.ReplicaSelector;
 import pinewick.selection.RetryBudget;
 
-/** What every request's lifecycle works with. All of it is used on the data plane's executor only. */
+/** The collaborators of every request's lifecycle. All of them are used on the data plane's executor only. */
 record DataPlaneServices(
         ReplicaSelector selector,
         PairChooser chooser,
         RetryBudget budget,
-        HandleHealth handles,
+        KvTransferHealth kvTransferHealth,
         ReplicaDirectory directory,
-        ReplicaCalls calls,
+        UpstreamClient upstream,
         Timers timers,
         RandomGenerator random) {}
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/EventStreamReader.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/EventStreamReader.java
@@ -4,58 +4,58 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Cuts a {@code text/event-stream} into whole events and keeps the id of the last one. */
+/** Splits a {@code text/event-stream} into complete events and records the id of the last one. */
 final class EventStreamReader {
     private static final String ID_FIELD = "id:";
 
     private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
     private final StringBuilder line = new StringBuilder();
     private String lastEventId;
-    private String idOfPartial;
+    private String partialEventId;
     private boolean skipping;
     private long skipUpTo;
 
-    /** @param lastEventId id of the event after which the stream goes on, or null */
+    /** @param lastEventId id of the event after which the stream resumes, or null */
     EventStreamReader(String lastEventId) {
         this.lastEventId = lastEventId;
     }
 
     /**
-     * A run begins: drops what is partial.
+     * Starts with the stream of another attempt: discards a partial event.
      *
-     * @param goesOn whether events were passed on before, so that those up to the last one are dropped if they come
-     * again
+     * @param isResumed whether events were forwarded before, so that those up to the last one are skipped if they are
+     *     sent again
      */
-    void restart(boolean goesOn) {
+    void restart(boolean isResumed) {
         partial.reset();
         line.setLength(0);
-        idOfPartial = null;
-        Long last = goesOn ? numeric(lastEventId) : null;
+        partialEventId = null;
+        Long last = isResumed ? numeric(lastEventId) : null;
         skipping = last != null;
         skipUpTo = last == null ? 0 : last;
     }
 
-    /** Takes a piece of the stream; returns the bytes of the events that are whole by it. */
-    byte[] read(ByteBuffer piece) {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream(piece.remaining());
-        while (piece.hasRemaining()) {
-            byte each = piece.get();
+    /** Adds a chunk of the stream; returns the bytes of the events that it completes. */
+    byte[] read(ByteBuffer chunk) {
+        ByteArrayOutputStream complete = new ByteArrayOutputStream(chunk.remaining());
+        while (chunk.hasRemaining()) {
+            byte each = chunk.get();
             partial.write(each);
             if (each != '\n') {
                 line.append((char) (each & 0xff));
             } else if (endOfLine()) {
-                endOfEvent(whole);
+                endOfEvent(complete);
             }
         }
-        return whole.toByteArray();
+        return complete.toByteArray();
     }
 
-    /** What came after the last whole event. */
-    byte[] rest() {
+    /** The bytes after the last complete event. */
+    byte[] remainder() {
         return partial.toByteArray();
     }
 
-    /** Id of the last whole event, or the one the client began with; null if neither. */
+    /** Id of the last complete event, or the one the client sent; null if neither. */
     String lastEventId() {
         return lastEventId;
     }
@@ -68,7 +68,7 @@
         }
         boolean empty = line.length() == 0;
         if (line.indexOf(ID_FIELD) == 0) {
-            idOfPartial = new String(
+            partialEventId = new String(
                             line.substring(ID_FIELD.length()).getBytes(StandardCharsets.ISO_8859_1),
                             StandardCharsets.UTF_8)
                     .strip();
@@ -77,19 +77,19 @@
         return empty;
     }
 
-    private void endOfEvent(ByteArrayOutputStream whole) {
-        if (!wasPassedBefore()) {
-            whole.writeBytes(partial.toByteArray());
-            if (idOfPartial != null) {
-                lastEventId = idOfPartial;
+    private void endOfEvent(ByteArrayOutputStream complete) {
+        if (!wasForwardedBefore()) {
+            complete.writeBytes(partial.toByteArray());
+            if (partialEventId != null) {
+                lastEventId = partialEventId;
             }
         }
-        idOfPartial = null;
+        partialEventId = null;
         partial.reset();
     }
 
-    private boolean wasPassedBefore() {
-        Long id = skipping ? numeric(idOfPartial) : null;
+    private boolean wasForwardedBefore() {
+        Long id = skipping ? numeric(partialEventId) : null;
         return id != null && id <= skipUpTo;
     }
 
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/FleetLink.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/FleetConnection.java
@@ -19,15 +19,18 @@
 import pinewick.transport.ReschedulableTimer;
 import pinewick.transport.TransportException;
 
-/** A router's part in the fleet: the control loop, the sockets for internal messages, and what they learn. */
-final class FleetLink {
+/**
+ * Connects a router to the fleet: the control loop, the transport for internal messages, and the fleet state that they
+ * maintain.
+ */
+final class FleetConnection {
     private final FleetState state = new FleetState();
     private final ControlLoop loop = new ControlLoop();
     private final NetworkTransport transport;
     private final FleetNode node;
     private final ReschedulableTimer ticks = loop.timer(this::tick);
 
-    FleetLink(NodeSettings settings, RandomGenerator random) throws RouterException {
+    FleetConnection(NodeSettings settings, RandomGenerator random) throws RouterException {
         SocketAddress local = new SocketAddress(settings.ipAddress(), settings.routerPort());
         try {
             transport = new NetworkTransport(local, new MessageCodec(messageTypes()));
@@ -41,13 +44,13 @@
 
     private static List<Class<?>> messageTypes() {
         List<Class<?>> types = new ArrayList<>(FleetMessages.types());
-        types.addAll(LoadNews.types());
+        types.addAll(LoadReportMessage.types());
         return types;
     }
 
-    /** @param onNews told what other routers saw of replicas, on the thread that receives */
-    void start(Consumer<LoadNews> onNews) {
-        transport.start((sender, message) -> onMessage(sender, message, onNews));
+    /** @param onLoadReport called with load reports of other routers, on the receiving thread */
+    void start(Consumer<LoadReportMessage> onLoadReport) {
+        transport.start((sender, message) -> onMessage(sender, message, onLoadReport));
         loop.execute(this::tick);
     }
 
@@ -59,9 +62,9 @@
         }
     }
 
-    private void onMessage(SocketAddress sender, Message message, Consumer<LoadNews> onNews) {
-        if (message instanceof LoadNews news) {
-            onNews.accept(news);
+    private void onMessage(SocketAddress sender, Message message, Consumer<LoadReportMessage> onLoadReport) {
+        if (message instanceof LoadReportMessage loadReport) {
+            onLoadReport.accept(loadReport);
         } else {
             loop.execute(() -> {
                 node.onMessage(sender, message, loop.nowMs());
@@ -71,8 +74,8 @@
     }
 
     /** Sends to the other routers known at this moment. May be called on any thread. */
-    void tellRouters(LoadNews news) {
-        loop.execute(() -> transport.sendToAll(otherRouters(), news));
+    void sendToRouters(LoadReportMessage message) {
+        loop.execute(() -> transport.sendToAll(otherRouters(), message));
     }
 
     FleetState state() {
@@ -98,22 +101,22 @@
         return routers;
     }
 
-    /** Runs a task over and over on the control loop. */
+    /** Runs a task periodically on the control loop. */
     void repeat(Runnable task, long periodMs) {
         loop.repeat(task, periodMs);
     }
 
     /**
-     * Runs a task over and over on the control loop.
+     * Runs a task periodically on the control loop.
      *
-     * @param pauseMs the pause before the next run, given the number of other routers known
+     * @param intervalMs the interval before the next run, by the number of other known routers, milliseconds
      */
-    void repeatAtPace(Runnable task, IntToLongFunction pauseMs) {
+    void repeatAtVariableInterval(Runnable task, IntToLongFunction intervalMs) {
         loop.repeatAtVariableInterval(
-                task, () -> pauseMs.applyAsLong(otherRouters().size()));
+                task, () -> intervalMs.applyAsLong(otherRouters().size()));
     }
 
-    /** Tells the peers that this process ends. */
+    /** Notifies the peers that this process shuts down. */
     void leave() {
         loop.execute(() -> node.leave(loop.nowMs()));
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/HeaderRules.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/HeaderRules.java
@@ -8,7 +8,7 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** Which header fields a router passes on, in either direction. */
+/** Which header fields a router forwards, in either direction. */
 final class HeaderRules {
     /** Concern one connection only; each side writes its own framing. */
     private static final Set<String> HOP_BY_HOP = names(
@@ -23,7 +23,7 @@
             "Upgrade",
             "Content-Length");
 
-    /** What only routers may say to a replica, and what is written anew for each call. */
+    /** Fields that only routers may send to a replica, and those that are set for each call. */
     private static final Set<String> SET_BY_ROUTER = names(
             "Expect",
             HeaderNames.SERVING_STAGE,
@@ -34,28 +34,28 @@
 
     private HeaderRules() {}
 
-    /** The fields of a client's request that go on to a replica. */
+    /** The fields of a client's request that are forwarded to a replica. */
     static HttpFields.Mutable requestFields(HttpFields received) {
         Set<String> named = namedByConnection(received);
-        HttpFields.Mutable kept = HttpFields.build();
+        HttpFields.Mutable forwarded = HttpFields.build();
         for (HttpField field : received) {
             if (endToEnd(field, named) && !SET_BY_ROUTER.contains(field.getName())) {
-                kept.add(field);
+                forwarded.add(field);
             }
         }
-        return kept;
+        return forwarded;
     }
 
-    /** The fields of a replica's answer that go on to the client. */
+    /** The fields of a replica's response that are forwarded to the client. */
     static HttpFields.Mutable responseFields(HttpFields received) {
         Set<String> named = namedByConnection(received);
-        HttpFields.Mutable kept = HttpFields.build();
+        HttpFields.Mutable forwarded = HttpFields.build();
         for (HttpField field : received) {
             if (endToEnd(field, named)) {
-                kept.add(field);
+                forwarded.add(field);
             }
         }
-        return kept;
+        return forwarded;
     }
 
     private static boolean endToEnd(HttpField field, Set<String> namedByConnection) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/HttpFront.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/HttpFrontend.java
@@ -21,17 +21,17 @@
 import pinewick.model.RequestLimits;
 import pinewick.model.SocketAddress;
 
-/** The Jetty server of a router: clients on one address, the platform's question for readiness on another. */
-final class HttpFront {
-    private static final int MOST_THREADS = 8;
-    private static final int FEWEST_THREADS = 2;
+/** The Jetty server of a router: clients on one address, the platform's readiness checks on another. */
+final class HttpFrontend {
+    private static final int MAX_THREADS = 8;
+    private static final int MIN_THREADS = 2;
     private static final int OUTPUT_BUFFER_BYTES = 8 * 1024;
     private static final int RESPONSE_HEADER_BYTES = 8 * 1024;
-    /** Longest head that a connection reads at all; the limit in force may change while it is open. */
+    /** Longest head that a connection parses; the limit in force may change while it is open. */
     private static final int PARSED_HEADER_BYTES = 64 * 1024;
 
-    private static final int FEWEST_CLIENT_CONNECTIONS = 100;
-    private static final int MOST_CLIENT_CONNECTIONS = 3_000;
+    private static final int MIN_CLIENT_CONNECTIONS = 100;
+    private static final int MAX_CLIENT_CONNECTIONS = 3_000;
     private static final int ACCEPT_QUEUE = 1024;
 
     private final DataPlane dataPlane;
@@ -41,14 +41,14 @@
     private final ServerConnector readiness;
     private final HttpConfiguration configuration = new HttpConfiguration();
 
-    /** @param mostClientConnections connections of further clients are closed unread, so that they go elsewhere */
-    HttpFront(
+    /** @param maxClientConnections connections of more clients are closed unread, so that they go to another router */
+    HttpFrontend(
             DataPlane dataPlane,
             BooleanSupplier ready,
             Scheduler scheduler,
             SocketAddress frontendAddress,
             SocketAddress readinessAddress,
-            int mostClientConnections) {
+            int maxClientConnections) {
         this.dataPlane = dataPlane;
         this.ready = ready;
         server = new Server(threadPool(), scheduler, new ArrayByteBufferPool());
@@ -59,16 +59,16 @@
                 scheduler,
                 new ClientConnection.Factory(
                         configuration, () -> dataPlane.routingTable().limits().headerTimeoutMs()),
-                Math.max(FEWEST_CLIENT_CONNECTIONS, Math.min(MOST_CLIENT_CONNECTIONS, mostClientConnections)));
+                Math.max(MIN_CLIENT_CONNECTIONS, Math.min(MAX_CLIENT_CONNECTIONS, maxClientConnections)));
         listenAt(frontend, frontendAddress);
         readiness = new ServerConnector(server, null, scheduler, null, 0, 1, new HttpConnectionFactory(configuration));
         listenAt(readiness, readinessAddress);
-        server.setHandler(new Entry());
+        server.setHandler(new FrontendHandler());
         setLimits(RequestLimits.DEFAULT);
     }
 
     private static QueuedThreadPool threadPool() {
-        QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, FEWEST_THREADS);
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setName("http");
         threads.setDaemon(true);
         threads.setReservedThreads(0);
@@ -91,7 +91,7 @@
         server.addConnector(connector);
     }
 
-    /** Limits in force from now on; the length of a head is checked when it has come. */
+    /** Sets the limits in force; the length of a head is checked when it is complete. */
     void setLimits(RequestLimits limits) {
         configuration.setRequestHeaderSize(Math.max(PARSED_HEADER_BYTES, limits.maxHeaderBytes()));
         frontend.setIdleTimeout(limits.idleTimeoutMs());
@@ -102,11 +102,12 @@
         try {
             server.start();
         } catch (Exception e) {
+            // Jetty's lifecycle methods declare Exception.
             throw new RouterException("listening to clients", frontend.getHost() + ":" + frontend.getPort(), e);
         }
     }
 
-    /** Takes no new connection, and closes those whose clients wait for nothing; completes when all are closed. */
+    /** Accepts no new connection, and closes the idle ones; completes when all are closed. */
     CompletableFuture<Void> closeIdle() {
         return frontend.shutdown();
     }
@@ -115,6 +116,7 @@
         try {
             server.stop();
         } catch (Exception e) {
+            // Jetty's lifecycle methods declare Exception.
             throw new RouterException("stopping the HTTP server", frontend.getHost() + ":" + frontend.getPort(), e);
         }
     }
@@ -138,14 +140,14 @@
         return readiness.getLocalPort();
     }
 
-    private final class Entry extends Handler.Abstract.NonBlocking {
+    private final class FrontendHandler extends Handler.Abstract.NonBlocking {
         @Override
         public boolean handle(Request request, Response response, Callback callback) {
             Connector connector = request.getConnectionMetaData().getConnector();
             if (connector == readiness) {
                 response.setStatus(ready.getAsBoolean() ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503);
                 response.write(true, null, callback);
-            } else if (mayTakeFrom(request.getConnectionMetaData().getConnection())) {
+            } else if (acceptsRequestsFrom(request.getConnectionMetaData().getConnection())) {
                 new ClientIntake(dataPlane, request, response, callback).start();
             } else {
                 request.getConnectionMetaData().getConnection().getEndPoint().close();
@@ -154,10 +156,10 @@
             return true;
         }
 
-        private static boolean mayTakeFrom(Connection connection) {
+        private static boolean acceptsRequestsFrom(Connection connection) {
             if (connection instanceof ClientConnection client) {
-                client.requestBegins();
-                return client.takesRequests();
+                client.onRequestHead();
+                return client.acceptsRequests();
             }
             return true;
         }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/JettyClientExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/JettyClientExchange.java
@@ -17,70 +17,72 @@
 import org.eclipse.jetty.util.thread.Invocable.InvocationType;
 
 /**
- * A client's request on Jetty's side. One write is out at a time; what comes meanwhile goes with the next. Used on the
- * data plane's executor only.
+ * The Jetty side of one client request. One write is in progress at a time; chunks that arrive meanwhile go with the
+ * next. Used on the data plane's executor only.
  */
-final class JettyClientExchange implements ClientExchange, DepartureWatch.Client {
+final class JettyClientExchange implements ClientExchange, ClientDisconnectDetector.Client {
     /**
-     * Bytes of a next request that are taken in while this one is under way: far fewer than Jetty's empty buffer holds.
+     * Bytes of a pipelined request that are read ahead while this one is in flight: far fewer than the capacity of
+     * Jetty's buffer.
      */
-    static final int MOST_BYTES_AHEAD = 1024;
+    static final int MAX_READ_AHEAD_BYTES = 1024;
 
     private final Request request;
     private final Response response;
     private final Callback callback;
     private final SerialExecutor serial;
-    private final BooleanSupplier lastOfConnection;
-    private final ByteBuffer probeBuffer;
-    private final Deque<byte[]> waiting = new ArrayDeque<>();
+    private final BooleanSupplier closesConnection;
+    private final ByteBuffer readAheadBuffer;
+    private final Deque<byte[]> pendingChunks = new ArrayDeque<>();
     private RequestLifecycle lifecycle;
-    private double dueAtMs = Double.POSITIVE_INFINITY;
+    private double deadlineAtMs = Double.POSITIVE_INFINITY;
     private long pendingBytes;
     private boolean writing;
     private boolean streamEnded;
-    private boolean over;
-    private int bytesAhead;
+    private boolean finished;
+    private int readAheadBytes;
 
     /**
-     * @param lastOfConnection whether the client is told to use the connection no more
-     * @param probeBuffer shared room for what is read when looking for the client's departure
-     * @param onAnswered told once the whole answer has gone out, or the connection is gone
+     * @param closesConnection whether the response closes the connection
+     * @param readAheadBuffer shared buffer for reading ahead when checking for a disconnect
+     * @param onAnswered called once the response is fully written, or the connection is closed
      */
     JettyClientExchange(
             Request request,
             Response response,
             Callback callback,
             SerialExecutor serial,
-            BooleanSupplier lastOfConnection,
-            ByteBuffer probeBuffer,
+            BooleanSupplier closesConnection,
+            ByteBuffer readAheadBuffer,
             Consumer<JettyClientExchange> onAnswered) {
         this.request = request;
         this.response = response;
         this.callback = Callback.from(callback, () -> serial.execute(() -> onAnswered.accept(this)));
         this.serial = serial;
-        this.lastOfConnection = lastOfConnection;
-        this.probeBuffer = probeBuffer;
+        this.closesConnection = closesConnection;
+        this.readAheadBuffer = readAheadBuffer;
     }
 
     /**
-     * Sets whom to tell that the client has gone or has taken what was waiting.
+     * Sets the lifecycle to notify of a disconnect and of written chunks.
      *
-     * @param answerDueAtMs when the client must have taken the whole answer
+     * @param answerDueAtMs when the client must have received the complete response
      */
     void setLifecycle(RequestLifecycle lifecycle, double answerDueAtMs) {
         this.lifecycle = lifecycle;
-        this.dueAtMs = answerDueAtMs;
+        this.deadlineAtMs = answerDueAtMs;
     }
 
     /**
-     * Notices whether the client has closed its connection. What comes of a next request is handed to the connection;
-     * once its buffer may be full, or if it held bytes before, nothing more is read, and a departure shows at the next
-     * write only. A client that has not taken the end of its answer when that is due has left as well.
+     * Detects whether the client has closed its connection. Bytes of a pipelined request are passed to the connection;
+     * once its buffer may be full, or if it contained bytes before, nothing more is read, and a disconnect is detected
+     * at the next write only. A client that has not received the end of its response by the deadline counts as
+     * disconnected.
      */
     @Override
-    public void lookForDeparture(double nowMs) {
-        if (over) {
-            if (nowMs >= dueAtMs) {
+    public void checkDisconnected(double nowMs) {
+        if (finished) {
+            if (nowMs >= deadlineAtMs) {
                 request.getConnectionMetaData().getConnection().getEndPoint().close();
             }
             return;
@@ -88,36 +90,36 @@
         if (!(request.getConnectionMetaData().getConnection() instanceof ClientConnection connection)) {
             return;
         }
-        boolean hasRoom = bytesAhead > 0 || connection.isRequestBufferEmpty();
-        if (!hasRoom || bytesAhead >= MOST_BYTES_AHEAD) {
+        boolean hasCapacity = readAheadBytes > 0 || connection.isRequestBufferEmpty();
+        if (!hasCapacity || readAheadBytes >= MAX_READ_AHEAD_BYTES) {
             return;
         }
         try {
             readAhead(connection);
         } catch (IOException e) {
-            gone(e);
+            onDisconnected(e);
         }
     }
 
     private void readAhead(ClientConnection connection) throws IOException {
         int filled = 1;
-        while (filled > 0 && bytesAhead < MOST_BYTES_AHEAD) {
-            ByteBuffer room = probeBuffer.clear().slice(0, MOST_BYTES_AHEAD - bytesAhead);
-            BufferUtil.clear(room);
-            filled = connection.getEndPoint().fill(room);
+        while (filled > 0 && readAheadBytes < MAX_READ_AHEAD_BYTES) {
+            ByteBuffer buffer = readAheadBuffer.clear().slice(0, MAX_READ_AHEAD_BYTES - readAheadBytes);
+            BufferUtil.clear(buffer);
+            filled = connection.getEndPoint().fill(buffer);
             if (filled > 0) {
-                bytesAhead += filled;
-                connection.onUpgradeTo(room);
+                readAheadBytes += filled;
+                connection.onUpgradeTo(buffer);
             }
         }
         if (filled < 0) {
-            gone(new EofException("the client has closed its connection"));
+            onDisconnected(new EofException("the client has closed its connection"));
         }
     }
 
     @Override
-    public void answer(int status, HttpFields fields, byte[] body) {
-        over = true;
+    public void respond(int status, HttpFields fields, byte[] body) {
+        finished = true;
         setHead(status, fields);
         response.write(true, ByteBuffer.wrap(body), callback);
     }
@@ -130,15 +132,15 @@
     private void setHead(int status, HttpFields fields) {
         response.setStatus(status);
         response.getHeaders().add(fields);
-        if (lastOfConnection.getAsBoolean()) {
+        if (closesConnection.getAsBoolean()) {
             response.getHeaders().put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
         }
     }
 
     @Override
-    public void passOn(byte[] piece) {
-        pendingBytes += piece.length;
-        waiting.add(piece);
+    public void forward(byte[] chunk) {
+        pendingBytes += chunk.length;
+        pendingChunks.add(chunk);
         writeNext();
     }
 
@@ -150,9 +152,9 @@
 
     @Override
     public void abort() {
-        if (!over) {
-            over = true;
-            waiting.clear();
+        if (!finished) {
+            finished = true;
+            pendingChunks.clear();
             callback.failed(new IOException("the replica broke the stream off"));
         }
     }
@@ -163,13 +165,13 @@
     }
 
     private void writeNext() {
-        if (writing || over || (waiting.isEmpty() && !streamEnded)) {
+        if (writing || finished || (pendingChunks.isEmpty() && !streamEnded)) {
             return;
         }
-        ByteBuffer content = takeWaiting();
+        ByteBuffer content = takePendingChunks();
         int length = content.remaining();
         if (streamEnded) {
-            over = true;
+            finished = true;
             response.write(true, content, callback);
             return;
         }
@@ -180,19 +182,19 @@
                 Callback.from(
                         InvocationType.NON_BLOCKING,
                         () -> serial.execute(() -> written(length)),
-                        cause -> serial.execute(() -> gone(cause))));
+                        cause -> serial.execute(() -> onDisconnected(cause))));
     }
 
-    private ByteBuffer takeWaiting() {
-        if (waiting.isEmpty()) {
+    private ByteBuffer takePendingChunks() {
+        if (pendingChunks.isEmpty()) {
             return BufferUtil.EMPTY_BUFFER;
         }
         int total = 0;
-        for (byte[] piece : waiting) {
-            total += piece.length;
+        for (byte[] chunk : pendingChunks) {
+            total += chunk.length;
         }
-        ByteBuffer joined = PromptChunkGenerator.withLineEnd(waiting, total);
-        waiting.clear();
+        ByteBuffer joined = CompleteChunkGenerator.withLineEnd(pendingChunks, total);
+        pendingChunks.clear();
         return joined;
     }
 
@@ -205,13 +207,13 @@
         }
     }
 
-    /** The client's connection has failed. */
-    void gone(Throwable cause) {
-        if (!over) {
-            over = true;
-            waiting.clear();
+    /** The client's connection has failed or was closed. */
+    void onDisconnected(Throwable cause) {
+        if (!finished) {
+            finished = true;
+            pendingChunks.clear();
             callback.failed(cause);
-            lifecycle.onClientGone();
+            lifecycle.onClientDisconnected();
         }
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadNews.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportMessage.java
@@ -7,36 +7,36 @@
 import pinewick.selection.PrefixHint;
 
 /**
- * What one router tells the others of replicas: the load reports that it asked for, and what it saw of prefix caches.
- * Hints only: a router that never hears any decides by its own sight.
+ * Sent by each router to the other routers it knows: the load reports that it has polled, and hints about prefix
+ * caches. Best effort: a router that receives none decides by its own measurements.
  *
  * @param reports load reports since the last message
- * @param hints prompts that replicas have read or fetched since the last message
+ * @param hints prompts that replicas have prefilled or received since the last message
  */
-public record LoadNews(List<SharedReport> reports, List<PrefixHint> hints) implements Message {
+public record LoadReportMessage(List<SharedReport> reports, List<PrefixHint> hints) implements Message {
 
-    public LoadNews {
+    public LoadReportMessage {
         reports = List.copyOf(reports);
         hints = List.copyOf(hints);
     }
 
-    /** Every type that this message is made of, in the order of their ids. */
+    /** The types of this message, in the order of their ids on the wire. */
     public static List<Class<?>> types() {
-        return List.of(SharedReport.class, PrefixHint.class, LoadNews.class);
+        return List.of(SharedReport.class, PrefixHint.class, LoadReportMessage.class);
     }
 
     /**
      * A load report of another router, with its age in place of a time of that router's clock.
      *
      * @param instanceId the replica
-     * @param stage the part that it serves
-     * @param busy whether an order is in progress
-     * @param callSequence orders taken
+     * @param stage the stage that it serves
+     * @param busy whether a stage change is in progress
+     * @param callSequence stage orders accepted
      * @param waiting requests in its queue
-     * @param running requests being worked on
-     * @param kvUsed tokens of memory that cannot give way
-     * @param kvTotal tokens of memory
-     * @param prefillHandles prompts read and not yet taken
+     * @param running requests in progress
+     * @param kvUsed tokens of KV cache that cannot be evicted
+     * @param kvTotal tokens of KV cache
+     * @param prefillHandles prefilled prompts that were not transferred yet
      * @param ageMs how long before the message it was received
      */
     public record SharedReport(
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PairChooser.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PairChooser.java
@@ -4,23 +4,23 @@
 import java.util.Optional;
 import java.util.Set;
 import pinewick.model.ReplicaRecord;
-import pinewick.selection.Pair;
+import pinewick.selection.ReplicaPair;
 import pinewick.selection.ReplicaSelector;
 import pinewick.selection.RequestShape;
 
 /**
- * Names the replicas of a request. In service this is {@link ReplicaSelector}; tests force the order of events
- * by it.
+ * Chooses the replicas of a request. In production this is {@link ReplicaSelector}; tests use it to force an order of
+ * events.
  */
 interface PairChooser {
-    /** The pair for a request, empty if none of the candidates may take it. */
-    Optional<Pair> choose(
+    /** The pair for a request, empty if no candidate is eligible. */
+    Optional<ReplicaPair> choose(
             RequestShape request, Collection<ReplicaRecord> candidates, Set<String> excluded, double nowMs);
 
-    /** The decode replica for a prompt that {@code reader} has read. */
+    /** The decode replica for a prompt that was prefilled by {@code prefillReplica}. */
     Optional<ReplicaRecord> chooseDecode(
             RequestShape request,
-            ReplicaRecord reader,
+            ReplicaRecord prefillReplica,
             Collection<ReplicaRecord> candidates,
             Set<String> excluded,
             double nowMs);
@@ -29,7 +29,7 @@
     static PairChooser of(ReplicaSelector selector) {
         return new PairChooser() {
             @Override
-            public Optional<Pair> choose(
+            public Optional<ReplicaPair> choose(
                     RequestShape request, Collection<ReplicaRecord> candidates, Set<String> excluded, double nowMs) {
                 return selector.choose(request, candidates, excluded, nowMs);
             }
@@ -37,11 +37,11 @@
             @Override
             public Optional<ReplicaRecord> chooseDecode(
                     RequestShape request,
-                    ReplicaRecord reader,
+                    ReplicaRecord prefillReplica,
                     Collection<ReplicaRecord> candidates,
                     Set<String> excluded,
                     double nowMs) {
-                return selector.chooseDecode(request, reader, candidates, excluded, nowMs);
+                return selector.chooseDecode(request, prefillReplica, candidates, excluded, nowMs);
             }
         };
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefillHandle.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefillHandle.java
@@ -10,24 +10,26 @@
 import pinewick.model.ReplicaRecord;
 
 /**
- * The memory of a prompt that a prefill replica keeps.
+ * A reference to the KV cache of a prompt at its prefill replica.
  *
- * @param holder the prefill replica
- * @param id the replica's name for it
- * @param madeAtMs when the answer came
+ * @param replica the prefill replica
+ * @param id the replica's id of it
+ * @param createdAtMs when the response arrived
  */
-record PrefillHandle(ReplicaRecord holder, String id, double madeAtMs) {
+record PrefillHandle(ReplicaRecord replica, String id, double createdAtMs) {
     private static final Pattern SAFE_ID = Pattern.compile("[A-Za-z0-9_.~-]{1,128}");
 
-    /** Reads a prefill replica's answer; empty if it names no handle. */
-    static Optional<PrefillHandle> parse(ReplicaRecord holder, byte[] answer, double nowMs) {
+    /** Parses a prefill replica's response; empty if it contains no valid handle. */
+    static Optional<PrefillHandle> parse(ReplicaRecord replica, byte[] answer, double nowMs) {
         try {
             JsonElement json = JsonParser.parseString(new String(answer, StandardCharsets.UTF_8));
             if (!(json instanceof JsonObject object) || !object.has("prefill_handle")) {
                 return Optional.empty();
             }
             String id = object.get("prefill_handle").getAsString();
-            return SAFE_ID.matcher(id).matches() ? Optional.of(new PrefillHandle(holder, id, nowMs)) : Optional.empty();
+            return SAFE_ID.matcher(id).matches()
+                    ? Optional.of(new PrefillHandle(replica, id, nowMs))
+                    : Optional.empty();
         } catch (JsonParseException | IllegalStateException | UnsupportedOperationException e) {
             return Optional.empty();
         }
@@ -35,10 +37,10 @@
 
     /** The value of {@code Kv-From}. */
     String kvFrom() {
-        return holder.address() + "/" + id;
+        return replica.address() + "/" + id;
     }
 
-    /** The path at which the holder frees it. */
+    /** The path at which the replica releases it. */
     String path() {
         return "/kv-handle/" + id;
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PromptHeaders.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PromptHeaders.java
@@ -6,12 +6,12 @@
 import pinewick.selection.PromptPart;
 
 /**
- * What a request's header fields say of its prompt. Fields that cannot be read count as absent: they serve the choice
- * of replicas only.
+ * The prompt of a request by its header fields. Fields that cannot be parsed count as absent: they serve the choice of
+ * replicas only.
  *
  * @param model name of the model, or empty
  * @param promptTokens tokens of the prompt
- * @param outputTokens the most tokens to be made
+ * @param outputTokens the output limit, tokens
  * @param parts parts of the prompt in order
  */
 record PromptHeaders(String model, int promptTokens, int outputTokens, List<PromptPart> parts) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaConnections.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaConnections.java
@@ -6,8 +6,8 @@
 import pinewick.model.ReplicaRecord;
 
 /**
- * The connections to one replica instance: those at rest, the one used last on top, and how many are open. No request
- * waits for a connection to become free; one that is being made is waited for.
+ * The connections to one replica instance: the idle ones, the most recently used first, and how many are open. No
+ * request waits for a connection to become free; it waits only for one that is being established.
  */
 final class ReplicaConnections {
     private final ReplicaRecord replica;
@@ -25,7 +25,7 @@
         return replica;
     }
 
-    /** Sends the request on a connection at rest or a new one, within this router's share of connections. */
+    /** Sends the request on an idle connection or a new one, within this router's limit of connections. */
     void start(UpstreamExchange exchange) {
         UpstreamConnection resting = takeIdle();
         if (resting != null) {
@@ -55,9 +55,9 @@
         UpstreamExchange exchange = nextWaiting();
         if (exchange == null) {
             connection.closeNow();
-        } else if (!pool.mayStillBeSent(replica)) {
+        } else if (!pool.mayReceiveRequest(replica)) {
             connection.closeNow();
-            exchange.notSent(CallListener.NotSent.REPLICA_LEFT);
+            exchange.notSent(CallListener.NotSent.REPLICA_DRAINING);
         } else {
             connection.send(exchange);
         }
@@ -71,7 +71,7 @@
         return exchange;
     }
 
-    /** A connection could not be made. */
+    /** A connection could not be established. */
     void connectFailed() {
         open--;
         UpstreamExchange exchange = connecting.pollFirst();
@@ -80,7 +80,7 @@
         }
     }
 
-    /** A whole answer came on the connection, and it may carry another request. */
+    /** A complete response arrived on the connection, which may carry another request. */
     void released(UpstreamConnection connection) {
         idle.push(connection);
     }
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Closes every connection at rest. */
+    /** Closes every idle connection. */
     void closeIdle() {
         for (UpstreamConnection connection : idle.toArray(UpstreamConnection[]::new)) {
             connection.closeNow();
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaDirectory.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaDirectory.java
@@ -11,7 +11,7 @@
 final class ReplicaDirectory {
     private final Map<String, Map<String, ReplicaRecord>> byService = new HashMap<>();
 
-    /** Takes in what is now known of a replica. */
+    /** Applies the current record of a replica. */
     void update(ReplicaRecord record) {
         if (record.state() == ReplicaState.GONE) {
             Map<String, ReplicaRecord> ofService = byService.get(record.service());
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Replicas of a service that take requests. If all have lapsed, all that have not announced their end are tried: it
-     * may be the heartbeats that fail, and not the replicas.
+     * Replicas of a service that accept requests. If all have lapsed, those that are not draining are used: the
+     * heartbeats may fail, and not the replicas.
      */
     List<ReplicaRecord> candidates(String service) {
         List<ReplicaRecord> candidates = new ArrayList<>();
@@ -40,15 +40,15 @@
         return candidates.isEmpty() ? lapsed : candidates;
     }
 
-    /** Every replica of every service that has not gone. */
+    /** Every replica of every service that was not removed. */
     List<ReplicaRecord> all() {
         List<ReplicaRecord> all = new ArrayList<>();
         byService.values().forEach(ofService -> all.addAll(ofService.values()));
         return all;
     }
 
-    /** Whether a request for which this replica was chosen may still be sent: it has not announced its end. */
-    boolean mayStillBeSent(ReplicaRecord replica) {
+    /** Whether a request for which this replica was chosen may still be sent: the replica is not draining. */
+    boolean mayReceiveRequest(ReplicaRecord replica) {
         ReplicaRecord now = byService.getOrDefault(replica.service(), Map.of()).get(replica.instanceId());
         return now != null && now.state() == ReplicaState.READY;
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaRequests.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaRequests.java
@@ -3,7 +3,10 @@
 import org.eclipse.jetty.http.HttpFields;
 import pinewick.model.ReplicaRecord;
 
-/** Writes the calls to replicas for one client request: the client's own fields, and what only a router may say. */
+/**
+ * Builds the requests to replicas for one client request: the client's own fields, and those that only routers may
+ * send.
+ */
 final class ReplicaRequests {
     private static final String PREFILL_STAGE = "prefill";
 
@@ -14,7 +17,7 @@
     }
 
     /**
-     * The prompt is read at the replica, and the request does not run there.
+     * Prefill only.
      *
      * @param priority priority among the replica's calls, 0 first
      */
@@ -25,11 +28,11 @@
     }
 
     /**
-     * The request runs at the replica.
+     * The complete request, or its decode.
      *
      * @param priority priority among the replica's calls, 0 first
-     * @param handle memory of the prompt that the replica fetches, null if it reads the prompt itself
-     * @param resumeAfter the event after which a stream goes on, null if the client's own field counts
+     * @param handle handle of the KV cache to be transferred, null for aggregated serving
+     * @param resumeAfter id of the event after which a stream resumes, null if the client's own field applies
      */
     UpstreamRequest run(
             ReplicaRecord replica, double remainingMs, int priority, PrefillHandle handle, String resumeAfter) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReportPoller.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReportPoller.java
@@ -21,48 +21,47 @@
 import pinewick.selection.LoadReport;
 
 /**
- * Asks replicas for their load reports. Each replica is asked by one of the routers that know each other: the one that
- * ranks highest for it by rendezvous hashing. Each question is priced, so a replica that has not answered is not asked
- * again before it has, or a time-out.
+ * Polls replicas for their load reports. Each replica is polled by one of the routers that know each other: the one
+ * that ranks highest for it by rendezvous hashing (Thaler and Ravishankar, IEEE/ACM Transactions on Networking 1998).
+ * Each poll has a price, so that a replica is not polled again before its response or a timeout.
  */
 final class ReportPoller {
-    private static final double PATIENCE_MS = 1_000;
+    private static final double TIMEOUT_MS = 1_000;
     private static final long MIX = 0x9E3779B97F4A7C15L;
     private static final int MIX_SHIFT = 32;
 
     private final DataPlaneServices services;
     private final BiConsumer<String, LoadReport> onReport;
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> polledInstances = new HashSet<>();
 
-    /** @param onReport given the instance and what it reported */
+    /** @param onReport called with the instance and its report */
     ReportPoller(DataPlaneServices services, BiConsumer<String, LoadReport> onReport) {
         this.services = services;
         this.onReport = onReport;
     }
 
     /**
-     * Asks the replicas whose turn it is to be asked by this router.
+     * Polls the replicas that this router is responsible for.
      *
      * @param self this router
      * @param others the other routers it knows
      */
     void poll(SocketAddress self, List<SocketAddress> others) {
         for (ReplicaRecord replica : services.directory().all()) {
-            if (wantsReport(replica) && ranksFirst(self, others, replica)) {
-                new Question(replica).ask();
+            if (shouldPoll(replica) && ranksFirst(self, others, replica)) {
+                new PendingPoll(replica).send();
             }
         }
     }
 
-    /**
-     * Replicas without an engine are asked nothing: what is in flight there tells as much, and each question
-     * is priced.
-     */
-    private boolean wantsReport(ReplicaRecord replica) {
-        return replica.stage() != Stage.NONE && replica.acceptsRequests() && !asked.contains(replica.instanceId());
+    /** Replicas without an engine are not polled: the calls in flight there say as much, and each poll has a price. */
+    private boolean shouldPoll(ReplicaRecord replica) {
+        return replica.stage() != Stage.NONE
+                && replica.acceptsRequests()
+                && !polledInstances.contains(replica.instanceId());
     }
 
-    /** Whether {@code self} is the router that asks a replica. */
+    /** Whether {@code self} is the router that polls a replica. */
     static boolean ranksFirst(SocketAddress self, List<SocketAddress> others, ReplicaRecord replica) {
         long own = rank(self, replica);
         for (SocketAddress other : others) {
@@ -80,7 +79,7 @@
         return mixed ^ (mixed >>> MIX_SHIFT);
     }
 
-    /** Reads a report; empty if it cannot be read. */
+    /** Parses a report; empty if it is invalid. */
     static Optional<LoadReport> parse(byte[] body, double nowMs) {
         try {
             JsonElement json = JsonParser.parseString(new String(body, StandardCharsets.UTF_8));
@@ -109,38 +108,38 @@
         return value == null || value.isJsonNull() ? 0 : value.getAsLong();
     }
 
-    /** One question to one replica. */
-    private final class Question implements CallListener {
+    /** One poll of one replica. */
+    private final class PendingPoll implements CallListener {
         private final ReplicaRecord replica;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        private Timers.Timer patience;
+        private Timers.Timer timeout;
         private boolean usable;
 
-        Question(ReplicaRecord replica) {
+        PendingPoll(ReplicaRecord replica) {
             this.replica = replica;
         }
 
-        void ask() {
-            asked.add(replica.instanceId());
+        void send() {
+            polledInstances.add(replica.instanceId());
             HttpFields.Mutable fields = HttpFields.build();
             fields.put(HttpHeader.HOST, replica.address().toString());
             fields.put(HeaderNames.EXPECTED_INSTANCE, replica.instanceId());
-            UpstreamCall call = services.calls()
+            UpstreamCall call = services.upstream()
                     .send(replica, new UpstreamRequest("GET", "/report", fields, UpstreamRequest.NO_BODY, null), this);
-            patience = services.timers().schedule(PATIENCE_MS, () -> {
+            timeout = services.timers().schedule(TIMEOUT_MS, () -> {
                 call.abort();
-                over();
+                finish();
             });
         }
 
-        private void over() {
-            patience.cancel();
-            asked.remove(replica.instanceId());
+        private void finish() {
+            timeout.cancel();
+            polledInstances.remove(replica.instanceId());
         }
 
         @Override
         public void onNotSent(NotSent reason) {
-            over();
+            finish();
         }
 
         @Override
@@ -157,7 +156,7 @@
 
         @Override
         public void onComplete() {
-            over();
+            finish();
             if (usable) {
                 parse(body.toByteArray(), services.timers().nowMs())
                         .ifPresent(report -> onReport.accept(replica.instanceId(), report));
@@ -166,7 +165,7 @@
 
         @Override
         public void onBroken(String reason) {
-            over();
+            finish();
         }
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestLifecycle.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestLifecycle.java
@@ -8,37 +8,38 @@
 import org.eclipse.jetty.http.HttpStatus;
 import pinewick.model.ReplicaRecord;
 import pinewick.model.RouteKind;
-import pinewick.selection.CallEnding;
 import pinewick.selection.CallKind;
-import pinewick.selection.Pair;
+import pinewick.selection.CallOutcome;
+import pinewick.selection.ReplicaPair;
 import pinewick.selection.RequestShape;
 
 /**
- * One client request from its last byte to the end of its answer: which replicas it goes to, what is repeated, and what
- * the client is told. Without I/O: calls and the client's connection are interfaces, and events come in one at a time.
+ * The state machine of one client request, from its last byte to the end of its response: which replicas it is sent to,
+ * what is retried, and how the client is answered. Without I/O: calls and the client's connection are interfaces, and
+ * events arrive one at a time.
  *
- * <p>The client is told that the request has not run (503) only while no replica can have run it: every call that could
- * run it was rejected by the replica's own word, or no byte of it went out.
+ * <p>Invariant: the client is told that the request was not executed (503) only while no replica can have executed it:
+ * every attempt that could execute it was rejected by the replica itself, or no byte of it was sent.
  */
 final class RequestLifecycle {
-    /** A handle older than this is not offered a second time. */
-    private static final double FRESH_HANDLE_MS = 1_000;
+    /** A handle older than this is not offered to a second decode replica. */
+    private static final double MAX_REOFFERED_HANDLE_AGE_MS = 1_000;
 
     private final RequestShape shape;
     private final ReplicaRequests requests;
     private final ClientReply reply;
     private final DataPlaneServices services;
     private final Consumer<RequestLifecycle> onEnded;
-    private final AttemptLedger ledger;
+    private final AttemptTracker attempts;
     private final EventStreamReader events;
     private final Set<String> excluded = new HashSet<>();
     private boolean ended;
     private boolean mayHaveRun;
-    /** No prefill replica is asked any more: the decode replica reads the prompt itself. */
-    private boolean readWhole;
+    /** No prefill replica is used any more: serving is aggregated. */
+    private boolean prefillSkipped;
 
     private boolean handleRejected;
-    private ReplicaCall active;
+    private UpstreamAttempt active;
     private PrefillHandle handle;
     private Timers.Timer deadlineTimer;
 
@@ -53,38 +54,38 @@
         this.reply = new ClientReply(request, client, services.random());
         this.services = services;
         this.onEnded = onEnded;
-        this.ledger = new AttemptLedger(shape.service(), shape.route().maxAttempts(), services.budget());
+        this.attempts = new AttemptTracker(shape.service(), shape.route().maxAttempts(), services.budget());
         this.events = new EventStreamReader(request.fields().get(HeaderNames.LAST_EVENT_ID));
     }
 
-    /** The request has been read whole. */
+    /** The request was received completely. */
     void start() {
         services.budget().onRequest(shape.service(), now());
         deadlineTimer = services.timers().schedule(shape.deadlineAtMs() - now(), this::onDeadline);
         attempt(this::giveUp);
     }
 
-    /** The client's connection is gone. */
-    void onClientGone() {
+    /** The client has disconnected. */
+    void onClientDisconnected() {
         if (ended) {
             return;
         }
-        breakOff(CallEnding.ABANDONED);
+        cancelActive(CallOutcome.CANCELLED);
         end();
     }
 
-    /** The client has taken what was waiting for it. */
+    /** All pending bytes were written to the client. */
     void onClientDrained() {
         if (active != null) {
             active.resumeReading();
         }
     }
 
-    /** The router ends: whatever has not been answered is answered now. */
+    /** The router shuts down: the request is answered now. */
     void onShutdown() {
         if (!ended) {
-            boolean running = breakOff(CallEnding.ABANDONED);
-            mayHaveRun |= running;
+            boolean mayBeRunning = cancelActive(CallOutcome.CANCELLED);
+            mayHaveRun |= mayBeRunning;
             giveUp();
         }
     }
@@ -93,30 +94,30 @@
         if (ended) {
             return;
         }
-        boolean running = breakOff(CallEnding.TIMED_OUT);
-        fail(running || mayHaveRun ? HttpStatus.GATEWAY_TIMEOUT_504 : HttpStatus.SERVICE_UNAVAILABLE_503);
+        boolean mayBeRunning = cancelActive(CallOutcome.TIMED_OUT);
+        fail(mayBeRunning || mayHaveRun ? HttpStatus.GATEWAY_TIMEOUT_504 : HttpStatus.SERVICE_UNAVAILABLE_503);
     }
 
-    /** Breaks the active call off; returns whether a replica may have run the request because of it. */
-    private boolean breakOff(CallEnding ending) {
-        ReplicaCall call = active;
+    /** Cancels the active attempt; returns whether a replica may have executed the request. */
+    private boolean cancelActive(CallOutcome outcome) {
+        UpstreamAttempt call = active;
         active = null;
-        return call != null && call.breakOff(ending);
+        return call != null && call.cancel(outcome);
     }
 
     // ---- choosing and calling
 
     /** Sends the request to the next replica, or runs {@code otherwise} if that cannot be. */
     private void attempt(Runnable otherwise) {
-        Optional<Pair> pair = choose();
-        if (pair.isEmpty() || !ledger.reserve(now())) {
+        Optional<ReplicaPair> pair = choose();
+        if (pair.isEmpty() || !attempts.tryReserve(now())) {
             otherwise.run();
         } else {
             begin(pair.get());
         }
     }
 
-    private Optional<Pair> choose() {
+    private Optional<ReplicaPair> choose() {
         return services.chooser().choose(shape, candidates(), excluded, now());
     }
 
@@ -124,13 +125,13 @@
         return services.directory().candidates(shape.service());
     }
 
-    private void begin(Pair pair) {
-        boolean readFirst = pair.prefill().isPresent()
+    private void begin(ReplicaPair pair) {
+        boolean prefillsFirst = pair.prefill().isPresent()
                 && handle == null
-                && !readWhole
+                && !prefillSkipped
                 && !isStreaming()
-                && services.handles().mayHandOver(shape.service(), now());
-        if (readFirst) {
+                && services.kvTransferHealth().isTransferAllowed(shape.service(), now());
+        if (prefillsFirst) {
             callPrefill(pair.prefill().get());
         } else {
             callDecode(pair.decode());
@@ -138,81 +139,81 @@
     }
 
     private void callPrefill(ReplicaRecord replica) {
-        active = new ReplicaCall(this, services, replica, CallKind.PREFILL, null);
+        active = new UpstreamAttempt(this, services, replica, CallKind.PREFILL, null);
         active.begin(priority -> requests.prefill(replica, remainingMs(), priority));
     }
 
     private void callDecode(ReplicaRecord replica) {
-        ReplicaRecord reader = handle == null ? null : handle.holder();
-        active = new ReplicaCall(this, services, replica, decodeKind(), reader);
+        ReplicaRecord prefillReplica = handle == null ? null : handle.replica();
+        active = new UpstreamAttempt(this, services, replica, decodeKind(), prefillReplica);
         String resumeAfter = isStreaming() ? events.lastEventId() : null;
         active.begin(priority -> requests.run(replica, remainingMs(), priority, handle, resumeAfter));
     }
 
     private CallKind decodeKind() {
         if (handle != null) {
-            return CallKind.DECODE_FETCHED;
+            return CallKind.DISAGGREGATED_DECODE;
         }
-        return shape.generation() ? CallKind.DECODE_WHOLE : CallKind.PLAIN;
+        return shape.generation() ? CallKind.AGGREGATED_DECODE : CallKind.PLAIN;
     }
 
     // ---- what calls report
 
-    /** No byte of the call went out. */
-    void onNotSent(ReplicaCall call) {
+    /** No byte of the attempt was sent. */
+    void onNotSent(UpstreamAttempt call) {
         active = null;
-        ledger.cancel();
+        attempts.release();
         excluded.add(call.replica().instanceId());
         attempt(this::giveUp);
     }
 
-    /** The replica said that it did not run the request. */
-    void onRejected(ReplicaCall call) {
+    /** The replica responded that it did not execute the request. */
+    void onRejected(UpstreamAttempt call) {
         active = null;
         excluded.add(call.replica().instanceId());
         if (call.kind() == CallKind.PREFILL) {
-            readWhole = true;
-        } else if (call.kind() == CallKind.DECODE_FETCHED) {
+            prefillSkipped = true;
+        } else if (call.kind() == CallKind.DISAGGREGATED_DECODE) {
             onFetchRejected();
         }
         attempt(this::giveUp);
     }
 
-    /** The decode replica was full, or the handle is gone: which of them it does not say. */
+    /** The decode replica was full, or the handle has expired: the response does not say which. */
     private void onFetchRejected() {
-        services.handles().rejected(shape.service(), now());
-        readWhole = true;
-        boolean fresh = now() - handle.madeAtMs() < FRESH_HANDLE_MS;
-        if (!fresh || handleRejected || !services.handles().mayOfferAgain(shape.service())) {
+        services.kvTransferHealth().onRejected(shape.service(), now());
+        prefillSkipped = true;
+        boolean fresh = now() - handle.createdAtMs() < MAX_REOFFERED_HANDLE_AGE_MS;
+        if (!fresh || handleRejected || !services.kvTransferHealth().mayRetryTransfer(shape.service())) {
             releaseHandle();
         }
         handleRejected = true;
     }
 
-    /** Bytes went out, and no answer that may be passed on came. */
-    void onFailed(ReplicaCall call) {
+    /** Bytes were sent, and no response that may be forwarded arrived. */
+    void onFailed(UpstreamAttempt call) {
         active = null;
         excluded.add(call.replica().instanceId());
         if (call.kind() == CallKind.PREFILL) {
-            readWhole = true;
+            prefillSkipped = true;
             attempt(this::giveUp);
             return;
         }
         mayHaveRun = true;
         releaseHandle();
-        readWhole = true;
-        boolean mayGoOn = isStreaming()
-                ? shape.route().kind() == RouteKind.STREAMING && shape.route().resumable() && call.passesEvents()
+        prefillSkipped = true;
+        boolean mayContinue = isStreaming()
+                ? shape.route().kind() == RouteKind.STREAMING && shape.route().resumable() && call.isEventStream()
                 : shape.route().isRetriable();
-        if (mayGoOn) {
+        if (mayContinue) {
             attempt(this::giveUp);
         } else {
             giveUp();
         }
     }
 
-    /** The replica answered with a failure of its own; {@code answer} passes that on. */
-    void onFailureAnswer(ReplicaCall call, Runnable answer) {
+    /** The replica responded with an error of its own, which {@code answer} forwards. */
+    void onErrorResponse(UpstreamAttempt call, Runnable answer) {
         active = null;
         excluded.add(call.replica().instanceId());
         mayHaveRun = true;
@@ -226,65 +227,65 @@
         }
     }
 
-    /** The call has been silent for long, and another replica may be asked. Returns whether it is. */
-    boolean tryAnother(ReplicaCall call) {
-        if (call != active || call.isHeldUpByClient()) {
+    /** The attempt has timed out, and another replica may be tried. Returns whether it is. */
+    boolean tryNextReplica(UpstreamAttempt call) {
+        if (call != active || call.isReadPaused()) {
             return false;
         }
         excluded.add(call.replica().instanceId());
-        Optional<Pair> pair = choose();
-        if (pair.isEmpty() || !ledger.reserve(now())) {
+        Optional<ReplicaPair> pair = choose();
+        if (pair.isEmpty() || !attempts.tryReserve(now())) {
             excluded.remove(call.replica().instanceId());
             return false;
         }
-        boolean running = breakOff(CallEnding.TIMED_OUT);
-        mayHaveRun |= running;
-        readWhole = true;
+        boolean mayBeRunning = cancelActive(CallOutcome.TIMED_OUT);
+        mayHaveRun |= mayBeRunning;
+        prefillSkipped = true;
         releaseHandle();
         begin(pair.get());
         return true;
     }
 
-    /** A prefill replica has read the prompt. */
-    void onPrefilled(PrefillHandle made) {
+    /** The prefill is complete. */
+    void onPrefilled(PrefillHandle newHandle) {
         active = null;
-        handle = made;
-        ledger.prefillTakenUp();
+        handle = newHandle;
+        attempts.onPrefillAccepted();
         Optional<ReplicaRecord> decode =
-                services.chooser().chooseDecode(shape, made.holder(), candidates(), excluded, now());
-        if (decode.isPresent() && ledger.reserve(now())) {
+                services.chooser().chooseDecode(shape, newHandle.replica(), candidates(), excluded, now());
+        if (decode.isPresent() && attempts.tryReserve(now())) {
             callDecode(decode.get());
         } else {
             giveUp();
         }
     }
 
-    /** A decode replica has begun to answer, so it has fetched the handle. */
-    void onHandleTaken() {
-        services.handles().fetched(shape.service());
+    /** A decode replica has started to respond, so that the KV cache was transferred. */
+    void onHandleAccepted() {
+        services.kvTransferHealth().onTransferred(shape.service());
         handle = null;
     }
 
     // ---- passing on
 
-    /** Bytes of whole events, or of an answer too long to be kept. */
-    void passOn(ReplicaCall call, byte[] bytes) {
-        if (!reply.passOn(call.head(), bytes)) {
+    /** Bytes of complete events, or of a response too long to be buffered. */
+    void forward(UpstreamAttempt call, byte[] bytes) {
+        if (!reply.forward(call.head(), bytes)) {
             call.pauseReading();
         }
     }
 
-    /** The answer that is being passed on is whole. */
-    void onStreamComplete(ReplicaCall call) {
+    /** The response that is being forwarded is complete. */
+    void onStreamComplete(UpstreamAttempt call) {
         active = null;
-        reply.endPieces(call.head());
+        reply.endStream(call.head());
         end();
     }
 
-    /** A whole answer that was kept until now. */
-    void onWholeAnswer(ReplicaCall call, byte[] body) {
+    /** A buffered response is complete. */
+    void onCompleteResponse(UpstreamAttempt call, byte[] body) {
         active = null;
-        reply.whole(call.head(), body);
+        reply.respond(call.head(), body);
         end();
     }
 
@@ -296,9 +297,9 @@
         return shape;
     }
 
-    /** Whether the head of an answer has gone to the client. */
+    /** Whether the head of a response was sent to the client. */
     boolean isStreaming() {
-        return reply.isBegun();
+        return reply.isHeadSent();
     }
 
     double remainingMs() {
@@ -324,13 +325,13 @@
         ended = true;
         deadlineTimer.cancel();
         releaseHandle();
-        ledger.close();
+        attempts.close();
         onEnded.accept(this);
     }
 
     private void releaseHandle() {
         if (handle != null) {
-            HandleRelease.send(services, handle);
+            PrefillHandleRelease.send(services, handle);
             handle = null;
         }
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestRouting.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestRouting.java
@@ -14,7 +14,10 @@
 import pinewick.model.ServiceSpec;
 import pinewick.selection.RequestShape;
 
-/** Finds the route of a request in the configuration in force, draws a service of it, and notes what is asked for. */
+/**
+ * Finds the route of a request in the configuration in force, draws a service by its weights, and describes the request
+ * for the selection.
+ */
 final class RequestRouting {
     private static final double NANOS_A_MILLISECOND = 1e6;
 
@@ -28,7 +31,7 @@
         this.random = random;
     }
 
-    /** When the first byte of the request came, on the clock of {@link JettyTimers}. */
+    /** When the first byte of the request arrived, on the clock of {@link JettyTimers}, milliseconds. */
     static double arrivedAtMs(Request request) {
         return request.getBeginNanoTime() / NANOS_A_MILLISECOND;
     }
@@ -47,7 +50,7 @@
         return (colon < 0 ? host : host.substring(0, colon)).trim().toLowerCase(Locale.ROOT);
     }
 
-    /** What the request asks for, empty if its route sends nothing anywhere. */
+    /** The shape of the request, empty if its route has no service with a weight. */
     Optional<RequestShape> shapeOf(Route route, Request request) {
         return drawService(route).map(service -> shapeOf(route, service, request));
     }
@@ -92,6 +95,6 @@
                 generation ? prompt.outputTokens() : 0,
                 generation ? prompt.parts() : List.of(),
                 arrivedAtMs,
-                arrivedAtMs + ClientDeadline.heldMs(fields, route.timeoutMs()));
+                arrivedAtMs + ClientDeadline.timeoutMs(fields, route.timeoutMs()));
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseHead.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseHead.java
@@ -5,11 +5,11 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * Status and header fields of a replica's answer.
+ * Status and header fields of a replica's response.
  *
  * @param status its status
  * @param fields its header fields
- * @param framed whether it tells where its body ends; otherwise it ends with an orderly close of the connection
+ * @param framed whether the end of its body is marked; otherwise the body ends with an orderly close of the connection
  */
 record ResponseHead(int status, HttpFields fields, boolean framed) {
     private static final int LOWEST_SUCCESS = 200;
@@ -24,7 +24,7 @@
         return status >= LOWEST_SERVER_ERROR;
     }
 
-    /** Whether the replica says that it did not run the request. */
+    /** Whether the replica states that it did not execute the request. */
     boolean saysNotExecuted() {
         return status == HttpStatus.MISDIRECTED_REQUEST_421 || fields.contains(HeaderNames.NOT_EXECUTED);
     }
@@ -43,7 +43,7 @@
         return type != null && type.regionMatches(true, 0, "text/event-stream", 0, "text/event-stream".length());
     }
 
-    /** Whether this status promises that the request did not run. */
+    /** Whether this status means that the request was not executed. */
     boolean promisesNotRun() {
         return status == HttpStatus.REQUEST_TIMEOUT_408
                 || status == HttpStatus.MISDIRECTED_REQUEST_421
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/AnswerParser.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseParser.java
@@ -13,33 +13,33 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Parses what a replica sends on one connection, and hands the answer that carries the request's id to its exchange. An
- * answer to another request is read and dropped; the connection must not be used again after it. Without I/O.
+ * Parses what a replica sends on one connection, and passes the response with the request's id to its exchange. A
+ * response to another request is read and discarded; the connection must not be reused after it. Without I/O.
  */
-final class AnswerParser implements HttpParser.ResponseHandler {
-    private static final int MOST_HEADER_BYTES = 32 * 1024;
+final class ResponseParser implements HttpParser.ResponseHandler {
+    private static final int MAX_HEADER_BYTES = 32 * 1024;
     private static final int LOWEST_FINAL_STATUS = 200;
     private static final double MILLISECONDS = 1e3;
 
     /** How long before the replica would close an idle connection this side stops using it. */
     private static final double IDLE_MARGIN_MS = 1_000;
 
-    /** Longest rest of a connection whose replica does not say how long it keeps idle ones. */
-    private static final double UNTOLD_IDLE_MS = 500;
+    /** Longest idle time of a connection whose replica does not announce its idle timeout. */
+    private static final double DEFAULT_IDLE_MS = 500;
 
-    /** What a piece of input brought. */
+    /** The state after some input. */
     enum Outcome {
-        /** The answer has not come to its end. */
+        /** The response is incomplete. */
         MORE_NEEDED,
-        /** The request's own answer is whole. */
-        ANSWERED,
-        /** What came cannot be, or become, the request's answer. */
+        /** The response to the request is complete. */
+        COMPLETE,
+        /** The input cannot be, or become, the response to the request. */
         FAILED
     }
 
-    private final HttpParser parser = new HttpParser(this, MOST_HEADER_BYTES);
+    private final HttpParser parser = new HttpParser(this, MAX_HEADER_BYTES);
     private UpstreamExchange exchange;
-    private boolean spoilt;
+    private boolean unusable;
     private String failure;
 
     // of the answer being parsed
@@ -47,27 +47,27 @@
     private int status;
     private boolean keepAlive;
     private double idleMs;
-    private boolean ours;
+    private boolean isExpectedResponse;
     private boolean messageComplete;
 
-    AnswerParser() {
+    ResponseParser() {
         parser.setHeaderCacheSize(0);
     }
 
-    /** A request goes out: the next answer that carries its id is its own. */
+    /** A request is sent: the next response with its id belongs to it. */
     void expect(UpstreamExchange next) {
         exchange = next;
-        ours = false;
+        isExpectedResponse = false;
         parser.setHeadResponse(isHead());
     }
 
-    /** Takes in what has come, up to the end of one answer. */
+    /** Parses the input, up to the end of one response. */
     Outcome parse(ByteBuffer buffer) {
         parser.parseNext(buffer);
         return outcome();
     }
 
-    /** The replica has closed the connection in order, which ends an answer that has no length. */
+    /** The replica has closed the connection in order, which ends a response without a length. */
     Outcome parseEnd() {
         parser.atEOF();
         parser.parseNext(BufferUtil.EMPTY_BUFFER);
@@ -82,14 +82,14 @@
             return Outcome.MORE_NEEDED;
         }
         messageComplete = false;
-        boolean answered = ours;
-        ours = false;
+        boolean answered = isExpectedResponse;
+        isExpectedResponse = false;
         parser.reset();
         if (!answered) {
-            // Between an interim answer and the final one nothing changes; an answer to another request spoils.
-            spoilt |= status >= LOWEST_FINAL_STATUS;
+            // An interim response changes nothing; after a response to another request the connection is unusable.
+            unusable |= status >= LOWEST_FINAL_STATUS;
         }
-        return answered ? Outcome.ANSWERED : Outcome.MORE_NEEDED;
+        return answered ? Outcome.COMPLETE : Outcome.MORE_NEEDED;
     }
 
     /** Why parsing failed, null if it did not. */
@@ -97,12 +97,12 @@
         return failure;
     }
 
-    /** Whether another request may follow the answer that has come whole. */
+    /** Whether another request may follow the complete response. */
     boolean mayReuse() {
-        return keepAlive && !spoilt;
+        return keepAlive && !unusable;
     }
 
-    /** How long the connection may rest after that answer. */
+    /** How long the connection may be idle after that response, milliseconds. */
     double idleMs() {
         return idleMs;
     }
@@ -133,8 +133,8 @@
             }
             return false;
         }
-        ours = isOurs();
-        if (ours) {
+        isExpectedResponse = hasExpectedId();
+        if (isExpectedResponse) {
             keepAlive &= isFramed() && !fields.contains(HttpHeader.CONNECTION, "close");
             idleMs = idleMs(fields.get(HttpHeader.KEEP_ALIVE));
             exchange.head(new ResponseHead(status, fields, isFramed()));
@@ -144,7 +144,7 @@
         return false;
     }
 
-    private boolean isOurs() {
+    private boolean hasExpectedId() {
         String expected = exchange.request().expectedId();
         return expected == null
                 ? !fields.contains(HeaderNames.REQUEST_ID)
@@ -163,27 +163,27 @@
         return HttpMethod.HEAD.is(exchange.request().method());
     }
 
-    /** How long a connection may rest, by the {@code Keep-Alive} field of its last answer. */
+    /** How long a connection may be idle, by the {@code Keep-Alive} field of its last response, milliseconds. */
     static double idleMs(String keepAliveField) {
         if (keepAliveField != null) {
             for (String parameter : keepAliveField.split(",")) {
                 String trimmed = parameter.trim();
                 if (trimmed.regionMatches(true, 0, "timeout=", 0, "timeout=".length())) {
                     try {
-                        double told = Double.parseDouble(trimmed.substring("timeout=".length())) * MILLISECONDS;
-                        return Math.max(told / 2, told - IDLE_MARGIN_MS);
+                        double announcedMs = Double.parseDouble(trimmed.substring("timeout=".length())) * MILLISECONDS;
+                        return Math.max(announcedMs / 2, announcedMs - IDLE_MARGIN_MS);
                     } catch (NumberFormatException e) {
-                        return UNTOLD_IDLE_MS;
+                        return DEFAULT_IDLE_MS;
                     }
                 }
             }
         }
-        return UNTOLD_IDLE_MS;
+        return DEFAULT_IDLE_MS;
     }
 
     @Override
     public boolean content(ByteBuffer item) {
-        if (ours) {
+        if (isExpectedResponse) {
             exchange.content(item);
         }
         item.position(item.limit());
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
@@ -15,49 +15,50 @@
 import pinewick.selection.RetryBudget;
 
 /**
- * The data plane's program: listens to clients, asks the fleet what is in force and who serves, and passes requests on.
+ * The router program: accepts client requests, follows the fleet's configuration and replicas, and forwards requests to
+ * replicas.
  */
 public final class Router {
-    private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final double MILLISECONDS = 1e3;
     private static final long REFRESH_MS = 500;
 
     /** The platform asks for readiness every second and stops sending connections after two misses. */
-    private static final long NOTICE_MS = 2_500;
+    private static final long READINESS_NOTICE_MS = 2_500;
 
-    /** Descriptors that clients' connections may not take: files, peers, replicas. */
+    /** File descriptors reserved for files, peers and replicas. */
     private static final int OTHER_DESCRIPTORS = 900;
 
-    /** Of the grace period, what is left for closing after the last answer. */
-    private static final long CLOSING_MS = 1_000;
+    /** Part of the grace period that is reserved for closing after the last response. */
+    private static final long CLOSE_MARGIN_MS = 1_000;
 
     private final NodeSettings settings;
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timers", true);
     private volatile boolean stopping;
-    private FleetLink fleet;
+    private FleetConnection fleet;
     private DataPlane dataPlane;
-    private HttpFront front;
+    private HttpFrontend frontend;
 
     public Router(NodeSettings settings) {
         this.settings = settings;
     }
 
     /**
-     * Starts serving: peers first, then clients; ready once the fleet's state has come.
+     * Starts serving: peers first, then clients; ready once synchronised with the fleet.
      *
      * @throws RouterException if an address cannot be used
      */
     public void start() throws RouterException {
         SplittableRandom random =
                 new SplittableRandom(System.nanoTime() ^ settings.nodeName().hashCode());
-        fleet = new FleetLink(settings, random.split());
+        fleet = new FleetConnection(settings, random.split());
         startTimers();
         SerialExecutor serial = new SerialExecutor();
         NodeSettings.Bounds bounds = settings.bounds();
         RetryBudget budget = new RetryBudget(
                 bounds.retryBudgetRatio(), bounds.retryBudgetSlack(), bounds.budgetWindowSeconds() * MILLISECONDS);
         ReplicaSelector selector = new ReplicaSelector(random.split());
-        selector.setPlace(settings.zone(), settings.zones());
+        selector.setLocality(settings.zone(), settings.zones());
         dataPlane = new DataPlane(
                 serial,
                 new JettyTimers(scheduler, serial),
@@ -66,20 +67,21 @@
                 PairChooser.of(selector),
                 random.split(),
                 this::knowsRoutes,
-                limits -> front.setLimits(limits));
-        front = new HttpFront(
+                limits -> frontend.setLimits(limits));
+        frontend = new HttpFrontend(
                 dataPlane,
                 this::isReady,
                 scheduler,
                 addressOf("frontend"),
                 addressOf("readiness"),
                 settings.limits().fileDescriptors() - OTHER_DESCRIPTORS);
-        front.start();
-        dataPlane.follow(fleet.state(), front.upstream());
-        fleet.start(dataPlane::onNews);
+        frontend.start();
+        dataPlane.follow(fleet.state(), frontend.upstream());
+        fleet.start(dataPlane::onLoadReport);
         fleet.repeat(this::refresh, REFRESH_MS);
-        fleet.repeatAtPace(this::pollReports, SharingPace::reportMs);
-        fleet.repeatAtPace(() -> dataPlane.shareLoad(fleet::tellRouters), SharingPace::shareMs);
+        fleet.repeatAtVariableInterval(this::pollReports, LoadReportIntervals::pollIntervalMs);
+        fleet.repeatAtVariableInterval(
+                () -> dataPlane.shareLoadReports(fleet::sendToRouters), LoadReportIntervals::shareIntervalMs);
         WarmUp.run(addressOf("frontend"), addressOf("readiness"), dataPlane.services());
     }
 
@@ -87,6 +89,7 @@
         try {
             scheduler.start();
         } catch (Exception e) {
+            // Jetty's lifecycle methods declare Exception.
             throw new RouterException("starting the timers", settings.nodeName(), e);
         }
     }
@@ -100,16 +103,16 @@
     }
 
     private boolean isReady() {
-        return !stopping && isInformed();
+        return !stopping && hasConfiguration();
     }
 
-    private boolean isInformed() {
+    private boolean hasConfiguration() {
         return fleet.node().isSynchronised() && dataPlane.routingTable().version() > 0;
     }
 
-    /** What was taken from controllers that are cut off may lack routes: 404 has to wait until it is confirmed. */
+    /** A configuration from partitioned controllers may lack routes: 404 is answered only once it is confirmed. */
     private boolean knowsRoutes() {
-        return isInformed() && fleet.node().isConfigurationConfirmed();
+        return hasConfiguration() && fleet.node().isConfigurationConfirmed();
     }
 
     private void refresh() {
@@ -122,23 +125,20 @@
         dataPlane.pollReports(fleet.self(), fleet.otherRouters());
     }
 
-    /**
-     * The settings file has changed; only the seeds may differ in one life of a process, and they matter at its
-     * start.
-     */
+    /** The settings file has changed; only the seeds may change while a process runs, and they matter at its start. */
     public void settingsChanged(NodeSettings changed) {
         updateSeeds(changed.seedNodes());
     }
 
-    /** Other controllers are named as seeds; a router that runs knows its peers already. */
+    /** The seeds have changed; a running router knows its peers already. */
     public void updateSeeds(List<SocketAddress> seeds) {
-        LOG.atInfo().log("Seeds are now %s", seeds);
+        LOGGER.atInfo().log("settings changed: seeds are %s, in force at the next start", seeds);
     }
 
     /**
-     * Ends within the grace period: not ready at once; requests that still come are served for as long as the platform
-     * needs to notice, and refused after that, since the platform goes on sending them where it has no other router
-     * and they might not end in time; what is under way is waited for; the rest is answered.
+     * Shuts down within the grace period: not ready at once; new requests are served for as long as the platform needs
+     * to notice, and rejected after that, since the platform continues to send them if it has no other router and they
+     * might not end in time; requests in flight are awaited; the rest is answered with an error.
      */
     public void stop() {
         if (stopping) {
@@ -146,32 +146,34 @@
         }
         long endsAt = System.nanoTime()
                 + TimeUnit.MILLISECONDS.toNanos(
-                        (long) (settings.bounds().gracePeriodSeconds() * MILLISECONDS) - CLOSING_MS);
+                        (long) (settings.bounds().gracePeriodSeconds() * MILLISECONDS) - CLOSE_MARGIN_MS);
         stopping = true;
         dataPlane.beginStopping();
         try {
-            TimeUnit.NANOSECONDS.sleep(Math.min(TimeUnit.MILLISECONDS.toNanos(NOTICE_MS), endsAt - System.nanoTime()));
-            dataPlane.refuseNewRequests();
+            TimeUnit.NANOSECONDS.sleep(
+                    Math.min(TimeUnit.MILLISECONDS.toNanos(READINESS_NOTICE_MS), endsAt - System.nanoTime()));
+            dataPlane.rejectNewRequests();
             await(dataPlane.whenIdle(), endsAt - System.nanoTime());
-            dataPlane.answerTheRest();
-            await(front.closeIdle(), TimeUnit.MILLISECONDS.toNanos(CLOSING_MS / 2));
+            dataPlane.failRemainingRequests();
+            await(frontend.closeIdle(), TimeUnit.MILLISECONDS.toNanos(CLOSE_MARGIN_MS / 2));
             fleet.leave();
-            front.stop();
+            frontend.stop();
             scheduler.stop();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (Exception e) {
-            LOG.atWarning().withCause(e).log("Stopping was not orderly");
+            // Boundary of the shutdown: whatever fails, the fleet connection is closed and the process ends.
+            LOGGER.atWarning().withCause(e).log("shutdown failed");
         }
         fleet.close();
     }
 
-    /** Waits for at most so long. */
+    /** Waits for at most {@code nanos}. */
     private static void await(Future<?> future, long nanos) throws InterruptedException {
         try {
             future.get(Math.max(0, nanos), TimeUnit.NANOSECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            LOG.atFine().withCause(e).log("Not all was over in time");
+            LOGGER.atFine().withCause(e).log("shutdown step did not finish in time");
         }
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RouterConnector.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RouterConnector.java
@@ -21,7 +21,7 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Jetty's connector with one selector for clients' connections and for those to replicas, so that an answer passes
+ * Jetty's connector with one selector for clients' connections and for those to replicas, so that a response passes
  * through one thread and one wake-up.
  */
 final class RouterConnector extends ServerConnector implements UpstreamConnector {
@@ -29,13 +29,13 @@
     private static final int ONE_SELECTOR = 1;
 
     private final AtomicInteger clients = new AtomicInteger();
-    private final int mostClients;
+    private final int maxClients;
 
     /**
-     * @param mostClients a connection beyond these is closed before anything is read from it; Jetty's own limit stops
+     * @param maxClients a connection beyond these is closed before anything is read from it; Jetty's own limit stops
      *     accepting, and with a selector that accepts it may lose the listening socket over it
      */
-    RouterConnector(Server server, Scheduler scheduler, HttpConnectionFactory http, int mostClients) {
+    RouterConnector(Server server, Scheduler scheduler, HttpConnectionFactory http, int maxClients) {
         super(
                 server,
                 new ConnectionExecutor(server.getThreadPool()),
@@ -44,12 +44,12 @@
                 NO_ACCEPTOR_THREAD,
                 ONE_SELECTOR,
                 http);
-        this.mostClients = mostClients;
+        this.maxClients = maxClients;
     }
 
     @Override
     protected SelectorManager newSelectorManager(Executor executor, Scheduler scheduler, int selectors) {
-        return new TwoWayManager(executor, scheduler, selectors);
+        return new ClientAndUpstreamSelectorManager(executor, scheduler, selectors);
     }
 
     @Override
@@ -59,7 +59,7 @@
             channel = SocketChannel.open(StandardProtocolFamily.INET);
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            Outgoing outgoing = new Outgoing(factory, onFailure);
+            OutgoingConnection outgoing = new OutgoingConnection(factory, onFailure);
             if (channel.connect(address)) {
                 getSelectorManager().accept(channel, outgoing);
             } else {
@@ -67,22 +67,24 @@
                 getSelectorManager().connect(channel, outgoing);
             }
         } catch (IOException | RuntimeException e) {
+            // The channel reports an unresolved or unsupported address by runtime exceptions: no connection either
+            // way.
             IO.close(channel);
             onFailure.run();
         }
     }
 
-    /** Marks a connection that this router makes. */
-    private record Outgoing(ConnectionMaker factory, Runnable onFailure) {}
+    /** Marks a connection that this router opens. */
+    private record OutgoingConnection(ConnectionMaker factory, Runnable onFailure) {}
 
-    private final class TwoWayManager extends ServerConnectorManager {
-        private TwoWayManager(Executor executor, Scheduler scheduler, int selectors) {
+    private final class ClientAndUpstreamSelectorManager extends ServerConnectorManager {
+        private ClientAndUpstreamSelectorManager(Executor executor, Scheduler scheduler, int selectors) {
             super(executor, scheduler, selectors);
         }
 
         @Override
         protected void accepted(SelectableChannel channel) throws IOException {
-            if (clients.get() >= mostClients) {
+            if (clients.get() >= maxClients) {
                 IO.close(channel);
             } else {
                 super.accepted(channel);
@@ -92,7 +94,7 @@
         @Override
         protected SocketChannelEndPoint newEndPoint(
                 SelectableChannel channel, ManagedSelector selector, SelectionKey key) throws IOException {
-            if (key.attachment() instanceof Outgoing) {
+            if (key.attachment() instanceof OutgoingConnection) {
                 return new UpstreamEndPoint((SocketChannel) channel, selector, key, getScheduler());
             }
             return super.newEndPoint(channel, selector, key);
@@ -101,7 +103,7 @@
         @Override
         public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment)
                 throws IOException {
-            if (attachment instanceof Outgoing outgoing) {
+            if (attachment instanceof OutgoingConnection outgoing) {
                 return outgoing.factory().make(endPoint, getExecutor());
             }
             return super.newConnection(channel, endPoint, attachment);
@@ -109,7 +111,7 @@
 
         @Override
         protected void connectionFailed(SelectableChannel channel, Throwable failure, Object attachment) {
-            if (attachment instanceof Outgoing outgoing) {
+            if (attachment instanceof OutgoingConnection outgoing) {
                 outgoing.onFailure().run();
             } else {
                 super.connectionFailed(channel, failure, attachment);
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RouterException.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RouterException.java
@@ -1,6 +1,6 @@
 package pinewick.dataplane;
 
-/** A step of a router's life that failed, with the peer or address that it concerned. */
+/** A step of a router's start or shutdown that failed, with the peer or address concerned. */
 public final class RouterException extends Exception {
     private static final long serialVersionUID = 1L;
     private final String step;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/SerialExecutor.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/SerialExecutor.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Runs tasks one at a time and in order, on whichever thread hands one in while no other runs. A task handed in by a
- * running task comes after it, so tasks never nest. Nothing that runs here may block.
+ * Runs tasks one at a time and in order, on the thread that submits one while no other runs. A task submitted by a
+ * running task runs after it, so that tasks never nest. Nothing that runs here may block.
  */
 final class SerialExecutor implements Executor {
-    private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final AtomicInteger pending = new AtomicInteger();
@@ -34,7 +34,8 @@
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            LOG.atSevere().withCause(e).log("A step of the data plane failed");
+            // Boundary of the data plane's executor: a task that fails must not end the tasks after it.
+            LOGGER.atSevere().withCause(e).log("data plane task failed");
         }
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamCall.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamCall.java
@@ -1,14 +1,14 @@
 package pinewick.dataplane;
 
-/** A call to a replica that is under way. */
+/** A call to a replica in flight. */
 interface UpstreamCall {
     /** Whether a byte of the request has left this router. */
     boolean isSent();
 
-    /** Breaks the call off; its listener hears no more. */
+    /** Aborts the call; its listener is not invoked again. */
     void abort();
 
-    /** Reads no more of the answer until {@link #resumeReading}. */
+    /** Pauses reading the response until {@link #resumeReading}. */
     void pauseReading();
 
     void resumeReading();
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamConnection.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamConnection.java
@@ -9,15 +9,15 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * One HTTP/1.1 connection to a replica, with at most one request on it. Only an answer that carries the request's id is
- * its answer: a late answer to an earlier request is read and dropped. Bytes that come while no request is out, or
- * after a whole answer, belong to no request, and the connection is closed. Everything but {@link #onFillable} runs
- * on the data plane's executor.
+ * One HTTP/1.1 connection to a replica, with at most one request in flight. Only a response with the request's id
+ * belongs to it: a late response to an earlier request is read and discarded. Bytes that arrive while no request is in
+ * flight, or after a complete response, belong to no request, and the connection is closed. Everything but
+ * {@link #onFillable} runs on the data plane's executor.
  */
 final class UpstreamConnection extends AbstractConnection {
     private final ReplicaConnections owner;
     private final SerialExecutor serial;
-    private final AnswerParser answers = new AnswerParser();
+    private final ResponseParser parser = new ResponseParser();
     private UpstreamExchange exchange;
     private ByteBuffer head;
     private int headLength;
@@ -25,7 +25,7 @@
     private boolean closed;
     private boolean fillInterested;
     private boolean paused;
-    /** Cleared on the thread that wrote, so that an answer cannot overtake it. */
+    /** Cleared on the writing thread, so that a response cannot overtake it. */
     private volatile boolean writing;
 
     private boolean used;
@@ -76,15 +76,18 @@
 
     // ---- sending
 
-    /** Whether a request may be sent: the replica still keeps the connection, and sent nothing on it unasked. */
+    /**
+     * Whether a request may be sent: the replica has not closed the connection, and has sent nothing on it
+     * unexpectedly.
+     */
     boolean isUsable(double nowMs) {
         if (closed || !getEndPoint().isOpen() || (used && nowMs >= idleUntilMs)) {
             return false;
         }
-        ByteBuffer probe = owner.readBuffer();
-        BufferUtil.clear(probe);
+        ByteBuffer buffer = owner.readBuffer();
+        BufferUtil.clear(buffer);
         try {
-            return !used || getEndPoint().fill(probe) == 0;
+            return !used || getEndPoint().fill(buffer) == 0;
         } catch (IOException e) {
             return false;
         }
@@ -100,7 +103,7 @@
         next.assign(this);
         used = true;
         writing = true;
-        answers.expect(next);
+        parser.expect(next);
         head = next.request().head();
         headLength = head.remaining();
         Callback callback = Callback.from(
@@ -120,13 +123,13 @@
             closeNow();
             owner.start(unsent);
         } else {
-            readWhatCame();
+            readRemainingInput();
             fail("write failed: " + cause);
         }
     }
 
-    /** A replica may answer and close before it has read the whole body: its answer is still there to be read. */
-    private void readWhatCame() {
+    /** A replica may respond and close before it has read the complete body: its response can still be read. */
+    private void readRemainingInput() {
         boolean more = true;
         while (more && exchange != null && !closed && !paused) {
             more = fillAndParse();
@@ -135,7 +138,7 @@
 
     // ---- reading
 
-    /** Registers for bytes; a connection at rest is registered too, so that its end is seen. */
+    /** Registers for input; an idle connection is registered too, so that its close is noticed. */
     void awaitBytes() {
         if (!fillInterested && !closed && !paused) {
             fillInterested = true;
@@ -162,7 +165,7 @@
         awaitBytes();
     }
 
-    /** Reads once; returns whether something came. */
+    /** Reads once; returns whether there was input. */
     private boolean fillAndParse() {
         ByteBuffer buffer = owner.readBuffer();
         BufferUtil.clear(buffer);
@@ -182,10 +185,10 @@
     }
 
     private void endOfInput() {
-        if (exchange != null && answers.parseEnd() == AnswerParser.Outcome.ANSWERED) {
-            answered(false);
+        if (exchange != null && parser.parseEnd() == ResponseParser.Outcome.COMPLETE) {
+            onResponseComplete(false);
         }
-        fail(answers.failure() == null ? "the replica closed the connection" : answers.failure());
+        fail(parser.failure() == null ? "the replica closed the connection" : parser.failure());
     }
 
     private void parse(ByteBuffer buffer) {
@@ -194,26 +197,26 @@
                 closeNow();
                 return;
             }
-            switch (answers.parse(buffer)) {
-                case FAILED -> fail(answers.failure());
-                case ANSWERED -> answered(!closed && buffer.hasRemaining());
+            switch (parser.parse(buffer)) {
+                case FAILED -> fail(parser.failure());
+                case COMPLETE -> onResponseComplete(!closed && buffer.hasRemaining());
                 default -> {}
             }
         }
     }
 
     /**
-     * The answer is whole. The connection may carry another request only if all of this one has gone out, since the
-     * replica may still read the rest of its body, and if nothing came behind the answer.
+     * The response is complete. The connection may carry another request only if this one was sent completely, since
+     * the replica may still read the rest of its body, and if nothing followed the response.
      */
-    private void answered(boolean moreBytes) {
+    private void onResponseComplete(boolean moreBytes) {
         UpstreamExchange complete = exchange;
         if (complete == null) {
             return;
         }
         exchange = null;
-        if (answers.mayReuse() && !writing && !moreBytes) {
-            idleUntilMs = owner.nowMs() + answers.idleMs();
+        if (parser.mayReuse() && !writing && !moreBytes) {
+            idleUntilMs = owner.nowMs() + parser.idleMs();
             owner.released(this);
         } else {
             closeNow();
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamEndPoint.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamEndPoint.java
@@ -11,7 +11,7 @@
 
 /**
  * The socket of a connection to a replica. Jetty's own end point reports a connection that was reset as one that was
- * closed; here a reset stays an error, because an answer without a length is whole only after an orderly close.
+ * closed; here a reset stays an error, because a response without a length is complete only after an orderly close.
  */
 final class UpstreamEndPoint extends SocketChannelEndPoint {
     UpstreamEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamExchange.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import pinewick.model.ReplicaRecord;
 
-/** A call to a replica as its connections see it. Used on the data plane's executor only. */
+/** The state of one call to a replica, as its connections use it. Used on the data plane's executor only. */
 final class UpstreamExchange implements UpstreamCall {
     private final ReplicaRecord replica;
     private final UpstreamRequest request;
