--- a/router-fleet/selection/src/main/java/pinewick/selection/ReplicaSelector.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/ReplicaSelector.java
@@ -12,20 +12,20 @@
 import pinewick.model.Stage;
 
 /**
- * Chooses the replicas of each request and learns from every call. Each part of a pair goes to the lowest score
- * R - s + q̂³·s with q̂ = 1 + os·n + q·(1 + busy share), n being the number of routers; the design note of the system
- * tells how each term is measured.
+ * Chooses the replicas of each request and learns from every call. Each part of a pair goes to the lowest score R - s +
+ * q̂³·s with q̂ = 1 + os·n + q·(1 + busy share), n being the number of routers; the design note of the system describes
+ * how each term is measured.
  */
 public final class ReplicaSelector {
     private final RandomGenerator random;
     private final SelectionTuning tuning;
-    private final PrefixCacheBeliefs beliefs = new PrefixCacheBeliefs();
+    private final PrefixCacheEstimates cacheEstimates = new PrefixCacheEstimates();
     private final Map<String, EngineSpec> engines = new HashMap<>();
     private final Map<String, Map<Stage, ReplicaPool>> pools = new HashMap<>();
     private final Map<String, ReplicaMeasurements> replicas = new HashMap<>();
     private final CandidateList prefills = new CandidateList();
     private final CandidateList decodes = new CandidateList();
-    private Place place = Place.UNKNOWN;
+    private Locality locality = Locality.UNKNOWN;
     private int routers = 1;
     private RequestShape chainOf;
     private PromptChain chain = PromptChain.EMPTY;
@@ -44,9 +44,9 @@
         routers = Math.max(1, count);
     }
 
-    /** Where this router stands, and the region of each zone. */
-    public void setPlace(String zone, Map<String, String> regionOfZone) {
-        place = new Place(zone, Map.copyOf(regionOfZone));
+    /** Sets this router's zone and the region of each zone. */
+    public void setLocality(String zone, Map<String, String> regionOfZone) {
+        locality = new Locality(zone, Map.copyOf(regionOfZone));
     }
 
     /** The engine of a service; calls of services without one are plain. */
@@ -55,14 +55,14 @@
         pools.getOrDefault(service, Map.of()).values().forEach(pool -> pool.setEngine(engine));
     }
 
-    /** A replica has become known: from now on hints and reports of it are taken in. */
-    public void know(ReplicaRecord replica) {
+    /** Adds a replica: from now on hints and reports about it are applied. */
+    public void addReplica(ReplicaRecord replica) {
         measurements(replica);
     }
 
-    /** What the prefix caches are believed to hold, for sharing with other routers. */
-    public PrefixCacheBeliefs beliefs() {
-        return beliefs;
+    /** The estimates of the prefix caches, for sharing with other routers. */
+    public PrefixCacheEstimates cacheEstimates() {
+        return cacheEstimates;
     }
 
     /**
@@ -72,103 +72,107 @@
      * @param excluded instance ids already tried for this request
      * @return empty if no candidate may take it
      */
-    public Optional<Pair> choose(
+    public Optional<ReplicaPair> choose(
             RequestShape request, Collection<ReplicaRecord> candidates, Set<String> excluded, double nowMs) {
-        collect(request, candidates, excluded, nowMs);
+        collectCandidates(request, candidates, excluded, nowMs);
         if (decodes.size() == 0) {
             return Optional.empty();
         }
         RequestScores scores = scores(request, nowMs);
         if (!request.generation()) {
-            return Optional.of(new Pair(
-                    Optional.empty(), decodes.replica(scores.plain(decodes).index())));
+            return Optional.of(new ReplicaPair(
+                    Optional.empty(),
+                    decodes.replica(scores.lowestPlain(decodes).index())));
         }
-        int kept = keptSomewhere(chain(request));
-        LowestScore whole = scores.whole(decodes, kept);
-        LowestScore prefill = scores.prefill(prefills, kept);
+        int cachedTokens = maxCachedTokens(chain(request));
+        LowestScore aggregated = scores.lowestAggregated(decodes, cachedTokens);
+        LowestScore prefill = scores.lowestPrefill(prefills, cachedTokens);
         if (prefill.index() != LowestScore.NONE) {
-            ReplicaRecord reader = prefills.replica(prefill.index());
-            LowestScore fetched = scores.fetched(decodes, reader);
-            if (fetched.index() == LowestScore.NONE) {
-                return Optional.of(new Pair(Optional.empty(), decodes.replica(whole.index())));
+            ReplicaRecord prefillReplica = prefills.replica(prefill.index());
+            LowestScore disaggregated = scores.lowestDisaggregated(decodes, prefillReplica);
+            if (disaggregated.index() == LowestScore.NONE) {
+                return Optional.of(new ReplicaPair(Optional.empty(), decodes.replica(aggregated.index())));
             }
-            ReplicaRecord decode = decodes.replica(fetched.index());
-            double price = movePrice(scores, request, reader, decode);
-            if (prefill.score() + fetched.score() + price < whole.score()) {
-                return Optional.of(new Pair(Optional.of(reader), decode));
+            ReplicaRecord decode = decodes.replica(disaggregated.index());
+            double price = transferPrice(scores, request, prefillReplica, decode);
+            if (prefill.score() + disaggregated.score() + price < aggregated.score()) {
+                return Optional.of(new ReplicaPair(Optional.of(prefillReplica), decode));
             }
         }
-        return Optional.of(new Pair(Optional.empty(), decodes.replica(whole.index())));
+        return Optional.of(new ReplicaPair(Optional.empty(), decodes.replica(aggregated.index())));
     }
 
     /**
-     * Chooses the decode replica for a prompt that a prefill replica has read.
+     * Chooses the decode replica after a prefill.
      *
      * @return empty if no candidate may take it
      */
     public Optional<ReplicaRecord> chooseDecode(
             RequestShape request,
-            ReplicaRecord reader,
+            ReplicaRecord prefillReplica,
             Collection<ReplicaRecord> candidates,
             Set<String> excluded,
             double nowMs) {
-        collect(request, candidates, excluded, nowMs);
-        LowestScore fetched = scores(request, nowMs).fetched(decodes, reader);
-        return fetched.index() == LowestScore.NONE ? Optional.empty() : Optional.of(decodes.replica(fetched.index()));
+        collectCandidates(request, candidates, excluded, nowMs);
+        LowestScore disaggregated = scores(request, nowMs).lowestDisaggregated(decodes, prefillReplica);
+        return disaggregated.index() == LowestScore.NONE
+                ? Optional.empty()
+                : Optional.of(decodes.replica(disaggregated.index()));
     }
 
     /** How busy the replicas are that may take a request. */
     ServiceLoad load(RequestShape request, Collection<ReplicaRecord> candidates, double nowMs) {
-        collect(request, candidates, Set.of(), nowMs);
-        double places = 0;
-        double taken = 0;
-        double waiting = 0;
+        collectCandidates(request, candidates, Set.of(), nowMs);
+        double capacity = 0;
+        double inUse = 0;
+        double queued = 0;
         for (CandidateList list : List.of(prefills, decodes)) {
             for (int each = 0; each < list.size(); each++) {
-                ReplicaMeasurements measured = list.measured(each);
-                double there = measured.likelyInProgress(routers, nowMs);
-                places += measured.slots();
-                taken += Math.min(measured.slots(), there);
-                waiting += Math.max(0, there - measured.slots());
+                ReplicaMeasurements measurements = list.measurements(each);
+                double inProgress = measurements.likelyInProgress(routers, nowMs);
+                capacity += measurements.slots();
+                inUse += Math.min(measurements.slots(), inProgress);
+                queued += Math.max(0, inProgress - measurements.slots());
             }
         }
         RequestScores scores = scores(request, nowMs);
         return new ServiceLoad(
-                places, taken, waiting, scores.shortestWaitMs(decodes), scores.shortestServiceMs(decodes));
+                capacity, inUse, queued, scores.minQueueingDelayMs(decodes), scores.minServiceMs(decodes));
     }
 
     private RequestScores scores(RequestShape request, double nowMs) {
-        return new RequestScores(tuning, random, place, routers, request, chain(request), nowMs);
+        return new RequestScores(tuning, random, locality, routers, request, chain(request), nowMs);
     }
 
-    private double movePrice(RequestScores scores, RequestShape request, ReplicaRecord reader, ReplicaRecord decode) {
+    private double transferPrice(
+            RequestScores scores, RequestShape request, ReplicaRecord prefillReplica, ReplicaRecord decode) {
         EngineSpec engine = engines.get(request.service());
-        return engine == null ? 0 : scores.movePrice(engine, reader, decode);
+        return engine == null ? 0 : scores.transferPrice(engine, prefillReplica, decode);
     }
 
-    private void collect(
+    private void collectCandidates(
             RequestShape request, Collection<ReplicaRecord> candidates, Set<String> excluded, double nowMs) {
         prefills.clear();
         decodes.clear();
         for (ReplicaRecord each : candidates) {
-            if (!each.acceptsRequests() || excluded.contains(each.instanceId()) || !holdsModel(each, request)) {
+            if (!each.acceptsRequests() || excluded.contains(each.instanceId()) || !servesModel(each, request)) {
                 continue;
             }
-            ReplicaMeasurements measured = measurements(each);
-            if (measured.changesStage(nowMs)) {
+            ReplicaMeasurements measurements = measurements(each);
+            if (measurements.isChangingStage(nowMs)) {
                 continue;
             }
             if (request.generation() && each.stage() == Stage.PREFILL) {
-                prefills.add(each, measured);
+                prefills.add(each, measurements);
             } else if (!request.generation() || each.stage() == Stage.DECODE) {
-                decodes.add(each, measured);
+                decodes.add(each, measurements);
             }
         }
-        prefills.dropEjected(routers, random, nowMs);
-        decodes.dropEjected(routers, random, nowMs);
+        prefills.removeEjected(routers, random, nowMs);
+        decodes.removeEjected(routers, random, nowMs);
     }
 
-    private static boolean holdsModel(ReplicaRecord replica, RequestShape request) {
+    private static boolean servesModel(ReplicaRecord replica, RequestShape request) {
         if (!request.generation()
                 || request.model().isEmpty()
                 || replica.models().isEmpty()) {
@@ -182,16 +186,16 @@
         return false;
     }
 
-    /** Length of the shared parts that some candidate is believed to keep. */
-    private int keptSomewhere(PromptChain prompt) {
-        int most = 0;
+    /** Tokens of the shared parts that some candidate is estimated to have cached. */
+    private int maxCachedTokens(PromptChain prompt) {
+        int tokens = 0;
         for (int each = 0; each < prefills.size(); each++) {
-            most = Math.max(most, prefills.measured(each).cache().cachedTokens(prompt));
+            tokens = Math.max(tokens, prefills.measurements(each).cache().cachedTokens(prompt));
         }
         for (int each = 0; each < decodes.size(); each++) {
-            most = Math.max(most, decodes.measured(each).cache().cachedTokens(prompt));
+            tokens = Math.max(tokens, decodes.measurements(each).cache().cachedTokens(prompt));
         }
-        return Math.min(prompt.sharedTokens(), most);
+        return Math.min(prompt.sharedTokens(), tokens);
     }
 
     private PromptChain chain(RequestShape request) {
@@ -211,7 +215,7 @@
             known.pool().remove(known);
         }
         EngineSpec engine = engines.get(replica.service());
-        CacheBelief cache = beliefs.belief(replica.instanceId());
+        PrefixCacheEstimate cache = cacheEstimates.estimate(replica.instanceId());
         cache.setCapacity(engine == null ? 0 : engine.kvCacheTokens());
         ReplicaMeasurements fresh = new ReplicaMeasurements(tuning, pool(replica, engine), cache, replica);
         replicas.put(replica.instanceId(), fresh);
@@ -228,94 +232,96 @@
             ReplicaPool prefill = ofService.get(Stage.PREFILL);
             ReplicaPool decode = ofService.get(Stage.DECODE);
             if (prefill != null && decode != null) {
-                prefill.setOtherReaders(decode.model(CallKind.DECODE_WHOLE));
-                decode.setOtherReaders(prefill.model(CallKind.PREFILL));
+                prefill.setOtherStagePrefillModel(decode.model(CallKind.AGGREGATED_DECODE));
+                decode.setOtherStagePrefillModel(prefill.model(CallKind.PREFILL));
             }
         }
         return pool;
     }
 
-    /** A call to a replica begins. Every call that begins ends by {@link Call#ended}. */
-    public Call begin(ReplicaRecord replica, CallKind kind, RequestShape request, double nowMs) {
-        return new Call(measure(replica, null, kind, request, 1, nowMs));
+    /** Starts the measurement of a call. Each one is ended by {@link Call#onEnd}. */
+    public Call startCall(ReplicaRecord replica, CallKind kind, RequestShape request, double nowMs) {
+        return new Call(startMeasurement(replica, null, kind, request, 1, nowMs));
     }
 
     /** A call begins that fetches the prompt from the replica that has read it. */
-    public Call beginFetched(ReplicaRecord replica, ReplicaRecord reader, RequestShape request, double nowMs) {
-        double factor = place.moveFactor(reader.zone(), replica.zone());
-        ReplicaMeasurements readerMeasured = replicas.get(reader.instanceId());
-        return new Call(measure(replica, readerMeasured, CallKind.DECODE_FETCHED, request, factor, nowMs));
+    public Call startDisaggregatedDecode(
+            ReplicaRecord replica, ReplicaRecord prefillReplica, RequestShape request, double nowMs) {
+        double transferFactor = locality.transferFactor(prefillReplica.zone(), replica.zone());
+        ReplicaMeasurements prefillMeasurements = replicas.get(prefillReplica.instanceId());
+        return new Call(startMeasurement(
+                replica, prefillMeasurements, CallKind.DISAGGREGATED_DECODE, request, transferFactor, nowMs));
     }
 
-    private CallMeasurement measure(
+    private CallMeasurement startMeasurement(
             ReplicaRecord replica,
-            ReplicaMeasurements reader,
+            ReplicaMeasurements prefillReplica,
             CallKind kind,
             RequestShape request,
-            double moveFactor,
+            double transferFactor,
             double nowMs) {
         PromptChain prompt = kind == CallKind.PLAIN ? PromptChain.EMPTY : chain(request);
         return new CallMeasurement(
                 replica.instanceId(),
                 measurements(replica),
-                reader,
-                beliefs,
+                prefillReplica,
+                cacheEstimates,
                 random,
                 kind,
                 request,
                 prompt,
-                moveFactor,
+                transferFactor,
                 nowMs);
     }
 
-    /** A replica's load report came in, asked for by this router or told by another. */
-    public void report(String instanceId, LoadReport report) {
-        ReplicaMeasurements measured = replicas.get(instanceId);
-        if (measured != null) {
-            measured.reported(report);
+    /** Applies a load report, polled by this router or received from another. */
+    public void onLoadReport(String instanceId, LoadReport report) {
+        ReplicaMeasurements measurements = replicas.get(instanceId);
+        if (measurements != null) {
+            measurements.onLoadReport(report);
         }
     }
 
-    /** Forgets everything of an instance that has gone. */
-    public void forget(String instanceId) {
-        ReplicaMeasurements measured = replicas.remove(instanceId);
-        if (measured != null) {
-            measured.pool().remove(measured);
+    /** Drops the measurements of an instance that was removed. */
+    public void removeReplica(String instanceId) {
+        ReplicaMeasurements measurements = replicas.remove(instanceId);
+        if (measurements != null) {
+            measurements.pool().remove(measurements);
         }
-        beliefs.forget(instanceId);
+        cacheEstimates.remove(instanceId);
     }
 
-    /** One call under way. */
-    public final class Call {
+    /** One call in flight. */
+    public static final class Call {
         private final CallMeasurement measurement;
 
         private Call(CallMeasurement measurement) {
             this.measurement = measurement;
         }
 
-        /** The time that the call is expected to take to its first event without waiting, as of its beginning. */
+        /** The expected time to the first event without queueing, as estimated at the start, milliseconds. */
         public double expectedServiceMs() {
             return measurement.serviceMs();
         }
 
-        /** The head of a successful answer came; for streams, the first event. */
-        public void firstEvent(double nowMs) {
-            measurement.firstEvent(nowMs);
+        /** The head of a successful response arrived; for streams, the first event. */
+        public void onFirstEvent(double nowMs) {
+            measurement.onFirstEvent(nowMs);
         }
 
-        /** A further event came, of as many tokens as the engine's stride. */
-        public void event(double nowMs) {
-            measurement.event(nowMs);
+        /** Another event arrived, of as many tokens as the engine's stride. */
+        public void onEvent(double nowMs) {
+            measurement.onEvent(nowMs);
         }
 
-        /** A further event came, with so many tokens. */
-        public void event(int eventTokens, double nowMs) {
-            measurement.event(eventTokens, nowMs);
+        /** Another event arrived, with this many tokens. */
+        public void onEvent(int eventTokens, double nowMs) {
+            measurement.onEvent(eventTokens, nowMs);
         }
 
-        /** The call ended; later calls of this are passed over. */
-        public void ended(CallEnding ending, double nowMs) {
-            measurement.ended(ending, nowMs);
+        /** The call ended; further invocations are ignored. */
+        public void onEnd(CallOutcome ending, double nowMs) {
+            measurement.onEnd(ending, nowMs);
         }
     }
 }
--- a/router-fleet/selection/src/main/java/pinewick/selection/RequestScores.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/RequestScores.java
@@ -4,16 +4,14 @@
 import pinewick.model.EngineSpec;
 import pinewick.model.ReplicaRecord;
 
-/**
- * The scores of the candidates for one request: s of each kind of call, with the small prices that go with a choice.
- */
+/** The scores of the candidates for one request: s of each kind of call, with the prices of the choice. */
 final class RequestScores {
-    /** R and s start at this part of the route's target. */
-    private static final double FIRST_GUESS = 0.1;
+    /** R and s start at this fraction of the route's target latency. */
+    private static final double INITIAL_ESTIMATE_FRACTION = 0.1;
 
     private final SelectionTuning tuning;
     private final RandomGenerator random;
-    private final Place place;
+    private final Locality locality;
     private final int routers;
     private final RequestShape request;
     private final PromptChain prompt;
@@ -22,119 +20,131 @@
     RequestScores(
             SelectionTuning tuning,
             RandomGenerator random,
-            Place place,
+            Locality locality,
             int routers,
             RequestShape request,
             PromptChain prompt,
             double nowMs) {
         this.tuning = tuning;
         this.random = random;
-        this.place = place;
+        this.locality = locality;
         this.routers = routers;
         this.request = request;
         this.prompt = prompt;
         this.nowMs = nowMs;
     }
 
-    static double firstGuessMs(RequestShape request) {
-        return FIRST_GUESS * request.route().targetLatencyMs();
+    static double initialEstimateMs(RequestShape request) {
+        return INITIAL_ESTIMATE_FRACTION * request.route().targetLatencyMs();
     }
 
-    /** The best of the replicas of a service without an engine. */
-    LowestScore plain(CandidateList candidates) {
+    /** The lowest score among the replicas of a service without an engine. */
+    LowestScore lowestPlain(CandidateList candidates) {
         LowestScore lowest = new LowestScore(random);
         for (int each = 0; each < candidates.size(); each++) {
-            ReplicaMeasurements measured = candidates.measured(each);
-            double service = measured.plainServiceMs(firstGuessMs(request), nowMs);
-            double score = measured.score(service, measured.excessMs(nowMs), routers, nowMs);
+            ReplicaMeasurements measurements = candidates.measurements(each);
+            double service = measurements.plainServiceMs(initialEstimateMs(request), nowMs);
+            double score = measurements.score(service, measurements.queueingDelayMs(nowMs), routers, nowMs);
             lowest.offer(
-                    each, score + place.requestPrice(candidates.replica(each).zone(), 0));
+                    each, score + locality.requestPrice(candidates.replica(each).zone(), 0));
         }
         return lowest;
     }
 
-    /** The best reader of the prompt. */
-    LowestScore prefill(CandidateList candidates, int keptSomewhere) {
+    /** The lowest score for the prefill. */
+    LowestScore lowestPrefill(CandidateList candidates, int maxCachedTokens) {
         LowestScore lowest = new LowestScore(random);
         for (int each = 0; each < candidates.size(); each++) {
-            ReplicaMeasurements measured = candidates.measured(each);
-            double service = readMs(measured, CallKind.PREFILL);
-            double excess = measured.excessMs(nowMs) + measured.linkExcessMs(nowMs);
-            double price = price(candidates.replica(each)) + readingPrice(measured, CallKind.PREFILL, keptSomewhere);
-            lowest.offer(each, measured.score(service, excess, routers, nowMs) + price);
+            ReplicaMeasurements measurements = candidates.measurements(each);
+            double service = prefillMs(measurements, CallKind.PREFILL);
+            double queueingMs = measurements.queueingDelayMs(nowMs) + measurements.transferDelayMs(nowMs);
+            double price = crossZonePrice(candidates.replica(each))
+                    + prefillPrice(measurements, CallKind.PREFILL, maxCachedTokens);
+            lowest.offer(each, measurements.score(service, queueingMs, routers, nowMs) + price);
         }
         return lowest;
     }
 
-    /** The best decode replica for a prompt that was read by {@code reader}, among those of the same weights. */
-    LowestScore fetched(CandidateList candidates, ReplicaRecord reader) {
+    /**
+     * The lowest score for decoding after a prefill at {@code prefillReplica}, among the replicas with the same
+     * weights.
+     */
+    LowestScore lowestDisaggregated(CandidateList candidates, ReplicaRecord prefillReplica) {
         LowestScore lowest = new LowestScore(random);
-        int version = weights(reader);
+        int version = weightsVersion(prefillReplica);
         for (int each = 0; each < candidates.size(); each++) {
-            if (weights(candidates.replica(each)) != version) {
+            if (weightsVersion(candidates.replica(each)) != version) {
                 continue;
             }
-            ReplicaMeasurements measured = candidates.measured(each);
-            double service = fetchMs(measured, candidates.replica(each), reader);
-            double excess = measured.excessMs(nowMs) + stepExcessMs(measured) + measured.linkExcessMs(nowMs);
-            lowest.offer(each, measured.score(service, excess, routers, nowMs) + price(candidates.replica(each)));
+            ReplicaMeasurements measurements = candidates.measurements(each);
+            double service = transferMs(measurements, candidates.replica(each), prefillReplica);
+            double queueingMs = measurements.queueingDelayMs(nowMs)
+                    + outputDelayMs(measurements)
+                    + measurements.transferDelayMs(nowMs);
+            lowest.offer(
+                    each,
+                    measurements.score(service, queueingMs, routers, nowMs) + crossZonePrice(candidates.replica(each)));
         }
         return lowest;
     }
 
-    /** The best decode replica that reads the prompt itself. */
-    LowestScore whole(CandidateList candidates, int keptSomewhere) {
+    /** The lowest score for prefill and decode at the same decode replica. */
+    LowestScore lowestAggregated(CandidateList candidates, int maxCachedTokens) {
         LowestScore lowest = new LowestScore(random);
         for (int each = 0; each < candidates.size(); each++) {
-            ReplicaMeasurements measured = candidates.measured(each);
-            double service = readMs(measured, CallKind.DECODE_WHOLE);
-            double excess = measured.excessMs(nowMs) + stepExcessMs(measured);
-            double price =
-                    price(candidates.replica(each)) + readingPrice(measured, CallKind.DECODE_WHOLE, keptSomewhere);
-            lowest.offer(each, measured.score(service, excess, routers, nowMs) + price);
+            ReplicaMeasurements measurements = candidates.measurements(each);
+            double service = prefillMs(measurements, CallKind.AGGREGATED_DECODE);
+            double queueingMs = measurements.queueingDelayMs(nowMs) + outputDelayMs(measurements);
+            double price = crossZonePrice(candidates.replica(each))
+                    + prefillPrice(measurements, CallKind.AGGREGATED_DECODE, maxCachedTokens);
+            lowest.offer(each, measurements.score(service, queueingMs, routers, nowMs) + price);
         }
         return lowest;
     }
 
-    /** The shortest R - s of those that make answers; 0 without any. */
-    double shortestWaitMs(CandidateList candidates) {
+    /** The lowest R - s of the candidates, milliseconds; 0 without any. */
+    double minQueueingDelayMs(CandidateList candidates) {
         double shortest = Double.POSITIVE_INFINITY;
         for (int each = 0; each < candidates.size(); each++) {
-            shortest = Math.min(shortest, candidates.measured(each).excessMs(nowMs));
+            shortest = Math.min(shortest, candidates.measurements(each).queueingDelayMs(nowMs));
         }
         return candidates.size() == 0 ? 0 : shortest;
     }
 
-    /** The shortest s of the request where one replica does it all; 0 without any. */
-    double shortestServiceMs(CandidateList candidates) {
+    /** The lowest s of the request with aggregated serving, milliseconds; 0 without any. */
+    double minServiceMs(CandidateList candidates) {
         double shortest = Double.POSITIVE_INFINITY;
         for (int each = 0; each < candidates.size(); each++) {
-            ReplicaMeasurements measured = candidates.measured(each);
+            ReplicaMeasurements measurements = candidates.measurements(each);
             double service = request.generation()
-                    ? readMs(measured, CallKind.DECODE_WHOLE)
-                    : measured.plainServiceMs(firstGuessMs(request), nowMs);
+                    ? prefillMs(measurements, CallKind.AGGREGATED_DECODE)
+                    : measurements.plainServiceMs(initialEstimateMs(request), nowMs);
             shortest = Math.min(shortest, service);
         }
         return candidates.size() == 0 ? 0 : shortest;
     }
 
-    /** What reading the prompt at this replica costs others: their delay, and tokens that some replica keeps. */
-    private double readingPrice(ReplicaMeasurements measured, CallKind kind, int keptSomewhere) {
-        int cached = measured.cache().cachedTokens(prompt);
-        double pace = measured.pool().paceMs(kind, request, firstGuessMs(request));
-        double heldMs = pace * (prompt.promptTokens() - cached);
-        return tuning.interference() * measured.pool().delayOfOthersMs(heldMs, routers, nowMs)
-                + tuning.readAgainWeight() * PriceModel.rereadPrice(Math.max(0, keptSomewhere - cached));
+    /**
+     * The price of the prefill at this replica: the delay of other calls, and the tokens that another replica has
+     * cached.
+     */
+    private double prefillPrice(ReplicaMeasurements measurements, CallKind kind, int maxCachedTokens) {
+        int cached = measurements.cache().cachedTokens(prompt);
+        double perTokenMs = measurements.pool().perTokenMs(kind, request, initialEstimateMs(request));
+        double occupiedMs = perTokenMs * (prompt.promptTokens() - cached);
+        return tuning.interferenceWeight() * measurements.pool().interferenceMs(occupiedMs, routers, nowMs)
+                + tuning.repeatedPrefillWeight()
+                        * PriceModel.repeatedPrefillPrice(Math.max(0, maxCachedTokens - cached));
     }
 
-    /** Price of moving the prompt. */
-    double movePrice(EngineSpec engine, ReplicaRecord reader, ReplicaRecord decode) {
+    /** Price of the KV transfer. */
+    double transferPrice(EngineSpec engine, ReplicaRecord prefillReplica, ReplicaRecord decode) {
         double bytes = (double) prompt.promptTokens() * engine.kvTokenBytes();
-        return PriceModel.movePrice(bytes, place.moveFactor(reader.zone(), decode.zone()));
+        return PriceModel.transferPrice(bytes, locality.transferFactor(prefillReplica.zone(), decode.zone()));
     }
 
-    /** Version of the weights of the request's model, 0 if it is not told. */
-    private int weights(ReplicaRecord replica) {
+    /** Version of the weights of the request's model, 0 if it is unknown. */
+    private int weightsVersion(ReplicaRecord replica) {
         for (int each = 0; each < replica.models().size(); each++) {
             if (replica.models().get(each).name().equals(request.model())) {
                 return replica.models().get(each).version();
@@ -143,25 +153,28 @@
         return 0;
     }
 
-    private double price(ReplicaRecord replica) {
-        return place.requestPrice(replica.zone(), request.promptTokens());
+    private double crossZonePrice(ReplicaRecord replica) {
+        return locality.requestPrice(replica.zone(), request.promptTokens());
     }
 
-    private double stepExcessMs(ReplicaMeasurements measured) {
-        return measured.stepExcessMs(nowMs) * measured.pool().expectedOutput(request);
+    private double outputDelayMs(ReplicaMeasurements measurements) {
+        return measurements.perTokenDelayMs(nowMs) * measurements.pool().expectedOutputTokens(request);
     }
 
-    private double readMs(ReplicaMeasurements measured, CallKind kind) {
-        int uncached = prompt.promptTokens() - measured.cache().cachedTokens(prompt);
-        double expected = measured.pool().expectedMs(kind, request, uncached, firstGuessMs(request));
-        double output = kind == CallKind.PREFILL ? 0 : measured.pool().expectedOutput(request);
-        return measured.engineServiceMs(expected, output, nowMs);
+    private double prefillMs(ReplicaMeasurements measurements, CallKind kind) {
+        int uncached = prompt.promptTokens() - measurements.cache().cachedTokens(prompt);
+        double expected = measurements.pool().expectedMs(kind, request, uncached, initialEstimateMs(request));
+        double output = kind == CallKind.PREFILL ? 0 : measurements.pool().expectedOutputTokens(request);
+        return measurements.engineServiceMs(expected, output, nowMs);
     }
 
-    /** A move carries the whole prompt, whatever its goal keeps. */
-    private double fetchMs(ReplicaMeasurements measured, ReplicaRecord replica, ReplicaRecord reader) {
-        double moved = prompt.promptTokens() * place.moveFactor(reader.zone(), replica.zone());
-        double expected = measured.pool().expectedMs(CallKind.DECODE_FETCHED, request, moved, firstGuessMs(request));
-        return measured.engineServiceMs(expected, measured.pool().expectedOutput(request), nowMs);
+    /** A transfer carries the complete prompt, whatever the decode replica has cached. */
+    private double transferMs(ReplicaMeasurements measurements, ReplicaRecord replica, ReplicaRecord prefillReplica) {
+        double transferredTokens =
+                prompt.promptTokens() * locality.transferFactor(prefillReplica.zone(), replica.zone());
+        double expected = measurements
+                .pool()
+                .expectedMs(CallKind.DISAGGREGATED_DECODE, request, transferredTokens, initialEstimateMs(request));
+        return measurements.engineServiceMs(expected, measurements.pool().expectedOutputTokens(request), nowMs);
     }
 }
--- a/router-fleet/selection/src/main/java/pinewick/selection/RetryBudget.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/RetryBudget.java
@@ -15,11 +15,14 @@
  *       and the requests of each lie in that window or in the one half a window before it, of which the rule takes the
  *       larger: twice the half of it, however the traffic changes.
  *   <li>From the slack: over each window an equal part by the most routers of the last window. A router that has just
- *       started has none for one window, since what its earlier life, or a router that is gone, spent may still count.
+ *   started has none for one window, since what its earlier incarnation, or a router that stopped, spent may still
+ * count.
  * </ul>
  */
 public final class RetryBudget {
-    /** Of what the rule allows; the rest is for arrivals that routers and replicas time differently. */
+    /**
+     * The fraction of the allowance that is used; the rest covers attempts that routers and replicas date differently.
+     */
     private static final double MARGIN = 0.9;
     /** Each half window spends half, since a window is covered by two. */
     private static final double HALF = 0.5;
@@ -31,16 +34,16 @@
     private final double windowMs;
     private final Map<String, ServiceCounts> services = new HashMap<>();
     private int upperBound = 1;
-    private int boundBefore = 1;
-    private double boundFellAtMs = Double.NEGATIVE_INFINITY;
+    private int previousBound = 1;
+    private double boundLoweredAtMs = Double.NEGATIVE_INFINITY;
     private double startedAtMs;
     private double lastMs;
-    private boolean fresh = true;
+    private boolean isFresh = true;
 
     private final class ServiceCounts {
-        private final WindowCount requests = new WindowCount(windowMs, BUCKETS);
-        private final WindowCount fromRequests = new WindowCount(windowMs, BUCKETS);
-        private final WindowCount fromSlack = new WindowCount(windowMs, BUCKETS);
+        private final WindowedCount requests = new WindowedCount(windowMs, BUCKETS);
+        private final WindowedCount fromRequests = new WindowedCount(windowMs, BUCKETS);
+        private final WindowedCount fromSlack = new WindowedCount(windowMs, BUCKETS);
     }
 
     public RetryBudget(double ratio, double slack, double windowMs) {
@@ -49,39 +52,39 @@
         this.windowMs = windowMs;
     }
 
-    /** The router's life begins; without this, with its first request. */
-    public void started(double nowMs) {
+    /** The router has started; without this call it starts with its first request. */
+    public void onStarted(double nowMs) {
         advance(nowMs);
     }
 
     /** The most routers that may be sharing the slack. A lower bound than before counts after one more window. */
     public void setRouterCount(int newBound) {
         int bound = Math.max(1, newBound);
-        if (bound < upperBound && !fresh) {
-            boundBefore = effectiveBound(lastMs);
-            boundFellAtMs = lastMs;
+        if (bound < upperBound && !isFresh) {
+            previousBound = effectiveBound(lastMs);
+            boundLoweredAtMs = lastMs;
         }
         upperBound = bound;
     }
 
-    /** A client's request for a service was taken in. */
+    /** A client's request for a service was accepted. */
     public void onRequest(String service, double nowMs) {
         advance(nowMs);
         counts(service).requests.add(1, nowMs);
     }
 
-    /** Takes one extra arrival at a service from the budget; false if there is none left. */
-    public boolean tryTake(String service, double nowMs) {
+    /** Acquires one extra attempt at a service from the budget; false if none is left. */
+    public boolean tryAcquire(String service, double nowMs) {
         advance(nowMs);
         ServiceCounts counts = counts(service);
-        double earned = MARGIN * HALF * ratio * counts.requests.atMost(windowMs / 2, nowMs);
-        if (counts.fromRequests.atLeast(windowMs / 2, nowMs) + 1 <= earned) {
+        double earned = MARGIN * HALF * ratio * counts.requests.lowerBound(windowMs / 2, nowMs);
+        if (counts.fromRequests.upperBound(windowMs / 2, nowMs) + 1 <= earned) {
             counts.fromRequests.add(1, nowMs);
             return true;
         }
         boolean withheld = nowMs - startedAtMs < windowMs;
-        double share = withheld ? 0 : MARGIN * slack / effectiveBound(nowMs);
-        if (counts.fromSlack.atLeast(windowMs, nowMs) + 1 <= share) {
+        double slackPerRouter = withheld ? 0 : MARGIN * slack / effectiveBound(nowMs);
+        if (counts.fromSlack.upperBound(windowMs, nowMs) + 1 <= slackPerRouter) {
             counts.fromSlack.add(1, nowMs);
             return true;
         }
@@ -89,23 +92,23 @@
     }
 
     /**
-     * Returns what was taken at {@code takenAtMs} for an arrival that never happened. From which part it came does not
-     * matter to the sum, as both have the same time.
+     * Returns what was acquired at {@code acquiredAtMs} for an attempt that did not take place. Which of the two parts
+     * it came from does not matter to the sum, as both have the same time.
      */
-    public void giveBack(String service, double takenAtMs) {
+    public void release(String service, double acquiredAtMs) {
         ServiceCounts counts = counts(service);
-        if (!counts.fromSlack.takeBack(takenAtMs)) {
-            counts.fromRequests.takeBack(takenAtMs);
+        if (!counts.fromSlack.removeOne(acquiredAtMs)) {
+            counts.fromRequests.removeOne(acquiredAtMs);
         }
     }
 
     private int effectiveBound(double nowMs) {
-        return nowMs - boundFellAtMs < windowMs ? Math.max(boundBefore, upperBound) : upperBound;
+        return nowMs - boundLoweredAtMs < windowMs ? Math.max(previousBound, upperBound) : upperBound;
     }
 
     private void advance(double nowMs) {
-        if (fresh) {
-            fresh = false;
+        if (isFresh) {
+            isFresh = false;
             startedAtMs = nowMs;
         }
         lastMs = nowMs;
--- a/router-fleet/selection/src/main/java/pinewick/selection/SelectionTuning.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/SelectionTuning.java
@@ -1,29 +1,28 @@
 package pinewick.selection;
 
 /**
- * Free parameters of the score. The form R - s + q̂³·s with q̂ = 1 + os·n + q·(1 + busy share), n being
- * the number of routers, is fixed.
+ * Parameters of the score. The form R - s + q̂³·s with q̂ = 1 + os·n + q·(1 + busy share), n being the number of
+ * routers, is fixed.
  *
- * @param smoothing weight of one answer in R
+ * @param smoothing smoothing factor of R for one response
  * @param busyWeight factor of the busy share that scales the reported queue
  * @param countInBatches whether os·n and q count in batches of a replica's slots
- * @param serviceByRequest whether s is the request's own service time, or the lowest recent answer time whatever
- *     its size
- * @param excessHalfLifeMs time in which R - s of a replica that is not heard from falls half way to its kind's average
- * @param reportHalfLife a report counts half after so many times the mean answer time of its kind
- * @param interference weight of the delay that a prompt's reading brings to the calls that come meanwhile
- * @param readAgainWeight weight of the price of reading what some replica keeps: more than 1, since what is kept once
- *     in a fleet leaves room for more, and its replicas time for others
+ * @param serviceByRequest whether s is the request's own service time, or the minimum recent latency whatever its size
+ * @param queueingDelayHalfLifeMs time in which R - s of a replica without samples falls half way to its pool's average
+ * @param reportHalfLife a report counts half after this multiple of the mean latency of its pool
+ * @param interferenceWeight weight of the delay that a prefill causes to calls that arrive meanwhile
+ * @param repeatedPrefillWeight weight of the price of a prefill that another replica has cached: more than 1, since a
+ *     prefix that is cached once in the fleet leaves capacity for others
  */
 public record SelectionTuning(
         double smoothing,
         double busyWeight,
         boolean countInBatches,
         boolean serviceByRequest,
-        double excessHalfLifeMs,
+        double queueingDelayHalfLifeMs,
         double reportHalfLife,
-        double interference,
-        double readAgainWeight) {
+        double interferenceWeight,
+        double repeatedPrefillWeight) {
     /** What routers run with. */
     public static final SelectionTuning DEFAULT = new SelectionTuning(0.3, 1, true, true, 2_000, 0.5, 0.5, 4);
 
@@ -34,10 +33,10 @@
                 other,
                 countInBatches,
                 serviceByRequest,
-                excessHalfLifeMs,
+                queueingDelayHalfLifeMs,
                 reportHalfLife,
-                interference,
-                readAgainWeight);
+                interferenceWeight,
+                repeatedPrefillWeight);
     }
 
     /** The same with another unit of os·n and q. */
@@ -47,48 +46,48 @@
                 busyWeight,
                 other,
                 serviceByRequest,
-                excessHalfLifeMs,
+                queueingDelayHalfLifeMs,
                 reportHalfLife,
-                interference,
-                readAgainWeight);
+                interferenceWeight,
+                repeatedPrefillWeight);
     }
 
-    /** The same with another stand-in for s. */
+    /** The same with another estimate of s. */
     public SelectionTuning withServiceByRequest(boolean other) {
         return new SelectionTuning(
                 smoothing,
                 busyWeight,
                 countInBatches,
                 other,
-                excessHalfLifeMs,
+                queueingDelayHalfLifeMs,
                 reportHalfLife,
-                interference,
-                readAgainWeight);
+                interferenceWeight,
+                repeatedPrefillWeight);
     }
 
-    /** The same with another charge for reading between the tokens of others. */
-    public SelectionTuning withInterference(double other) {
+    /** The same with another weight of the delay of other calls. */
+    public SelectionTuning withInterferenceWeight(double other) {
         return new SelectionTuning(
                 smoothing,
                 busyWeight,
                 countInBatches,
                 serviceByRequest,
-                excessHalfLifeMs,
+                queueingDelayHalfLifeMs,
                 reportHalfLife,
                 other,
-                readAgainWeight);
+                repeatedPrefillWeight);
     }
 
-    /** The same with another weight of reading what some replica keeps. */
-    public SelectionTuning withReadAgainWeight(double other) {
+    /** The same with another weight of repeated prefill. */
+    public SelectionTuning withRepeatedPrefillWeight(double other) {
         return new SelectionTuning(
                 smoothing,
                 busyWeight,
                 countInBatches,
                 serviceByRequest,
-                excessHalfLifeMs,
+                queueingDelayHalfLifeMs,
                 reportHalfLife,
-                interference,
+                interferenceWeight,
                 other);
     }
 }
--- a/router-fleet/selection/src/main/java/pinewick/selection/ServiceLoad.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/ServiceLoad.java
@@ -3,18 +3,18 @@
 /**
  * How busy the replicas are that may take a request.
  *
- * @param places requests that they work on at the same time, all together
- * @param taken of these, by their reports and by what this router has seen
- * @param waiting requests that wait at them beyond that
- * @param waitMs the shortest wait among those that make answers, beyond a request's own service time
- * @param serviceMs the shortest own service time of the request at hand
+ * @param capacity requests that they can process at the same time, in all
+ * @param inUse how much of that is in use, by their reports and by this router's own calls
+ * @param queued requests queued beyond that
+ * @param queueingDelayMs the lowest queueing delay of the decode replicas, milliseconds
+ * @param serviceMs the lowest service time of the request, milliseconds
  */
-record ServiceLoad(double places, double taken, double waiting, double waitMs, double serviceMs) {
-    /** A refusal counts as needless below this part of the places. */
-    private static final double NEEDLESS_BELOW = 0.5;
+record ServiceLoad(double capacity, double inUse, double queued, double queueingDelayMs, double serviceMs) {
+    /** A rejection counts as unnecessary below this fraction of the capacity. */
+    private static final double BUSY_FRACTION = 0.5;
 
-    /** Whether there is anything to refuse for: half of the places are taken, or requests wait. */
-    boolean busy() {
-        return waiting > 0 || taken >= NEEDLESS_BELOW * places;
+    /** Whether rejections are justified: half of the capacity is in use, or requests are queued. */
+    boolean isBusy() {
+        return queued > 0 || inUse >= BUSY_FRACTION * capacity;
     }
 }
--- a/router-fleet/selection/src/main/java/pinewick/selection/ServiceTimeModel.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/ServiceTimeModel.java
@@ -1,20 +1,21 @@
 package pinewick.selection;
 
 /**
- * The time that calls of one kind take by the tokens that they read or move: a fixed part and a pace, learnt from
- * recent answers. The line is a quantile regression: a quarter of the answers lie below it, since the others waited.
- * The answers are kept by size, so that many short ones don't crowd out the long ones that tell the pace.
+ * A linear model of the service time of one kind of call: a fixed part, and a time for each token prefilled or
+ * transferred, fitted to recent samples by quantile regression (Koenker and Bassett, Regression Quantiles, Econometrica
+ * 1978): a quarter of the samples lie below the line, since the others were queued. The samples are stored by size, so
+ * that many short requests do not replace the long ones that determine the time of a token.
  */
 final class ServiceTimeModel {
     private static final double QUANTILE = 0.25;
-    /** First sizes of the groups after the first one, in tokens. */
-    private static final double[] GROUP_FROM = {256, 1_024, 4_096, 16_384};
+    /** Lower bounds of the groups after the first one, tokens. */
+    private static final double[] GROUP_LOWER_TOKENS = {256, 1_024, 4_096, 16_384};
 
-    private static final int GROUPS = GROUP_FROM.length + 1;
+    private static final int GROUPS = GROUP_LOWER_TOKENS.length + 1;
     private static final int GROUP_SIZE = 8;
     private static final int POINTS = GROUPS * GROUP_SIZE;
-    /** The pace is known from so many answers in the groups of long ones. */
-    private static final int ENOUGH_LONG = 2;
+    /** The time of a token is known from this many samples of long requests. */
+    private static final int MIN_LONG_SAMPLES = 2;
 
     private static final int FIRST_LONG_GROUP = 2;
     /** The line is fitted anew at every answer up to this count, then at each of this many. */
@@ -27,37 +28,37 @@
     private int samples;
     private int longSamples;
     private double fixedMs;
-    private double paceMs;
+    private double perTokenMs;
 
     int samples() {
         return samples;
     }
 
-    /** Whether answers of long prompts have told the pace. */
-    boolean paceKnown() {
-        return longSamples >= ENOUGH_LONG;
+    /** Whether samples of long requests have determined the time of a token. */
+    boolean isPerTokenKnown() {
+        return longSamples >= MIN_LONG_SAMPLES;
     }
 
-    /** Expected time without waiting. */
+    /** Expected time without queueing, milliseconds. */
     double predict(double forTokens) {
-        return fixedMs + paceMs * forTokens;
+        return fixedMs + perTokenMs * forTokens;
     }
 
-    double paceMs() {
-        return paceMs;
+    double perTokenMs() {
+        return perTokenMs;
     }
 
     double fixedMs() {
         return fixedMs;
     }
 
-    /** An answer took this long, of which waiting is unknown. */
-    void learn(double forTokens, double timeMs, double trust) {
+    /** Adds a sample, whose queueing time is unknown. */
+    void addSample(double forTokens, double timeMs, double weight) {
         int group = 0;
-        while (group < GROUP_FROM.length && forTokens >= GROUP_FROM[group]) {
+        while (group < GROUP_LOWER_TOKENS.length && forTokens >= GROUP_LOWER_TOKENS[group]) {
             group++;
         }
-        put(group * GROUP_SIZE + added[group] % GROUP_SIZE, forTokens, timeMs, trust);
+        put(group * GROUP_SIZE + added[group] % GROUP_SIZE, forTokens, timeMs, weight);
         added[group]++;
         samples++;
         longSamples += group >= FIRST_LONG_GROUP ? 1 : 0;
@@ -74,7 +75,7 @@
 
     /** The best line goes through two of the points, or through one and the origin, or has no slope. */
     private void fit() {
-        double least = Double.POSITIVE_INFINITY;
+        double leastLoss = Double.POSITIVE_INFINITY;
         for (int one = 0; one < POINTS; one++) {
             if (weights[one] == 0) {
                 continue;
@@ -84,26 +85,26 @@
                     continue;
                 }
                 double spread = tokens[other] - tokens[one];
-                double pace = spread == 0 ? 0 : (times[other] - times[one]) / spread;
-                double fixed = times[one] - pace * tokens[one];
-                if (pace < 0 || fixed < 0) {
+                double perToken = spread == 0 ? 0 : (times[other] - times[one]) / spread;
+                double fixed = times[one] - perToken * tokens[one];
+                if (perToken < 0 || fixed < 0) {
                     continue;
                 }
-                double loss = loss(fixed, pace, least);
-                if (loss < least) {
-                    least = loss;
+                double loss = loss(fixed, perToken, leastLoss);
+                if (loss < leastLoss) {
+                    leastLoss = loss;
                     fixedMs = fixed;
-                    paceMs = pace;
+                    perTokenMs = perToken;
                 }
             }
         }
     }
 
-    private double loss(double fixed, double pace, double enough) {
+    private double loss(double fixed, double perToken, double upperLimit) {
         double loss = 0;
-        for (int point = 0; point < POINTS && loss < enough; point++) {
-            double above = times[point] - fixed - pace * tokens[point];
-            loss += weights[point] * (above > 0 ? QUANTILE * above : (QUANTILE - 1) * above);
+        for (int point = 0; point < POINTS && loss < upperLimit; point++) {
+            double residual = times[point] - fixed - perToken * tokens[point];
+            loss += weights[point] * (residual > 0 ? QUANTILE * residual : (QUANTILE - 1) * residual);
         }
         return loss;
     }
--- a/router-fleet/selection/src/main/java/pinewick/selection/SmoothedRate.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/SmoothedRate.java
@@ -2,17 +2,17 @@
 
 /** The rate of events, smoothed over a few seconds. */
 final class SmoothedRate {
-    private static final double MEMORY_MS = 3_000;
+    private static final double TIME_CONSTANT_MS = 3_000;
 
     private double perMs;
     private double atMs = Double.NaN;
 
     void add(double nowMs) {
-        perMs = perMs(nowMs) + 1 / MEMORY_MS;
+        perMs = perMs(nowMs) + 1 / TIME_CONSTANT_MS;
         atMs = nowMs;
     }
 
     double perMs(double nowMs) {
-        return Double.isNaN(atMs) ? 0 : perMs * Math.exp(Math.min(0, atMs - nowMs) / MEMORY_MS);
+        return Double.isNaN(atMs) ? 0 : perMs * Math.exp(Math.min(0, atMs - nowMs) / TIME_CONSTANT_MS);
     }
 }
--- a/router-fleet/selection/src/main/java/pinewick/selection/SlidingSum.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/WindowedSum.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayDeque;
 
-/** Amounts with their times, and the sum of those since a time that only moves forward. */
-public final class SlidingSum {
+/** The sum of timed amounts since a start of the window that only moves forward. */
+public final class WindowedSum {
     private final ArrayDeque<double[]> entries = new ArrayDeque<>();
     private double sum;
 
--- a/router-fleet/selection/src/main/java/pinewick/selection/package-info.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/package-info.java
@@ -1,6 +1,9 @@
 /**
- * Decisions of the data plane without I/O: which replicas serve a request, what is measured of them, what their prefix
- * caches are believed to hold, and what retries may still be spent. Time in milliseconds and chance are handed in.
- * Nothing here is thread-safe: the caller serialises.
+ * Decisions of the data plane without I/O: which replicas serve a request ({@link pinewick.selection.ReplicaSelector}),
+ * the measurements behind the score ({@link pinewick.selection.ReplicaMeasurements}), estimates of the replicas' prefix
+ * caches ({@link pinewick.selection.PrefixCacheEstimates}), admission control, call priorities and the retry budget.
+ *
+ * <p>Threading: nothing here is thread-safe; the owner calls it from one executor. Time (milliseconds of a monotonic
+ * clock) and randomness are passed in, so that a test or simulation repeats to the digit.
  */
 package pinewick.selection;
--- a/router-fleet/selection/src/test/java/pinewick/selection/AdmissionControlTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/AdmissionControlTest.java
@@ -21,15 +21,15 @@
 
     AdmissionControlTest() {
         for (int each = 0; each < 4; each++) {
-            replicas.add(Shapes.replica("r" + each, Stage.DECODE));
+            replicas.add(RequestShapes.replica("r" + each, Stage.DECODE));
         }
-        selector.setEngine("s", Shapes.ENGINE);
+        selector.setEngine("s", RequestShapes.ENGINE);
         selector.choose(request(1, 100, 0, 5_000, 0), replicas, Set.of(), 0);
     }
 
     private static RequestShape request(long id, int own, int priority, double timeMs, double nowMs) {
         return new RequestShape(
-                Shapes.route("p" + priority, 300, 5_000, priority),
+                RequestShapes.route("p" + priority, 300, 5_000, priority),
                 "s",
                 true,
                 "m",
@@ -44,23 +44,25 @@
     private void load(double waitMs, int running, int waiting, double nowMs) {
         for (ReplicaRecord each : replicas) {
             for (int answer = 0; answer < 40; answer++) {
-                ReplicaSelector.Call call =
-                        selector.begin(each, CallKind.DECODE_WHOLE, request(7, 100, 0, 5_000, nowMs), nowMs - waitMs);
-                call.firstEvent(nowMs);
-                call.ended(CallEnding.ANSWERED, nowMs);
+                ReplicaSelector.Call call = selector.startCall(
+                        each, CallKind.AGGREGATED_DECODE, request(7, 100, 0, 5_000, nowMs), nowMs - waitMs);
+                call.onFirstEvent(nowMs);
+                call.onEnd(CallOutcome.COMPLETED, nowMs);
             }
-            selector.report(each.instanceId(), Shapes.report(Stage.DECODE, waiting, running, 0.5, nowMs));
+            selector.onLoadReport(each.instanceId(), RequestShapes.report(Stage.DECODE, waiting, running, 0.5, nowMs));
         }
     }
 
-    private Decision decide(RequestShape request, double nowMs) {
+    private AdmissionDecision decide(RequestShape request, double nowMs) {
         return admission.decide(request, replicas, nowMs);
     }
 
     private int refused(int count, int own, int priority, double timeMs, double nowMs) {
         int refused = 0;
         for (int each = 0; each < count; each++) {
-            refused += decide(request(each, own, priority, timeMs, nowMs), nowMs) instanceof Decision.Refuse ? 1 : 0;
+            refused += decide(request(each, own, priority, timeMs, nowMs), nowMs) instanceof AdmissionDecision.Reject
+                    ? 1
+                    : 0;
         }
         return refused;
     }
@@ -70,50 +72,50 @@
         load(40, 1, 0, nowMs - 10);
         for (ReplicaRecord each : replicas) {
             for (int late = 0; late < 20; late++) {
-                selector.begin(each, CallKind.DECODE_WHOLE, request(7, 100, 0, 5_000, nowMs), nowMs)
-                        .ended(CallEnding.TIMED_OUT, nowMs);
+                selector.startCall(each, CallKind.AGGREGATED_DECODE, request(7, 100, 0, 5_000, nowMs), nowMs)
+                        .onEnd(CallOutcome.TIMED_OUT, nowMs);
             }
-            ReplicaSelector.Call alive =
-                    selector.begin(each, CallKind.DECODE_WHOLE, request(7, 100, 0, 5_000, nowMs), nowMs - 4_960);
-            alive.firstEvent(nowMs);
-            alive.ended(CallEnding.ANSWERED, nowMs);
+            ReplicaSelector.Call alive = selector.startCall(
+                    each, CallKind.AGGREGATED_DECODE, request(7, 100, 0, 5_000, nowMs), nowMs - 4_960);
+            alive.onFirstEvent(nowMs);
+            alive.onEnd(CallOutcome.COMPLETED, nowMs);
         }
     }
 
     private void report(int running, int waiting, double nowMs) {
-        replicas.forEach(
-                each -> selector.report(each.instanceId(), Shapes.report(Stage.DECODE, waiting, running, 0.5, nowMs)));
+        replicas.forEach(each -> selector.onLoadReport(
+                each.instanceId(), RequestShapes.report(Stage.DECODE, waiting, running, 0.5, nowMs)));
     }
 
     @Test
-    void anIdleServiceTakesEverything() {
+    void anIdleServiceAdmitsEverything() {
         assertEquals(0, refused(50, 100, 0, 5_000, 10));
         assertEquals(0, refused(50, 100, 3, 20, 10));
     }
 
     @Test
-    void whileFewerThanHalfOfThePlacesAreTakenAndNothingWaitsNothingIsRefused() {
+    void nothingIsRejectedBelowHalfOfTheCapacityWithoutAQueue() {
         jam(1_000);
         report(PLACES / 2 - 1, 0, 1_000);
         assertEquals(0, refused(50, 100, 0, 5_000, 1_000));
     }
 
     @Test
-    void whatCannotBeServedBeforeItsDeadlineIsRefusedAtOnce() {
+    void aRequestThatCannotMeetItsDeadlineIsRejectedAtOnce() {
         jam(1_000);
         report(PLACES, 10, 1_000);
         assertEquals(50, refused(50, 100, 0, 4_000, 1_000));
     }
 
     @Test
-    void whatWouldOnlyBeLateIsOffered() {
+    void aRequestThatWouldOnlyMissItsTargetIsAdmitted() {
         load(40, 1, 0, 500);
         load(900, PLACES, 4, 1_500);
         assertEquals(0, refused(50, 100, 0, 5_000, 1_500));
     }
 
     @Test
-    void theLessUrgentAreRefusedFirst() {
+    void lowerPrioritiesAreRejectedFirst() {
         load(40, 1, 0, 500);
         load(2_000, PLACES, 4, 3_000);
         double lowest = Double.NaN;
@@ -122,11 +124,11 @@
             // Each time is the longest that its control has seen, so that none looks like a later try.
             AdmissionControl fresh = new AdmissionControl(selector, new SplittableRandom(3));
             if (Double.isNaN(lowest)
-                    && fresh.decide(request(time, 100, 0, time, 3_000), replicas, 3_000) == Decision.ADMIT) {
+                    && fresh.decide(request(time, 100, 0, time, 3_000), replicas, 3_000) == AdmissionDecision.ADMIT) {
                 lowest = time;
             }
             if (Double.isNaN(lowestLess)
-                    && fresh.decide(request(time, 100, 2, time, 3_000), replicas, 3_000) == Decision.ADMIT) {
+                    && fresh.decide(request(time, 100, 2, time, 3_000), replicas, 3_000) == AdmissionDecision.ADMIT) {
                 lowestLess = time;
             }
         }
@@ -134,7 +136,7 @@
     }
 
     @Test
-    void longRequestsHaveTheSameChanceAsShortOnes() {
+    void longRequestsAreAdmittedAsOftenAsShortOnes() {
         jam(1_000);
         report(PLACES, 10, 1_000);
         int shortRefused = 0;
@@ -151,26 +153,26 @@
     }
 
     private int refusedBy(RequestShape request) {
-        return decide(request, 1_000) instanceof Decision.Refuse ? 1 : 0;
+        return decide(request, 1_000) instanceof AdmissionDecision.Reject ? 1 : 0;
     }
 
     @Test
-    void oneThatComesBackIsNotRefusedAgain() {
+    void aRetriedRequestIsNotRejectedAgain() {
         jam(1_000);
         report(PLACES, 10, 1_000);
-        assertInstanceOf(Decision.Refuse.class, decide(request(1, 100, 0, 4_000, 1_000), 1_000));
+        assertInstanceOf(AdmissionDecision.Reject.class, decide(request(1, 100, 0, 4_000, 1_000), 1_000));
         assertEquals(0, refused(20, 100, 0, 3_500, 1_000));
         assertEquals(20, refused(20, 100, 0, 4_000, 1_000));
     }
 
     @Test
-    void adviceIsShorterThanAThirdOfTheTimeLeftAndSpread() {
+    void retryAfterIsBelowAThirdOfTheRemainingTimeAndJittered() {
         jam(1_000);
         report(PLACES, 10, 1_000);
         List<Double> advice = new ArrayList<>();
         for (int each = 0; each < 50; each++) {
-            Decision.Refuse refusal =
-                    assertInstanceOf(Decision.Refuse.class, decide(request(each, 100, 0, 1_000, 1_000), 1_000));
+            AdmissionDecision.Reject refusal = assertInstanceOf(
+                    AdmissionDecision.Reject.class, decide(request(each, 100, 0, 1_000, 1_000), 1_000));
             advice.add(refusal.retryAfterSeconds());
         }
         assertTrue(advice.stream().allMatch(seconds -> seconds > 0.09 && seconds <= 1 / 3.0), advice.toString());
--- a/router-fleet/selection/src/test/java/pinewick/selection/CacheBeliefTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/PrefixCacheEstimateTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class CacheBeliefTest {
+class PrefixCacheEstimateTest {
     private static PromptChain chain(long... ids) {
         List<PromptPart> parts = new ArrayList<>();
         for (long id : ids) {
@@ -23,16 +23,16 @@
         return new PromptChain(parts, 0);
     }
 
-    private static CacheBelief belief(long capacity) {
-        CacheBelief belief = new CacheBelief(4_000);
+    private static PrefixCacheEstimate belief(long capacity) {
+        PrefixCacheEstimate belief = new PrefixCacheEstimate(4_000);
         belief.setCapacity(capacity);
         return belief;
     }
 
     @Test
-    void aPartIsUsefulOnlyIfEveryPartBeforeItIsKept() {
-        CacheBelief belief = belief(10_000);
-        belief.used(chain(1, 2, 3), 0);
+    void aPartIsUsefulOnlyIfEveryEarlierPartIsCached() {
+        PrefixCacheEstimate belief = belief(10_000);
+        belief.recordUse(chain(1, 2, 3), 0);
         assertEquals(300, belief.cachedTokens(chain(1, 2, 3)));
         assertEquals(200, belief.cachedTokens(chain(1, 2, 9)));
         assertEquals(0, belief.cachedTokens(chain(9, 2, 3)));
@@ -40,48 +40,48 @@
     }
 
     @Test
-    void theLastPartsGiveWayFirst() {
-        CacheBelief belief = belief(300);
-        belief.used(chain(1, 2, 3), 0);
-        belief.used(chain(1, 4), 1);
+    void theLastPartsAreEvictedFirst() {
+        PrefixCacheEstimate belief = belief(300);
+        belief.recordUse(chain(1, 2, 3), 0);
+        belief.recordUse(chain(1, 4), 1);
         assertEquals(200, belief.cachedTokens(chain(1, 4)));
         assertEquals(200, belief.cachedTokens(chain(1, 2, 3)));
     }
 
     @Test
-    void withoutMemoryNothingIsBelieved() {
-        CacheBelief belief = belief(0);
-        belief.used(chain(1, 2), 0);
+    void withoutCapacityNothingIsCached() {
+        PrefixCacheEstimate belief = belief(0);
+        belief.recordUse(chain(1, 2), 0);
         assertEquals(0, belief.cachedTokens(chain(1, 2)));
     }
 
     @Test
-    void aPartThatProvedGoneTakesThoseUsedBeforeItAlong() {
-        CacheBelief belief = belief(1_000);
-        belief.used(chain(1), 1);
-        belief.used(chain(2), 2);
-        belief.used(chain(3), 3);
-        belief.provedGone(2);
+    void aCacheMissEvictsAllEarlierUses() {
+        PrefixCacheEstimate belief = belief(1_000);
+        belief.recordUse(chain(1), 1);
+        belief.recordUse(chain(2), 2);
+        belief.recordUse(chain(3), 3);
+        belief.onMiss(2);
         assertEquals(0, belief.cachedTokens(chain(1)));
         assertEquals(0, belief.cachedTokens(chain(2)));
         assertEquals(100, belief.cachedTokens(chain(3)));
         for (int each = 10; each < 30; each++) {
-            belief.used(chain(each), each);
+            belief.recordUse(chain(each), each);
         }
-        assertTrue(belief.heldTokens() <= 900, "less room is believed: " + belief.heldTokens());
+        assertTrue(belief.usedTokens() <= 900, "less room is believed: " + belief.usedTokens());
     }
 
     @Test
-    void newsOfThePastGoesWhereItBelongs() {
-        CacheBelief belief = belief(300);
-        belief.used(chain(1), 10);
-        belief.used(chain(2), 20);
-        belief.used(chain(3).hash(0), 100, true, 5);
-        belief.used(chain(4), 30);
+    void anEarlierUseIsInsertedInOrder() {
+        PrefixCacheEstimate belief = belief(300);
+        belief.recordUse(chain(1), 10);
+        belief.recordUse(chain(2), 20);
+        belief.recordUse(chain(3).hash(0), 100, true, 5);
+        belief.recordUse(chain(4), 30);
         assertEquals(0, belief.cachedTokens(chain(3)));
         assertEquals(100, belief.cachedTokens(chain(1)));
-        belief.used(chain(1).hash(0), 100, true, 1);
-        belief.used(chain(5), 40);
+        belief.recordUse(chain(1).hash(0), 100, true, 1);
+        belief.recordUse(chain(5), 40);
         assertEquals(0, belief.cachedTokens(chain(1)), "older news must not make it look newer, and 10 is the oldest");
         assertEquals(100, belief.cachedTokens(chain(2)));
     }
@@ -90,7 +90,7 @@
     @Property(tries = 200)
     void agreesWithAPlainList(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int room) {
         Random random = new Random(seed);
-        CacheBelief belief = new CacheBelief(25);
+        PrefixCacheEstimate belief = new PrefixCacheEstimate(25);
         belief.setCapacity(room * 100L);
         Map<Long, Integer> reference = new LinkedHashMap<>(16, 0.75f, true);
         for (int step = 0; step < 400; step++) {
@@ -104,7 +104,7 @@
                 expected++;
             }
             assertEquals(expected, belief.cachedParts(chain));
-            belief.used(chain, step);
+            belief.recordUse(chain, step);
             for (int part = chain.length() - 1; part >= 0; part--) {
                 reference.put(chain.hash(part), 100);
             }
@@ -114,7 +114,7 @@
                 oldest.remove();
             }
             assertEquals(reference.size(), belief.size());
-            assertEquals(100L * reference.size(), belief.heldTokens());
+            assertEquals(100L * reference.size(), belief.usedTokens());
         }
     }
 }
--- a/router-fleet/selection/src/test/java/pinewick/selection/ReplicaMeasurementsTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/ReplicaMeasurementsTest.java
@@ -13,11 +13,11 @@
     private static final SelectionTuning TUNING = SelectionTuning.DEFAULT;
 
     private final ReplicaPool pool = new ReplicaPool(Stage.NONE);
-    private final PrefixCacheBeliefs beliefs = new PrefixCacheBeliefs();
+    private final PrefixCacheEstimates beliefs = new PrefixCacheEstimates();
     private final ReplicaMeasurements measured = add("a");
 
     private ReplicaMeasurements add(String id) {
-        return new ReplicaMeasurements(TUNING, pool, beliefs.belief(id), Shapes.replica(id, Stage.NONE));
+        return new ReplicaMeasurements(TUNING, pool, beliefs.estimate(id), RequestShapes.replica(id, Stage.NONE));
     }
 
     private CallMeasurement begin(ReplicaMeasurements at, double nowMs) {
@@ -28,20 +28,20 @@
                 beliefs,
                 new SplittableRandom(1),
                 CallKind.PLAIN,
-                Shapes.plain(nowMs),
+                RequestShapes.plain(nowMs),
                 PromptChain.EMPTY,
                 1,
                 nowMs);
     }
 
     private void answer(ReplicaMeasurements at, double fromMs, double tookMs) {
-        begin(at, fromMs).ended(CallEnding.ANSWERED, fromMs + tookMs);
+        begin(at, fromMs).onEnd(CallOutcome.COMPLETED, fromMs + tookMs);
     }
 
     @Test
-    void withoutDataRAndSAreATenthOfTheTarget() {
-        assertEquals(40, measured.plainServiceMs(RequestScores.firstGuessMs(Shapes.plain(0)), 0));
-        assertEquals(0, measured.excessMs(0));
+    void withoutSamplesLatencyAndServiceTimeAreATenthOfTheTarget() {
+        assertEquals(40, measured.plainServiceMs(RequestScores.initialEstimateMs(RequestShapes.plain(0)), 0));
+        assertEquals(0, measured.queueingDelayMs(0));
         assertEquals(40, measured.score(40, 0, 9, 0));
     }
 
@@ -66,15 +66,15 @@
 
     @Test
     void aReportedQueueIsScaledByTheShareOfMemoryInUse() {
-        measured.reported(Shapes.report(Stage.NONE, 4, 12, 0.5, 100));
+        measured.onLoadReport(RequestShapes.report(Stage.NONE, 4, 12, 0.5, 100));
         // os = 0, q = 4, busy share 0.5, 12 slots: q̂ = 1 + 4 · 1.5 / 12
         assertEquals(1.5 * 1.5 * 1.5 * 10, measured.score(10, 0, 3, 100), 1e-9);
     }
 
     @Test
-    void whereQueuesDoNotCountInBatchesTheTermsStandAsTheyAre() {
+    void withoutBatchCountingTheTermsAreUnscaled() {
         ReplicaMeasurements single = new ReplicaMeasurements(
-                TUNING.withCountInBatches(false), pool, beliefs.belief("b"), Shapes.replica("b", Stage.NONE));
+                TUNING.withCountInBatches(false), pool, beliefs.estimate("b"), RequestShapes.replica("b", Stage.NONE));
         begin(single, 0);
         begin(single, 0);
         // os = 2, n = 3, q = in flight = 2: q̂ = 1 + 6 + 2
@@ -82,141 +82,144 @@
     }
 
     @Test
-    void aReportFadesAndACallThatEndsTakesFromItsQueue() {
+    void aReportDecaysAndAnEndedCallReducesItsQueue() {
         CallMeasurement call = begin(measured, 0);
-        measured.reported(Shapes.report(Stage.NONE, 4, 12, 0.5, 100));
-        assertEquals(4, measured.queue(100));
-        call.ended(CallEnding.ABANDONED, 100);
-        assertEquals(3, measured.queue(100), 1e-9);
-        assertTrue(measured.queue(120) < 3);
-        assertEquals(0, measured.queue(100_000), 1e-9);
+        measured.onLoadReport(RequestShapes.report(Stage.NONE, 4, 12, 0.5, 100));
+        assertEquals(4, measured.queueLength(100));
+        call.onEnd(CallOutcome.CANCELLED, 100);
+        assertEquals(3, measured.queueLength(100), 1e-9);
+        assertTrue(measured.queueLength(120) < 3);
+        assertEquals(0, measured.queueLength(100_000), 1e-9);
         assertEquals(0, measured.busyShare(100_000), 1e-9);
     }
 
     @Test
-    void anOlderReportIsPassedOver() {
-        measured.reported(Shapes.report(Stage.NONE, 4, 12, 0.5, 100));
-        measured.reported(Shapes.report(Stage.NONE, 9, 12, 0.5, 50));
-        assertEquals(4, measured.queue(100));
+    void anOlderReportIsIgnored() {
+        measured.onLoadReport(RequestShapes.report(Stage.NONE, 4, 12, 0.5, 100));
+        measured.onLoadReport(RequestShapes.report(Stage.NONE, 9, 12, 0.5, 50));
+        assertEquals(4, measured.queueLength(100));
     }
 
     @Test
-    void anUnheardReplicaCountsAsTheAverageOfItsKind() {
+    void aReplicaWithoutSamplesHasTheAverageOfItsPool() {
         ReplicaMeasurements other = add("b");
         ReplicaMeasurements unheard = add("c");
         answer(measured, 0, 50);
         answer(measured, 0, 150);
         answer(other, 0, 70);
-        double mean = (measured.ownExcessMs() + other.ownExcessMs()) / 2;
+        double mean = (measured.ownQueueingDelayMs() + other.ownQueueingDelayMs()) / 2;
         assertTrue(mean > 0);
-        assertEquals(mean, unheard.excessMs(150), 1e-9);
+        assertEquals(mean, unheard.queueingDelayMs(150), 1e-9);
         assertEquals((50 + 70) / 2.0, unheard.plainServiceMs(40, 150), 1e-9);
     }
 
     @Test
     void aTimeOutCountsAsTheFullTimeOut() {
         answer(measured, 0, 50);
-        double before = measured.ownExcessMs();
-        begin(measured, 100).ended(CallEnding.TIMED_OUT, 600);
-        assertEquals(before + 0.3 * (2_000 - 50 - before), measured.ownExcessMs(), 1e-9);
+        double before = measured.ownQueueingDelayMs();
+        begin(measured, 100).onEnd(CallOutcome.TIMED_OUT, 600);
+        assertEquals(before + 0.3 * (2_000 - 50 - before), measured.ownQueueingDelayMs(), 1e-9);
     }
 
     @Test
     void anEarlyErrorCountsAsTheFullTimeOutToo() {
         answer(measured, 0, 50);
-        double before = measured.ownExcessMs();
-        begin(measured, 100).ended(CallEnding.FAILED, 101);
-        assertEquals(before + 0.3 * (2_000 - 50 - before), measured.ownExcessMs(), 1e-9);
+        double before = measured.ownQueueingDelayMs();
+        begin(measured, 100).onEnd(CallOutcome.FAILED, 101);
+        assertEquals(before + 0.3 * (2_000 - 50 - before), measured.ownQueueingDelayMs(), 1e-9);
     }
 
     @Test
-    void overdueSilenceCountsBeforeItsTimeOut() {
+    void anOverdueResponseCountsBeforeItsTimeout() {
         answer(measured, 0, 50);
         begin(measured, 1_000);
         assertEquals(0, measured.overdueMs(1_050), 1e-9);
         assertEquals(700, measured.overdueMs(1_750), 1e-9);
-        assertEquals(700, measured.excessMs(1_750), 1e-9);
+        assertEquals(700, measured.queueingDelayMs(1_750), 1e-9);
     }
 
     @Test
-    void theOldestCallThatWaitsTells() {
+    void theOldestWaitingCallDeterminesTheDelay() {
         answer(measured, 0, 50);
         CallMeasurement first = begin(measured, 1_000);
         CallMeasurement second = begin(measured, 1_400);
         CallMeasurement third = begin(measured, 1_800);
-        second.ended(CallEnding.ABANDONED, 1_900);
+        second.onEnd(CallOutcome.CANCELLED, 1_900);
         assertEquals(950, measured.overdueMs(2_000), 1e-9);
-        first.firstEvent(2_000);
+        first.onFirstEvent(2_000);
         assertEquals(150, measured.overdueMs(2_000), 1e-9);
-        third.ended(CallEnding.ABANDONED, 2_000);
+        third.onEnd(CallOutcome.CANCELLED, 2_000);
         assertEquals(0, measured.overdueMs(2_000), 1e-9);
         assertEquals(700, measured.overdueMs(3_000), 1e-9, "a stream that fell silent");
-        first.ended(CallEnding.ANSWERED, 3_000);
+        first.onEnd(CallOutcome.COMPLETED, 3_000);
         assertEquals(0, measured.overdueMs(3_500), 1e-9);
         assertEquals(0, measured.outstanding());
     }
 
     @Test
-    void aBadMeasurementFadesWhileNothingIsHeard() {
+    void aBadMeasurementDecaysWithoutSamples() {
         answer(add("b"), 0, 50);
         answer(measured, 0, 50);
-        begin(measured, 100).ended(CallEnding.TIMED_OUT, 2_100);
-        double fresh = measured.excessMs(2_100);
-        double average = pool.averageExcessMs(2_100);
-        assertEquals(average + (fresh - average) / 2, measured.excessMs(2_100 + TUNING.excessHalfLifeMs()), 1e-6);
+        begin(measured, 100).onEnd(CallOutcome.TIMED_OUT, 2_100);
+        double fresh = measured.queueingDelayMs(2_100);
+        double average = pool.averageQueueingDelayMs(2_100);
+        assertEquals(
+                average + (fresh - average) / 2,
+                measured.queueingDelayMs(2_100 + TUNING.queueingDelayHalfLifeMs()),
+                1e-6);
     }
 
     @Test
-    void aLateCallThatIsAbandonedStillTells() {
+    void aLateCancelledCallIsStillMeasured() {
         answer(measured, 0, 50);
-        begin(measured, 100).ended(CallEnding.ABANDONED, 120);
-        assertEquals(measured.ownExcessMs(), 10, 1e-9, "the first answer, beyond the first guess of 40");
-        begin(measured, 200).ended(CallEnding.ABANDONED, 1_250);
-        assertEquals(10 + 0.3 * (1_000 - 10), measured.ownExcessMs(), 1e-9);
+        begin(measured, 100).onEnd(CallOutcome.CANCELLED, 120);
+        assertEquals(measured.ownQueueingDelayMs(), 10, 1e-9, "the first answer, beyond the first guess of 40");
+        begin(measured, 200).onEnd(CallOutcome.CANCELLED, 1_250);
+        assertEquals(10 + 0.3 * (1_000 - 10), measured.ownQueueingDelayMs(), 1e-9);
     }
 
     @Test
-    void aCallThatEndedSaysNothingMore() {
+    void anEndedCallIsNotMeasuredAgain() {
         CallMeasurement call = begin(measured, 0);
-        call.ended(CallEnding.ANSWERED, 50);
-        call.ended(CallEnding.TIMED_OUT, 60);
-        call.firstEvent(70);
-        call.event(80);
+        call.onEnd(CallOutcome.COMPLETED, 50);
+        call.onEnd(CallOutcome.TIMED_OUT, 60);
+        call.onFirstEvent(70);
+        call.onEvent(80);
         assertEquals(0, measured.outstanding());
-        assertEquals(10, measured.ownExcessMs(), 1e-9);
+        assertEquals(10, measured.ownQueueingDelayMs(), 1e-9);
     }
 
     @Test
-    void failuresInARowEjectForLongerEachTime() {
-        begin(measured, 0).ended(CallEnding.FAILED, 10);
-        assertFalse(measured.ejected(10), "one alone does not");
-        begin(measured, 20).ended(CallEnding.FAILED, 30);
-        assertTrue(measured.ejected(40));
+    void consecutiveFailuresEjectForIncreasingTimes() {
+        begin(measured, 0).onEnd(CallOutcome.FAILED, 10);
+        assertFalse(measured.isEjected(10), "one alone does not");
+        begin(measured, 20).onEnd(CallOutcome.FAILED, 30);
+        assertTrue(measured.isEjected(40));
         double now = 30;
         double lastRest = 0;
         for (int each = 0; each < 4; each++) {
             double from = now;
-            while (measured.ejected(now)) {
+            while (measured.isEjected(now)) {
                 now += 10;
             }
-            assertTrue(measured.restEnds(now));
+            assertTrue(measured.isEjectionOver(now));
             assertTrue(now - from > lastRest, "rest " + (now - from) + " after " + lastRest);
             lastRest = now - from;
             CallMeasurement trial = begin(measured, now);
-            assertTrue(measured.ejected(now), "one request at a time tries it");
-            trial.ended(CallEnding.NOT_CONNECTED, now + 1);
+            assertTrue(measured.isEjected(now), "one request at a time tries it");
+            trial.onEnd(CallOutcome.CONNECT_FAILED, now + 1);
         }
-        while (measured.ejected(now)) {
+        while (measured.isEjected(now)) {
             now += 10;
         }
-        begin(measured, now).ended(CallEnding.ANSWERED, now + 50);
+        begin(measured, now).onEnd(CallOutcome.COMPLETED, now + 50);
         begin(measured, now + 60);
-        assertFalse(measured.ejected(now + 60));
+        assertFalse(measured.isEjected(now + 60));
     }
 
     @Test
     void aRefusedConnectionEjectsAtOnce() {
-        begin(measured, 0).ended(CallEnding.NOT_CONNECTED, 1);
-        assertTrue(measured.ejected(2));
+        begin(measured, 0).onEnd(CallOutcome.CONNECT_FAILED, 1);
+        assertTrue(measured.isEjected(2));
     }
 }
--- a/router-fleet/selection/src/test/java/pinewick/selection/ReplicaSelectorTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/ReplicaSelectorTest.java
@@ -22,7 +22,7 @@
     private static List<ReplicaRecord> replicas(Stage stage, int count) {
         List<ReplicaRecord> replicas = new ArrayList<>();
         for (int each = 0; each < count; each++) {
-            replicas.add(Shapes.replica(stage.wireName() + each, stage));
+            replicas.add(RequestShapes.replica(stage.wireName() + each, stage));
         }
         return replicas;
     }
@@ -34,15 +34,15 @@
     }
 
     private String plain(List<ReplicaRecord> candidates, double nowMs) {
-        return selector.choose(Shapes.plain(nowMs), candidates, Set.of(), nowMs)
+        return selector.choose(RequestShapes.plain(nowMs), candidates, Set.of(), nowMs)
                 .orElseThrow()
                 .decode()
                 .instanceId();
     }
 
     private void answerPlain(ReplicaRecord replica, double fromMs, double tookMs) {
-        selector.begin(replica, CallKind.PLAIN, Shapes.plain(fromMs), fromMs)
-                .ended(CallEnding.ANSWERED, fromMs + tookMs);
+        selector.startCall(replica, CallKind.PLAIN, RequestShapes.plain(fromMs), fromMs)
+                .onEnd(CallOutcome.COMPLETED, fromMs + tookMs);
     }
 
     /**
@@ -52,25 +52,25 @@
     private void learnPaces(List<ReplicaRecord> fleet) {
         for (int each = 0; each < 8; each++) {
             int tokens = 2_000 * (each + 1);
-            RequestShape request = Shapes.generation(5_000 + each, 16, tokens - 16, 0);
+            RequestShape request = RequestShapes.generation(5_000 + each, 16, tokens - 16, 0);
             for (ReplicaRecord replica : fleet) {
                 if (replica.stage() == Stage.PREFILL) {
-                    selector.begin(replica, CallKind.PREFILL, request, 0)
-                            .ended(CallEnding.ANSWERED, 20 + 0.01 * tokens);
+                    selector.startCall(replica, CallKind.PREFILL, request, 0)
+                            .onEnd(CallOutcome.COMPLETED, 20 + 0.01 * tokens);
                 } else {
-                    ReplicaSelector.Call whole = selector.begin(replica, CallKind.DECODE_WHOLE, request, 0);
-                    whole.firstEvent(20 + 0.02 * tokens);
-                    whole.ended(CallEnding.ANSWERED, 20 + 0.02 * tokens);
-                    ReplicaSelector.Call fetched = selector.beginFetched(replica, fleet.get(0), request, 0);
-                    fetched.firstEvent(20 + 0.001 * tokens);
-                    fetched.ended(CallEnding.ANSWERED, 20 + 0.001 * tokens);
+                    ReplicaSelector.Call whole = selector.startCall(replica, CallKind.AGGREGATED_DECODE, request, 0);
+                    whole.onFirstEvent(20 + 0.02 * tokens);
+                    whole.onEnd(CallOutcome.COMPLETED, 20 + 0.02 * tokens);
+                    ReplicaSelector.Call fetched = selector.startDisaggregatedDecode(replica, fleet.get(0), request, 0);
+                    fetched.onFirstEvent(20 + 0.001 * tokens);
+                    fetched.onEnd(CallOutcome.COMPLETED, 20 + 0.001 * tokens);
                 }
             }
         }
     }
 
     @Test
-    void equalScoresAreDrawnByLot() {
+    void equalScoresAreChosenAtRandom() {
         List<ReplicaRecord> candidates = replicas(Stage.NONE, 4);
         Map<String, Integer> counts = new HashMap<>();
         for (int each = 0; each < 4_000; each++) {
@@ -87,7 +87,7 @@
         answerPlain(candidates.get(1), 0, 50);
         answerPlain(candidates.get(2), 0, 70);
         assertEquals("none1", plain(candidates, 100));
-        selector.begin(candidates.get(1), CallKind.PLAIN, Shapes.plain(100), 100);
+        selector.startCall(candidates.get(1), CallKind.PLAIN, RequestShapes.plain(100), 100);
         assertEquals("none2", plain(candidates, 100), "a call outstanding makes it dearer");
     }
 
@@ -96,28 +96,29 @@
         List<ReplicaRecord> candidates = replicas(Stage.NONE, 2);
         answerPlain(candidates.get(0), 0, 50);
         answerPlain(candidates.get(1), 0, 60);
-        selector.report("none0", Shapes.report(Stage.NONE, 5, 6, 0.3, 100));
-        selector.report("none1", Shapes.report(Stage.NONE, 0, 2, 0.3, 100));
+        selector.onLoadReport("none0", RequestShapes.report(Stage.NONE, 5, 6, 0.3, 100));
+        selector.onLoadReport("none1", RequestShapes.report(Stage.NONE, 0, 2, 0.3, 100));
         assertEquals("none1", plain(candidates, 100));
         assertEquals("none0", plain(candidates, 3_000), "an old report no longer counts");
     }
 
     @Test
-    void whatMayNotBeChosenIsNot() {
+    void ineligibleReplicasAreNotChosen() {
         List<ReplicaRecord> candidates = List.of(
-                Shapes.replica("draining", Stage.DECODE, ReplicaState.DRAINING, "m"),
-                Shapes.replica("lapsed", Stage.DECODE).withLapsed(true),
-                Shapes.replica("other-model", Stage.DECODE, ReplicaState.READY, "x"),
-                Shapes.replica("tried", Stage.DECODE),
-                Shapes.replica("busy", Stage.DECODE),
-                Shapes.replica("reads", Stage.PREFILL),
-                Shapes.replica("fit", Stage.DECODE));
-        selector.setEngine("s", Shapes.ENGINE);
-        RequestShape request = Shapes.generation(1, 10, 10, 0);
+                RequestShapes.replica("draining", Stage.DECODE, ReplicaState.DRAINING, "m"),
+                RequestShapes.replica("lapsed", Stage.DECODE).withLapsed(true),
+                RequestShapes.replica("other-model", Stage.DECODE, ReplicaState.READY, "x"),
+                RequestShapes.replica("tried", Stage.DECODE),
+                RequestShapes.replica("busy", Stage.DECODE),
+                RequestShapes.replica("reads", Stage.PREFILL),
+                RequestShapes.replica("fit", Stage.DECODE));
+        selector.setEngine("s", RequestShapes.ENGINE);
+        RequestShape request = RequestShapes.generation(1, 10, 10, 0);
         selector.choose(request, candidates, Set.of(), 0);
-        selector.report("busy", new LoadReport(Stage.DECODE, true, 1, 0, 0, 0, 1_000, 0, 0));
+        selector.onLoadReport("busy", new LoadReport(Stage.DECODE, true, 1, 0, 0, 0, 1_000, 0, 0));
         for (int each = 0; each < 200; each++) {
-            Pair pair = selector.choose(request, candidates, Set.of("tried"), 0).orElseThrow();
+            ReplicaPair pair =
+                    selector.choose(request, candidates, Set.of("tried"), 0).orElseThrow();
             assertEquals("fit", pair.decode().instanceId());
         }
         assertTrue(
@@ -128,37 +129,37 @@
     }
 
     @Test
-    void aStageChangeThatIsOverNoLongerKeepsItOut() {
-        List<ReplicaRecord> candidates = List.of(Shapes.replica("busy", Stage.DECODE));
-        selector.setEngine("s", Shapes.ENGINE);
-        RequestShape request = Shapes.generation(1, 10, 10, 0);
+    void aCompletedStageChangeMakesAReplicaEligible() {
+        List<ReplicaRecord> candidates = List.of(RequestShapes.replica("busy", Stage.DECODE));
+        selector.setEngine("s", RequestShapes.ENGINE);
+        RequestShape request = RequestShapes.generation(1, 10, 10, 0);
         selector.choose(request, candidates, Set.of(), 0);
-        selector.report("busy", new LoadReport(Stage.DECODE, true, 1, 0, 0, 0, 1_000, 0, 0));
+        selector.onLoadReport("busy", new LoadReport(Stage.DECODE, true, 1, 0, 0, 0, 1_000, 0, 0));
         assertTrue(selector.choose(request, candidates, Set.of(), 0).isEmpty());
         assertFalse(selector.choose(request, candidates, Set.of(), 2_400).isEmpty());
     }
 
     @Test
-    void aPromptGoesWhereItsPrefixIsKept() {
+    void aPromptGoesToTheReplicaWithItsPrefixCached() {
         List<ReplicaRecord> fleet = fleet(0, 4);
-        selector.setEngine("s", Shapes.ENGINE);
+        selector.setEngine("s", RequestShapes.ENGINE);
         learnPaces(fleet);
-        RequestShape request = Shapes.generation(1, 10_000, 500, 1_000);
+        RequestShape request = RequestShapes.generation(1, 10_000, 500, 1_000);
         ReplicaRecord first =
                 selector.choose(request, fleet, Set.of(), 1_000).orElseThrow().decode();
-        ReplicaSelector.Call call = selector.begin(first, CallKind.DECODE_WHOLE, request, 1_000);
-        call.firstEvent(1_230);
-        call.ended(CallEnding.ANSWERED, 1_230);
+        ReplicaSelector.Call call = selector.startCall(first, CallKind.AGGREGATED_DECODE, request, 1_000);
+        call.onFirstEvent(1_230);
+        call.onEnd(CallOutcome.COMPLETED, 1_230);
         for (int each = 0; each < 20; each++) {
-            RequestShape next = Shapes.generation(1, 10_000, 500, 1_500);
+            RequestShape next = RequestShapes.generation(1, 10_000, 500, 1_500);
             assertEquals(
                     first,
                     selector.choose(next, fleet, Set.of(), 1_500).orElseThrow().decode());
         }
-        selector.forget(first.instanceId());
+        selector.removeReplica(first.instanceId());
         int elsewhere = 0;
         for (int each = 0; each < 20; each++) {
-            RequestShape next = Shapes.generation(1, 10_000, 500, 1_500);
+            RequestShape next = RequestShapes.generation(1, 10_000, 500, 1_500);
             elsewhere +=
                     selector.choose(next, fleet, Set.of(), 1_500).orElseThrow().decode() == first ? 0 : 1;
         }
@@ -166,13 +167,13 @@
     }
 
     @Test
-    void aLongPromptIsReadByAPrefillReplicaAndAShortOneAtOnce() {
+    void aLongPromptIsServedDisaggregatedAndAShortOneAggregated() {
         List<ReplicaRecord> fleet = fleet(2, 3);
-        selector.setEngine("s", Shapes.ENGINE);
+        selector.setEngine("s", RequestShapes.ENGINE);
         learnPaces(fleet);
-        Pair ofLong = selector.choose(Shapes.generation(1, 12_000, 4_000, 1_000), fleet, Set.of(), 1_000)
+        ReplicaPair ofLong = selector.choose(RequestShapes.generation(1, 12_000, 4_000, 1_000), fleet, Set.of(), 1_000)
                 .orElseThrow();
-        Pair ofShort = selector.choose(Shapes.generation(2, 90, 300, 1_000), fleet, Set.of(), 1_000)
+        ReplicaPair ofShort = selector.choose(RequestShapes.generation(2, 90, 300, 1_000), fleet, Set.of(), 1_000)
                 .orElseThrow();
         assertEquals(Stage.PREFILL, ofLong.prefill().orElseThrow().stage());
         assertEquals(Stage.DECODE, ofLong.decode().stage());
@@ -180,61 +181,62 @@
     }
 
     @Test
-    void withoutAnyMeasurementTheSizeOfTheFirstRequestDoesNotTellThePace() {
+    void withoutMeasurementsTheSizeOfTheFirstRequestDoesNotSetTheTokenTime() {
         List<ReplicaRecord> fleet = fleet(2, 3);
-        selector.setEngine("s", Shapes.ENGINE);
-        RequestShape brief = Shapes.generation(2, 16, 16, 0);
-        ReplicaSelector.Call call = selector.begin(fleet.get(2), CallKind.DECODE_WHOLE, brief, 0);
-        call.firstEvent(30);
-        call.ended(CallEnding.ANSWERED, 30);
-        Pair pair = selector.choose(Shapes.generation(1, 12_000, 4_000, 100), fleet, Set.of(), 100)
+        selector.setEngine("s", RequestShapes.ENGINE);
+        RequestShape brief = RequestShapes.generation(2, 16, 16, 0);
+        ReplicaSelector.Call call = selector.startCall(fleet.get(2), CallKind.AGGREGATED_DECODE, brief, 0);
+        call.onFirstEvent(30);
+        call.onEnd(CallOutcome.COMPLETED, 30);
+        ReplicaPair pair = selector.choose(RequestShapes.generation(1, 12_000, 4_000, 100), fleet, Set.of(), 100)
                 .orElseThrow();
         assertTrue(pair.decode().stage() == Stage.DECODE);
-        RequestShape large = Shapes.generation(3, 12_000, 4_000, 100);
+        RequestShape large = RequestShapes.generation(3, 12_000, 4_000, 100);
         for (int each = 0; each < 3; each++) {
-            ReplicaSelector.Call whole = selector.begin(fleet.get(3), CallKind.DECODE_WHOLE, large, 100);
-            whole.firstEvent(450);
-            whole.ended(CallEnding.ANSWERED, 450);
+            ReplicaSelector.Call whole = selector.startCall(fleet.get(3), CallKind.AGGREGATED_DECODE, large, 100);
+            whole.onFirstEvent(450);
+            whole.onEnd(CallOutcome.COMPLETED, 450);
         }
-        Pair next = selector.choose(Shapes.generation(4, 12_000, 4_000, 500), fleet, Set.of(), 500)
+        ReplicaPair next = selector.choose(RequestShapes.generation(4, 12_000, 4_000, 500), fleet, Set.of(), 500)
                 .orElseThrow();
         assertTrue(next.prefill().isPresent(), "what decode replicas take tells that prefill replicas take half");
     }
 
     @Test
-    void prefillReplicasDoNotStandIdleWhileDecodeReplicasRead() {
+    void prefillReplicasAreNotIdleWhileDecodeReplicasPrefill() {
         List<ReplicaRecord> fleet = fleet(2, 3);
-        selector.setEngine("s", Shapes.ENGINE);
+        selector.setEngine("s", RequestShapes.ENGINE);
         selector.setRouterCount(9);
         learnPaces(fleet);
         int byPrefill = 0;
         for (int each = 0; each < 40; each++) {
             double now = 1_000 + 100 * each;
-            RequestShape request = Shapes.generation(100 + each, 1_000, 1_500, now);
-            Pair pair = selector.choose(request, fleet, Set.of(), now).orElseThrow();
+            RequestShape request = RequestShapes.generation(100 + each, 1_000, 1_500, now);
+            ReplicaPair pair = selector.choose(request, fleet, Set.of(), now).orElseThrow();
             byPrefill += pair.prefill().isPresent() ? 1 : 0;
             for (ReplicaRecord decode : fleet.subList(2, 5)) {
-                ReplicaSelector.Call brief =
-                        selector.begin(decode, CallKind.DECODE_WHOLE, Shapes.generation(2, 90, 300, now), now);
-                brief.firstEvent(now + 150);
-                brief.ended(CallEnding.ANSWERED, now + 150);
+                ReplicaSelector.Call brief = selector.startCall(
+                        decode, CallKind.AGGREGATED_DECODE, RequestShapes.generation(2, 90, 300, now), now);
+                brief.onFirstEvent(now + 150);
+                brief.onEnd(CallOutcome.COMPLETED, now + 150);
             }
         }
         assertTrue(byPrefill >= 30, "by prefill " + byPrefill + " of 40 while decode replicas are slow");
     }
 
     @Test
-    void aLostHandleCountsAgainstItsReader() {
+    void aLostHandleCountsAgainstItsPrefillReplica() {
         List<ReplicaRecord> fleet = fleet(2, 2);
-        selector.setEngine("s", Shapes.ENGINE);
+        selector.setEngine("s", RequestShapes.ENGINE);
         learnPaces(fleet);
-        RequestShape request = Shapes.generation(1, 12_000, 4_000, 1_000);
+        RequestShape request = RequestShapes.generation(1, 12_000, 4_000, 1_000);
         for (int each = 0; each < 3; each++) {
-            selector.beginFetched(fleet.get(2), fleet.get(0), request, 1_000).ended(CallEnding.REJECTED, 1_005);
+            selector.startDisaggregatedDecode(fleet.get(2), fleet.get(0), request, 1_000)
+                    .onEnd(CallOutcome.REJECTED, 1_005);
         }
         for (int each = 0; each < 20; each++) {
-            RequestShape next = Shapes.generation(10 + each, 12_000, 4_000, 1_010);
-            Pair pair = selector.choose(next, fleet, Set.of(), 1_010).orElseThrow();
+            RequestShape next = RequestShapes.generation(10 + each, 12_000, 4_000, 1_010);
+            ReplicaPair pair = selector.choose(next, fleet, Set.of(), 1_010).orElseThrow();
             assertFalse(pair.prefill().isPresent() && pair.prefill().get() == fleet.get(0));
         }
     }
@@ -243,49 +245,54 @@
     void atMostHalfAreEjected() {
         List<ReplicaRecord> candidates = replicas(Stage.NONE, 4);
         for (ReplicaRecord each : candidates) {
-            selector.begin(each, CallKind.PLAIN, Shapes.plain(0), 0).ended(CallEnding.NOT_CONNECTED, 1);
+            selector.startCall(each, CallKind.PLAIN, RequestShapes.plain(0), 0).onEnd(CallOutcome.CONNECT_FAILED, 1);
         }
-        assertTrue(selector.choose(Shapes.plain(2), candidates, Set.of(), 2).isPresent());
+        assertTrue(
+                selector.choose(RequestShapes.plain(2), candidates, Set.of(), 2).isPresent());
     }
 
     @Test
-    void anEjectedReplicaIsNotChosenUntilItsRestIsOver() {
+    void anEjectedReplicaIsNotChosenUntilItsEjectionEnds() {
         List<ReplicaRecord> candidates = replicas(Stage.NONE, 3);
         candidates.forEach(each -> answerPlain(each, 0, 50));
-        selector.begin(candidates.get(0), CallKind.PLAIN, Shapes.plain(100), 100)
-                .ended(CallEnding.NOT_CONNECTED, 101);
+        selector.startCall(candidates.get(0), CallKind.PLAIN, RequestShapes.plain(100), 100)
+                .onEnd(CallOutcome.CONNECT_FAILED, 101);
         for (int each = 0; each < 100; each++) {
             assertFalse(plain(candidates, 110).equals("none0"));
         }
         // While the others are idle, theirs stay the lowest scores; as soon as they are at work it is tried again.
         for (int call = 0; call < 12; call++) {
-            candidates.subList(1, 3).forEach(each -> selector.begin(each, CallKind.PLAIN, Shapes.plain(2_000), 2_000));
+            candidates
+                    .subList(1, 3)
+                    .forEach(each -> selector.startCall(each, CallKind.PLAIN, RequestShapes.plain(2_000), 2_000));
         }
         assertEquals("none0", plain(candidates, 2_010));
-        selector.begin(candidates.get(0), CallKind.PLAIN, Shapes.plain(2_010), 2_010);
+        selector.startCall(candidates.get(0), CallKind.PLAIN, RequestShapes.plain(2_010), 2_010);
         for (int each = 0; each < 100; each++) {
             assertFalse(plain(candidates, 2_020).equals("none0"), "by one request at a time");
         }
     }
 
     @Test
-    void aHungReplicaLosesItsDrawBeforeItsTimeOut() {
+    void aHungReplicaIsAvoidedBeforeItsTimeout() {
         List<ReplicaRecord> candidates = replicas(Stage.NONE, 2);
         answerPlain(candidates.get(0), 0, 20);
         answerPlain(candidates.get(1), 0, 200);
-        ReplicaSelector.Call hung = selector.begin(candidates.get(0), CallKind.PLAIN, Shapes.plain(100), 100);
+        ReplicaSelector.Call hung =
+                selector.startCall(candidates.get(0), CallKind.PLAIN, RequestShapes.plain(100), 100);
         assertEquals("none1", plain(candidates, 1_500));
-        hung.ended(CallEnding.TIMED_OUT, 2_100);
+        hung.onEnd(CallOutcome.TIMED_OUT, 2_100);
         assertEquals("none1", plain(candidates, 2_100));
     }
 
     @Test
-    void theDecodeReplicaIsChosenAnewAfterTheRead() {
+    void theDecodeReplicaIsChosenAgainAfterPrefill() {
         List<ReplicaRecord> fleet = fleet(1, 2);
-        selector.setEngine("s", Shapes.ENGINE);
+        selector.setEngine("s", RequestShapes.ENGINE);
         learnPaces(fleet);
-        RequestShape request = Shapes.generation(1, 12_000, 4_000, 1_000);
-        selector.begin(fleet.get(1), CallKind.DECODE_WHOLE, Shapes.generation(2, 90, 300, 1_000), 1_000);
+        RequestShape request = RequestShapes.generation(1, 12_000, 4_000, 1_000);
+        selector.startCall(
+                fleet.get(1), CallKind.AGGREGATED_DECODE, RequestShapes.generation(2, 90, 300, 1_000), 1_000);
         assertEquals(
                 fleet.get(2),
                 selector.chooseDecode(request, fleet.get(0), fleet, Set.of(), 1_000)
@@ -297,9 +304,9 @@
     }
 
     @Test
-    void aPromptIsFetchedOnlyByReplicasOfTheSameWeights() {
-        ReplicaRecord reader = Shapes.replica("reader", Stage.PREFILL);
-        ReplicaRecord same = Shapes.replica("same", Stage.DECODE);
+    void aPromptIsTransferredOnlyToReplicasOfTheSameWeights() {
+        ReplicaRecord reader = RequestShapes.replica("reader", Stage.PREFILL);
+        ReplicaRecord same = RequestShapes.replica("same", Stage.DECODE);
         ReplicaRecord newer = new ReplicaRecord(
                 "newer",
                 "s",
@@ -313,8 +320,8 @@
                 List.of(new ReplicaRecord.ModelVersion("m", 2)),
                 1,
                 false);
-        selector.setEngine("s", Shapes.ENGINE);
-        RequestShape request = Shapes.generation(1, 12_000, 4_000, 0);
+        selector.setEngine("s", RequestShapes.ENGINE);
+        RequestShape request = RequestShapes.generation(1, 12_000, 4_000, 0);
         for (int each = 0; each < 50; each++) {
             assertEquals(
                     same,
@@ -323,26 +330,26 @@
         }
         assertTrue(selector.chooseDecode(request, reader, List.of(newer), Set.of(), 0)
                 .isEmpty());
-        Pair pair =
+        ReplicaPair pair =
                 selector.choose(request, List.of(reader, newer), Set.of(), 0).orElseThrow();
-        assertEquals(new Pair(Optional.empty(), newer), pair);
+        assertEquals(new ReplicaPair(Optional.empty(), newer), pair);
     }
 
     @Test
-    void hintsAreTakenInFromWhenAReplicaIsKnown() {
+    void hintsAreAppliedOnceAReplicaIsKnown() {
         List<ReplicaRecord> fleet = fleet(0, 3);
-        selector.setEngine("s", Shapes.ENGINE);
+        selector.setEngine("s", RequestShapes.ENGINE);
         learnPaces(fleet);
-        ReplicaRecord late = Shapes.replica("late", Stage.DECODE);
-        RequestShape request = Shapes.generation(1, 12_000, 400, 1_000);
-        PrefixCacheBeliefs there = new PrefixCacheBeliefs();
+        ReplicaRecord late = RequestShapes.replica("late", Stage.DECODE);
+        RequestShape request = RequestShapes.generation(1, 12_000, 400, 1_000);
+        PrefixCacheEstimates there = new PrefixCacheEstimates();
         there.setCapacity("late", 500_000);
-        there.used("late", request.parts(), 900);
+        there.recordUse("late", request.parts(), 900);
         List<PrefixHint> hints = there.snapshot(10, 950);
-        hints.forEach(hint -> selector.beliefs().learn(hint, 950));
-        assertEquals(0, selector.beliefs().cachedTokens("late", request.parts()));
-        selector.know(late);
-        hints.forEach(hint -> selector.beliefs().learn(hint, 950));
+        hints.forEach(hint -> selector.cacheEstimates().applyHint(hint, 950));
+        assertEquals(0, selector.cacheEstimates().cachedTokens("late", request.parts()));
+        selector.addReplica(late);
+        hints.forEach(hint -> selector.cacheEstimates().applyHint(hint, 950));
         List<ReplicaRecord> all = new ArrayList<>(fleet);
         all.add(late);
         assertEquals(
@@ -351,8 +358,8 @@
     }
 
     @Test
-    void amongEqualsTheOwnZoneIsCheaper() {
-        ReplicaRecord here = Shapes.replica("here", Stage.NONE);
+    void amongEqualReplicasTheLocalZoneIsPreferred() {
+        ReplicaRecord here = RequestShapes.replica("here", Stage.NONE);
         ReplicaRecord there = new ReplicaRecord(
                 "there",
                 "s",
@@ -366,23 +373,23 @@
                 here.models(),
                 1,
                 false);
-        selector.setPlace("z", Map.of("z", "r", "y", "r"));
+        selector.setLocality("z", Map.of("z", "r", "y", "r"));
         for (int each = 0; each < 50; each++) {
             assertEquals("here", plain(List.of(there, here), 0));
         }
     }
 
     @Test
-    void aReplicaThatChangedItsStageStartsAnew() {
-        selector.setEngine("s", Shapes.ENGINE);
-        ReplicaRecord asDecode = Shapes.replica("a", Stage.DECODE);
-        RequestShape request = Shapes.generation(1, 12_000, 4_000, 0);
-        ReplicaSelector.Call call = selector.begin(asDecode, CallKind.DECODE_WHOLE, request, 0);
-        ReplicaRecord asPrefill = Shapes.replica("a", Stage.PREFILL);
-        ReplicaRecord other = Shapes.replica("b", Stage.DECODE);
+    void aReplicaThatChangedItsStageStartsWithoutMeasurements() {
+        selector.setEngine("s", RequestShapes.ENGINE);
+        ReplicaRecord asDecode = RequestShapes.replica("a", Stage.DECODE);
+        RequestShape request = RequestShapes.generation(1, 12_000, 4_000, 0);
+        ReplicaSelector.Call call = selector.startCall(asDecode, CallKind.AGGREGATED_DECODE, request, 0);
+        ReplicaRecord asPrefill = RequestShapes.replica("a", Stage.PREFILL);
+        ReplicaRecord other = RequestShapes.replica("b", Stage.DECODE);
         selector.choose(request, List.of(asPrefill, other), Set.of(), 10);
-        call.firstEvent(300);
-        call.ended(CallEnding.ANSWERED, 310);
+        call.onFirstEvent(300);
+        call.onEnd(CallOutcome.COMPLETED, 310);
         assertTrue(selector.choose(request, List.of(asPrefill, other), Set.of(), 320)
                 .isPresent());
     }
--- a/router-fleet/selection/src/test/java/pinewick/selection/Shapes.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/RequestShapes.java
@@ -10,10 +10,10 @@
 import pinewick.model.Stage;
 
 /** Records for tests. */
-final class Shapes {
+final class RequestShapes {
     static final EngineSpec ENGINE = new EngineSpec(12, 500_000, 18_432, 180_000, 11, 5, 2.3);
 
-    private Shapes() {}
+    private RequestShapes() {}
 
     static Route route(String name, int targetMs, int timeoutMs, int priority) {
         return new Route(
--- a/router-fleet/selection/src/test/java/pinewick/selection/RetryBudgetTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/RetryBudgetTest.java
@@ -20,13 +20,13 @@
     @Test
     void aRouterThatHasJustStartedHasNoSlack() {
         RetryBudget budget = new RetryBudget(0.2, 50, WINDOW_MS);
-        assertFalse(budget.tryTake(SERVICE, 0));
-        assertFalse(budget.tryTake(SERVICE, 9_999));
-        assertTrue(budget.tryTake(SERVICE, 10_000));
+        assertFalse(budget.tryAcquire(SERVICE, 0));
+        assertFalse(budget.tryAcquire(SERVICE, 9_999));
+        assertTrue(budget.tryAcquire(SERVICE, 10_000));
     }
 
     @Test
-    void theSlackIsSharedByTheMostRouters() {
+    void theSlackIsDividedByTheUpperBoundOfRouters() {
         RetryBudget budget = new RetryBudget(0, 50, WINDOW_MS);
         budget.setRouterCount(9);
         budget.onRequest(SERVICE, 0);
@@ -39,7 +39,7 @@
     void fewerRoutersThanBeforeCountAfterOneMoreWindow() {
         RetryBudget budget = new RetryBudget(0, 50, WINDOW_MS);
         budget.setRouterCount(9);
-        budget.started(0);
+        budget.onStarted(0);
         budget.onRequest(SERVICE, 20_000);
         budget.setRouterCount(3);
         assertEquals(5, takeAll(budget, 29_000));
@@ -53,7 +53,7 @@
         for (int at = 0; at < 60_000; at += 10) {
             budget.onRequest(SERVICE, at);
             if (at >= 40_000 && at < 50_000) {
-                taken += budget.tryTake(SERVICE, at) ? 1 : 0;
+                taken += budget.tryAcquire(SERVICE, at) ? 1 : 0;
             }
         }
         assertTrue(taken > 70 && taken <= 100, "of 200 that the rule allows with 1,000 requests, took " + taken);
@@ -65,27 +65,27 @@
         for (int at = 0; at < 4_000; at += 10) {
             budget.onRequest(SERVICE, at);
         }
-        assertFalse(budget.tryTake("other", 4_000));
-        assertTrue(budget.tryTake(SERVICE, 4_000));
+        assertFalse(budget.tryAcquire("other", 4_000));
+        assertTrue(budget.tryAcquire(SERVICE, 4_000));
     }
 
     @Test
-    void whatNeverHappenedIsGivenBack() {
+    void anUnusedAttemptIsReleased() {
         RetryBudget budget = new RetryBudget(0, 50, WINDOW_MS);
         budget.setRouterCount(9);
-        budget.started(0);
+        budget.onStarted(0);
         assertEquals(5, takeAll(budget, 20_000));
-        budget.giveBack(SERVICE, 20_000);
+        budget.release(SERVICE, 20_000);
         assertEquals(1, takeAll(budget, 25_000));
         assertEquals(0, takeAll(budget, 29_000));
-        budget.giveBack(SERVICE, 4_000);
+        budget.release(SERVICE, 4_000);
         assertEquals(0, takeAll(budget, 29_000), "long gone from the window");
         assertEquals(4, takeAll(budget, 30_500), "the one of 25,000 is still in it");
     }
 
     private static int takeAll(RetryBudget budget, double nowMs) {
         int taken = 0;
-        while (budget.tryTake(SERVICE, nowMs)) {
+        while (budget.tryAcquire(SERVICE, nowMs)) {
             taken++;
         }
         return taken;
@@ -131,9 +131,9 @@
             }
             boolean spree = random.nextInt(10) == 0;
             for (RetryBudget each : routers) {
-                while (spree && each != null && each.tryTake(SERVICE, now)) {
+                while (spree && each != null && each.tryAcquire(SERVICE, now)) {
                     if (random.nextInt(8) == 0) {
-                        each.giveBack(SERVICE, now);
+                        each.release(SERVICE, now);
                         break;
                     }
                     extras.add(now);
--- a/router-fleet/selection/src/test/java/pinewick/selection/ChoiceCost.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/SelectionBenchmark.java
@@ -8,18 +8,18 @@
 import pinewick.model.Stage;
 
 /** Prints the processor time of one choice with all that goes with it. Run by hand. */
-public final class ChoiceCost {
-    private ChoiceCost() {}
+public final class SelectionBenchmark {
+    private SelectionBenchmark() {}
 
     public static void main(String[] arguments) {
         for (int count : new int[] {8, 40}) {
             ReplicaSelector selector = new ReplicaSelector(new SplittableRandom(1));
             AdmissionControl admission = new AdmissionControl(selector, new SplittableRandom(1));
-            selector.setEngine("s", Shapes.ENGINE);
+            selector.setEngine("s", RequestShapes.ENGINE);
             selector.setRouterCount(9);
             List<ReplicaRecord> replicas = new ArrayList<>();
             for (int each = 0; each < count; each++) {
-                replicas.add(Shapes.replica("r" + each, each * 3 < count ? Stage.PREFILL : Stage.DECODE));
+                replicas.add(RequestShapes.replica("r" + each, each * 3 < count ? Stage.PREFILL : Stage.DECODE));
             }
             for (int round = 0; round < 4; round++) {
                 long from = System.nanoTime();
@@ -27,7 +27,7 @@
                 double now = round * 1e6;
                 for (int each = 0; each < requests; each++) {
                     now += 10;
-                    serve(selector, admission, replicas, Shapes.generation(each % 120, 13_000, 3_000, now), now);
+                    serve(selector, admission, replicas, RequestShapes.generation(each % 120, 13_000, 3_000, now), now);
                 }
                 System.out.printf(
                         "%d candidates: %.1f microseconds a request%n",
@@ -43,17 +43,18 @@
             RequestShape request,
             double now) {
         admission.decide(request, replicas, now);
-        Pair pair = selector.choose(request, replicas, Set.of(), now).orElseThrow();
+        ReplicaPair pair = selector.choose(request, replicas, Set.of(), now).orElseThrow();
         if (pair.prefill().isPresent()) {
-            selector.begin(pair.prefill().get(), CallKind.PREFILL, request, now).ended(CallEnding.ANSWERED, now + 50);
-            ReplicaSelector.Call call =
-                    selector.beginFetched(pair.decode(), pair.prefill().get(), request, now + 50);
-            call.firstEvent(now + 100);
-            call.ended(CallEnding.ANSWERED, now + 120);
+            selector.startCall(pair.prefill().get(), CallKind.PREFILL, request, now)
+                    .onEnd(CallOutcome.COMPLETED, now + 50);
+            ReplicaSelector.Call call = selector.startDisaggregatedDecode(
+                    pair.decode(), pair.prefill().get(), request, now + 50);
+            call.onFirstEvent(now + 100);
+            call.onEnd(CallOutcome.COMPLETED, now + 120);
         } else {
-            ReplicaSelector.Call call = selector.begin(pair.decode(), CallKind.DECODE_WHOLE, request, now);
-            call.firstEvent(now + 100);
-            call.ended(CallEnding.ANSWERED, now + 120);
+            ReplicaSelector.Call call = selector.startCall(pair.decode(), CallKind.AGGREGATED_DECODE, request, now);
+            call.onFirstEvent(now + 100);
+            call.onEnd(CallOutcome.COMPLETED, now + 120);
         }
     }
 }
--- a/router-fleet/selection/src/test/java/pinewick/selection/SelectionExperiment.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/SelectionExperiment.java
@@ -33,8 +33,9 @@
         variants.add(new Variant("no busy share", usual.withBusyWeight(0), routers, true, true, false));
         variants.add(new Variant("s = lowest answer", usual.withServiceByRequest(false), routers, true, true, false));
         variants.add(new Variant("no hints", usual, routers, true, false, false));
-        variants.add(new Variant("no delay of others", usual.withInterference(0), routers, true, true, false));
-        variants.add(new Variant("no price of re-reading", usual.withReadAgainWeight(0), routers, true, true, false));
+        variants.add(new Variant("no delay of others", usual.withInterferenceWeight(0), routers, true, true, false));
+        variants.add(
+                new Variant("no price of re-reading", usual.withRepeatedPrefillWeight(0), routers, true, true, false));
         variants.add(new Variant("admission", usual, routers, true, true, true));
         return variants;
     }
--- a/router-fleet/selection/src/test/java/pinewick/selection/VirtualFleet.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/VirtualFleet.java
@@ -71,7 +71,7 @@
     final List<ReplicaSelector> selectors = new ArrayList<>();
     final List<AdmissionControl> admissions = new ArrayList<>();
     final Map<String, Outcome> outcomes = new HashMap<>();
-    final SplittableRandom chance;
+    final SplittableRandom random;
     final Setting setting;
     private final Map<String, VirtualEngine> byId = new HashMap<>();
     private List<ReplicaRecord> records;
@@ -86,7 +86,7 @@
 
     VirtualFleet(Setting setting) {
         this.setting = setting;
-        chance = new SplittableRandom(setting.seed);
+        random = new SplittableRandom(setting.seed);
         double[] speeds = {1.0, 1.0, 1.3};
         int count = setting.prefills + setting.decodes;
         for (int each = 0; each < count; each++) {
@@ -107,7 +107,7 @@
         for (int router = 0; router < setting.routers; router++) {
             ReplicaSelector selector = selector(router);
             selectors.add(selector);
-            admissions.add(new AdmissionControl(selector, chance.split()));
+            admissions.add(new AdmissionControl(selector, random.split()));
         }
         setting.kinds.forEach(kind -> outcomes.put(kind.route.name(), new Outcome()));
     }
@@ -173,36 +173,37 @@
                     time.after(GOSSIP_MS, () -> tellAll(selectors.get(peer), fresh));
                 }
                 selectors.set(router, fresh);
-                admissions.set(router, new AdmissionControl(selectors.get(router), chance.split()));
+                admissions.set(router, new AdmissionControl(selectors.get(router), random.split()));
             }
         });
         time.after(atMs + forMs - time.now(), () -> down.clear());
     }
 
     private void tellAll(ReplicaSelector from, ReplicaSelector to) {
-        engines.forEach(engine -> to.beliefs().setCapacity(engine.record.instanceId(), SPEC.kvCacheTokens()));
-        from.beliefs().snapshot(2_000, time.now()).forEach(hint -> to.beliefs().learn(hint, time.now()));
+        engines.forEach(engine -> to.cacheEstimates().setCapacity(engine.record.instanceId(), SPEC.kvCacheTokens()));
+        from.cacheEstimates().snapshot(2_000, time.now()).forEach(hint -> to.cacheEstimates()
+                .applyHint(hint, time.now()));
     }
 
     private int upRouter() {
-        int router = chance.nextInt(selectors.size());
+        int router = random.nextInt(selectors.size());
         while (down.contains(router)) {
-            router = chance.nextInt(selectors.size());
+            router = random.nextInt(selectors.size());
         }
         return router;
     }
 
     private ReplicaSelector selector(int router) {
-        ReplicaSelector selector = new ReplicaSelector(chance.split(), setting.tuning);
+        ReplicaSelector selector = new ReplicaSelector(random.split(), setting.tuning);
         selector.setRouterCount(setting.countedRouters);
-        selector.setPlace(ZONES[router % 3], Map.of("a", "r", "b", "r", "c", "r"));
+        selector.setLocality(ZONES[router % 3], Map.of("a", "r", "b", "r", "c", "r"));
         selector.setEngine("lm", SPEC);
         return selector;
     }
 
     private void scheduleArrival(Kind kind) {
         double factor = kind.route.priority() == 0 ? 1 : shortFactor;
-        double gap = -Math.log(1 - chance.nextDouble()) * 1_000 / kind.perSecond / factor;
+        double gap = -Math.log(1 - random.nextDouble()) * 1_000 / kind.perSecond / factor;
         time.after(gap, () -> {
             arrive(kind);
             scheduleArrival(kind);
@@ -216,7 +217,7 @@
                     LoadReport taken = engine.report(time.now() + REPORT_LAG_MS + 30);
                     time.after(
                             REPORT_LAG_MS + 30,
-                            () -> selectors.forEach(each -> each.report(engine.record.instanceId(), taken)));
+                            () -> selectors.forEach(each -> each.onLoadReport(engine.record.instanceId(), taken)));
                 }
             }
             scheduleReports();
@@ -226,20 +227,20 @@
     private void scheduleHints() {
         time.after(500, () -> {
             for (ReplicaSelector from : selectors) {
-                List<PrefixHint> hints = from.beliefs().takeHints(400, time.now());
+                List<PrefixHint> hints = from.cacheEstimates().takeHints(400, time.now());
                 double sentAt = time.now();
                 time.after(
                         GOSSIP_MS,
                         () -> selectors.forEach(to -> {
                             if (to != from) {
-                                hints.forEach(hint -> to.beliefs()
-                                        .learn(
+                                hints.forEach(hint -> to.cacheEstimates()
+                                        .applyHint(
                                                 new PrefixHint(
                                                         hint.instanceId(),
                                                         hint.chainHash(),
                                                         hint.tokens(),
                                                         hint.ageMs() + (int) GOSSIP_MS,
-                                                        hint.ballastTokens()),
+                                                        hint.unsharedTokens()),
                                                 sentAt + GOSSIP_MS));
                             }
                         }));
@@ -249,12 +250,12 @@
     }
 
     private double lognormal(double mean, double spread) {
-        double normal = chance.split().nextGaussian();
+        double normal = random.split().nextGaussian();
         return mean * Math.exp(spread * normal - spread * spread / 2);
     }
 
     private int thing(int things) {
-        return Math.min(things - 1, (int) (things * Math.pow(chance.nextDouble(), 1 / 0.7)));
+        return Math.min(things - 1, (int) (things * Math.pow(random.nextDouble(), 1 / 0.7)));
     }
 
     private void arrive(Kind kind) {
@@ -311,11 +312,12 @@
         void start() {
             outcome.asked += later ? 0 : 1;
             if (setting.admission
-                    && admissions.get(router).decide(request, records, time.now()) instanceof Decision.Refuse refusal) {
+                    && admissions.get(router).decide(request, records, time.now())
+                            instanceof AdmissionDecision.Reject refusal) {
                 refused(refusal);
                 return;
             }
-            Optional<Pair> pair = selector.choose(request, records, Set.of(), time.now());
+            Optional<ReplicaPair> pair = selector.choose(request, records, Set.of(), time.now());
             if (pair.isEmpty()) {
                 outcome.failed++;
             } else if (pair.get().prefill().isPresent()) {
@@ -326,7 +328,7 @@
             }
         }
 
-        void refused(Decision.Refuse refusal) {
+        void refused(AdmissionDecision.Reject refusal) {
             over = true;
             if (later) {
                 outcome.refusedTwice++;
@@ -352,32 +354,32 @@
         }
 
         void prefill(ReplicaRecord reader) {
-            ReplicaSelector.Call call = selector.begin(reader, CallKind.PREFILL, request, time.now());
+            ReplicaSelector.Call call = selector.startCall(reader, CallKind.PREFILL, request, time.now());
             VirtualEngine.Job job = new VirtualEngine.Job(request.parts(), 1, true);
             giveUp(call);
             job.onDone = () -> time.after(NETWORK_MS, () -> {
                 if (over) {
                     return;
                 }
-                call.ended(CallEnding.ANSWERED, time.now());
+                call.onEnd(CallOutcome.COMPLETED, time.now());
                 selector.chooseDecode(request, reader, records, Set.of(), time.now())
                         .ifPresent(replica -> decode(replica, reader));
             });
-            job.onRejected = () -> fail(call, CallEnding.REJECTED);
+            job.onRejected = () -> fail(call, CallOutcome.REJECTED);
             time.after(NETWORK_MS, () -> byId.get(reader.instanceId()).take(job));
         }
 
         void decode(ReplicaRecord replica, ReplicaRecord reader) {
-            CallKind callKind = reader == null ? CallKind.DECODE_WHOLE : CallKind.DECODE_FETCHED;
+            CallKind callKind = reader == null ? CallKind.AGGREGATED_DECODE : CallKind.DISAGGREGATED_DECODE;
             ReplicaSelector.Call call = reader == null
-                    ? selector.begin(replica, callKind, request, time.now())
-                    : selector.beginFetched(replica, reader, request, time.now());
+                    ? selector.startCall(replica, callKind, request, time.now())
+                    : selector.startDisaggregatedDecode(replica, reader, request, time.now());
             VirtualEngine.Job job = new VirtualEngine.Job(request.parts(), out, false);
             giveUp(call);
             job.onFirst = () -> time.after(NETWORK_MS, () -> event(call));
             job.onEvent = job.onFirst;
             job.onDone = () -> time.after(NETWORK_MS, () -> done(call));
-            job.onRejected = () -> fail(call, CallEnding.REJECTED);
+            job.onRejected = () -> fail(call, CallOutcome.REJECTED);
             VirtualEngine engine = byId.get(replica.instanceId());
             if (reader == null) {
                 time.after(NETWORK_MS, () -> engine.take(job));
@@ -394,16 +396,16 @@
         void giveUp(ReplicaSelector.Call call) {
             time.after(2_000, () -> {
                 if (first && !over) {
-                    fail(call, CallEnding.ABANDONED);
+                    fail(call, CallOutcome.CANCELLED);
                 }
             });
         }
 
-        void fail(ReplicaSelector.Call call, CallEnding ending) {
+        void fail(ReplicaSelector.Call call, CallOutcome ending) {
             if (!over) {
                 over = true;
                 outcome.failed++;
-                call.ended(ending, time.now());
+                call.onEnd(ending, time.now());
             }
         }
 
@@ -413,12 +415,12 @@
             }
             if (first) {
                 first = false;
-                call.firstEvent(time.now());
+                call.onFirstEvent(time.now());
                 double took = time.now() - arrivedAt + 2 * CLIENT_MS;
                 outcome.firstMs.add(took);
                 inTime = took <= kind.route.targetLatencyMs();
             } else {
-                call.event(time.now());
+                call.onEvent(time.now());
                 if (time.now() - lastEventAt > kind.pauseMs) {
                     outcome.pauses++;
                     inTime = false;
@@ -432,7 +434,7 @@
                 return;
             }
             over = true;
-            call.ended(CallEnding.ANSWERED, time.now());
+            call.onEnd(CallOutcome.COMPLETED, time.now());
             if (inTime && later) {
                 outcome.inTimeLater++;
             } else if (inTime) {
--- a/router-fleet/selection/src/test/java/pinewick/selection/VirtualFleetTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/VirtualFleetTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aQuietDayIsServedInTime() {
+    void lowLoadIsServedInTime() {
         Figures figures = usual(0.55);
         assertTrue(figures.worth > 0.955, figures.toString());
         assertTrue(figures.shortInTime > 0.985, figures.toString());
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aBusyDayIsServedMostlyInTime() {
+    void highLoadIsServedMostlyInTime() {
         Figures figures = usual(1.1);
         assertTrue(figures.worth > 0.93, figures.toString());
         assertTrue(figures.shortInTime > 0.96, figures.toString());
@@ -78,37 +78,37 @@
     @Test
     void withoutPricesOfReadingOnlyTheRequestsOwnServiceTimeServes() {
         SelectionTuning scoreAlone =
-                SelectionTuning.DEFAULT.withReadAgainWeight(0).withInterference(0);
+                SelectionTuning.DEFAULT.withRepeatedPrefillWeight(0).withInterferenceWeight(0);
         Figures with = play(scoreAlone, 9, true, 1.2);
         Figures without = play(scoreAlone.withServiceByRequest(false), 9, true, 1.2);
         assertTrue(with.worth > without.worth + 0.5, with + " against " + without);
     }
 
     @Test
-    void hintsOfOtherRoutersFindKeptPrefixes() {
+    void hintsOfOtherRoutersFindCachedPrefixes() {
         Figures with = usual(0.9);
         Figures without = play(SelectionTuning.DEFAULT, 9, false, 0.9);
         assertTrue(with.longInTime > without.longInTime + 0.1, with + " against " + without);
     }
 
     @Test
-    void thePriceOfReadingAgainSavesReading() {
+    void thePriceOfRepeatedPrefillSavesPrefill() {
         Figures with = usual(1.1);
-        Figures without = play(SelectionTuning.DEFAULT.withReadAgainWeight(0), 9, true, 1.1);
+        Figures without = play(SelectionTuning.DEFAULT.withRepeatedPrefillWeight(0), 9, true, 1.1);
         assertTrue(with.netWorth > without.netWorth, with + " against " + without);
         assertTrue(with.readAgain < 0.8 * without.readAgain, with + " against " + without);
     }
 
     @Test
-    void theDelayOfOthersKeepsDecodeReplicasFromReading() {
+    void theInterferencePriceReducesPrefillOnDecodeReplicas() {
         Figures with = usual(1.1);
-        Figures without = play(SelectionTuning.DEFAULT.withInterference(0), 9, true, 1.1);
+        Figures without = play(SelectionTuning.DEFAULT.withInterferenceWeight(0), 9, true, 1.1);
         assertTrue(with.worth > without.worth, with + " against " + without);
         assertTrue(with.longByPrefill > without.longByPrefill, with + " against " + without);
     }
 
     @Test
-    void aReplicaThatGoesDarkCostsAboutOneRequestOfEachRouter() {
+    void anUnreachableReplicaCostsAboutOneRequestPerRouter() {
         int lost = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
             VirtualFleet run = fleet(SelectionTuning.DEFAULT, 9, true, 0.9, seed);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void withoutPrefillReplicasDecodeReplicasReadThemselves() {
+    void withoutPrefillReplicasServingIsAggregated() {
         VirtualFleet run = new VirtualFleet(new VirtualFleet.Setting(
                 3, 3, 0, 6, VirtualFleet.usualKinds(0.4, 1), SelectionTuning.DEFAULT, true, true, true, 1_000, 1));
         run.run(2_000, 5_000);
--- a/router-fleet/storage/src/test/java/pinewick/storage/EarlierReleaseStoreTest.java
+++ b/router-fleet/storage/src/test/java/pinewick/storage/EarlierReleaseStoreTest.java
@@ -39,7 +39,7 @@
     Path directory;
 
     @Test
-    void storeOfTheEarlierReleaseIsAtTheSameVersionAndKnowsItsChanges() throws Exception {
+    void aStoreOfTheEarlierReleaseIsOpenedAtTheSameVersionWithItsChanges() throws Exception {
         if (!RECORD_TO.isEmpty()) {
             writeStore(Path.of(RECORD_TO));
         }
--- a/router-fleet/storage/src/test/java/pinewick/storage/ManyChangesTest.java
+++ b/router-fleet/storage/src/test/java/pinewick/storage/ManyChangesTest.java
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void wholeDocumentsOneRightAfterTheOtherDoNotFillTheDisk() throws Exception {
+    void consecutiveFullDocumentsDoNotFillTheDisk() throws Exception {
         try (SingleController controller = new SingleController(directory)) {
             long version = 0;
             long startNs = System.nanoTime();
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void afterTwoThousandChangesANewProcessHoldsTheLastAndKnowsTheFirstAgain() throws Exception {
+    void afterTwoThousandChangesANewProcessHasTheLastAndRecognisesTheFirst() throws Exception {
         ConfigurationChange first = SampleChanges.replacement(0, ROUTES);
         ConfigurationDocument last;
         try (SingleController controller = new SingleController(directory)) {
--- a/router-fleet/storage/src/test/java/pinewick/storage/PowerLossTest.java
+++ b/router-fleet/storage/src/test/java/pinewick/storage/PowerLossTest.java
@@ -83,7 +83,7 @@
     private record Write(Map<String, byte[]> before, Map<String, byte[]> after) {}
 
     @Test
-    void whatWasWrittenBeforeSurvivesALossOfPowerAtEachPointOfAFolding() throws Exception {
+    void earlierWritesSurviveAPowerLossAtEachPointOfACompaction() throws Exception {
         boolean newFile = false;
         for (int foldings = 1; foldings <= FOLDINGS; foldings++) {
             Write write = fold(directory.resolve("store-" + foldings), foldings);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void zerosInAWriteThatOthersFollowedAreADamage() throws Exception {
+    void zerosBeforeTheLastWriteAreCorruption() throws Exception {
         Write write = fold(directory.resolve("store"), 1);
         Map<String, byte[]> spoilt = new TreeMap<>(write.before);
         byte[] log = spoilt.values().iterator().next().clone();
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aStateWithAnotherChecksumIsNotShown() throws Exception {
+    void aStateWithAnotherChecksumIsNotReturned() throws Exception {
         Write write = fold(directory.resolve("store"), 1);
         Map<String, byte[]> spoilt = new TreeMap<>(write.before);
         String last = write.before.keySet().stream().max(String::compareTo).orElseThrow();
--- a/router-fleet/storage/src/test/java/pinewick/storage/XodusStoreTest.java
+++ b/router-fleet/storage/src/test/java/pinewick/storage/XodusStoreTest.java
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void filesThatCannotBeReadAreSetAsideAndTheDiskCountsAsDamaged() throws Exception {
+    void unreadableFilesAreMovedAndTheDiskCountsAsDamaged() throws Exception {
         try (XodusStore store = newStore()) {
             load(store);
             persist(store, snapshot(100_000));
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void aFounderWhoseFilesAreDamagedIsNoFounder() throws Exception {
+    void aFoundingMemberWithDamagedFilesDoesNotCountAsOne() throws Exception {
         new SingleController(directory.resolve("store")).close();
         spoil(directory.resolve("store").resolve("live"));
         try (XodusStore store = newStore()) {
@@ -226,7 +226,7 @@
     }
 
     @Test
-    void aFullDiskIsToldFromOneThatFails() {
+    void aFullDiskIsDistinguishedFromAFailingOne() {
         assertEquals(
                 StorageException.Kind.FULL,
                 DiskErrorClassifier.kindOf(new RuntimeException(new IOException("No space left on device"))));
--- a/router-fleet/system/src/main/java/pinewick/system/ProgramRunner.java
+++ b/router-fleet/system/src/main/java/pinewick/system/ProgramRunner.java
@@ -68,6 +68,7 @@
             LOGGER.atInfo().log("process stopped");
             return EXIT_OK;
         } catch (Exception e) {
+            // Boundary of the process: any failure is logged with its cause and becomes the exit code.
             LOGGER.atSevere().withCause(e).log("process ends with an error: node %s", settings.nodeName());
             return EXIT_FAILED;
         }
--- a/router-fleet/system/src/main/java/pinewick/system/TrainingRun.java
+++ b/router-fleet/system/src/main/java/pinewick/system/TrainingRun.java
@@ -62,6 +62,7 @@
             controller.stop();
             completed = true;
         } catch (Exception | LinkageError e) {
+            // Boundary of the training run: without a class archive the programs only start more slowly.
             LOGGER.atSevere().withCause(e).log("training run aborted");
         }
     }
--- a/router-fleet/system/src/test/java/pinewick/system/CommandsTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/CommandsTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void tellsEveryFaultOfSettingsOnALineOfItsOwn() throws IOException {
+    void reportsEverySettingsErrorOnALineOfItsOwn() throws IOException {
         String text = SampleSettings.ROUTER
                 .replace("heartbeat_ms = 1200", "heartbeat_ms = true")
                 .replace("zone = ", "zone_ = ");
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void tellsTheFaultsOfAConfiguration() throws IOException {
+    void reportsTheErrorsOfAConfiguration() throws IOException {
         assertEquals(2, run("check-config", file("{\"version\":0,\"routes\":[],\"services\":[{}]}")));
         assertEquals(
                 "services[0].name: is missing or no text; give each item a name\n"
@@ -69,13 +69,13 @@
     }
 
     @Test
-    void tellsOfAFileThatCannotBeRead() {
+    void reportsAnUnreadableFile() {
         assertEquals(2, run("check-config", folder.resolve("none").toString()));
         assertTrue(err.toString().strip().endsWith("; name a readable file"), err.toString());
     }
 
     @Test
-    void asksAProcessHowItIs() throws IOException {
+    void queriesTheStatusOfAProcess() throws IOException {
         try (FakeReplica process = new FakeReplica("i", "", InetAddress.getByName("127.0.0.1"))) {
             assertEquals(0, run("status", process.address().toString()));
         }
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void tellsThatAProcessDoesNotAnswer() throws IOException {
+    void reportsAProcessThatDoesNotRespond() throws IOException {
         FakeReplica process = new FakeReplica("i", "", InetAddress.getByName("127.0.0.1"));
         process.close();
 
@@ -93,13 +93,13 @@
     }
 
     @Test
-    void tellsTheVersion() {
+    void printsTheVersion() {
         assertEquals(0, run("version"));
         assertTrue(out.toString().startsWith("pinewick-system "), out.toString());
     }
 
     @Test
-    void refusesUnknownWordsAndHidesTheRehearsal() {
+    void rejectsUnknownArgumentsAndHidesTheRehearsal() {
         assertEquals(2, run("dance"));
         assertEquals(2, run());
         assertEquals(0, run("--help"));
--- a/router-fleet/system/src/test/java/pinewick/system/StandInReplicaTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/FakeReplicaTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class StandInReplicaTest {
+class FakeReplicaTest {
     private FakeReplica replica;
 
     @BeforeEach
--- a/router-fleet/system/src/test/java/pinewick/system/InternalMessageBytesTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/InternalMessageBytesTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import pinewick.dataplane.LoadNews;
+import pinewick.dataplane.LoadReportMessage;
 import pinewick.dissemination.FleetMessages;
 import pinewick.model.Message;
 import pinewick.model.SocketAddress;
@@ -45,7 +45,7 @@
     @Test
     void routersWriteTheBytesOfTheEarlierRelease() throws IOException {
         List<Class<?>> types = new ArrayList<>(FleetMessages.types());
-        types.addAll(LoadNews.types());
+        types.addAll(LoadReportMessage.types());
         assertSameBytes("router", types);
     }
 
--- a/router-fleet/system/src/test/java/pinewick/system/LogLineTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/LogLineTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void namesEveryCauseAndThePlaceOfTheFirst() {
+    void namesEveryCauseAndTheStackFrameOfTheFirst() {
         LogRecord record = record(Level.SEVERE, "ends");
         IOException cause = new IOException("reset\nby peer");
         cause.setStackTrace(new StackTraceElement[] {new StackTraceElement("Peer", "read", "Peer.java", 7)});
--- a/router-fleet/system/src/test/java/pinewick/system/ProgramRunnerTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/ProgramRunnerTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void handsOverOtherSeedsBeforeItStops() throws IOException {
+    void reportsChangedSeedsBeforeItStops() throws IOException {
         Path file = Files.writeString(folder.resolve("node.toml"), SampleSettings.ROUTER);
         events.add(ProcessEvent.REREAD_SETTINGS);
         events.add(ProcessEvent.STOP);
@@ -88,19 +88,19 @@
     }
 
     @Test
-    void endsWithTwoForFaultySettings() throws IOException {
+    void exitsWithTwoForInvalidSettings() throws IOException {
         assertEquals(2, run("node_name = 1", ""));
         assertEquals(List.of(), calls);
     }
 
     @Test
-    void refusesSettingsOfARoleThatServesSomethingElse() throws IOException {
+    void rejectsSettingsOfAnotherRole() throws IOException {
         assertEquals(2, run(SampleSettings.CONTROLLER, ""));
         assertEquals(List.of(), calls);
     }
 
     @Test
-    void endsWithOneWhenTheProgramCannotStartOrStop() throws IOException {
+    void exitsWithOneWhenTheProgramCannotStartOrStop() throws IOException {
         events.add(ProcessEvent.STOP);
 
         assertEquals(1, run(SampleSettings.ROUTER, "start"));
--- a/router-fleet/system/src/test/java/pinewick/system/RehearsalStageTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/RehearsalStageTest.java
@@ -18,7 +18,7 @@
     private Path folder;
 
     @Test
-    void givesBothProgramsSoundSettingsThatFitTogether() throws IOException, InvalidSettingsException {
+    void writesValidConsistentSettingsForBothPrograms() throws IOException, InvalidSettingsException {
         try (TrainingEnvironment stage = new TrainingEnvironment(folder)) {
             NodeSettings router = stage.routerSettings();
             NodeSettings controller = stage.controllerSettings();
--- a/router-fleet/system/src/test/java/pinewick/system/SettingsReaderTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/SettingsReaderTest.java
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void refusesAnEmptyListOfSeeds() {
+    void rejectsAnEmptyListOfSeeds() {
         String text = SampleSettings.ROUTER.replaceFirst("seed_nodes = .*", "seed_nodes = []");
 
         assertEquals(
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void tellsEveryFaultAtOnce() {
+    void reportsEveryErrorAtOnce() {
         String text = SampleSettings.ROUTER
                 .replace("zone = \"sala-mi\"", "")
                 .replace("drain_ms = 2000", "drain_ms = \"2000\"")
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void tellsWhereAFileIsNotToml() {
+    void reportsWhereAFileIsNotToml() {
         List<String> faults = faultsOf("zone = \"a\"\nzone = \"b\"\nrole = \"a\"\nrole = \"b\"\n");
 
         assertEquals(2, faults.size(), faults.toString());
--- a/router-fleet/system/src/test/java/pinewick/system/SettingsWatcherTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/SettingsWatcherTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void saysNothingOfAFileThatStays() {
+    void anUnchangedFileIsNotReported() {
         for (int poll = 0; poll < ENOUGH_POLLS; poll++) {
             watcher.poll();
         }
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void tellsOfOtherSeedsAtTheNextPoll() throws IOException {
+    void changedSeedsAreReportedAtTheNextPoll() throws IOException {
         write(otherSeed(), 2_000);
         watcher.poll();
         watcher.poll();
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void tellsOfOtherSeedsAtASignal() throws IOException {
+    void changedSeedsAreReportedAtASignal() throws IOException {
         write(otherSeed(), 1_000);
         watcher.reread();
 
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void saysNothingOfChangesBesideTheSeeds() throws IOException {
+    void changesOtherThanSeedsAreNotReported() throws IOException {
         write(SampleSettings.ROUTER.replace("drain_ms = 2000", "drain_ms = 1"), 2_000);
         watcher.poll();
 
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void goesOnWithTheLastSeedsWhenTheFileIsFaultyOrGone() throws IOException {
+    void theLastSeedsStayInForceWhenTheFileIsInvalidOrMissing() throws IOException {
         write("seed_nodes = [", 2_000);
         watcher.poll();
         Files.delete(file);
--- a/router-fleet/transport/src/main/java/pinewick/transport/ControlLoop.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/ControlLoop.java
@@ -80,6 +80,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
+            // Boundary of the loop: the executor would drop a periodic task that throws.
             LOGGER.atSevere().withCause(e).log("task of the control loop failed");
         }
     }
--- a/router-fleet/transport/src/main/java/pinewick/transport/IncomingConnection.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/IncomingConnection.java
@@ -89,7 +89,7 @@
         while (capacity < requiredBytes && capacity <= left) {
             capacity *= 2;
         }
-        if (capacity == buffer.capacity() || capacity < buffer.capacity() && left > 0) {
+        if (capacity == buffer.capacity() || (capacity < buffer.capacity() && left > 0)) {
             buffer.compact();
             return;
         }
--- a/router-fleet/transport/src/main/java/pinewick/transport/MessageCodec.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/MessageCodec.java
@@ -84,6 +84,7 @@
             writer.writeClassAndObject(output, message);
             return output.toBytes();
         } catch (RuntimeException e) {
+            // Kryo reports unregistered types and overflows by runtime exceptions of several kinds.
             writer.reset();
             throw new IllegalArgumentException(
                     "cannot write " + message.getClass().getSimpleName(), e);
@@ -116,6 +117,7 @@
                 }
                 throw new MalformedFrameException("no message, or bytes after it");
             } catch (RuntimeException e) {
+                // Boundary to the network: Kryo reports malformed bytes by runtime exceptions of several kinds.
                 reader.reset();
                 throw new MalformedFrameException("unreadable message", e);
             } finally {
--- a/router-fleet/transport/src/main/java/pinewick/transport/NetworkTransport.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/NetworkTransport.java
@@ -79,6 +79,7 @@
             server.register(selector, SelectionKey.OP_ACCEPT, new Acceptor());
             datagrams.register(selector, SelectionKey.OP_READ, new DatagramReader());
         } catch (IOException | RuntimeException e) {
+            // An unresolved or unsupported address is a runtime exception.
             throw new TransportException("bind", local, e);
         }
         thread.setDaemon(true);
@@ -126,7 +127,9 @@
         encode(peer, message).ifPresent(frame -> enqueue(peer, frame));
     }
 
-    /** The frame of a message; empty for one that cannot be encoded, a programming error that costs that message only. */
+    /**
+     * The frame of a message; empty for one that cannot be encoded, a programming error that costs that message only.
+     */
     private Optional<byte[]> encode(SocketAddress peer, Message message) {
         try {
             return Optional.of(codec.encode(local.port(), message));
@@ -144,6 +147,7 @@
                 return;
             }
         } catch (IOException | RuntimeException e) {
+            // An unresolved address is a runtime exception; datagrams are best effort.
             LOGGER.atFine().withCause(e).log("datagram to %s dropped", peer);
         }
         counters.dropped.increment();
@@ -171,6 +175,7 @@
                 serviceQueued();
                 checkConnectionsIfDue();
             } catch (IOException | RuntimeException e) {
+                // Boundary of the transport thread: it must outlive any failure of one connection.
                 if (!closed) {
                     LOGGER.atSevere().withCause(e).log("transport loop failed, continuing");
                 }
@@ -227,6 +232,7 @@
             counters.malformed.increment();
             LOGGER.atFine().withCause(e).log("frame from %s ignored: malformed", remote);
         } catch (RuntimeException e) {
+            // Boundary to the receiver: a message that cannot be handled must not end the transport thread.
             LOGGER.atSevere().withCause(e).log("handling a message from %s failed", remote);
         }
     }
--- a/router-fleet/transport/src/main/java/pinewick/transport/OutgoingConnection.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/OutgoingConnection.java
@@ -82,6 +82,7 @@
                 onConnected(nowMs);
             }
         } catch (IOException | RuntimeException e) {
+            // An unresolved address is a runtime exception; the connection is retried either way.
             onFailure(nowMs);
         }
     }
--- a/router-fleet/transport/src/test/java/pinewick/transport/ControlLoopTest.java
+++ b/router-fleet/transport/src/test/java/pinewick/transport/ControlLoopTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void aTaskRunsAgainAfterThePauseThatIsAskedForBeforeEachRun() throws InterruptedException {
+    void aTaskRunsAgainAfterTheIntervalSuppliedBeforeEachRun() throws InterruptedException {
         Queue<Double> runsAtMs = new ConcurrentLinkedQueue<>();
         CountDownLatch threeRuns = new CountDownLatch(3);
         AtomicInteger asked = new AtomicInteger();
--- a/router-fleet/transport/src/test/java/pinewick/transport/MessageCodecTest.java
+++ b/router-fleet/transport/src/test/java/pinewick/transport/MessageCodecTest.java
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void anyKindOfListIsWrittenAlike() throws MalformedFrameException {
+    void anyListImplementationHasTheSameBytes() throws MalformedFrameException {
         TestMessage.Part part = new TestMessage.Part(1, 2, true, "p");
         List<List<TestMessage.Part>> lists = List.of(
                 new ArrayList<>(List.of(part)),
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void addressesThatAreNoPlainNumbersAreKeptAsText() throws MalformedFrameException {
+    void hostNamesAreWrittenAsText() throws MalformedFrameException {
         for (String host : List.of(
                 "localhost",
                 "10.1.2",
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aTypeThatIsNotRegisteredIsRefusedAndTheCodecGoesOn() throws MalformedFrameException {
+    void anUnregisteredTypeIsRejectedAndTheCodecStaysUsable() throws MalformedFrameException {
         record Stranger(int number) implements Message {}
 
         assertThrows(IllegalArgumentException.class, () -> codec.encode(PORT, new Stranger(1)));
@@ -128,21 +128,21 @@
     }
 
     @Test
-    void aMessageThatIsTooLongIsRefusedAndTheCodecGoesOn() throws MalformedFrameException {
+    void anOversizedMessageIsRejectedAndTheCodecStaysUsable() throws MalformedFrameException {
         TestMessage tooLong = TestMessage.withBody(1, MessageCodec.MAX_FRAME_BYTES);
         assertThrows(IllegalArgumentException.class, () -> codec.encode(PORT, tooLong));
         assertSame(sample(), throughTheCodec(sample()));
     }
 
     @Test
-    void anotherProtocolVersionIsNotRead() {
+    void anotherProtocolVersionIsRejected() {
         byte[] frame = codec.encode(PORT, sample());
         frame[0] = MessageCodec.PROTOCOL_VERSION + 1;
         assertThrows(MalformedFrameException.class, () -> codec.decode(frame, 0, frame.length));
     }
 
     @Test
-    void everyShortenedFrameIsRefused() {
+    void everyTruncatedFrameIsRejected() {
         byte[] frame = codec.encode(PORT, sample());
         for (int length = 0; length < frame.length; length++) {
             int shortened = length;
--- a/router-fleet/transport/src/test/java/pinewick/transport/NetworkTransportTest.java
+++ b/router-fleet/transport/src/test/java/pinewick/transport/NetworkTransportTest.java
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void smallMessagesGoAsDatagramsAndTellTheSendersListeningAddress() throws InterruptedException {
+    void smallMessagesGoAsDatagramsAndCarryTheSendersListeningAddress() throws InterruptedException {
         here.transport.send(there.address(), TestMessage.numbered(7));
         assertEquals(7, there.take().number());
         assertEquals(here.address(), there.senders.take());
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void largeMessagesGoOverAConnectionAndTellTheSendersListeningAddress() throws InterruptedException {
+    void largeMessagesGoOverAConnectionAndCarryTheSendersListeningAddress() throws InterruptedException {
         here.transport.send(there.address(), TestMessage.withBody(8, 4 << 20));
         TestMessage message = there.take();
         assertEquals(8, message.number());
@@ -135,14 +135,14 @@
     }
 
     @Test
-    void messagesToOneselfArrive() throws InterruptedException {
+    void messagesToTheSenderItselfArrive() throws InterruptedException {
         here.transport.send(here.address(), TestMessage.numbered(1));
         here.transport.sendOrdered(here.address(), TestMessage.numbered(2));
         assertEquals(3, here.take().number() + here.take().number());
     }
 
     @Test
-    void aPeerThatDoesNotReadHoldsUpNobodyAndIsDialledAgain() throws Exception {
+    void aPeerThatDoesNotReadDelaysNoOtherAndIsReconnected() throws Exception {
         ServerSocket server = closedLater(new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1")));
         server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_SECONDS));
         for (int i = 0; i < 200; i++) {
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aPeerThatDoesNotAnswerTheDialIsGivenUpAndHoldsUpNobody() throws Exception {
+    void aPeerThatDoesNotAcceptTimesOutAndDelaysNoOther() throws Exception {
         ServerSocket full = closedLater(new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")));
         for (int i = 0; i < 4; i++) {
             SocketChannel filler = closedLater(SocketChannel.open());
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void aPeerThatWasRestartedIsDialledAgain() throws Exception {
+    void aRestartedPeerIsReconnected() throws Exception {
         here.transport.sendOrdered(there.address(), TestMessage.numbered(1));
         assertEquals(1, there.take().number());
         int port = there.address().port();
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void malformedFramesAreCountedAndTheLoopGoesOn() throws Exception {
+    void malformedFramesAreCountedAndTheLoopContinues() throws Exception {
         InetAddress host = InetAddress.getByName("127.0.0.1");
         int port = there.address().port();
         try (DatagramSocket socket = new DatagramSocket()) {
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void aFrameThatArrivesInPiecesIsPutTogether() throws Exception {
+    void aFrameThatArrivesInChunksIsReassembled() throws Exception {
         byte[] frame = new MessageCodec(TestMessage.types()).encode(4_000, TestMessage.withBody(3, 30));
         try (Socket socket = new Socket("127.0.0.1", there.address().port())) {
             socket.setTcpNoDelay(true);
--- a/router-fleet/transport/src/test/java/pinewick/transport/OutgoingConnectionTest.java
+++ b/router-fleet/transport/src/test/java/pinewick/transport/OutgoingConnectionTest.java
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aPeerThatConfirmsNothingIsDialledAgain() throws IOException {
+    void aPeerThatAcknowledgesNothingIsReconnected() throws IOException {
         sendSmall(0);
         connection.checkDeadlines(OutgoingConnection.ACKNOWLEDGEMENT_TIMEOUT_MS);
         assertEquals(0, counters.failedConnections());
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void aDialWithoutAnAnswerIsGivenUp() throws IOException {
+    void aConnectionAttemptWithoutResponseTimesOut() throws IOException {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             SocketChannel[] fillers = new SocketChannel[4];
             for (int i = 0; i < fillers.length; i++) {
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void aPeerThatStartsShortlyAfterGetsWhatWaits() throws IOException {
+    void aPeerThatStartsShortlyAfterGetsTheQueuedFrames() throws IOException {
         int port = server.getLocalPort();
         server.close();
         connection.enqueue(SMALL, 0);
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void anEndOfThePeerIsNoticedAndTheNextFrameGoesOverANewConnection() throws IOException {
+    void aClosedPeerIsNoticedAndTheNextFrameGoesOverANewConnection() throws IOException {
         sendSmall(0);
         server.accept().close();
         selectUntil(() -> counters.failedConnections() == 1, 1);
--- a/testing/emulator/src/main/java/pinewick/emulator/control/ControlPlaneSimulation.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/ControlPlaneSimulation.java
@@ -25,7 +25,6 @@
         STALE_MEMBERS_FIRST
     }
 
-    private final long seed;
     private final SplittableRandom random;
     private final SimulatedSystem system;
     private final Scenario scenario;
@@ -36,7 +35,6 @@
     private double endMs = FAULTS_FROM_MS + FAULTS_DURATION_MS;
 
     private ControlPlaneSimulation(long seed, Mutant mutant, boolean isTraced) {
-        this.seed = seed;
         this.random = new SplittableRandom(seed);
         boolean large = seed % 4 == 3;
         scenario = Scenario.values()[(int) Math.floorMod(seed / 4, Scenario.values().length)];
--- a/testing/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
@@ -135,7 +135,7 @@
     private static void dropDominated(Set<Long> all) {
         if (all.size() > 1) {
             List<Long> copy = new ArrayList<>(all);
-            all.removeIf(one -> copy.stream().anyMatch(other -> other != one && (one & other) == one));
+            all.removeIf(one -> copy.stream().anyMatch(other -> !other.equals(one) && (one & other) == one));
         }
     }
 
--- /dev/null
+++ b/testing/emulator/src/test/java/pinewick/emulator/SimulatedMixerFleetTest.java
@@ -0,0 +1,211 @@
+package pinewick.emulator;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import pinewick.fleet.FleetTerms;
+import pinewick.fleet.FleetView;
+import pinewick.fleet.Standing;
+
+/** Stories of whole fleets in virtual time, over links that lose, delay, double and cut. */
+class SimulatedMixerFleetTest {
+    private static SimulatedMixerFleet running(int size, double loss, long seed) {
+        SimulatedMixerFleet world = new SimulatedMixerFleet(size, seed);
+        world.datagrams().links(loss, 0.02, 0.001, 0.018);
+        world.startAll();
+        assertTrue(world.secondsToConverge(3) <= 3, "a start of all at once");
+        world.datagrams().run(world.datagrams().now() + 5);
+        return world;
+    }
+
+    @Test
+    void aCrashIsDetectedWithinThreeSecondsWithATenthOfTheDatagramsLost() {
+        for (long seed = 1; seed <= 5; seed++) {
+            SimulatedMixerFleet world = running(100, 0.1, seed);
+            world.datagrams().kill(40);
+            assertTrue(world.secondsToConverge(3) <= 3, "seed " + seed);
+            assertTrue(world.deaths().stream().allMatch(each -> each.startsWith("40 ")), "seed " + seed);
+        }
+    }
+
+    @Test
+    void aJoinIsKnownToAllWithinTwoSecondsEvenWithoutBroadcast() {
+        for (boolean all : new boolean[] {true, false}) {
+            SimulatedMixerFleet world = new SimulatedMixerFleet(100, 3, FleetTerms.usual(), all);
+            world.datagrams().links(0.1, 0, 0.001, 0.018);
+            for (int place = 1; place < 100; place++) {
+                world.start(place);
+            }
+            world.secondsToConverge(30);
+            world.datagrams().run(world.datagrams().now() + 5);
+            world.start(0);
+            assertTrue(world.secondsToConverge(2) <= 2, "a way to all: " + all);
+        }
+    }
+
+    @Test
+    void aMemberPausedForTwoSecondsIsAtMostSuspectedAndSuspectsNobodyAfterwards() {
+        for (long seed = 1; seed <= 10; seed++) {
+            SimulatedMixerFleet world = running(60, 0.1, seed);
+            world.datagrams().setPaused(7, true);
+            world.datagrams().run(world.datagrams().now() + 2);
+            world.datagrams().setPaused(7, false);
+            world.datagrams().run(world.datagrams().now() + 4);
+            assertEquals(0, world.deaths().size(), "seed " + seed + ": " + world.deaths());
+            assertTrue(world.secondsToConverge(2) <= 2);
+        }
+    }
+
+    @Test
+    void afterAPartitionOfSixSecondsBothSidesConvergeWithinThreeSeconds() {
+        for (long seed = 1; seed <= 5; seed++) {
+            SimulatedMixerFleet world = running(100, 0.1, seed);
+            world.datagrams().partition((from, to) -> from < 20 != to < 20);
+            world.datagrams().run(world.datagrams().now() + 6);
+            assertEquals(Standing.DEAD, world.view(5).standing(70));
+            assertEquals(Standing.DEAD, world.view(70).standing(5));
+            world.datagrams().partition((from, to) -> false);
+            assertTrue(world.secondsToConverge(3) <= 3, "seed " + seed);
+        }
+    }
+
+    @Test
+    void aMemberUnreachableInOneDirectionIsProbedIndirectlyAndNotDeclaredDead() {
+        SimulatedMixerFleet world = running(20, 0, 4);
+        world.datagrams().partition((from, to) -> from == 3 && to == 9);
+        world.datagrams().run(world.datagrams().now() + 20);
+        assertEquals(0, world.deaths().size(), world.deaths().toString());
+    }
+
+    @Test
+    void sevenInTenKilledAtOnceAreDeclaredDeadAndNoOthers() {
+        SimulatedMixerFleet world = running(100, 0.1, 6);
+        for (int place = 0; place < 70; place++) {
+            world.datagrams().kill(place);
+        }
+        assertTrue(world.secondsToConverge(15) <= 15);
+        assertTrue(world.deaths().stream().allMatch(each -> Integer.parseInt(each.split(" ")[0]) < 70));
+    }
+
+    @Test
+    void aMemberThatShutsDownIsNotDeclaredDeadAndReturnsAfterARestart() {
+        SimulatedMixerFleet world = running(10, 0, 7);
+        world.view(2).leave(world.datagrams().now());
+        world.datagrams().run(world.datagrams().now() + 0.1);
+        world.datagrams().kill(2);
+        assertTrue(world.secondsToConverge(1) <= 1);
+        assertEquals(Standing.LEFT, world.view(0).standing(2));
+        world.datagrams().run(world.datagrams().now() + 4);
+        assertEquals(0, world.deaths().size());
+        world.start(2);
+        assertTrue(world.secondsToConverge(2) <= 2);
+    }
+
+    @Test
+    void aMemberRestartedBeforeItsFailureIsDetectedHasAHigherIncarnation() {
+        SimulatedMixerFleet world = running(10, 0, 8);
+        long before = world.view(0).incarnation(4);
+        world.datagrams().kill(4);
+        world.datagrams().run(world.datagrams().now() + 0.3);
+        world.start(4);
+        assertTrue(world.secondsToConverge(2) <= 2);
+        assertTrue(world.view(0).incarnation(4) > before);
+        world.datagrams().run(world.datagrams().now() + 5);
+        assertEquals(0, world.deaths().size(), world.deaths().toString());
+    }
+
+    @Test
+    void aMemberWhoseClockWentBackBetweenTwoStartsIsAccepted() {
+        SimulatedMixerFleet world = running(5, 0, 9);
+        long before = world.view(0).incarnation(1);
+        world.datagrams().kill(1);
+        world.datagrams().run(world.datagrams().now() + 5);
+        assertEquals(Standing.DEAD, world.view(0).standing(1));
+        world.startWith(1, 5);
+        assertTrue(world.secondsToConverge(2) <= 2, "it takes an incarnation above the one it is told of");
+        assertTrue(world.view(0).incarnation(1) > before);
+    }
+
+    @Test
+    void aLongerMemberListRetainsWhatIsKnownAndNewMembersAreUnknown() {
+        SimulatedMixerFleet world = running(4, 0, 10);
+        FleetView view = world.view(0);
+        view.listed(world.datagrams().now(), 6, 0);
+        assertEquals("AAAAUU", view.letters());
+        assertEquals(4, view.live());
+        assertEquals(6, view.bound(world.datagrams().now()));
+        view.listed(world.datagrams().now(), 3, 0);
+        assertEquals("AAA", view.letters());
+        world.datagrams().run(world.datagrams().now() + 3);
+        assertEquals("AAA", view.letters(), "news of places that are not listed here is passed over");
+    }
+
+    @Test
+    void aDeadMemberRaisesTheBudgetShareOnlyAfterADelayAndWithinItsBound() {
+        SimulatedMixerFleet world = running(10, 0, 11);
+        FleetView view = world.view(0);
+        for (int place = 1; place < 6; place++) {
+            world.datagrams().kill(place);
+        }
+        world.secondsToConverge(15);
+        assertEquals(5, view.live());
+        assertEquals(10, view.bound(world.datagrams().now()));
+        world.datagrams().run(world.datagrams().now() + 31);
+        assertEquals(
+                8,
+                view.bound(world.datagrams().now()),
+                "half may be cut off and still sending: four fifths " + "at the least");
+    }
+
+    @Test
+    void theLoadOfAMemberIsTheSameAmongTenAndAmongThreeHundred() {
+        double[] bytes = new double[2];
+        int[] sizes = {10, 300};
+        for (int each = 0; each < 2; each++) {
+            SimulatedMixerFleet world = running(sizes[each], 0.1, 12);
+            long before = world.sentBytes();
+            world.datagrams().run(world.datagrams().now() + 10);
+            bytes[each] = (world.sentBytes() - before) / 10.0 / sizes[each];
+        }
+        assertTrue(bytes[1] <= 1.25 * bytes[0] && bytes[1] < 2000, bytes[0] + " and " + bytes[1] + " bytes a second");
+    }
+
+    @Test
+    void theSameEventsGiveTheSameDatagrams() {
+        SimulatedMixerFleet one = running(30, 0.1, 13);
+        SimulatedMixerFleet other = running(30, 0.1, 13);
+        one.datagrams().kill(3);
+        other.datagrams().kill(3);
+        one.datagrams().run(one.datagrams().now() + 4);
+        other.datagrams().run(other.datagrams().now() + 4);
+        assertEquals(one.sentBytes(), other.sentBytes());
+        assertEquals(one.view(0).figures(), other.view(0).figures());
+    }
+
+    @Test
+    void aFleetOfOneHasNoPeersAndNoWarnings() {
+        SimulatedMixerFleet world = new SimulatedMixerFleet(1, 14).startAll();
+        world.datagrams().run(world.datagrams().now() + 5);
+        assertEquals("A", world.view(0).letters());
+        assertEquals(1, world.view(0).bound(world.datagrams().now()));
+        assertEquals(0, world.deaths().size());
+        assertFalse(world.view(0).figures().isEmpty());
+    }
+
+    @Test
+    void aMemberWithoutContactDoesNotDecideAsIfItWereTheOnlyOne() {
+        SimulatedMixerFleet world = new SimulatedMixerFleet(10, 15);
+        world.start(0);
+        assertEquals(10, world.view(0).spread(), "nothing is known of the others but that they are listed");
+        world = running(10, 0, 15);
+        world.datagrams().partition((from, to) -> true);
+        world.datagrams().run(world.datagrams().now() + 12);
+        assertEquals(1, world.view(0).live());
+        assertEquals(5, world.view(0).spread());
+        world.datagrams().partition((from, to) -> false);
+        assertTrue(world.secondsToConverge(3) <= 3);
+        assertEquals(10, world.view(0).spread());
+    }
+}
--- a/testing/emulator/src/test/java/pinewick/emulator/control/ControlDayTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/control/ControlPlaneSimulationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** A small fixed set of runs; {@code lab control} plays many more. */
-class ControlDayTest {
+class ControlPlaneSimulationTest {
     private static final int SEEDS = 200;
     private static final int SEEDS_FOR_A_VARIANT = 600;
 
--- a/testing/emulator/src/test/java/pinewick/emulator/control/LinearizabilityCheckerTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/control/LinearizabilityCheckerTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aReadMayFindEitherStateWhileAChangeIsUnderWay() {
+    void aReadMayReturnEitherStateDuringAChange() {
         take(first);
         history.onFirstSent(second);
         Call early = history.onReceived(null);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aReadAfterAnAcknowledgementFindsIt() {
+    void aReadAfterAnAcknowledgementReturnsIt() {
         take(first);
         read(history.onReceived(null), 0);
         assertThrows(InvariantViolation.class, this::check);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aChangeWithoutAnAnswerMayTakeEffectLater() {
+    void aChangeWithoutAResponseMayTakeEffectLater() {
         history.onFirstSent(first);
         read(history.onReceived(null), 0);
         history.onFirstSent(second);
--- a/testing/lab/src/main/java/pinewick/lab/FleetLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/FleetLab.java
@@ -18,12 +18,12 @@
 import org.knowm.xchart.XYChartBuilder;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import pinewick.emulator.VirtualFleet;
+import pinewick.emulator.SimulatedMixerFleet;
 import pinewick.standins.FleetProcesses;
 
 /**
- * The mixers' view of each other: in virtual time among up to a thousand members, with the very classes that decide, and
- * among processes of the program behind a relay that breaks the way.
+ * The mixers' view of each other: in virtual time among up to a thousand members, with the very classes that decide,
+ * and among processes of the program behind a relay that breaks the way.
  */
 @Command(name = "fleet", description = "Joins, crashes, pauses and splits of the mixers; emulator, then processes.")
 final class FleetLab implements Callable<Integer> {
@@ -109,9 +109,10 @@
                 play(each, seed + run, found.get(each));
             }
         });
-        StringBuilder table = new StringBuilder(
-                "Seconds until a live member holds the true view for good: median, worst "
-                        + "(emulator, virtual time; datagrams take 1 to 18 ms, one in a hundred comes twice)\n\n| members, lost, runs |");
+        StringBuilder table =
+                new StringBuilder("Seconds until a live member holds the true view for good: median, worst "
+                        + "(emulator, virtual time; datagrams take 1 to 18 ms, one in a hundred comes "
+                        + "twice)\n\n| members, lost, runs |");
         CASES.forEach(each -> table.append(' ').append(each).append(" |"));
         table.append(" false deaths | datagrams, bytes a member a second | most datagrams in a second |\n| --- |"
                         + " --- |".repeat(CASES.size() + 3))
@@ -166,49 +167,49 @@
     /** All cases of one setting with one seed, one after another in the same fleet, each from a settled view. */
     private static void play(Setting setting, long seed, Found found) {
         int size = setting.size;
-        VirtualFleet fleet = new VirtualFleet(size, seed);
-        fleet.net().links(setting.loss, 0.01, 0.001, 0.018);
+        SimulatedMixerFleet fleet = new SimulatedMixerFleet(size, seed);
+        fleet.datagrams().links(setting.loss, 0.01, 0.001, 0.018);
         fleet.startAll();
         rest(fleet, 10);
         long bytes = fleet.sentBytes();
         long datagrams = fleet.sent();
-        fleet.net().mostInSecond();
+        fleet.datagrams().mostInSecond();
         rest(fleet, 10);
         double load = (fleet.sentBytes() - bytes) / 10.0 / size;
         double often = (fleet.sent() - datagrams) / 10.0 / size;
         Map<String, double[]> took = new LinkedHashMap<>();
         int falseDeaths = newDeaths(fleet, 0, dead -> false);
 
-        fleet.net().kill(size / 2);
+        fleet.datagrams().kill(size / 2);
         int before = fleet.deaths().size();
-        took.put(CASES.get(0), fleet.settlesEach(LONGEST));
+        took.put(CASES.get(0), fleet.secondsToConvergePerMember(LONGEST));
         rest(fleet, 3);
         falseDeaths += newDeaths(fleet, before, dead -> dead == size / 2);
         before = fleet.deaths().size();
         fleet.start(size / 2);
-        took.put(CASES.get(1), fleet.settlesEach(LONGEST));
+        took.put(CASES.get(1), fleet.secondsToConvergePerMember(LONGEST));
         rest(fleet, 3);
-        fleet.net().pause(1, true);
+        fleet.datagrams().setPaused(1, true);
         rest(fleet, 2);
-        fleet.net().pause(1, false);
-        took.put(CASES.get(2), fleet.settlesEach(LONGEST));
+        fleet.datagrams().setPaused(1, false);
+        took.put(CASES.get(2), fleet.secondsToConvergePerMember(LONGEST));
         rest(fleet, 3);
         falseDeaths += newDeaths(fleet, before, dead -> false);
         int part = Math.max(1, size / 5);
-        fleet.net().cut((from, to) -> from < part != to < part);
+        fleet.datagrams().partition((from, to) -> from < part != to < part);
         rest(fleet, 6);
-        fleet.net().cut((from, to) -> false);
-        took.put(CASES.get(3), fleet.settlesEach(LONGEST));
+        fleet.datagrams().partition((from, to) -> false);
+        took.put(CASES.get(3), fleet.secondsToConvergePerMember(LONGEST));
         rest(fleet, 3);
         before = fleet.deaths().size();
         int first = size / 10;
         int killed = size * 7 / 10;
         for (int each = first; each < first + killed; each++) {
-            fleet.net().kill(each);
+            fleet.datagrams().kill(each);
         }
-        took.put(CASES.get(4), fleet.settlesEach(LONGEST));
+        took.put(CASES.get(4), fleet.secondsToConvergePerMember(LONGEST));
         falseDeaths += newDeaths(fleet, before, dead -> dead >= first && dead < first + killed);
-        int most = fleet.net().mostInSecond();
+        int most = fleet.datagrams().mostInSecond();
         synchronized (found) {
             took.forEach(found::took);
             found.falseDeaths += falseDeaths;
@@ -219,12 +220,12 @@
         }
     }
 
-    private static void rest(VirtualFleet fleet, double seconds) {
-        fleet.net().run(fleet.net().now() + seconds);
+    private static void rest(SimulatedMixerFleet fleet, double seconds) {
+        fleet.datagrams().run(fleet.datagrams().now() + seconds);
     }
 
     /** Members held for dead since then by anyone though they were not. */
-    private static int newDeaths(VirtualFleet fleet, int from, java.util.function.IntPredicate truly) {
+    private static int newDeaths(SimulatedMixerFleet fleet, int from, java.util.function.IntPredicate truly) {
         return (int) fleet.deaths().subList(from, fleet.deaths().size()).stream()
                 .mapToInt(each -> Integer.parseInt(each.split(" ")[0]))
                 .distinct()
@@ -299,9 +300,10 @@
             }
             longest = fleet.relay().longest();
         }
-        StringBuilder table = new StringBuilder(
-                "Seconds until all processes hold the view (" + size + " mixers on loopback, "
-                        + "a tenth of the datagrams lost): median, worst\n\n| case | median | worst |\n| --- | --- | --- |\n");
+        StringBuilder table =
+                new StringBuilder("Seconds until all processes hold the view (" + size + " mixers on loopback, "
+                        + "a tenth of the datagrams lost): median, worst\n\n| case | median | worst |\n| "
+                        + "--- | --- | --- |\n");
         JsonObject mine = new JsonObject();
         boolean pass = longest <= 256;
         for (Map.Entry<String, List<Double>> each : took.entrySet()) {
--- a/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
@@ -8,6 +8,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
@@ -321,10 +322,12 @@
         }
         List<RuleChecker.Breach> breaches = new RuleChecker(GRACE, 0.5).judge(trace.events());
         breaches.stream().limit(5).forEach(each -> System.out.println(each));
-        StringBuilder table = new StringBuilder(
-                "Last part that reached a searcher after its drain was written, ms (sockets)\n\n"
-                        + "| trouble | drains | median | 99th percentile | longest | parts past 500 ms |\n| --- | --- | --- | --- | --- | --- |\n");
-        byTrouble.forEach((trouble, times) -> row(table, trouble.name().toLowerCase(), times, late.get(trouble)[0]));
+        StringBuilder table =
+                new StringBuilder("Last part that reached a searcher after its drain was written, ms (sockets)\n\n"
+                        + "| trouble | drains | median | 99th percentile | longest | parts past 500 ms |\n| "
+                        + "--- | --- | --- | --- | --- | --- |\n");
+        byTrouble.forEach(
+                (trouble, times) -> row(table, trouble.name().toLowerCase(Locale.ROOT), times, late.get(trouble)[0]));
         row(table, "all", all, partsLate);
         table.append("\nqueries ")
                 .append(asked.get())
@@ -383,7 +386,7 @@
                 share[each] = each * 5;
                 ms[each] = times.getValueAtPercentile(share[each]) / 1e3;
             }
-            chart.addSeries(trouble.name().toLowerCase(), share, ms);
+            chart.addSeries(trouble.name().toLowerCase(Locale.ROOT), share, ms);
         });
         VectorGraphicsEncoder.saveVectorGraphic(
                 chart,
--- a/testing/lab/src/main/java/pinewick/lab/ScaleLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/ScaleLab.java
@@ -14,8 +14,8 @@
 import pinewick.lab.scale.ScaleReport;
 
 /**
- * The router fleet at the size that the users aim at: hollow routers and replicas, many a process, beside real controllers
- * and a few real routers, over loopback.
+ * The router fleet at the size that the users aim at: hollow routers and replicas, many a process, beside real
+ * controllers and a few real routers, over loopback.
  */
 @Command(name = "scale", description = "Up to 420 routers and 2,200 replicas, hollow, beside real controllers.")
 final class ScaleLab implements Callable<Integer> {
--- a/testing/lab/src/main/java/pinewick/lab/StateLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/StateLab.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import pinewick.emulator.VirtualState;
+import pinewick.emulator.SimulatedStateFleet;
 import pinewick.fleet.state.Fact;
 import pinewick.fleet.state.FactKind;
 import pinewick.fleet.state.StateTerms;
@@ -49,9 +49,12 @@
     public Integer call() throws Exception {
         StringBuilder table =
                 new StringBuilder("Facts of " + SEARCHERS + " searchers among mixers (emulator, virtual time; "
-                        + "datagrams take 1 to 18 ms; each mixer hears of five searchers a second)\n\n| mixers, lost, runs | a warning at 99%: median, "
-                        + "worst, s | bytes a member a second | a returning mixer beside the others, worst of nine in ten searchers, after "
-                        + "0.25, 0.5, 1, 2 s | all copies agree after a 6-s split: median, worst, s | divergent at the end |\n"
+                        + "datagrams take 1 to 18 ms; each mixer hears of five searchers a second)\n\n| "
+                        + "mixers, lost, runs | a warning at 99%: median, "
+                        + "worst, s | bytes a member a second | a returning mixer beside the others, worst "
+                        + "of nine in ten searchers, after "
+                        + "0.25, 0.5, 1, 2 s | all copies agree after a 6-s split: median, worst, s | "
+                        + "divergent at the end |\n"
                         + "| --- | --- | --- | --- | --- | --- |\n");
         JsonObject figures = new JsonObject();
         figures.addProperty("experiment", "state, emulator (virtual time)");
@@ -126,8 +129,8 @@
 
     private static void play(Setting setting, long seed, Found found) {
         SplittableRandom chance = new SplittableRandom(seed);
-        VirtualState world = new VirtualState(setting.size, seed, StateTerms.usual());
-        world.net().links(setting.loss, 0.01, 0.001, 0.018);
+        SimulatedStateFleet world = new SimulatedStateFleet(setting.size, seed, StateTerms.usual());
+        world.datagrams().links(setting.loss, 0.01, 0.001, 0.018);
         world.startAll();
         traffic(world, 10, chance);
         long before = world.sentBytes();
@@ -135,34 +138,34 @@
         double bytes = (world.sentBytes() - before) / 10.0 / setting.size;
 
         int key = Fact.key("s-warned");
-        double from = world.net().now();
+        double from = world.datagrams().now();
         world.state(1).saw(from, key, FactKind.ILL, 3, 0);
         double held = Double.POSITIVE_INFINITY;
-        while (world.net().now() < from + 3 && Double.isInfinite(held)) {
-            world.net().run(world.net().now() + 0.02);
+        while (world.datagrams().now() < from + 3 && Double.isInfinite(held)) {
+            world.datagrams().run(world.datagrams().now() + 0.02);
             int holders = 0;
             for (int place = 0; place < setting.size; place++) {
                 holders += world.state(place).store().of(key, FactKind.ILL).isEmpty() ? 0 : 1;
             }
-            held = holders >= 0.99 * setting.size ? world.net().now() - from : held;
+            held = holders >= 0.99 * setting.size ? world.datagrams().now() - from : held;
         }
-        world.net().kill(7);
+        world.datagrams().kill(7);
         world.start(7);
         List<Double> errors = new ArrayList<>();
-        double back = world.net().now();
+        double back = world.datagrams().now();
         for (double after : AFTER) {
-            traffic(world, back + after - world.net().now(), chance);
+            traffic(world, back + after - world.datagrams().now(), chance);
             errors.add(error(world, 7, 20));
         }
-        world.net().cut((one, other) -> one < setting.size / 5 != other < setting.size / 5);
+        world.datagrams().partition((one, other) -> one < setting.size / 5 != other < setting.size / 5);
         traffic(world, 6, chance);
-        world.net().cut((one, other) -> false);
-        double healed = world.net().now();
-        while (world.net().now() < healed + 20 && world.divergent() > 0) {
-            world.net().run(world.net().now() + 0.2);
+        world.datagrams().partition((one, other) -> false);
+        double healed = world.datagrams().now();
+        while (world.datagrams().now() < healed + 20 && world.divergentMembers() > 0) {
+            world.datagrams().run(world.datagrams().now() + 0.2);
         }
-        int divergent = world.divergent();
-        double agreed = divergent == 0 ? world.net().now() - healed : Double.POSITIVE_INFINITY;
+        int divergent = world.divergentMembers();
+        double agreed = divergent == 0 ? world.datagrams().now() - healed : Double.POSITIVE_INFINITY;
         synchronized (found) {
             found.bytes += bytes;
             found.heldBy99.add(held);
@@ -174,14 +177,16 @@
     }
 
     /** How far one mixer's paces are from another's: the nine tenths quantile over searchers that the other knows. */
-    private static double error(VirtualState world, int place, int beside) {
+    private static double error(SimulatedStateFleet world, int place, int beside) {
         List<Double> errors = new ArrayList<>();
         for (int searcher = 0; searcher < SEARCHERS; searcher++) {
             int key = Fact.key("s-" + searcher);
-            double others =
-                    world.state(beside).agreed().pace(key, beside, world.net().now());
-            double its =
-                    world.state(place).agreed().pace(key, place, world.net().now());
+            double others = world.state(beside)
+                    .agreed()
+                    .pace(key, beside, world.datagrams().now());
+            double its = world.state(place)
+                    .agreed()
+                    .pace(key, place, world.datagrams().now());
             if (!Double.isNaN(others)) {
                 errors.add(Double.isNaN(its) ? 10 : Math.abs(its - others) / others);
             }
@@ -191,23 +196,23 @@
     }
 
     /** Searchers' true paces lie between 20 ms and 0.5 s; what a mixer sees of one differs by a tenth. */
-    private static void traffic(VirtualState world, double seconds, SplittableRandom chance) {
-        double until = world.net().now() + seconds;
-        while (world.net().now() < until) {
+    private static void traffic(SimulatedStateFleet world, double seconds, SplittableRandom chance) {
+        double until = world.datagrams().now() + seconds;
+        while (world.datagrams().now() < until) {
             for (int place = 0; place < world.size(); place++) {
-                if (world.net().lives(place)) {
+                if (world.datagrams().isRunning(place)) {
                     int searcher = chance.nextInt(SEARCHERS);
                     double pace = 0.02 * Math.pow(25, searcher / (double) SEARCHERS);
                     world.state(place)
                             .saw(
-                                    world.net().now(),
+                                    world.datagrams().now(),
                                     Fact.key("s-" + searcher),
                                     FactKind.PACE,
                                     pace * (0.9 + 0.2 * chance.nextDouble()),
                                     2);
                 }
             }
-            world.net().run(Math.min(until, world.net().now() + 0.2));
+            world.datagrams().run(Math.min(until, world.datagrams().now() + 0.2));
         }
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/StandInReplica.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/StandInReplica.java
@@ -110,7 +110,7 @@
         Headers asked = exchange.getRequestHeaders();
         boolean prefill = "prefill".equals(asked.getFirst("X-Pinewick-Serving-Stage"));
         String expected = asked.getFirst("X-Pinewick-Expected-Instance");
-        if (expected != null && !expected.equals(instanceId) || prefill != stage.equals("prefill")) {
+        if ((expected != null && !expected.equals(instanceId)) || prefill != stage.equals("prefill")) {
             exchange.sendResponseHeaders(WRONG_REPLICA, NO_BODY);
             return;
         }
--- a/testing/lab/src/main/java/pinewick/lab/scale/FleetUnderTest.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/FleetUnderTest.java
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Starts the replicas' heartbeats, so many a second: each router here has but a hundredth of the processors that it has
-     * on a machine of its own, and all would have to take every record at once.
+     * Starts the replicas' heartbeats, so many a second: each router here has but a hundredth of the processors that it
+     * has on a machine of its own, and all would have to take every record at once.
      */
     ReplicaSwarm startReplicas() throws IOException {
         double overMs = Math.max(HollowReplica.HEARTBEAT_MS, plan.replicas() * MS_A_SECOND / REPLICAS_STARTED_A_SECOND);
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowNode.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowNode.java
@@ -27,9 +27,9 @@
 import pinewick.transport.TransportException;
 
 /**
- * A process of the fleet without its data plane or its HTTP API: real membership, dissemination and transport, with a loop,
- * a thread for sockets and a state of its own, as {@code Router} and {@code Controller} assemble them. Notes when it learns
- * of what, in this machine's steady time, which all processes on it share.
+ * A process of the fleet without its data plane or its HTTP API: real membership, dissemination and transport, with a
+ * loop, a thread for sockets and a state of its own, as {@code Router} and {@code Controller} assemble them. Notes when
+ * it learns of what, in this machine's steady time, which all processes on it share.
  */
 final class HollowNode {
     private final FleetState state = new FleetState();
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowReplica.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowReplica.java
@@ -13,8 +13,8 @@
 import pinewick.model.SocketAddress;
 
 /**
- * A replica that does nothing but send heartbeats, over a connection that it keeps: to the controller that answered last,
- * and to the next one when no acknowledgement comes within a second. Owned by the swarm's thread.
+ * A replica that does nothing but send heartbeats, over a connection that it keeps: to the controller that answered
+ * last, and to the next one when no acknowledgement comes within a second. Owned by the swarm's thread.
  */
 public final class HollowReplica {
     /** How often a heartbeat is sent, milliseconds. */
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowRouters.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowRouters.java
@@ -22,8 +22,8 @@
 import pinewick.transport.TransportException;
 
 /**
- * A process that holds many hollow routers. Takes a command a line and answers with a line of JSON; ends with its input,
- * and in any case after a time.
+ * A process that holds many hollow routers. Takes a command a line and answers with a line of JSON; ends with its
+ * input, and in any case after a time.
  */
 public final class HollowRouters {
     private static final int STAGGER_MS = 10;
@@ -43,7 +43,9 @@
         this.random = new SplittableRandom(seed + worker);
     }
 
-    /** Words: first port, controllers, number of this process, routers in it, seed of chance, longest life in seconds. */
+    /**
+     * Words: first port, controllers, number of this process, routers in it, seed of chance, longest life in seconds.
+     */
     public static void main(String[] words) throws Exception {
         FleetAddresses addresses = new FleetAddresses(Integer.parseInt(words[0]), Integer.parseInt(words[1]));
         endAfter(Long.parseLong(words[5]));
--- a/testing/lab/src/main/java/pinewick/lab/scale/SteadyState.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/SteadyState.java
@@ -109,7 +109,9 @@
         json.addProperty("routerBytesInASecond", Math.round(sum(sums, "FROM_", 1) / routerSeconds));
     }
 
-    /** Between controllers and routers as the routers count; between controllers as the hollow one does for one of them. */
+    /**
+     * Between controllers and routers as the routers count; between controllers as the hollow one does for one of them.
+     */
     private void perController(Map<String, long[]> routers, Map<String, long[]> observer, double seconds) {
         int others = ScalePlan.CONTROLLERS + 1;
         double each = seconds * others;
--- a/testing/lab/src/main/java/pinewick/lab/scale/SystemProcess.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/SystemProcess.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * One process of the system's own programs, started as the deploy file says. A shell holds its life: it ends the program
- * when the laboratory ends in whatever way, and in any case after a time.
+ * One process of the system's own programs, started as the deploy file says. A shell holds its life: it ends the
+ * program when the laboratory ends in whatever way, and in any case after a time.
  */
 public final class SystemProcess implements AutoCloseable {
     private static final String GUARD =
--- a/testing/lab/src/test/java/pinewick/lab/demo/StandInReplicaTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/demo/FakeReplicaTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A pair of stand-in replicas, called as a router calls replicas. */
-class StandInReplicaTest {
+class FakeReplicaTest {
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final KvHandles handles = new KvHandles();
--- a/testing/lab/src/test/java/pinewick/lab/recovery/FiguresTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/recovery/FiguresTest.java
@@ -32,7 +32,8 @@
                 Optional.empty(),
                 PrimaryReport.of(1, JsonParser.parseString(backup).getAsJsonObject()));
         String primary = "{\"version\":3,\"epoch\":4,\"tolerable_losses\":1,\"members\":["
-                + "{\"address\":\"10.0.0.1:7721\",\"in_sync\":true},{\"address\":\"10.0.0.2:7721\",\"in_sync\":false}]}";
+                + "{\"address\":\"10.0.0.1:7721\",\"in_sync\":true},{\"address\":\"10.0.0.2:7721\","
+                + "\"in_sync\":false}]}";
         PrimaryReport report = PrimaryReport.of(
                         2, JsonParser.parseString(primary).getAsJsonObject())
                 .orElseThrow();
--- a/testing/standins/src/main/java/pinewick/rules/RuleChecker.java
+++ b/testing/standins/src/main/java/pinewick/rules/RuleChecker.java
@@ -39,7 +39,9 @@
         this.slack = slack;
     }
 
-    /** All breaches, in the order of their events; queries still open at the trace's end are judged by its last time. */
+    /**
+     * All breaches, in the order of their events; queries still open at the trace's end are judged by its last time.
+     */
     public List<Breach> judge(List<Trace.Event> events) {
         List<Breach> breaches = new ArrayList<>();
         Map<String, Query> queries = new LinkedHashMap<>();
--- a/testing/standins/src/main/java/pinewick/rules/Trace.java
+++ b/testing/standins/src/main/java/pinewick/rules/Trace.java
@@ -9,6 +9,7 @@
  * by tabs: time (seconds), mixer, event, query, part, searcher, detail; "-" where a field has nothing to say.
  */
 public final class Trace {
+    /** The kind of an event. */
     public enum Kind {
         /** A client's query was taken; detail: seconds its client waits. */
         TAKEN,
--- a/testing/standins/src/main/java/pinewick/standins/DatagramRelay.java
+++ b/testing/standins/src/main/java/pinewick/standins/DatagramRelay.java
@@ -16,8 +16,9 @@
 
 /**
  * Carries datagrams between processes on loopback, and breaks the way: a share is lost, doubled or late (and so out of
- * order), some hear others only one way or not at all. Each process has an address of its own here for each other one and
- * one for all, as the platform gives them; what it sends there reaches the other from the address that stands for it.
+ * order), some hear others only one way or not at all. Each process has an address of its own here for each other one
+ * and one for all, as the platform gives them; what it sends there reaches the other from the address that stands for
+ * it.
  */
 public final class DatagramRelay implements AutoCloseable {
     private record Late(long at, long number, int from, int to, byte[] bytes) {}
--- a/testing/standins/src/main/java/pinewick/standins/MixerProcess.java
+++ b/testing/standins/src/main/java/pinewick/standins/MixerProcess.java
@@ -74,13 +74,15 @@
         Files.writeString(
                 folder.resolve("config.json"),
                 "{" + peers + "\"listen\":\"127.0.0.1:" + port
-                        + "\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},"
+                        + "\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"8c1f30d27a5be964\","
+                        + "\"limits\":{\"sockets\":1024},"
                         + "\"known\":{\"revision\":0,\"complete\":true,\"members\":[" + known
                         + "]},\"settings\":{\"instances\":" + instances
                         + ",\"self-index\":" + self + ","
                         + "\"granularity-ns\":5e6,\"categories\":[" + categories + "],\"bounds\":{\"peers\":"
                         + !peers.isEmpty() + ",\"multiplex\":100,\"try-limit\":4,"
-                        + "\"max-open\":2000,\"conn-idle-ns\":15e9,\"dial-timeout-ns\":250e6},\"family-info\":{\"cells\":"
+                        + "\"max-open\":2000,\"conn-idle-ns\":15e9,\"dial-timeout-ns\":250e6},"
+                        + "\"family-info\":{\"cells\":"
                         + cells
                         + ",\"reach\":1,\"slabs\":" + cells + ",\"per-call\":16}}}");
     }
--- a/testing/standins/src/main/java/pinewick/standins/StandinRegistry.java
+++ b/testing/standins/src/main/java/pinewick/standins/StandinRegistry.java
@@ -17,6 +17,7 @@
 import java.util.Base64;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
@@ -115,7 +116,7 @@
                         return;
                     }
                     String path = head.split(" ")[1];
-                    int at = head.toLowerCase().indexOf("content-length:");
+                    int at = head.toLowerCase(Locale.ROOT).indexOf("content-length:");
                     int length = at < 0
                             ? 0
                             : Integer.parseInt(
@@ -294,7 +295,7 @@
                 }
                 if (breaksNextEvent) {
                     breaksNextEvent = false;
-                    byte[] half = ("1000\r\n{\"result\":{\"header\":{\"revision\":").getBytes(StandardCharsets.UTF_8);
+                    byte[] half = "1000\r\n{\"result\":{\"header\":{\"revision\":".getBytes(StandardCharsets.UTF_8);
                     write(out, half);
                     return;
                 }
