--- a/query-mixer/core/src/test/java/pinewick/ColdFleetTest.java
+++ b/query-mixer/core/src/test/java/pinewick/ColdFleetTest.java
@@ -135,7 +135,7 @@
     @Test
     void heavyTailsAndACountOfMixersThatIsAFifthTooLowAreBorne() {
         for (int mixers : new int[] {10, 30, 100}) {
-            double over = overrun(mixers, 100, -0.2, 0, true, 4, 3 * mixers);
+            double over = overrun(mixers, 100, -0.2, 0, true, 4, 3L * mixers);
             assertTrue(over <= 0, mixers + " mixers: " + over + " over");
         }
     }
@@ -144,7 +144,7 @@
     void mixersThatRestartedWithinTheColdTimeHaveNoWindfall() {
         for (int mixers : new int[] {10, 30, 100}) {
             for (double demand : new double[] {40, 300}) {
-                double over = overrun(mixers, demand, 0, 0.7, false, 4, 5 * mixers);
+                double over = overrun(mixers, demand, 0, 0.7, false, 4, 5L * mixers);
                 assertTrue(over <= 0, mixers + " mixers, " + demand + " parts a second: " + over + " over");
             }
         }
--- a/query-mixer/core/src/test/java/pinewick/ReplicaTest.java
+++ b/query-mixer/core/src/test/java/pinewick/ReplicaTest.java
@@ -84,7 +84,7 @@
         for (int each = 0; each < 40; each++) {
             Query query = host.take("q" + each, 1);
             long launched = host.count("launch q" + each);
-            used += launched;
+            used += (int) launched;
             host.clock += 2;
             if (launched > 0) {
                 host.ends(query, "q" + each + "-0", 0, Ending.FULFILLED, 0.1);
@@ -236,11 +236,11 @@
             one.ends(query, "q-0", 0, Ending.ERROR, 0.1);
             one.said.clear();
             one.pass(4);
-            probes += one.count("probe a");
+            probes += (int) one.count("probe a");
             one.said.clear();
             one.take("r", 1);
             one.pass(0.1);
-            tried += one.count("launch r-0 a");
+            tried += (int) one.count("launch r-0 a");
         }
         assertTrue(probes <= 20, probes + " of a hundred mixers probed the same searcher as its rest ended");
         assertTrue(tried >= 80, "only " + tried + " of a hundred mixers used it again");
--- a/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
@@ -31,7 +31,6 @@
     private final Limits limits;
     private final Loop loop;
     private final Log log;
-    private final ByteBufferPool buffers;
     private final Runnable then;
     private final Chain chain;
     private final List<StreamConnection> ends = new ArrayList<>();
@@ -45,7 +44,6 @@
         this.limits = orders.limits();
         this.loop = loop;
         this.log = new Log(System.err, 0);
-        this.buffers = buffers;
         this.then = then;
         chain = new Chain(given, limits, 1, loop, log, buffers, this::dial);
     }
@@ -62,12 +60,12 @@
         try {
             client = pipe(chain.door::handleEvent);
         } catch (IOException none) {
-            end("no pipes: " + none.getMessage());
+            end();
             return;
         }
         client.getSourceChannel().setReadListener(any -> loop.event("rehearsing", this::answered));
         client.getSourceChannel().resumeReads();
-        loop.after(limits.rehearsal() * 3, "ending the rehearsal", () -> end("too long"));
+        loop.after(limits.rehearsal() * 3, "ending the rehearsal", this::end);
         ask();
     }
 
@@ -110,7 +108,7 @@
         try {
             client.getSinkChannel().write(ByteBuffer.wrap(request.getBytes(StandardCharsets.UTF_8)));
         } catch (IOException broken) {
-            end("broke: " + broken.getMessage());
+            end();
         }
     }
 
@@ -120,20 +118,20 @@
             in.clear();
             int count = client.getSourceChannel().read(in);
             if (count < 0) {
-                end("ended");
+                end();
             } else if (count > 0 && !over) {
                 if (loop.clock() - startedAt < limits.rehearsal()) {
                     ask();
                 } else {
-                    end(asked + " queries");
+                    end();
                 }
             }
         } catch (IOException broken) {
-            end("broke: " + broken.getMessage());
+            end();
         }
     }
 
-    private void end(String why) {
+    private void end() {
         if (!over) {
             over = true;
             chain.end();
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
@@ -53,7 +53,6 @@
 
     private final Loop loop;
     private final Limits limits;
-    private final ByteBufferPool buffers;
     private final HttpOpenListener undertow;
     private final Map<StreamConnection, Guest> guests = new LinkedHashMap<>();
     private final Set<Body> reading = new LinkedHashSet<>();
@@ -66,7 +65,6 @@
     public ClientDoor(Loop loop, Limits limits, ByteBufferPool buffers, Supplier<String> counters) {
         this.loop = loop;
         this.limits = limits;
-        this.buffers = buffers;
         this.counters = counters;
         undertow = new HttpOpenListener(
                 buffers,
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ListWatch.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/ListWatch.java
@@ -206,7 +206,7 @@
                 }
                 if (count < 0) {
                     if (whole && wholeList != null) {
-                        whole(mine, ListText.read(wholeList));
+                        whole(ListText.read(wholeList));
                     } else {
                         ended(mine, whole ? "the whole list was cut short" : "ended", false);
                     }
@@ -246,7 +246,7 @@
         }
     }
 
-    private void whole(long mine, ListText.Piece piece) {
+    private void whole(ListText.Piece piece) {
         if (!piece.whole()) {
             throw new IllegalArgumentException("changes where the whole list was asked for");
         }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
@@ -79,7 +79,11 @@
         /** Each stretch's sum, in order. */
         void sums(short[] sums);
 
-        /** @param silent since when, seconds, and {@code accusers}, their places, of a suspect only */
+        /**
+         * One member, as the sender sees it.
+         *
+         * @param silent since when, seconds, and {@code accusers}, their places, of a suspect only
+         */
         void entry(int place, Standing standing, long incarnation, int[] accusers, double silent);
     }
 
--- a/router-fleet/selection/src/main/java/pinewick/selection/WindowedSum.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/WindowedSum.java
@@ -16,6 +16,10 @@
         while (!entries.isEmpty() && entries.peekFirst()[0] < from) {
             sum -= entries.pollFirst()[1];
         }
-        return entries.isEmpty() ? sum = 0 : sum;
+        if (entries.isEmpty()) {
+            // Without this the rounding errors of all amounts that have left the window would add up.
+            sum = 0;
+        }
+        return sum;
     }
 }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/FleetChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/FleetChecker.java
@@ -13,7 +13,7 @@
 /** Checks that routers learn acknowledged configurations and removals of replicas in time, and never revert them. */
 final class FleetChecker {
     private final SimulatedSystem system;
-    private final Map<Object, Map<String, ReplicaState>> knownByProcess = new IdentityHashMap<>();
+    private final IdentityHashMap<Object, Map<String, ReplicaState>> knownByProcess = new IdentityHashMap<>();
     private final Map<String, ReplicaState> acknowledgedRemovals = new HashMap<>();
     private int removalsAcknowledged;
     private Consumer<ControllerMachine> onFirstAcknowledged = by -> {};
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowReplica.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowReplica.java
@@ -156,7 +156,7 @@
         sentAtMs = nowMs;
         try {
             if (channel == null) {
-                connect(nowMs);
+                connect();
             } else {
                 send();
             }
@@ -165,7 +165,7 @@
         }
     }
 
-    private void connect(double nowMs) throws IOException {
+    private void connect() throws IOException {
         SocketAddress to = controllers.get(controller);
         channel = SocketChannel.open();
         channel.configureBlocking(false);
--- a/testing/standins/src/main/java/pinewick/standins/DatagramRelay.java
+++ b/testing/standins/src/main/java/pinewick/standins/DatagramRelay.java
@@ -12,6 +12,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BiPredicate;
 
 /**
@@ -43,7 +44,7 @@
     private double most;
     private long numbers;
     private volatile int longest;
-    private volatile long carried;
+    private final AtomicLong carried = new AtomicLong();
     private volatile boolean over;
 
     /** @param homes where each process listens for datagrams */
@@ -117,7 +118,7 @@
     }
 
     public long carried() {
-        return carried;
+        return carried.get();
     }
 
     private void run() {
@@ -168,7 +169,7 @@
     private void deliver(Late one) {
         try {
             ways[one.to][one.from].send(ByteBuffer.wrap(one.bytes), homes.get(one.to));
-            carried++;
+            carried.incrementAndGet();
         } catch (IOException nobody) {
             // Nobody listens there: lost.
         }
--- a/testing/standins/src/main/java/pinewick/standins/MixerProcess.java
+++ b/testing/standins/src/main/java/pinewick/standins/MixerProcess.java
@@ -69,7 +69,7 @@
         configure(peers, instances, self);
     }
 
-    /** Writes another configuration, for the next start or {@link #reload}. */
+    /** Writes another configuration, for the next start or {@code reload}. */
     public void configure(String peers, int instances, int self) throws IOException {
         Files.writeString(
                 folder.resolve("config.json"),
