--- a/router-fleet/control/src/main/java/pinewick/control/ConfigurationEndpoints.java
+++ b/router-fleet/control/src/main/java/pinewick/control/ConfigurationEndpoints.java
@@ -15,6 +15,11 @@
  * The requests of the operator: changes of the configuration, and reading it. While no primary is known, as during an
  * election, a request is retried here for as long as the operator waits for a response, since each rejection would
  * lengthen the operator's backoff.
+ *
+ * <p>The body of a 503 gives its reason: no primary is known; no outcome in time; what the primary said of a change
+ * whose outcome is unknown ({@link ChangeOutcome.Unknown}) or of a read without a quorum ({@link
+ * ReadOutcome.Unavailable}). {@link ApiExchange} adds two of its own: the controller is shutting down, and too many
+ * requests with large bodies at once. After each of them the operator may send the same request again.
  */
 final class ConfigurationEndpoints {
     /** How long a request is retried while no primary is known, milliseconds; the operator waits for one second. */
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaDirectory.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaDirectory.java
@@ -7,7 +7,11 @@
 import pinewick.model.ReplicaRecord;
 import pinewick.model.ReplicaState;
 
-/** The replicas that may be chosen, by service. */
+/**
+ * The replicas that may be chosen, by service, as the fleet's records of them say. A replica that is still chosen after
+ * its drain either has a record here that is older than the drain (see {@link pinewick.dissemination.ReplicaGossip}),
+ * or was chosen before: {@link ReplicaConnections} checks {@link #mayReceiveRequest} again before it sends.
+ */
 final class ReplicaDirectory {
     private final Map<String, Map<String, ReplicaRecord>> byService = new HashMap<>();
 
--- a/router-fleet/storage/src/main/java/pinewick/storage/XodusStore.java
+++ b/router-fleet/storage/src/main/java/pinewick/storage/XodusStore.java
@@ -21,6 +21,10 @@
  * {@link StableStore} on Xodus, in a folder of its own. One thread, {@code storage}, reads and writes; callbacks run on
  * the given executor, which is the control loop. A torn write is truncated; other files that cannot be read twice in a
  * row are quarantined, and the disk counts as empty.
+ *
+ * <p>A failing disk is logged here and nowhere else: {@code disk read failed}, {@code disk write failed}, {@code torn
+ * write removed}, {@code torn write not removed} and {@code store unreadable}. What follows from it, such as a primary
+ * that steps down, is an event of the replication.
  */
 public final class XodusStore implements StableStore, AutoCloseable {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
