--- a/query-mixer/daemon/src/test/java/pinewick/ListCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ListCrossingTest.java
@@ -193,7 +193,7 @@
     @Test
     void aWholeListThatIsResetBehindItsLastByteIsNone() throws Exception {
         Searcher a = new Searcher("a", 0, "answer");
-        discovery.resets = 1;
+        discovery.resets.set(1);
         discovery.held = true;
         launch(a);
         assertNotNull(discovery.wholes.poll(WAIT, TimeUnit.SECONDS));
--- a/query-mixer/daemon/src/test/java/pinewick/MixerHarness.java
+++ b/query-mixer/daemon/src/test/java/pinewick/MixerHarness.java
@@ -24,6 +24,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
@@ -226,7 +227,7 @@
         /** Whole lists wait for a word in {@link #release}. */
         volatile boolean held;
         /** So many whole lists, without a length, are reset behind their last byte. */
-        volatile int resets;
+        final AtomicInteger resets = new AtomicInteger();
         /** What each new watch gets in place of the list; null for the list. */
         volatile String nonsense;
 
@@ -305,8 +306,8 @@
                 if (held) {
                     release.take();
                 }
-                if (resets > 0) {
-                    resets--;
+                if (resets.get() > 0) {
+                    resets.decrementAndGet();
                     out.write(
                             ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + first).getBytes(StandardCharsets.UTF_8));
                     socket.setSoLinger(true, 0);
--- a/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
@@ -70,14 +70,17 @@
             told.add("closed, never " + never.size() + ", perhaps " + perhaps.size());
         }
 
+        @Override
         public boolean mayBegin(LiveLaunch launch) {
             return true;
         }
 
+        @Override
         public void unsent(List<LiveLaunch> launches) {
             launches.forEach(each -> ends(each, "unsent " + each.piece.id));
         }
 
+        @Override
         public void notUp(SearcherLink from, List<LiveLaunch> launches) {
             launches.forEach(each -> ends(each, "not up " + each.piece.id));
         }
