--- a/router-fleet/system/src/test/java/pinewick/system/DeployFileTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/DeployFileTest.java
@@ -65,7 +65,7 @@
     void buildsNothingOutsideTheTargetFolder() throws IOException {
         String build = deploy().getString("build");
 
-        assertTrue(build.startsWith("mvn -q -DskipTests -pl system -am package && java "), build);
+        assertTrue(build.startsWith("mvn -q -DskipTests -pl :pinewick-system -am package && java "), build);
         assertTrue(build.endsWith(" -jar target/pinewick-system.jar rehearse > target/rehearsal.log 2>&1"), build);
         assertFalse(build.contains("/tmp"), build);
     }
