--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
@@ -18,10 +18,10 @@
  * The router program: accepts client requests, follows the fleet's configuration and replicas, and forwards requests to
  * replicas.
  *
- * <p>A router needs controllers only to start and to learn what is new. While none can be reached it continues with the
- * configuration and the replica records that it has, learns of removals and lapses from other routers at most, and stays
- * ready. One that starts meanwhile takes both from other routers; it answers 503 in place of 404 until a controller in
- * contact with a quorum has confirmed its configuration ({@link #knowsRoutes}).
+ * <p>A router needs controllers only to start and to learn what is new. While none can be reached it continues with
+ * the configuration and the replica records that it has, learns of removals and lapses from other routers at most, and
+ * stays ready. One that starts meanwhile takes both from other routers; it answers 503 in place of 404 until a
+ * controller in contact with a quorum has confirmed its configuration ({@link #knowsRoutes}).
  */
 public final class Router {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
