--- a/router-fleet/replication/src/main/java/pinewick/replication/AcceptedChanges.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/AcceptedChanges.java
@@ -8,11 +8,11 @@
 import java.util.OptionalLong;
 
 /**
- * The recently accepted changes, oldest first, by base version and digest: a change that an operator sends again is
- * answered like the first time. Immutable.
+ * The recently accepted changes, oldest first, by base version and digest, so that a change that an operator submits
+ * again gets the same answer as the first time. Immutable.
  */
 final class AcceptedChanges {
-    /** Beyond this many the oldest are evicted. */
+    /** The oldest changes are evicted beyond this number. */
     static final int CAPACITY = 3_000;
 
     static final AcceptedChanges NONE = new AcceptedChanges(Map.of());
@@ -28,15 +28,16 @@
         this.versions = versions;
     }
 
-    /** The version that a change led to, empty if it is not among the recently accepted ones. */
+    /** The configuration version that a change led to, empty if it is not among the recently accepted ones. */
     OptionalLong versionOf(long baseVersion, String digest) {
         Long version = versions.get(new Identity(baseVersion, digest));
         return version == null ? OptionalLong.empty() : OptionalLong.of(version);
     }
 
     /**
-     * Whether a change based on this version may have been accepted and evicted since. Each accepted change is based on
-     * a higher version than the one before, so only changes below the oldest entry can be.
+     * Whether a change that is based on this version may have been accepted and evicted since. Each accepted change is
+     * based on a higher version than the one before, so only changes with a lower base version than the oldest entry
+     * may have been.
      */
     boolean mayHaveEvicted(long baseVersion) {
         return versions.size() >= CAPACITY
--- a/router-fleet/replication/src/main/java/pinewick/replication/ActiveClock.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ActiveClock.java
@@ -1,12 +1,15 @@
 package pinewick.replication;
 
 /**
- * Two clocks. Steady time is the caller's monotonic time. Active time leaves out the spans in which this process did
- * not run, so that after a freeze (a paused machine, a long garbage collection) the other processes are not taken for
- * failed. Control loop only.
+ * Two clocks, in milliseconds. Steady time is the monotonic time of the caller. Active time leaves out the spans in
+ * which this process did not run, so that after a freeze (a paused machine, a long garbage collection) other processes
+ * are not suspected of having failed. Control loop only.
  */
 final class ActiveClock {
-    /** A longer span between two events means that the process was frozen; it counts as this long. */
+    /**
+     * If more time than this passes between two events, the process was frozen, and active time advances by this much
+     * only.
+     */
     private static final double MAX_STEP_MS = 150;
 
     private double steadyMs = Double.NaN;
@@ -23,7 +26,7 @@
         steadyMs = nowMs;
     }
 
-    /** For how long, steady time, this process has run since it was last frozen. */
+    /** Steady time since the process last resumed from a freeze; infinite if it never was frozen. */
     double sinceResumeMs() {
         return steadyMs - resumedMs;
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/ChangeKey.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ChangeKey.java
@@ -5,10 +5,10 @@
 import java.util.HexFormat;
 
 /**
- * Identifies a change, so that it is recognised when an operator sends it again.
+ * Identifies an accepted change, so that it is recognised when an operator submits it again.
  *
- * @param baseVersion the version it is based on
- * @param version the version it leads to
+ * @param baseVersion the configuration version that it is based on
+ * @param version the configuration version that it leads to
  * @param digest SHA-256 of its kind and body, hexadecimal
  */
 public record ChangeKey(long baseVersion, long version, String digest) {
@@ -19,7 +19,7 @@
             sha256.update((byte) change.kind().ordinal());
             return HexFormat.of().formatHex(sha256.digest(change.body()));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java runtime has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available in this Java runtime", e);
         }
     }
 }
--- a/router-fleet/replication/src/main/java/pinewick/replication/ChangeProcessor.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ChangeProcessor.java
@@ -7,9 +7,10 @@
 import pinewick.model.InvalidConfigurationException;
 
 /**
- * Processes the queued changes and reads of a primary. A change is checked against the committed state and replicated;
- * an outcome that depends on being primary (a version conflict, an invalid document, a read) is reported only after a
- * later heartbeat was confirmed, so that a deposed primary reports nothing. Control loop only.
+ * Processes the queued changes and reads of a primary. A change is checked against the committed state and then
+ * replicated. An outcome that depends on still being primary (a change that was accepted before, a version conflict, an
+ * invalid document, a read) is reported only once a later heartbeat has been confirmed, so that a deposed primary
+ * reports none of them. Control loop only.
  */
 final class ChangeProcessor {
     private final CommitNotifier commitNotifier;
@@ -45,7 +46,10 @@
                 epoch.lease().confirmedHeartbeat(), epoch.committed().document());
     }
 
-    /** Completes the change in flight when a state has become committed. */
+    /**
+     * Commits the target state if every in-sync store has it on disk; then notifies the listener and completes the
+     * change in flight.
+     */
     void updateCommitted(PrimaryEpoch epoch) {
         if (!epoch.updateCommitted()) {
             return;
@@ -79,7 +83,10 @@
         }
     }
 
-    /** A change so old that it may have been accepted and evicted is not rejected. */
+    /**
+     * The outcome of a change that is not based on the current version. If its base version is so old that it may have
+     * been accepted and evicted, the outcome is unknown rather than a conflict.
+     */
     private static ChangeOutcome baseMismatch(ConfigurationChange change, ConfigurationState state) {
         return state.changes().mayHaveEvicted(change.baseVersion())
                 ? new ChangeOutcome.Unknown("it builds upon a version too old to tell whether it was accepted")
--- a/router-fleet/replication/src/main/java/pinewick/replication/ChangeQueue.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ChangeQueue.java
@@ -10,19 +10,19 @@
 import java.util.function.Consumer;
 
 /**
- * The changes that were submitted to this process and are not completed: queued, in flight (at most one is replicated
- * at a time), or waiting for the epoch to be confirmed. A change that is submitted again joins the earlier submission.
- * Control loop only.
+ * The submitted changes that are not completed: queued, in flight (at most one is replicated at a time), or with an
+ * outcome that waits for the epoch to be confirmed. A change that is submitted again while it is queued or in flight
+ * shares the outcome of the earlier submission. Control loop only.
  */
 final class ChangeQueue {
     private static final long NO_HEARTBEAT_YET = Long.MAX_VALUE;
 
-    /** Two submissions with the same identity are of the same change. */
+    /** Identity of a change: two submissions with the same identity are of the same change. */
     private record Identity(long baseVersion, String digest) {}
 
     private record PendingCallback(double deadlineMs, Consumer<ChangeOutcome> callback) {}
 
-    /** One change and the callbacks that wait for its outcome. */
+    /** A change and the callbacks that wait for its outcome. */
     static final class Entry {
         private final ConfigurationChange change;
         private final Identity identity;
@@ -60,7 +60,7 @@
         entry.callbacks.add(new PendingCallback(deadlineMs, callback));
     }
 
-    /** The next change to process, removed from the queue. */
+    /** Removes and returns the next change to process; empty if there is none. */
     Optional<Entry> next() {
         return Optional.ofNullable(queued.poll());
     }
@@ -69,35 +69,35 @@
         return queued.isEmpty();
     }
 
-    /** The change is in flight from now on. */
+    /** The change is being replicated, and stays in flight until a state is committed or this process steps down. */
     void onReplicationStarted(Entry entry) {
         inFlight = Optional.of(entry);
     }
 
     /**
-     * The change is completed once a heartbeat that is sent after this call has been confirmed. A later submission of
-     * the same change does not join it, as that heartbeat may have been sent before.
+     * Completes the change once a heartbeat that is sent after this call has been confirmed. A later submission of the
+     * same change does not share this outcome, as the heartbeat may have been sent before that submission.
      */
     void completeOnceConfirmed(Entry entry, ChangeOutcome outcome) {
         entries.remove(entry.identity, entry);
         unconfirmed.add(new UnconfirmedOutcome(entry, outcome, NO_HEARTBEAT_YET));
     }
 
-    /** Whether some outcome waits for a heartbeat that has not been sent. */
+    /** Whether some outcome needs a heartbeat that has not been sent yet. */
     boolean needsHeartbeat() {
-        return unconfirmed.stream().anyMatch(answer -> answer.heartbeat == NO_HEARTBEAT_YET);
+        return unconfirmed.stream().anyMatch(unconfirmedOutcome -> unconfirmedOutcome.heartbeat == NO_HEARTBEAT_YET);
     }
 
-    /** A heartbeat was sent. */
+    /** A heartbeat was sent; the outcomes without one wait for its confirmation. */
     void onHeartbeatSent(long heartbeat) {
-        unconfirmed.replaceAll(answer -> answer.heartbeat == NO_HEARTBEAT_YET
-                ? new UnconfirmedOutcome(answer.entry, answer.outcome, heartbeat)
-                : answer);
+        unconfirmed.replaceAll(unconfirmedOutcome -> unconfirmedOutcome.heartbeat == NO_HEARTBEAT_YET
+                ? new UnconfirmedOutcome(unconfirmedOutcome.entry, unconfirmedOutcome.outcome, heartbeat)
+                : unconfirmedOutcome);
     }
 
-    /** A new epoch of this process: changes whose outcome was not confirmed are processed again. */
+    /** Queues the changes with unconfirmed outcomes again, as a new epoch of this process has started. */
     void requeueUnconfirmed() {
-        unconfirmed.forEach(answer -> requeue(answer.entry));
+        unconfirmed.forEach(unconfirmedOutcome -> requeue(unconfirmedOutcome.entry));
         unconfirmed.clear();
     }
 
@@ -110,17 +110,19 @@
         }
     }
 
-    /** The heartbeat is confirmed: the outcomes that were decided before it was sent are reported. */
+    /** Heartbeats up to this one are confirmed: reports the outcomes that were decided before they were sent. */
     void onHeartbeatConfirmed(long heartbeat) {
-        for (UnconfirmedOutcome answer : List.copyOf(unconfirmed)) {
-            if (answer.heartbeat <= heartbeat) {
-                unconfirmed.remove(answer);
-                complete(answer.entry, answer.outcome);
+        for (UnconfirmedOutcome unconfirmedOutcome : List.copyOf(unconfirmed)) {
+            if (unconfirmedOutcome.heartbeat <= heartbeat) {
+                unconfirmed.remove(unconfirmedOutcome);
+                complete(unconfirmedOutcome.entry, unconfirmedOutcome.outcome);
             }
         }
     }
 
-    /** A state is committed: the change in flight is part of it, or has to be processed again. */
+    /**
+     * A state is committed. The change in flight is accepted if the state contains it, and is queued again otherwise.
+     */
     void onCommitted(ConfigurationState state) {
         if (inFlight.isEmpty()) {
             return;
@@ -138,7 +140,10 @@
         entry.callbacks.forEach(pending -> pending.callback.accept(outcome));
     }
 
-    /** Callbacks whose deadline has passed are told that the outcome is unknown. */
+    /**
+     * Completes callbacks whose deadline has passed with an unknown outcome. A change without callbacks is removed if
+     * it is still queued.
+     */
     void expire(double nowMs) {
         for (Entry entry : incompleteEntries()) {
             for (PendingCallback pending : List.copyOf(entry.callbacks)) {
@@ -155,12 +160,13 @@
 
     private List<Entry> incompleteEntries() {
         List<Entry> all = new ArrayList<>(entries.values());
-        unconfirmed.forEach(answer -> all.add(answer.entry));
+        unconfirmed.forEach(unconfirmedOutcome -> all.add(unconfirmedOutcome.entry));
         return all;
     }
 
     /**
-     * This process steps down: the outcome of the change in flight is unknown, and nothing was done about the others.
+     * Completes every change, as this process steps down. The outcome of the change in flight is unknown; the others
+     * get the outcome given, as nothing was done about them.
      */
     void failAll(ChangeOutcome.NotPrimary outcome) {
         Optional<Entry> unknown = inFlight;
--- a/router-fleet/replication/src/main/java/pinewick/replication/CommitNotifier.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/CommitNotifier.java
@@ -2,7 +2,7 @@
 
 import pinewick.model.ConfigurationDocument;
 
-/** Notifies the listener of each committed state once. Control loop only. */
+/** Notifies the listener of committed states, once of each. Control loop only. */
 final class CommitNotifier {
     private final ReplicationContext context;
     private StateVersion lastNotified = StateVersion.NONE;
@@ -11,7 +11,10 @@
         this.context = context;
     }
 
-    /** The state with this version is committed; the listener is notified if it is the state of this process. */
+    /**
+     * The state with this version is committed. Notifies the listener if this process has that state on disk and the
+     * configuration in it is not the empty one.
+     */
     void onCommitted(StateVersion committed) {
         ConfigurationState current = context.durable().state();
         boolean known =
@@ -25,7 +28,7 @@
         }
     }
 
-    /** Whether the listener has been notified of this committed state, or of a later one of its epoch. */
+    /** Whether this committed state, or a later one of the same epoch, has been reported to the listener. */
     boolean hasNotified(StateVersion committed) {
         return !committed.equals(StateVersion.NONE)
                 && lastNotified.epoch() == committed.epoch()
--- a/router-fleet/replication/src/main/java/pinewick/replication/ConfigurationChange.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ConfigurationChange.java
@@ -1,14 +1,14 @@
 package pinewick.replication;
 
 /**
- * A change as an operator sent it.
+ * A change of the configuration as an operator submitted it.
  *
- * @param kind whole configuration or named items
- * @param baseVersion the version it is based on
+ * @param kind whether it replaces the whole configuration or updates named items
+ * @param baseVersion the configuration version that it is based on
  * @param body JSON as received
  */
 public record ConfigurationChange(Kind kind, long baseVersion, byte[] body) {
-    /** Which of the two calls brought it. */
+    /** The call of the operator API that submitted it. */
     public enum Kind {
         /** {@code POST /config/replace}. */
         REPLACE,
--- a/router-fleet/replication/src/main/java/pinewick/replication/ConfigurationState.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ConfigurationState.java
@@ -5,8 +5,8 @@
 import pinewick.model.ConfigurationDocument;
 
 /**
- * What is replicated: the configuration and the recently accepted changes, with the version that identifies both.
- * Immutable.
+ * The replicated state: the configuration document and the keys of the recently accepted changes, with the version that
+ * identifies both. Immutable.
  */
 record ConfigurationState(StateVersion version, ConfigurationDocument document, AcceptedChanges changes) {
     static final ConfigurationState NONE =
@@ -16,13 +16,13 @@
         return new ConfigurationState(newVersion, document, changes);
     }
 
-    /** The state after a change. */
+    /** The state with this version after a change. */
     ConfigurationState apply(StateVersion newVersion, byte[] delta, ChangeKey key) {
         ConfigurationDocument changed = ConfigurationChecks.readDelta(delta).applyTo(document);
         return new ConfigurationState(newVersion, changed, changes.with(key));
     }
 
-    /** The whole document as a delta. */
+    /** The whole document, encoded as a delta from the empty one. */
     byte[] documentBytes() {
         return ConfigurationChecks.writeDelta(ConfigurationDelta.between(ConfigurationDocument.EMPTY, document));
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/DurableState.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/DurableState.java
@@ -7,40 +7,49 @@
 import java.util.function.Supplier;
 
 /**
- * What this process has on disk: its promise, its epoch record and its state. The only owner of the three; every other
- * class reads them here and changes them by {@link #submit}. Updates are written one at a time, in order; each is
- * computed when its turn comes, from what is durable then, so that memory never runs ahead of the disk. Control loop
+ * What this process has on disk: its promise, its accepted epoch record and its configuration state. Every other class
+ * reads them here and changes them by {@link #submit} only. Updates are written one at a time, in order. Each is
+ * computed when its turn comes, from what is durable by then, so that memory never runs ahead of the disk. Control loop
  * only.
  */
 final class DurableState {
-    /** A disk whose write takes longer is stalled. */
+    /** The disk counts as stalled if a write takes longer than this. */
     static final double STALL_TIMEOUT_MS = 500;
 
-    /** An update that waited longer for its turn is dropped: whoever asked for it has asked again. */
+    /**
+     * An update that waited in the queue for longer than this is dropped: whoever requested it has sent the request
+     * again by then.
+     */
     private static final double QUEUE_TIMEOUT_MS = 1_000;
 
-    /** How often a failed disk is tried again. */
+    /** Interval between attempts to write to a failed disk. */
     private static final double RETRY_INTERVAL_MS = 500;
 
-    /** Beyond this many appended changes, or this many bytes of them, a snapshot is written. */
+    /**
+     * A snapshot is written in place of a further change once this many changes, or {@link #MAX_APPENDED_BYTES}, were
+     * appended.
+     */
     private static final int MAX_APPENDED_CHANGES = 200;
 
     private static final int MAX_APPENDED_BYTES = 256 * 1024;
 
-    /** A change of this length or more is written as a snapshot. */
+    /** For a change of this length or more, a snapshot is written instead of appending the change. */
     private static final int MAX_APPENDED_CHANGE_BYTES = 64 * 1024;
 
-    /** How an update ended. */
+    /** Outcome of an update. */
     enum Outcome {
-        /** It is on disk. */
+        /** The update is on disk. */
         WRITTEN,
-        /** Nothing was to be written. */
+        /** Nothing was written: the planner returned no update, or the update waited too long. */
         SKIPPED,
-        /** The disk failed; nothing has changed. */
+        /** The write failed. The values in memory have not changed; the disk may hold either version. */
         FAILED
     }
 
-    /** What an update makes durable. */
+    /**
+     * The values that an update makes durable; {@code change} is present if the state differs from the previous one by
+     * that change alone.
+     */
     record Update(
             EpochNumber promised, EpochRecord accepted, ConfigurationState state, Optional<StoredChange> change) {}
 
@@ -70,15 +79,15 @@
         this.afterWrite = afterWrite;
     }
 
-    /** Starts with an empty disk. */
+    /** Starts with an empty store. */
     void initialize(String newIdentity) {
         identity = newIdentity;
     }
 
     /**
-     * Restores what the disk holds.
+     * Restores the values that were read from the disk.
      *
-     * @throws IllegalArgumentException if the parts do not fit together; nothing has changed then
+     * @throws IllegalArgumentException if the stored parts are inconsistent; the values are unchanged then
      */
     void restore(StoredState stored) {
         StoredHead head = stored.head();
@@ -119,12 +128,12 @@
         return state;
     }
 
-    /** Whether the write in progress takes too long. */
+    /** Whether the write in progress has taken longer than {@link #STALL_TIMEOUT_MS}. */
     boolean isStalled() {
         return writing && clock.activeMs() - writingSinceMs > STALL_TIMEOUT_MS;
     }
 
-    /** Whether the last write succeeded, and the one in progress is in time. */
+    /** Whether the last write did not fail and the one in progress is not stalled. */
     boolean isHealthy() {
         return !failing && !isStalled();
     }
@@ -132,9 +141,9 @@
     /**
      * Queues an update.
      *
-     * @param planner computes the update when its turn comes, with everything before it on disk; empty if there is
-     *     nothing to write
-     * @param onEnd called with how it ended, after this object shows its effect
+     * @param planner computes the update when its turn comes, after the updates before it have been written; empty if
+     *     there is nothing to write
+     * @param onEnd called with the outcome, after the values of this object reflect it
      */
     void submit(Supplier<Optional<Update>> planner, Consumer<Outcome> onEnd) {
         queue.add(new QueuedUpdate(clock.activeMs(), planner, onEnd));
@@ -147,9 +156,9 @@
     }
 
     /**
-     * Discards what the disk holds: it becomes an empty store with another identity.
+     * Replaces the store by an empty one with another identity.
      *
-     * @param onEnd run when that is on disk, or has failed
+     * @param onEnd run when that has been written or has failed
      */
     void reset(String newIdentity, Runnable onEnd) {
         submit(
@@ -163,7 +172,7 @@
                 outcome -> onEnd.run());
     }
 
-    /** While the disk fails, tries it again at intervals. */
+    /** Retries a failed disk at intervals by writing the current values again. */
     void onTick() {
         if (failing && !writing && clock.activeMs() - failedMs >= RETRY_INTERVAL_MS) {
             submit(() -> Optional.of(new Update(promised, accepted, state, Optional.empty())), outcome -> {});
--- a/router-fleet/replication/src/main/java/pinewick/replication/Election.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/Election.java
@@ -12,25 +12,31 @@
 import pinewick.replication.ReplicationMessages.Status;
 
 /**
- * The election timer of a process that is not primary, and what the other controllers reported while there was no
- * contact with a primary. It is due only when a quorum has no contact either. In-sync stores wait for different times,
- * so that their proposals rarely collide; failed ones are followed by an exponential backoff. Control loop only.
+ * The election timer of a process that is not primary, and the statuses that other controllers reported while it had no
+ * contact with a primary. An election is due only when a quorum has no contact with a primary either. The timers of
+ * in-sync stores are staggered, so that their proposals rarely collide; a failed proposal is followed by an exponential
+ * backoff. Control loop only.
  */
 final class Election {
-    /** While there was contact with a primary within this time, no other process may take over. */
+    /** Contact with a primary counts for this long; meanwhile a witness rejects other proposers. */
     private static final double PRIMARY_CONTACT_MS = 450;
 
-    /** The shortest time without contact to the primary after which another process takes over. */
+    /**
+     * Election timeout: the shortest time without contact to the primary after which another process stands for
+     * election.
+     */
     private static final double ELECTION_TIMEOUT_MS = 600;
 
     private static final double MAX_JITTER_MS = 100;
 
-    /** The in-sync stores stand for election one after the other, at this interval. */
+    /** Interval between the election timers of successive in-sync stores. */
     private static final double STAGGER_INTERVAL_MS = 120;
 
-    private static final double RETRY_AFTER_DENIAL_MS = 150;
+    private static final double NOT_LEADING_ELECTION_DELAY_MS = 150;
 
-    /** Whoever got a promise has this long to get its record chosen. */
+    /**
+     * How long a proposer that got a promise has, before this process stands for election, to get its record chosen.
+     */
     private static final double GRANTED_VOTE_MS = 700;
 
     /** The longest backoff after a failed proposal. */
@@ -38,7 +44,7 @@
 
     private static final double STATUS_REQUEST_INTERVAL_MS = 200;
 
-    /** A status counts for this long. */
+    /** How long a reported status stays valid. */
     private static final double STATUS_VALID_MS = 500;
 
     private record StatusReply(Status status, double receivedMs) {}
@@ -58,12 +64,15 @@
         this.context = context;
     }
 
-    /** This process has started, or has stepped down. */
+    /**
+     * Restarts the timer without contact to a primary: this process has started or stepped down, or the primary has
+     * resigned.
+     */
     void restart(double delayMs) {
         contactMs = Double.NEGATIVE_INFINITY;
         statusByIdentity.clear();
         statusRequestedMs = Double.NEGATIVE_INFINITY;
-        postpone(delayMs);
+        resetTimer(delayMs);
     }
 
     /** There was contact with the primary. */
@@ -72,16 +81,16 @@
         lastContactMs = contactMs;
         backoffMs = MAX_JITTER_MS;
         statusByIdentity.clear();
-        postpone(ELECTION_TIMEOUT_MS);
+        resetTimer(ELECTION_TIMEOUT_MS);
     }
 
-    /** A promise was given to another proposer: it gets the time to finish. */
+    /** This process is voting for another proposer, by a promise or an acceptance, and gives it time to finish. */
     void onVoteGranted() {
         electionDueMs = Math.max(electionDueMs, context.activeMs() + GRANTED_VOTE_MS + jitterMs());
     }
 
     /** The primary has resigned. */
-    void onPrimaryGone() {
+    void onPrimaryResigned() {
         restart(0);
     }
 
@@ -103,7 +112,7 @@
         return context.activeMs() - contactMs < PRIMARY_CONTACT_MS;
     }
 
-    /** The request with which the other controllers are to be asked for their status now; empty if it is not time. */
+    /** The id of the status request to send to the other controllers now; empty if none is due. */
     Optional<RequestId> nextStatusRequest() {
         double now = context.activeMs();
         if (hasPrimaryContact() || now - statusRequestedMs < STATUS_REQUEST_INTERVAL_MS) {
@@ -124,7 +133,7 @@
                 .findFirst();
     }
 
-    /** There is a new controller to ask. */
+    /** Makes the next status request due at once, as a further controller became known. */
     void requestStatusSoon() {
         statusRequestedMs = Double.NEGATIVE_INFINITY;
     }
@@ -134,21 +143,27 @@
         statusByIdentity.put(status.self().identity(), new StatusReply(status, context.activeMs()));
     }
 
-    /** The primary itself reports that it does not lead. */
-    void onPrimaryDenial() {
+    /**
+     * The primary itself reports that it does not lead at present: contact with it no longer counts, and the election
+     * is due soon.
+     */
+    void onPrimaryNotLeading() {
         if (hasPrimaryContact()) {
             contactMs = Double.NEGATIVE_INFINITY;
-            electionDueMs = Math.min(electionDueMs, context.activeMs() + RETRY_AFTER_DENIAL_MS);
+            electionDueMs = Math.min(electionDueMs, context.activeMs() + NOT_LEADING_ELECTION_DELAY_MS);
         }
     }
 
-    /** Whether the primary of the newest record known here reports that it does not lead. */
-    boolean isPrimaryDenial(Status status) {
+    /** Whether the status is from the primary of the newest record accepted here, and reports that it does not lead. */
+    boolean reportsPrimaryNotLeading(Status status) {
         EpochRecord accepted = context.durable().accepted();
         return status.self().identity().equals(accepted.primary()) && !status.leading();
     }
 
-    /** Whether a quorum answered, none of them has contact with a primary, and this process could be primary. */
+    /**
+     * Whether this process should stand for election now: its timer has expired, a quorum answered, none of the answers
+     * reports contact with a primary, and this store is in sync.
+     */
     boolean isDue() {
         double now = context.activeMs();
         if (now < electionDueMs || hasPrimaryContact()) {
@@ -158,14 +173,14 @@
         if (statusByIdentity.values().stream().anyMatch(reply -> reply.status.hasPrimaryContact())) {
             return false;
         }
-        Set<String> present = new HashSet<>(statusByIdentity.keySet());
-        present.add(context.durable().identity());
+        Set<String> reachable = new HashSet<>(statusByIdentity.keySet());
+        reachable.add(context.durable().identity());
         EpochRecord highest = highestKnown();
-        return highest.hasQuorum(present)
+        return highest.hasQuorum(reachable)
                 && highest.inSync().contains(context.durable().identity());
     }
 
-    /** A counter above every one that is known. */
+    /** A counter higher than every promised one that is known here. */
     long nextCounter() {
         long highest = context.durable().promised().counter();
         for (StatusReply reply : statusByIdentity.values()) {
@@ -185,7 +200,7 @@
                 .orElse(own);
     }
 
-    private void postpone(double delayMs) {
+    private void resetTimer(double delayMs) {
         EpochRecord accepted = context.durable().accepted();
         int position = Math.max(0, accepted.inSync().indexOf(context.durable().identity()));
         electionDueMs = context.activeMs() + delayMs + position * STAGGER_INTERVAL_MS + jitterMs() / 2;
--- a/router-fleet/replication/src/main/java/pinewick/replication/EpochLease.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/EpochLease.java
@@ -4,20 +4,20 @@
 import java.util.Deque;
 
 /**
- * How long a primary may rely on its epoch. A heartbeat that a quorum has answered under the epoch's number confirms
- * the epoch at the time when that heartbeat was <em>sent</em>: a witness that answered it rejects every other proposer
- * until it has had no contact with the primary for a while, so until the lease expires no other epoch can be
- * established.
+ * The lease of a primary: how long it may rely on being the only one. A heartbeat that a quorum has answered under the
+ * epoch's number confirms the epoch as of the time when the heartbeat was <em>sent</em>. A witness that answered it
+ * rejects every other proposer until it has had no contact with the primary for a while, so no other epoch can be
+ * established before the lease expires.
  *
- * <p>Two clocks are kept apart. The lease counts steady time, so that a process that was frozen finds its lease
- * expired; the time-outs of the primary itself count active time ({@link ActiveClock}), so that a freeze does not make
- * it step down. Control loop only.
+ * <p>The lease counts steady time, so that a process that was frozen finds its lease expired. The time-outs of the
+ * primary itself count active time ({@link ActiveClock}), so that a freeze alone does not make it step down. Control
+ * loop only.
  */
 final class EpochLease {
-    /** The lease is valid for this long after a confirmed heartbeat was sent. */
+    /** How long the lease is valid after a confirmed heartbeat was sent. */
     static final double LEASE_DURATION_MS = 700;
 
-    /** A quorum has confirmed the epoch recently if it did so within this time. */
+    /** How long a confirmation by a quorum counts as recent, active time. */
     private static final double RECENTLY_CONFIRMED_MS = 600;
 
     private static final int MAX_TRACKED_HEARTBEATS = 32;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** A quorum has answered this heartbeat, and with it every earlier one. */
+    /** A quorum has answered this heartbeat, which confirms every earlier one too. */
     void onHeartbeatConfirmed(long sequence) {
         if (sequence <= confirmedHeartbeat) {
             return;
@@ -59,7 +59,7 @@
         return confirmedHeartbeat;
     }
 
-    /** For how long, active time, no further heartbeat was confirmed. */
+    /** Active time since a heartbeat was last confirmed, or since the epoch began. */
     double sinceConfirmationMs() {
         return clock.activeMs() - confirmedActiveMs;
     }
@@ -70,14 +70,15 @@
 
     /**
      * When the newest heartbeat that a quorum has answered was sent, steady time; {@link Double#NEGATIVE_INFINITY} for
-     * none. Up to then no later epoch was chosen, whatever the clocks of the others do: the quorum that chooses one has
-     * a witness in common with the quorum that answered, and that witness promised nothing higher before its answer.
+     * none. No later epoch was chosen before that time, regardless of the clocks of other processes: the quorum that
+     * chooses one shares a witness with the quorum that answered, and that witness had promised nothing higher when it
+     * answered.
      */
     double confirmedSteadyMs() {
         return confirmedSteadyMs;
     }
 
-    /** Until when, steady time, no other process can be primary. */
+    /** When the lease expires, steady time; no other process can be primary before. */
     double expirySteadyMs() {
         return confirmedSteadyMs + LEASE_DURATION_MS;
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/EpochPlanner.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/EpochPlanner.java
@@ -11,10 +11,10 @@
 
 /**
  * Decides which epoch record to propose, and when a primary should reconfigure its epoch. Members and in-sync stores
- * change only by a new record. Control loop only.
+ * change only by a new epoch record. Control loop only.
  */
 final class EpochPlanner {
-    /** A member without contact for longer can be replaced by an observer. */
+    /** A member without contact for longer than this can be replaced by an observer. */
     private static final double REPLACEABLE_AFTER_MS = 900;
 
     private final ReplicationContext context;
@@ -24,8 +24,8 @@
     }
 
     /**
-     * The record of an election, based on one that may or may not be chosen: the members stay, and the proposer must be
-     * in sync.
+     * The record of an election. The record on which it is based may or may not be chosen, so the members stay as they
+     * are. Empty unless this process is in sync and a member by that record.
      */
     Optional<EpochRecord> planElection(EpochNumber number, EpochRecord highest, Map<String, Promise> promises) {
         String self = context.durable().identity();
@@ -36,7 +36,8 @@
     }
 
     /**
-     * The record of a reconfiguration, based on the primary's own record, which is chosen: members may be replaced too.
+     * The record of a reconfiguration. It is based on the primary's own record, which is chosen, so members may be
+     * replaced too. Empty if the promises show a newer record.
      */
     Optional<EpochRecord> planChange(
             EpochNumber number,
@@ -65,9 +66,10 @@
     }
 
     /**
-     * The stores that promised the number and were in sync, or have exactly the state of this process. None of them can
-     * confirm a change of an earlier epoch any more, and each has every acknowledged change. Stores that are shutting
-     * down are left out only where an established primary finds that they are not needed.
+     * The new in-sync set: the stores that promised the number and either were in sync or have exactly the state of
+     * this process. After its promise a store confirms no change of an earlier epoch, and each of these has every
+     * acknowledged change. Stores that are shutting down are left out only if an established primary finds that they
+     * are not needed.
      */
     private List<String> inSync(
             EpochRecord base, List<Member> members, Map<String, Promise> promises, boolean retainsShuttingDown) {
@@ -103,7 +105,10 @@
         return members;
     }
 
-    /** Whether an observer can become a member. */
+    /**
+     * Whether an observer can become a member: by replacing a member at its address, by filling a vacant place, or by
+     * replacing a member that is shutting down or has had no contact for long enough.
+     */
     private boolean canAdmit(EpochRecord current, String candidate, Followers followers) {
         return followers
                 .find(candidate)
@@ -140,18 +145,19 @@
     }
 
     /**
-     * The stores that are expected to promise the epoch that the primary should propose now, or empty if it should not
-     * propose one.
+     * Decides whether the primary should propose a new epoch now: to remove unresponsive stores from the in-sync set,
+     * to add stores that have caught up, or because a higher number was promised. Returns the stores that are expected
+     * to promise it, or empty if none should be proposed.
      */
     Optional<Set<String>> planReconfiguration(PrimaryEpoch epoch, Followers followers) {
         Set<String> required = epoch.inSyncEvaluator().requiredFollowers();
-        int present = epoch.record().inSync().size();
-        boolean hasUnresponsive = 1 + required.size() < present;
+        int inSyncCount = epoch.record().inSync().size();
+        boolean hasUnresponsive = 1 + required.size() < inSyncCount;
         Set<String> admitted = admissible(epoch, followers, hasUnresponsive);
-        int stores = 1 + required.size() + admitted.size();
-        boolean hasMinInSync = stores >= context.settings().minInSyncStores();
+        int newInSyncCount = 1 + required.size() + admitted.size();
+        boolean hasMinInSync = newInSyncCount >= context.settings().minInSyncStores();
         boolean shrinksInSync = hasUnresponsive && hasMinInSync;
-        boolean growsInSync = !admitted.isEmpty() && (hasMinInSync || stores > present);
+        boolean growsInSync = !admitted.isEmpty() && (hasMinInSync || newInSyncCount > inSyncCount);
         boolean isSuperseded = !epoch.isPromiseCurrent() || hasPromisedHigher(epoch, followers);
         if (!shrinksInSync && !growsInSync && !isSuperseded) {
             return Optional.empty();
@@ -161,14 +167,17 @@
         return Optional.of(expectedPromises);
     }
 
-    /** A change in flight is waited for, unless an in-sync store does not confirm it. */
+    /**
+     * The stores that a new epoch could add to the in-sync set. None while a change is in flight, unless an in-sync
+     * store is unresponsive and may never confirm it.
+     */
     private Set<String> admissible(PrimaryEpoch epoch, Followers followers, boolean hasUnresponsive) {
         Set<String> identities = new HashSet<>();
         boolean isAtTarget = context.durable().state().version().equals(epoch.targetVersion());
         if (!isAtTarget || (epoch.isChangePending() && !hasUnresponsive)) {
             return identities;
         }
-        for (String identity : epoch.inSyncEvaluator().caughtUpOutsiders(epoch.targetVersion())) {
+        for (String identity : epoch.inSyncEvaluator().inSyncCandidates(epoch.targetVersion())) {
             if (epoch.record().hasMember(identity) || canAdmit(epoch.record(), identity, followers)) {
                 identities.add(identity);
             }
@@ -176,7 +185,9 @@
         return identities;
     }
 
-    /** A responsive store has promised a higher number and will confirm nothing of this epoch. */
+    /**
+     * Whether a member with recent contact has promised a higher number; it confirms nothing in this epoch any more.
+     */
     private boolean hasPromisedHigher(PrimaryEpoch epoch, Followers followers) {
         double now = context.activeMs();
         return followers.all().stream()
--- a/router-fleet/replication/src/main/java/pinewick/replication/EpochProposal.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/EpochProposal.java
@@ -15,27 +15,36 @@
 
 /**
  * One attempt to get a new epoch record chosen, by the two phases of single-decree Paxos (Lamport, "Paxos Made Simple",
- * 2001): asks the witnesses to promise a number, then to accept a record that is based on the highest one among those
- * that they had accepted. The record is chosen once a quorum has accepted it. The proposer's own store takes part like
- * any other: on disk first. Control loop only.
+ * 2001): it asks the witnesses to promise a number, then to accept a record that is based on the highest one that they
+ * report as accepted. The record is chosen once a quorum has accepted it. The proposer's own store takes part like any
+ * other: its promise and its acceptance count only once they are on disk. Control loop only.
  */
 final class EpochProposal {
-    /** Requests without a reply are sent again after this long. */
+    /** Interval at which requests are sent again while the phase lasts. */
     private static final double RESEND_INTERVAL_MS = 150;
 
-    /** The same while only expected promises are missing; less than the time for which they are waited for. */
+    /**
+     * Resend interval while a quorum has promised and only expected promises are missing; shorter than {@link
+     * #EXPECTED_PROMISES_WAIT_MS}, so that a lost request is repeated within that wait.
+     */
     private static final double EXPECTED_RESEND_INTERVAL_MS = 40;
 
-    /** The stores that are expected to promise are waited for this long once there is a quorum. */
+    /**
+     * How long, from the start of the phase, to wait for the stores that are expected to promise when a quorum has
+     * promised.
+     */
     private static final double EXPECTED_PROMISES_WAIT_MS = 100;
 
-    /** While fewer in-sync stores than f + 1 have promised, more are waited for this long. */
+    /**
+     * How long, from the start of the phase, to wait for more in-sync stores while fewer than f + 1 of them have
+     * promised.
+     */
     private static final double MIN_IN_SYNC_WAIT_MS = 500;
 
-    /** A phase that takes longer fails the proposal. */
+    /** The proposal fails if a phase takes longer than this. */
     private static final double PHASE_TIMEOUT_MS = 1_200;
 
-    /** Progress of a proposal. */
+    /** Phase of a proposal. */
     enum Phase {
         PREPARING,
         ACCEPTING,
@@ -43,7 +52,7 @@
         FAILED
     }
 
-    /** Builds the record to propose. */
+    /** Builds the record to propose once a quorum has promised. */
     interface RecordPlanner {
         /** The record, or empty if this process must not propose one based on {@code highest}. */
         Optional<EpochRecord> plan(EpochNumber number, EpochRecord highest, Map<String, Promise> promises);
@@ -65,10 +74,11 @@
     private EpochNumber highestRejection = EpochNumber.NONE;
 
     /**
-     * @param number the number to be promised
+     * @param number the epoch number to propose
      * @param requestedByPrimary whether the primary asked for this proposal
      * @param planner builds the record to propose
-     * @param expectedPromises the stores that are expected to promise, for which a short wait is worthwhile
+     * @param expectedPromises identities of the stores that are expected to promise; the proposal waits for them a
+     *     little longer than for a quorum
      */
     EpochProposal(
             ReplicationContext context,
@@ -131,7 +141,10 @@
         }
     }
 
-    /** Once a quorum has promised, those that are waited for are asked again within the short time that they have. */
+    /**
+     * Once a quorum has promised, the missing expected stores are asked again at a shorter interval, within the short
+     * wait for them.
+     */
     private double resendIntervalMs() {
         boolean awaitsExpected = phase == Phase.PREPARING && highestAccepted().hasQuorum(promises.keySet());
         return awaitsExpected ? EXPECTED_RESEND_INTERVAL_MS : RESEND_INTERVAL_MS;
@@ -210,7 +223,10 @@
         sendAccept();
     }
 
-    /** Of two records with one number, the one without previous members is newer: it is known to be chosen. */
+    /**
+     * The highest accepted record among the promises. Of two records with the same number, the one that needs no
+     * majority of previous members is newer: it is known to be chosen.
+     */
     private EpochRecord highestAccepted() {
         return promises.values().stream()
                 .map(Promise::accepted)
@@ -220,9 +236,10 @@
 
     private boolean hasWaitedLongEnough(EpochRecord highest) {
         double waitedMs = context.activeMs() - phaseSinceMs;
-        long present = highest.inSync().stream().filter(promises::containsKey).count();
+        long promisedInSync =
+                highest.inSync().stream().filter(promises::containsKey).count();
         boolean hasAllExpected = promises.keySet().containsAll(expectedPromises);
-        boolean hasMinInSync = present
+        boolean hasMinInSync = promisedInSync
                 >= Math.min(
                         context.settings().minInSyncStores(), highest.inSync().size());
         return (hasMinInSync && (hasAllExpected || waitedMs >= EXPECTED_PROMISES_WAIT_MS))
--- a/router-fleet/replication/src/main/java/pinewick/replication/EpochProposer.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/EpochProposer.java
@@ -8,11 +8,11 @@
 import pinewick.replication.ReplicationMessages.Rejection;
 
 /**
- * The proposals of this process, one at a time: to become primary, or to reconfigure the epoch that it leads. Control
- * loop only.
+ * Runs the proposals of this process, one at a time: to become primary, or to reconfigure the epoch that it leads.
+ * Control loop only.
  */
 final class EpochProposer {
-    /** After a failed proposal a primary waits up to this long, at random, before the next. */
+    /** Upper bound of the random delay between a failed proposal of a primary and its next one. */
     private static final double MAX_RETRY_DELAY_MS = 150;
 
     private final ReplicationContext context;
@@ -57,7 +57,7 @@
      * Proposes an epoch with this process as primary.
      *
      * @param requestedByPrimary whether the former primary asked for it
-     * @param formerPrimaryPromises whether the former primary too is expected to promise
+     * @param formerPrimaryPromises whether the former primary is among the stores that are expected to promise
      */
     void proposeElection(boolean requestedByPrimary, boolean formerPrimaryPromises) {
         DurableState durable = context.durable();
@@ -99,12 +99,15 @@
         current = Optional.empty();
     }
 
-    /** An observed epoch makes proposals up to its number pointless. */
+    /** Cancels a proposal that an observed epoch has overtaken: one with its number or a lower one. */
     void cancelUpTo(EpochNumber number) {
         current = current.filter(proposal -> proposal.number().isAfter(number));
     }
 
-    /** The proposal whose record was chosen, if any; a failed one is discarded. */
+    /**
+     * Removes and returns the proposal if its record was chosen. A failed proposal is discarded and the election timer
+     * backs off.
+     */
     Optional<EpochProposal> takeChosen() {
         Optional<EpochProposal> chosen = current.filter(proposal -> proposal.phase() == EpochProposal.Phase.CHOSEN);
         Optional<EpochProposal> failed = current.filter(proposal -> proposal.phase() == EpochProposal.Phase.FAILED);
--- a/router-fleet/replication/src/main/java/pinewick/replication/EpochRecord.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/EpochRecord.java
@@ -5,19 +5,18 @@
 import pinewick.model.SocketAddress;
 
 /**
- * What the witnesses agree on: the primary of an epoch, the stores that must have each change on disk, and the members
- * whose majority decides.
+ * Configuration of an epoch, on which the witnesses agree by Paxos: its primary, its in-sync stores and its members.
  *
  * @param number number of the epoch
- * @param primary identity of the primary, empty in the founding epoch
+ * @param primary identity of the primary's store, empty in the founding epoch
  * @param inSync identities of the stores that must confirm each change, the primary included
- * @param members the stores whose majority decides
- * @param previousMembers the members before this epoch; until the record is known to be chosen, a decision needs their
- *     majority too (joint consensus)
+ * @param members the stores whose majority is a quorum
+ * @param previousMembers the members before this epoch. Until the record is known to be chosen, a quorum needs a
+ *     majority of these as well (joint consensus)
  */
 public record EpochRecord(
         EpochNumber number, String primary, List<String> inSync, List<Member> members, List<Member> previousMembers) {
-    /** What a store that was never a member has accepted. */
+    /** The accepted record of a store that has accepted none. */
     public static final EpochRecord NONE = new EpochRecord(EpochNumber.NONE, "", List.of(), List.of(), List.of());
 
     public EpochRecord {
@@ -26,7 +25,10 @@
         previousMembers = List.copyOf(previousMembers);
     }
 
-    /** The record from which every founder starts. */
+    /**
+     * The record from which every founder starts: the seeds are the members and all in sync. A founder's identity is
+     * its address.
+     */
     public static EpochRecord founding(List<SocketAddress> seeds) {
         List<Member> members = seeds.stream()
                 .sorted()
@@ -37,17 +39,20 @@
         return new EpochRecord(EpochNumber.FOUNDING, "", identities, members, members);
     }
 
-    /** Whether these are a majority of the members, and of the previous members while those still count. */
+    /** Whether these stores are a majority of the members, and of the previous members while those still count. */
     public boolean hasQuorum(Set<String> identities) {
         return isMajority(members, identities) && (hasSingleQuorum() || isMajority(previousMembers, identities));
     }
 
-    /** Whether a majority of the members alone decides. */
+    /**
+     * Whether a majority of the members alone is a quorum, because the previous members are the same or no longer
+     * count.
+     */
     public boolean hasSingleQuorum() {
         return members.equals(previousMembers);
     }
 
-    /** This record once it is known to be chosen: from then on a majority of the members alone decides. */
+    /** This record once it is known to be chosen: a majority of the members alone is a quorum from then on. */
     public EpochRecord withoutPreviousMembers() {
         return hasSingleQuorum() ? this : new EpochRecord(number, primary, inSync, members, members);
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/FaultToleranceMonitor.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/FaultToleranceMonitor.java
@@ -7,7 +7,10 @@
 import pinewick.replication.ReplicationReport.FaultTolerance;
 import pinewick.replication.ReplicationReport.MemberReport;
 
-/** Reports how many more machines the configuration store can lose, as the primary sees it. Control loop only. */
+/**
+ * Determines, at the primary, how many more machines can be lost without losing an acknowledged change or the quorum.
+ * Control loop only.
+ */
 final class FaultToleranceMonitor {
     private final ReplicationContext context;
     private final Followers followers;
@@ -19,7 +22,7 @@
         this.followers = followers;
     }
 
-    /** Something may have changed at the primary. */
+    /** Re-evaluates the epoch, and records since when the required fault tolerance has been met. */
     void update(PrimaryEpoch epoch) {
         boolean isSufficient = isKnown(epoch) && isSufficient(epoch);
         if (isSufficient && !sufficient) {
@@ -28,12 +31,14 @@
         sufficient = isSufficient;
     }
 
-    /** Whether as many losses are tolerable as the deployment requires; only if {@link #isKnown}. */
+    /**
+     * Whether at least as many losses are tolerable as the deployment requires; meaningful only if {@link #isKnown}.
+     */
     boolean isSufficient(PrimaryEpoch epoch) {
         return tolerableLosses(epoch) >= context.settings().toleratedMachines();
     }
 
-    /** This process has stepped down. */
+    /** Forgets the last evaluation, as this process has stepped down. */
     void reset() {
         sufficient = false;
     }
@@ -53,7 +58,7 @@
                 OptionalInt.of(currentStores(epoch)), OptionalInt.of(tolerableLosses(epoch)), "", sufficientForMs);
     }
 
-    /** @param isPrimary whether this process is primary; else it does not know how the other members are */
+    /** @param isPrimary whether this process is primary; otherwise it has no information about the other members */
     List<MemberReport> members(EpochRecord record, boolean isPrimary) {
         return record.members().stream()
                 .map(member -> describe(member, record, isPrimary))
@@ -74,14 +79,20 @@
                 .orElseGet(() -> new MemberReport(member, inSync, false, OptionalDouble.empty()));
     }
 
-    /** Whether the epoch is established, and a quorum has confirmed it recently. */
+    /**
+     * Whether the fault tolerance is known: the epoch is established and not superseded by a promise of this process,
+     * and a quorum has confirmed it recently.
+     */
     boolean isKnown(PrimaryEpoch epoch) {
         return epoch.isEstablished()
                 && epoch.isPromiseCurrent()
                 && epoch.lease().isRecentlyConfirmed();
     }
 
-    /** After these losses one up-to-date store is left, and the responsive members are still a majority of all. */
+    /**
+     * How many machines can be lost such that one current store is left and the remaining responsive members are still
+     * a majority of all members.
+     */
     private int tolerableLosses(PrimaryEpoch epoch) {
         int members = epoch.record().members().size();
         int majority = members / 2 + 1;
@@ -99,8 +110,8 @@
     }
 
     /**
-     * Responsive members, this one included. One that does not know yet that the record is chosen is not counted: with
-     * the others lost it would require a majority of the previous members too.
+     * Number of responsive members that could vote, this one included. A member that does not know yet that the record
+     * is chosen is not counted: if the others were lost, it would require a majority of the previous members too.
      */
     private int voters(PrimaryEpoch epoch) {
         long others = epoch.record().members().stream()
--- a/router-fleet/replication/src/main/java/pinewick/replication/Follower.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/Follower.java
@@ -7,20 +7,20 @@
 import pinewick.replication.ReplicationMessages.Status;
 
 /**
- * What a primary knows of another controller's store, a member or an observer: what it has promised, accepted and
- * stored, and what was sent to it and is not confirmed. Times are those of {@link ActiveClock#activeMs}. Control loop
- * only.
+ * What a primary knows of another controller's store, a member or an observer: what the store has promised, accepted
+ * and written, and what was sent to it but not confirmed yet. Times are those of {@link ActiveClock#activeMs}. Control
+ * loop only.
  */
 final class Follower {
-    /** What was not confirmed is sent again after this long. */
+    /** Changes that are not confirmed are sent again after this long. */
     private static final double RESEND_INTERVAL_MS = 200;
 
-    /** The same for a snapshot, doubled each time: it may be large, and its link slow. */
+    /** Initial resend interval of a snapshot, doubled with each resend: the snapshot may be large and the link slow. */
     private static final double SNAPSHOT_RESEND_INTERVAL_MS = 400;
 
     private static final double MAX_SNAPSHOT_RESEND_INTERVAL_MS = 1_600;
 
-    /** The same while its disk is unhealthy. */
+    /** Shortest resend interval while the disk of the follower is unhealthy. */
     private static final double UNHEALTHY_RESEND_INTERVAL_MS = 500;
 
     private final Member member;
@@ -54,7 +54,7 @@
         return member.identity();
     }
 
-    /** The state that it has on disk, as last reported. */
+    /** Version of the state that it has on disk, as last reported. */
     StateVersion stateVersion() {
         return stateVersion;
     }
@@ -67,12 +67,12 @@
         return shuttingDown;
     }
 
-    /** For how long its process has been shutting down. */
+    /** For how long its process has been shutting down; meaningful only while {@link #isShuttingDown}. */
     double shuttingDownForMs(double nowMs) {
         return nowMs - shuttingDownSinceMs;
     }
 
-    /** How long ago its process was last permitted to end, in this epoch. */
+    /** How long ago a shutdown permit was last sent to it in this epoch; infinite if none was. */
     double sincePermitSentMs(double nowMs) {
         return nowMs - permitSentMs;
     }
@@ -81,11 +81,11 @@
         permitSentMs = nowMs;
     }
 
-    private void updateShuttingDown(boolean isNow, double nowMs) {
-        if (isNow && !shuttingDown) {
+    private void updateShuttingDown(boolean isShuttingDownNow, double nowMs) {
+        if (isShuttingDownNow && !shuttingDown) {
             shuttingDownSinceMs = nowMs;
         }
-        shuttingDown = isNow;
+        shuttingDown = isShuttingDownNow;
     }
 
     long confirmedHeartbeat() {
@@ -96,43 +96,46 @@
         return nowMs - lastContactMs;
     }
 
-    /** Whether it has accepted the record with this number and knows that it is chosen. */
+    /** Whether it has accepted the record with this number and knows the record to be chosen. */
     boolean knowsChosen(EpochNumber number) {
         return accepted.equals(number) && knowsAcceptedChosen;
     }
 
-    /** Whether its disk completed its last write in time. */
+    /** Whether its disk is healthy, as last reported ({@link DurableState#isHealthy}). */
     boolean isDiskHealthy() {
         return diskHealthy;
     }
 
-    /** Whether it may be in sync: its disk is healthy and its process is not shutting down. */
+    /** Whether its disk is healthy and its process is not shutting down, so that it may be added to the in-sync set. */
     boolean isHealthy() {
         return diskHealthy && !shuttingDown;
     }
 
-    /** A new primary counts contact from its own start, or from the time given. */
+    /**
+     * Sets the time of the last contact, for a new primary that has had none with this store, or for contact by a
+     * status.
+     */
     void setLastContactMs(double atMs) {
         lastContactMs = atMs;
     }
 
-    /** For how long it has lacked the target state. */
+    /** For how long it has lacked the target state; 0 if it has it. */
     double laggingMs(double nowMs) {
         return Double.isNaN(laggingSinceMs) ? 0 : nowMs - laggingSinceMs;
     }
 
-    /** Whether something was sent to it that it may still confirm. */
+    /** Whether it may still confirm something that was sent to it: the resend interval has not passed. */
     boolean isReplyPending(double nowMs) {
         double intervalMs = diskHealthy ? resendIntervalMs : Math.max(resendIntervalMs, UNHEALTHY_RESEND_INTERVAL_MS);
         return sentVersion.compareTo(stateVersion) > 0 && nowMs - replyPendingSinceMs < intervalMs;
     }
 
-    /** The state that it will have once everything that is in flight has arrived. */
+    /** Version of the state that it will have once everything in flight to it has arrived. */
     StateVersion expectedVersion(double nowMs) {
         return isReplyPending(nowMs) ? sentVersion : stateVersion;
     }
 
-    /** Changes up to a state were sent. */
+    /** Changes up to this version, or the relabelling to it, were sent. */
     void onChangesSent(StateVersion upTo, double nowMs) {
         if (!isReplyPending(nowMs)) {
             replyPendingSinceMs = nowMs;
@@ -154,7 +157,7 @@
         laggingSinceMs = stateVersion.equals(target) ? Double.NaN : nowMs;
     }
 
-    /** A new epoch starts: confirmations of the one before are void. */
+    /** A new epoch starts: confirmations of the earlier one no longer count. */
     void onEpochStarted(double nowMs) {
         confirmedHeartbeat = 0;
         permitSentMs = Double.NEGATIVE_INFINITY;
@@ -179,8 +182,8 @@
     }
 
     /**
-     * A reply that a later one has overtaken is ignored. Contact counts from when the heartbeat was sent: a reply that
-     * was delayed does not show that the follower still runs.
+     * Handles a heartbeat reply, unless a reply to a later heartbeat arrived before it. Contact counts from when the
+     * heartbeat was sent: a delayed reply does not show that the follower still runs.
      *
      * @param heartbeatSentMs when the heartbeat that it answers was sent
      */
@@ -204,8 +207,8 @@
     }
 
     /**
-     * A store never loses its knowledge that a record is chosen; two replies to one heartbeat may arrive in either
-     * order.
+     * Merges what a reply says of the accepted record. A store that knows a record to be chosen never forgets it, but
+     * two replies to one heartbeat may arrive in either order.
      */
     private void updateAccepted(EpochNumber number, boolean isChosen) {
         if (number.equals(accepted)) {
@@ -222,7 +225,10 @@
         updateStateVersion(reply.stateVersion(), number, target, nowMs);
     }
 
-    /** State versions of the current epoch only grow; a lower one was delayed. */
+    /**
+     * Within the current epoch the version of a store only rises, so a lower one comes from a delayed reply and is
+     * ignored.
+     */
     private void updateStateVersion(StateVersion reported, EpochNumber number, StateVersion target, double nowMs) {
         boolean isOfCurrentEpoch = stateVersion.epoch() == number.counter();
         if (!isOfCurrentEpoch || reported.compareTo(stateVersion) > 0) {
--- a/router-fleet/replication/src/main/java/pinewick/replication/Followers.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/Followers.java
@@ -9,10 +9,12 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The other stores that a primary knows: members, and observers that ask to be admitted. Keeps the order in which they
- * were added, so that a simulated run can be repeated. Control loop only. */
+/**
+ * The other stores that a primary knows: members, and observers that may be admitted. Iterates in the order in which
+ * they were added, so that simulated runs are reproducible. Control loop only.
+ */
 final class Followers {
-    /** An observer, a store that is no member, is removed after this long without contact. */
+    /** An observer (a store that is not a member) is removed after this long without contact. */
     private static final double OBSERVER_EXPIRY_MS = 3_000;
 
     private final ReplicationContext context;
@@ -30,7 +32,7 @@
         return Optional.ofNullable(byIdentity.get(identity));
     }
 
-    /** The followers with these identities; those that are not known are left out. */
+    /** The followers with these identities; unknown identities are skipped. */
     List<Follower> withIdentities(Collection<String> identities) {
         List<Follower> found = new ArrayList<>();
         for (String identity : identities) {
@@ -48,7 +50,7 @@
                 byIdentity.computeIfAbsent(member.identity(), key -> new Follower(member, context.activeMs())));
     }
 
-    /** Members are never removed. */
+    /** Adds the members of a record that are not known yet; members are never removed. */
     void addMembers(EpochRecord record) {
         record.members().forEach(this::getOrAdd);
     }
@@ -61,7 +63,10 @@
                         !record.hasMember(follower.identity()) && follower.sinceContactMs(now) > OBSERVER_EXPIRY_MS);
     }
 
-    /** The newest heartbeat that a quorum has confirmed; this process confirms its own at once. */
+    /**
+     * Sequence number of the newest heartbeat that a quorum has confirmed, 0 for none. This process itself counts as
+     * confirming each heartbeat that it sent.
+     */
     long confirmedHeartbeat(EpochRecord record, long newestHeartbeat) {
         List<Long> heartbeats = new ArrayList<>(List.of(newestHeartbeat));
         byIdentity.values().forEach(follower -> heartbeats.add(follower.confirmedHeartbeat()));
--- a/router-fleet/replication/src/main/java/pinewick/replication/GracefulShutdown.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/GracefulShutdown.java
@@ -1,6 +1,9 @@
 package pinewick.replication;
 
-/** Whether this process is shutting down, and since when. Control loop only. */
+/**
+ * Progress of the shutdown of this process: whether and when it started, and whether the primary has permitted the
+ * process to end. Control loop only.
+ */
 final class GracefulShutdown {
     private boolean started;
     private double startedMs;
@@ -17,12 +20,12 @@
         return started;
     }
 
-    /** The primary of this epoch no longer needs this store. */
+    /** The primary of this epoch has permitted this process to end: the other stores no longer need its store. */
     void onPermitted(EpochNumber number) {
         permittedIn = number;
     }
 
-    /** Whether the primary of this epoch no longer needs this store. */
+    /** Whether the shutdown has started and the primary of this epoch has permitted this process to end. */
     boolean isPermittedIn(EpochNumber number) {
         return started && permittedIn.equals(number);
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/HeartbeatSendTimes.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/HeartbeatSendTimes.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** When the last heartbeats were sent, {@link ActiveClock#activeMs}. */
+/** Send times of the most recent heartbeats by sequence number, in the time of {@link ActiveClock#activeMs}. */
 final class HeartbeatSendTimes {
     private static final int MAX_ENTRIES = 64;
 
@@ -20,7 +20,7 @@
         sentMsByHeartbeat.put(heartbeat, nowMs);
     }
 
-    /** When a heartbeat was sent; negative infinity for one that is no longer tracked. */
+    /** When a heartbeat was sent; {@link Double#NEGATIVE_INFINITY} for one that is no longer tracked. */
     double sentMs(long heartbeat) {
         return sentMsByHeartbeat.getOrDefault(heartbeat, Double.NEGATIVE_INFINITY);
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/InSyncEvaluator.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/InSyncEvaluator.java
@@ -8,18 +8,21 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Judges, for the primary of one epoch, which followers can be relied on: who keeps up, who has to stay in the in-sync
- * set although it shuts down, and who has caught up and could be added. Decides nothing; {@link EpochPlanner} does.
- * Control loop only.
+ * Evaluates the followers for the primary of one epoch: which in-sync stores keep up, which have to stay in the in-sync
+ * set although they are shutting down, and which other stores have caught up and could be added. {@link EpochPlanner}
+ * makes the decisions. Control loop only.
  */
 final class InSyncEvaluator {
-    /** An in-sync store without contact, or behind the target state, for longer is to leave the in-sync set. */
+    /**
+     * An in-sync store that has had no contact, or has lacked the target state, for longer than this is to leave the
+     * in-sync set.
+     */
     private static final double UNRESPONSIVE_AFTER_MS = 600;
 
-    /** A store that is to replace one that shuts down makes itself known within this time. */
+    /** How long to wait for a store to make contact that is to replace one that is shutting down. */
     private static final double REPLACEMENT_WAIT_MS = 300;
 
-    /** A controller that is known to run, and is no member, answers the primary within this time. */
+    /** The same wait if gossip knows of a controller that is not a member; it answers the primary within this time. */
     private static final double KNOWN_CONTROLLER_WAIT_MS = 1_500;
 
     private final ReplicationContext context;
@@ -32,25 +35,31 @@
         this.followers = followers;
     }
 
-    /** In-sync followers that answer, keep up and are not shutting down. */
+    /** Identities of the in-sync followers that answer, keep up and are not shutting down. */
     Set<String> responsiveFollowers() {
         return inSyncFollowers(follower -> isKeepingUp(follower) && !follower.isShuttingDown());
     }
 
-    /** The same, with those that are shutting down while they still have to be waited for. */
+    /**
+     * Identities of the in-sync followers that the next epoch should retain: those that answer and keep up, including
+     * those that are shutting down while {@link #retainsShuttingDown}.
+     */
     Set<String> requiredFollowers() {
         return retainsShuttingDown() ? inSyncFollowers(this::isKeepingUp) : responsiveFollowers();
     }
 
     /**
-     * Whether stores that are shutting down stay in sync: without them no majority of the members would be left, or a
-     * store that can replace them may be about to join.
+     * Whether stores that are shutting down stay in the in-sync set: without them the responsive members are no
+     * majority, or a store that can replace them may be about to join.
      */
     boolean retainsShuttingDown() {
         return !isMajorityResponsive() || isReplacementExpected();
     }
 
-    /** Whether a store that is no member has shown itself, or may still do so. */
+    /**
+     * Whether a store that is not a member has recent contact, or may still make contact to replace a member that is
+     * shutting down.
+     */
     boolean isReplacementExpected() {
         double now = context.activeMs();
         double waitMs = isOtherControllerKnown() ? KNOWN_CONTROLLER_WAIT_MS : REPLACEMENT_WAIT_MS;
@@ -61,7 +70,10 @@
         return hasRecentShutdown || hasCandidate;
     }
 
-    /** Whether gossip tells of a controller that is no member; it may have ended long ago. */
+    /**
+     * Whether gossip knows of a controller that is not a member and not shutting down. That controller may have ended
+     * long ago.
+     */
     private boolean isOtherControllerKnown() {
         Set<SocketAddress> others = context.peers().knownControllers();
         record.members().forEach(member -> others.remove(context.peers().addressOf(member)));
@@ -86,7 +98,10 @@
                 && follower.laggingMs(now) <= UNRESPONSIVE_AFTER_MS;
     }
 
-    /** Whether this store and the responsive members are a majority; those that are shutting down do not count. */
+    /**
+     * Whether this store and the responsive other members are a majority of the members; members that are shutting down
+     * do not count as responsive.
+     */
     boolean isMajorityResponsive() {
         List<Member> members = record.members();
         long others = members.stream()
@@ -97,18 +112,21 @@
         return 2 * (1 + others) > members.size();
     }
 
-    /** Whether there was contact with a store recently, its disk is healthy, and it is not shutting down. */
+    /** Whether a store had contact recently, its disk is healthy, and its process is not shutting down. */
     boolean isResponsive(Follower follower) {
         return follower.isHealthy() && follower.sinceContactMs(context.activeMs()) <= UNRESPONSIVE_AFTER_MS;
     }
 
-    /** Stores outside the in-sync set that have the target state on disk. */
-    Set<String> caughtUpOutsiders(StateVersion targetVersion) {
+    /**
+     * Identities of the stores outside the in-sync set that could be added: healthy, with recent contact, and with the
+     * target state on disk.
+     */
+    Set<String> inSyncCandidates(StateVersion targetVersion) {
         Set<String> identities = new HashSet<>();
         double now = context.activeMs();
         for (Follower follower : followers.all()) {
-            boolean isOutside = !record.inSync().contains(follower.identity());
-            if (isOutside
+            boolean isOutsideInSyncSet = !record.inSync().contains(follower.identity());
+            if (isOutsideInSyncSet
                     && follower.isHealthy()
                     && follower.sinceContactMs(now) <= 2 * PrimaryEpoch.HEARTBEAT_INTERVAL_MS
                     && follower.stateVersion().equals(targetVersion)) {
--- a/router-fleet/replication/src/main/java/pinewick/replication/Peers.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/Peers.java
@@ -11,8 +11,8 @@
 import pinewick.model.SocketAddress;
 
 /**
- * The addresses of the other controllers, as far as this process knows them, and the way to send to them. Collections
- * keep insertion order, so that a simulated run can be repeated. Control loop only.
+ * The known addresses of the other controllers, and sending to them. Collections keep insertion order, so that
+ * simulated runs are reproducible. Control loop only.
  */
 final class Peers {
     /** Beyond this many the least recently used address is evicted. */
@@ -37,26 +37,26 @@
         this.outbox = outbox;
     }
 
-    /** Replaces the addresses of controllers that other parts of this process know, from gossip. */
+    /** Replaces the addresses of the controllers that are known from gossip. */
     void setKnownControllers(Collection<SocketAddress> addresses) {
         knownControllers = new LinkedHashSet<>(addresses);
     }
 
-    /** The addresses of other controllers that gossip tells of. */
+    /** The addresses of the other controllers that are known from gossip; a copy. */
     Set<SocketAddress> knownControllers() {
         Set<SocketAddress> others = new LinkedHashSet<>(knownControllers);
         others.remove(self);
         return others;
     }
 
-    /** A message of a store came from an address. */
+    /** Records the address from which a message of a store came. */
     void recordAddress(String identity, SocketAddress address) {
         if (!identity.isEmpty()) {
             addressByIdentity.put(identity, address);
         }
     }
 
-    /** Another process named a member; returns whether it was not known before. */
+    /** Records a member that another process named, unless an address is known for it; returns whether it was new. */
     boolean recordMember(Member member) {
         boolean isNew = !member.address().equals(self) && !addressByIdentity.containsKey(member.identity());
         if (isNew) {
@@ -65,12 +65,15 @@
         return isNew;
     }
 
-    /** The address from which a store sent last, or else the one in the record. */
+    /** The address from which the member's store sent last, or the one in the epoch record if none is known. */
     SocketAddress addressOf(Member member) {
         return addressByIdentity.getOrDefault(member.identity(), member.address());
     }
 
-    /** Every address at which a controller may be, except this process's own. */
+    /**
+     * Every address at which a controller may be: members and previous members of the records, seeds, gossip, and
+     * senders of earlier messages; without this process's own.
+     */
     Set<SocketAddress> allAddresses(EpochRecord... records) {
         Set<SocketAddress> addresses = new LinkedHashSet<>();
         for (EpochRecord record : records) {
--- a/router-fleet/replication/src/main/java/pinewick/replication/PrimaryEpoch.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/PrimaryEpoch.java
@@ -14,26 +14,30 @@
 import pinewick.replication.ReplicationMessages.Status;
 
 /**
- * One epoch as its primary sees it. The epoch is <em>established</em> once every in-sync store has the state from which
- * it starts; then changes are replicated one at a time. Invariants:
+ * The state of one epoch at its primary. The epoch is <em>established</em> once every in-sync store has the state from
+ * which it starts; after that, changes are replicated one at a time. Invariants:
  *
  * <ul>
- *   <li>a state is committed only when every in-sync store has it on disk, while this process has promised no higher
+ *   <li>a state is committed only when every in-sync store has it on disk and this process has promised no higher
  *       number ({@link #isPromiseCurrent});
- *   <li>a change is replicated only by an established epoch with at least f + 1 in-sync stores;
+ *   <li>a change is replicated only in an established epoch with at least f + 1 in-sync stores, f being the number of
+ *       machines that may be lost at once;
  *   <li>a reply counts only if its request was sent in this epoch by this process.
  * </ul>
  *
- * The lease is kept by {@link EpochLease}, sending by {@link StateReplicator}, the judgement of followers by
- * {@link InSyncEvaluator}. Control loop only.
+ * {@link EpochLease} tracks the lease, {@link StateReplicator} sends states and changes, {@link InSyncEvaluator}
+ * evaluates followers. Control loop only.
  */
 final class PrimaryEpoch {
     static final double HEARTBEAT_INTERVAL_MS = 200;
 
-    /** Without the confirmation of a quorum for longer than this, the primary steps down. */
+    /** A primary that no quorum has confirmed for longer than this steps down. */
     private static final double CONFIRMATION_TIMEOUT_MS = 900;
 
-    /** A primary that has promised a higher number, and establishes no epoch with it in this time, steps down. */
+    /**
+     * A primary that has promised a higher number, and has not started a new epoch of its own within this time, steps
+     * down.
+     */
     private static final double RECONFIGURATION_TIMEOUT_MS = 1_500;
 
     private final ReplicationContext context;
@@ -117,7 +121,10 @@
                 && record.inSync().size() >= context.settings().minInSyncStores();
     }
 
-    /** Whether this process has to step down: its disk failed or stalls, or no quorum confirms the epoch. */
+    /**
+     * Whether this process has to step down: its disk failed or is stalled, no quorum confirms the epoch, or it has
+     * promised a higher number and started no new epoch in time.
+     */
     boolean mustStepDown() {
         if (diskFailed || context.durable().isStalled()) {
             return true;
@@ -129,7 +136,7 @@
         return context.activeMs() - supersededSinceMs > RECONFIGURATION_TIMEOUT_MS;
     }
 
-    /** Starts the epoch: the state gets its first version of this epoch, here and at the other in-sync stores. */
+    /** Starts the epoch: stores the current state under its first version of this epoch, here and at the followers. */
     void establish() {
         double now = context.activeMs();
         followers.addMembers(record);
@@ -150,7 +157,7 @@
         diskFailed |= outcome != Outcome.WRITTEN;
     }
 
-    /** Sends a change to the in-sync stores; only if {@link #canReplicate}. */
+    /** Writes a change here and sends it to the followers; only if {@link #canReplicate}. */
     void replicate(byte[] delta, ChangeKey key) {
         RecentChanges.LoggedChange change =
                 new RecentChanges.LoggedChange(targetVersion().next(), delta, key);
@@ -184,16 +191,17 @@
         sendTimes.record(heartbeatRequest.sequence(), lastHeartbeatMs);
         lease.onHeartbeatSent(heartbeatRequest.sequence());
         broadcast(heartbeatMessage());
-        greetOtherControllers();
+        sendHeartbeatToNonFollowers();
         updateConfirmedHeartbeat();
         return heartbeatRequest.sequence();
     }
 
     /**
-     * While a process is shutting down, controllers that gossip tells of and that are not followers yet get the
-     * heartbeat too: one of them may be there to replace it, and still have contact with an earlier primary.
+     * While a process is shutting down, the heartbeat also goes to controllers that are known from gossip and are not
+     * followers yet: one of them may have been started as a replacement, and may still have contact with an earlier
+     * primary.
      */
-    private void greetOtherControllers() {
+    private void sendHeartbeatToNonFollowers() {
         if (followers.all().stream().anyMatch(Follower::isShuttingDown)) {
             Set<SocketAddress> others = context.peers().knownControllers();
             followers.all().forEach(follower -> others.remove(context.peers().addressOf(follower.member())));
@@ -209,7 +217,10 @@
                 context.settings().operatorApi());
     }
 
-    /** Replies to requests of an earlier epoch, or of an earlier incarnation of this process, do not count. */
+    /**
+     * Whether this process sent a request in this epoch. Replies to requests of an earlier epoch, or of an earlier
+     * incarnation of this process, are ignored.
+     */
     private boolean isOwnRequest(RequestId request) {
         return context.requests().isSentAfter(request, lastEarlierRequest);
     }
@@ -232,8 +243,8 @@
     }
 
     /**
-     * A process without contact to a primary asks every controller for its status. The heartbeat in reply gives it
-     * contact at once; if it is no member it may be admitted later.
+     * A process without contact to a primary asks every controller for its status. It gets a heartbeat at once, which
+     * gives it contact; if it is not a member, it becomes an observer that may be admitted later.
      */
     void onStatus(Status status) {
         followers.getOrAdd(status.self()).ifPresent(follower -> {
@@ -261,7 +272,7 @@
         }
     }
 
-    /** Checks what every in-sync store has on disk; returns whether a state has become committed by it. */
+    /** Commits the target state if every in-sync store has it on disk; returns whether it became committed now. */
     boolean updateCommitted() {
         DurableState durable = context.durable();
         StateVersion target = targetVersion();
--- a/router-fleet/replication/src/main/java/pinewick/replication/PrimaryHeartbeatHandler.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/PrimaryHeartbeatHandler.java
@@ -5,7 +5,7 @@
 import pinewick.replication.ReplicationMessages.Heartbeat;
 import pinewick.replication.ReplicationMessages.HeartbeatReply;
 
-/** Answers the primary's heartbeats, and keeps the last one. Control loop only. */
+/** Answers the heartbeats of the primary, and remembers the last one of a current epoch. Control loop only. */
 final class PrimaryHeartbeatHandler {
     private final ReplicationContext context;
     private final GracefulShutdown shutdown;
@@ -20,7 +20,7 @@
         this.primaryLocator = primaryLocator;
     }
 
-    /** A heartbeat of an epoch that is not superseded here. */
+    /** A heartbeat arrived whose epoch is current: no higher number was promised here. */
     void onHeartbeat(SocketAddress sender, Heartbeat heartbeat) {
         primaryLocator.onHeartbeat(heartbeat.number(), heartbeat.operatorApi());
         lastHeartbeat = Optional.of(heartbeat);
@@ -28,12 +28,15 @@
         primaryAddress = sender;
     }
 
-    /** Identity of the store that sent the last heartbeat, or empty. */
+    /** Identity of the store that sent the last heartbeat, or an empty string if there was none. */
     String primaryIdentity() {
         return lastHeartbeat.map(heartbeat -> heartbeat.number().proposer()).orElse("");
     }
 
-    /** The state that the primary called committed, if its heartbeat arrived recently in steady time. */
+    /**
+     * The committed version that the last heartbeat reported, if that heartbeat arrived recently in steady time and is
+     * of the epoch that was promised last. Empty right after a freeze, when it may be an old one from a buffer.
+     */
     Optional<StateVersion> currentCommittedVersion() {
         ActiveClock clock = context.clock();
         boolean isRecent = clock.sinceResumeMs() >= PrimaryLocator.RESUME_BACKLOG_MS
@@ -48,7 +51,10 @@
         context.peers().send(sender, buildReply(heartbeat));
     }
 
-    /** The state that the last reply reported has changed: reports it without waiting for the next heartbeat. */
+    /**
+     * Replies to the last heartbeat once more: something that the last reply reported has changed, and the primary
+     * should learn of it before its next heartbeat.
+     */
     void replyAgain() {
         lastHeartbeat.ifPresent(heartbeat -> reply(primaryAddress, heartbeat));
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/PrimaryLocator.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/PrimaryLocator.java
@@ -5,15 +5,18 @@
 import pinewick.replication.ReplicationMessages.PrimaryHint;
 
 /**
- * Where operators are redirected to. The primary is known only for a short time after it was observed, by this process
- * or by one that sent a {@link PrimaryHint}. Ages are steady time: what was known before a freeze is outdated after it.
- * Control loop only.
+ * Tracks where operators are to be redirected to. The primary counts as known only for a short time after it was
+ * observed, by this process or by one that sent a {@link PrimaryHint}. Ages are in steady time: what was known before a
+ * freeze is outdated after it. Control loop only.
  */
 final class PrimaryLocator {
-    /** A primary that was last observed longer ago is not named to anyone: two heartbeats in a row are missing. */
+    /**
+     * A primary that was last observed longer ago than this is not named to anyone: at least two heartbeats in a row
+     * are missing.
+     */
     static final double HINT_VALID_MS = 450;
 
-    /** For this long after a freeze, messages that waited in buffers are delivered. */
+    /** How long after a freeze messages may still arrive that waited in buffers during it. */
     static final double RESUME_BACKLOG_MS = 100;
 
     private final ActiveClock clock;
@@ -21,7 +24,7 @@
     private EpochNumber number = EpochNumber.NONE;
     private SocketAddress operatorApi = ReplicationMessages.NO_ADDRESS;
     private double observedMs = Double.NEGATIVE_INFINITY;
-    private double deniedMs = Double.NEGATIVE_INFINITY;
+    private double notLeadingMs = Double.NEGATIVE_INFINITY;
     private EpochNumber resignedEpoch = EpochNumber.NONE;
 
     PrimaryLocator(ActiveClock clock, DurableState durable) {
@@ -29,7 +32,9 @@
         this.durable = durable;
     }
 
-    /** A heartbeat came from it. Right after a freeze the heartbeat may be an old one from a buffer, and is ignored. */
+    /**
+     * A heartbeat of the primary arrived. It is ignored right after a freeze, when it may be an old one from a buffer.
+     */
     void onHeartbeat(EpochNumber epoch, SocketAddress address) {
         if (clock.sinceResumeMs() >= RESUME_BACKLOG_MS) {
             record(epoch, address, clock.steadyMs());
@@ -37,15 +42,16 @@
     }
 
     /**
-     * Another process sent a hint.
+     * Another process sent a hint. It is ignored if it names no primary or one that has resigned, or is not newer than
+     * what is known here.
      *
-     * @param requestSentMs when the request for the hint was sent, steady time: the time that the reply took must not
-     *     make the hint younger
+     * @param requestSentMs when the request for the hint was sent, steady time. The age counts from then, so that the
+     *     time that the reply took does not make the hint appear newer
      */
     void onHint(PrimaryHint hint, double requestSentMs) {
         double observedAtMs = requestSentMs - hint.ageMs();
         boolean known = !hint.operatorApi().equals(ReplicationMessages.NO_ADDRESS);
-        if (known && observedAtMs > observedMs && observedAtMs > deniedMs && !hasResigned(hint.number())) {
+        if (known && observedAtMs > observedMs && observedAtMs > notLeadingMs && !hasResigned(hint.number())) {
             record(hint.number(), hint.operatorApi(), observedAtMs);
         }
     }
@@ -56,31 +62,37 @@
         observedMs = observedAtMs;
     }
 
-    /** The primary itself reports that it does not lead at present. */
-    void onDenial() {
+    /**
+     * The primary itself reports that it does not lead at present: forgets it, and ignores hints that are older than
+     * this report.
+     */
+    void onPrimaryNotLeading() {
         observedMs = Double.NEGATIVE_INFINITY;
-        deniedMs = clock.steadyMs();
+        notLeadingMs = clock.steadyMs();
     }
 
-    /** The primary itself reports that its epoch has ended. */
+    /** The primary of this epoch has resigned. */
     void onResigned(EpochNumber epoch) {
         if (epoch.isAfter(resignedEpoch)) {
             resignedEpoch = epoch;
         }
-        onDenial();
+        onPrimaryNotLeading();
     }
 
-    /** Whether the primary of this epoch has resigned: whatever else arrives from it was sent before. */
+    /**
+     * Whether the primary of this epoch has resigned; any other message of the epoch that arrives later was sent
+     * before.
+     */
     boolean hasResigned(EpochNumber epoch) {
         return epoch.equals(resignedEpoch);
     }
 
-    /** The primary's operator API, while it is known. */
+    /** Address of the primary's operator API, empty if it is not known. */
     Optional<SocketAddress> operatorApi() {
         return isFresh() ? Optional.of(operatorApi) : Optional.empty();
     }
 
-    /** The hint that this process sends to others. */
+    /** The hint that this process sends to others, {@link PrimaryHint#NONE} if the primary is not known. */
     PrimaryHint hint() {
         return isFresh() ? new PrimaryHint(number, operatorApi, clock.steadyMs() - observedMs) : PrimaryHint.NONE;
     }
@@ -89,7 +101,10 @@
         return clock.steadyMs() - observedMs < HINT_VALID_MS && !isSuperseded();
     }
 
-    /** A promise to another proposer may have ended that epoch; one to the same proposer is a reconfiguration. */
+    /**
+     * Whether the observed epoch may have ended: this process has promised a higher number to another proposer. A
+     * promise to the same proposer is for a reconfiguration.
+     */
     private boolean isSuperseded() {
         EpochNumber promised = durable.promised();
         return promised.isAfter(number) && !promised.proposer().equals(number.proposer());
--- a/router-fleet/replication/src/main/java/pinewick/replication/PrimaryRole.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/PrimaryRole.java
@@ -12,21 +12,22 @@
 import pinewick.replication.ReplicationMessages.Status;
 
 /**
- * This process as primary, over one or several epochs: from the record that was chosen until it steps down. It steps
- * down when its disk fails or stalls, when no quorum confirms its epoch in time ({@link PrimaryEpoch#mustStepDown}),
- * when a higher epoch is observed, or when the process shuts down; it names a successor that stands for election at
- * once. Control loop only.
+ * The primary role of this process, over one or more epochs: from the first chosen record that names it until it steps
+ * down. It steps down when its disk fails or stalls, when no quorum confirms its epoch in time ({@link
+ * PrimaryEpoch#mustStepDown}), when a higher epoch is observed, or when the process shuts down. Unless a higher epoch
+ * was observed, it resigns and names a successor, if there is one, which stands for election at once. Control loop
+ * only.
  */
 final class PrimaryRole {
-    /** A change without an outcome is answered this long before {@code ack_ms}. */
+    /** A change that has no outcome this long before {@code ack_ms} is over is answered as unknown. */
     private static final double REPLY_MARGIN_MS = 500;
 
     private static final double READ_TIMEOUT_MS = 2_000;
 
-    /** After it resigned, this process leaves the election to others for this long. */
+    /** Additional delay before a process that resigned stands for election again. */
     private static final double ELECTION_BACKOFF_MS = 1_000;
 
-    /** A primary that shuts down waits this long for a change in flight. */
+    /** How long a primary that shuts down waits for the change in flight. */
     private static final double LAST_CHANGE_TIMEOUT_MS = 500;
 
     private static final double LEASE_MARGIN_MS = 100;
@@ -46,7 +47,7 @@
     private final ShutdownPermits shutdownPermits;
     private Optional<PrimaryEpoch> epoch = Optional.empty();
     private double becamePrimarySteadyMs = Double.POSITIVE_INFINITY;
-    /** Counter of the epoch with which this process became primary; it may have changed its own epoch since. */
+    /** Counter of the epoch with which this process became primary; it may have reconfigured its epoch since. */
     private long firstEpochCounter;
 
     PrimaryRole(
@@ -84,7 +85,7 @@
         return epoch.map(current -> current.lease().isRecentlyConfirmed()).orElse(false);
     }
 
-    /** Whether no other process can have become primary, by steady time. */
+    /** Whether the lease of the current epoch is valid, in steady time: no other process can have become primary. */
     boolean isLeaseValid() {
         return epoch.filter(current -> current.isEstablished() && current.isPromiseCurrent())
                 .filter(current -> context.clock().steadyMs() <= current.lease().expirySteadyMs())
@@ -92,8 +93,8 @@
     }
 
     /**
-     * When the committed state of this process was last known to be the newest, steady time: when it sent the newest
-     * heartbeat that a quorum has answered. Empty if it is not the primary of an established epoch.
+     * The latest steady time at which the committed state of this process is known to have been the newest: when it
+     * sent the newest heartbeat that a quorum has answered. Empty if it is not the primary of an established epoch.
      */
     OptionalDouble confirmedSteadyMs() {
         return epoch.filter(current -> current.isEstablished() && current.isPromiseCurrent())
@@ -133,7 +134,7 @@
         epoch.ifPresent(current -> current.onStatus(status));
     }
 
-    /** A message of an epoch arrived: an earlier epoch of this process has ended. */
+    /** A message of an epoch arrived. If it is higher than the one that this process leads, this process steps down. */
     void onEpochObserved(EpochNumber number) {
         if (epoch.isPresent() && number.isAfter(epoch.get().number())) {
             stepDown("epoch " + number.counter() + " has started", 0);
@@ -160,7 +161,10 @@
         started.establish();
     }
 
-    /** Until now this process only tracked contact with the former primary, not with the other members. */
+    /**
+     * Sets the initial contact times of the members. As a follower, this process tracked contact with the former
+     * primary only.
+     */
     private void resetContactTimes(EpochProposal chosen) {
         for (Member member : chosen.proposal().members()) {
             boolean isFormerPrimary = member.identity().equals(heartbeatHandler.primaryIdentity());
@@ -239,8 +243,9 @@
     }
 
     /**
-     * The counter of the epoch whose lease this process holds now. Right after it became primary it holds none: the
-     * lease of the former primary, and the time for which its orders stay valid, have to pass first.
+     * The counter of the epoch whose lease this process holds now; empty if it holds none or is proposing a new epoch.
+     * A new primary gets it only after a wait: the lease of the former primary, and the time for which its orders stay
+     * valid, have to pass first.
      */
     Optional<Long> leadingEpoch() {
         return soleAuthorityEpoch()
@@ -249,10 +254,10 @@
     }
 
     /**
-     * The counter of the epoch whose lease this process holds now, once the lease of every earlier primary has expired:
-     * an earlier primary's last confirmed heartbeat was sent before a quorum promised this process its first epoch, so
-     * that two processes never hold one at the same time. A primary that changes its own epoch does not wait again:
-     * such a change is chosen only if no other epoch was chosen in between.
+     * The counter of the epoch whose lease this process holds now, once the lease of every earlier primary has expired;
+     * empty otherwise. An earlier primary's last confirmed heartbeat was sent before a quorum promised this process its
+     * first epoch, so two processes never get a value at the same time. A primary that reconfigures its own epoch does
+     * not wait again: the new record is chosen only if no other epoch was chosen in between.
      */
     Optional<Long> soleAuthorityEpoch() {
         return epoch.filter(current -> isLeaseValid() && hasLedFor(0))
@@ -267,13 +272,13 @@
         return soleAuthorityEpoch().map(epochCounter -> firstEpochCounter);
     }
 
-    /** Whether this process became primary longer ago than this time and the duration of a lease. */
+    /** Whether this process has been primary for at least this time plus the duration of a lease and a margin. */
     private boolean hasLedFor(double durationMs) {
         double sinceMs = context.clock().steadyMs() - becamePrimarySteadyMs;
         return sinceMs >= EpochLease.LEASE_DURATION_MS + durationMs + LEASE_MARGIN_MS;
     }
 
-    /** The configuration store as this process sees it. */
+    /** The replicated configuration as this process sees it. */
     ReplicationReport report(Optional<SocketAddress> knownPrimary) {
         EpochRecord record = epoch.map(PrimaryEpoch::record).orElseGet(context.durable()::accepted);
         return new ReplicationReport(
--- a/router-fleet/replication/src/main/java/pinewick/replication/ReadQueue.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ReadQueue.java
@@ -5,7 +5,10 @@
 import java.util.function.Consumer;
 import pinewick.model.ConfigurationDocument;
 
-/** Reads that wait for the epoch to be confirmed by a heartbeat sent after they were submitted. Control loop only. */
+/**
+ * Pending linearizable reads: each completes once a quorum has confirmed a heartbeat that was sent after the read was
+ * submitted. Control loop only.
+ */
 final class ReadQueue {
     private static final long NO_HEARTBEAT_YET = Long.MAX_VALUE;
 
@@ -17,18 +20,21 @@
         pending.add(new PendingRead(deadlineMs, NO_HEARTBEAT_YET, callback));
     }
 
-    /** Whether some read waits for a heartbeat that has not been sent. */
+    /** Whether some read needs a heartbeat that has not been sent yet. */
     boolean needsHeartbeat() {
         return pending.stream().anyMatch(read -> read.heartbeat == NO_HEARTBEAT_YET);
     }
 
-    /** A heartbeat was sent. */
+    /** A heartbeat was sent; the reads without one wait for its confirmation. */
     void onHeartbeatSent(long heartbeat) {
         pending.replaceAll(read ->
                 read.heartbeat == NO_HEARTBEAT_YET ? new PendingRead(read.deadlineMs, heartbeat, read.callback) : read);
     }
 
-    /** Heartbeats up to this one are confirmed; the document is the newest committed one. */
+    /**
+     * Heartbeats up to this one are confirmed: completes the reads that wait for them with the newest committed
+     * document.
+     */
     void onHeartbeatConfirmed(long heartbeat, ConfigurationDocument document) {
         for (PendingRead read : List.copyOf(pending)) {
             if (read.heartbeat <= heartbeat) {
@@ -52,7 +58,7 @@
         }
     }
 
-    /** This process has stepped down. */
+    /** Completes every read with this outcome; this process has stepped down. */
     void failAll(ReadOutcome.NotPrimary outcome) {
         List<PendingRead> all = List.copyOf(pending);
         pending.clear();
--- a/router-fleet/replication/src/main/java/pinewick/replication/RecentChanges.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/RecentChanges.java
@@ -4,12 +4,12 @@
 import java.util.Deque;
 import java.util.List;
 
-/** The newest changes of one epoch, for followers that lack only these and need no snapshot. */
+/** Bounded log of the newest changes of one epoch, for followers that lack only these and so need no snapshot. */
 final class RecentChanges {
     private static final int MAX_CHANGES = 512;
     private static final int MAX_BYTES = 512 * 1024;
 
-    /** A change and the version of the state that it leads to. */
+    /** A change, with the version of the state that it leads to. */
     record LoggedChange(StateVersion stateVersion, byte[] delta, ChangeKey key) {}
 
     private final Deque<LoggedChange> changes = new ArrayDeque<>();
@@ -21,7 +21,10 @@
         newest = start;
     }
 
-    /** Appends the change that leads to the next state; the oldest are evicted. */
+    /**
+     * Appends the change that leads to the next state. Evicts the oldest changes beyond the limits, but never the
+     * newest one.
+     */
     void add(LoggedChange change) {
         changes.add(change);
         newest = change.stateVersion;
@@ -31,7 +34,7 @@
         }
     }
 
-    /** Whether every change after this version is available. */
+    /** Whether every change after this version is available; false for a version of another epoch. */
     boolean coversChangesAfter(StateVersion stateVersion) {
         return stateVersion.epoch() == newest.epoch() && stateVersion.sequence() >= newest.sequence() - changes.size();
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/ReplicationContext.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ReplicationContext.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** The collaborators that the parts of a {@link ReplicationNode} share. */
+/** The settings and collaborators that the classes behind a {@link ReplicationNode} share. */
 record ReplicationContext(
         ReplicationSettings settings,
         ActiveClock clock,
--- a/router-fleet/replication/src/main/java/pinewick/replication/ReplicationListener.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ReplicationListener.java
@@ -2,11 +2,11 @@
 
 import pinewick.model.ConfigurationDocument;
 
-/** Notified of what the replicated configuration does, on the control loop. */
+/** Notified of events of the replication, on the control loop. */
 public interface ReplicationListener {
-    /** A configuration is known to be committed. May come more than once for the same version. */
+    /** A configuration is known to be committed. May be called more than once for the same version. */
     void onCommitted(ConfigurationDocument document);
 
-    /** Something that an engineer on call may look for in the log. */
+    /** An event to be found in the log of the process, for example a change of primary. */
     default void onEvent(String event) {}
 }
--- a/router-fleet/replication/src/main/java/pinewick/replication/ReplicationMessages.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ReplicationMessages.java
@@ -6,30 +6,31 @@
 import pinewick.model.WireName;
 
 /**
- * Messages among the controllers. Each may be duplicated, delayed or lost. A request carries a {@link RequestId}, and
- * its reply repeats it. The round in which a message is sent:
+ * Messages between controllers. Any of them may be lost, delayed, duplicated or reordered. A request carries a {@link
+ * RequestId}, which its reply repeats. The messages of each step:
  *
  * <ul>
- *   <li>no primary is known: {@link Status}, both ways;
- *   <li>a new epoch is proposed: {@link Prepare} and {@link Promise}, {@link Accept} and {@link Accepted}, or
- *       {@link Rejection}; {@link RecordChosen} once a quorum has accepted the record;
+ *   <li>a controller has no contact with a primary: {@link Status}, as request and as reply;
+ *   <li>a new epoch is proposed: {@link Prepare} and {@link Promise}, then {@link Accept} and {@link Accepted}, or
+ *       {@link Rejection} in either phase; {@link RecordChosen} once a quorum has accepted the record;
  *   <li>the primary confirms its epoch: {@link Heartbeat} and {@link HeartbeatReply};
  *   <li>the primary replicates: {@link RelabelState}, {@link InstallSnapshot} or {@link Replicate}, each answered by
  *       {@link ReplicationReply};
  *   <li>the primary steps down: {@link Resign};
- *   <li>a process shuts down: {@link ShutdownPermitted}, once the others no longer need its store.
+ *   <li>a follower shuts down: {@link ShutdownPermitted}, once the other stores no longer need its store.
  * </ul>
  *
- * A component whose name has changed keeps its place on the wire by {@link WireName}.
+ * The transport encodes the components of a record in the order of their names. A renamed component keeps its place on
+ * the wire by {@link WireName} with the earlier name.
  */
 public final class ReplicationMessages {
     private ReplicationMessages() {}
 
-    /** Sent in place of an address that is not known. */
+    /** Placeholder on the wire for an unknown address. */
     public static final SocketAddress NO_ADDRESS = new SocketAddress("0.0.0.0", 0);
 
     /**
-     * Where the primary was last observed.
+     * Where and when the primary was last observed, for redirecting operators.
      *
      * @param number its epoch
      * @param operatorApi where it serves the operator, or {@link #NO_ADDRESS} if no primary was observed recently
@@ -41,16 +42,17 @@
     }
 
     /**
-     * What a process knows, sent as a request by one without contact to a primary, and as the reply to it.
+     * What a process knows of the epoch. A process without contact to a primary sends its own status as a request, and
+     * gets the receiver's status as the reply.
      *
      * @param request the request, repeated in the reply
-     * @param self store of the sender
+     * @param self the sender's store
      * @param promised the highest epoch number that the sender promised
      * @param accepted the newest epoch record that the sender accepted
-     * @param stateVersion the state that the sender has on disk
+     * @param stateVersion version of the state that the sender has on disk
      * @param leading whether the sender is a primary that a quorum confirmed recently
-     * @param hasPrimaryContact whether the sender is that primary or had contact with it recently
-     * @param primary where operators may be redirected to
+     * @param hasPrimaryContact whether the sender is such a primary, or recently had contact with a primary
+     * @param primary where operators may be redirected to, {@link PrimaryHint#NONE} if that is unknown
      * @param replyRequested whether the receiver is to reply with its own status
      */
     public record Status(
@@ -66,18 +68,19 @@
             implements Message {}
 
     /**
-     * Asks a witness to promise an epoch number (phase 1a of Paxos).
+     * Asks a witness to promise an epoch number, and so to reject every other number whose counter is not higher (phase
+     * 1a of Paxos).
      *
      * @param request the request
-     * @param number the number
-     * @param requestedByPrimary whether the primary itself asked for the new epoch, so that contact with it is no
-     *     reason to reject
+     * @param number the number to promise
+     * @param requestedByPrimary whether the primary itself asked for the new epoch; a witness then does not reject it
+     *     for being in contact with that primary
      */
     public record Prepare(RequestId request, EpochNumber number, @WireName("handedOver") boolean requestedByPrimary)
             implements Message {}
 
     /**
-     * A witness has promised a number, on disk (phase 1b of Paxos).
+     * A witness has promised a number, and has the promise on disk (phase 1b of Paxos).
      *
      * @param request from the request
      * @param number the number
@@ -98,11 +101,11 @@
     /** Asks a witness to accept a record (phase 2a of Paxos). */
     public record Accept(RequestId request, EpochRecord record) implements Message {}
 
-    /** A witness has accepted a record, on disk (phase 2b of Paxos). */
+    /** A witness has accepted a record, and has it on disk (phase 2b of Paxos). */
     public record Accepted(RequestId request, EpochNumber number, String identity) implements Message {}
 
     /**
-     * A witness neither promises nor accepts under a number.
+     * A witness refuses to promise a number, or to accept the record with that number.
      *
      * @param request from the request
      * @param number the number
@@ -112,11 +115,14 @@
     public record Rejection(RequestId request, EpochNumber number, String identity, EpochNumber promised)
             implements Message {}
 
-    /** A record is chosen: a quorum has accepted it. */
+    /**
+     * Announces that a record is chosen: a quorum has accepted it, so no other record can be chosen under its counter.
+     */
     public record RecordChosen(EpochRecord record) implements Message {}
 
     /**
-     * A primary announces itself, and asks whether its epoch is still the newest one promised.
+     * Announces the primary, and asks whether its epoch is still the highest that the receiver promised. Replies by a
+     * quorum renew the lease of the primary ({@link EpochLease}).
      *
      * @param request the request; its sequence number identifies the heartbeat
      * @param number number of its epoch
@@ -127,7 +133,7 @@
             implements Message {}
 
     /**
-     * Answers a heartbeat.
+     * Answers a {@link Heartbeat}. It confirms the epoch only if {@code promised} equals {@code number}.
      *
      * @param request from the heartbeat
      * @param number from the heartbeat
@@ -137,7 +143,7 @@
      * @param knowsRecordChosen whether the sender knows that record to be chosen
      * @param stateVersion the state that the sender has on disk
      * @param shuttingDown whether the sender's process is shutting down
-     * @param diskHealthy whether the sender's disk completed its last write in time
+     * @param diskHealthy whether the sender's last write to disk succeeded and the one in progress is not stalled
      */
     public record HeartbeatReply(
             RequestId request,
@@ -152,7 +158,8 @@
             implements Message {}
 
     /**
-     * The receiver's state is unchanged in the new epoch; only its version is to change.
+     * Asks a follower that has the state from which the epoch starts to store it under its version in the new epoch;
+     * the configuration itself is not sent.
      *
      * @param request the request
      * @param number epoch of the sender, its primary
@@ -167,7 +174,7 @@
             implements Message {}
 
     /**
-     * A complete state, for a receiver that lacks more than the recent changes.
+     * A complete state, for a follower that cannot be brought up to date by the recent changes alone.
      *
      * @param request the request
      * @param number epoch of the sender, its primary
@@ -184,13 +191,13 @@
             implements Message {}
 
     /**
-     * One change; applies to the state before {@code stateVersion}.
+     * One change. The receiver applies it only to the state whose version immediately precedes {@code stateVersion}.
      *
      * @param request the request
      * @param number epoch of the sender, its primary
      * @param stateVersion version of the state after the change
-     * @param delta the difference
-     * @param key identifies the change when an operator sends it again
+     * @param delta the difference between the two states, encoded
+     * @param key recognises the change if an operator submits it again
      */
     public record Replicate(
             RequestId request,
@@ -200,13 +207,13 @@
             ChangeKey key)
             implements Message {}
 
-    /** What became of a replicated state. */
+    /** How a replication request ended. */
     public enum ReplicationResult {
-        /** It, or a later one of the same epoch, is on disk. */
+        /** The state, or a later one of the same epoch, is on disk. */
         STORED,
-        /** It does not apply to the receiver's state, or the epoch has been superseded. */
+        /** The message does not apply to the receiver's state, or the receiver has promised a higher epoch. */
         MISMATCH,
-        /** The disk failed. */
+        /** Writing to disk failed. */
         DISK_FAILED
     }
 
@@ -214,9 +221,9 @@
      * Answers {@link RelabelState}, {@link InstallSnapshot} and {@link Replicate}.
      *
      * @param request from the request
-     * @param number epoch under which the state was sent
+     * @param number number of the epoch in which the state was sent
      * @param identity store of the sender
-     * @param result what became of the state
+     * @param result how the request ended
      * @param promised the highest epoch number that the sender promised
      * @param stateVersion the state that the sender has on disk now
      */
@@ -230,7 +237,7 @@
             implements Message {}
 
     /**
-     * A primary steps down.
+     * A primary announces that it steps down.
      *
      * @param number its epoch
      * @param successor identity of the store that is to stand for election at once, or empty
@@ -241,13 +248,17 @@
             implements Message {}
 
     /**
-     * The primary's answer to a store whose process is shutting down: the others do not need it in this epoch.
+     * Sent by the primary to a store whose process is shutting down: in this epoch the other stores no longer need it.
+     * Lost permits are sent again ({@link ShutdownPermits}).
      *
      * @param number the epoch
      */
     public record ShutdownPermitted(EpochNumber number) implements Message {}
 
-    /** Every class that the codec must know. The position is the type's id on the wire: append only. */
+    /**
+     * Every class that the codec has to know. The position in the list is the type's id on the wire, so types may only
+     * be appended.
+     */
     public static List<Class<?>> types() {
         return List.of(
                 byte[].class,
--- a/router-fleet/replication/src/main/java/pinewick/replication/ReplicationNode.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ReplicationNode.java
@@ -25,14 +25,14 @@
 import pinewick.replication.ReplicationMessages.Status;
 
 /**
- * One controller's part in the replicated configuration, by primary-backup replication with a separate configuration
- * manager (Lin and others, "PacificA", 2008): always a witness ({@link Witness}), a follower while in sync ({@link
- * StateReceiver}), at times the primary ({@link PrimaryRole}). Dispatches each message to the part that handles it,
- * then makes whatever progress has become possible. Owned by the control loop, which calls every method and runs every
- * completion of the store; no method may be called by another thread.
+ * One controller's replica of the configuration, by primary-backup replication with a separate configuration manager
+ * (Lin and others, "PacificA", 2008). It is always a witness ({@link Witness}), receives states as a follower ({@link
+ * StateReceiver}), and may be the primary ({@link PrimaryRole}). Dispatches each message to the class that handles it,
+ * then makes whatever progress has become possible. Not thread-safe: the control loop calls every method and runs every
+ * completion of the disk.
  */
 public final class ReplicationNode implements ReplicatedConfiguration {
-    /** How often {@link #onTick} is to be called, milliseconds. */
+    /** Interval at which {@link #onTick} is to be called, milliseconds. */
     public static final int TICK_MS = 50;
 
     private final Startup startup;
@@ -102,12 +102,12 @@
         advance();
     }
 
-    /** Replaces the internal addresses of controllers that other parts of this process know. */
+    /** Replaces the internal addresses of controllers that this process knows from gossip. */
     public void setKnownControllers(Collection<SocketAddress> addresses) {
         peers.setKnownControllers(addresses);
     }
 
-    /** Time has passed. */
+    /** Sends what is due, and expires what has timed out. Called every {@link #TICK_MS}. */
     public void onTick(double nowMs) {
         clock.advance(nowMs);
         if (!startup.isReady()) {
@@ -121,7 +121,10 @@
         advance();
     }
 
-    /** Handles a message if it is one of {@link ReplicationMessages}; returns whether it was. */
+    /**
+     * Handles a message if it is one of {@link ReplicationMessages}, and returns whether it is. Such messages are
+     * dropped until the startup is complete.
+     */
     public boolean onMessage(SocketAddress sender, Message message, double nowMs) {
         clock.advance(nowMs);
         if (!startup.isReady()) {
@@ -145,10 +148,10 @@
         } else if (message instanceof Accept accept) {
             election.onVoteGranted();
             witness.onAccept(sender, accept);
-        } else if (message instanceof RecordChosen established) {
-            staleDiskCheck.onRecord(established.record());
-            onEpochObserved(established.record().number());
-            witness.onRecordChosen(established, this::notifyPrimary);
+        } else if (message instanceof RecordChosen chosen) {
+            staleDiskCheck.onRecord(chosen.record());
+            onEpochObserved(chosen.record().number());
+            witness.onRecordChosen(chosen, this::notifyPrimary);
         } else if (message instanceof Status status) {
             statusExchange.onStatus(sender, status);
         } else {
@@ -160,9 +163,9 @@
     private boolean handleAsFollower(SocketAddress sender, Message message) {
         if (message instanceof Heartbeat heartbeat) {
             onHeartbeat(sender, heartbeat);
-        } else if (message instanceof RelabelState retag) {
-            onEpochObserved(retag.number());
-            receiver.onRelabelState(sender, retag);
+        } else if (message instanceof RelabelState relabel) {
+            onEpochObserved(relabel.number());
+            receiver.onRelabelState(sender, relabel);
         } else if (message instanceof InstallSnapshot install) {
             onEpochObserved(install.number());
             receiver.onInstallSnapshot(sender, install);
@@ -189,8 +192,8 @@
             proposer.onPromise(promise);
         } else if (message instanceof Accepted accepted) {
             proposer.onAccepted(accepted);
-        } else if (message instanceof Rejection refusal) {
-            proposer.onRejection(refusal);
+        } else if (message instanceof Rejection rejection) {
+            proposer.onRejection(rejection);
         } else if (message instanceof HeartbeatReply reply) {
             peers.recordAddress(reply.self().identity(), sender);
             primaryRole.onHeartbeatReply(reply);
@@ -211,7 +214,10 @@
         heartbeatHandler.reply(sender, heartbeat);
     }
 
-    /** A message of a primary arrived; returns whether its epoch is not superseded here. */
+    /**
+     * A message of a primary arrived. Returns whether its epoch is current, that is, no higher number was promised
+     * here.
+     */
     private boolean onEpochObserved(EpochNumber number) {
         if (durable.promised().isAfter(number)) {
             return false;
@@ -235,13 +241,16 @@
             return;
         }
         primaryLocator.onResigned(resign.number());
-        election.onPrimaryGone();
+        election.onPrimaryResigned();
         if (resign.successor().equals(durable.identity()) && canStandForElection() && !proposer.isProposing()) {
             proposer.proposeElection(true, resign.shuttingDown());
         }
     }
 
-    /** Makes whatever progress is possible now. A callback that calls this again is served afterwards. */
+    /**
+     * Makes whatever progress is possible now. Not reentrant: a call from within a callback makes the outer call run
+     * once more.
+     */
     private void advance() {
         advanceRequested = true;
         if (advancing) {
@@ -278,12 +287,15 @@
         return primaryRole.isLeading() ? primaryRole.isRecentlyConfirmed() : election.hasPrimaryContact();
     }
 
-    /** What this process knows, not in reply to a request. */
+    /** The status of this process, not in reply to a request. */
     Status status(boolean replyRequested) {
         return statusExchange.status(RequestId.NONE, replyRequested);
     }
 
-    /** This process is to end: transfers leadership, and leaves the in-sync set. */
+    /**
+     * Begins a graceful shutdown: resigns in favour of a successor if this process is the primary, and has this store
+     * taken out of the in-sync set.
+     */
     public void beginShutdown(double nowMs) {
         clock.advance(nowMs);
         shutdown.start(clock.activeMs());
@@ -292,8 +304,8 @@
     }
 
     /**
-     * After {@link #beginShutdown}: whether the primary of the newest epoch that this process knows has permitted it to
-     * end. A permit of an earlier epoch does not count: this process may be needed again.
+     * Whether the process may end after {@link #beginShutdown}: the primary of the newest epoch that this process knows
+     * has permitted it. A permit of an earlier epoch does not count, as the later one may need this store again.
      */
     public boolean isDetached() {
         return !primaryRole.isLeading() && shutdown.isPermittedIn(durable.promised());
@@ -330,8 +342,8 @@
     }
 
     /**
-     * Whether this process is in contact with a quorum, as its confirmed primary or by recent contact with one, and has
-     * notified its listener of every configuration that this primary had acknowledged by then.
+     * Whether this process is a primary whose lease is valid, or recently had contact with the primary and has notified
+     * its listener of every configuration that the primary had acknowledged by then.
      */
     public boolean isUpToDate() {
         return primaryRole.isLeading()
@@ -343,10 +355,10 @@
     }
 
     /**
-     * While this process is the primary: a time, the latest that it can prove, before which nobody acknowledged a
-     * configuration that it has not put in force. It is the sending time of the newest heartbeat that a quorum has
-     * answered, the proof on which linearizable reads rest too. Unlike the lease, which counts on from there, it rests
-     * on no time-out of another process.
+     * While this process is the primary: the latest time, in steady milliseconds, up to which it can prove that no
+     * configuration was acknowledged that it has not put in force; empty otherwise. It is the sending time of the
+     * newest heartbeat that a quorum has answered, as for linearizable reads. Unlike the lease, which extends beyond
+     * that time, it does not depend on the time-out of any other process.
      */
     public OptionalDouble configurationConfirmedAtMs() {
         boolean isInForce = primaryRole
@@ -357,8 +369,8 @@
     }
 
     /**
-     * The counter of the epoch that this process leads, if at this moment it holds the lease and every earlier
-     * primary's has expired: no two processes get an answer at the same time.
+     * The counter of the epoch that this process leads, if it holds the lease at this moment and the lease of every
+     * earlier primary has expired; empty otherwise. At any time at most one process gets a value.
      */
     public Optional<Long> soleAuthorityEpoch(double nowMs) {
         clock.advance(nowMs);
@@ -366,20 +378,24 @@
     }
 
     /**
-     * Identifies the time since which no other process was the sole authority, if this one is at this moment: a primary
-     * that changes its own epoch keeps it.
+     * Identifies the uninterrupted period in which this process has been the only one with a {@link
+     * #soleAuthorityEpoch}; empty if it has none at this moment. The value stays the same when a primary reconfigures
+     * its own epoch.
      */
     public Optional<Long> soleAuthorityTenure(double nowMs) {
         clock.advance(nowMs);
         return primaryRole.soleAuthorityTenure();
     }
 
-    /** What this process knows, for operators. */
+    /** The replicated configuration as this process sees it, for operators. */
     public ReplicationReport report() {
         return primaryRole.report(primary());
     }
 
-    /** The epoch that this process leads or believes to lead, established or not. */
+    /**
+     * Counter of the epoch that this process believes to lead, whether or not it is established or its lease is valid;
+     * empty if it is not primary.
+     */
     Optional<Long> leadingNumber() {
         return primaryRole.epoch().map(epoch -> epoch.number().counter());
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/RequestId.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/RequestId.java
@@ -1,13 +1,13 @@
 package pinewick.replication;
 
 /**
- * Identifies one request of a process; its reply repeats it. So a reply to a request of an earlier incarnation of the
- * process, or to an obsolete one, is recognised.
+ * Identifies one request of a process, and is repeated in the reply. It lets the process recognise and ignore replies
+ * to obsolete requests and to requests of its earlier incarnations.
  *
  * @param incarnation drawn at random when the requesting process started
- * @param sequence rises with each request of that process
+ * @param sequence number of the request within the incarnation, starting from 1
  */
 public record RequestId(long incarnation, long sequence) {
-    /** Of a message that is no request. */
+    /** Id of a message that neither is a request nor answers one. */
     public static final RequestId NONE = new RequestId(0, 0);
 }
--- a/router-fleet/replication/src/main/java/pinewick/replication/RequestIds.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/RequestIds.java
@@ -16,14 +16,16 @@
         return new RequestId(incarnation, sequence);
     }
 
-    /** Whether this is a request of this incarnation, sent after the given one. */
+    /**
+     * Whether this is the id of a request that this incarnation sent after the request with the sequence number given.
+     */
     boolean isSentAfter(RequestId request, long earlierSequence) {
         return request.incarnation() == incarnation
                 && request.sequence() > earlierSequence
                 && request.sequence() <= sequence;
     }
 
-    /** The sequence number of the newest request. */
+    /** Sequence number of the newest request, 0 if there was none. */
     long newest() {
         return sequence;
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/ShutdownPermits.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ShutdownPermits.java
@@ -3,16 +3,16 @@
 import pinewick.replication.ReplicationMessages.ShutdownPermitted;
 
 /**
- * Tells stores whose processes are shutting down that the others no longer need them. A store is permitted to end once
- * it is not in sync by an established epoch, the other members are a majority, and either
+ * Permits processes that are shutting down to end. Their stores are no longer needed once an established epoch does not
+ * list them as in sync, the responsive members are a majority without them, and either
  *
  * <ul>
- *   <li>as many losses are tolerable without it as the deployment requires, so that a disk lost at the moment of its
- *       end leaves a quorum; or
- *   <li>no store can take its place: none is known, and none has shown itself for long enough.
+ *   <li>as many losses are tolerable without them as the deployment requires, so that a quorum survives if another disk
+ *       is lost just as the process ends; or
+ *   <li>no replacement is expected: no other store is in contact, and the wait for one is over.
  * </ul>
  *
- * Without a permit the process ends when its grace period is nearly over. Control loop only.
+ * A process that gets no permit ends when its grace period is nearly over. Control loop only.
  */
 final class ShutdownPermits {
     private static final double RESEND_INTERVAL_MS = 200;
@@ -27,7 +27,7 @@
         this.toleranceMonitor = toleranceMonitor;
     }
 
-    /** Something may have changed at the primary. */
+    /** Sends the permits that are due, again at intervals while the processes run. */
     void update(PrimaryEpoch epoch) {
         if (followers.all().stream().noneMatch(Follower::isShuttingDown) || !isPermitted(epoch)) {
             return;
--- a/router-fleet/replication/src/main/java/pinewick/replication/StableWrite.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/StableWrite.java
@@ -1,19 +1,19 @@
 package pinewick.replication;
 
 /**
- * One durable write: the complete head, and what changes of the configuration.
+ * One atomic write to stable storage: the complete head, and an update of the stored configuration.
  *
- * @param head replaces the earlier head
- * @param content what happens to the stored configuration
+ * @param head replaces the stored head
+ * @param content the update of the stored configuration
  */
 public record StableWrite(StoredHead head, Content content) {
-    /** What a write does to the stored configuration. */
+    /** Update of the stored configuration. */
     public sealed interface Content {}
 
-    /** Nothing. */
+    /** Leaves the stored configuration as it is. */
     public record Unchanged() implements Content {}
 
-    /** Adds one change to those after the snapshot. */
+    /** Appends one change to those after the snapshot. */
     public record Appended(StoredChange change) implements Content {}
 
     /** Replaces the snapshot and drops the changes after it. */
--- a/router-fleet/replication/src/main/java/pinewick/replication/StaleDiskCheck.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/StaleDiskCheck.java
@@ -2,8 +2,8 @@
 
 /**
  * Detects that the disk holds an older state of this store than other controllers have seen, as after a backup was
- * restored. Such a store has lost promises and acknowledged changes; it must neither vote nor confirm changes, so it is
- * reset to an empty store with another identity. Control loop only.
+ * restored. Such a store has lost promises or acknowledged changes. It must neither vote nor confirm changes under its
+ * identity, so it is reset to an empty store with a new one. Control loop only.
  */
 final class StaleDiskCheck {
     private final ReplicationContext context;
@@ -13,7 +13,10 @@
         this.context = context;
     }
 
-    /** Every in-sync store of a record had promised its number, on disk, before the record was proposed. */
+    /**
+     * Checks the promise: every in-sync store of a record had the promise of its number on disk before the record was
+     * proposed.
+     */
     void onRecord(EpochRecord record) {
         DurableState durable = context.durable();
         boolean isPromiseMissing = record.inSync().contains(durable.identity())
@@ -23,7 +26,7 @@
         }
     }
 
-    /** Every in-sync store had a state on disk before the primary called it committed. */
+    /** Checks the state: every in-sync store had a state on disk before the primary reported it as committed. */
     void onCommitted(EpochNumber number, StateVersion committed) {
         DurableState durable = context.durable();
         EpochRecord accepted = durable.accepted();
--- a/router-fleet/replication/src/main/java/pinewick/replication/Startup.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/Startup.java
@@ -4,8 +4,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Takes a process from its start until it may join the quorum: reads the disk, writes the founding record if this
- * process is a founder, and retries while the disk fails. Control loop only.
+ * Startup of a process until it may take part in quorums: reads the disk, writes the founding record if this process is
+ * a founder and its disk is empty, and retries while the disk fails. Control loop only.
  */
 final class Startup {
     private static final double RETRY_INTERVAL_MS = 500;
@@ -16,7 +16,7 @@
     private double retryAtMs = Double.POSITIVE_INFINITY;
     private boolean ready;
 
-    /** @param onReady run once, when the process may join the quorum */
+    /** @param onReady run once, when the process may take part in quorums */
     Startup(ReplicationContext context, StableStore store, Runnable onReady) {
         this.context = context;
         this.store = store;
@@ -60,14 +60,14 @@
         }
     }
 
-    /** The identity of a store that is not a founder's. */
+    /** A random identity, for every store except that of a founder. */
     static String randomIdentity(RandomGenerator random) {
         long high = random.nextLong();
         long low = random.nextLong();
         return String.format("%016x%016x", high, low);
     }
 
-    /** A store whose content is inconsistent counts as empty. */
+    /** Restores what the disk holds; returns false if it is inconsistent, in which case the store counts as empty. */
     private boolean restore(StoredState stored) {
         try {
             context.durable().restore(stored);
@@ -79,13 +79,13 @@
         }
     }
 
-    /** A founder joins the quorum once the founding record is on its disk. */
+    /** Writes the founding record. A founder takes part in quorums only once it is on disk. */
     private void writeFoundingRecord() {
         retryAtMs = Double.POSITIVE_INFINITY;
         EpochRecord founding = EpochRecord.founding(context.settings().seeds());
         ConfigurationState empty = ConfigurationState.NONE.withVersion(StateVersion.FOUNDING);
-        DurableState.Update step = new DurableState.Update(founding.number(), founding, empty, Optional.empty());
-        context.durable().submit(() -> Optional.of(step), outcome -> {
+        DurableState.Update update = new DurableState.Update(founding.number(), founding, empty, Optional.empty());
+        context.durable().submit(() -> Optional.of(update), outcome -> {
             if (outcome == DurableState.Outcome.WRITTEN) {
                 finish();
             } else {
--- a/router-fleet/replication/src/main/java/pinewick/replication/StateReceiver.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/StateReceiver.java
@@ -12,8 +12,8 @@
 import pinewick.replication.ReplicationMessages.ReplicationResult;
 
 /**
- * Receives states from a primary, as a follower. A state is confirmed only when it is on disk, and rejected if a higher
- * number was promised. Control loop only.
+ * Receives states from the primary, as a follower. A state is confirmed only when it is on disk, and is rejected if
+ * this process has promised a higher epoch. Control loop only.
  */
 final class StateReceiver {
     private final ReplicationContext context;
@@ -45,13 +45,14 @@
             if (!current.version().next().equals(message.stateVersion())) {
                 return Optional.empty();
             }
-            StoredChange transition = new StoredChange(message.delta(), message.key());
-            ConfigurationState changed = current.apply(message.stateVersion(), transition.delta(), transition.key());
-            return Optional.of(new NewState(changed, Optional.of(transition)));
+            StoredChange storedChange = new StoredChange(message.delta(), message.key());
+            ConfigurationState changed =
+                    current.apply(message.stateVersion(), storedChange.delta(), storedChange.key());
+            return Optional.of(new NewState(changed, Optional.of(storedChange)));
         });
     }
 
-    /** The request with which a state came, and the version that it claims. */
+    /** The request that carries a state, with its sender, its epoch and the version of the state. */
     private record Delivery(SocketAddress sender, RequestId request, EpochNumber number, StateVersion stateVersion) {}
 
     private record NewState(ConfigurationState state, Optional<StoredChange> change) {}
--- a/router-fleet/replication/src/main/java/pinewick/replication/StateReplicator.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/StateReplicator.java
@@ -7,12 +7,13 @@
 
 /**
  * Brings the followers of one epoch to the target state. A follower that has the state from which the epoch started
- * only relabels it ({@link RelabelState}); one that lacks more than the recent changes gets a snapshot ({@link
- * InstallSnapshot}); the changes after either are sent right behind, without waiting for the reply ({@link Replicate}).
- * What is not confirmed is sent again after a time-out that {@link Follower} keeps. Control loop only.
+ * only relabels it ({@link RelabelState}); one that cannot be brought up to date by the recent changes alone gets a
+ * snapshot ({@link InstallSnapshot}). The changes after either are pipelined, that is, sent without waiting for the
+ * reply ({@link Replicate}). Whatever is not confirmed is sent again after the resend interval that {@link Follower}
+ * tracks. Control loop only.
  */
 final class StateReplicator {
-    /** A snapshot as it is sent, kept for the next follower that needs the same one. */
+    /** An encoded snapshot, cached for other followers that need the same one. */
     private record EncodedSnapshot(StateVersion version, byte[] document, byte[] acceptedChanges) {
         static final EncodedSnapshot NONE = new EncodedSnapshot(StateVersion.NONE, new byte[0], new byte[0]);
     }
@@ -50,14 +51,17 @@
         return targetVersion;
     }
 
-    /** A change leads to a new target state; it is sent by the next {@link #replicateToFollowers}. */
+    /** Appends a change, which leads to a new target state; the next {@link #replicateToFollowers} sends it. */
     void append(RecentChanges.LoggedChange change) {
         targetVersion = change.stateVersion();
         recentChanges.add(change);
         followers.all().forEach(follower -> follower.onTargetChanged(targetVersion, context.activeMs()));
     }
 
-    /** Sends each follower what it lacks, unless a reply is pending. */
+    /**
+     * Sends each follower what it lacks, except what is in flight to it. Skips followers that have promised a higher
+     * number, and those outside the in-sync set that are shutting down or without recent contact.
+     */
     void replicateToFollowers() {
         double now = context.activeMs();
         for (Follower follower : followers.all()) {
@@ -71,7 +75,7 @@
         }
     }
 
-    /** Sends a starting state, if the follower needs one, and the changes after it right behind. */
+    /** Sends a starting state, if the follower needs one, followed at once by the changes after it. */
     private void replicateTo(Follower follower, double now) {
         if (!follower.isReplyPending(now) && !recentChanges.coversChangesAfter(follower.stateVersion())) {
             sendStartingState(follower, now);
--- a/router-fleet/replication/src/main/java/pinewick/replication/StateVersion.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/StateVersion.java
@@ -8,13 +8,13 @@
  * @param sequence 0 for the state at the start of the epoch, then one more for each change
  */
 public record StateVersion(long epoch, long sequence) implements Comparable<StateVersion> {
-    /** Of a store without a state. */
+    /** Version of a store that has no state. */
     public static final StateVersion NONE = new StateVersion(-1, 0);
 
-    /** Of the founders' empty configuration. */
+    /** Version of the founders' empty configuration. */
     public static final StateVersion FOUNDING = new StateVersion(0, 0);
 
-    /** The state after one more change. */
+    /** The version after one more change in the same epoch. */
     public StateVersion next() {
         return new StateVersion(epoch, sequence + 1);
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/StatusExchange.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/StatusExchange.java
@@ -4,8 +4,8 @@
 import pinewick.replication.ReplicationMessages.Status;
 
 /**
- * Requests the status of the other controllers while there is no contact with a primary, and answers their requests.
- * Control loop only.
+ * Requests the {@link Status} of the other controllers while this process has no contact with a primary, and answers
+ * their requests. Control loop only.
  */
 final class StatusExchange {
     private final ReplicationContext context;
@@ -30,7 +30,7 @@
         this.staleDiskCheck = staleDiskCheck;
     }
 
-    /** Sends the request, if it is due. */
+    /** Sends a status request to every known controller, if one is due. */
     void requestStatus() {
         if (primaryRole.isLeading() || proposer.isProposing()) {
             return;
@@ -43,9 +43,9 @@
     void onStatus(SocketAddress sender, Status status) {
         context.peers().recordAddress(status.self().identity(), sender);
         staleDiskCheck.onRecord(status.accepted());
-        if (election.isPrimaryDenial(status)) {
-            election.onPrimaryDenial();
-            primaryLocator.onDenial();
+        if (election.reportsPrimaryNotLeading(status)) {
+            election.onPrimaryNotLeading();
+            primaryLocator.onPrimaryNotLeading();
         }
         election.requestSentMs(status).ifPresent(sentMs -> {
             election.onStatusReply(status);
@@ -58,7 +58,10 @@
         }
     }
 
-    /** A store whose seeds are all lost finds the primary through any controller that it reaches. */
+    /**
+     * Learns the members from the record of another controller, and asks new ones for their status at once. So a
+     * process whose seeds are all lost finds the primary through any controller that it reaches.
+     */
     private void recordMembers(EpochRecord record) {
         long added =
                 record.members().stream().filter(context.peers()::recordMember).count();
@@ -68,7 +71,7 @@
         }
     }
 
-    /** What this process knows. */
+    /** The status of this process. */
     Status status(RequestId request, boolean replyRequested) {
         DurableState durable = context.durable();
         boolean isLeading = primaryRole.isRecentlyConfirmed();
--- a/router-fleet/replication/src/main/java/pinewick/replication/StorageException.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/StorageException.java
@@ -1,13 +1,14 @@
 package pinewick.replication;
 
 /**
- * A disk failed to read or write. {@link Kind#FULL} ends when there is space again, and the store retries by itself;
- * after {@link Kind#FAILED} an operator should look at the disk: the process steps down as primary and keeps retrying.
+ * Reading from or writing to the disk failed. The store retries by itself. {@link Kind#FULL} ends once there is space
+ * again. After {@link Kind#FAILED} an operator should check the disk; meanwhile the process steps down as primary and
+ * keeps retrying.
  */
 public final class StorageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** What is wrong with the disk. */
+    /** Kind of the failure. */
     public enum Kind {
         /** No space is left on the disk. */
         FULL,
@@ -19,9 +20,9 @@
     private final String step;
 
     /**
-     * @param kind what is wrong
-     * @param step what was being done
-     * @param cause the error of the file system or database
+     * @param kind kind of the failure
+     * @param step the operation that failed
+     * @param cause the underlying error of the file system or database
      */
     public StorageException(Kind kind, String step, Throwable cause) {
         super(step + ": " + kind, cause);
@@ -33,7 +34,7 @@
         return kind;
     }
 
-    /** What was being done when the error occurred. */
+    /** The operation that failed. */
     public String step() {
         return step;
     }
--- a/router-fleet/replication/src/main/java/pinewick/replication/StoredHead.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/StoredHead.java
@@ -1,11 +1,11 @@
 package pinewick.replication;
 
 /**
- * The small part of a store, written completely each time.
+ * The part of a store that every write replaces completely.
  *
  * @param identity identity of the store
- * @param promised the highest epoch number promised
- * @param accepted the newest epoch record accepted
- * @param stateVersion version of the state that results from the snapshot and the changes
+ * @param promised the highest promised epoch number
+ * @param accepted the newest accepted epoch record
+ * @param stateVersion version of the state that results from the stored snapshot and the changes after it
  */
 public record StoredHead(String identity, EpochNumber promised, EpochRecord accepted, StateVersion stateVersion) {}
--- a/router-fleet/replication/src/main/java/pinewick/replication/StoredState.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/StoredState.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a disk holds.
+ * Everything that one store has on disk.
  *
- * @param head its small part
- * @param snapshot the configuration at some version
- * @param changes the changes after the snapshot, in their order
+ * @param head identity, promise, epoch record and version of the store
+ * @param snapshot the configuration as of the last snapshot
+ * @param changes the changes after the snapshot, oldest first
  */
 public record StoredState(StoredHead head, StoredSnapshot snapshot, List<StoredChange> changes) {
     public StoredState {
--- a/router-fleet/replication/src/main/java/pinewick/replication/Witness.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/Witness.java
@@ -13,8 +13,8 @@
 import pinewick.replication.ReplicationMessages.Rejection;
 
 /**
- * Keeps the epoch record as an acceptor of Paxos: promises numbers, accepts records, and learns which are chosen. Each
- * answer is sent only after what it says is on disk. Control loop only.
+ * The acceptor and learner of Paxos for epoch records: promises numbers, accepts records, and learns which are chosen.
+ * A promise or an acceptance is on disk before its reply is sent. Control loop only.
  */
 final class Witness {
     private final ReplicationContext context;
@@ -33,8 +33,9 @@
     }
 
     /**
-     * Promises on disk, then replies. While there is contact with a primary, only it or a successor that it named may
-     * propose: this keeps its lease valid, and lets no cut-off process disturb it.
+     * Writes the promise to disk, then replies. While there is contact with a primary, only that primary or the
+     * successor that it named may propose: its lease relies on this, and it keeps a process that was cut off from
+     * disrupting the primary.
      */
     void onPrepare(SocketAddress sender, Prepare prepare) {
         DurableState durable = context.durable();
@@ -68,7 +69,7 @@
         }
     }
 
-    /** Accepts on disk, then replies. */
+    /** Writes the accepted record to disk, then replies. */
     void onAccept(SocketAddress sender, Accept accept) {
         DurableState durable = context.durable();
         EpochRecord record = accept.record();
@@ -98,10 +99,10 @@
     /**
      * Stores a chosen record, unless a higher number was promised.
      *
-     * @param onStored run once it is on disk, unless it was before
+     * @param onStored run once the record is on disk; not run if nothing had to be written
      */
-    void onRecordChosen(RecordChosen established, Runnable onStored) {
-        EpochRecord record = established.record().withoutPreviousMembers();
+    void onRecordChosen(RecordChosen chosen, Runnable onStored) {
+        EpochRecord record = chosen.record().withoutPreviousMembers();
         if (recordBeingStored.equals(record.number())) {
             return;
         }
@@ -119,8 +120,8 @@
         DurableState durable = context.durable();
         EpochRecord accepted = durable.accepted();
         boolean isNewer = record.number().isAfter(accepted.number());
-        boolean completesMembership = record.number().equals(accepted.number()) && !accepted.hasSingleQuorum();
-        if (durable.promised().isAfter(record.number()) || !(isNewer || completesMembership)) {
+        boolean endsJointConsensus = record.number().equals(accepted.number()) && !accepted.hasSingleQuorum();
+        if (durable.promised().isAfter(record.number()) || !(isNewer || endsJointConsensus)) {
             return Optional.empty();
         }
         return Optional.of(new Update(record.number(), record, durable.state(), Optional.empty()));
--- a/router-fleet/replication/src/test/java/pinewick/replication/PrimaryLocatorTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/PrimaryLocatorTest.java
@@ -49,7 +49,7 @@
 
     @Test
     void aPrimaryThatDeniedSinceIsNotNamed() {
-        known.onDenial();
+        known.onPrimaryNotLeading();
         known.onHint(new PrimaryHint(EPOCH, API, 100), clock.steadyMs());
         assertEquals(Optional.empty(), known.operatorApi());
     }
