--- a/router-fleet/replication/src/main/java/pinewick/replication/Election.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/Election.java
@@ -32,6 +32,7 @@
     /** Interval between the election timers of successive in-sync stores. */
     private static final double STAGGER_INTERVAL_MS = 120;
 
+    /** Delay of the election after the primary itself reported that it does not lead. */
     private static final double NOT_LEADING_ELECTION_DELAY_MS = 150;
 
     /**
@@ -54,7 +55,12 @@
     private final ReplicationContext context;
     private final Map<String, StatusReply> statusByIdentity = new HashMap<>();
     private final Deque<StatusRequest> sentRequests = new ArrayDeque<>();
+    /**
+     * The last contact with a primary that still counts: reset when the primary resigns or reports that it does not
+     * lead.
+     */
     private double contactMs = Double.NEGATIVE_INFINITY;
+
     private double lastContactMs;
     private double electionDueMs;
     private double backoffMs = MAX_JITTER_MS;
--- a/router-fleet/replication/src/main/java/pinewick/replication/EpochPlanner.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/EpochPlanner.java
@@ -93,6 +93,10 @@
         return inSync;
     }
 
+    /**
+     * The members of the new epoch: the current ones, with those observers admitted that promised the number and have
+     * exactly the state of this process.
+     */
     private List<Member> planMembers(EpochRecord current, Map<String, Promise> promises, Followers followers) {
         List<Member> members = new ArrayList<>(current.members());
         StateVersion ownVersion = context.durable().state().version();
@@ -116,6 +120,9 @@
                 .isPresent();
     }
 
+    /**
+     * Adds the candidate to the members, if there is a place for it ({@link #canAdmit}); returns whether there was one.
+     */
     private boolean admit(List<Member> members, Member candidate, Followers followers) {
         Optional<Member> replaced = members.stream()
                 .filter(member -> member.address().equals(candidate.address()))
--- a/router-fleet/replication/src/main/java/pinewick/replication/Follower.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/Follower.java
@@ -35,7 +35,9 @@
     private long confirmedHeartbeat;
     private long newestReply;
     private double lastContactMs;
+    /** Since when it has lacked the target state; NaN while it has it. */
     private double laggingSinceMs = Double.NaN;
+
     private StateVersion sentVersion = StateVersion.NONE;
     private double replyPendingSinceMs = Double.NEGATIVE_INFINITY;
     private double resendIntervalMs = RESEND_INTERVAL_MS;
--- a/router-fleet/replication/src/main/java/pinewick/replication/PrimaryRole.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/PrimaryRole.java
@@ -197,6 +197,9 @@
         }
     }
 
+    /**
+     * Resigns because of the shutdown, unless a proposal is running or the change in flight may still be waited for.
+     */
     private void transferLeadership(PrimaryEpoch current) {
         boolean mayWait = shutdown.elapsedMs(context.activeMs()) < LAST_CHANGE_TIMEOUT_MS;
         if (!proposer.isProposing() && !(current.isChangePending() && mayWait)) {
@@ -204,6 +207,10 @@
         }
     }
 
+    /**
+     * Announces the resignation and steps down. The successor is a responsive follower, preferably one with the target
+     * state.
+     */
     private void resign(PrimaryEpoch current) {
         List<Follower> others = followers.withIdentities(current.responsiveFollowers());
         String successor = others.stream()
@@ -219,6 +226,7 @@
                 ELECTION_BACKOFF_MS);
     }
 
+    /** Ends the primary role: restarts the election timer, and completes every pending change and read. */
     private void stepDown(String reason, double electionDelayMs) {
         long counter = epoch.map(current -> current.number().counter()).orElseThrow();
         epoch = Optional.empty();
--- a/router-fleet/replication/src/main/java/pinewick/replication/ReplicationMessages.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ReplicationMessages.java
@@ -207,7 +207,7 @@
             ChangeKey key)
             implements Message {}
 
-    /** How a replication request ended. */
+    /** Outcome of a replication request. */
     public enum ReplicationResult {
         /** The state, or a later one of the same epoch, is on disk. */
         STORED,
