--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportExchange.java
@@ -12,7 +12,7 @@
 import pinewick.selection.LoadReport;
 import pinewick.selection.PrefixHint;
 import pinewick.selection.ReplicaSelector;
-import pinewick.selection.SharedPace;
+import pinewick.selection.SharedServiceTime;
 
 /**
  * Collects load reports and hints for the other routers, and applies theirs. In a large fleet it forwards what was new
@@ -35,10 +35,10 @@
     /** The paces that other routers know of, from this one or from others. */
     private final Set<PaceKey> announcedPaces = new HashSet<>();
 
-    private final List<SharedPace> unsentPaces = new ArrayList<>();
+    private final List<SharedServiceTime> unsentPaces = new ArrayList<>();
 
     private record PaceKey(String service, CallKind kind) {
-        static PaceKey of(SharedPace pace) {
+        static PaceKey of(SharedServiceTime pace) {
             return new PaceKey(pace.service(), pace.kind());
         }
     }
@@ -108,7 +108,7 @@
 
     /** The paces to be sent now, empty if there are none: each is told when this router is the first to know it. */
     Optional<ServicePaces> takePaces() {
-        for (SharedPace pace : selector.paces()) {
+        for (SharedServiceTime pace : selector.serviceTimes()) {
             if (announcedPaces.add(PaceKey.of(pace))) {
                 unsentPaces.add(pace);
             }
@@ -127,8 +127,8 @@
      * @param forward whether what is new here is sent on
      */
     void onPaces(ServicePaces message, boolean forward) {
-        for (SharedPace pace : message.paces()) {
-            boolean isNew = selector.onSharedPace(pace);
+        for (SharedServiceTime pace : message.paces()) {
+            boolean isNew = selector.onSharedServiceTime(pace);
             boolean isFirst = announcedPaces.add(PaceKey.of(pace));
             if (forward && isNew && isFirst) {
                 unsentPaces.add(pace);
@@ -138,7 +138,7 @@
 
     /** What a router that has just started is told of service times. */
     ServicePaces allPaces() {
-        return new ServicePaces(selector.paces());
+        return new ServicePaces(selector.serviceTimes());
     }
 
     /** What a router that has just started is told of the prefix caches. */
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportMessage.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportMessage.java
@@ -6,7 +6,7 @@
 import pinewick.selection.CallKind;
 import pinewick.selection.LoadReport;
 import pinewick.selection.PrefixHint;
-import pinewick.selection.SharedPace;
+import pinewick.selection.SharedServiceTime;
 
 /**
  * Sent by each router to other routers: the load reports that it has polled or received, and hints about prefix
@@ -31,7 +31,7 @@
                 PrefixCacheSnapshotRequest.class,
                 PrefixCacheSnapshot.class,
                 CallKind.class,
-                SharedPace.class,
+                SharedServiceTime.class,
                 ServicePaces.class);
     }
 
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ServicePaces.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ServicePaces.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import pinewick.model.Message;
-import pinewick.selection.SharedPace;
+import pinewick.selection.SharedServiceTime;
 
 /**
  * Sent by a router to other routers when it is the first to have learnt how long a kind of call takes, and to one that
@@ -10,7 +10,7 @@
  *
  * @param paces one for each service and kind of call
  */
-public record ServicePaces(List<SharedPace> paces) implements Message {
+public record ServicePaces(List<SharedServiceTime> paces) implements Message {
     public ServicePaces {
         paces = List.copyOf(paces);
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/LoadReportExchangeTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/LoadReportExchangeTest.java
@@ -26,7 +26,7 @@
 import pinewick.selection.PromptPart;
 import pinewick.selection.ReplicaSelector;
 import pinewick.selection.RequestShape;
-import pinewick.selection.SharedPace;
+import pinewick.selection.SharedServiceTime;
 
 /** What a router tells others of load and prefix caches, and how it spreads in a fleet of partial views. */
 class LoadReportExchangeTest {
@@ -197,7 +197,7 @@
     void whoeverLearnsAPaceFirstTellsItOnce() {
         learnPrefillPace(selector);
 
-        SharedPace pace = exchange.takePaces().orElseThrow().paces().get(0);
+        SharedServiceTime pace = exchange.takePaces().orElseThrow().paces().get(0);
 
         assertEquals(CallKind.PREFILL, pace.kind());
         assertEquals(0.02, pace.perTokenMs(), 1e-6);
@@ -206,7 +206,7 @@
 
     @Test
     void aPaceOfAnotherRouterIsForwardedOnceAndNotToldAgainWhenLearntHere() {
-        ServicePaces told = new ServicePaces(List.of(new SharedPace(SERVICE, CallKind.PREFILL, 5, 0.02, 4)));
+        ServicePaces told = new ServicePaces(List.of(new SharedServiceTime(SERVICE, CallKind.PREFILL, 5, 0.02, 4)));
 
         exchange.onPaces(told, true);
         assertEquals(Optional.of(told), exchange.takePaces());
@@ -218,7 +218,8 @@
 
     @Test
     void aPaceIsNotForwardedWhereAllKnowEachOther() {
-        exchange.onPaces(new ServicePaces(List.of(new SharedPace(SERVICE, CallKind.PREFILL, 5, 0.02, 4))), false);
+        exchange.onPaces(
+                new ServicePaces(List.of(new SharedServiceTime(SERVICE, CallKind.PREFILL, 5, 0.02, 4))), false);
 
         assertEquals(Optional.empty(), exchange.takePaces());
         assertEquals(1, exchange.allPaces().paces().size(), "a router that starts later is told");
--- a/router-fleet/selection/src/main/java/pinewick/selection/ReplicaPool.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/ReplicaPool.java
@@ -28,7 +28,7 @@
     private final Stage stage;
     private final ServiceTimeModel[] models = new ServiceTimeModel[CallKind.values().length];
     private final List<ReplicaMeasurements> members = new ArrayList<>();
-    private final SharedPace[] sharedPaces = new SharedPace[CallKind.values().length];
+    private final SharedServiceTime[] sharedServiceTimes = new SharedServiceTime[CallKind.values().length];
     private EngineSpec engine;
     private ServiceTimeModel otherStagePrefillModel;
     /** Each call counts with the inverse of its route's target latency. */
@@ -80,8 +80,8 @@
         if (own.isPerTokenKnown()) {
             return own.predict(tokens);
         }
-        if (sharedPace(kind) != null) {
-            return sharedPace(kind).predict(tokens);
+        if (sharedServiceTime(kind) != null) {
+            return sharedServiceTime(kind).predict(tokens);
         }
         double fixed = own.samples() > 0 ? own.fixedMs() : FIXED_FRACTION * initialEstimateMs;
         return fixed + perTokenMs(kind, request, initialEstimateMs) * tokens;
@@ -93,8 +93,8 @@
         if (own.isPerTokenKnown()) {
             return own.perTokenMs();
         }
-        if (sharedPace(kind) != null) {
-            return sharedPace(kind).perTokenMs();
+        if (sharedServiceTime(kind) != null) {
+            return sharedServiceTime(kind).perTokenMs();
         }
         if (kind == CallKind.DISAGGREGATED_DECODE) {
             return engine == null ? 0 : PriceModel.transferMs(engine.kvTokenBytes(), engine.linkBandwidthMbps());
@@ -109,15 +109,15 @@
     }
 
     /** What another router has learnt of this kind of call, null if none has told. */
-    SharedPace sharedPace(CallKind kind) {
-        return sharedPaces[kind.ordinal()];
+    SharedServiceTime sharedServiceTime(CallKind kind) {
+        return sharedServiceTimes[kind.ordinal()];
     }
 
     /** Takes over what another router has learnt; returns whether it is the first of its kind here. */
-    boolean offerSharedPace(SharedPace pace) {
-        SharedPace known = sharedPace(pace.kind());
-        if (known == null || pace.samples() >= known.samples()) {
-            sharedPaces[pace.kind().ordinal()] = pace;
+    boolean offerSharedServiceTime(SharedServiceTime serviceTime) {
+        SharedServiceTime known = sharedServiceTime(serviceTime.kind());
+        if (known == null || serviceTime.samples() >= known.samples()) {
+            sharedServiceTimes[serviceTime.kind().ordinal()] = serviceTime;
         }
         return known == null;
     }
--- a/router-fleet/selection/src/main/java/pinewick/selection/ReplicaSelector.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/ReplicaSelector.java
@@ -287,23 +287,23 @@
      * What this router has learnt of the service times, or was told and has not learnt itself. Calls without an engine
      * are left out: their time does not depend on tokens.
      */
-    public List<SharedPace> paces() {
-        List<SharedPace> paces = new ArrayList<>();
+    public List<SharedServiceTime> serviceTimes() {
+        List<SharedServiceTime> serviceTimes = new ArrayList<>();
         pools.forEach((service, ofService) -> ofService.values().forEach(pool -> {
             for (CallKind kind : CallKind.values()) {
                 if (kind != CallKind.PLAIN && kind.stage() == pool.stage()) {
-                    pace(service, pool, kind).ifPresent(paces::add);
+                    serviceTime(service, pool, kind).ifPresent(serviceTimes::add);
                 }
             }
         }));
-        return paces;
+        return serviceTimes;
     }
 
-    private static Optional<SharedPace> pace(String service, ReplicaPool pool, CallKind kind) {
+    private static Optional<SharedServiceTime> serviceTime(String service, ReplicaPool pool, CallKind kind) {
         ServiceTimeModel own = pool.model(kind);
         return own.isPerTokenKnown()
-                ? Optional.of(new SharedPace(service, kind, own.fixedMs(), own.perTokenMs(), own.samples()))
-                : Optional.ofNullable(pool.sharedPace(kind));
+                ? Optional.of(new SharedServiceTime(service, kind, own.fixedMs(), own.perTokenMs(), own.samples()))
+                : Optional.ofNullable(pool.sharedServiceTime(kind));
     }
 
     /**
@@ -311,14 +311,14 @@
      *
      * @return whether this router knew nothing of that kind of call before
      */
-    public boolean onSharedPace(SharedPace pace) {
-        ReplicaPool pool =
-                pools.getOrDefault(pace.service(), Map.of()).get(pace.kind().stage());
-        if (pool == null || pace.kind() == CallKind.PLAIN || !pace.isValid()) {
+    public boolean onSharedServiceTime(SharedServiceTime serviceTime) {
+        ReplicaPool pool = pools.getOrDefault(serviceTime.service(), Map.of())
+                .get(serviceTime.kind().stage());
+        if (pool == null || serviceTime.kind() == CallKind.PLAIN || !serviceTime.isValid()) {
             return false;
         }
-        boolean isFirst = pool.offerSharedPace(pace);
-        return isFirst && !pool.model(pace.kind()).isPerTokenKnown();
+        boolean isFirst = pool.offerSharedServiceTime(serviceTime);
+        return isFirst && !pool.model(serviceTime.kind()).isPerTokenKnown();
     }
 
     /** How old the last load report of a replica is, milliseconds; infinite without one. */
--- a/router-fleet/selection/src/main/java/pinewick/selection/SharedPace.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/SharedServiceTime.java
@@ -10,7 +10,7 @@
  * @param perTokenMs time of one token, milliseconds
  * @param samples the number of calls from which it was learnt
  */
-public record SharedPace(String service, CallKind kind, double fixedMs, double perTokenMs, int samples) {
+public record SharedServiceTime(String service, CallKind kind, double fixedMs, double perTokenMs, int samples) {
     /** Expected time without queueing, milliseconds. */
     double predict(double tokens) {
         return fixedMs + perTokenMs * tokens;
--- a/router-fleet/selection/src/test/java/pinewick/selection/SharedPaceTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/SharedServiceTimeTest.java
@@ -16,8 +16,8 @@
 import pinewick.model.SocketAddress;
 import pinewick.model.Stage;
 
-/** What a router that has learnt nothing yet makes of the paces that others have told it. */
-class SharedPaceTest {
+/** Service times received from other routers, used by a router that has no samples of its own yet. */
+class SharedServiceTimeTest {
     private static final String SERVICE = "lm";
     private static final double OWN_PER_TOKEN_MS = 0.005;
 
@@ -52,8 +52,8 @@
         selector.addReplica(decode);
     }
 
-    private static SharedPace pace(CallKind kind, double perTokenMs, int samples) {
-        return new SharedPace(SERVICE, kind, 10, perTokenMs, samples);
+    private static SharedServiceTime sharedServiceTime(CallKind kind, double perTokenMs, int samples) {
+        return new SharedServiceTime(SERVICE, kind, 10, perTokenMs, samples);
     }
 
     private double expectedPrefillMs(int tokens) {
@@ -63,17 +63,17 @@
     }
 
     @Test
-    void aToldPaceReplacesTheFirstGuess() {
-        assertTrue(selector.onSharedPace(pace(CallKind.PREFILL, 0.02, 3)));
+    void aReceivedServiceTimeReplacesTheInitialEstimate() {
+        assertTrue(selector.onSharedServiceTime(sharedServiceTime(CallKind.PREFILL, 0.02, 3)));
 
         assertEquals(10 + 0.02 * 17_000, expectedPrefillMs(17_000), 1e-9);
     }
 
     @Test
-    void aLongPromptIsNotReadByADecodeReplicaThatIsToldToBeSlow() {
-        selector.onSharedPace(pace(CallKind.PREFILL, 0.02, 3));
-        selector.onSharedPace(pace(CallKind.AGGREGATED_DECODE, 0.04, 3));
-        selector.onSharedPace(pace(CallKind.DISAGGREGATED_DECODE, 0.001, 3));
+    void aLongPromptIsNotPrefilledByADecodeReplicaReportedAsSlow() {
+        selector.onSharedServiceTime(sharedServiceTime(CallKind.PREFILL, 0.02, 3));
+        selector.onSharedServiceTime(sharedServiceTime(CallKind.AGGREGATED_DECODE, 0.04, 3));
+        selector.onSharedServiceTime(sharedServiceTime(CallKind.DISAGGREGATED_DECODE, 0.001, 3));
 
         ReplicaPair pair = selector.choose(request(17_000), List.of(prefill, decode), Set.of(), 0)
                 .orElseThrow();
@@ -82,8 +82,8 @@
     }
 
     @Test
-    void whatTheRouterHasLearntItselfPrevails() {
-        selector.onSharedPace(pace(CallKind.PREFILL, 0.02, 3));
+    void ownSamplesTakePrecedenceOverReceivedServiceTimes() {
+        selector.onSharedServiceTime(sharedServiceTime(CallKind.PREFILL, 0.02, 3));
         for (int each = 1; each <= 2; each++) {
             int tokens = 10_000 * each;
             selector.startCall(prefill, CallKind.PREFILL, request(tokens), 0)
@@ -93,8 +93,8 @@
         assertEquals(OWN_PER_TOKEN_MS * 17_000, expectedPrefillMs(17_000), 1);
         assertEquals(
                 OWN_PER_TOKEN_MS,
-                selector.paces().stream()
-                        .filter(pace -> pace.kind() == CallKind.PREFILL)
+                selector.serviceTimes().stream()
+                        .filter(shared -> shared.kind() == CallKind.PREFILL)
                         .findFirst()
                         .orElseThrow()
                         .perTokenMs(),
@@ -102,22 +102,22 @@
     }
 
     @Test
-    void thePaceOfMoreSamplesIsKeptAndOnlyTheFirstIsNew() {
-        assertTrue(selector.onSharedPace(pace(CallKind.PREFILL, 0.02, 5)));
-        assertFalse(selector.onSharedPace(pace(CallKind.PREFILL, 0.03, 4)));
+    void theServiceTimeWithMoreSamplesIsKeptAndOnlyTheFirstIsNew() {
+        assertTrue(selector.onSharedServiceTime(sharedServiceTime(CallKind.PREFILL, 0.02, 5)));
+        assertFalse(selector.onSharedServiceTime(sharedServiceTime(CallKind.PREFILL, 0.03, 4)));
         assertEquals(10 + 0.02 * 1_000, expectedPrefillMs(1_000), 1e-9);
 
-        assertFalse(selector.onSharedPace(pace(CallKind.PREFILL, 0.03, 6)));
+        assertFalse(selector.onSharedServiceTime(sharedServiceTime(CallKind.PREFILL, 0.03, 6)));
         assertEquals(10 + 0.03 * 1_000, expectedPrefillMs(1_000), 1e-9);
     }
 
     @Test
-    void anInvalidPaceIsIgnored() {
-        assertFalse(selector.onSharedPace(pace(CallKind.PREFILL, Double.NaN, 3)));
-        assertFalse(selector.onSharedPace(pace(CallKind.PREFILL, -1, 3)));
-        assertFalse(selector.onSharedPace(pace(CallKind.PREFILL, 0.02, 0)));
-        assertFalse(selector.onSharedPace(pace(CallKind.PLAIN, 0.02, 3)));
-        assertFalse(selector.onSharedPace(new SharedPace("other", CallKind.PREFILL, 1, 0.02, 3)));
-        assertEquals(List.of(), selector.paces());
+    void anInvalidServiceTimeIsIgnored() {
+        assertFalse(selector.onSharedServiceTime(sharedServiceTime(CallKind.PREFILL, Double.NaN, 3)));
+        assertFalse(selector.onSharedServiceTime(sharedServiceTime(CallKind.PREFILL, -1, 3)));
+        assertFalse(selector.onSharedServiceTime(sharedServiceTime(CallKind.PREFILL, 0.02, 0)));
+        assertFalse(selector.onSharedServiceTime(sharedServiceTime(CallKind.PLAIN, 0.02, 3)));
+        assertFalse(selector.onSharedServiceTime(new SharedServiceTime("other", CallKind.PREFILL, 1, 0.02, 3)));
+        assertEquals(List.of(), selector.serviceTimes());
     }
 }
