--- a/router-fleet/selection/src/main/java/pinewick/selection/AdmissionControl.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/AdmissionControl.java
@@ -7,21 +7,28 @@
 import pinewick.model.ReplicaRecord;
 
 /**
- * Decides whether a request is admitted or rejected before anything of it is sent. Only a request that its service
- * cannot complete before the client's deadline is rejected, and only while the capacity of the service is in use. The
- * expected time is the mean of the route and not of the request's own size, so that long requests are admitted as often
- * as short ones; lower priorities are rejected first. A retry after a rejection is rejected again only if it would miss
- * its deadline even without queueing.
+ * Admits or rejects a request before any of it is sent to a replica. A request is rejected only if its service is busy
+ * and is not expected to complete it before the client's deadline:
  *
- * <p>More rejections than these lowered the score in every overload of the simulated fleet: clients retry once, so that
- * a rejection only moves the load, and a late response still counts half.
+ * <ul>
+ *   <li>The expected service time is the mean of the route rather than that of the request's own size, so that long
+ *       requests are admitted as often as short ones.
+ *   <li>Lower priorities are rejected first.
+ *   <li>A retry after a rejection is rejected again only if it would miss its deadline even without queueing.
+ * </ul>
+ *
+ * <p>Rejecting more than this lowered the score in every overload of the simulated fleet: clients retry once, so that a
+ * rejection only moves the load, and a late response still counts half.
  */
 public final class AdmissionControl {
-    /** Each priority level below the highest reduces the time that a request may take by this fraction. */
+    /** Each priority level below the highest reduces the time that a request is allowed to take by this fraction. */
     private static final double PRIORITY_STEP_FRACTION = 0.1;
 
     private static final int MAX_PRIORITY_STEPS = 4;
-    /** A request whose time to the deadline is shorter than others of its route had, by this much, is a retry. */
+    /**
+     * A request whose time to its deadline is shorter than the longest on its route by more than this counts as a
+     * retry.
+     */
     private static final double RETRY_DETECTION_MS = 30;
     /** {@code Retry-After} is at most this fraction of the time left to the deadline. */
     private static final double MAX_RETRY_AFTER_FRACTION = 1 / 3.0;
@@ -35,7 +42,7 @@
     private final RandomGenerator random;
     private final Map<String, RouteState> routes = new HashMap<>();
 
-    /** Measurements of the requests of one route. */
+    /** Measurements of the requests of one route, milliseconds. */
     private static final class RouteState {
         private double maxTimeMs;
         private double meanServiceMs;
@@ -52,7 +59,7 @@
     }
 
     /**
-     * Decides on a request that was just received completely.
+     * Decides whether to admit a request that has just been received completely.
      *
      * @param candidates replicas of the request's service that may be chosen
      */
@@ -69,7 +76,10 @@
         return AdmissionDecision.ADMIT;
     }
 
-    /** Whether a client seems to send this request again after a rejection: others of its route had more time. */
+    /**
+     * Whether this request is probably a retry after a rejection: it has less time to its deadline than other requests
+     * of its route had.
+     */
     public boolean isRetry(RequestShape request) {
         RouteState route = routes.get(request.route().name());
         double timeMs = request.deadlineAtMs() - request.arrivedAtMs();
@@ -81,10 +91,13 @@
         return remainingMs * (1 - PRIORITY_STEP_FRACTION * steps);
     }
 
-    /** {@code Retry-After}: the queueing delay, with jitter so that clients do not return at the same time. */
+    /**
+     * The value of {@code Retry-After}, milliseconds: the queueing delay, with jitter so that clients do not all retry
+     * at the same time.
+     */
     private double retryAfterMs(ServiceLoad load, double remainingMs) {
-        double spread = 1 + RETRY_AFTER_JITTER * (random.nextDouble() - 0.5);
-        double afterWaitMs = Math.max(MIN_RETRY_AFTER_MS, load.queueingDelayMs()) * spread;
-        return Math.max(0, Math.min(MAX_RETRY_AFTER_FRACTION * remainingMs, afterWaitMs));
+        double jitter = 1 + RETRY_AFTER_JITTER * (random.nextDouble() - 0.5);
+        double delayMs = Math.max(MIN_RETRY_AFTER_MS, load.queueingDelayMs()) * jitter;
+        return Math.max(0, Math.min(MAX_RETRY_AFTER_FRACTION * remainingMs, delayMs));
     }
 }
--- a/router-fleet/selection/src/main/java/pinewick/selection/AdmissionDecision.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/AdmissionDecision.java
@@ -8,10 +8,10 @@
     /**
      * The request is rejected before anything of it was sent.
      *
-     * @param retryAfterSeconds when the client should retry, seconds
+     * @param retryAfterSeconds how long the client should wait before it retries, seconds
      */
     record Reject(double retryAfterSeconds) implements AdmissionDecision {}
 
-    /** The only {@link Admit} that is needed. */
+    /** Shared instance of {@link Admit}. */
     AdmissionDecision ADMIT = new Admit();
 }
--- a/router-fleet/selection/src/main/java/pinewick/selection/CallKind.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/CallKind.java
@@ -2,7 +2,7 @@
 
 import pinewick.model.Stage;
 
-/** What one call to a replica asks for. */
+/** The kinds of calls to replicas. */
 public enum CallKind {
     /** A request of a service without an engine. */
     PLAIN,
@@ -13,7 +13,7 @@
     /** Prefill and decode at the same decode replica (aggregated serving). */
     AGGREGATED_DECODE;
 
-    /** The stage of the replicas that take such calls. */
+    /** The stage of the replicas that serve such calls. */
     Stage stage() {
         return switch (this) {
             case PLAIN -> Stage.NONE;
--- a/router-fleet/selection/src/main/java/pinewick/selection/CallMeasurement.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/CallMeasurement.java
@@ -3,17 +3,17 @@
 import java.util.random.RandomGenerator;
 import pinewick.model.EngineSpec;
 
-/** Measures one call to a replica, from its start to its end, and updates the replica's measurements. */
+/** Measures one call to a replica from its start to its end, and updates the replica's measurements with it. */
 final class CallMeasurement {
-    /** A prompt with at most this fraction of uncertain tokens is used to measure the prefill time of a token. */
+    /** With at most this fraction of uncertain tokens, the number of prefilled tokens counts as certain. */
     private static final double MAX_UNCERTAIN_FRACTION = 0.25;
-    /** Weight of a sample whose cached part is uncertain. */
+    /** Weight of a sample whose number of prefilled tokens is uncertain. */
     private static final double UNCERTAIN_SAMPLE_WEIGHT = 0.1;
-    /** A cached part that was used this recently is not uncertain. */
+    /** A cached part that was used within this time is certain to be still cached. */
     private static final double RECENT_USE_MS = 2_000;
-    /** A cache miss is distinguished from queueing only if it takes at least this long. */
+    /** A cache miss is told from queueing only if the prefill of the missed part takes at least this long. */
     private static final double MIN_DETECTABLE_MISS_MS = 20;
-    /** And if it lies within these factors of the expected prefill time of the missed part. */
+    /** A cache miss is assumed if the excess latency is within these factors of the prefill time of the missed part. */
     private static final double MISS_LOWER_FACTOR = 0.7;
 
     private static final double MISS_UPPER_FACTOR = 2;
@@ -40,8 +40,8 @@
     private int laterTokens;
 
     /**
-     * @param prefillMeasurements the prefill replica, null if none has
-     * @param transferFactor how many times longer a KV transfer from there takes than within a zone
+     * @param prefillMeasurements those of the replica that did the prefill, null without a KV transfer
+     * @param transferFactor how many times longer the KV transfer takes than one within a zone
      */
     CallMeasurement(
             String instanceId,
@@ -87,7 +87,7 @@
         return request.route().targetLatencyMs();
     }
 
-    /** s of this call to its first event, as estimated at its start. */
+    /** s of this call to its first event, estimated at its start, milliseconds. */
     double serviceMs() {
         return serviceMs;
     }
@@ -177,7 +177,7 @@
         }
     }
 
-    /** The time to the first event, or to the complete response, is known. */
+    /** Records the time to the first event or, without a stream, to the complete response. */
     private void recordLatency(double nowMs) {
         double latencyMs = nowMs - startedAtMs;
         measurements.onSuccess(nowMs);
@@ -210,18 +210,21 @@
         model.addSample(tokens, latencyMs, isCertain ? 1 : UNCERTAIN_SAMPLE_WEIGHT);
     }
 
-    /** Shared tokens that may or may not have been cached: another router may have sent them. */
+    /**
+     * Number of shared tokens that may or may not have been cached: another router may have sent the same prefix, or
+     * the replica may have evicted it.
+     */
     private int uncertainTokens() {
-        boolean recent = startedAtMs - cachedLastUseMs < RECENT_USE_MS;
-        int doubtful = 0;
-        for (int part = recent ? cachedParts : 0; part < prompt.length() - 1; part++) {
-            doubtful += prompt.tokens(part);
+        boolean isRecent = startedAtMs - cachedLastUseMs < RECENT_USE_MS;
+        int uncertain = 0;
+        for (int part = isRecent ? cachedParts : 0; part < prompt.length() - 1; part++) {
+            uncertain += prompt.tokens(part);
         }
-        return doubtful;
+        return uncertain;
     }
 
     /**
-     * A response that came as late as if nothing had been cached, and no later, shows a cache miss.
+     * Detects a cache miss: the response was as late as if nothing had been cached, and not later than that.
      *
      * @return the prefill time of the missed part, milliseconds; 0 if it was cached
      */
@@ -231,20 +234,20 @@
         if (cachedParts == 0 || missMs < MIN_DETECTABLE_MISS_MS || !model.isPerTokenKnown()) {
             return 0;
         }
-        double beyond = latencyMs - serviceMs - measurements.ownQueueingDelayMs();
-        if (beyond > MISS_LOWER_FACTOR * missMs && beyond < MISS_UPPER_FACTOR * missMs) {
+        double excessMs = latencyMs - serviceMs - measurements.ownQueueingDelayMs();
+        if (excessMs > MISS_LOWER_FACTOR * missMs && excessMs < MISS_UPPER_FACTOR * missMs) {
             measurements.cache().onMiss(cachedLastUseMs);
             return missMs;
         }
-        if (beyond < (1 - MISS_LOWER_FACTOR) * missMs) {
+        if (excessMs < (1 - MISS_LOWER_FACTOR) * missMs) {
             measurements.cache().onHit();
         }
         return 0;
     }
 
     /**
-     * The replica has no capacity, or the KV cache could not be transferred: unless the replica is full, the prefill
-     * replica is at fault.
+     * A rejection means that the replica has no capacity or that the KV cache could not be transferred. Unless the
+     * replica is full, a rejected transfer counts against the prefill replica.
      */
     private void onRejected(double nowMs) {
         double penaltyMs = request.route().targetLatencyMs();
@@ -255,18 +258,18 @@
         }
     }
 
-    /** A time-out or an error counts as the full time-out. */
+    /** Any failure, even an early one, counts with the full timeout of the route. */
     private void onFailed(boolean isConclusive, double nowMs) {
-        double timeout = Math.max(nowMs - startedAtMs, request.route().timeoutMs());
-        measurements.recordQueueingDelay(timeout - serviceMs, nowMs);
+        double timeoutMs = Math.max(nowMs - startedAtMs, request.route().timeoutMs());
+        measurements.recordQueueingDelay(timeoutMs - serviceMs, nowMs);
         measurements.onFailure(nowMs, isConclusive, random.nextDouble());
     }
 
-    /** Not measured, unless it was overdue: then the response would have taken longer still. */
+    /** A cancelled call is measured only if its response was overdue, since it would have taken even longer. */
     private void onCancelled(double nowMs) {
-        double beyond = nowMs - startedAtMs - serviceMs;
-        if (!streaming && beyond > measurements.ownQueueingDelayMs()) {
-            measurements.recordQueueingDelay(beyond, nowMs);
+        double excessMs = nowMs - startedAtMs - serviceMs;
+        if (!streaming && excessMs > measurements.ownQueueingDelayMs()) {
+            measurements.recordQueueingDelay(excessMs, nowMs);
         }
     }
 }
--- a/router-fleet/selection/src/main/java/pinewick/selection/CallOutcome.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/CallOutcome.java
@@ -4,7 +4,7 @@
 public enum CallOutcome {
     /** A complete response was received. */
     COMPLETED,
-    /** The replica responded that it did not execute the request. */
+    /** The replica responded that it had not executed the request. */
     REJECTED,
     /** The replica responded with an error, or the response was truncated or invalid. */
     FAILED,
@@ -12,6 +12,6 @@
     CONNECT_FAILED,
     /** The attempt timeout or the deadline passed. */
     TIMED_OUT,
-    /** The caller cancelled the call; does not count against the replica. */
+    /** The caller cancelled the call. This counts against the replica only if the response was overdue. */
     CANCELLED
 }
--- a/router-fleet/selection/src/main/java/pinewick/selection/CandidateList.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/CandidateList.java
@@ -4,11 +4,11 @@
 import java.util.random.RandomGenerator;
 import pinewick.model.ReplicaRecord;
 
-/** The candidates of one stage for one request. Reused for each request, so that it allocates nothing. */
+/** The candidates of one stage for one request. The list is reused for every request to avoid allocations. */
 final class CandidateList {
-    /** At least this fraction of the candidates stays in use, whatever their failures. */
-    private static final double MIN_FRACTION_IN_USE = 0.5;
-    /** A replica whose ejection is over is tried by about this many routers at a time. */
+    /** At least this fraction of the candidates stays eligible, even if more of them are ejected. */
+    private static final double MIN_ELIGIBLE_FRACTION = 0.5;
+    /** About this many routers at a time probe a replica whose ejection is over. */
     private static final double PROBING_ROUTERS = 3;
 
     private static final int INITIAL_SIZE = 8;
@@ -46,7 +46,7 @@
 
     /** Removes ejected replicas, but never more than half of the candidates. */
     void removeEjected(int routers, RandomGenerator random, double nowMs) {
-        int removable = size - (int) Math.ceil(MIN_FRACTION_IN_USE * size);
+        int removable = size - (int) Math.ceil(MIN_ELIGIBLE_FRACTION * size);
         for (int each = size - 1; each >= 0 && removable > 0; each--) {
             ReplicaMeasurements candidate = measurements[each];
             if (candidate.isEjectionOver(nowMs) && random.nextDouble() * routers >= PROBING_ROUTERS) {
--- a/router-fleet/selection/src/main/java/pinewick/selection/DecayingHistogram.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/DecayingHistogram.java
@@ -1,8 +1,8 @@
 package pinewick.selection;
 
 /**
- * A histogram of a few geometric bins, each wider than the one below by the same factor, whose counts are halved once
- * their total reaches a limit.
+ * A histogram with geometric bins, each wider than the one below by the same factor. All counts are halved when their
+ * total reaches a limit, so that recent values weigh more.
  */
 public final class DecayingHistogram {
     private final double[] edges;
@@ -10,14 +10,19 @@
     private final double halvingCount;
     private double total;
     private final double[] cachedFractions = new double[4];
-    private final double[] cachedTimes = new double[4];
+    private final double[] cachedValues = new double[4];
     private int cachedQuantiles;
 
-    /** {@code highestEdge} is the upper edge of the last bin. */
-    public DecayingHistogram(double highestEdge, double factor, int bins, double full) {
+    /**
+     * @param highestEdge upper edge of the last bin
+     * @param factor ratio of the upper edges of neighbouring bins
+     * @param bins number of bins
+     * @param halvingCount total at which all counts are halved
+     */
+    public DecayingHistogram(double highestEdge, double factor, int bins, double halvingCount) {
         edges = new double[bins];
         counts = new double[bins];
-        this.halvingCount = full;
+        this.halvingCount = halvingCount;
         double edge = highestEdge;
         for (int bin = bins - 1; bin >= 0; bin--) {
             edges[bin] = edge;
@@ -25,10 +30,11 @@
         }
     }
 
-    public void add(double time) {
+    /** Adds a value; one above the highest edge counts in the last bin. */
+    public void add(double value) {
         cachedQuantiles = 0;
         int bin = 0;
-        while (bin < edges.length - 1 && time > edges[bin]) {
+        while (bin < edges.length - 1 && value > edges[bin]) {
             bin++;
         }
         counts[bin]++;
@@ -42,6 +48,7 @@
         }
     }
 
+    /** The sum of the counts, after halving. */
     public double total() {
         return total;
     }
@@ -50,20 +57,20 @@
     public double quantile(double fraction) {
         for (int index = 0; index < cachedQuantiles; index++) {
             if (cachedFractions[index] == fraction) {
-                return cachedTimes[index];
+                return cachedValues[index];
             }
         }
-        double time = computeQuantile(fraction);
+        double value = computeQuantile(fraction);
         if (cachedQuantiles < cachedFractions.length) {
             cachedFractions[cachedQuantiles] = fraction;
-            cachedTimes[cachedQuantiles++] = time;
+            cachedValues[cachedQuantiles++] = value;
         }
-        return time;
+        return value;
     }
 
     /**
-     * The mean of the values, each taken as the middle of its bin; a value beyond the last edge counts as in the last
-     * bin.
+     * The mean of the values, each taken as the middle of its bin; 0 without any. A value above the highest edge counts
+     * in the last bin.
      */
     public double mean() {
         double sum = 0;
--- a/router-fleet/selection/src/main/java/pinewick/selection/LoadReport.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/LoadReport.java
@@ -3,16 +3,16 @@
 import pinewick.model.Stage;
 
 /**
- * A replica's {@code GET /report}, with the time at which it was asked for.
+ * A replica's response to {@code GET /report}, with the time at which it was received.
  *
- * @param stage the stage that it serves
+ * @param stage the stage that the replica serves
  * @param busy whether a stage change is in progress
- * @param callSequence stage orders accepted
+ * @param callSequence number of stage orders that it has accepted
  * @param waiting requests in its queue
  * @param running requests in progress
- * @param kvUsed tokens of KV cache that cannot be evicted
- * @param kvTotal tokens of KV cache
- * @param prefillHandles prefilled prompts that were not transferred yet
+ * @param kvUsed tokens of the KV cache that cannot be evicted
+ * @param kvTotal size of the KV cache, tokens
+ * @param prefillHandles prefilled prompts whose KV cache was not transferred yet
  * @param atMs when it was received
  */
 public record LoadReport(
--- a/router-fleet/selection/src/main/java/pinewick/selection/LowestScore.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/LowestScore.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** Keeps the lowest score that was offered; equal ones win at random. */
+/** Tracks the candidate with the lowest score; ties are broken uniformly at random. */
 final class LowestScore {
     static final int NONE = -1;
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /** The candidate, {@link #NONE} if there was none. */
+    /** Index of the candidate with the lowest score; {@link #NONE} if none was offered. */
     int index() {
         return index;
     }
--- a/router-fleet/selection/src/main/java/pinewick/selection/PersistenceByAge.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/PersistenceByAge.java
@@ -1,8 +1,9 @@
 package pinewick.selection;
 
 /**
- * How much of an earlier measurement is observed again, by its age: geometric bins of ages, each four times as long as
- * the one before, with the sums of the expected and of the observed amounts, halved from time to time.
+ * The fraction of an earlier measurement that is observed again, by the age of the measurement. Ages fall into
+ * geometric bins, each ending at four times the age of the one before. Each bin has the sums of the expected and of the
+ * observed amounts, which are halved whenever the expected sum exceeds sixteen times the weight of the prior.
  */
 public final class PersistenceByAge {
     private static final int BINS = 5;
@@ -12,8 +13,8 @@
     private final double[] observed = new double[BINS];
 
     /**
-     * @param firstBinEnd the first bin's end, seconds
-     * @param priorAmount the weight of the prior, which is that everything is observed again
+     * @param firstBinEnd upper end of the first bin, seconds
+     * @param priorAmount weight of the prior, by which everything is observed again
      */
     public PersistenceByAge(double firstBinEnd, double priorAmount) {
         this.firstBinEnd = firstBinEnd;
@@ -30,6 +31,7 @@
         return bin;
     }
 
+    /** Records that of {@code expectedAmount}, measured this long ago, {@code observedAmount} was observed again. */
     public void record(double age, double expectedAmount, double observedAmount) {
         int bin = bin(age);
         expected[bin] += expectedAmount;
@@ -40,7 +42,7 @@
         }
     }
 
-    /** The fraction observed again at this age, 0 to 1. */
+    /** The fraction of a measurement that is observed again at this age, 0 to 1. */
     public double fractionAt(double age) {
         int bin = bin(age);
         return Math.min(1, observed[bin] / expected[bin]);
--- a/router-fleet/selection/src/main/java/pinewick/selection/PrefixCacheEstimate.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/PrefixCacheEstimate.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 
 /**
- * Estimates the prefix cache of one replica: prompt parts in the order of their last use (LRU), within the replica's KV
- * cache. The entries are in arrays, so that a lookup allocates nothing.
+ * Estimates the content of one replica's prefix cache: prompt parts in the order of their last use, evicted least
+ * recently used first once they exceed the usable part of the KV cache. The entries are a linked list and a hash table
+ * over parallel arrays, so that a lookup allocates nothing.
  */
 final class PrefixCacheEstimate {
     private static final int NONE = -1;
@@ -31,7 +32,7 @@
     private int[] buckets = new int[2 * INITIAL_ENTRIES];
     private int newest = NONE;
     private int oldest = NONE;
-    private int free = NONE;
+    private int firstFree = NONE;
     private int allocatedEntries;
 
     PrefixCacheEstimate(int maxEntries) {
@@ -39,7 +40,7 @@
         Arrays.fill(buckets, NONE);
     }
 
-    /** Sets the size of the replica's KV cache, tokens. */
+    /** Sets the size of the replica's KV cache, tokens; 0 means that nothing is cached. */
     void setCapacity(long capacity) {
         if (capacity != capacityTokens) {
             capacityTokens = capacity;
@@ -55,7 +56,7 @@
         return usedTokens;
     }
 
-    /** How many leading parts of the chain are estimated to be cached. */
+    /** Number of leading parts of the chain that are estimated to be cached. */
     int cachedParts(PromptChain chain) {
         int part = 0;
         while (part < chain.length() && find(chain.hash(part)) != NONE) {
@@ -73,7 +74,7 @@
         return sum;
     }
 
-    /** The earliest last use among the first parts of the chain, infinite for none. */
+    /** The earliest last use among the first {@code parts} parts of the chain, milliseconds; infinite without any. */
     double leastRecentUse(PromptChain chain, int parts) {
         double earliestMs = Double.POSITIVE_INFINITY;
         for (int part = 0; part < parts; part++) {
@@ -83,13 +84,13 @@
         return earliestMs;
     }
 
-    /** When the prefix that ends with this part was last used; negative infinity if it is not cached. */
+    /** When the prefix with this hash was last used, milliseconds; negative infinity if it is not cached. */
     double lastUseMs(long hash) {
         int entry = find(hash);
         return entry == NONE ? Double.NEGATIVE_INFINITY : usedAt[entry];
     }
 
-    /** The replica has the complete chain now. Later parts count as older, since they are evicted first. */
+    /** Records that the replica has cached the whole chain. Later parts count as older: they are evicted first. */
     void recordUse(PromptChain chain, double nowMs) {
         boolean isAdvertised = chain.isAdvertised();
         for (int part = chain.length() - 1; part >= 0; part--) {
@@ -99,9 +100,9 @@
     }
 
     /**
-     * Records that one part was used at this time, which may lie in the past.
+     * Records that one part was used at {@code atMs}, which may be in the past. Ignored if a later use is known.
      *
-     * @param isAdvertised whether it is advertised to other routers
+     * @param isAdvertised whether the part is advertised to other routers
      */
     void recordUse(long hash, int partTokens, boolean isAdvertised, double atMs) {
         int entry = find(hash);
@@ -118,7 +119,7 @@
         link(entry);
     }
 
-    /** Visits the cached parts, the most recent first, until the visitor returns false. */
+    /** Visits the cached parts, most recently used first, until the visitor returns false. */
     void visitNewest(Visitor visitor) {
         int entry = newest;
         while (entry != NONE && visitor.visit(hashes[entry], tokens[entry], advertised[entry], usedAt[entry])) {
@@ -131,7 +132,7 @@
         boolean visit(long hash, int partTokens, boolean isAdvertised, double usedAtMs);
     }
 
-    /** Evicts the least recently used parts until the rest fits the capacity. */
+    /** Evicts the least recently used parts until the rest fits into the capacity and the maximum number of entries. */
     void evict() {
         long capacity = (long) (capacityTokens * usableFraction);
         while (size > 0 && (usedTokens > capacity || size > maxEntries)) {
@@ -140,8 +141,8 @@
     }
 
     /**
-     * A part last used at this time was not in the cache: those used before it are gone as well, and less of the KV
-     * cache is usable than assumed.
+     * A part last used at {@code lastUsedMs} turned out not to be cached. Removes it and every part used earlier, which
+     * the replica must have evicted too, and lowers the fraction of the KV cache that is assumed to be usable.
      */
     void onMiss(double lastUsedMs) {
         while (size > 0 && usedAt[oldest] <= lastUsedMs) {
@@ -150,7 +151,7 @@
         usableFraction = Math.max(MIN_USABLE_FRACTION, usableFraction * USABLE_FRACTION_DECREASE);
     }
 
-    /** A part was in the cache as estimated. */
+    /** A part was cached as estimated: raises the fraction of the KV cache that is assumed to be usable. */
     void onHit() {
         usableFraction = Math.min(1, usableFraction * USABLE_FRACTION_INCREASE);
     }
@@ -174,9 +175,9 @@
     }
 
     private int add(long hash, int partTokens) {
-        int entry = free;
+        int entry = firstFree;
         if (entry != NONE) {
-            free = nextInBucket[entry];
+            firstFree = nextInBucket[entry];
         } else {
             if (allocatedEntries == hashes.length) {
                 grow();
@@ -206,13 +207,13 @@
             }
             nextInBucket[before] = nextInBucket[entry];
         }
-        nextInBucket[entry] = free;
-        free = entry;
+        nextInBucket[entry] = firstFree;
+        firstFree = entry;
         usedTokens -= tokens[entry];
         size--;
     }
 
-    /** Inserts an entry into the list by the time of its last use. */
+    /** Inserts an entry into the LRU list at the position given by its last use. */
     private void link(int entry) {
         int above = NONE;
         int below = newest;
--- a/router-fleet/selection/src/main/java/pinewick/selection/PrefixCacheEstimates.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/PrefixCacheEstimates.java
@@ -8,19 +8,19 @@
 import java.util.Map;
 
 /**
- * Estimates the prefix caches of all replicas, from this router's own calls and from the hints of other routers. Memory
- * is bounded by a number of entries for each replica.
+ * Estimates the prefix caches of all replicas, from this router's own calls and from the hints of other routers. The
+ * number of entries for each replica is limited, to bound the memory used.
  */
 public final class PrefixCacheEstimates {
-    /** Entries kept for each replica. */
+    /** Maximum number of entries for each replica. */
     public static final int MAX_ENTRIES_PER_REPLICA = 4_000;
-    /** Hints that wait to be sent; beyond this the oldest are dropped. */
+    /** Maximum number of hints waiting to be sent; beyond it the oldest are dropped. */
     private static final int MAX_PENDING_HINTS = 1_024;
-    /** Older hints are not sent. */
+    /** Hints older than this are not sent. */
     private static final double MAX_HINT_AGE_MS = 5_000;
     /**
-     * A use that is later than the one known by less than this is not forwarded: it hardly changes the order of
-     * eviction, and a hint that comes over two ways has slightly different ages.
+     * A use is forwarded only if it is later than the known one by at least this much. A smaller difference hardly
+     * changes the order of eviction, and the same hint received over two paths has slightly different ages.
      */
     private static final double MIN_HINT_ADVANCE_MS = 500;
 
@@ -40,18 +40,18 @@
         this.maxEntries = maxEntries;
     }
 
-    /** Sets the size of a replica's KV cache, tokens. Without it the estimate of the replica stays empty. */
+    /** Sets the size of a replica's KV cache, tokens. Until it is set, the estimate of the replica stays empty. */
     public void setCapacity(String instanceId, long kvCacheTokens) {
         estimate(instanceId).setCapacity(kvCacheTokens);
     }
 
-    /** Tokens of the leading parts that the replica is estimated to have cached. */
+    /** Tokens of the leading parts that the replica is estimated to have cached; 0 for an unknown replica. */
     public int cachedTokens(String instanceId, List<PromptPart> parts) {
         PrefixCacheEstimate estimate = byInstance.get(instanceId);
         return estimate == null ? 0 : estimate.cachedTokens(new PromptChain(parts, 0));
     }
 
-    /** The replica has prefilled this prompt or received its KV cache. */
+    /** Records that the replica has prefilled this prompt or received its KV cache. */
     public void recordUse(String instanceId, List<PromptPart> parts, double nowMs) {
         recordUse(instanceId, new PromptChain(parts, 0), nowMs);
     }
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Removes and returns the hints recorded since the last call, the newest first, at most {@code maxHints}. Those
-     * beyond wait for the next call; those that are too old are dropped.
+     * Removes and returns the pending hints, newest first, at most {@code maxHints}. The remaining ones wait for the
+     * next call; those that are too old are dropped.
      */
     public List<PrefixHint> takeHints(int maxHints, double nowMs) {
         List<Map.Entry<HintKey, HintBody>> pending = new ArrayList<>(pendingHints.entrySet());
@@ -100,8 +100,8 @@
     }
 
     /**
-     * The estimates of all replicas as hints, for a router that has just started: of each replica the most recently
-     * used parts, the newest first, at most {@code maxHints} in all.
+     * The estimates of all replicas as hints, for a router that has just started: the most recently used parts of each
+     * replica, newest first, at most {@code maxHints} in total.
      */
     public List<PrefixHint> snapshot(int maxHints, double nowMs) {
         List<PrefixHint> hints = new ArrayList<>();
@@ -123,7 +123,7 @@
         return hints;
     }
 
-    /** Applies a hint of another router. Ignored for replicas that are not known. */
+    /** Applies a hint from another router. Ignored if the replica is unknown. */
     public void applyHint(PrefixHint hint, double nowMs) {
         PrefixCacheEstimate estimate = byInstance.get(hint.instanceId());
         if (estimate == null) {
@@ -139,9 +139,9 @@
     }
 
     /**
-     * Applies a hint that reaches this router over others and, if it tells something new, enqueues it for the next
-     * message, so that it spreads beyond the routers that its origin knows. A hint that is known here already was
-     * forwarded when it came first.
+     * Applies a hint that other routers may have forwarded. If it is new, it is also enqueued for the next message, so
+     * that it reaches routers that its origin does not know. A hint that is already known was forwarded when it was
+     * first received.
      */
     public void applyForwardedHint(PrefixHint hint, double nowMs) {
         PrefixCacheEstimate estimate = byInstance.get(hint.instanceId());
@@ -153,7 +153,7 @@
         enqueueHint(hint.instanceId(), hint.chainHash(), hint.tokens(), hint.unsharedTokens(), usedAtMs);
     }
 
-    /** The instance was removed. */
+    /** Removes an instance, with its estimate and its pending hints. */
     public void remove(String instanceId) {
         byInstance.remove(instanceId);
         pendingHints.keySet().removeIf(key -> key.instanceId.equals(instanceId));
--- a/router-fleet/selection/src/main/java/pinewick/selection/PrefixHint.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/PrefixHint.java
@@ -3,13 +3,14 @@
 import pinewick.model.WireName;
 
 /**
- * What one router has learnt of a replica's prefix cache, sent to the other routers.
+ * Tells other routers that a replica has a part of a prompt in its prefix cache.
  *
  * @param instanceId the replica
- * @param chainHash names the prefix that ends with this part
+ * @param chainHash hash of the prefix that ends with this part
  * @param tokens length of this part alone
- * @param ageMs how long ago it was used, when the message was made
- * @param unsharedTokens length of the unshared parts that the replica has cached besides, which evict others
+ * @param ageMs age of the last use when the message was created, milliseconds
+ * @param unsharedTokens length of the unshared parts that the replica has cached as well; they take up capacity and so
+ *     evict other parts
  */
 public record PrefixHint(
         String instanceId, long chainHash, int tokens, int ageMs, @WireName("ballastTokens") int unsharedTokens) {}
--- a/router-fleet/selection/src/main/java/pinewick/selection/PromptChain.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/PromptChain.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * The parts of one prompt as a chain: each part is named by a hash over its own id and those of every part before it,
+ * The parts of one prompt as a hash chain: the hash of each part covers its own id and the ids of all parts before it,
  * so that equal hashes mean equal prefixes.
  */
 final class PromptChain {
     private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
-    /** The prefill of fewer shared tokens than this costs less than a hint about them. */
+    /** With fewer shared tokens than this, repeating their prefill costs less than sending a hint about them. */
     private static final int MIN_ADVERTISED_TOKENS = 512;
 
     static final PromptChain EMPTY = new PromptChain(List.of(), 0);
@@ -42,17 +42,17 @@
         return hashes.length;
     }
 
-    /** Names the prefix that ends with this part. */
+    /** Hash of the prefix that ends with this part. */
     long hash(int part) {
         return hashes[part];
     }
 
-    /** Length of one part. */
+    /** Length of one part, tokens. */
     int tokens(int part) {
         return tokens[part];
     }
 
-    /** Length of the whole prompt. */
+    /** Length of the whole prompt, tokens. */
     int promptTokens() {
         return promptTokens;
     }
@@ -66,7 +66,7 @@
         return shared;
     }
 
-    /** Whether other routers are sent hints about where the shared parts are cached. */
+    /** Whether hints about the replicas that have the shared parts cached are sent to other routers. */
     boolean isAdvertised() {
         return sharedTokens() >= MIN_ADVERTISED_TOKENS;
     }
--- a/router-fleet/selection/src/main/java/pinewick/selection/PromptPart.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/PromptPart.java
@@ -1,9 +1,9 @@
 package pinewick.selection;
 
 /**
- * One part of a prompt, as {@code X-Pinewick-Prompt-Prefix} names it.
+ * One part of a prompt, as listed in the {@code X-Pinewick-Prompt-Prefix} header.
  *
- * @param id shared by requests that have the part in common
- * @param tokens its length
+ * @param id the same in all requests that share the part
+ * @param tokens its length in tokens
  */
 public record PromptPart(long id, int tokens) {}
--- a/router-fleet/selection/src/main/java/pinewick/selection/ReplicaMeasurements.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/ReplicaMeasurements.java
@@ -3,11 +3,11 @@
 import pinewick.model.EngineSpec;
 import pinewick.model.ReplicaRecord;
 
-/** What one router has measured of one replica, and the terms of its score that follow. */
+/** This router's measurements of one replica, and the terms of the score that it computes from them. */
 final class ReplicaMeasurements {
-    /** Length of one of the two windows of the minimum times. */
+    /** Length of each of the two windows over which minimum times are taken. */
     private static final double MINIMUM_WINDOW_MS = 5_000;
-    /** The speed of a replica relative to its pool is limited to these factors. */
+    /** The service time of a replica relative to its pool's model is limited to these factors. */
     private static final double MIN_SPEED_FACTOR = 0.5;
 
     private static final double MAX_SPEED_FACTOR = 2;
@@ -15,7 +15,7 @@
     private static final double MAX_STREAM_GAP_MS = 300;
 
     private static final double INITIAL_EJECTION_MS = 200;
-    /** How long a report is used for the number of calls in progress. */
+    /** Age up to which a load report is used to estimate the number of calls in progress. */
     private static final double REPORT_VALIDITY_MS = 2_500;
 
     private static final double MS_PER_SECOND = 1_000;
@@ -90,8 +90,8 @@
     }
 
     /**
-     * R - s: the smoothed latency beyond s, decaying to the pool's average without samples, or the time by which a
-     * response is overdue.
+     * R - s, milliseconds: the smoothed latency beyond s, which decays to the pool's average without new samples; at
+     * least the time by which a response is overdue.
      */
     double queueingDelayMs(double nowMs) {
         double own = pool.averageQueueingDelayMs(nowMs);
@@ -101,12 +101,12 @@
         return Math.max(own, overdueMs(nowMs));
     }
 
-    /** By how much a recent token took longer than the minimum. */
+    /** By how much recent tokens took longer than the minimum time per token, milliseconds; decays over time. */
     double perTokenDelayMs(double nowMs) {
         return perTokenDelayMs * decayFactor(nowMs - perTokenDelayAtMs);
     }
 
-    /** By how much recent KV transfers of this replica were late. */
+    /** By how much recent KV transfers from or to this replica were late, milliseconds; decays over time. */
     double transferDelayMs(double nowMs) {
         return transferDelayMs * decayFactor(nowMs - transferDelayAtMs);
     }
@@ -116,7 +116,8 @@
     }
 
     /**
-     * How long a response has been overdue: a hung replica sends nothing, so that the missing response has to count.
+     * How long a response has been overdue, milliseconds; 0 if none is. A hung replica sends no response that could be
+     * measured, so the missing one has to count.
      */
     double overdueMs(double nowMs) {
         double overdue = 0;
@@ -129,20 +130,21 @@
         return Math.max(0, overdue);
     }
 
-    /** The weight of the last report: from 1, halved in about the time in which a queue drains; 0 without a report. */
+    /** The weight of the last report: 1 at first, halving in about the time a queue takes to drain; 0 if none. */
     double reportWeight(double nowMs) {
         if (report == null) {
             return 0;
         }
-        double age = Math.max(0, nowMs - report.atMs());
-        return Math.pow(0.5, age / (tuning.reportHalfLife() * pool.meanLatencyMs()));
+        double ageMs = Math.max(0, nowMs - report.atMs());
+        return Math.pow(0.5, ageMs / (tuning.reportHalfLife() * pool.meanLatencyMs()));
     }
 
+    /** The last load report, null if there is none. */
     LoadReport report() {
         return report;
     }
 
-    /** Calls in progress at the replica by its last report and by what this router has started and seen end since. */
+    /** Calls in progress at the replica, by its last report and by those this router has started or ended since. */
     double inProgress() {
         if (report == null) {
             return outstanding;
@@ -155,8 +157,8 @@
     }
 
     /**
-     * Calls that are likely in progress at the replica: by a recent report, else as many for each router as for this
-     * one.
+     * The likely number of calls in progress at the replica: by its report if that is recent, otherwise by assuming
+     * that every router has as many calls outstanding there as this one.
      */
     double likelyInProgress(int routers, double nowMs) {
         boolean isReportRecent = report != null && nowMs - report.atMs() < REPORT_VALIDITY_MS;
@@ -164,8 +166,9 @@
     }
 
     /**
-     * The queue: by the report, minus the calls of this router that ended since, or plus those it started beyond the
-     * slots; otherwise the calls that this router has in flight there. A report counts less as it ages.
+     * The length of the replica's queue: by its report, minus the calls of this router that have ended since, or plus
+     * those that it has started beyond the slots. As the report ages, this router's outstanding calls gradually replace
+     * it; without a report they are the estimate.
      */
     double queueLength(double nowMs) {
         double weight = reportWeight(nowMs);
@@ -177,14 +180,14 @@
         return weight * reported + (1 - weight) * outstanding;
     }
 
-    /** Whether all its slots are in use, as far as known. */
+    /** Whether all slots of the replica are in use, as far as is known. */
     boolean isFull() {
         return inProgress() >= slots;
     }
 
     /**
-     * The fraction of its KV cache in use; 0 without a report. The fraction of its slots would not help, as all are in
-     * use wherever there is a queue.
+     * The fraction of the replica's KV cache in use, weighted by the age of the report; 0 without a report. The
+     * fraction of slots in use would not help, since all are in use wherever there is a queue.
      */
     double busyShare(double nowMs) {
         double weight = reportWeight(nowMs);
@@ -195,8 +198,8 @@
     }
 
     /**
-     * R - s + q̂³·s, for an s and an R - s of the request. A replica works on {@code slots} requests at a time, so both
-     * terms of the queue count in batches of as many.
+     * R - s + q̂³·s, milliseconds, for the request's s and R - s. A replica processes {@code slots} requests at a time,
+     * so the outstanding calls and the queue are counted in batches of that size.
      */
     double score(double serviceMs, double queueingMs, int routers, double nowMs) {
         double ahead =
@@ -219,23 +222,23 @@
             return own < Double.POSITIVE_INFINITY ? own : expectedMs;
         }
         double speed = minSpeedFactor.get() < Double.POSITIVE_INFINITY ? minSpeedFactor.get() : 1;
-        double step = minPerTokenTime.get() < Double.POSITIVE_INFINITY
+        double perTokenMs = minPerTokenTime.get() < Double.POSITIVE_INFINITY
                 ? minPerTokenTime.get()
                 : pool.averagePerTokenMs(nowMs);
-        return expectedMs * Math.max(MIN_SPEED_FACTOR, Math.min(MAX_SPEED_FACTOR, speed)) + step * outputTokens;
+        return expectedMs * Math.max(MIN_SPEED_FACTOR, Math.min(MAX_SPEED_FACTOR, speed)) + perTokenMs * outputTokens;
     }
 
-    /** Whether the replica is ejected; after its ejection it takes one request at a time. */
+    /** Whether the replica is ejected. When the ejection is over it takes one request at a time, until one succeeds. */
     boolean isEjected(double nowMs) {
         return consecutiveFailures >= FAILURES_TO_EJECT && (nowMs < ejectedUntilMs || outstanding > 0);
     }
 
-    /** Whether its ejection is over and it has not been tried since. */
+    /** Whether the replica's ejection is over and no request probes it yet. */
     boolean isEjectionOver(double nowMs) {
         return consecutiveFailures >= FAILURES_TO_EJECT && nowMs >= ejectedUntilMs && outstanding == 0;
     }
 
-    /** Whether it is changing its stage, by a report that is not older than such a change lasts. */
+    /** Whether the replica is changing its stage, by a report that is more recent than a change takes. */
     boolean isChangingStage(double nowMs) {
         EngineSpec engine = pool.engine();
         return report != null
@@ -244,6 +247,7 @@
                 && nowMs - report.atMs() < engine.switchTimeSeconds() * MS_PER_SECOND;
     }
 
+    /** Applies a load report, unless a later one is known. */
     void onLoadReport(LoadReport newReport) {
         if (report == null || newReport.atMs() >= report.atMs()) {
             report = newReport;
@@ -263,7 +267,7 @@
         }
     }
 
-    /** Removes the call from the list of those that wait for their first event. */
+    /** Removes the call from the list of calls that wait for their first event. */
     private void removeFromWaiting(CallMeasurement call) {
         if (oldestWaiting == call) {
             oldestWaiting = call.newer();
@@ -281,7 +285,7 @@
         lastEventAtMs = nowMs;
     }
 
-    /** Another event arrived. */
+    /** Another event of a stream arrived. */
     void onEvent(double nowMs) {
         lastEventAtMs = nowMs;
     }
@@ -300,23 +304,23 @@
         }
     }
 
-    /** Records by how much a response took longer than s, to its first event or to its end. */
-    void recordQueueingDelay(double beyondMs, double nowMs) {
-        double beyond = Math.max(0, beyondMs);
-        queueingDelayMs = hasSample ? queueingDelayMs + tuning.smoothing() * (beyond - queueingDelayMs) : beyond;
+    /** Records by how much a response took longer than s, to its first event or to its end; negative counts as 0. */
+    void recordQueueingDelay(double excessMs, double nowMs) {
+        double delayMs = Math.max(0, excessMs);
+        queueingDelayMs = hasSample ? queueingDelayMs + tuning.smoothing() * (delayMs - queueingDelayMs) : delayMs;
         hasSample = true;
         queueingDelayAtMs = nowMs;
     }
 
-    /** Records by how much a response with a KV transfer took longer than s, without this replica's queueing delay. */
-    void recordTransferDelay(double beyondMs, double nowMs) {
-        double beyond = Math.max(0, beyondMs - queueingDelayMs(nowMs));
+    /** Records by how much a response with a KV transfer took longer than s and this replica's queueing delay. */
+    void recordTransferDelay(double excessMs, double nowMs) {
+        double delayMs = Math.max(0, excessMs - queueingDelayMs(nowMs));
         double before = transferDelayMs(nowMs);
-        transferDelayMs = before + tuning.smoothing() * (beyond - before);
+        transferDelayMs = before + tuning.smoothing() * (delayMs - before);
         transferDelayAtMs = nowMs;
     }
 
-    /** A response arrived: ends a series of failures. */
+    /** A response arrived, which ends a series of failures. */
     void onSuccess(double nowMs) {
         consecutiveFailures = 0;
         lastEventAtMs = nowMs;
@@ -328,20 +332,26 @@
         pool.recordLatency(latencyMs);
     }
 
-    /** Records the latency of a response as a multiple of the pool's model. */
+    /** Records the latency of a response as a multiple of what the pool's model predicts. */
     void recordSpeedFactor(double factor, double nowMs) {
         minSpeedFactor.add(nowMs, factor, MINIMUM_WINDOW_MS);
     }
 
-    /** Records the time per token of a stream. */
+    /** Records the mean time per token of a stream, milliseconds. */
     void recordPerTokenTime(double perTokenMs, double nowMs) {
         minPerTokenTime.add(nowMs, perTokenMs, MINIMUM_WINDOW_MS);
-        double beyond = Math.max(0, perTokenMs - minPerTokenTime.get());
-        perTokenDelayMs += tuning.smoothing() * (beyond - perTokenDelayMs);
+        double delayMs = Math.max(0, perTokenMs - minPerTokenTime.get());
+        perTokenDelayMs += tuning.smoothing() * (delayMs - perTokenDelayMs);
         perTokenDelayAtMs = nowMs;
     }
 
-    /** A call failed: after consecutive failures the replica is ejected, for longer each time. */
+    /**
+     * A call failed. After {@link #FAILURES_TO_EJECT} consecutive failures the replica is ejected, with exponential
+     * backoff.
+     *
+     * @param isConclusive whether this failure alone ejects the replica
+     * @param jitter from 0 to 1, so that routers do not end their ejections at the same time
+     */
     void onFailure(double nowMs, boolean isConclusive, double jitter) {
         consecutiveFailures =
                 isConclusive ? Math.max(consecutiveFailures + 1, FAILURES_TO_EJECT) : consecutiveFailures + 1;
@@ -351,7 +361,7 @@
         }
     }
 
-    /** Extends the ejection without a trial request, so that not all routers try the replica at once. */
+    /** Extends the ejection without a probe request, so that not all routers probe the replica at the same time. */
     void extendEjection(double nowMs, double jitter) {
         ejectedUntilMs = nowMs + INITIAL_EJECTION_MS * (0.5 + jitter);
     }
--- a/router-fleet/selection/src/main/java/pinewick/selection/ReplicaPool.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/ReplicaPool.java
@@ -13,12 +13,12 @@
     private static final double FIXED_FRACTION = 0.25;
 
     /**
-     * Least prefill time of a token before any sample: a tenth of the target alone would mean that long prompts take no
-     * time, and would send them to decode replicas.
+     * Lower bound of the prefill time of a token before any sample. With a tenth of the target latency alone, a token
+     * of a long prompt would seem to take almost no time, and long prompts would go to decode replicas.
      */
     private static final double INITIAL_PER_TOKEN_MS = 0.01;
 
-    /** Initial fraction of the output limit that a request is expected to generate. */
+    /** The fraction of its output limit that a request is expected to generate, before any sample. */
     private static final double INITIAL_OUTPUT_FRACTION = 0.5;
 
     private static final double LATENCY_SMOOTHING = 0.05;
@@ -31,7 +31,7 @@
     private final SharedServiceTime[] sharedServiceTimes = new SharedServiceTime[CallKind.values().length];
     private EngineSpec engine;
     private ServiceTimeModel otherStagePrefillModel;
-    /** Each call counts with the inverse of its route's target latency. */
+    /** Rate of this router's calls, each weighted by the inverse of its route's target latency. */
     private final SmoothedRate callsPerTargetMs = new SmoothedRate();
 
     private double meanLatencyMs;
@@ -71,9 +71,16 @@
     }
 
     /**
-     * The expected time of a call of this kind for a number of tokens prefilled or transferred. Without samples of its
-     * own it is what another router has learnt; without that the time of a token is that of the other kind of call that
-     * prefills, and without those it follows from the initial estimate of the request.
+     * The expected time of a call of this kind for a number of tokens prefilled or transferred, milliseconds. The
+     * sources, in order of preference:
+     *
+     * <ol>
+     *   <li>this router's own samples
+     *   <li>the service time received from another router
+     *   <li>for the time of a token: the model of the calls that prefill at the other stage or, for transfers, the
+     *       engine's link bandwidth
+     *   <li>the initial estimate of the request
+     * </ol>
      */
     double expectedMs(CallKind kind, RequestShape request, double tokens, double initialEstimateMs) {
         ServiceTimeModel own = models[kind.ordinal()];
@@ -87,7 +94,7 @@
         return fixed + perTokenMs(kind, request, initialEstimateMs) * tokens;
     }
 
-    /** Time of one token prefilled or transferred; see {@link #expectedMs}. */
+    /** Time of one token prefilled or transferred, milliseconds; from the same sources as {@link #expectedMs}. */
     double perTokenMs(CallKind kind, RequestShape request, double initialEstimateMs) {
         ServiceTimeModel own = models[kind.ordinal()];
         if (own.isPerTokenKnown()) {
@@ -108,12 +115,16 @@
         return kind == CallKind.AGGREGATED_DECODE ? factor * estimate : estimate;
     }
 
-    /** What another router has learnt of this kind of call, null if none has told. */
+    /** The service time of this kind of call that another router has sent, null if none has. */
     SharedServiceTime sharedServiceTime(CallKind kind) {
         return sharedServiceTimes[kind.ordinal()];
     }
 
-    /** Takes over what another router has learnt; returns whether it is the first of its kind here. */
+    /**
+     * Stores a service time received from another router, unless the one held has more samples.
+     *
+     * @return whether it is the first of its kind of call
+     */
     boolean offerSharedServiceTime(SharedServiceTime serviceTime) {
         SharedServiceTime known = sharedServiceTime(serviceTime.kind());
         if (known == null || serviceTime.samples() >= known.samples()) {
@@ -122,7 +133,7 @@
         return known == null;
     }
 
-    /** Sets the model of the calls that prefill at the other stage. */
+    /** Sets the model of the calls that prefill at the other stage of the service. */
     void setOtherStagePrefillModel(ServiceTimeModel other) {
         otherStagePrefillModel = other;
     }
@@ -137,10 +148,9 @@
     }
 
     /**
-     * The total delay of other calls while a replica is occupied for this long: each call that arrives meanwhile waits
-     * half of it on average. A delay counts by its share of the target latency of the call that it delays, in
-     * milliseconds of a call with {@code targetLatencyMs}: 100 ms are more to a call that should be answered in 300 ms
-     * than to one that should be in 600.
+     * The total delay of other calls while a replica is occupied for {@code occupiedMs}: each call that arrives in that
+     * time waits half of it on average. A delay is weighted by {@code targetLatencyMs} over the target latency of the
+     * delayed call, since 100 ms matter more to a call with a target of 300 ms than to one with a target of 600 ms.
      */
     double interferenceMs(double occupiedMs, int targetLatencyMs, int routers, double nowMs) {
         double callsPerMs = callsPerTargetMs.perMs(nowMs) * targetLatencyMs * routers / Math.max(1, members.size());
@@ -152,7 +162,7 @@
         meanLatencyMs += meanLatencyMs == 0 ? latencyMs : LATENCY_SMOOTHING * (latencyMs - meanLatencyMs);
     }
 
-    /** Mean recent latency, queueing included: a reported queue has drained after about as long. */
+    /** Mean recent latency, queueing included; a reported queue takes about this long to drain. */
     double meanLatencyMs() {
         return Math.max(MIN_MEAN_LATENCY_MS, meanLatencyMs);
     }
@@ -182,7 +192,7 @@
         return averageMinLatencyMs;
     }
 
-    /** Mean of the minimum times per token of the replicas that have streamed; 0 without any. */
+    /** Mean of the minimum times per token of the replicas that have completed a stream; 0 without any. */
     double averagePerTokenMs(double nowMs) {
         updateAverages(nowMs);
         return averagePerTokenMs;
--- a/router-fleet/selection/src/main/java/pinewick/selection/ReplicaSelector.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/ReplicaSelector.java
@@ -13,9 +13,18 @@
 import pinewick.model.Stage;
 
 /**
- * Chooses the replicas of each request and learns from every call. Each part of a pair goes to the lowest score R - s +
- * q̂³·s with q̂ = 1 + os·n + q·(1 + busy share), n being the number of routers; the design note of the system describes
- * how each term is measured.
+ * Chooses the replicas that serve each request and updates their measurements from every call. Each member of a pair is
+ * the replica with the lowest score R - s + q̂³·s, where q̂ = 1 + os·n + q·(1 + busy share):
+ *
+ * <ul>
+ *   <li>R: the smoothed response time of the replica
+ *   <li>s: the service time, without queueing
+ *   <li>os: this router's outstanding calls to the replica
+ *   <li>n: the number of routers
+ *   <li>q: the length of the replica's queue
+ * </ul>
+ *
+ * <p>The design note of the system describes how each term is measured.
  */
 public final class ReplicaSelector {
     private final RandomGenerator random;
@@ -50,13 +59,13 @@
         locality = new Locality(zone, Map.copyOf(regionOfZone));
     }
 
-    /** The engine of a service; calls of services without one are plain. */
+    /** Sets the engine of a service. Calls to a service without an engine are {@link CallKind#PLAIN}. */
     public void setEngine(String service, EngineSpec engine) {
         engines.put(service, engine);
         pools.getOrDefault(service, Map.of()).values().forEach(pool -> pool.setEngine(engine));
     }
 
-    /** Adds a replica: from now on hints and reports about it are applied. */
+    /** Adds a replica, so that hints and load reports about it are applied from now on. */
     public void addReplica(ReplicaRecord replica) {
         measurements(replica);
     }
@@ -67,11 +76,11 @@
     }
 
     /**
-     * Chooses the pair for a request.
+     * Chooses the replicas for a request: a prefill and a decode replica, or one replica that does both.
      *
      * @param candidates replicas of the request's service that may be chosen
      * @param excluded instance ids already tried for this request
-     * @return empty if no candidate may take it
+     * @return empty if no candidate is eligible
      */
     public Optional<ReplicaPair> choose(
             RequestShape request, Collection<ReplicaRecord> candidates, Set<String> excluded, double nowMs) {
@@ -104,9 +113,9 @@
     }
 
     /**
-     * Chooses the decode replica after a prefill.
+     * Chooses the decode replica after a prefill at {@code prefillReplica}.
      *
-     * @return empty if no candidate may take it
+     * @return empty if no candidate is eligible
      */
     public Optional<ReplicaRecord> chooseDecode(
             RequestShape request,
@@ -121,7 +130,7 @@
                 : Optional.of(decodes.replica(disaggregated.index()));
     }
 
-    /** How busy the replicas are that may take a request. */
+    /** The load of the replicas that are eligible for a request. */
     ServiceLoad load(RequestShape request, Collection<ReplicaRecord> candidates, double nowMs) {
         collectCandidates(request, candidates, Set.of(), nowMs);
         double capacity = 0;
@@ -187,7 +196,7 @@
         return false;
     }
 
-    /** Tokens of the shared parts that some candidate is estimated to have cached. */
+    /** The most tokens of the shared parts that any one candidate is estimated to have cached. */
     private int maxCachedTokens(PromptChain prompt) {
         int tokens = 0;
         for (int each = 0; each < prefills.size(); each++) {
@@ -240,12 +249,15 @@
         return pool;
     }
 
-    /** Starts the measurement of a call. Each one is ended by {@link Call#onEnd}. */
+    /** Starts the measurement of a call, which the caller must end with {@link Call#onEnd}. */
     public Call startCall(ReplicaRecord replica, CallKind kind, RequestShape request, double nowMs) {
         return new Call(startMeasurement(replica, null, kind, request, 1, nowMs));
     }
 
-    /** A call begins that fetches the prompt from the replica that has read it. */
+    /**
+     * Starts the measurement of a call whose KV cache is transferred from the replica that did the prefill. The caller
+     * must end it with {@link Call#onEnd}.
+     */
     public Call startDisaggregatedDecode(
             ReplicaRecord replica, ReplicaRecord prefillReplica, RequestShape request, double nowMs) {
         double transferFactor = locality.transferFactor(prefillReplica.zone(), replica.zone());
@@ -275,7 +287,7 @@
                 nowMs);
     }
 
-    /** Applies a load report, polled by this router or received from another. */
+    /** Applies a load report, polled by this router or received from another. Ignored if the replica is unknown. */
     public void onLoadReport(String instanceId, LoadReport report) {
         ReplicaMeasurements measurements = replicas.get(instanceId);
         if (measurements != null) {
@@ -284,8 +296,8 @@
     }
 
     /**
-     * What this router has learnt of the service times, or was told and has not learnt itself. Calls without an engine
-     * are left out: their time does not depend on tokens.
+     * The service times that this router has fitted to its own samples or, where it has too few, has received from
+     * other routers. Plain calls are left out, since their time does not depend on tokens.
      */
     public List<SharedServiceTime> serviceTimes() {
         List<SharedServiceTime> serviceTimes = new ArrayList<>();
@@ -307,9 +319,10 @@
     }
 
     /**
-     * Another router has told what it has learnt. It is used until this router has learnt the same itself.
+     * Applies a service time received from another router. It is used until this router has enough samples of its own.
+     * Ignored if it is invalid or if no replica of its service and stage is known.
      *
-     * @return whether this router knew nothing of that kind of call before
+     * @return whether this router had no service time of that kind of call before
      */
     public boolean onSharedServiceTime(SharedServiceTime serviceTime) {
         ReplicaPool pool = pools.getOrDefault(serviceTime.service(), Map.of())
@@ -321,14 +334,14 @@
         return isFirst && !pool.model(serviceTime.kind()).isPerTokenKnown();
     }
 
-    /** How old the last load report of a replica is, milliseconds; infinite without one. */
+    /** Age of the last load report of a replica, milliseconds; infinite without one. */
     public double loadReportAgeMs(String instanceId, double nowMs) {
         ReplicaMeasurements measurements = replicas.get(instanceId);
         boolean isKnown = measurements != null && measurements.report() != null;
         return isKnown ? nowMs - measurements.report().atMs() : Double.POSITIVE_INFINITY;
     }
 
-    /** Drops the measurements of an instance that was removed. */
+    /** Removes an instance, with its measurements and the estimate of its prefix cache. */
     public void removeReplica(String instanceId) {
         ReplicaMeasurements measurements = replicas.remove(instanceId);
         if (measurements != null) {
@@ -345,17 +358,17 @@
             this.measurement = measurement;
         }
 
-        /** The expected time to the first event without queueing, as estimated at the start, milliseconds. */
+        /** The expected time to the first event without queueing, estimated when the call started, milliseconds. */
         public double expectedServiceMs() {
             return measurement.serviceMs();
         }
 
-        /** The head of a successful response arrived; for streams, the first event. */
+        /** The head of a successful response arrived; for a stream, its first event. Later invocations are ignored. */
         public void onFirstEvent(double nowMs) {
             measurement.onFirstEvent(nowMs);
         }
 
-        /** Another event arrived, of as many tokens as the engine's stride. */
+        /** Another event arrived, with as many tokens as the engine's stride. */
         public void onEvent(double nowMs) {
             measurement.onEvent(nowMs);
         }
@@ -366,8 +379,8 @@
         }
 
         /** The call ended; further invocations are ignored. */
-        public void onEnd(CallOutcome ending, double nowMs) {
-            measurement.onEnd(ending, nowMs);
+        public void onEnd(CallOutcome outcome, double nowMs) {
+            measurement.onEnd(outcome, nowMs);
         }
     }
 }
--- a/router-fleet/selection/src/main/java/pinewick/selection/RequestScores.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/RequestScores.java
@@ -4,9 +4,9 @@
 import pinewick.model.EngineSpec;
 import pinewick.model.ReplicaRecord;
 
-/** The scores of the candidates for one request: s of each kind of call, with the prices of the choice. */
+/** Computes the scores of the candidates for one request: s for each kind of call, and the prices of the choice. */
 final class RequestScores {
-    /** R and s start at this fraction of the route's target latency. */
+    /** Initial estimate of R and s, as a fraction of the route's target latency. */
     private static final double INITIAL_ESTIMATE_FRACTION = 0.1;
 
     private final SelectionTuning tuning;
@@ -125,8 +125,8 @@
     }
 
     /**
-     * The price of the prefill at this replica: the delay of other calls, and the tokens that another replica has
-     * cached.
+     * The price of the prefill at this replica, milliseconds of score: the delay of other calls, and the prefill of
+     * tokens that another replica has cached.
      */
     private double prefillPrice(ReplicaMeasurements measurements, CallKind kind, int maxCachedTokens) {
         int cached = measurements.cache().cachedTokens(prompt);
@@ -139,7 +139,7 @@
                         * PriceModel.repeatedPrefillPrice(Math.max(0, maxCachedTokens - cached));
     }
 
-    /** Price of the KV transfer. */
+    /** Price of the KV transfer, milliseconds of score. */
     double transferPrice(EngineSpec engine, ReplicaRecord prefillReplica, ReplicaRecord decode) {
         double bytes = (double) prompt.promptTokens() * engine.kvTokenBytes();
         return PriceModel.transferPrice(bytes, locality.transferFactor(prefillReplica.zone(), decode.zone()));
@@ -170,7 +170,7 @@
         return measurements.engineServiceMs(expected, output, nowMs);
     }
 
-    /** A transfer carries the complete prompt, whatever the decode replica has cached. */
+    /** s of a call with a KV transfer, which carries the whole prompt even if the decode replica has cached parts. */
     private double transferMs(ReplicaMeasurements measurements, ReplicaRecord replica, ReplicaRecord prefillReplica) {
         double transferredTokens =
                 prompt.promptTokens() * locality.transferFactor(prefillReplica.zone(), replica.zone());
--- a/router-fleet/selection/src/main/java/pinewick/selection/RetryBudget.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/RetryBudget.java
@@ -4,27 +4,30 @@
 import java.util.Map;
 
 /**
- * This router's part of the retry budget that all routers share: arrivals at a service beyond the first of each
- * request stay under ratio times its requests plus slack, over every window of {@code windowMs}.
+ * This router's share of the retry budget of all routers. The budget limits the extra attempts at a service, that is,
+ * all arrivals beyond the first of each request: over every window of {@code windowMs} they stay within ratio times the
+ * requests of the service plus slack.
  *
- * <p>Each router spends from its own requests and from an equal part of the slack, so the sum holds without a word
- * between routers.
+ * <p>Each router spends only what its own requests earn and an equal share of the slack, so that the total holds
+ * without communication between routers.
  *
  * <ul>
- *   <li>From requests: over each half window at most half the ratio times the requests in it. A window is two halves,
- *       and the requests of each lie in that window or in the one half a window before it, of which the rule takes the
- *       larger: twice the half of it, however the traffic changes.
- *   <li>From the slack: over each window an equal part by the most routers of the last window. A router that has just
- *   started has none for one window, since what its earlier incarnation, or a router that stopped, spent may still
- * count.
+ *   <li>Earned by requests: over each half window, at most half the ratio times the requests in that half window. A
+ *       window is covered by two half windows. The requests counted for each lie in that window or in the one that
+ *       starts half a window earlier, and the rule takes the larger count of these two windows. So each half spends at
+ *       most half the ratio times that count, and both together stay within the rule, however the traffic changes.
+ *   <li>Slack: over each window, the slack divided by the highest number of routers in the last window. A router that
+ *       has just started has no slack for one window, since attempts by its earlier incarnation, or by a router that
+ *       has stopped, may still count.
  * </ul>
  */
 public final class RetryBudget {
     /**
-     * The fraction of the allowance that is used; the rest covers attempts that routers and replicas date differently.
+     * The fraction of the allowance that is spent. The rest covers attempts that routers and replicas assign to
+     * different times.
      */
     private static final double MARGIN = 0.9;
-    /** Each half window spends half, since a window is covered by two. */
+    /** The fraction of the ratio that each half window may spend, since two of them cover a window. */
     private static final double HALF = 0.5;
 
     private static final int BUCKETS = 50;
@@ -52,12 +55,15 @@
         this.windowMs = windowMs;
     }
 
-    /** The router has started; without this call it starts with its first request. */
+    /** The router has started. Without this call it counts as started at its first request or attempt. */
     public void onStarted(double nowMs) {
         advance(nowMs);
     }
 
-    /** The most routers that may be sharing the slack. A lower bound than before counts after one more window. */
+    /**
+     * Sets the upper bound of the number of routers that share the slack. A bound lower than the previous one takes
+     * effect after one more window.
+     */
     public void setRouterCount(int newBound) {
         int bound = Math.max(1, newBound);
         if (bound < upperBound && !isFresh) {
@@ -67,7 +73,7 @@
         upperBound = bound;
     }
 
-    /** A client's request for a service was accepted. */
+    /** Records that a client's request for a service was accepted. */
     public void onRequest(String service, double nowMs) {
         advance(nowMs);
         counts(service).requests.add(1, nowMs);
@@ -92,8 +98,8 @@
     }
 
     /**
-     * Returns what was acquired at {@code acquiredAtMs} for an attempt that did not take place. Which of the two parts
-     * it came from does not matter to the sum, as both have the same time.
+     * Returns to the budget what was acquired at {@code acquiredAtMs} for an attempt that was not made. Whether it was
+     * earned or came from the slack does not matter to the total, as both are counted at the same time.
      */
     public void release(String service, double acquiredAtMs) {
         ServiceCounts counts = counts(service);
--- a/router-fleet/selection/src/main/java/pinewick/selection/SelectionTuning.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/SelectionTuning.java
@@ -1,18 +1,19 @@
 package pinewick.selection;
 
 /**
- * Parameters of the score. The form R - s + q̂³·s with q̂ = 1 + os·n + q·(1 + busy share), n being the number of
- * routers, is fixed.
+ * Parameters of the score. Its form R - s + q̂³·s with q̂ = 1 + os·n + q·(1 + busy share) is fixed; {@link
+ * ReplicaSelector} names the terms.
  *
- * @param smoothing smoothing factor of R for one response
- * @param busyWeight factor of the busy share that scales the reported queue
- * @param countInBatches whether os·n and q count in batches of a replica's slots
- * @param serviceByRequest whether s is the request's own service time, or the minimum recent latency whatever its size
- * @param queueingDelayHalfLifeMs time in which R - s of a replica without samples falls half way to its pool's average
- * @param reportHalfLife a report counts half after this multiple of the mean latency of its pool
- * @param interferenceWeight weight of the delay that a prefill causes to calls that arrive meanwhile
- * @param repeatedPrefillWeight weight of the price of a prefill that another replica has cached: more than 1, since a
- *     prefix that is cached once in the fleet leaves capacity for others
+ * @param smoothing weight of a new sample in the exponential averages of R - s and of the other delays
+ * @param busyWeight weight of the busy share, by which the queue is scaled up
+ * @param countInBatches whether os·n and q are divided by the number of the replica's slots
+ * @param serviceByRequest whether s is estimated from the request's size; otherwise it is the minimum recent latency
+ * @param queueingDelayHalfLifeMs time in which R - s of a replica without new samples decays halfway to its pool's
+ *     average
+ * @param reportHalfLife half-life of the weight of a load report, as a multiple of the mean latency of the pool
+ * @param interferenceWeight weight of the delay that a prefill causes to calls that arrive while it runs
+ * @param repeatedPrefillWeight weight of the price of a prefill that another replica has cached; more than 1, since a
+ *     prefix cached only once in the fleet leaves cache capacity for others
  */
 public record SelectionTuning(
         double smoothing,
@@ -23,10 +24,10 @@
         double reportHalfLife,
         double interferenceWeight,
         double repeatedPrefillWeight) {
-    /** What routers run with. */
+    /** The values that routers use. */
     public static final SelectionTuning DEFAULT = new SelectionTuning(0.3, 1, true, true, 2_000, 0.5, 1, 4);
 
-    /** The same with another busy weight. */
+    /** A copy with another weight of the busy share. */
     public SelectionTuning withBusyWeight(double other) {
         return new SelectionTuning(
                 smoothing,
@@ -39,7 +40,7 @@
                 repeatedPrefillWeight);
     }
 
-    /** The same with another unit of os·n and q. */
+    /** A copy with another unit of os·n and q. */
     public SelectionTuning withCountInBatches(boolean other) {
         return new SelectionTuning(
                 smoothing,
@@ -52,7 +53,7 @@
                 repeatedPrefillWeight);
     }
 
-    /** The same with another estimate of s. */
+    /** A copy with another estimate of s. */
     public SelectionTuning withServiceByRequest(boolean other) {
         return new SelectionTuning(
                 smoothing,
@@ -65,7 +66,7 @@
                 repeatedPrefillWeight);
     }
 
-    /** The same with another weight of the delay of other calls. */
+    /** A copy with another weight of the delay of other calls. */
     public SelectionTuning withInterferenceWeight(double other) {
         return new SelectionTuning(
                 smoothing,
@@ -78,7 +79,7 @@
                 repeatedPrefillWeight);
     }
 
-    /** The same with another weight of repeated prefill. */
+    /** A copy with another weight of repeated prefill. */
     public SelectionTuning withRepeatedPrefillWeight(double other) {
         return new SelectionTuning(
                 smoothing,
--- a/router-fleet/selection/src/main/java/pinewick/selection/ServiceTimeModel.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/ServiceTimeModel.java
@@ -2,23 +2,24 @@
 
 /**
  * A linear model of the service time of one kind of call: a fixed part, and a time for each token prefilled or
- * transferred, fitted to recent samples by quantile regression (Koenker and Bassett, Regression Quantiles, Econometrica
- * 1978): a quarter of the samples lie below the line, since the others were queued. The samples are stored by size, so
- * that many short requests do not replace the long ones that determine the time of a token.
+ * transferred. It is fitted to recent samples by quantile regression (Koenker and Bassett, Regression Quantiles,
+ * Econometrica 1978) so that a quarter of the samples lie below the line, since the others are taken to have been
+ * queued. The samples are stored in groups by size, so that many short requests do not replace the long ones that
+ * determine the time of a token.
  */
 final class ServiceTimeModel {
     private static final double QUANTILE = 0.25;
-    /** Lower bounds of the groups after the first one, tokens. */
+    /** Lower bounds of all groups but the first, tokens. */
     private static final double[] GROUP_LOWER_TOKENS = {256, 1_024, 4_096, 16_384};
 
     private static final int GROUPS = GROUP_LOWER_TOKENS.length + 1;
     private static final int GROUP_SIZE = 8;
     private static final int POINTS = GROUPS * GROUP_SIZE;
-    /** The time of a token is known from this many samples of long requests. */
+    /** The time of a token counts as known from this many samples of long requests on. */
     private static final int MIN_LONG_SAMPLES = 2;
 
     private static final int FIRST_LONG_GROUP = 2;
-    /** The line is fitted anew at every answer up to this count, then at each of this many. */
+    /** Number of samples between fits; the first samples, up to twice this number, are each followed by a fit. */
     private static final int REFIT_EVERY = 4;
 
     private final double[] tokens = new double[POINTS];
@@ -34,7 +35,7 @@
         return samples;
     }
 
-    /** Whether samples of long requests have determined the time of a token. */
+    /** Whether there are enough samples of long requests to know the time of a token. */
     boolean isPerTokenKnown() {
         return longSamples >= MIN_LONG_SAMPLES;
     }
@@ -52,7 +53,7 @@
         return fixedMs;
     }
 
-    /** Adds a sample, whose queueing time is unknown. */
+    /** Adds a sample: the time of one call, which includes an unknown queueing time. */
     void addSample(double forTokens, double timeMs, double weight) {
         int group = 0;
         while (group < GROUP_LOWER_TOKENS.length && forTokens >= GROUP_LOWER_TOKENS[group]) {
@@ -73,7 +74,10 @@
         weights[point] = weight;
     }
 
-    /** The best line goes through two of the points, or through one and the origin, or has no slope. */
+    /**
+     * Fits the line with the least loss. Candidates are the lines through two of the points and the horizontal ones
+     * through one; a line with a negative fixed part or slope is not considered.
+     */
     private void fit() {
         double leastLoss = Double.POSITIVE_INFINITY;
         for (int one = 0; one < POINTS; one++) {
--- a/router-fleet/selection/src/main/java/pinewick/selection/SharedServiceTime.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/SharedServiceTime.java
@@ -1,14 +1,14 @@
 package pinewick.selection;
 
 /**
- * What one router has learnt of the service time of one kind of call, for routers that have not: a line over the tokens
- * prefilled or transferred.
+ * The service time that one router has measured for one kind of call, sent to routers that have too few samples of
+ * their own: a linear function of the tokens prefilled or transferred.
  *
  * @param service the service of the replicas
  * @param kind the kind of call
  * @param fixedMs the part that does not depend on tokens, milliseconds
  * @param perTokenMs time of one token, milliseconds
- * @param samples the number of calls from which it was learnt
+ * @param samples number of calls measured
  */
 public record SharedServiceTime(String service, CallKind kind, double fixedMs, double perTokenMs, int samples) {
     /** Expected time without queueing, milliseconds. */
@@ -16,7 +16,7 @@
         return fixedMs + perTokenMs * tokens;
     }
 
-    /** Whether it is a line that a router can have learnt. */
+    /** Whether the values are ones that a router can have measured: finite, not negative, from at least one sample. */
     boolean isValid() {
         return isTime(fixedMs) && isTime(perTokenMs) && samples > 0;
     }
--- a/router-fleet/selection/src/main/java/pinewick/selection/SmoothedRate.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/SmoothedRate.java
@@ -1,6 +1,6 @@
 package pinewick.selection;
 
-/** The rate of an amount that events carry, smoothed over a few seconds. */
+/** The rate at which the amounts of events add up, per millisecond, as an exponentially decaying average. */
 final class SmoothedRate {
     private static final double TIME_CONSTANT_MS = 3_000;
 
--- a/router-fleet/selection/src/main/java/pinewick/selection/WindowedCount.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/WindowedCount.java
@@ -2,15 +2,15 @@
 
 import java.util.Arrays;
 
-/** Counts events in a sliding window of small buckets; single events are not stored. */
+/** Counts events in a sliding window, divided into buckets; single events are not stored. */
 final class WindowedCount {
     private final double bucketMs;
     private final int[] counts;
     private long newestBucket = Long.MIN_VALUE / 2;
 
     /**
-     * @param windowMs the longest window that is asked for
-     * @param buckets how finely it slides
+     * @param windowMs length of the longest window that can be queried, milliseconds
+     * @param buckets number of buckets of that window
      */
     WindowedCount(double windowMs, int buckets) {
         bucketMs = windowMs / buckets;
@@ -21,7 +21,7 @@
         counts[advance(nowMs)] += amount;
     }
 
-    /** Removes one event of that time; false if there is none, or if it has left the window. */
+    /** Removes one event added at that time; false if there is none, or if it has left the window. */
     boolean removeOne(double addedAtMs) {
         long bucket = (long) Math.floor(addedAtMs / bucketMs);
         int index = (int) Math.floorMod(bucket, (long) counts.length);
@@ -32,12 +32,12 @@
         return true;
     }
 
-    /** An upper bound of the events in the last {@code windowMs}: the bucket at its edge counts fully. */
+    /** An upper bound of the events in the last {@code windowMs}: the bucket at its start counts in full. */
     int upperBound(double windowMs, double nowMs) {
         return sum((int) Math.ceil(windowMs / bucketMs) + 1, nowMs);
     }
 
-    /** A lower bound of the events in the last {@code windowMs}: the bucket at its edge is left out. */
+    /** A lower bound of the events in the last {@code windowMs}: the bucket at its start is left out. */
     int lowerBound(double windowMs, double nowMs) {
         return sum((int) Math.floor(windowMs / bucketMs), nowMs);
     }
--- a/router-fleet/selection/src/main/java/pinewick/selection/WindowedMinimum.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/WindowedMinimum.java
@@ -6,6 +6,7 @@
     private double previous = Double.POSITIVE_INFINITY;
     private double windowStart;
 
+    /** Adds a value; starts a new window if the current one began more than {@code windowLength} ago. */
     public void add(double time, double value, double windowLength) {
         if (time - windowStart > windowLength) {
             previous = current;
@@ -15,7 +16,7 @@
         current = Math.min(current, value);
     }
 
-    /** Infinite while nothing was added. */
+    /** The minimum; infinite if no value was added recently. */
     public double get() {
         return Math.min(current, previous);
     }
--- a/router-fleet/selection/src/main/java/pinewick/selection/WindowedSum.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/WindowedSum.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** The sum of timed amounts since a start of the window that only moves forward. */
+/** The sum of timestamped amounts in a window whose start only moves forward. */
 public final class WindowedSum {
     private final ArrayDeque<double[]> entries = new ArrayDeque<>();
     private double sum;
@@ -12,12 +12,13 @@
         sum += amount;
     }
 
+    /** The sum of the amounts from this time on; earlier ones are dropped. */
     public double since(double from) {
         while (!entries.isEmpty() && entries.peekFirst()[0] < from) {
             sum -= entries.pollFirst()[1];
         }
         if (entries.isEmpty()) {
-            // Without this the rounding errors of all amounts that have left the window would add up.
+            // Discards the rounding errors of the amounts that have left the window, which would otherwise accumulate.
             sum = 0;
         }
         return sum;
--- a/router-fleet/selection/src/main/java/pinewick/selection/package-info.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/package-info.java
@@ -4,6 +4,6 @@
  * caches ({@link pinewick.selection.PrefixCacheEstimates}), admission control, call priorities and the retry budget.
  *
  * <p>Threading: nothing here is thread-safe; the owner calls it from one executor. Time (milliseconds of a monotonic
- * clock) and randomness are passed in, so that a test or simulation repeats to the digit.
+ * clock) and randomness are passed in, so that tests and simulations are reproducible.
  */
 package pinewick.selection;
--- a/router-fleet/selection/src/test/java/pinewick/selection/AdmissionControlTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/AdmissionControlTest.java
@@ -13,7 +13,7 @@
 import pinewick.model.Stage;
 
 class AdmissionControlTest {
-    private static final int PLACES = 12;
+    private static final int SLOTS = 12;
 
     private final ReplicaSelector selector = new ReplicaSelector(new SplittableRandom(1));
     private final AdmissionControl admission = new AdmissionControl(selector, new SplittableRandom(2));
@@ -40,12 +40,12 @@
                 nowMs + timeMs);
     }
 
-    /** Every replica answers this late, and reports so many at work and waiting. */
-    private void load(double waitMs, int running, int waiting, double nowMs) {
+    /** Every replica responds with this latency, and reports these numbers of running and waiting requests. */
+    private void load(double latencyMs, int running, int waiting, double nowMs) {
         for (ReplicaRecord each : replicas) {
-            for (int answer = 0; answer < 40; answer++) {
+            for (int response = 0; response < 40; response++) {
                 ReplicaSelector.Call call = selector.startCall(
-                        each, CallKind.AGGREGATED_DECODE, request(7, 100, 0, 5_000, nowMs), nowMs - waitMs);
+                        each, CallKind.AGGREGATED_DECODE, request(7, 100, 0, 5_000, nowMs), nowMs - latencyMs);
                 call.onFirstEvent(nowMs);
                 call.onEnd(CallOutcome.COMPLETED, nowMs);
             }
@@ -57,28 +57,28 @@
         return admission.decide(request, replicas, nowMs);
     }
 
-    private int refused(int count, int own, int priority, double timeMs, double nowMs) {
-        int refused = 0;
+    private int rejected(int count, int own, int priority, double timeMs, double nowMs) {
+        int rejected = 0;
         for (int each = 0; each < count; each++) {
-            refused += decide(request(each, own, priority, timeMs, nowMs), nowMs) instanceof AdmissionDecision.Reject
+            rejected += decide(request(each, own, priority, timeMs, nowMs), nowMs) instanceof AdmissionDecision.Reject
                     ? 1
                     : 0;
         }
-        return refused;
+        return rejected;
     }
 
-    /** A wait that outlasts the client is measured where answers came at 40 ms at first. */
-    private void jam(double nowMs) {
+    /** Responses take 40 ms at first, then time out, so that the queueing delay exceeds the clients' deadlines. */
+    private void overload(double nowMs) {
         load(40, 1, 0, nowMs - 10);
         for (ReplicaRecord each : replicas) {
             for (int late = 0; late < 20; late++) {
                 selector.startCall(each, CallKind.AGGREGATED_DECODE, request(7, 100, 0, 5_000, nowMs), nowMs)
                         .onEnd(CallOutcome.TIMED_OUT, nowMs);
             }
-            ReplicaSelector.Call alive = selector.startCall(
+            ReplicaSelector.Call completed = selector.startCall(
                     each, CallKind.AGGREGATED_DECODE, request(7, 100, 0, 5_000, nowMs), nowMs - 4_960);
-            alive.onFirstEvent(nowMs);
-            alive.onEnd(CallOutcome.COMPLETED, nowMs);
+            completed.onFirstEvent(nowMs);
+            completed.onEnd(CallOutcome.COMPLETED, nowMs);
         }
     }
 
@@ -89,92 +89,92 @@
 
     @Test
     void anIdleServiceAdmitsEverything() {
-        assertEquals(0, refused(50, 100, 0, 5_000, 10));
-        assertEquals(0, refused(50, 100, 3, 20, 10));
+        assertEquals(0, rejected(50, 100, 0, 5_000, 10));
+        assertEquals(0, rejected(50, 100, 3, 20, 10));
     }
 
     @Test
     void nothingIsRejectedBelowHalfOfTheCapacityWithoutAQueue() {
-        jam(1_000);
-        report(PLACES / 2 - 1, 0, 1_000);
-        assertEquals(0, refused(50, 100, 0, 5_000, 1_000));
+        overload(1_000);
+        report(SLOTS / 2 - 1, 0, 1_000);
+        assertEquals(0, rejected(50, 100, 0, 5_000, 1_000));
     }
 
     @Test
     void aRequestThatCannotMeetItsDeadlineIsRejectedAtOnce() {
-        jam(1_000);
-        report(PLACES, 10, 1_000);
-        assertEquals(50, refused(50, 100, 0, 4_000, 1_000));
+        overload(1_000);
+        report(SLOTS, 10, 1_000);
+        assertEquals(50, rejected(50, 100, 0, 4_000, 1_000));
     }
 
     @Test
     void aRequestThatWouldOnlyMissItsTargetIsAdmitted() {
         load(40, 1, 0, 500);
-        load(900, PLACES, 4, 1_500);
-        assertEquals(0, refused(50, 100, 0, 5_000, 1_500));
+        load(900, SLOTS, 4, 1_500);
+        assertEquals(0, rejected(50, 100, 0, 5_000, 1_500));
     }
 
     @Test
     void lowerPrioritiesAreRejectedFirst() {
         load(40, 1, 0, 500);
-        load(2_000, PLACES, 4, 3_000);
-        double lowest = Double.NaN;
-        double lowestLess = Double.NaN;
+        load(2_000, SLOTS, 4, 3_000);
+        double highPriorityMs = Double.NaN;
+        double lowPriorityMs = Double.NaN;
         for (int time = 1_000; time < 5_000; time += 20) {
-            // Each time is the longest that its control has seen, so that none looks like a later try.
+            // Each time is the longest that its admission control has seen, so that none is taken for a retry.
             AdmissionControl fresh = new AdmissionControl(selector, new SplittableRandom(3));
-            if (Double.isNaN(lowest)
+            if (Double.isNaN(highPriorityMs)
                     && fresh.decide(request(time, 100, 0, time, 3_000), replicas, 3_000) == AdmissionDecision.ADMIT) {
-                lowest = time;
+                highPriorityMs = time;
             }
-            if (Double.isNaN(lowestLess)
+            if (Double.isNaN(lowPriorityMs)
                     && fresh.decide(request(time, 100, 2, time, 3_000), replicas, 3_000) == AdmissionDecision.ADMIT) {
-                lowestLess = time;
+                lowPriorityMs = time;
             }
         }
-        assertTrue(lowest < lowestLess, lowest + " and " + lowestLess);
+        assertTrue(highPriorityMs < lowPriorityMs, highPriorityMs + " and " + lowPriorityMs);
     }
 
     @Test
     void longRequestsAreAdmittedAsOftenAsShortOnes() {
-        jam(1_000);
-        report(PLACES, 10, 1_000);
-        int shortRefused = 0;
-        int longRefused = 0;
-        int asked = 0;
-        // Rising, so that none looks like a later try.
+        overload(1_000);
+        report(SLOTS, 10, 1_000);
+        int shortRejected = 0;
+        int longRejected = 0;
+        int requests = 0;
+        // Increasing, so that none is taken for a retry.
         for (double time = 1_000; time < 9_000; time += 20) {
-            shortRefused += refusedBy(request(asked, 100, 0, time, 1_000));
-            longRefused += refusedBy(request(asked, 20_000, 0, time, 1_000));
-            asked++;
+            shortRejected += rejectedCount(request(requests, 100, 0, time, 1_000));
+            longRejected += rejectedCount(request(requests, 20_000, 0, time, 1_000));
+            requests++;
         }
-        assertTrue(shortRefused > asked / 4 && shortRefused < 3 * asked / 4, shortRefused + " of " + asked);
-        assertEquals(shortRefused, longRefused, 0.05 * asked);
+        assertTrue(shortRejected > requests / 4 && shortRejected < 3 * requests / 4, shortRejected + " of " + requests);
+        assertEquals(shortRejected, longRejected, 0.05 * requests);
     }
 
-    private int refusedBy(RequestShape request) {
+    private int rejectedCount(RequestShape request) {
         return decide(request, 1_000) instanceof AdmissionDecision.Reject ? 1 : 0;
     }
 
     @Test
     void aRetriedRequestIsNotRejectedAgain() {
-        jam(1_000);
-        report(PLACES, 10, 1_000);
+        overload(1_000);
+        report(SLOTS, 10, 1_000);
         assertInstanceOf(AdmissionDecision.Reject.class, decide(request(1, 100, 0, 4_000, 1_000), 1_000));
-        assertEquals(0, refused(20, 100, 0, 3_500, 1_000));
-        assertEquals(20, refused(20, 100, 0, 4_000, 1_000));
+        assertEquals(0, rejected(20, 100, 0, 3_500, 1_000));
+        assertEquals(20, rejected(20, 100, 0, 4_000, 1_000));
     }
 
     @Test
     void retryAfterIsBelowAThirdOfTheRemainingTimeAndJittered() {
-        jam(1_000);
-        report(PLACES, 10, 1_000);
-        List<Double> advice = new ArrayList<>();
+        overload(1_000);
+        report(SLOTS, 10, 1_000);
+        List<Double> delays = new ArrayList<>();
         for (int each = 0; each < 50; each++) {
-            AdmissionDecision.Reject refusal = assertInstanceOf(
+            AdmissionDecision.Reject rejection = assertInstanceOf(
                     AdmissionDecision.Reject.class, decide(request(each, 100, 0, 1_000, 1_000), 1_000));
-            advice.add(refusal.retryAfterSeconds());
+            delays.add(rejection.retryAfterSeconds());
         }
-        assertTrue(advice.stream().allMatch(seconds -> seconds > 0.09 && seconds <= 1 / 3.0), advice.toString());
+        assertTrue(delays.stream().allMatch(seconds -> seconds > 0.09 && seconds <= 1 / 3.0), delays.toString());
     }
 }
--- a/router-fleet/selection/src/test/java/pinewick/selection/InterferenceTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/InterferenceTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test;
 import pinewick.model.Stage;
 
-/** What the delay of other calls is worth while a replica reads a prompt. */
+/** The price of the delay that a prefill causes to other calls at the same replica. */
 class InterferenceTest {
-    private static final double EXACT = 1e-9;
+    private static final double TOLERANCE = 1e-9;
     private static final int LONG_TARGET_MS = 600;
     private static final double OCCUPIED_MS = 200;
 
@@ -30,22 +30,22 @@
         assertEquals(
                 callsPerMs * OCCUPIED_MS * OCCUPIED_MS / 2,
                 interferenceMs(poolWithCalls(30, LONG_TARGET_MS), OCCUPIED_MS),
-                EXACT);
+                TOLERANCE);
     }
 
     @Test
     void aDelayCountsTwiceToACallWithHalfTheTarget() {
         double sameTarget = interferenceMs(poolWithCalls(30, LONG_TARGET_MS), OCCUPIED_MS);
 
-        assertEquals(2 * sameTarget, interferenceMs(poolWithCalls(30, LONG_TARGET_MS / 2), OCCUPIED_MS), EXACT);
-        assertEquals(sameTarget / 2, interferenceMs(poolWithCalls(30, 2 * LONG_TARGET_MS), OCCUPIED_MS), EXACT);
+        assertEquals(2 * sameTarget, interferenceMs(poolWithCalls(30, LONG_TARGET_MS / 2), OCCUPIED_MS), TOLERANCE);
+        assertEquals(sameTarget / 2, interferenceMs(poolWithCalls(30, 2 * LONG_TARGET_MS), OCCUPIED_MS), TOLERANCE);
     }
 
     @Test
-    void itGrowsWithTheSquareOfTheTime() {
+    void itGrowsWithTheSquareOfTheOccupiedTime() {
         ReplicaPool pool = poolWithCalls(30, LONG_TARGET_MS / 2);
 
-        assertEquals(9 * interferenceMs(pool, 100), interferenceMs(pool, 300), EXACT);
+        assertEquals(9 * interferenceMs(pool, 100), interferenceMs(pool, 300), TOLERANCE);
     }
 
     @Test
--- a/router-fleet/selection/src/test/java/pinewick/selection/PrefixCacheEstimatesTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/PrefixCacheEstimatesTest.java
@@ -10,91 +10,91 @@
     private static final List<PromptPart> PROMPT =
             List.of(new PromptPart(1, 500), new PromptPart(2, 300), new PromptPart(99, 70));
 
-    private static PrefixCacheEstimates beliefs() {
-        PrefixCacheEstimates beliefs = new PrefixCacheEstimates();
-        beliefs.setCapacity("a", 10_000);
-        return beliefs;
+    private static PrefixCacheEstimates estimates() {
+        PrefixCacheEstimates estimates = new PrefixCacheEstimates();
+        estimates.setCapacity("a", 10_000);
+        return estimates;
     }
 
     @Test
     void hintsCarrySharedPartsAndTheUnsharedTokens() {
-        PrefixCacheEstimates here = beliefs();
-        PrefixCacheEstimates there = beliefs();
-        here.recordUse("a", PROMPT, 100);
-        List<PrefixHint> hints = here.takeHints(10, 150);
+        PrefixCacheEstimates local = estimates();
+        PrefixCacheEstimates remote = estimates();
+        local.recordUse("a", PROMPT, 100);
+        List<PrefixHint> hints = local.takeHints(10, 150);
         assertEquals(2, hints.size());
         assertEquals(70, hints.stream().mapToInt(PrefixHint::unsharedTokens).sum());
         assertTrue(hints.stream()
                 .allMatch(hint -> hint.ageMs() == 50 && hint.instanceId().equals("a")));
-        hints.forEach(hint -> there.applyHint(hint, 1_000));
-        assertEquals(800, there.cachedTokens("a", PROMPT));
-        assertEquals(870, there.estimate("a").usedTokens());
-        assertTrue(there.takeHints(10, 1_000).isEmpty(), "hints are not passed on");
-        assertTrue(here.takeHints(10, 200).isEmpty(), "a hint is told once");
+        hints.forEach(hint -> remote.applyHint(hint, 1_000));
+        assertEquals(800, remote.cachedTokens("a", PROMPT));
+        assertEquals(870, remote.estimate("a").usedTokens());
+        assertTrue(remote.takeHints(10, 1_000).isEmpty(), "hints are not forwarded");
+        assertTrue(local.takeHints(10, 200).isEmpty(), "a hint is sent once");
     }
 
     @Test
     void theNewestHintsAreSentFirstAndOldOnesNotAtAll() {
-        PrefixCacheEstimates beliefs = beliefs();
+        PrefixCacheEstimates estimates = estimates();
         for (int each = 0; each < 20; each++) {
-            beliefs.recordUse("a", List.of(new PromptPart(each, 600), new PromptPart(1_000 + each, 10)), each);
+            estimates.recordUse("a", List.of(new PromptPart(each, 600), new PromptPart(1_000 + each, 10)), each);
         }
-        List<PrefixHint> hints = beliefs.takeHints(3, 19);
+        List<PrefixHint> hints = estimates.takeHints(3, 19);
         assertEquals(List.of(0, 1, 2), hints.stream().map(PrefixHint::ageMs).toList());
-        beliefs.recordUse("a", PROMPT, 20);
-        assertTrue(beliefs.takeHints(3, 10_000).isEmpty());
+        estimates.recordUse("a", PROMPT, 20);
+        assertTrue(estimates.takeHints(3, 10_000).isEmpty());
     }
 
     @Test
     void promptsWithFewSharedTokensAreNotAdvertised() {
-        PrefixCacheEstimates beliefs = beliefs();
-        beliefs.recordUse("a", List.of(new PromptPart(1, 300), new PromptPart(2, 200), new PromptPart(3, 9_000)), 0);
-        assertTrue(beliefs.takeHints(10, 0).isEmpty());
-        beliefs.recordUse("a", List.of(new PromptPart(1, 300), new PromptPart(4, 300), new PromptPart(3, 9_000)), 0);
-        assertEquals(2, beliefs.takeHints(10, 0).size(), "a small part before the rest is told as well");
+        PrefixCacheEstimates estimates = estimates();
+        estimates.recordUse("a", List.of(new PromptPart(1, 300), new PromptPart(2, 200), new PromptPart(3, 9_000)), 0);
+        assertTrue(estimates.takeHints(10, 0).isEmpty());
+        estimates.recordUse("a", List.of(new PromptPart(1, 300), new PromptPart(4, 300), new PromptPart(3, 9_000)), 0);
+        assertEquals(2, estimates.takeHints(10, 0).size(), "a small part before the others is advertised as well");
     }
 
     @Test
     void aRemovedInstanceIsForgotten() {
-        PrefixCacheEstimates beliefs = beliefs();
-        beliefs.recordUse("a", PROMPT, 0);
-        beliefs.remove("a");
-        assertEquals(0, beliefs.cachedTokens("a", PROMPT));
-        assertTrue(beliefs.takeHints(10, 1).isEmpty());
-        beliefs.applyHint(new PrefixHint("a", 7, 100, 0, 0), 1);
-        assertEquals(0, beliefs.cachedTokens("a", PROMPT), "a hint does not bring it back");
+        PrefixCacheEstimates estimates = estimates();
+        estimates.recordUse("a", PROMPT, 0);
+        estimates.remove("a");
+        assertEquals(0, estimates.cachedTokens("a", PROMPT));
+        assertTrue(estimates.takeHints(10, 1).isEmpty());
+        estimates.applyHint(new PrefixHint("a", 7, 100, 0, 0), 1);
+        assertEquals(0, estimates.cachedTokens("a", PROMPT), "a hint does not bring it back");
     }
 
     @Test
-    void aStartingRouterLearnsWhatIsCached() {
-        PrefixCacheEstimates here = beliefs();
-        PrefixCacheEstimates there = beliefs();
-        here.recordUse("a", PROMPT, 100);
-        here.recordUse("a", List.of(new PromptPart(5, 40), new PromptPart(6, 60)), 110);
+    void aSnapshotTellsAStartingRouterWhatIsCached() {
+        PrefixCacheEstimates local = estimates();
+        PrefixCacheEstimates remote = estimates();
+        local.recordUse("a", PROMPT, 100);
+        local.recordUse("a", List.of(new PromptPart(5, 40), new PromptPart(6, 60)), 110);
         List<PromptPart> other = List.of(new PromptPart(7, 700), new PromptPart(8, 30));
-        here.recordUse("a", other, 120);
-        here.snapshot(100, 200).forEach(hint -> there.applyHint(hint, 1_000));
-        assertEquals(800, there.cachedTokens("a", PROMPT));
-        assertEquals(700, there.cachedTokens("a", other));
+        local.recordUse("a", other, 120);
+        local.snapshot(100, 200).forEach(hint -> remote.applyHint(hint, 1_000));
+        assertEquals(800, remote.cachedTokens("a", PROMPT));
+        assertEquals(700, remote.cachedTokens("a", other));
         assertEquals(
                 870 + 100 + 730 - 70,
-                there.estimate("a").usedTokens(),
-                "what pushes others out is told as well, but for what is older than all that is told");
-        assertEquals(0, there.cachedTokens("a", List.of(new PromptPart(5, 40), new PromptPart(6, 60))));
+                remote.estimate("a").usedTokens(),
+                "unshared tokens are included, except those older than every advertised part");
+        assertEquals(0, remote.cachedTokens("a", List.of(new PromptPart(5, 40), new PromptPart(6, 60))));
         assertEquals(
                 List.of(700),
-                here.snapshot(1, 200).stream().map(PrefixHint::tokens).toList(),
-                "the newest");
+                local.snapshot(1, 200).stream().map(PrefixHint::tokens).toList(),
+                "the newest one");
     }
 
     @Test
     void memoryIsBounded() {
-        PrefixCacheEstimates beliefs = new PrefixCacheEstimates(100);
-        beliefs.setCapacity("a", Long.MAX_VALUE / 4);
+        PrefixCacheEstimates estimates = new PrefixCacheEstimates(100);
+        estimates.setCapacity("a", Long.MAX_VALUE / 4);
         for (int each = 0; each < 5_000; each++) {
-            beliefs.recordUse("a", List.of(new PromptPart(each, 600), new PromptPart(100_000 + each, 10)), each);
+            estimates.recordUse("a", List.of(new PromptPart(each, 600), new PromptPart(100_000 + each, 10)), each);
         }
-        assertEquals(100, beliefs.estimate("a").size());
-        assertTrue(beliefs.takeHints(10_000, 5_000).size() <= 1_024);
+        assertEquals(100, estimates.estimate("a").size());
+        assertTrue(estimates.takeHints(10_000, 5_000).size() <= 1_024);
     }
 }
--- a/router-fleet/selection/src/test/java/pinewick/selection/ReplicaSelectorTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/ReplicaSelectorTest.java
@@ -40,16 +40,16 @@
                 .instanceId();
     }
 
-    private void answerPlain(ReplicaRecord replica, double fromMs, double tookMs) {
+    private void completePlainCall(ReplicaRecord replica, double fromMs, double tookMs) {
         selector.startCall(replica, CallKind.PLAIN, RequestShapes.plain(fromMs), fromMs)
                 .onEnd(CallOutcome.COMPLETED, fromMs + tookMs);
     }
 
     /**
-     * Makes known what calls take: a read token 0.01 ms at prefill and 0.02 ms at decode replicas, a move nearly
-     * nothing.
+     * Gives the selector samples of all kinds of calls: a token takes 0.01 ms to prefill at prefill replicas, 0.02 ms at
+     * decode replicas, and 0.001 ms to transfer.
      */
-    private void learnPaces(List<ReplicaRecord> fleet) {
+    private void recordServiceTimes(List<ReplicaRecord> fleet) {
         for (int each = 0; each < 8; each++) {
             int tokens = 2_000 * (each + 1);
             RequestShape request = RequestShapes.generation(5_000 + each, 16, tokens - 16, 0);
@@ -58,12 +58,14 @@
                     selector.startCall(replica, CallKind.PREFILL, request, 0)
                             .onEnd(CallOutcome.COMPLETED, 20 + 0.01 * tokens);
                 } else {
-                    ReplicaSelector.Call whole = selector.startCall(replica, CallKind.AGGREGATED_DECODE, request, 0);
-                    whole.onFirstEvent(20 + 0.02 * tokens);
-                    whole.onEnd(CallOutcome.COMPLETED, 20 + 0.02 * tokens);
-                    ReplicaSelector.Call fetched = selector.startDisaggregatedDecode(replica, fleet.get(0), request, 0);
-                    fetched.onFirstEvent(20 + 0.001 * tokens);
-                    fetched.onEnd(CallOutcome.COMPLETED, 20 + 0.001 * tokens);
+                    ReplicaSelector.Call aggregated =
+                            selector.startCall(replica, CallKind.AGGREGATED_DECODE, request, 0);
+                    aggregated.onFirstEvent(20 + 0.02 * tokens);
+                    aggregated.onEnd(CallOutcome.COMPLETED, 20 + 0.02 * tokens);
+                    ReplicaSelector.Call disaggregated =
+                            selector.startDisaggregatedDecode(replica, fleet.get(0), request, 0);
+                    disaggregated.onFirstEvent(20 + 0.001 * tokens);
+                    disaggregated.onEnd(CallOutcome.COMPLETED, 20 + 0.001 * tokens);
                 }
             }
         }
@@ -81,21 +83,21 @@
     }
 
     @Test
-    void theLowestScoreWins() {
+    void theLowestScoreIsChosen() {
         List<ReplicaRecord> candidates = replicas(Stage.NONE, 3);
-        answerPlain(candidates.get(0), 0, 80);
-        answerPlain(candidates.get(1), 0, 50);
-        answerPlain(candidates.get(2), 0, 70);
+        completePlainCall(candidates.get(0), 0, 80);
+        completePlainCall(candidates.get(1), 0, 50);
+        completePlainCall(candidates.get(2), 0, 70);
         assertEquals("none1", plain(candidates, 100));
         selector.startCall(candidates.get(1), CallKind.PLAIN, RequestShapes.plain(100), 100);
-        assertEquals("none2", plain(candidates, 100), "a call outstanding makes it dearer");
+        assertEquals("none2", plain(candidates, 100), "an outstanding call raises the score");
     }
 
     @Test
     void choicesFollowReports() {
         List<ReplicaRecord> candidates = replicas(Stage.NONE, 2);
-        answerPlain(candidates.get(0), 0, 50);
-        answerPlain(candidates.get(1), 0, 60);
+        completePlainCall(candidates.get(0), 0, 50);
+        completePlainCall(candidates.get(1), 0, 60);
         selector.onLoadReport("none0", RequestShapes.report(Stage.NONE, 5, 6, 0.3, 100));
         selector.onLoadReport("none1", RequestShapes.report(Stage.NONE, 0, 2, 0.3, 100));
         assertEquals("none1", plain(candidates, 100));
@@ -143,7 +145,7 @@
     void aPromptGoesToTheReplicaWithItsPrefixCached() {
         List<ReplicaRecord> fleet = fleet(0, 4);
         selector.setEngine("s", RequestShapes.ENGINE);
-        learnPaces(fleet);
+        recordServiceTimes(fleet);
         RequestShape request = RequestShapes.generation(1, 10_000, 500, 1_000);
         ReplicaRecord first =
                 selector.choose(request, fleet, Set.of(), 1_000).orElseThrow().decode();
@@ -163,21 +165,22 @@
             elsewhere +=
                     selector.choose(next, fleet, Set.of(), 1_500).orElseThrow().decode() == first ? 0 : 1;
         }
-        assertTrue(elsewhere > 5, "a new instance at its place has nothing kept");
+        assertTrue(elsewhere > 5, "an instance added again has nothing cached");
     }
 
     @Test
     void aLongPromptIsServedDisaggregatedAndAShortOneAggregated() {
         List<ReplicaRecord> fleet = fleet(2, 3);
         selector.setEngine("s", RequestShapes.ENGINE);
-        learnPaces(fleet);
-        ReplicaPair ofLong = selector.choose(RequestShapes.generation(1, 12_000, 4_000, 1_000), fleet, Set.of(), 1_000)
+        recordServiceTimes(fleet);
+        ReplicaPair longPair = selector.choose(
+                        RequestShapes.generation(1, 12_000, 4_000, 1_000), fleet, Set.of(), 1_000)
                 .orElseThrow();
-        ReplicaPair ofShort = selector.choose(RequestShapes.generation(2, 90, 300, 1_000), fleet, Set.of(), 1_000)
+        ReplicaPair shortPair = selector.choose(RequestShapes.generation(2, 90, 300, 1_000), fleet, Set.of(), 1_000)
                 .orElseThrow();
-        assertEquals(Stage.PREFILL, ofLong.prefill().orElseThrow().stage());
-        assertEquals(Stage.DECODE, ofLong.decode().stage());
-        assertEquals(Optional.empty(), ofShort.prefill());
+        assertEquals(Stage.PREFILL, longPair.prefill().orElseThrow().stage());
+        assertEquals(Stage.DECODE, longPair.decode().stage());
+        assertEquals(Optional.empty(), shortPair.prefill());
     }
 
     @Test
@@ -193,13 +196,13 @@
         assertTrue(pair.decode().stage() == Stage.DECODE);
         RequestShape large = RequestShapes.generation(3, 12_000, 4_000, 100);
         for (int each = 0; each < 3; each++) {
-            ReplicaSelector.Call whole = selector.startCall(fleet.get(3), CallKind.AGGREGATED_DECODE, large, 100);
-            whole.onFirstEvent(450);
-            whole.onEnd(CallOutcome.COMPLETED, 450);
+            ReplicaSelector.Call aggregated = selector.startCall(fleet.get(3), CallKind.AGGREGATED_DECODE, large, 100);
+            aggregated.onFirstEvent(450);
+            aggregated.onEnd(CallOutcome.COMPLETED, 450);
         }
         ReplicaPair next = selector.choose(RequestShapes.generation(4, 12_000, 4_000, 500), fleet, Set.of(), 500)
                 .orElseThrow();
-        assertTrue(next.prefill().isPresent(), "what decode replicas take tells that prefill replicas take half");
+        assertTrue(next.prefill().isPresent(), "prefill replicas are assumed to take half as long as decode replicas");
     }
 
     @Test
@@ -207,13 +210,13 @@
         List<ReplicaRecord> fleet = fleet(2, 3);
         selector.setEngine("s", RequestShapes.ENGINE);
         selector.setRouterCount(9);
-        learnPaces(fleet);
-        int byPrefill = 0;
+        recordServiceTimes(fleet);
+        int viaPrefill = 0;
         for (int each = 0; each < 40; each++) {
             double now = 1_000 + 100 * each;
             RequestShape request = RequestShapes.generation(100 + each, 1_000, 1_500, now);
             ReplicaPair pair = selector.choose(request, fleet, Set.of(), now).orElseThrow();
-            byPrefill += pair.prefill().isPresent() ? 1 : 0;
+            viaPrefill += pair.prefill().isPresent() ? 1 : 0;
             for (ReplicaRecord decode : fleet.subList(2, 5)) {
                 ReplicaSelector.Call brief = selector.startCall(
                         decode, CallKind.AGGREGATED_DECODE, RequestShapes.generation(2, 90, 300, now), now);
@@ -221,14 +224,16 @@
                 brief.onEnd(CallOutcome.COMPLETED, now + 150);
             }
         }
-        assertTrue(byPrefill >= 30, "by prefill " + byPrefill + " of 40 while decode replicas are slow");
+        assertTrue(
+                viaPrefill >= 30,
+                "served by prefill replicas: " + viaPrefill + " of 40 while decode replicas are slow");
     }
 
     @Test
     void aLostHandleCountsAgainstItsPrefillReplica() {
         List<ReplicaRecord> fleet = fleet(2, 2);
         selector.setEngine("s", RequestShapes.ENGINE);
-        learnPaces(fleet);
+        recordServiceTimes(fleet);
         RequestShape request = RequestShapes.generation(1, 12_000, 4_000, 1_000);
         for (int each = 0; each < 3; each++) {
             selector.startDisaggregatedDecode(fleet.get(2), fleet.get(0), request, 1_000)
@@ -254,13 +259,13 @@
     @Test
     void anEjectedReplicaIsNotChosenUntilItsEjectionEnds() {
         List<ReplicaRecord> candidates = replicas(Stage.NONE, 3);
-        candidates.forEach(each -> answerPlain(each, 0, 50));
+        candidates.forEach(each -> completePlainCall(each, 0, 50));
         selector.startCall(candidates.get(0), CallKind.PLAIN, RequestShapes.plain(100), 100)
                 .onEnd(CallOutcome.CONNECT_FAILED, 101);
         for (int each = 0; each < 100; each++) {
             assertFalse(plain(candidates, 110).equals("none0"));
         }
-        // While the others are idle, theirs stay the lowest scores; as soon as they are at work it is tried again.
+        // While the others are idle their scores are the lowest; once they are busy the replica is probed again.
         for (int call = 0; call < 12; call++) {
             candidates
                     .subList(1, 3)
@@ -269,15 +274,15 @@
         assertEquals("none0", plain(candidates, 2_010));
         selector.startCall(candidates.get(0), CallKind.PLAIN, RequestShapes.plain(2_010), 2_010);
         for (int each = 0; each < 100; each++) {
-            assertFalse(plain(candidates, 2_020).equals("none0"), "by one request at a time");
+            assertFalse(plain(candidates, 2_020).equals("none0"), "it is probed by one request at a time");
         }
     }
 
     @Test
     void aHungReplicaIsAvoidedBeforeItsTimeout() {
         List<ReplicaRecord> candidates = replicas(Stage.NONE, 2);
-        answerPlain(candidates.get(0), 0, 20);
-        answerPlain(candidates.get(1), 0, 200);
+        completePlainCall(candidates.get(0), 0, 20);
+        completePlainCall(candidates.get(1), 0, 200);
         ReplicaSelector.Call hung =
                 selector.startCall(candidates.get(0), CallKind.PLAIN, RequestShapes.plain(100), 100);
         assertEquals("none1", plain(candidates, 1_500));
@@ -289,7 +294,7 @@
     void theDecodeReplicaIsChosenAgainAfterPrefill() {
         List<ReplicaRecord> fleet = fleet(1, 2);
         selector.setEngine("s", RequestShapes.ENGINE);
-        learnPaces(fleet);
+        recordServiceTimes(fleet);
         RequestShape request = RequestShapes.generation(1, 12_000, 4_000, 1_000);
         selector.startCall(
                 fleet.get(1), CallKind.AGGREGATED_DECODE, RequestShapes.generation(2, 90, 300, 1_000), 1_000);
@@ -305,7 +310,7 @@
 
     @Test
     void aPromptIsTransferredOnlyToReplicasOfTheSameWeights() {
-        ReplicaRecord reader = RequestShapes.replica("reader", Stage.PREFILL);
+        ReplicaRecord prefillReplica = RequestShapes.replica("reader", Stage.PREFILL);
         ReplicaRecord same = RequestShapes.replica("same", Stage.DECODE);
         ReplicaRecord newer = new ReplicaRecord(
                 "newer",
@@ -325,13 +330,13 @@
         for (int each = 0; each < 50; each++) {
             assertEquals(
                     same,
-                    selector.chooseDecode(request, reader, List.of(same, newer), Set.of(), 0)
+                    selector.chooseDecode(request, prefillReplica, List.of(same, newer), Set.of(), 0)
                             .orElseThrow());
         }
-        assertTrue(selector.chooseDecode(request, reader, List.of(newer), Set.of(), 0)
+        assertTrue(selector.chooseDecode(request, prefillReplica, List.of(newer), Set.of(), 0)
                 .isEmpty());
-        ReplicaPair pair =
-                selector.choose(request, List.of(reader, newer), Set.of(), 0).orElseThrow();
+        ReplicaPair pair = selector.choose(request, List.of(prefillReplica, newer), Set.of(), 0)
+                .orElseThrow();
         assertEquals(new ReplicaPair(Optional.empty(), newer), pair);
     }
 
@@ -339,7 +344,7 @@
     void hintsAreAppliedOnceAReplicaIsKnown() {
         List<ReplicaRecord> fleet = fleet(0, 3);
         selector.setEngine("s", RequestShapes.ENGINE);
-        learnPaces(fleet);
+        recordServiceTimes(fleet);
         ReplicaRecord late = RequestShapes.replica("late", Stage.DECODE);
         RequestShape request = RequestShapes.generation(1, 12_000, 400, 1_000);
         PrefixCacheEstimates there = new PrefixCacheEstimates();
--- a/router-fleet/selection/src/test/java/pinewick/selection/RequestShapes.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/RequestShapes.java
@@ -9,7 +9,7 @@
 import pinewick.model.SocketAddress;
 import pinewick.model.Stage;
 
-/** Records for tests. */
+/** Creates requests, replicas and load reports for tests. */
 final class RequestShapes {
     static final EngineSpec ENGINE = new EngineSpec(12, 500_000, 18_432, 180_000, 11, 5, 2.3);
 
@@ -36,11 +36,12 @@
         return new RequestShape(route("plain", 400, 2_000, 1), "s", false, "", 0, 0, List.of(), nowMs, nowMs + 2_000);
     }
 
-    /** A request with one shared part and one of its own. */
-    static RequestShape generation(long sharedId, int shared, int own, double nowMs) {
-        List<PromptPart> parts = List.of(new PromptPart(sharedId, shared), new PromptPart(1_000_000 + sharedId, own));
+    /** A request with one shared and one unshared part. */
+    static RequestShape generation(long sharedId, int shared, int unshared, double nowMs) {
+        List<PromptPart> parts =
+                List.of(new PromptPart(sharedId, shared), new PromptPart(1_000_000 + sharedId, unshared));
         return new RequestShape(
-                route("generation", 300, 5_000, 0), "s", true, "m", shared + own, 40, parts, nowMs, nowMs + 5_000);
+                route("generation", 300, 5_000, 0), "s", true, "m", shared + unshared, 40, parts, nowMs, nowMs + 5_000);
     }
 
     static ReplicaRecord replica(String id, Stage stage) {
@@ -63,7 +64,7 @@
                 false);
     }
 
-    static LoadReport report(Stage stage, int waiting, int running, double memoryShare, double atMs) {
-        return new LoadReport(stage, false, 0, waiting, running, (long) (1_000 * memoryShare), 1_000, 0, atMs);
+    static LoadReport report(Stage stage, int waiting, int running, double kvUsedFraction, double atMs) {
+        return new LoadReport(stage, false, 0, waiting, running, (long) (1_000 * kvUsedFraction), 1_000, 0, atMs);
     }
 }
--- a/router-fleet/selection/src/test/java/pinewick/selection/RetryBudgetTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/RetryBudgetTest.java
@@ -30,9 +30,9 @@
         RetryBudget budget = new RetryBudget(0, 50, WINDOW_MS);
         budget.setRouterCount(9);
         budget.onRequest(SERVICE, 0);
-        assertEquals(5, takeAll(budget, 20_000));
-        assertEquals(0, takeAll(budget, 29_000));
-        assertEquals(5, takeAll(budget, 31_000));
+        assertEquals(5, acquireAll(budget, 20_000));
+        assertEquals(0, acquireAll(budget, 29_000));
+        assertEquals(5, acquireAll(budget, 31_000));
     }
 
     @Test
@@ -42,21 +42,21 @@
         budget.onStarted(0);
         budget.onRequest(SERVICE, 20_000);
         budget.setRouterCount(3);
-        assertEquals(5, takeAll(budget, 29_000));
-        assertEquals(10, takeAll(budget, 30_300));
+        assertEquals(5, acquireAll(budget, 29_000));
+        assertEquals(10, acquireAll(budget, 30_300));
     }
 
     @Test
     void requestsEarnAtBothHalvesOfTheWindow() {
         RetryBudget budget = new RetryBudget(0.2, 0, WINDOW_MS);
-        int taken = 0;
+        int acquired = 0;
         for (int at = 0; at < 60_000; at += 10) {
             budget.onRequest(SERVICE, at);
             if (at >= 40_000 && at < 50_000) {
-                taken += budget.tryAcquire(SERVICE, at) ? 1 : 0;
+                acquired += budget.tryAcquire(SERVICE, at) ? 1 : 0;
             }
         }
-        assertTrue(taken > 70 && taken <= 100, "of 200 that the rule allows with 1,000 requests, took " + taken);
+        assertTrue(acquired > 70 && acquired <= 100, "the rule allows 200 with 1,000 requests, acquired " + acquired);
     }
 
     @Test
@@ -74,43 +74,43 @@
         RetryBudget budget = new RetryBudget(0, 50, WINDOW_MS);
         budget.setRouterCount(9);
         budget.onStarted(0);
-        assertEquals(5, takeAll(budget, 20_000));
+        assertEquals(5, acquireAll(budget, 20_000));
         budget.release(SERVICE, 20_000);
-        assertEquals(1, takeAll(budget, 25_000));
-        assertEquals(0, takeAll(budget, 29_000));
+        assertEquals(1, acquireAll(budget, 25_000));
+        assertEquals(0, acquireAll(budget, 29_000));
         budget.release(SERVICE, 4_000);
-        assertEquals(0, takeAll(budget, 29_000), "long gone from the window");
-        assertEquals(4, takeAll(budget, 30_500), "the one of 25,000 is still in it");
+        assertEquals(0, acquireAll(budget, 29_000), "it has left the window");
+        assertEquals(4, acquireAll(budget, 30_500), "the attempt at 25,000 is still in the window");
     }
 
-    private static int takeAll(RetryBudget budget, double nowMs) {
-        int taken = 0;
+    private static int acquireAll(RetryBudget budget, double nowMs) {
+        int acquired = 0;
         while (budget.tryAcquire(SERVICE, nowMs)) {
-            taken++;
+            acquired++;
         }
-        return taken;
+        return acquired;
     }
 
     /**
-     * Greedy routers that come, go and start again, in traffic that comes in bursts with holes: the sum over all of
-     * them stays within the rule in every window.
+     * Routers that start, stop and restart, each acquiring all that it can, under bursty traffic with gaps: the total of
+     * all of them stays within the rule in every window.
      */
     @Property(tries = 150)
-    void theSumOfAllRoutersStaysWithinTheRule(
+    void theTotalOfAllRoutersStaysWithinTheRule(
             @ForAll long seed,
-            @ForAll @IntRange(min = 1, max = 30) int most,
+            @ForAll @IntRange(min = 1, max = 30) int maxRouters,
             @ForAll @DoubleRange(min = 0, max = 0.5) double ratio,
             @ForAll @IntRange(min = 0, max = 80) int slack) {
         Random random = new Random(seed);
         List<Double> requests = new ArrayList<>();
-        List<Double> extras = new ArrayList<>();
-        RetryBudget[] routers = new RetryBudget[most];
+        List<Double> extraAttempts = new ArrayList<>();
+        RetryBudget[] routers = new RetryBudget[maxRouters];
         double rate = 1;
         for (double now = 0; now < 60_000; now += 50) {
             if (random.nextInt(60) == 0) {
                 rate = random.nextInt(3) == 0 ? 0 : 12 * random.nextDouble();
             }
-            int router = random.nextInt(most);
+            int router = random.nextInt(maxRouters);
             if (random.nextInt(100) == 0) {
                 routers[router] = null;
             }
@@ -119,36 +119,38 @@
             }
             for (RetryBudget each : routers) {
                 if (each != null && random.nextInt(20) == 0) {
-                    each.setRouterCount(most + random.nextInt(3));
+                    each.setRouterCount(maxRouters + random.nextInt(3));
                 }
             }
             for (int count = (int) (rate * random.nextDouble() * 2); count > 0; count--) {
-                RetryBudget taker = routers[random.nextInt(most)];
-                if (taker != null) {
-                    taker.onRequest(SERVICE, now);
+                RetryBudget receiver = routers[random.nextInt(maxRouters)];
+                if (receiver != null) {
+                    receiver.onRequest(SERVICE, now);
                     requests.add(now);
                 }
             }
-            boolean spree = random.nextInt(10) == 0;
+            boolean acquiresAll = random.nextInt(10) == 0;
             for (RetryBudget each : routers) {
-                while (spree && each != null && each.tryAcquire(SERVICE, now)) {
+                while (acquiresAll && each != null && each.tryAcquire(SERVICE, now)) {
                     if (random.nextInt(8) == 0) {
                         each.release(SERVICE, now);
                         break;
                     }
-                    extras.add(now);
+                    extraAttempts.add(now);
                 }
             }
         }
-        for (double end : extras) {
+        for (double end : extraAttempts) {
             double from = end - WINDOW_MS;
             double counted = Math.max(
                     within(requests, from, end),
                     Math.max(
                             within(requests, from - WINDOW_MS, from),
                             within(requests, from - WINDOW_MS / 2, end - WINDOW_MS / 2)));
-            int spent = within(extras, from, end);
-            assertTrue(spent <= ratio * counted + slack, spent + " extras with " + counted + " requests at " + end);
+            int attempts = within(extraAttempts, from, end);
+            assertTrue(
+                    attempts <= ratio * counted + slack,
+                    attempts + " extra attempts with " + counted + " requests at " + end);
         }
     }
 
--- a/router-fleet/selection/src/test/java/pinewick/selection/SelectionBenchmark.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/SelectionBenchmark.java
@@ -7,7 +7,7 @@
 import pinewick.model.ReplicaRecord;
 import pinewick.model.Stage;
 
-/** Prints the processor time of one choice with all that goes with it. Run by hand. */
+/** Prints the time of one request's admission, choice and measurements. Run by hand. */
 public final class SelectionBenchmark {
     private SelectionBenchmark() {}
 
--- a/router-fleet/selection/src/test/java/pinewick/selection/ServiceTimeModelTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/ServiceTimeModelTest.java
@@ -26,8 +26,8 @@
         SplittableRandom random = new SplittableRandom(3);
         for (int each = 0; each < 200; each++) {
             int tokens = (int) Math.exp(5 + 5 * random.nextDouble());
-            double waiting = random.nextDouble() < 0.4 ? 0 : -80 * Math.log(random.nextDouble());
-            model.addSample(tokens, 30 + 0.01 * tokens + waiting, 1);
+            double queueingMs = random.nextDouble() < 0.4 ? 0 : -80 * Math.log(random.nextDouble());
+            model.addSample(tokens, 30 + 0.01 * tokens + queueingMs, 1);
         }
         assertEquals(0.01, model.perTokenMs(), 0.002);
         assertEquals(30, model.fixedMs(), 15);
--- a/router-fleet/selection/src/test/java/pinewick/selection/VirtualFleetTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/VirtualFleetTest.java
@@ -5,10 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/**
- * The whole of the selection against a queueing model of engines, in virtual time: the figures are those of its
- * seeds.
- */
+/** The selection against a queueing model of engines, in virtual time. The thresholds are for the seeds used here. */
 class VirtualFleetTest {
     private static final int SEEDS = 4;
 
@@ -18,7 +15,7 @@
             double shortInTime,
             double longByPrefill,
             double netWorth,
-            double readAgain) {}
+            double repeatedPrefillTokens) {}
 
     private static VirtualFleet fleet(
             SelectionTuning tuning, int countedRouters, boolean hints, double load, long seed) {
@@ -26,7 +23,7 @@
                 9, countedRouters, 3, 5, VirtualFleet.usualKinds(load, 1), tuning, true, hints, true, 1_000, seed));
     }
 
-    private static Figures play(SelectionTuning tuning, int countedRouters, boolean hints, double load) {
+    private static Figures runAll(SelectionTuning tuning, int countedRouters, boolean hints, double load) {
         double[] sums = new double[6];
         for (int seed = 1; seed <= SEEDS; seed++) {
             VirtualFleet run = fleet(tuning, countedRouters, hints, load, seed);
@@ -41,13 +38,13 @@
         return new Figures(sums[0], sums[1], sums[2], sums[3], sums[4], sums[5]);
     }
 
-    private static Figures usual(double load) {
-        return play(SelectionTuning.DEFAULT, 9, true, load);
+    private static Figures runWithDefaults(double load) {
+        return runAll(SelectionTuning.DEFAULT, 9, true, load);
     }
 
     @Test
     void lowLoadIsServedInTime() {
-        Figures figures = usual(0.55);
+        Figures figures = runWithDefaults(0.55);
         assertTrue(figures.worth > 0.955, figures.toString());
         assertTrue(figures.shortInTime > 0.985, figures.toString());
         assertTrue(figures.longByPrefill > 0.4, figures.toString());
@@ -55,54 +52,54 @@
 
     @Test
     void highLoadIsServedMostlyInTime() {
-        Figures figures = usual(1.1);
+        Figures figures = runWithDefaults(1.1);
         assertTrue(figures.worth > 0.93, figures.toString());
         assertTrue(figures.shortInTime > 0.96, figures.toString());
     }
 
     @Test
-    void outstandingCallsTimesRoutersKeepRoutersApart() {
-        Figures with = usual(1.1);
-        Figures without = play(SelectionTuning.DEFAULT, 1, true, 1.1);
+    void scalingOutstandingCallsByRoutersAvoidsHerding() {
+        Figures with = runWithDefaults(1.1);
+        Figures without = runAll(SelectionTuning.DEFAULT, 1, true, 1.1);
         assertTrue(with.worth > without.worth, with + " against " + without);
     }
 
     @Test
-    void theRequestsOwnServiceTimeServesBetterThanTheLowestAnswerTime() {
-        Figures with = usual(1.6);
-        Figures without = play(SelectionTuning.DEFAULT.withServiceByRequest(false), 9, true, 1.6);
+    void serviceTimeByRequestServesBetterThanMinimumLatency() {
+        Figures with = runWithDefaults(1.6);
+        Figures without = runAll(SelectionTuning.DEFAULT.withServiceByRequest(false), 9, true, 1.6);
         assertTrue(with.worth > without.worth + 0.1, with + " against " + without);
     }
 
-    /** The prices of reading tell routers of kept prefixes as well; without them only s does. */
+    /** The prices of a prefill also lead requests to cached prefixes; without the prices only s does. */
     @Test
-    void withoutPricesOfReadingOnlyTheRequestsOwnServiceTimeServes() {
+    void withoutPrefillPricesServiceTimeByRequestIsNeeded() {
         SelectionTuning scoreAlone =
                 SelectionTuning.DEFAULT.withRepeatedPrefillWeight(0).withInterferenceWeight(0);
-        Figures with = play(scoreAlone, 9, true, 1.2);
-        Figures without = play(scoreAlone.withServiceByRequest(false), 9, true, 1.2);
+        Figures with = runAll(scoreAlone, 9, true, 1.2);
+        Figures without = runAll(scoreAlone.withServiceByRequest(false), 9, true, 1.2);
         assertTrue(with.worth > without.worth + 0.5, with + " against " + without);
     }
 
     @Test
     void hintsOfOtherRoutersFindCachedPrefixes() {
-        Figures with = usual(0.9);
-        Figures without = play(SelectionTuning.DEFAULT, 9, false, 0.9);
+        Figures with = runWithDefaults(0.9);
+        Figures without = runAll(SelectionTuning.DEFAULT, 9, false, 0.9);
         assertTrue(with.longInTime > without.longInTime + 0.1, with + " against " + without);
     }
 
     @Test
     void thePriceOfRepeatedPrefillSavesPrefill() {
-        Figures with = usual(1.1);
-        Figures without = play(SelectionTuning.DEFAULT.withRepeatedPrefillWeight(0), 9, true, 1.1);
+        Figures with = runWithDefaults(1.1);
+        Figures without = runAll(SelectionTuning.DEFAULT.withRepeatedPrefillWeight(0), 9, true, 1.1);
         assertTrue(with.netWorth > without.netWorth, with + " against " + without);
-        assertTrue(with.readAgain < 0.8 * without.readAgain, with + " against " + without);
+        assertTrue(with.repeatedPrefillTokens < 0.8 * without.repeatedPrefillTokens, with + " against " + without);
     }
 
     @Test
     void theInterferencePriceReducesPrefillOnDecodeReplicas() {
-        Figures with = usual(1.1);
-        Figures without = play(SelectionTuning.DEFAULT.withInterferenceWeight(0), 9, true, 1.1);
+        Figures with = runWithDefaults(1.1);
+        Figures without = runAll(SelectionTuning.DEFAULT.withInterferenceWeight(0), 9, true, 1.1);
         assertTrue(with.worth > without.worth, with + " against " + without);
         assertTrue(with.longByPrefill > without.longByPrefill, with + " against " + without);
     }
--- a/router-fleet/selection/src/test/java/pinewick/selection/VirtualTime.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/VirtualTime.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** A clock that jumps from event to event, in the order of their times and, among equal times, as they were put. */
+/** A virtual clock that advances from event to event, in order of their times; equal times in order of insertion. */
 final class VirtualTime {
     private record Event(double atMs, long order, Runnable action) {}
 
