--- a/router-fleet/selection/src/test/java/pinewick/selection/ReplicaSelectorTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/ReplicaSelectorTest.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Gives the selector samples of all kinds of calls: a token takes 0.01 ms to prefill at prefill replicas, 0.02 ms at
-     * decode replicas, and 0.001 ms to transfer.
+     * Gives the selector samples of all kinds of calls: a token takes 0.01 ms to prefill at prefill replicas, 0.02 ms
+     * at decode replicas, and 0.001 ms to transfer.
      */
     private void recordServiceTimes(List<ReplicaRecord> fleet) {
         for (int each = 0; each < 8; each++) {
--- a/router-fleet/selection/src/test/java/pinewick/selection/RetryBudgetTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/RetryBudgetTest.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Routers that start, stop and restart, each acquiring all that it can, under bursty traffic with gaps: the total of
-     * all of them stays within the rule in every window.
+     * Routers that start, stop and restart, each acquiring all that it can, under bursty traffic with gaps: the total
+     * of all of them stays within the rule in every window.
      */
     @Property(tries = 150)
     void theTotalOfAllRoutersStaysWithinTheRule(
--- a/router-fleet/selection/src/test/java/pinewick/selection/SelectionExperiment.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/SelectionExperiment.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Prints the figures of a virtual fleet with and without each term of the score, over loads and sizes. Run by hand;
- * takes a minute or two. The argument {@code large} plays 84 routers.
+ * Prints the results of a virtual fleet with and without each term of the score, for several loads and sizes. Run by
+ * hand; takes a minute or two. The argument {@code large} simulates 84 routers.
  */
 public final class SelectionExperiment {
     private static final int WARM_UP_MS = 4_000;
@@ -24,19 +24,21 @@
     private record Load(double factor, double burst) {}
 
     private static List<Variant> variants(int routers) {
-        SelectionTuning usual = SelectionTuning.DEFAULT;
+        SelectionTuning defaults = SelectionTuning.DEFAULT;
         List<Variant> variants = new ArrayList<>();
-        variants.add(new Variant("all terms", usual, routers, true, true, false));
-        variants.add(new Variant("n = 1", usual, 1, true, true, false));
-        variants.add(new Variant("queues not in batches", usual.withCountInBatches(false), routers, true, true, false));
-        variants.add(new Variant("no reports", usual, routers, false, true, false));
-        variants.add(new Variant("no busy share", usual.withBusyWeight(0), routers, true, true, false));
-        variants.add(new Variant("s = lowest answer", usual.withServiceByRequest(false), routers, true, true, false));
-        variants.add(new Variant("no hints", usual, routers, true, false, false));
-        variants.add(new Variant("no delay of others", usual.withInterferenceWeight(0), routers, true, true, false));
+        variants.add(new Variant("all terms", defaults, routers, true, true, false));
+        variants.add(new Variant("n = 1", defaults, 1, true, true, false));
         variants.add(
-                new Variant("no price of re-reading", usual.withRepeatedPrefillWeight(0), routers, true, true, false));
-        variants.add(new Variant("admission", usual, routers, true, true, true));
+                new Variant("queues not in batches", defaults.withCountInBatches(false), routers, true, true, false));
+        variants.add(new Variant("no reports", defaults, routers, false, true, false));
+        variants.add(new Variant("no busy share", defaults.withBusyWeight(0), routers, true, true, false));
+        variants.add(
+                new Variant("s = lowest answer", defaults.withServiceByRequest(false), routers, true, true, false));
+        variants.add(new Variant("no hints", defaults, routers, true, false, false));
+        variants.add(new Variant("no delay of others", defaults.withInterferenceWeight(0), routers, true, true, false));
+        variants.add(new Variant(
+                "no price of re-reading", defaults.withRepeatedPrefillWeight(0), routers, true, true, false));
+        variants.add(new Variant("admission", defaults, routers, true, true, true));
         return variants;
     }
 
@@ -58,20 +60,20 @@
     }
 
     private static String figures(Variant variant, int[] fleet, Load load, int seeds, double scale) {
-        double worth = 0;
-        double netWorth = 0;
+        double value = 0;
+        double netValue = 0;
         double longInTime = 0;
         double shortInTime = 0;
         double viaPrefill = 0;
-        double moved = 0;
-        double sharedRead = 0;
+        double transferred = 0;
+        double sharedPrefilled = 0;
         for (int seed = 1; seed <= seeds; seed++) {
             VirtualFleet run = new VirtualFleet(new VirtualFleet.Setting(
                     fleet[0],
                     variant.countedRouters,
                     fleet[1],
                     fleet[2],
-                    VirtualFleet.usualKinds(load.factor * scale, load.burst),
+                    VirtualFleet.defaultKinds(load.factor * scale, load.burst),
                     variant.tuning,
                     variant.reports,
                     variant.hints,
@@ -79,18 +81,18 @@
                     1_000,
                     seed));
             run.run(WARM_UP_MS, LENGTH_MS);
-            worth += run.worth() / seeds;
-            netWorth += run.netWorth() / seeds;
-            longInTime += run.share("long", outcome -> outcome.inTime) / seeds;
-            shortInTime += run.share("short", outcome -> outcome.inTime) / seeds;
-            viaPrefill += run.share("long", outcome -> outcome.viaPrefill) / seeds;
-            moved += run.movedGigabytes / seeds;
-            sharedRead += run.sharedTokensRead() / 1e6 / seeds;
+            value += run.value() / seeds;
+            netValue += run.netValue() / seeds;
+            longInTime += run.fraction("long", outcome -> outcome.inTime) / seeds;
+            shortInTime += run.fraction("short", outcome -> outcome.inTime) / seeds;
+            viaPrefill += run.fraction("long", outcome -> outcome.viaPrefill) / seeds;
+            transferred += run.transferredGigabytes / seeds;
+            sharedPrefilled += run.sharedTokensPrefilled() / 1e6 / seeds;
         }
         return String.format(
                 "worth %.3f  less prices %.3f  long in time %.3f  short in time %.3f  long by prefill %.2f"
                         + "  moved %.0f GB"
                         + "  shared read %.1f Mtok",
-                worth, netWorth, longInTime, shortInTime, viaPrefill, moved, sharedRead);
+                value, netValue, longInTime, shortInTime, viaPrefill, transferred, sharedPrefilled);
     }
 }
--- a/router-fleet/selection/src/test/java/pinewick/selection/VirtualEngine.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/VirtualEngine.java
@@ -14,70 +14,70 @@
 
 /**
  * A queueing model of one replica with an engine, as the protocol page describes it: a batch of slots that advances in
- * steps, prompts read in pieces between the tokens of others, a prefix cache that forgets what was unused for longest,
- * and moves of memory one after another.
+ * steps, chunked prefill between the decode steps of other requests, an LRU prefix cache, and KV transfers one at a
+ * time.
  */
 final class VirtualEngine {
-    /** Figures of a kind of engine. */
-    record Figures(
+    /** Timing parameters of an engine. */
+    record Timing(
             double stepMs,
             double stepPerSlotMs,
-            double readTokensPerMs,
-            double pairsMsPerMillion,
-            double firstMs,
-            double moveSetupMs,
-            int piece) {
-        static final Figures USUAL = new Figures(3.55, 0.0462, 157, 0.109, 26, 8, 2_048);
+            double prefillTokensPerMs,
+            double attentionMsPerMillionPairs,
+            double deliveryDelayMs,
+            double transferSetupMs,
+            int maxChunkTokens) {
+        static final Timing DEFAULT = new Timing(3.55, 0.0462, 157, 0.109, 26, 8, 2_048);
     }
 
-    /** One call as the engine sees it. */
+    /** One call to the engine. */
     static final class Job {
         final List<PromptPart> parts;
         final int promptTokens;
         final int outputTokens;
-        final boolean readOnly;
-        double moveMs;
-        int unread;
+        final boolean prefillOnly;
+        double transferMs;
+        int uncachedTokens;
         int position;
-        int made;
+        int generatedTokens;
         Runnable onFirst = () -> {};
         Runnable onEvent = () -> {};
         Runnable onDone = () -> {};
         Runnable onRejected = () -> {};
 
-        Job(List<PromptPart> parts, int outputTokens, boolean readOnly) {
+        Job(List<PromptPart> parts, int outputTokens, boolean prefillOnly) {
             this.parts = parts;
             this.outputTokens = outputTokens;
-            this.readOnly = readOnly;
+            this.prefillOnly = prefillOnly;
             this.promptTokens = parts.stream().mapToInt(PromptPart::tokens).sum();
         }
     }
 
-    /** A part that is read again is priced within this time of its last use. */
-    static final double AGAIN_MS = 4_600;
+    /** A repeated prefill of a part is priced if the last use of the part was within this time. */
+    static final double REPEAT_WINDOW_MS = 4_600;
 
     final EngineSpec spec;
-    final Figures figures;
+    final Timing timing;
     final double speed;
     ReplicaRecord record;
-    boolean dark;
-    long tokensRead;
-    long sharedTokensRead;
+    boolean unreachable;
+    long tokensPrefilled;
+    long sharedTokensPrefilled;
     double busyMs;
     int rejected;
 
     private final VirtualTime time;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
-    private final LinkedHashMap<Long, Integer> kept = new LinkedHashMap<>(16, 0.75f, true);
-    private long keptTokens;
-    private double movesUntilMs;
+    private final LinkedHashMap<Long, Integer> cache = new LinkedHashMap<>(16, 0.75f, true);
+    private long cacheTokens;
+    private double transfersEndAtMs;
     private boolean stepping;
-    /** When each prefix was last used at any engine; shared by all of a fleet. */
-    private final Map<Long, Double> usedAnywhereMs;
+    /** When each prefix was last used at any engine, milliseconds; shared by all engines of a fleet. */
+    private final Map<Long, Double> lastUsedMs;
 
-    /** Shared parts read although some engine had used them a short while before. */
-    long sharedTokensReadAgain;
+    /** Tokens of shared parts prefilled although some engine had used them within {@link #REPEAT_WINDOW_MS}. */
+    long sharedTokensPrefilledAgain;
 
     VirtualEngine(
             VirtualTime time,
@@ -85,13 +85,13 @@
             String zone,
             Stage stage,
             EngineSpec spec,
-            Figures figures,
+            Timing timing,
             double speed,
-            Map<Long, Double> usedAnywhereMs) {
-        this.usedAnywhereMs = usedAnywhereMs;
+            Map<Long, Double> lastUsedMs) {
+        this.lastUsedMs = lastUsedMs;
         this.time = time;
         this.spec = spec;
-        this.figures = figures;
+        this.timing = timing;
         this.speed = speed;
         this.record = new ReplicaRecord(
                 id,
@@ -116,23 +116,23 @@
         return waiting.size() + running.size();
     }
 
-    /** Falls silent: what it has is lost, what comes is not answered; then it goes on as if new. */
-    void darken(double forMs) {
-        dark = true;
+    /** Makes the engine unreachable: its calls are lost, new ones get no response, and its cache is cleared. */
+    void makeUnreachable(double forMs) {
+        unreachable = true;
         waiting.clear();
         running.clear();
         time.after(forMs, () -> {
-            dark = false;
-            kept.clear();
-            keptTokens = 0;
+            unreachable = false;
+            cache.clear();
+            cacheTokens = 0;
             stepping = false;
-            movesUntilMs = 0;
+            transfersEndAtMs = 0;
         });
     }
 
-    /** Takes a call that is to be read here. */
-    void take(Job job) {
-        if (dark) {
+    /** Accepts a call that is prefilled here. */
+    void accept(Job job) {
+        if (unreachable) {
             return;
         }
         if (waiting.size() >= 3 * spec.slots()) {
@@ -144,20 +144,20 @@
         step();
     }
 
-    /** Takes a call whose prompt is fetched first. */
-    void takeFetched(Job job) {
-        if (dark) {
+    /** Accepts a call whose KV cache is transferred first. */
+    void acceptWithTransfer(Job job) {
+        if (unreachable) {
             return;
         }
-        double begins = Math.max(time.now(), movesUntilMs);
-        movesUntilMs = begins + figures.moveSetupMs + job.moveMs;
-        time.after(movesUntilMs - time.now(), () -> {
-            if (dark) {
+        double startsAtMs = Math.max(time.now(), transfersEndAtMs);
+        transfersEndAtMs = startsAtMs + timing.transferSetupMs + job.transferMs;
+        time.after(transfersEndAtMs - time.now(), () -> {
+            if (unreachable) {
                 return;
             }
-            keep(job.parts);
+            addToCache(job.parts);
             waiting.add(job);
-            job.unread = -1;
+            job.uncachedTokens = -1;
             step();
         });
     }
@@ -169,94 +169,97 @@
     }
 
     private void step() {
-        if (stepping || dark) {
+        if (stepping || unreachable) {
             return;
         }
         while (running.size() < spec.slots() && !waiting.isEmpty()) {
-            begin(waiting.poll());
+            start(waiting.poll());
         }
         if (running.isEmpty()) {
             return;
         }
         stepping = true;
-        double pieceLeft = prefill() ? figures.piece : figures.piece / 4.0;
-        double pace = prefill() ? figures.readTokensPerMs : figures.readTokensPerMs / 2;
-        double took = figures.stepMs;
-        List<Job> ready = new ArrayList<>();
+        double chunkTokensLeft = prefill() ? timing.maxChunkTokens : timing.maxChunkTokens / 4.0;
+        double tokensPerMs = prefill() ? timing.prefillTokensPerMs : timing.prefillTokensPerMs / 2;
+        double durationMs = timing.stepMs;
+        List<Job> finishing = new ArrayList<>();
         for (Job job : running) {
-            if (job.unread <= 0) {
-                took += figures.stepPerSlotMs;
-                ready.add(job);
-            } else if (pieceLeft > 0) {
-                int piece = (int) Math.min(pieceLeft, job.unread);
-                pieceLeft -= piece;
-                job.unread -= piece;
-                took += piece / pace + figures.pairsMsPerMillion * piece * (job.position + piece / 2.0) / 1e6;
-                job.position += piece;
-                tokensRead += piece;
-                if (job.unread == 0) {
-                    ready.add(job);
+            if (job.uncachedTokens <= 0) {
+                durationMs += timing.stepPerSlotMs;
+                finishing.add(job);
+            } else if (chunkTokensLeft > 0) {
+                int chunkTokens = (int) Math.min(chunkTokensLeft, job.uncachedTokens);
+                chunkTokensLeft -= chunkTokens;
+                job.uncachedTokens -= chunkTokens;
+                durationMs += chunkTokens / tokensPerMs
+                        + timing.attentionMsPerMillionPairs * chunkTokens * (job.position + chunkTokens / 2.0) / 1e6;
+                job.position += chunkTokens;
+                tokensPrefilled += chunkTokens;
+                if (job.uncachedTokens == 0) {
+                    finishing.add(job);
                 }
             }
         }
-        double stepTook = took * speed;
-        busyMs += stepTook;
-        time.after(stepTook, () -> {
-            if (!dark) {
-                finish(ready);
+        double scaledDurationMs = durationMs * speed;
+        busyMs += scaledDurationMs;
+        time.after(scaledDurationMs, () -> {
+            if (!unreachable) {
+                finish(finishing);
             }
         });
     }
 
-    private void finish(List<Job> ready) {
+    private void finish(List<Job> finishing) {
         stepping = false;
-        for (Job job : ready) {
-            if (job.made == 0) {
-                keep(job.parts);
-                time.after(figures.firstMs, deliver(job.onFirst));
+        for (Job job : finishing) {
+            if (job.generatedTokens == 0) {
+                addToCache(job.parts);
+                time.after(timing.deliveryDelayMs, ifReachable(job.onFirst));
             }
-            job.made++;
-            boolean done = job.readOnly || job.made >= job.outputTokens;
-            if (!job.readOnly && job.made > 1 && (done || (job.made - 1) % spec.stride() == 0)) {
-                time.after(figures.firstMs, deliver(job.onEvent));
+            job.generatedTokens++;
+            boolean done = job.prefillOnly || job.generatedTokens >= job.outputTokens;
+            if (!job.prefillOnly
+                    && job.generatedTokens > 1
+                    && (done || (job.generatedTokens - 1) % spec.stride() == 0)) {
+                time.after(timing.deliveryDelayMs, ifReachable(job.onEvent));
             }
             if (done) {
                 running.remove(job);
-                time.after(figures.firstMs, deliver(job.onDone));
+                time.after(timing.deliveryDelayMs, ifReachable(job.onDone));
             }
         }
         step();
     }
 
-    private Runnable deliver(Runnable action) {
+    private Runnable ifReachable(Runnable action) {
         return () -> {
-            if (!dark) {
+            if (!unreachable) {
                 action.run();
             }
         };
     }
 
-    private void begin(Job job) {
+    private void start(Job job) {
         running.add(job);
-        if (job.unread < 0) {
-            job.unread = 0;
+        if (job.uncachedTokens < 0) {
+            job.uncachedTokens = 0;
             return;
         }
         int cached = 0;
-        for (int part = 0; part < job.parts.size() && kept.containsKey(key(job.parts, part)); part++) {
+        for (int part = 0; part < job.parts.size() && cache.containsKey(key(job.parts, part)); part++) {
             cached += job.parts.get(part).tokens();
         }
         int shared = 0;
         for (int part = 0; part < job.parts.size() - 1; part++) {
             shared += job.parts.get(part).tokens();
-            Double usedMs = usedAnywhereMs.put(key(job.parts, part), time.now());
-            if (shared > cached && usedMs != null && time.now() - usedMs < AGAIN_MS) {
-                sharedTokensReadAgain += job.parts.get(part).tokens();
+            Double previousUseMs = lastUsedMs.put(key(job.parts, part), time.now());
+            if (shared > cached && previousUseMs != null && time.now() - previousUseMs < REPEAT_WINDOW_MS) {
+                sharedTokensPrefilledAgain += job.parts.get(part).tokens();
             }
         }
-        sharedTokensRead += Math.max(0, shared - cached);
+        sharedTokensPrefilled += Math.max(0, shared - cached);
         job.position = cached;
-        job.unread = Math.max(1, job.promptTokens - cached);
+        job.uncachedTokens = Math.max(1, job.promptTokens - cached);
     }
 
     private static long key(List<PromptPart> parts, int last) {
@@ -267,15 +270,15 @@
         return hash;
     }
 
-    private void keep(List<PromptPart> parts) {
+    private void addToCache(List<PromptPart> parts) {
         for (int part = parts.size() - 1; part >= 0; part--) {
-            Integer before = kept.put(key(parts, part), parts.get(part).tokens());
-            keptTokens += before == null ? parts.get(part).tokens() : 0;
+            Integer before = cache.put(key(parts, part), parts.get(part).tokens());
+            cacheTokens += before == null ? parts.get(part).tokens() : 0;
         }
-        long held = running.stream().mapToLong(job -> job.promptTokens).sum() / 2;
-        Iterator<Map.Entry<Long, Integer>> oldest = kept.entrySet().iterator();
-        while (keptTokens + held > spec.kvCacheTokens() && oldest.hasNext()) {
-            keptTokens -= oldest.next().getValue();
+        long runningTokens = running.stream().mapToLong(job -> job.promptTokens).sum() / 2;
+        Iterator<Map.Entry<Long, Integer>> oldest = cache.entrySet().iterator();
+        while (cacheTokens + runningTokens > spec.kvCacheTokens() && oldest.hasNext()) {
+            cacheTokens -= oldest.next().getValue();
             oldest.remove();
         }
     }
--- a/router-fleet/selection/src/test/java/pinewick/selection/VirtualFleet.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/VirtualFleet.java
@@ -16,12 +16,30 @@
 import pinewick.model.RouteKind;
 import pinewick.model.Stage;
 
-/** Routers with a selector each, replicas with engines, and clients, in virtual time. */
+/** A simulated fleet in virtual time: routers with a selector each, replicas with engines, and clients. */
 final class VirtualFleet {
-    /** One kind of request: a shared part and an own one, in tokens. */
-    record Kind(Route route, double perSecond, int shared, int things, int own, double spread, int out, int pauseMs) {}
-
-    /** What a run is made of. */
+    /**
+     * One kind of request, whose prompt has a shared and an unshared part.
+     *
+     * @param perSecond mean arrival rate
+     * @param shared mean length of the shared part, tokens
+     * @param sharedParts number of different shared parts
+     * @param unshared mean length of the unshared part, tokens
+     * @param spread standard deviation of the logarithm of the unshared length
+     * @param output mean output, tokens
+     * @param maxPauseMs longest time between two events of a response that is in time
+     */
+    record Kind(
+            Route route,
+            double perSecond,
+            int shared,
+            int sharedParts,
+            int unshared,
+            double spread,
+            int output,
+            int maxPauseMs) {}
+
+    /** The parameters of a run. */
     record Setting(
             int routers,
             int countedRouters,
@@ -35,23 +53,27 @@
             double reportEveryMs,
             long seed) {}
 
-    /** What came of one kind of request. */
+    /** The results of one kind of request. */
     static final class Outcome {
-        int asked;
+        int requests;
         int inTime;
         int late;
         int failed;
         int viaPrefill;
         int pauses;
-        int refused;
-        int inTimeLater;
-        int refusedTwice;
-        final List<Double> firstMs = new ArrayList<>();
-
-        double quantile(double share) {
-            double[] sorted =
-                    firstMs.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-            return sorted.length == 0 ? Double.NaN : sorted[(int) Math.min(sorted.length - 1, share * sorted.length)];
+        int rejected;
+        int inTimeAfterRetry;
+        int rejectedTwice;
+        final List<Double> firstEventMs = new ArrayList<>();
+
+        double quantile(double fraction) {
+            double[] sorted = firstEventMs.stream()
+                    .mapToDouble(Double::doubleValue)
+                    .sorted()
+                    .toArray();
+            return sorted.length == 0
+                    ? Double.NaN
+                    : sorted[(int) Math.min(sorted.length - 1, fraction * sorted.length)];
         }
     }
 
@@ -62,11 +84,11 @@
     private static final double REPORT_LAG_MS = 100;
     private static final double GOSSIP_MS = 250;
 
-    private static final double PRICE_OF_1000_TOKENS_READ_AGAIN = 0.16;
-    private static final double PRICE_OF_GIGABYTE_MOVED = 0.47;
+    private static final double PRICE_PER_1000_REPEATED_TOKENS = 0.16;
+    private static final double PRICE_PER_TRANSFERRED_GIGABYTE = 0.47;
 
     final VirtualTime time = new VirtualTime();
-    private final Map<Long, Double> usedAnywhereMs = new HashMap<>();
+    private final Map<Long, Double> lastUsedMs = new HashMap<>();
     final List<VirtualEngine> engines = new ArrayList<>();
     final List<ReplicaSelector> selectors = new ArrayList<>();
     final List<AdmissionControl> admissions = new ArrayList<>();
@@ -75,13 +97,13 @@
     final Setting setting;
     private final Map<String, VirtualEngine> byId = new HashMap<>();
     private List<ReplicaRecord> records;
-    private final Set<Integer> down = new HashSet<>();
-    private double shortFactor = 1;
+    private final Set<Integer> downRouters = new HashSet<>();
+    private double shortRateFactor = 1;
     boolean snapshots = true;
-    double movedGigabytes;
-    private double movePrices;
-    private long readAgainBefore;
-    private long nextOwnPart = 1L << 40;
+    double transferredGigabytes;
+    private double transferPrices;
+    private long repeatedTokensBefore;
+    private long nextUnsharedPart = 1L << 40;
     private double measureFromMs;
 
     VirtualFleet(Setting setting) {
@@ -97,9 +119,9 @@
                     ZONES[each % 3],
                     stage,
                     SPEC,
-                    VirtualEngine.Figures.USUAL,
+                    VirtualEngine.Timing.DEFAULT,
                     speeds[(each / 3) % 3],
-                    usedAnywhereMs);
+                    lastUsedMs);
             engines.add(engine);
             byId.put(engine.record.instanceId(), engine);
         }
@@ -129,13 +151,13 @@
                 false);
     }
 
-    static List<Kind> usualKinds(double factor, double burst) {
+    static List<Kind> defaultKinds(double factor, double burst) {
         return List.of(
                 new Kind(route("long", 300, 5_000, 0), 22.6 * factor, 13_300, 121, 3_720, 1.1, 11, 150),
                 new Kind(route("short", 400, 3_000, 1), 100 * factor * burst, 92, 1_213, 291, 1.4, 4, 150));
     }
 
-    /** Runs for so long after a warm-up that is not measured. */
+    /** Runs the fleet for {@code lengthMs} after a warm-up that is not measured. */
     void run(double warmUpMs, double lengthMs) {
         measureFromMs = warmUpMs;
         for (Kind kind : setting.kinds) {
@@ -148,39 +170,39 @@
             scheduleHints();
         }
         time.runUntil(warmUpMs);
-        readAgainBefore = sharedTokensReadAgain();
+        repeatedTokensBefore = sharedTokensPrefilledAgain();
         time.runUntil(warmUpMs + lengthMs);
     }
 
-    /** One replica falls silent for a while. */
-    void darken(int engine, double atMs, double forMs) {
-        time.after(atMs - time.now(), () -> engines.get(engine).darken(forMs));
+    /** Makes one replica unreachable for a while. */
+    void makeUnreachable(int engine, double atMs, double forMs) {
+        time.after(atMs - time.now(), () -> engines.get(engine).makeUnreachable(forMs));
     }
 
-    /** Short requests come so many times as often from then on. */
+    /** Multiplies the arrival rate of short requests for a while. */
     void burst(double atMs, double forMs, double factor) {
-        time.after(atMs - time.now(), () -> shortFactor = factor);
-        time.after(atMs + forMs - time.now(), () -> shortFactor = 1);
+        time.after(atMs - time.now(), () -> shortRateFactor = factor);
+        time.after(atMs + forMs - time.now(), () -> shortRateFactor = 1);
     }
 
-    /** Routers are killed and come back knowing nothing. */
-    void killRouters(double share, double atMs, double forMs) {
+    /** Kills a fraction of the routers, which restart without any measurements. */
+    void killRouters(double fraction, double atMs, double forMs) {
         time.after(atMs - time.now(), () -> {
-            for (int router = 0; router < share * selectors.size(); router++) {
-                down.add(router);
+            for (int router = 0; router < fraction * selectors.size(); router++) {
+                downRouters.add(router);
                 ReplicaSelector fresh = selector(router);
                 if (snapshots) {
                     int peer = selectors.size() - 1;
-                    time.after(GOSSIP_MS, () -> tellAll(selectors.get(peer), fresh));
+                    time.after(GOSSIP_MS, () -> sendSnapshot(selectors.get(peer), fresh));
                 }
                 selectors.set(router, fresh);
                 admissions.set(router, new AdmissionControl(selectors.get(router), random.split()));
             }
         });
-        time.after(atMs + forMs - time.now(), () -> down.clear());
+        time.after(atMs + forMs - time.now(), () -> downRouters.clear());
     }
 
-    private void tellAll(ReplicaSelector from, ReplicaSelector to) {
+    private void sendSnapshot(ReplicaSelector from, ReplicaSelector to) {
         engines.forEach(engine -> to.cacheEstimates().setCapacity(engine.record.instanceId(), SPEC.kvCacheTokens()));
         from.cacheEstimates().snapshot(2_000, time.now()).forEach(hint -> to.cacheEstimates()
                 .applyHint(hint, time.now()));
@@ -188,7 +210,7 @@
 
     private int upRouter() {
         int router = random.nextInt(selectors.size());
-        while (down.contains(router)) {
+        while (downRouters.contains(router)) {
             router = random.nextInt(selectors.size());
         }
         return router;
@@ -203,9 +225,9 @@
     }
 
     private void scheduleArrival(Kind kind) {
-        double factor = kind.route.priority() == 0 ? 1 : shortFactor;
-        double gap = -Math.log(1 - random.nextDouble()) * 1_000 / kind.perSecond / factor;
-        time.after(gap, () -> {
+        double factor = kind.route.priority() == 0 ? 1 : shortRateFactor;
+        double intervalMs = -Math.log(1 - random.nextDouble()) * 1_000 / kind.perSecond / factor;
+        time.after(intervalMs, () -> {
             arrive(kind);
             scheduleArrival(kind);
         });
@@ -214,11 +236,11 @@
     private void scheduleReports() {
         time.after(setting.reportEveryMs, () -> {
             for (VirtualEngine engine : engines) {
-                if (!engine.dark) {
-                    LoadReport taken = engine.report(time.now() + REPORT_LAG_MS + 30);
+                if (!engine.unreachable) {
+                    LoadReport loadReport = engine.report(time.now() + REPORT_LAG_MS + 30);
                     time.after(
                             REPORT_LAG_MS + 30,
-                            () -> selectors.forEach(each -> each.onLoadReport(engine.record.instanceId(), taken)));
+                            () -> selectors.forEach(each -> each.onLoadReport(engine.record.instanceId(), loadReport)));
                 }
             }
             scheduleReports();
@@ -255,67 +277,67 @@
         return mean * Math.exp(spread * normal - spread * spread / 2);
     }
 
-    private int thing(int things) {
-        return Math.min(things - 1, (int) (things * Math.pow(random.nextDouble(), 1 / 0.7)));
+    private int sharedPart(int sharedParts) {
+        return Math.min(sharedParts - 1, (int) (sharedParts * Math.pow(random.nextDouble(), 1 / 0.7)));
     }
 
     private void arrive(Kind kind) {
-        int thing = thing(kind.things);
-        long id = kind.route.name().hashCode() * 100_000L + thing;
-        int shared = (int) Math.max(16, kind.shared * (0.3 + 1.4 * ((thing * 0.618) % 1)));
-        int own = (int) Math.max(1, Math.min(14.0 * kind.own, lognormal(kind.own, kind.spread)));
-        int out = (int) Math.max(1, Math.min(4.0 * kind.out, lognormal(kind.out, 1.0)));
-        List<PromptPart> parts = List.of(new PromptPart(id, shared), new PromptPart(nextOwnPart++, own));
+        int sharedPart = sharedPart(kind.sharedParts);
+        long id = kind.route.name().hashCode() * 100_000L + sharedPart;
+        int shared = (int) Math.max(16, kind.shared * (0.3 + 1.4 * ((sharedPart * 0.618) % 1)));
+        int unshared = (int) Math.max(1, Math.min(14.0 * kind.unshared, lognormal(kind.unshared, kind.spread)));
+        int output = (int) Math.max(1, Math.min(4.0 * kind.output, lognormal(kind.output, 1.0)));
+        List<PromptPart> parts = List.of(new PromptPart(id, shared), new PromptPart(nextUnsharedPart++, unshared));
         RequestShape request = new RequestShape(
                 kind.route,
                 "lm",
                 true,
                 "m",
-                shared + own,
-                4 * kind.out,
+                shared + unshared,
+                4 * kind.output,
                 parts,
                 time.now(),
                 time.now() + kind.route.timeoutMs());
-        new Exchange(kind, request, out, upRouter(), false).start();
+        new Exchange(kind, request, output, upRouter(), false).start();
     }
 
-    /** One request from its arrival to its end. */
+    /** One request, from its arrival to its end. */
     private final class Exchange {
         final Kind kind;
         final RequestShape request;
-        final int out;
+        final int output;
         final ReplicaSelector selector;
         final double arrivedAt = time.now();
-        final boolean counted = time.now() >= measureFromMs;
+        final boolean measured = time.now() >= measureFromMs;
         Outcome outcome;
         double lastEventAt;
-        boolean first = true;
+        boolean awaitsFirstEvent = true;
         boolean inTime = true;
-        boolean over;
+        boolean ended;
 
         final int router;
-        final boolean later;
+        final boolean isRetry;
 
-        Exchange(Kind kind, RequestShape request, int out, int router, boolean later) {
+        Exchange(Kind kind, RequestShape request, int output, int router, boolean isRetry) {
             this.kind = kind;
             this.request = request;
-            this.out = out;
+            this.output = output;
             this.router = router;
-            this.later = later;
+            this.isRetry = isRetry;
             selector = selectors.get(router);
-            outcome = counted ? outcomes.get(kind.route.name()) : new Outcome();
+            outcome = measured ? outcomes.get(kind.route.name()) : new Outcome();
         }
 
-        void countFor(Outcome other) {
+        void setOutcome(Outcome other) {
             outcome = other;
         }
 
         void start() {
-            outcome.asked += later ? 0 : 1;
+            outcome.requests += isRetry ? 0 : 1;
             if (setting.admission
                     && admissions.get(router).decide(request, records, time.now())
-                            instanceof AdmissionDecision.Reject refusal) {
-                refused(refusal);
+                            instanceof AdmissionDecision.Reject rejection) {
+                rejected(rejection);
                 return;
             }
             Optional<ReplicaPair> pair = selector.choose(request, records, Set.of(), time.now());
@@ -329,15 +351,15 @@
             }
         }
 
-        void refused(AdmissionDecision.Reject refusal) {
-            over = true;
-            if (later) {
-                outcome.refusedTwice++;
+        void rejected(AdmissionDecision.Reject rejection) {
+            ended = true;
+            if (isRetry) {
+                outcome.rejectedTwice++;
                 outcome.failed++;
                 return;
             }
-            outcome.refused++;
-            time.after(refusal.retryAfterSeconds() * 1_000 + 2 * CLIENT_MS, () -> {
+            outcome.rejected++;
+            time.after(rejection.retryAfterSeconds() * 1_000 + 2 * CLIENT_MS, () -> {
                 RequestShape again = new RequestShape(
                         request.route(),
                         request.service(),
@@ -348,81 +370,81 @@
                         request.parts(),
                         time.now(),
                         request.deadlineAtMs());
-                Exchange next = new Exchange(kind, again, out, upRouter(), true);
-                next.countFor(outcome);
+                Exchange next = new Exchange(kind, again, output, upRouter(), true);
+                next.setOutcome(outcome);
                 next.start();
             });
         }
 
-        void prefill(ReplicaRecord reader) {
-            ReplicaSelector.Call call = selector.startCall(reader, CallKind.PREFILL, request, time.now());
+        void prefill(ReplicaRecord prefillReplica) {
+            ReplicaSelector.Call call = selector.startCall(prefillReplica, CallKind.PREFILL, request, time.now());
             VirtualEngine.Job job = new VirtualEngine.Job(request.parts(), 1, true);
-            giveUp(call);
+            scheduleTimeout(call);
             job.onDone = () -> time.after(NETWORK_MS, () -> {
-                if (over) {
+                if (ended) {
                     return;
                 }
                 call.onEnd(CallOutcome.COMPLETED, time.now());
-                selector.chooseDecode(request, reader, records, Set.of(), time.now())
-                        .ifPresent(replica -> decode(replica, reader));
+                selector.chooseDecode(request, prefillReplica, records, Set.of(), time.now())
+                        .ifPresent(replica -> decode(replica, prefillReplica));
             });
             job.onRejected = () -> fail(call, CallOutcome.REJECTED);
-            time.after(NETWORK_MS, () -> byId.get(reader.instanceId()).take(job));
+            time.after(NETWORK_MS, () -> byId.get(prefillReplica.instanceId()).accept(job));
         }
 
-        void decode(ReplicaRecord replica, ReplicaRecord reader) {
-            CallKind callKind = reader == null ? CallKind.AGGREGATED_DECODE : CallKind.DISAGGREGATED_DECODE;
-            ReplicaSelector.Call call = reader == null
+        void decode(ReplicaRecord replica, ReplicaRecord prefillReplica) {
+            CallKind callKind = prefillReplica == null ? CallKind.AGGREGATED_DECODE : CallKind.DISAGGREGATED_DECODE;
+            ReplicaSelector.Call call = prefillReplica == null
                     ? selector.startCall(replica, callKind, request, time.now())
-                    : selector.startDisaggregatedDecode(replica, reader, request, time.now());
-            VirtualEngine.Job job = new VirtualEngine.Job(request.parts(), out, false);
-            giveUp(call);
+                    : selector.startDisaggregatedDecode(replica, prefillReplica, request, time.now());
+            VirtualEngine.Job job = new VirtualEngine.Job(request.parts(), output, false);
+            scheduleTimeout(call);
             job.onFirst = () -> time.after(NETWORK_MS, () -> event(call));
             job.onEvent = job.onFirst;
             job.onDone = () -> time.after(NETWORK_MS, () -> done(call));
             job.onRejected = () -> fail(call, CallOutcome.REJECTED);
             VirtualEngine engine = byId.get(replica.instanceId());
-            if (reader == null) {
-                time.after(NETWORK_MS, () -> engine.take(job));
+            if (prefillReplica == null) {
+                time.after(NETWORK_MS, () -> engine.accept(job));
             } else {
-                double factor = reader.zone().equals(replica.zone()) ? 1 : 2;
+                double factor = prefillReplica.zone().equals(replica.zone()) ? 1 : 2;
                 double bytes = (double) job.promptTokens * SPEC.kvTokenBytes();
-                job.moveMs = factor * bytes * 8 / (SPEC.linkBandwidthMbps() * 1e3);
-                movedGigabytes += counted ? bytes / 1e9 : 0;
-                movePrices += counted ? PRICE_OF_GIGABYTE_MOVED * factor * bytes / 1e9 : 0;
-                time.after(NETWORK_MS, () -> engine.takeFetched(job));
+                job.transferMs = factor * bytes * 8 / (SPEC.linkBandwidthMbps() * 1e3);
+                transferredGigabytes += measured ? bytes / 1e9 : 0;
+                transferPrices += measured ? PRICE_PER_TRANSFERRED_GIGABYTE * factor * bytes / 1e9 : 0;
+                time.after(NETWORK_MS, () -> engine.acceptWithTransfer(job));
             }
         }
 
-        void giveUp(ReplicaSelector.Call call) {
+        void scheduleTimeout(ReplicaSelector.Call call) {
             time.after(2_000, () -> {
-                if (first && !over) {
+                if (awaitsFirstEvent && !ended) {
                     fail(call, CallOutcome.CANCELLED);
                 }
             });
         }
 
-        void fail(ReplicaSelector.Call call, CallOutcome ending) {
-            if (!over) {
-                over = true;
+        void fail(ReplicaSelector.Call call, CallOutcome callOutcome) {
+            if (!ended) {
+                ended = true;
                 outcome.failed++;
-                call.onEnd(ending, time.now());
+                call.onEnd(callOutcome, time.now());
             }
         }
 
         void event(ReplicaSelector.Call call) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            if (first) {
-                first = false;
+            if (awaitsFirstEvent) {
+                awaitsFirstEvent = false;
                 call.onFirstEvent(time.now());
-                double took = time.now() - arrivedAt + 2 * CLIENT_MS;
-                outcome.firstMs.add(took);
-                inTime = took <= kind.route.targetLatencyMs();
+                double latencyMs = time.now() - arrivedAt + 2 * CLIENT_MS;
+                outcome.firstEventMs.add(latencyMs);
+                inTime = latencyMs <= kind.route.targetLatencyMs();
             } else {
                 call.onEvent(time.now());
-                if (time.now() - lastEventAt > kind.pauseMs) {
+                if (time.now() - lastEventAt > kind.maxPauseMs) {
                     outcome.pauses++;
                     inTime = false;
                 }
@@ -431,13 +453,13 @@
         }
 
         void done(ReplicaSelector.Call call) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
+            ended = true;
             call.onEnd(CallOutcome.COMPLETED, time.now());
-            if (inTime && later) {
-                outcome.inTimeLater++;
+            if (inTime && isRetry) {
+                outcome.inTimeAfterRetry++;
             } else if (inTime) {
                 outcome.inTime++;
             } else {
@@ -446,79 +468,86 @@
         }
     }
 
-    /** A count of one kind of request, as a share of those asked. */
-    double share(String kind, ToIntFunction<Outcome> count) {
-        Outcome its = outcomes.get(kind);
-        return its.asked == 0 ? 0 : count.applyAsInt(its) / (double) its.asked;
+    /** A count of one kind of request, as a fraction of all its requests. */
+    double fraction(String kind, ToIntFunction<Outcome> count) {
+        Outcome results = outcomes.get(kind);
+        return results.requests == 0 ? 0 : count.applyAsInt(results) / (double) results.requests;
     }
 
-    /** Shared parts that were read, by all engines and from the start, in tokens. */
-    long sharedTokensRead() {
-        return engines.stream().mapToLong(engine -> engine.sharedTokensRead).sum();
+    /** Tokens of shared parts that all engines have prefilled since the start. */
+    long sharedTokensPrefilled() {
+        return engines.stream()
+                .mapToLong(engine -> engine.sharedTokensPrefilled)
+                .sum();
     }
 
-    /** Of these, those that some engine had used within the time that is priced. */
-    long sharedTokensReadAgain() {
+    /** Those of them that some engine had used within the time in which a repeated prefill is priced. */
+    long sharedTokensPrefilledAgain() {
         return engines.stream()
-                .mapToLong(engine -> engine.sharedTokensReadAgain)
+                .mapToLong(engine -> engine.sharedTokensPrefilledAgain)
                 .sum();
     }
 
-    /** One line of figures. */
+    /** The results, as one line of text. */
     String figures() {
         StringBuilder line = new StringBuilder();
         for (Kind kind : setting.kinds) {
-            Outcome its = outcomes.get(kind.route.name());
+            Outcome results = outcomes.get(kind.route.name());
             line.append(String.format(
                     "%s in time %.3f late %.3f lost %.3f refused %.3f later in time %.3f twice %.3f via prefill %.2f"
                             + " p50 %.0f p95 %.0f p99 %.0f"
                             + " pauses %d | ",
                     kind.route.name(),
-                    its.inTime / (double) its.asked,
-                    its.late / (double) its.asked,
-                    its.failed / (double) its.asked,
-                    its.refused / (double) its.asked,
-                    its.inTimeLater / (double) its.asked,
-                    its.refusedTwice / (double) its.asked,
-                    its.viaPrefill / (double) its.asked,
-                    its.quantile(0.5),
-                    its.quantile(0.95),
-                    its.quantile(0.99),
-                    its.pauses));
+                    results.inTime / (double) results.requests,
+                    results.late / (double) results.requests,
+                    results.failed / (double) results.requests,
+                    results.rejected / (double) results.requests,
+                    results.inTimeAfterRetry / (double) results.requests,
+                    results.rejectedTwice / (double) results.requests,
+                    results.viaPrefill / (double) results.requests,
+                    results.quantile(0.5),
+                    results.quantile(0.95),
+                    results.quantile(0.99),
+                    results.pauses));
         }
         double total = time.now();
-        long shared =
-                engines.stream().mapToLong(engine -> engine.sharedTokensRead).sum();
+        long shared = engines.stream()
+                .mapToLong(engine -> engine.sharedTokensPrefilled)
+                .sum();
         line.append(String.format(
                 "shared read %.1f Mtok, moved %.1f GB, busy %s",
                 shared / 1e6,
-                movedGigabytes,
+                transferredGigabytes,
                 Arrays.toString(engines.stream()
                         .mapToLong(each -> Math.round(100 * each.busyMs / total))
                         .toArray())));
         return line.toString();
     }
 
-    /** Worth earned of worth owed, with half for late answers; long requests count one and a half times. */
-    double worth() {
+    /** The fraction of the possible value that was earned; late responses earn half, long requests count 1.5 times. */
+    double value() {
         return earned(0);
     }
 
-    /** The same less the prices of moves and of shared parts read again. */
-    double netWorth() {
-        double tokens = sharedTokensReadAgain() - readAgainBefore;
-        return earned(movePrices + PRICE_OF_1000_TOKENS_READ_AGAIN * tokens / 1_000);
+    /** The same, less the prices of KV transfers and of repeated prefills of shared parts. */
+    double netValue() {
+        double tokens = sharedTokensPrefilledAgain() - repeatedTokensBefore;
+        return earned(transferPrices + PRICE_PER_1000_REPEATED_TOKENS * tokens / 1_000);
     }
 
     private double earned(double prices) {
         double earned = -prices;
-        double owed = 0;
+        double possible = 0;
         for (Kind kind : setting.kinds) {
-            Outcome its = outcomes.get(kind.route.name());
-            double worth = kind.route.priority() == 0 ? 3 : 2;
-            earned += worth * (its.inTime + 0.75 * its.inTimeLater + 0.5 * its.late - 0.3 * its.refusedTwice);
-            owed += worth * its.asked;
+            Outcome results = outcomes.get(kind.route.name());
+            double value = kind.route.priority() == 0 ? 3 : 2;
+            earned += value
+                    * (results.inTime
+                            + 0.75 * results.inTimeAfterRetry
+                            + 0.5 * results.late
+                            - 0.3 * results.rejectedTwice);
+            possible += value * results.requests;
         }
-        return earned / owed;
+        return earned / possible;
     }
 }
--- a/router-fleet/selection/src/test/java/pinewick/selection/VirtualFleetTest.java
+++ b/router-fleet/selection/src/test/java/pinewick/selection/VirtualFleetTest.java
@@ -10,17 +10,17 @@
     private static final int SEEDS = 4;
 
     private record Figures(
-            double worth,
+            double value,
             double longInTime,
             double shortInTime,
             double longByPrefill,
-            double netWorth,
+            double netValue,
             double repeatedPrefillTokens) {}
 
     private static VirtualFleet fleet(
             SelectionTuning tuning, int countedRouters, boolean hints, double load, long seed) {
         return new VirtualFleet(new VirtualFleet.Setting(
-                9, countedRouters, 3, 5, VirtualFleet.usualKinds(load, 1), tuning, true, hints, true, 1_000, seed));
+                9, countedRouters, 3, 5, VirtualFleet.defaultKinds(load, 1), tuning, true, hints, true, 1_000, seed));
     }
 
     private static Figures runAll(SelectionTuning tuning, int countedRouters, boolean hints, double load) {
@@ -28,12 +28,12 @@
         for (int seed = 1; seed <= SEEDS; seed++) {
             VirtualFleet run = fleet(tuning, countedRouters, hints, load, seed);
             run.run(4_000, 15_000);
-            sums[0] += run.worth() / SEEDS;
-            sums[1] += run.share("long", outcome -> outcome.inTime) / SEEDS;
-            sums[2] += run.share("short", outcome -> outcome.inTime) / SEEDS;
-            sums[3] += run.share("long", outcome -> outcome.viaPrefill) / SEEDS;
-            sums[4] += run.netWorth() / SEEDS;
-            sums[5] += (double) run.sharedTokensReadAgain() / SEEDS;
+            sums[0] += run.value() / SEEDS;
+            sums[1] += run.fraction("long", outcome -> outcome.inTime) / SEEDS;
+            sums[2] += run.fraction("short", outcome -> outcome.inTime) / SEEDS;
+            sums[3] += run.fraction("long", outcome -> outcome.viaPrefill) / SEEDS;
+            sums[4] += run.netValue() / SEEDS;
+            sums[5] += (double) run.sharedTokensPrefilledAgain() / SEEDS;
         }
         return new Figures(sums[0], sums[1], sums[2], sums[3], sums[4], sums[5]);
     }
@@ -45,7 +45,7 @@
     @Test
     void lowLoadIsServedInTime() {
         Figures figures = runWithDefaults(0.55);
-        assertTrue(figures.worth > 0.955, figures.toString());
+        assertTrue(figures.value > 0.955, figures.toString());
         assertTrue(figures.shortInTime > 0.985, figures.toString());
         assertTrue(figures.longByPrefill > 0.4, figures.toString());
     }
@@ -53,7 +53,7 @@
     @Test
     void highLoadIsServedMostlyInTime() {
         Figures figures = runWithDefaults(1.1);
-        assertTrue(figures.worth > 0.93, figures.toString());
+        assertTrue(figures.value > 0.93, figures.toString());
         assertTrue(figures.shortInTime > 0.96, figures.toString());
     }
 
@@ -61,14 +61,14 @@
     void scalingOutstandingCallsByRoutersAvoidsHerding() {
         Figures with = runWithDefaults(1.1);
         Figures without = runAll(SelectionTuning.DEFAULT, 1, true, 1.1);
-        assertTrue(with.worth > without.worth, with + " against " + without);
+        assertTrue(with.value > without.value, with + " against " + without);
     }
 
     @Test
     void serviceTimeByRequestServesBetterThanMinimumLatency() {
         Figures with = runWithDefaults(1.6);
         Figures without = runAll(SelectionTuning.DEFAULT.withServiceByRequest(false), 9, true, 1.6);
-        assertTrue(with.worth > without.worth + 0.1, with + " against " + without);
+        assertTrue(with.value > without.value + 0.1, with + " against " + without);
     }
 
     /** The prices of a prefill also lead requests to cached prefixes; without the prices only s does. */
@@ -78,7 +78,7 @@
                 SelectionTuning.DEFAULT.withRepeatedPrefillWeight(0).withInterferenceWeight(0);
         Figures with = runAll(scoreAlone, 9, true, 1.2);
         Figures without = runAll(scoreAlone.withServiceByRequest(false), 9, true, 1.2);
-        assertTrue(with.worth > without.worth + 0.5, with + " against " + without);
+        assertTrue(with.value > without.value + 0.5, with + " against " + without);
     }
 
     @Test
@@ -92,7 +92,7 @@
     void thePriceOfRepeatedPrefillSavesPrefill() {
         Figures with = runWithDefaults(1.1);
         Figures without = runAll(SelectionTuning.DEFAULT.withRepeatedPrefillWeight(0), 9, true, 1.1);
-        assertTrue(with.netWorth > without.netWorth, with + " against " + without);
+        assertTrue(with.netValue > without.netValue, with + " against " + without);
         assertTrue(with.repeatedPrefillTokens < 0.8 * without.repeatedPrefillTokens, with + " against " + without);
     }
 
@@ -100,7 +100,7 @@
     void theInterferencePriceReducesPrefillOnDecodeReplicas() {
         Figures with = runWithDefaults(1.1);
         Figures without = runAll(SelectionTuning.DEFAULT.withInterferenceWeight(0), 9, true, 1.1);
-        assertTrue(with.worth > without.worth, with + " against " + without);
+        assertTrue(with.value > without.value, with + " against " + without);
         assertTrue(with.longByPrefill > without.longByPrefill, with + " against " + without);
     }
 
@@ -109,7 +109,7 @@
         int lost = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
             VirtualFleet run = fleet(SelectionTuning.DEFAULT, 9, true, 0.9, seed);
-            run.darken(5, 10_000, 4_500);
+            run.makeUnreachable(5, 10_000, 4_500);
             run.run(8_000, 8_000);
             lost += run.outcomes.values().stream()
                     .mapToInt(outcome -> outcome.failed)
@@ -132,9 +132,9 @@
     @Test
     void withoutPrefillReplicasServingIsAggregated() {
         VirtualFleet run = new VirtualFleet(new VirtualFleet.Setting(
-                3, 3, 0, 6, VirtualFleet.usualKinds(0.4, 1), SelectionTuning.DEFAULT, true, true, true, 1_000, 1));
+                3, 3, 0, 6, VirtualFleet.defaultKinds(0.4, 1), SelectionTuning.DEFAULT, true, true, true, 1_000, 1));
         run.run(2_000, 5_000);
-        assertEquals(0, run.share("long", outcome -> outcome.failed), 1e-9);
-        assertEquals(0, run.share("long", outcome -> outcome.viaPrefill), 1e-9);
+        assertEquals(0, run.fraction("long", outcome -> outcome.failed), 1e-9);
+        assertEquals(0, run.fraction("long", outcome -> outcome.viaPrefill), 1e-9);
     }
 }
