--- a/router-fleet/control/src/main/java/pinewick/control/Controller.java
+++ b/router-fleet/control/src/main/java/pinewick/control/Controller.java
@@ -19,7 +19,7 @@
 import pinewick.model.NodeSettings;
 import pinewick.model.SocketAddress;
 import pinewick.quota.QuotaMessages;
-import pinewick.quota.QuotaTerms;
+import pinewick.quota.QuotaPolicy;
 import pinewick.replication.ReplicationMessages;
 import pinewick.replication.ReplicationSettings;
 import pinewick.replication.StableStore;
@@ -128,9 +128,9 @@
                 quotaTerms());
     }
 
-    private QuotaTerms quotaTerms() {
+    private QuotaPolicy quotaTerms() {
         NodeSettings.Bounds bounds = settings.bounds();
-        return new QuotaTerms(bounds.quotaWindowSeconds() * MS_PER_SECOND, bounds.quotaOverage(), bounds.quotaSlack());
+        return new QuotaPolicy(bounds.quotaWindowSeconds() * MS_PER_SECOND, bounds.quotaOverage(), bounds.quotaSlack());
     }
 
     private static ControllerException missing(String field) {
--- a/router-fleet/control/src/main/java/pinewick/control/ControllerCore.java
+++ b/router-fleet/control/src/main/java/pinewick/control/ControllerCore.java
@@ -13,7 +13,7 @@
 import pinewick.model.Outbox;
 import pinewick.model.SocketAddress;
 import pinewick.quota.QuotaMessages.QuotaRequest;
-import pinewick.quota.QuotaTerms;
+import pinewick.quota.QuotaPolicy;
 import pinewick.quota.TenantUsage;
 import pinewick.replication.ReplicationNode;
 import pinewick.replication.ReplicationReport;
@@ -65,7 +65,7 @@
             ReplicationSettings replication,
             int contactMs,
             int heartbeatMs,
-            QuotaTerms quotaTerms) {}
+            QuotaPolicy quotaTerms) {}
 
     /**
      * @param loop owns this object
--- a/router-fleet/control/src/main/java/pinewick/control/TenantLimits.java
+++ b/router-fleet/control/src/main/java/pinewick/control/TenantLimits.java
@@ -11,7 +11,7 @@
 import pinewick.quota.QuotaCoordinator;
 import pinewick.quota.QuotaMessages.QuotaReply;
 import pinewick.quota.QuotaMessages.QuotaRequest;
-import pinewick.quota.QuotaTerms;
+import pinewick.quota.QuotaPolicy;
 import pinewick.quota.TenantUsage;
 
 /** The limits of tenants at a controller: follows the configuration, and coordinates them while it may. */
@@ -21,7 +21,7 @@
     private final QuotaCoordinator coordinator;
     private final TaskLoop loop;
 
-    TenantLimits(QuotaTerms terms, TaskLoop loop) {
+    TenantLimits(QuotaPolicy terms, TaskLoop loop) {
         this.coordinator = new QuotaCoordinator(terms);
         this.loop = loop;
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
@@ -26,8 +26,8 @@
 import pinewick.model.RoutingTable;
 import pinewick.model.ServiceSpec;
 import pinewick.model.SocketAddress;
+import pinewick.quota.FallbackAllowance;
 import pinewick.quota.QuotaClient;
-import pinewick.quota.RunAheadAllowance;
 import pinewick.selection.AdmissionControl;
 import pinewick.selection.ReplicaSelector;
 import pinewick.selection.RequestShape;
@@ -52,7 +52,7 @@
     private final Set<RequestLifecycle> activeRequests = new HashSet<>();
     private final RequestAdmission requestAdmission;
     private final TenantQuotas quotas;
-    private final RunAheadAllowance runAhead;
+    private final FallbackAllowance runAhead;
     private final LoadReportExchange sharing;
     private final ReportPoller reports;
     private final InFlightLimits admission = new InFlightLimits();
@@ -89,7 +89,7 @@
         this.pool = new UpstreamPool(serial, timers, directory, this::connectionLimit);
         this.services = new DataPlaneServices(
                 selector, chooser, budget, new KvTransferHealth(), directory, pool, timers, random);
-        this.runAhead = new RunAheadAllowance(tenancy.quotaTerms(), timers.nowMs());
+        this.runAhead = new FallbackAllowance(tenancy.quotaTerms(), timers.nowMs());
         this.quotas =
                 new TenantQuotas(new QuotaClient(tenancy.quotaPeers(), tenancy.outbox(), runAhead, random), timers);
         this.requestAdmission = new RequestAdmission(
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/QuotaAdmission.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/QuotaAdmission.java
@@ -116,7 +116,7 @@
     private void onTimeout(PendingGrant waiting, Runnable onGranted, Consumer<Refusal> onRefused) {
         decided = true;
         waiting.cancel();
-        if (waiting.tryRunAhead(timers.nowMs())) {
+        if (waiting.tryFallbackAllowance(timers.nowMs())) {
             onGranted.run();
         } else {
             onRefused.accept(withoutDecision());
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
@@ -13,7 +13,7 @@
 import pinewick.model.Message;
 import pinewick.model.NodeSettings;
 import pinewick.model.SocketAddress;
-import pinewick.quota.QuotaTerms;
+import pinewick.quota.QuotaPolicy;
 import pinewick.selection.ReplicaSelector;
 import pinewick.selection.RetryBudget;
 
@@ -97,8 +97,8 @@
 
     private Tenancy tenancy() {
         NodeSettings.Bounds bounds = settings.bounds();
-        QuotaTerms terms =
-                new QuotaTerms(bounds.quotaWindowSeconds() * MILLISECONDS, bounds.quotaOverage(), bounds.quotaSlack());
+        QuotaPolicy terms =
+                new QuotaPolicy(bounds.quotaWindowSeconds() * MILLISECONDS, bounds.quotaOverage(), bounds.quotaSlack());
         ConfigurationStatus status = new ConfigurationStatus() {
             @Override
             public boolean isConfirmedSinceStart() {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/Tenancy.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/Tenancy.java
@@ -3,7 +3,7 @@
 import pinewick.model.NodeSettings;
 import pinewick.model.Outbox;
 import pinewick.quota.QuotaPeers;
-import pinewick.quota.QuotaTerms;
+import pinewick.quota.QuotaPolicy;
 
 /**
  * What the data plane needs for keys and limits of tenants.
@@ -17,6 +17,6 @@
 record Tenancy(
         NodeSettings.Bounds bounds,
         ConfigurationStatus configurationStatus,
-        QuotaTerms quotaTerms,
+        QuotaPolicy quotaTerms,
         QuotaPeers quotaPeers,
         Outbox outbox) {}
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/QuotaAdmissionTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/QuotaAdmissionTest.java
@@ -18,13 +18,13 @@
 import pinewick.model.QuotaUnit;
 import pinewick.model.SocketAddress;
 import pinewick.model.Tenant;
+import pinewick.quota.FallbackAllowance;
 import pinewick.quota.QuotaClient;
 import pinewick.quota.QuotaMessages.QuotaReply;
 import pinewick.quota.QuotaMessages.QuotaRequest;
 import pinewick.quota.QuotaMessages.QuotaVerdict;
 import pinewick.quota.QuotaPeers;
-import pinewick.quota.QuotaTerms;
-import pinewick.quota.RunAheadAllowance;
+import pinewick.quota.QuotaPolicy;
 
 /** A request that waits for the limit of its tenant. */
 class QuotaAdmissionTest {
@@ -34,7 +34,7 @@
 
     private final VirtualTimers timers = new VirtualTimers();
     private final List<QuotaRequest> sent = new ArrayList<>();
-    private final RunAheadAllowance runAhead = new RunAheadAllowance(new QuotaTerms(100, 0, 1_000), 0);
+    private final FallbackAllowance runAhead = new FallbackAllowance(new QuotaPolicy(100, 0, 1_000), 0);
     private final TenantQuotas quotas = new TenantQuotas(
             new QuotaClient(new OnlyThePrimary(), this::send, runAhead, new SplittableRandom(1)), timers);
     private final List<String> outcomes = new ArrayList<>();
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/TestRouter.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/TestRouter.java
@@ -16,7 +16,7 @@
 import pinewick.model.ReplicaState;
 import pinewick.model.SocketAddress;
 import pinewick.model.Stage;
-import pinewick.quota.QuotaTerms;
+import pinewick.quota.QuotaPolicy;
 import pinewick.selection.ReplicaSelector;
 import pinewick.selection.RetryBudget;
 
@@ -72,7 +72,7 @@
             }
         };
         return new Tenancy(
-                bounds, status, new QuotaTerms(1_000, 0.1, 1_000), new NoQuotaPeers(), (peer, message) -> {});
+                bounds, status, new QuotaPolicy(1_000, 0.1, 1_000), new NoQuotaPeers(), (peer, message) -> {});
     }
 
     /** A budget whose first window is over, so that its slack can be spent. */
--- a/router-fleet/quota/src/main/java/pinewick/quota/RunAheadAllowance.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/FallbackAllowance.java
@@ -8,14 +8,14 @@
 
 /**
  * What this router may let through without a grant while it reaches no coordinator: in each window an equal part, by
- * the most routers that may run, of what the terms set aside for all routers together. So the routers' sum holds
+ * the most routers that may run, of what the policy sets aside for all routers together. So the routers' sum holds
  * without a word between them, however many of them are cut off. A router that has just started has no part for one
  * window, since what its earlier incarnation used may still count.
  */
-public final class RunAheadAllowance {
+public final class FallbackAllowance {
     private static final double MS_PER_SECOND = 1_000;
 
-    private final QuotaTerms terms;
+    private final QuotaPolicy policy;
     private final double startedAtMs;
     private final Map<String, Usage> usageByTenant = new HashMap<>();
     private int currentBound = Integer.MAX_VALUE;
@@ -42,8 +42,8 @@
         }
     }
 
-    public RunAheadAllowance(QuotaTerms terms, double nowMs) {
-        this.terms = terms;
+    public FallbackAllowance(QuotaPolicy policy, double nowMs) {
+        this.policy = policy;
         this.startedAtMs = nowMs;
     }
 
@@ -59,12 +59,12 @@
 
     /** Uses the allowance for a request; false if it does not suffice. */
     boolean tryUse(String tenant, QuotaLimit limit, int cost, double nowMs) {
-        if (nowMs - startedAtMs < terms.windowMs()) {
+        if (nowMs - startedAtMs < policy.windowMs()) {
             return false;
         }
-        double part = terms.runAhead(limit.ratePerSecond() / MS_PER_SECOND, limit.burstSize()) / effectiveBound(nowMs);
+        double part = policy.fallback(limit.ratePerSecond() / MS_PER_SECOND, limit.burstSize()) / effectiveBound(nowMs);
         Usage usage = usageByTenant.computeIfAbsent(tenant, name -> new Usage());
-        if (usage.since(nowMs - terms.windowMs()) + cost > part) {
+        if (usage.since(nowMs - policy.windowMs()) + cost > part) {
             return false;
         }
         usage.add(nowMs, cost);
@@ -72,7 +72,7 @@
     }
 
     private int effectiveBound(double nowMs) {
-        boolean isRecentlyLowered = nowMs - boundLoweredAtMs < terms.windowMs();
+        boolean isRecentlyLowered = nowMs - boundLoweredAtMs < policy.windowMs();
         return isRecentlyLowered ? Math.max(previousBound, currentBound) : currentBound;
     }
 }
--- a/router-fleet/quota/src/main/java/pinewick/quota/PendingGrant.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/PendingGrant.java
@@ -6,5 +6,5 @@
     void cancel();
 
     /** Uses the router's own allowance in place of a grant; false if it does not suffice. */
-    boolean tryRunAhead(double nowMs);
+    boolean tryFallbackAllowance(double nowMs);
 }
--- a/router-fleet/quota/src/main/java/pinewick/quota/QuotaClient.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/QuotaClient.java
@@ -21,7 +21,7 @@
  * again that was not answered. A coordinator that answers nothing for {@link #SUSPECT_AFTER_MS}, to whichever requests,
  * is <em>suspected</em>: from then on the oldest request alone probes for one, at the primary that is known, at a
  * controller and through another router, since this router may be partitioned from the controllers only. Meanwhile
- * requests are let through by the {@link RunAheadAllowance} as far as it goes; the others wait, for as long as their
+ * requests are let through by the {@link FallbackAllowance} as far as it goes; the others wait, for as long as their
  * owners let them.
  *
  * <p>Used by one thread at a time.
@@ -43,7 +43,7 @@
 
     private final QuotaPeers peers;
     private final Outbox outbox;
-    private final RunAheadAllowance runAhead;
+    private final FallbackAllowance fallback;
     private final RandomGenerator random;
     private final Map<Long, PendingRequest> pending = new LinkedHashMap<>();
     private final RequestRelay relay = new RequestRelay();
@@ -78,8 +78,8 @@
         }
 
         @Override
-        public boolean tryRunAhead(double nowMs) {
-            return runAhead.tryUse(request.tenant(), limit, request.cost(), nowMs);
+        public boolean tryFallbackAllowance(double nowMs) {
+            return fallback.tryUse(request.tenant(), limit, request.cost(), nowMs);
         }
 
         void complete(QuotaDecision decision) {
@@ -89,13 +89,13 @@
     }
 
     /**
-     * @param runAhead what may be let through without a coordinator
+     * @param fallback what may be let through without a coordinator
      * @param random draws the first id, so that those of an earlier incarnation match nothing, and peers
      */
-    public QuotaClient(QuotaPeers peers, Outbox outbox, RunAheadAllowance runAhead, RandomGenerator random) {
+    public QuotaClient(QuotaPeers peers, Outbox outbox, FallbackAllowance fallback, RandomGenerator random) {
         this.peers = peers;
         this.outbox = outbox;
-        this.runAhead = runAhead;
+        this.fallback = fallback;
         this.random = random;
         this.lastId = random.nextLong();
     }
@@ -110,7 +110,7 @@
         QuotaRequest request = new QuotaRequest(++lastId, tenant, cost);
         PendingRequest added = new PendingRequest(request, limit, callback, nowMs);
         suspectIfSilent(nowMs);
-        if (suspected && added.tryRunAhead(nowMs)) {
+        if (suspected && added.tryFallbackAllowance(nowMs)) {
             callback.accept(new QuotaDecision.Granted());
             return added;
         }
@@ -159,13 +159,13 @@
         if (!suspected && nowMs - unansweredSinceMs >= SUSPECT_AFTER_MS) {
             suspected = true;
             relayRouter = Optional.empty();
-            runAheadWithPending(nowMs);
+            grantPendingFromFallback(nowMs);
         }
     }
 
-    private void runAheadWithPending(double nowMs) {
+    private void grantPendingFromFallback(double nowMs) {
         for (PendingRequest each : List.copyOf(pending.values())) {
-            if (pending.containsKey(each.request.requestId()) && each.tryRunAhead(nowMs)) {
+            if (pending.containsKey(each.request.requestId()) && each.tryFallbackAllowance(nowMs)) {
                 each.complete(new QuotaDecision.Granted());
             }
         }
--- a/router-fleet/quota/src/main/java/pinewick/quota/QuotaCoordinator.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/QuotaCoordinator.java
@@ -34,7 +34,7 @@
 
     private static final double MS_PER_SECOND = 1_000;
 
-    private final QuotaTerms terms;
+    private final QuotaPolicy policy;
     private final Map<String, Account> accounts = new HashMap<>();
     private final RecentGrants recentGrants = new RecentGrants();
     private Map<String, Tenant> tenants = Map.of();
@@ -67,8 +67,8 @@
         }
     }
 
-    public QuotaCoordinator(QuotaTerms terms) {
-        this.terms = terms;
+    public QuotaCoordinator(QuotaPolicy policy) {
+        this.policy = policy;
     }
 
     /** The tenants of the newest configuration. */
@@ -106,7 +106,7 @@
                     tenants.containsKey(name) && !tenants.get(name).limit().isUnlimited();
             account.removedAtMs = isLimited ? Double.POSITIVE_INFINITY : Math.min(account.removedAtMs, nowMs);
         });
-        double oldestMs = nowMs - WINDOWS_AFTER_REMOVAL * terms.windowMs();
+        double oldestMs = nowMs - WINDOWS_AFTER_REMOVAL * policy.windowMs();
         accounts.values().removeIf(account -> account.removedAtMs < oldestMs);
     }
 
@@ -114,7 +114,7 @@
         QuotaLimit limit = tenant.limit();
         accounts.computeIfAbsent(tenant.name(), name -> new Account(nowMs))
                 .bucket
-                .setLimit(limit.ratePerSecond() / MS_PER_SECOND, limit.burstSize(), terms, nowMs);
+                .setLimit(limit.ratePerSecond() / MS_PER_SECOND, limit.burstSize(), policy, nowMs);
     }
 
     /**
--- a/router-fleet/quota/src/main/java/pinewick/quota/QuotaTerms.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/QuotaPolicy.java
@@ -16,10 +16,10 @@
  * @param overage the fraction by which the limit may be exceeded
  * @param slack what may be exceeded in addition, in the unit of the limit
  */
-public record QuotaTerms(double windowMs, double overage, double slack) {
+public record QuotaPolicy(double windowMs, double overage, double slack) {
     private static final double BURST_FRACTION = 0.35;
     private static final double DEBT_FRACTION = 0.15;
-    private static final double RUN_AHEAD_FRACTION = 0.25;
+    private static final double FALLBACK_FRACTION = 0.25;
 
     /** What may be executed in a window beyond rate x window + burst. */
     public double allowance(double ratePerMs, double burst) {
@@ -37,7 +37,7 @@
     }
 
     /** What all routers together may use in a window without a grant. */
-    double runAhead(double ratePerMs, double burst) {
-        return RUN_AHEAD_FRACTION * allowance(ratePerMs, burst);
+    double fallback(double ratePerMs, double burst) {
+        return FALLBACK_FRACTION * allowance(ratePerMs, burst);
     }
 }
--- a/router-fleet/quota/src/main/java/pinewick/quota/TenantBucket.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/TenantBucket.java
@@ -25,12 +25,12 @@
     }
 
     /** Sets the limit in force from now on. What is above a lowered capacity is lost. */
-    void setLimit(double newRatePerMs, double burst, QuotaTerms terms, double nowMs) {
+    void setLimit(double newRatePerMs, double burst, QuotaPolicy policy, double nowMs) {
         advance(nowMs);
         ratePerMs = newRatePerMs;
-        capacity = terms.capacity(newRatePerMs, burst);
-        maxDebt = terms.maxDebt(newRatePerMs, burst);
-        windowMs = terms.windowMs();
+        capacity = policy.capacity(newRatePerMs, burst);
+        maxDebt = policy.maxDebt(newRatePerMs, burst);
+        windowMs = policy.windowMs();
         level = Math.min(level, capacity);
     }
 
--- a/router-fleet/quota/src/test/java/pinewick/quota/RunAheadAllowanceTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/FallbackAllowanceTest.java
@@ -7,13 +7,13 @@
 import pinewick.model.QuotaLimit;
 import pinewick.model.QuotaUnit;
 
-class RunAheadAllowanceTest {
+class FallbackAllowanceTest {
     /** Rate x window + burst is 9,000, the allowance 900 + 9,100, a quarter of it 2,500. */
     private static final QuotaLimit LIMIT = new QuotaLimit(1_000, 1_000, QuotaUnit.TOKENS, 200);
 
-    private static final QuotaTerms TERMS = new QuotaTerms(8_000, 0.1, 9_100);
+    private static final QuotaPolicy POLICY = new QuotaPolicy(8_000, 0.1, 9_100);
 
-    private final RunAheadAllowance allowance = new RunAheadAllowance(TERMS, 0);
+    private final FallbackAllowance allowance = new FallbackAllowance(POLICY, 0);
 
     @Test
     void eachRouterHasAnEqualPartInAWindow() {
--- a/router-fleet/quota/src/test/java/pinewick/quota/QuotaClientTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/QuotaClientTest.java
@@ -24,7 +24,7 @@
     private static final SocketAddress BACKUP = new SocketAddress("10.0.0.8", 7_081);
     private static final SocketAddress ROUTER = new SocketAddress("10.0.0.2", 7_080);
     private static final QuotaLimit LIMIT = new QuotaLimit(1_000, 1_000, QuotaUnit.TOKENS, 200);
-    private static final QuotaTerms TERMS = new QuotaTerms(8_000, 0.1, 10_000);
+    private static final QuotaPolicy POLICY = new QuotaPolicy(8_000, 0.1, 10_000);
     private static final double STARTED_MS = 0;
     private static final double NOW_MS = 100_000;
 
@@ -32,7 +32,7 @@
 
     private final List<Sent> sent = new ArrayList<>();
     private final List<QuotaDecision> decisions = new ArrayList<>();
-    private final RunAheadAllowance runAhead = new RunAheadAllowance(TERMS, STARTED_MS);
+    private final FallbackAllowance fallback = new FallbackAllowance(POLICY, STARTED_MS);
     private final QuotaClient client = new QuotaClient(
             new QuotaPeers() {
                 @Override
@@ -51,7 +51,7 @@
                 }
             },
             (receiver, message) -> sent.add(new Sent(receiver, message)),
-            runAhead,
+            fallback,
             new SplittableRandom(3));
 
     private PendingGrant request(int cost, double nowMs) {
@@ -186,8 +186,8 @@
     }
 
     @Test
-    void shortRequestsRunAheadWhileTheCoordinatorIsSuspected() {
-        runAhead.setRouterCount(10, STARTED_MS);
+    void requestsUseTheFallbackAllowanceWhileTheCoordinatorIsSuspected() {
+        fallback.setRouterCount(10, STARTED_MS);
         request(200, NOW_MS);
         suspectCoordinator();
         assertInstanceOf(QuotaDecision.Granted.class, decisions.get(0));
--- a/router-fleet/quota/src/test/java/pinewick/quota/QuotaCoordinatorTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/QuotaCoordinatorTest.java
@@ -20,9 +20,9 @@
 class QuotaCoordinatorTest {
     private static final SocketAddress ROUTER = new SocketAddress("10.0.0.1", 7_080);
     private static final SocketAddress PRIMARY = new SocketAddress("10.0.0.9", 7_081);
-    private static final QuotaTerms TERMS = new QuotaTerms(1_000, 0, 0);
+    private static final QuotaPolicy POLICY = new QuotaPolicy(1_000, 0, 0);
 
-    private final QuotaCoordinator coordinator = new QuotaCoordinator(TERMS);
+    private final QuotaCoordinator coordinator = new QuotaCoordinator(POLICY);
     private long lastId;
 
     private static Tenant tenant(String name, double rate, double burst) {
--- a/router-fleet/quota/src/test/java/pinewick/quota/QuotaFleet.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/QuotaFleet.java
@@ -71,7 +71,7 @@
     record Plan(
             int routers,
             QuotaLimit limit,
-            QuotaTerms terms,
+            QuotaPolicy policy,
             double requestsPerSecond,
             double longFraction,
             boolean bursts,
@@ -96,10 +96,10 @@
         void start() {
             incarnation++;
             double startedMs = events.nowMs() == 0 ? Double.NEGATIVE_INFINITY : events.nowMs();
-            RunAheadAllowance runAhead = new RunAheadAllowance(plan.terms, startedMs);
-            runAhead.setRouterCount(plan.routers, startedMs);
+            FallbackAllowance fallback = new FallbackAllowance(plan.policy, startedMs);
+            fallback.setRouterCount(plan.routers, startedMs);
             client = new QuotaClient(
-                    new KnownPeers(QuotaFleet.this, anyController()), this::send, runAhead, random.split());
+                    new KnownPeers(QuotaFleet.this, anyController()), this::send, fallback, random.split());
         }
 
         private void send(SocketAddress receiver, Message message) {
@@ -145,7 +145,7 @@
                             if (plan.defect != Defect.LATE_GRANTS_ARE_KEPT) {
                                 pending.cancel();
                             }
-                            finish(pending.tryRunAhead(events.nowMs()), sentMs, cost);
+                            finish(pending.tryFallbackAllowance(events.nowMs()), sentMs, cost);
                         }
                     }));
         }
@@ -199,7 +199,7 @@
 
     private final class Controller {
         private final SocketAddress address;
-        private final QuotaCoordinator coordinator = new QuotaCoordinator(plan.terms);
+        private final QuotaCoordinator coordinator = new QuotaCoordinator(plan.policy);
         private double frozenUntilMs;
 
         Controller(SocketAddress address) {
@@ -357,7 +357,7 @@
         double highest = 0;
         for (int first = 0; first < bySent.size(); first++) {
             double fromMs = bySent.get(first).sentMs;
-            double untilMs = fromMs + plan.terms.windowMs();
+            double untilMs = fromMs + plan.policy.windowMs();
             double sum = 0;
             for (int index = first; index < bySent.size() && bySent.get(index).sentMs <= untilMs; index++) {
                 sum += bySent.get(index).executedMs <= untilMs ? bySent.get(index).cost : 0;
--- a/router-fleet/quota/src/test/java/pinewick/quota/QuotaFleetTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/QuotaFleetTest.java
@@ -15,7 +15,7 @@
 /** The limit of a tenant over a fleet whose messages, routers and controllers fail (docs/quotas.md). */
 class QuotaFleetTest {
     /** A small allowance, so that errors show; the platform's is several times as large. */
-    private static final QuotaTerms TERMS = new QuotaTerms(8_000, 0, 40_000);
+    private static final QuotaPolicy POLICY = new QuotaPolicy(8_000, 0, 40_000);
 
     private static final QuotaLimit LIMIT = new QuotaLimit(47_000, 47_000, QuotaUnit.TOKENS, 200);
     private static final double BASE = 47_000 * 8 + 47_000;
@@ -43,7 +43,7 @@
                 new QuotaFleet.Plan(
                         routers,
                         LIMIT,
-                        TERMS,
+                        POLICY,
                         perSecond,
                         LONG_FRACTION,
                         bursts,
@@ -58,7 +58,7 @@
 
     /** What docs/quotas.md promises: three quarters of the allowance. */
     private static double bound() {
-        return BASE + 0.75 * TERMS.allowance(47, 47_000);
+        return BASE + 0.75 * POLICY.allowance(47, 47_000);
     }
 
     @Property(tries = 25)
@@ -104,7 +104,7 @@
                 new QuotaFleet.Plan(
                         84,
                         LIMIT,
-                        new QuotaTerms(8_000, 0.1, 190_000),
+                        new QuotaPolicy(8_000, 0.1, 190_000),
                         FIVEFOLD_PER_SECOND / 10,
                         LONG_FRACTION,
                         false,
--- a/router-fleet/quota/src/test/java/pinewick/quota/TenantBucketTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/TenantBucketTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 
 class TenantBucketTest {
-    private static final QuotaTerms TERMS = new QuotaTerms(8_000, 0.1, 190_000);
+    private static final QuotaPolicy POLICY = new QuotaPolicy(8_000, 0.1, 190_000);
     private static final double RATE_PER_MS = 47;
     private static final double BURST = 47_000;
 
     private static TenantBucket bucket(double nowMs) {
         TenantBucket bucket = new TenantBucket(nowMs);
-        bucket.setLimit(RATE_PER_MS, BURST, TERMS, nowMs);
+        bucket.setLimit(RATE_PER_MS, BURST, POLICY, nowMs);
         return bucket;
     }
 
@@ -33,7 +33,7 @@
 
     /** A bucket after its first window with nothing in it. */
     private static TenantBucket drained(double nowMs) {
-        TenantBucket bucket = bucket(nowMs - 2 * TERMS.windowMs());
+        TenantBucket bucket = bucket(nowMs - 2 * POLICY.windowMs());
         while (bucket.level(nowMs) >= 1) {
             assertTrue(bucket.tryGrant(1, nowMs));
         }
@@ -52,7 +52,7 @@
     @Test
     void aRequestBeyondTheDebtWaitsForTheRest() {
         TenantBucket bucket = drained(100_000);
-        double cost = TERMS.maxDebt(RATE_PER_MS, BURST) + 4_700 + bucket.level(100_000);
+        double cost = POLICY.maxDebt(RATE_PER_MS, BURST) + 4_700 + bucket.level(100_000);
         assertFalse(bucket.tryGrant(cost, 100_050));
         assertEquals(50, bucket.waitMs(cost, 100_050), 1e-6);
         assertTrue(bucket.tryGrant(cost, 100_100.1));
@@ -84,16 +84,16 @@
             nowMs += 100;
         }
         double bound = RATE_PER_MS * (nowMs - 100_000)
-                + TERMS.capacity(RATE_PER_MS, BURST)
-                + TERMS.maxDebt(RATE_PER_MS, BURST);
+                + POLICY.capacity(RATE_PER_MS, BURST)
+                + POLICY.maxDebt(RATE_PER_MS, BURST);
         assertTrue(granted <= bound, granted + " of " + bound);
     }
 
     @Test
     void aLoweredLimitTakesAwayWhatIsAboveItsCapacity() {
         TenantBucket bucket = bucket(0);
-        bucket.setLimit(1, 1_000, TERMS, 60_000);
-        assertEquals(TERMS.capacity(1, 1_000), bucket.level(60_000), 1e-6);
+        bucket.setLimit(1, 1_000, POLICY, 60_000);
+        assertEquals(POLICY.capacity(1, 1_000), bucket.level(60_000), 1e-6);
     }
 
     @Test
@@ -118,7 +118,7 @@
         double nowMs = 0;
         for (int index = 0; index < coordinators; index++) {
             TenantBucket bucket = new TenantBucket(nowMs);
-            bucket.setLimit(ratePerMs, burst, TERMS, nowMs);
+            bucket.setLimit(ratePerMs, burst, POLICY, nowMs);
             double endsAtMs = nowMs + random.nextDouble(20_000);
             while (nowMs < endsAtMs) {
                 nowMs += random.nextDouble(200);
@@ -129,7 +129,7 @@
             }
         }
         double bound =
-                ratePerMs * TERMS.windowMs() + TERMS.capacity(ratePerMs, burst) + TERMS.maxDebt(ratePerMs, burst);
+                ratePerMs * POLICY.windowMs() + POLICY.capacity(ratePerMs, burst) + POLICY.maxDebt(ratePerMs, burst);
         assertTrue(highestSum(grants) <= bound + 1e-6, highestSum(grants) + " of " + bound);
     }
 
@@ -137,7 +137,7 @@
         double highest = 0;
         for (Grant first : grants) {
             double sum = grants.stream()
-                    .filter(each -> each.atMs >= first.atMs && each.atMs <= first.atMs + TERMS.windowMs())
+                    .filter(each -> each.atMs >= first.atMs && each.atMs <= first.atMs + POLICY.windowMs())
                     .mapToDouble(Grant::cost)
                     .sum();
             highest = Math.max(highest, sum);
--- a/testing/emulator/src/main/java/pinewick/emulator/control/ControllerProcess.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/ControllerProcess.java
@@ -26,7 +26,7 @@
 import pinewick.model.Message;
 import pinewick.model.ReplicaRecord;
 import pinewick.model.SocketAddress;
-import pinewick.quota.QuotaTerms;
+import pinewick.quota.QuotaPolicy;
 import pinewick.replication.ReplicationReport;
 import pinewick.replication.ReplicationSettings;
 
@@ -74,7 +74,7 @@
                         replication,
                         SimulatedSystem.CONTACT_MS,
                         SimulatedSystem.HEARTBEAT_MS,
-                        new QuotaTerms(8_000, 0.1, 0)),
+                        new QuotaPolicy(8_000, 0.1, 0)),
                 this,
                 store,
                 (peer, message) -> system.network().send(machine.internal(), peer, message),
