--- a/router-fleet/quota/src/main/java/pinewick/quota/FallbackAllowance.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/FallbackAllowance.java
@@ -7,10 +7,12 @@
 import pinewick.model.QuotaLimit;
 
 /**
- * What this router may let through without a grant while it reaches no coordinator: in each window an equal part, by
- * the most routers that may run, of what the policy sets aside for all routers together. So the routers' sum holds
- * without a word between them, however many of them are cut off. A router that has just started has no part for one
- * window, since what its earlier incarnation used may still count.
+ * The cost that this router may execute without a grant while it reaches no coordinator. The policy sets an amount
+ * aside per window for all routers together; the share of each is that amount divided by the upper bound of the number
+ * of routers. So the total holds without communication between routers, however many of them are partitioned. A router
+ * has no share in the first window after its start, since what its earlier incarnation used may still count.
+ *
+ * <p>Not thread-safe.
  */
 public final class FallbackAllowance {
     private static final double MS_PER_SECOND = 1_000;
@@ -18,11 +20,11 @@
     private final QuotaPolicy policy;
     private final double startedAtMs;
     private final Map<String, Usage> usageByTenant = new HashMap<>();
-    private int currentBound = Integer.MAX_VALUE;
-    private int previousBound;
+    private int routerBound = Integer.MAX_VALUE;
+    private int previousRouterBound;
     private double boundLoweredAtMs = Double.NEGATIVE_INFINITY;
 
-    /** What was used, oldest first. */
+    /** What one tenant used, oldest first. */
     private static final class Usage {
         private final Deque<Use> uses = new ArrayDeque<>();
         private double sum;
@@ -47,32 +49,36 @@
         this.startedAtMs = nowMs;
     }
 
-    /** The most routers that may be running. A lower bound than before counts after one more window. */
+    /**
+     * Sets the upper bound of the number of routers. Until it is first set, the share is practically 0. A bound that is
+     * lower than before takes effect after one window, since what the stopped routers used may still count.
+     */
     public void setRouterCount(int upperBound, double nowMs) {
         int bound = Math.max(1, upperBound);
-        if (bound < currentBound) {
-            previousBound = effectiveBound(nowMs);
+        if (bound < routerBound) {
+            previousRouterBound = effectiveRouterBound(nowMs);
             boundLoweredAtMs = nowMs;
         }
-        currentBound = bound;
+        routerBound = bound;
     }
 
-    /** Uses the allowance for a request; false if it does not suffice. */
+    /** Uses the share for a request of {@code cost}; returns false, and uses nothing, if it does not suffice. */
     boolean tryUse(String tenant, QuotaLimit limit, int cost, double nowMs) {
         if (nowMs - startedAtMs < policy.windowMs()) {
             return false;
         }
-        double part = policy.fallback(limit.ratePerSecond() / MS_PER_SECOND, limit.burstSize()) / effectiveBound(nowMs);
+        double share =
+                policy.fallback(limit.ratePerSecond() / MS_PER_SECOND, limit.burstSize()) / effectiveRouterBound(nowMs);
         Usage usage = usageByTenant.computeIfAbsent(tenant, name -> new Usage());
-        if (usage.since(nowMs - policy.windowMs()) + cost > part) {
+        if (usage.since(nowMs - policy.windowMs()) + cost > share) {
             return false;
         }
         usage.add(nowMs, cost);
         return true;
     }
 
-    private int effectiveBound(double nowMs) {
+    private int effectiveRouterBound(double nowMs) {
         boolean isRecentlyLowered = nowMs - boundLoweredAtMs < policy.windowMs();
-        return isRecentlyLowered ? Math.max(previousBound, currentBound) : currentBound;
+        return isRecentlyLowered ? Math.max(previousRouterBound, routerBound) : routerBound;
     }
 }
--- a/router-fleet/quota/src/main/java/pinewick/quota/PendingGrant.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/PendingGrant.java
@@ -1,10 +1,14 @@
 package pinewick.quota;
 
-/** A request for tokens that may wait for its decision. */
+/** Handle of a request for tokens, which may still be waiting for its decision. */
 public interface PendingGrant {
-    /** The client's request no longer waits: the callback is not called any more. */
+    /** Withdraws the request; its callback is not called any more. Without effect once the request is decided. */
     void cancel();
 
-    /** Uses the router's own allowance in place of a grant; false if it does not suffice. */
+    /**
+     * Uses the router's {@link FallbackAllowance} in place of a grant; the request stays pending.
+     *
+     * @return false if the allowance does not suffice
+     */
     boolean tryFallbackAllowance(double nowMs);
 }
--- a/router-fleet/quota/src/main/java/pinewick/quota/QuotaClient.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/QuotaClient.java
@@ -17,28 +17,28 @@
 import pinewick.quota.QuotaMessages.RelayedQuotaRequest;
 
 /**
- * A router's side of the limits: requests tokens from the coordinator for each client request, and sends a request
- * again that was not answered. A coordinator that answers nothing for {@link #SUSPECT_AFTER_MS}, to whichever requests,
- * is <em>suspected</em>: from then on the oldest request alone probes for one, at the primary that is known, at a
- * controller and through another router, since this router may be partitioned from the controllers only. Meanwhile
- * requests are let through by the {@link FallbackAllowance} as far as it goes; the others wait, for as long as their
- * owners let them.
+ * Enforces tenants' limits at a router: requests tokens from the coordinator for each client request, and resends
+ * requests that were not answered. If no request is answered for {@link #SUSPECT_AFTER_MS}, the coordinator is
+ * <em>suspected</em>. While it is, only the oldest pending request is sent, as a probe: to the known primary, to a
+ * random controller, and through another router, because this router may be partitioned from the controllers only.
+ * Requests that fit into the {@link FallbackAllowance} are granted from it; the others stay pending until they are
+ * decided or their callers cancel them.
  *
- * <p>Used by one thread at a time.
+ * <p>Not thread-safe: to be used by one thread at a time.
  */
 public final class QuotaClient {
-    /** A request without an answer is sent again after this time, milliseconds. */
+    /** Interval after which an unanswered request is resent, milliseconds. */
     static final double RESEND_AFTER_MS = 50;
 
-    /** Without any answer for this long the coordinator is suspected, milliseconds. */
+    /** Time without any answer after which the coordinator is suspected, milliseconds. */
     static final double SUSPECT_AFTER_MS = 120;
 
     private static final double PROBE_INTERVAL_MS = 80;
 
-    /** Controllers that name each other as the coordinator are not followed more often than this, milliseconds. */
+    /** Minimum interval between redirects, milliseconds; limits the loop between controllers that name each other. */
     private static final double REDIRECT_INTERVAL_MS = 20;
 
-    /** While requests go through another router, one of them is sent directly as well this often, milliseconds. */
+    /** While requests are relayed, the interval at which one is also sent directly, milliseconds. */
     private static final double DIRECT_PROBE_INTERVAL_MS = 2_000;
 
     private final QuotaPeers peers;
@@ -50,7 +50,7 @@
     private Optional<SocketAddress> coordinator = Optional.empty();
     private Optional<SocketAddress> relayRouter = Optional.empty();
     private double nextDirectProbeMs = Double.POSITIVE_INFINITY;
-    /** When the first request was sent that no answer has followed; it may have been cancelled since. */
+    /** When the first request since the last answer was sent, infinite for none; it may have been cancelled since. */
     private double unansweredSinceMs = Double.POSITIVE_INFINITY;
 
     private double lastProbeMs = Double.NEGATIVE_INFINITY;
@@ -58,7 +58,7 @@
     private boolean suspected;
     private long lastId;
 
-    /** A request that waits for its decision. */
+    /** A request without a decision yet. */
     private final class PendingRequest implements PendingGrant {
         private final QuotaRequest request;
         private final QuotaLimit limit;
@@ -89,8 +89,11 @@
     }
 
     /**
-     * @param fallback what may be let through without a coordinator
-     * @param random draws the first id, so that those of an earlier incarnation match nothing, and peers
+     * @param peers the processes that tokens are requested from
+     * @param outbox sends messages to them
+     * @param fallback what this router may grant itself while the coordinator is suspected
+     * @param random chooses peers, and the first request id, so that a reply to an earlier incarnation matches no
+     *     request
      */
     public QuotaClient(QuotaPeers peers, Outbox outbox, FallbackAllowance fallback, RandomGenerator random) {
         this.peers = peers;
@@ -101,44 +104,46 @@
     }
 
     /**
-     * Requests tokens. The callback runs once, within this call or later; never after {@link PendingGrant#cancel}.
+     * Requests tokens. The callback runs at most once, within this call or later, and never after
+     * {@link PendingGrant#cancel}.
      *
-     * @param cost what the client request counts, in the unit of the limit
+     * @param cost cost of the client request, in the unit of the limit
+     * @return the handle of the request; already decided if the callback ran within this call
      */
     public PendingGrant request(
             String tenant, QuotaLimit limit, int cost, Consumer<QuotaDecision> callback, double nowMs) {
         QuotaRequest request = new QuotaRequest(++lastId, tenant, cost);
-        PendingRequest added = new PendingRequest(request, limit, callback, nowMs);
-        suspectIfSilent(nowMs);
-        if (suspected && added.tryFallbackAllowance(nowMs)) {
+        PendingRequest pendingRequest = new PendingRequest(request, limit, callback, nowMs);
+        suspectIfUnanswered(nowMs);
+        if (suspected && pendingRequest.tryFallbackAllowance(nowMs)) {
             callback.accept(new QuotaDecision.Granted());
-            return added;
+            return pendingRequest;
         }
-        pending.put(lastId, added);
+        pending.put(lastId, pendingRequest);
         if (suspected) {
             probeIfDue(nowMs);
         } else {
             send(request, nowMs);
         }
-        return added;
+        return pendingRequest;
     }
 
-    /** Whether {@link #onTick} has to be called. */
+    /** Whether requests are pending, so that {@link #onTick} has to be called. */
     public boolean hasPendingRequests() {
         return !pending.isEmpty();
     }
 
-    /** Whether no coordinator answers. */
+    /** Whether the coordinator has not answered for {@link #SUSPECT_AFTER_MS}. */
     public boolean isCoordinatorSuspected() {
         return suspected;
     }
 
-    /** Time has passed; to be called every 20 ms or so while requests are pending. */
+    /** Resends unanswered requests and probes; to be called about every 20 ms while requests are pending. */
     public void onTick(double nowMs) {
         if (pending.isEmpty()) {
             return;
         }
-        suspectIfSilent(nowMs);
+        suspectIfUnanswered(nowMs);
         if (suspected) {
             probeIfDue(nowMs);
             return;
@@ -155,7 +160,7 @@
         return pending.values().iterator().next();
     }
 
-    private void suspectIfSilent(double nowMs) {
+    private void suspectIfUnanswered(double nowMs) {
         if (!suspected && nowMs - unansweredSinceMs >= SUSPECT_AFTER_MS) {
             suspected = true;
             relayRouter = Optional.empty();
@@ -171,7 +176,7 @@
         }
     }
 
-    /** Sends on the way that worked last. */
+    /** Sends by the route that was answered last: through the relaying router, or directly. */
     private void send(QuotaRequest request, double nowMs) {
         unansweredSinceMs = Math.min(unansweredSinceMs, nowMs);
         if (relayRouter.isPresent()) {
@@ -185,14 +190,14 @@
         if (target.isPresent()) {
             outbox.send(target.get(), request);
         } else {
-            choose(peers.controllers()).ifPresent(controller -> outbox.send(controller, request));
+            chooseRandom(peers.controllers()).ifPresent(controller -> outbox.send(controller, request));
         }
     }
 
-    /** The coordinator; once it is silent, the primary that this router knows. */
+    /** The coordinator, or once it does not answer, the primary that this router knows. */
     private Optional<SocketAddress> target(double nowMs) {
-        boolean isSilent = nowMs - unansweredSinceMs >= RESEND_AFTER_MS;
-        return isSilent ? peers.primary().or(() -> coordinator) : coordinator.or(peers::primary);
+        boolean isUnanswered = nowMs - unansweredSinceMs >= RESEND_AFTER_MS;
+        return isUnanswered ? peers.primary().or(() -> coordinator) : coordinator.or(peers::primary);
     }
 
     private void probeIfDue(double nowMs) {
@@ -201,19 +206,19 @@
         }
         lastProbeMs = nowMs;
         QuotaRequest probe = oldest().request;
-        Optional<SocketAddress> believed = target(nowMs);
-        believed.ifPresent(target -> outbox.send(target, probe));
-        choose(peers.controllers())
-                .filter(controller -> !believed.equals(Optional.of(controller)))
+        Optional<SocketAddress> knownTarget = target(nowMs);
+        knownTarget.ifPresent(target -> outbox.send(target, probe));
+        chooseRandom(peers.controllers())
+                .filter(controller -> !knownTarget.equals(Optional.of(controller)))
                 .ifPresent(controller -> outbox.send(controller, probe));
-        choose(peers.routers()).ifPresent(router -> outbox.send(router, new RelayedQuotaRequest(probe)));
+        chooseRandom(peers.routers()).ifPresent(router -> outbox.send(router, new RelayedQuotaRequest(probe)));
     }
 
-    private Optional<SocketAddress> choose(List<SocketAddress> candidates) {
+    private Optional<SocketAddress> chooseRandom(List<SocketAddress> candidates) {
         return candidates.isEmpty() ? Optional.empty() : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 
-    /** Handles a message if it is one of the limits; returns whether it was. */
+    /** Handles a message if it is a {@link QuotaReply} or {@link RelayedQuotaRequest}; returns whether it was. */
     public boolean onMessage(SocketAddress sender, Message message, double nowMs) {
         if (message instanceof QuotaReply reply) {
             onReply(sender, reply, nowMs);
@@ -225,7 +230,7 @@
         return true;
     }
 
-    /** Another router reaches no coordinator. Its request is sent on directly, never through a third router. */
+    /** Forwards the request of a router that reaches no coordinator: directly, never through a third router. */
     private void onRelayedRequest(SocketAddress sender, QuotaRequest request) {
         coordinator.or(peers::primary).ifPresent(target -> {
             long ownId = ++lastId;
@@ -278,28 +283,30 @@
         }
     }
 
-    private void sendAllExcept(long answeredId, double nowMs) {
+    private void sendAllExcept(long excludedId, double nowMs) {
         for (PendingRequest each : new ArrayList<>(pending.values())) {
-            if (each.request.requestId() != answeredId) {
+            if (each.request.requestId() != excludedId) {
                 each.lastSentMs = nowMs;
                 send(each.request, nowMs);
             }
         }
     }
 
-    /** The sender is not the coordinator, or not yet; the one that it names is asked next. */
+    /** The sender is not the coordinator, or not yet: retries at the coordinator that it names. */
     private void onNotCoordinator(SocketAddress sender, QuotaReply reply, double nowMs) {
-        SocketAddress named = reply.coordinator();
+        SocketAddress namedCoordinator = reply.coordinator();
         if (coordinator.equals(Optional.of(sender))) {
             coordinator = Optional.empty();
         }
-        boolean isNews = named != null && !named.equals(sender) && !coordinator.equals(Optional.of(named));
-        if (isNews) {
-            coordinator = Optional.of(named);
-            PendingRequest waiting = pending.get(reply.requestId());
-            if (waiting != null && nowMs - lastRedirectMs >= REDIRECT_INTERVAL_MS) {
+        boolean isNewCoordinator = namedCoordinator != null
+                && !namedCoordinator.equals(sender)
+                && !coordinator.equals(Optional.of(namedCoordinator));
+        if (isNewCoordinator) {
+            coordinator = Optional.of(namedCoordinator);
+            PendingRequest redirected = pending.get(reply.requestId());
+            if (redirected != null && nowMs - lastRedirectMs >= REDIRECT_INTERVAL_MS) {
                 lastRedirectMs = nowMs;
-                outbox.send(named, waiting.request);
+                outbox.send(namedCoordinator, redirected.request);
             }
         }
     }
--- a/router-fleet/quota/src/main/java/pinewick/quota/QuotaCoordinator.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/QuotaCoordinator.java
@@ -15,22 +15,23 @@
 import pinewick.quota.QuotaMessages.QuotaVerdict;
 
 /**
- * Decides on every request of a tenant with a limit, at the controller that is the primary. It grants only while its
- * caller vouches that no other process can (<em>authority</em>): the lease of its epoch is valid, and that of every
- * earlier primary has ended. With a new authority all buckets start empty, so that no grants of an earlier coordinator
- * have to be known.
+ * Decides at the primary controller on the requests of all tenants with a limit. It grants only while it has
+ * <em>authority</em>, that is while its caller guarantees that no other process can grant: the lease of its epoch is
+ * valid and that of every earlier primary has ended. With a new authority all buckets start empty, so that the grants
+ * of an earlier coordinator need not be known.
  *
- * <p>Precondition of a grant: it is asked for while the client's request waits at its router, and used for that request
- * alone. So whatever a lost or late reply does, what is executed in a window was granted in that window.
+ * <p>Precondition of a grant: the router requests it while the client's request waits there, and uses it for that
+ * request only. Then what is sent and executed within a window was granted within that window, even if replies are lost
+ * or late.
  *
- * <p>Control loop only.
+ * <p>Not thread-safe: control loop only.
  */
 public final class QuotaCoordinator {
-    /** A request that was sent again is recognised for at least this many requests. */
-    private static final int REMEMBERED_GRANTS = 8_192;
+    /** Number of grants that are remembered, so that a resent request is not charged twice. */
+    private static final int MAX_RECENT_GRANTS = 8_192;
 
-    /** The bucket of a removed tenant is kept for this many windows, in case the tenant is added again. */
-    private static final int WINDOWS_AFTER_REMOVAL = 4;
+    /** Windows for which the bucket of a removed tenant is kept, in case the tenant is added again. */
+    private static final int REMOVED_RETENTION_WINDOWS = 4;
 
     private static final double MS_PER_SECOND = 1_000;
 
@@ -38,24 +39,24 @@
     private final Map<String, Account> accounts = new HashMap<>();
     private final RecentGrants recentGrants = new RecentGrants();
     private Map<String, Tenant> tenants = Map.of();
-    /** The last authority of this process, and whether it holds it now. */
+    /** The last authority of this process; {@link #hasAuthority} tells whether it is still valid. */
     private Optional<Long> authority = Optional.empty();
 
     private boolean hasAuthority;
 
     private record GrantKey(SocketAddress sender, long requestId) {}
 
-    /** The grants that a resent request may ask for again, oldest first. */
+    /** The latest grants, oldest first, by which a resent request is recognised. */
     private static final class RecentGrants extends LinkedHashMap<GrantKey, Boolean> {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<GrantKey, Boolean> eldest) {
-            return size() > REMEMBERED_GRANTS;
+            return size() > MAX_RECENT_GRANTS;
         }
     }
 
-    /** The bucket of one tenant and what came of it. */
+    /** The bucket of one tenant, and the sums that were granted and refused from it. */
     private static final class Account {
         private final TenantBucket bucket;
         private double removedAtMs = Double.POSITIVE_INFINITY;
@@ -71,7 +72,7 @@
         this.policy = policy;
     }
 
-    /** The tenants of the newest configuration. */
+    /** Applies the tenants of the newest configuration. */
     public void setTenants(Collection<Tenant> newest, double nowMs) {
         Map<String, Tenant> byName = new HashMap<>();
         newest.forEach(tenant -> byName.put(tenant.name(), tenant));
@@ -82,9 +83,9 @@
     }
 
     /**
-     * Whether this process may grant; to be called periodically and before {@link #decide}.
+     * Sets whether this process may grant; to be called periodically and before {@link #decide}.
      *
-     * @param current identifies the uninterrupted time in which no other process can grant; empty while one might
+     * @param current id of the continuous period in which no other process can grant; empty while another might
      */
     public void setAuthority(Optional<Long> current, double nowMs) {
         boolean isNew = current.isPresent() && !current.equals(authority);
@@ -106,7 +107,7 @@
                     tenants.containsKey(name) && !tenants.get(name).limit().isUnlimited();
             account.removedAtMs = isLimited ? Double.POSITIVE_INFINITY : Math.min(account.removedAtMs, nowMs);
         });
-        double oldestMs = nowMs - WINDOWS_AFTER_REMOVAL * policy.windowMs();
+        double oldestMs = nowMs - REMOVED_RETENTION_WINDOWS * policy.windowMs();
         accounts.values().removeIf(account -> account.removedAtMs < oldestMs);
     }
 
@@ -148,7 +149,7 @@
         return new QuotaReply(request.requestId(), QuotaVerdict.OVER_LIMIT, waitMs, coordinator);
     }
 
-    /** What was granted and refused, by tenant; empty while this process is not the coordinator. */
+    /** What was granted and refused to each tenant; empty while this process is not the coordinator. */
     public List<TenantUsage> usage(double nowMs) {
         List<TenantUsage> usage = new ArrayList<>();
         if (hasAuthority) {
--- a/router-fleet/quota/src/main/java/pinewick/quota/QuotaDecision.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/QuotaDecision.java
@@ -1,6 +1,6 @@
 package pinewick.quota;
 
-/** What came of a router's request for tokens. */
+/** The outcome of a router's request for tokens. */
 public sealed interface QuotaDecision {
     /** The client's request may be executed. */
     record Granted() implements QuotaDecision {}
@@ -8,10 +8,10 @@
     /**
      * The tenant is over its limit.
      *
-     * @param retryAfterMs when the request would be granted, milliseconds
+     * @param retryAfterMs time until the request would be granted if no other were, milliseconds
      */
     record OverLimit(double retryAfterMs) implements QuotaDecision {}
 
-    /** The coordinator knows a newer configuration, without the tenant. */
+    /** The coordinator's configuration, which is newer than the router's, does not contain the tenant. */
     record UnknownTenant() implements QuotaDecision {}
 }
--- a/router-fleet/quota/src/main/java/pinewick/quota/QuotaPolicy.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/QuotaPolicy.java
@@ -1,42 +1,43 @@
 package pinewick.quota;
 
 /**
- * The platform's rule on limits: over every window, the requests of a tenant that are executed sum up to at most (rate
- * x window + burst) x (1 + overage) + slack. What lies above rate x window + burst is the <em>allowance</em>; it covers
- * what the fleet cannot know in time. Its parts are assigned here, and their sum leaves a quarter of it unused:
+ * The platform's rule on limits: in every sliding window, the executed requests of a tenant sum up to at most (rate x
+ * window + burst) x (1 + overage) + slack. The part above rate x window + burst is the <em>allowance</em>; it covers
+ * what the processes of the fleet cannot know of each other in time. Three fractions of it are assigned here, and a
+ * quarter stays unused as a margin:
  *
  * <ul>
- *   <li>the bucket of the coordinator holds more than the burst;
- *   <li>a request is granted while the bucket is not empty, however large it is, so that the bucket goes into debt by a
- *       part at most;
- *   <li>routers without a coordinator use the rest in equal parts.
+ *   <li>the coordinator's bucket holds more than the burst, by {@code BURST_FRACTION};
+ *   <li>a request is granted while the bucket is not empty, even if it costs more than the level; the bucket may go
+ *       into debt by {@code DEBT_FRACTION};
+ *   <li>routers that reach no coordinator share {@code FALLBACK_FRACTION} in equal parts.
  * </ul>
  *
  * @param windowMs length of the sliding windows of the rule, milliseconds
  * @param overage the fraction by which the limit may be exceeded
- * @param slack what may be exceeded in addition, in the unit of the limit
+ * @param slack excess that is allowed in addition, in the unit of the limit
  */
 public record QuotaPolicy(double windowMs, double overage, double slack) {
     private static final double BURST_FRACTION = 0.35;
     private static final double DEBT_FRACTION = 0.15;
     private static final double FALLBACK_FRACTION = 0.25;
 
-    /** What may be executed in a window beyond rate x window + burst. */
+    /** Cost that may be executed in a window beyond rate x window + burst. */
     public double allowance(double ratePerMs, double burst) {
         return overage * (ratePerMs * windowMs + burst) + slack;
     }
 
-    /** The most that a bucket holds. */
+    /** Capacity of the coordinator's bucket. */
     double capacity(double ratePerMs, double burst) {
         return burst + BURST_FRACTION * allowance(ratePerMs, burst);
     }
 
-    /** By how much a bucket may be in debt after a grant. */
+    /** Maximum debt of the coordinator's bucket after a grant. */
     double maxDebt(double ratePerMs, double burst) {
         return DEBT_FRACTION * allowance(ratePerMs, burst);
     }
 
-    /** What all routers together may use in a window without a grant. */
+    /** Cost that all routers together may execute in a window without a grant. */
     double fallback(double ratePerMs, double burst) {
         return FALLBACK_FRACTION * allowance(ratePerMs, burst);
     }
--- a/router-fleet/quota/src/main/java/pinewick/quota/TenantBucket.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/TenantBucket.java
@@ -1,14 +1,14 @@
 package pinewick.quota;
 
 /**
- * The token bucket of one tenant, at the coordinator. It starts empty: what an earlier coordinator granted is not
- * known, and of two buckets that follow each other only the first may have been full. After its first window a request
- * is granted while the bucket is not empty, even if that puts it into debt, so that large requests are granted as often
- * as small ones. In its first window it makes no debt: its grants count together with those of the bucket before, which
- * may have ended in debt.
+ * The token bucket of one tenant at the coordinator. It starts empty, because the grants of an earlier coordinator are
+ * not known: of consecutive buckets, only the first may have been full. After the bucket's first window a request is
+ * granted while the bucket is not empty, even if that puts it into debt, so that large requests are granted as often as
+ * small ones. In its first window the bucket does not go into debt, since its grants add to those of the previous
+ * bucket, which may have ended in debt.
  *
- * <p>In any window, buckets that follow each other grant at most rate x window + capacity + debt, however many there
- * are.
+ * <p>In any window, consecutive buckets together grant at most rate x window + capacity + maximum debt, however many
+ * buckets there are.
  */
 final class TenantBucket {
     private double ratePerMs;
@@ -24,7 +24,7 @@
         this.startedAtMs = nowMs;
     }
 
-    /** Sets the limit in force from now on. What is above a lowered capacity is lost. */
+    /** Sets the limit from now on. Tokens above a lowered capacity are discarded. */
     void setLimit(double newRatePerMs, double burst, QuotaPolicy policy, double nowMs) {
         advance(nowMs);
         ratePerMs = newRatePerMs;
@@ -34,7 +34,7 @@
         level = Math.min(level, capacity);
     }
 
-    /** Grants {@code cost}, or returns false. */
+    /** Takes {@code cost} tokens from the bucket; returns false, and takes none, if they are not granted. */
     boolean tryGrant(double cost, double nowMs) {
         advance(nowMs);
         if (level <= 0 || level - cost < -maxDebt(nowMs)) {
@@ -44,7 +44,7 @@
         return true;
     }
 
-    /** How long until a request of {@code cost} is granted if nothing else is, milliseconds; infinite if never. */
+    /** Time until a request of {@code cost} is granted if no other is, milliseconds; infinite if it never is. */
     double waitMs(double cost, double nowMs) {
         advance(nowMs);
         double neededLevel = Math.max(0, cost - maxDebt(nowMs));
@@ -54,7 +54,7 @@
         return Math.max(0, neededLevel - level) / ratePerMs;
     }
 
-    /** Tokens that can be granted now; below 0 in debt. */
+    /** Tokens in the bucket; negative while it is in debt. */
     double level(double nowMs) {
         advance(nowMs);
         return level;
--- a/router-fleet/quota/src/test/java/pinewick/quota/FallbackAllowanceTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/FallbackAllowanceTest.java
@@ -16,7 +16,7 @@
     private final FallbackAllowance allowance = new FallbackAllowance(POLICY, 0);
 
     @Test
-    void eachRouterHasAnEqualPartInAWindow() {
+    void eachRouterHasAnEqualShareInAWindow() {
         allowance.setRouterCount(10, 0);
         assertTrue(allowance.tryUse("t", LIMIT, 200, 8_000));
         assertFalse(allowance.tryUse("t", LIMIT, 51, 8_000));
@@ -26,18 +26,18 @@
     }
 
     @Test
-    void aRouterThatHasJustStartedHasNone() {
+    void aRouterHasNoShareInItsFirstWindow() {
         allowance.setRouterCount(1, 0);
         assertFalse(allowance.tryUse("t", LIMIT, 1, 7_999));
     }
 
     @Test
-    void beforeTheRoutersAreCountedThereIsNone() {
+    void aRouterHasNoShareBeforeTheRouterCountIsSet() {
         assertFalse(allowance.tryUse("t", LIMIT, 1, 8_000));
     }
 
     @Test
-    void fewerRoutersCountAfterOneMoreWindow() {
+    void aLowerRouterCountTakesEffectAfterOneWindow() {
         allowance.setRouterCount(10, 0);
         allowance.setRouterCount(5, 8_000);
         assertFalse(allowance.tryUse("t", LIMIT, 500, 15_999));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void tenantsDoNotShareTheirParts() {
+    void tenantsHaveSeparateShares() {
         allowance.setRouterCount(10, 0);
         assertTrue(allowance.tryUse("t", LIMIT, 250, 8_000));
         assertTrue(allowance.tryUse("u", LIMIT, 250, 8_000));
--- a/router-fleet/quota/src/test/java/pinewick/quota/QuotaClientTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/QuotaClientTest.java
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aGrantOfThePrimaryIsHandedOnOnce() {
+    void aGrantOfThePrimaryIsReportedOnce() {
         request(17_000, NOW_MS);
         assertEquals(PRIMARY, sent.get(0).receiver);
         reply(PRIMARY, QuotaVerdict.GRANTED, PRIMARY, NOW_MS + 2);
@@ -86,14 +86,14 @@
     }
 
     @Test
-    void aRefusalTellsWhenToComeBack() {
+    void aRefusalCarriesItsRetryDelay() {
         request(17_000, NOW_MS);
         reply(PRIMARY, QuotaVerdict.OVER_LIMIT, PRIMARY, NOW_MS + 2);
         assertEquals(new QuotaDecision.OverLimit(40), decisions.get(0));
     }
 
     @Test
-    void anUnansweredRequestIsSentAgainWithItsId() {
+    void anUnansweredRequestIsResentWithTheSameId() {
         request(17_000, NOW_MS);
         client.onTick(NOW_MS + QuotaClient.RESEND_AFTER_MS);
         assertEquals(2, sent.size());
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aSuspectedCoordinatorIsLookedForOnThreeWays() {
+    void aSuspectedCoordinatorIsProbedThroughPrimaryControllerAndRouter() {
         request(17_000, NOW_MS);
         sent.clear();
         suspectCoordinator();
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void whileItIsSuspectedOnlyTheOldestRequestProbes() {
+    void onlyTheOldestRequestProbesASuspectedCoordinator() {
         request(17_000, NOW_MS);
         suspectCoordinator();
         sent.clear();
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void anotherRouterHandsTheRequestOn() {
+    void requestsAreRelayedThroughTheRouterThatAnsweredTheProbe() {
         request(17_000, NOW_MS);
         suspectCoordinator();
         reply(ROUTER, QuotaVerdict.GRANTED, PRIMARY, NOW_MS + 130);
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void whileItIsRelayedTheCoordinatorIsTriedDirectlyAtTimes() {
+    void whileRequestsAreRelayedTheCoordinatorIsProbedDirectlyAtIntervals() {
         request(17_000, NOW_MS);
         suspectCoordinator();
         reply(ROUTER, QuotaVerdict.GRANTED, PRIMARY, NOW_MS + 130);
@@ -152,9 +152,9 @@
         assertEquals(List.of(PRIMARY), sent.stream().map(Sent::receiver).toList());
     }
 
-    /** Each request gives up before a silence of one alone would count. */
+    /** Each request is cancelled before it has waited long enough by itself for the coordinator to be suspected. */
     @Test
-    void aSilentCoordinatorIsSuspectedThoughNoRequestWaitsLong() {
+    void anUnresponsiveCoordinatorIsSuspectedThoughNoRequestWaitsLong() {
         request(17_000, NOW_MS).cancel();
         request(17_000, NOW_MS + 60).cancel();
         sent.clear();
@@ -166,18 +166,18 @@
     }
 
     @Test
-    void aRelayedRequestGoesToTheCoordinatorUnderAnOwnIdAndItsReplyBack() {
+    void aRelayedRequestIsForwardedUnderANewIdAndItsReplyReturned() {
         client.onMessage(ROUTER, new RelayedQuotaRequest(new QuotaRequest(5, "t", 9)), NOW_MS);
         assertEquals(PRIMARY, sent.get(0).receiver);
         assertEquals(9, firstRequest().cost());
         reply(PRIMARY, QuotaVerdict.GRANTED, PRIMARY, NOW_MS + 1);
         assertEquals(new Sent(ROUTER, new QuotaReply(5, QuotaVerdict.GRANTED, 40, PRIMARY)), sent.get(1));
         reply(PRIMARY, QuotaVerdict.GRANTED, PRIMARY, NOW_MS + 2);
-        assertEquals(2, sent.size(), "once only");
+        assertEquals(2, sent.size(), "returned only once");
     }
 
     @Test
-    void theControllerThatIsNamedIsAskedNextButNotInACircle() {
+    void aRedirectIsFollowedOnceButNotInALoop() {
         request(17_000, NOW_MS);
         reply(PRIMARY, QuotaVerdict.NOT_COORDINATOR, BACKUP, NOW_MS + 1);
         assertEquals(BACKUP, sent.get(1).receiver);
@@ -192,6 +192,6 @@
         suspectCoordinator();
         assertInstanceOf(QuotaDecision.Granted.class, decisions.get(0));
         client.request("t", LIMIT, 260, decisions::add, NOW_MS + 500);
-        assertEquals(1, decisions.size(), "no more than its part");
+        assertEquals(1, decisions.size(), "no more than the router's share");
     }
 }
--- a/router-fleet/quota/src/test/java/pinewick/quota/QuotaCoordinatorTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/QuotaCoordinatorTest.java
@@ -30,7 +30,7 @@
     }
 
     @BeforeEach
-    void leadEpochFive() {
+    void acquireAuthorityForEpochFive() {
         coordinator.setTenants(List.of(tenant("t", 1_000, 100)), 0);
         coordinator.setAuthority(Optional.of(5L), 0);
     }
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void withoutAuthorityItNamesTheCoordinatorAndGrantsNothing() {
+    void withoutAuthorityItRedirectsToTheCoordinatorAndGrantsNothing() {
         coordinator.setAuthority(Optional.empty(), 2_000);
         QuotaReply reply = request("t", 1, 2_000);
         assertEquals(QuotaVerdict.NOT_COORDINATOR, reply.verdict());
@@ -67,9 +67,9 @@
         assertTrue(coordinator.usage(2_000).isEmpty());
     }
 
-    /** What another coordinator granted in between isn't known here. */
+    /** What another coordinator granted in between is not known to this one. */
     @Test
-    void inANewEpochBucketsStartEmptyAndGrantsAreForgotten() {
+    void aNewEpochStartsWithEmptyBucketsAndNoRecentGrants() {
         assertEquals(QuotaVerdict.GRANTED, resend(78, "t", 10, 5_000).verdict());
         coordinator.setAuthority(Optional.empty(), 6_000);
         coordinator.setAuthority(Optional.of(7L), 9_000);
@@ -77,14 +77,14 @@
     }
 
     @Test
-    void aShortLossOfTheLeaseInOneEpochKeepsTheBuckets() {
+    void aShortLossOfTheLeaseWithinAnEpochKeepsTheBuckets() {
         coordinator.setAuthority(Optional.empty(), 1_000);
         coordinator.setAuthority(Optional.of(5L), 1_100);
         assertEquals(QuotaVerdict.GRANTED, request("t", 100, 1_100).verdict());
     }
 
     @Test
-    void aTenantThatIsRemovedAndAddedAgainGetsNoNewBucket() {
+    void aTenantThatIsRemovedAndAddedAgainKeepsItsBucket() {
         assertEquals(QuotaVerdict.GRANTED, request("t", 100, 1_000).verdict());
         coordinator.setTenants(List.of(), 1_000);
         assertEquals(QuotaVerdict.UNKNOWN_TENANT, request("t", 1, 1_001).verdict());
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aRaisedLimitIsInForceAtOnce() {
+    void aRaisedLimitTakesEffectAtOnce() {
         request("t", 100, 1_000);
         coordinator.setTenants(List.of(tenant("t", 10_000, 1_000)), 1_000);
         assertEquals(QuotaVerdict.GRANTED, request("t", 100, 1_010.1).verdict());
--- a/router-fleet/quota/src/test/java/pinewick/quota/QuotaFleet.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/QuotaFleet.java
@@ -16,9 +16,10 @@
 import pinewick.quota.QuotaMessages.QuotaRequest;
 
 /**
- * Routers and controllers in virtual time, with the module's own classes: one tenant's requests arrive at random
- * routers; messages are lost, duplicated and late; routers restart, freeze and are cut off; the authority to grant
- * moves between controllers, one at a time, with pauses. Every executed request is recorded.
+ * Simulates routers and controllers in virtual time, with the real {@link QuotaClient} and {@link QuotaCoordinator}.
+ * One tenant's requests arrive at random routers; messages are lost, duplicated and delayed; routers restart, freeze
+ * and are partitioned from the controllers; the authority to grant is held by one controller at a time, and moves
+ * between them with gaps. Every executed request is recorded.
  */
 final class QuotaFleet {
     static final String TENANT = "t";
@@ -45,28 +46,30 @@
     private Optional<Controller> authority = Optional.empty();
     private long epoch;
 
-    /** A request that was executed: when its client sent it, when it reached a replica, and what it counts. */
+    /** A request that was executed: when its client sent it, when it reached a replica, and its cost. */
     record Executed(double sentMs, double executedMs, int cost) {}
 
-    /** Errors that the test has to detect. */
+    /** Defects that the test has to detect. */
     enum Defect {
         NONE,
         NEW_BUCKETS_ARE_FULL,
         TWO_COORDINATORS,
         PROMPT_CHARGED_ONLY,
-        LATE_GRANTS_ARE_KEPT,
+        LATE_GRANTS_ARE_REUSED,
         RATE_PER_ROUTER
     }
 
     /**
-     * @param routers how many routers
+     * @param routers number of routers
      * @param limit the tenant's limit
-     * @param requestsPerSecond of the tenant, over all routers
-     * @param longFraction how many of them are long
+     * @param policy the rule on limits
+     * @param requestsPerSecond rate of the tenant's requests, over all routers
+     * @param longFraction fraction of them that is long
      * @param bursts whether the tenant sends in bursts
-     * @param faults whether anything fails
-     * @param maxFaultIntervalMs the longest time between two faults of processes
-     * @param maxOutageMs the longest time without a coordinator
+     * @param faults whether messages and processes fail
+     * @param maxFaultIntervalMs longest time between two faults of processes, milliseconds
+     * @param maxOutageMs longest time without a coordinator, milliseconds
+     * @param defect the defect that the fleet has
      */
     record Plan(
             int routers,
@@ -83,9 +86,9 @@
     private final class Router {
         private final SocketAddress address;
         private QuotaClient client;
-        private double keptTokens;
+        private double lateGrantedTokens;
         private double frozenUntilMs;
-        private boolean isolated;
+        private boolean partitioned;
         private int incarnation;
 
         Router(SocketAddress address) {
@@ -103,27 +106,27 @@
         }
 
         private void send(SocketAddress receiver, Message message) {
-            transmit(this.isolated, address, receiver, message);
+            transmit(this.partitioned, address, receiver, message);
         }
 
         void tick() {
             if (client.hasPendingRequests()) {
-                whenAwake(() -> client.onTick(events.nowMs()));
+                runWhenResumed(() -> client.onTick(events.nowMs()));
             }
         }
 
         void onArrival(double sentMs, int cost) {
-            whenAwake(() -> admit(sentMs, cost));
+            runWhenResumed(() -> admit(sentMs, cost));
         }
 
         private void admit(double sentMs, int cost) {
             offered++;
-            if (plan.defect == Defect.LATE_GRANTS_ARE_KEPT && keptTokens >= cost) {
-                keptTokens -= cost;
+            if (plan.defect == Defect.LATE_GRANTS_ARE_REUSED && lateGrantedTokens >= cost) {
+                lateGrantedTokens -= cost;
                 execute(sentMs, cost);
                 return;
             }
-            int admittedBy = incarnation;
+            int admittedInIncarnation = incarnation;
             boolean[] decided = {false};
             PendingGrant pending = client.request(
                     TENANT,
@@ -131,7 +134,7 @@
                     plan.defect == Defect.PROMPT_CHARGED_ONLY ? cost / 2 : cost,
                     decision -> {
                         if (decided[0]) {
-                            keptTokens += cost;
+                            lateGrantedTokens += cost;
                         }
                         decided[0] = true;
                         finish(decision instanceof QuotaDecision.Granted, sentMs, cost);
@@ -139,10 +142,10 @@
                     events.nowMs());
             events.schedule(
                     MAX_WAIT_MS,
-                    () -> whenAwake(() -> {
-                        if (!decided[0] && incarnation == admittedBy) {
+                    () -> runWhenResumed(() -> {
+                        if (!decided[0] && incarnation == admittedInIncarnation) {
                             decided[0] = true;
-                            if (plan.defect != Defect.LATE_GRANTS_ARE_KEPT) {
+                            if (plan.defect != Defect.LATE_GRANTS_ARE_REUSED) {
                                 pending.cancel();
                             }
                             finish(pending.tryFallbackAllowance(events.nowMs()), sentMs, cost);
@@ -164,14 +167,14 @@
                     () -> executed.add(new Executed(sentMs, events.nowMs(), cost)));
         }
 
-        /** What happens to a frozen process happens once it thaws. */
-        void whenAwake(Runnable task) {
-            int current = incarnation;
+        /** Runs a task now, or once a frozen process resumes; a restart in between discards it. */
+        void runWhenResumed(Runnable task) {
+            int scheduledInIncarnation = incarnation;
             if (events.nowMs() >= frozenUntilMs) {
                 task.run();
             } else {
                 events.schedule(frozenUntilMs - events.nowMs(), () -> {
-                    if (incarnation == current) {
+                    if (incarnation == scheduledInIncarnation) {
                         task.run();
                     }
                 });
@@ -179,7 +182,7 @@
         }
     }
 
-    /** Routers differ in whom they believe to be the primary. */
+    /** The peers of one router; routers differ in which controller they take for the primary. */
     private record KnownPeers(QuotaFleet fleet, SocketAddress primaryAddress) implements QuotaPeers {
         @Override
         public Optional<SocketAddress> primary() {
@@ -213,9 +216,10 @@
                 return;
             }
             boolean mayGrant = plan.defect == Defect.TWO_COORDINATORS || authority.equals(Optional.of(this));
-            Optional<SocketAddress> named = mayGrant ? Optional.of(address) : authority.map(each -> each.address);
+            Optional<SocketAddress> coordinatorAddress =
+                    mayGrant ? Optional.of(address) : authority.map(each -> each.address);
             coordinator.setAuthority(mayGrant ? Optional.of(authorityEpoch()) : Optional.empty(), events.nowMs());
-            transmit(false, address, sender, coordinator.decide(sender, request, named, events.nowMs()));
+            transmit(false, address, sender, coordinator.decide(sender, request, coordinatorAddress, events.nowMs()));
         }
 
         private long authorityEpoch() {
@@ -248,7 +252,7 @@
                 new QuotaLimit(limit.ratePerSecond() * factor, limit.burstSize() * factor, QuotaUnit.TOKENS, 200));
     }
 
-    /** Runs for some time; the tenant sends from the beginning. */
+    /** Runs the simulation for a time; the tenant sends from its start. */
     void run(double durationMs) {
         setAuthority(Optional.of(controllers.get(0)));
         events.repeat(TICK_MS, () -> routers.values().forEach(Router::tick));
@@ -266,7 +270,7 @@
         next.ifPresent(each -> each.coordinator.setAuthority(Optional.of(each.authorityEpoch()), events.nowMs()));
     }
 
-    /** Quiet times, in which the bucket fills, and bursts follow each other. */
+    /** The current rate. With bursts, quiet periods, in which the bucket fills, alternate with bursts. */
     private double requestsPerSecond() {
         boolean isQuiet = plan.bursts && (long) (events.nowMs() / BURST_MS) % 2 == 0;
         return isQuiet ? plan.requestsPerSecond / 20 : plan.requestsPerSecond;
@@ -303,14 +307,14 @@
 
     private void scheduleFault() {
         events.schedule(random.nextDouble(plan.maxFaultIntervalMs), () -> {
-            Router victim = anyRouter();
+            Router affectedRouter = anyRouter();
             switch (random.nextInt(4)) {
-                case 0 -> victim.frozenUntilMs = events.nowMs() + random.nextDouble(4_000);
+                case 0 -> affectedRouter.frozenUntilMs = events.nowMs() + random.nextDouble(4_000);
                 case 1 -> {
-                    victim.isolated = true;
-                    events.schedule(random.nextDouble(5_000), () -> victim.isolated = false);
+                    affectedRouter.partitioned = true;
+                    events.schedule(random.nextDouble(5_000), () -> affectedRouter.partitioned = false);
                 }
-                case 2 -> victim.start();
+                case 2 -> affectedRouter.start();
                 default -> controllers.get(random.nextInt(CONTROLLERS)).frozenUntilMs =
                         events.nowMs() + random.nextDouble(1_500);
             }
@@ -318,14 +322,15 @@
         });
     }
 
-    private void transmit(boolean senderIsolated, SocketAddress sender, SocketAddress receiver, Message message) {
+    private void transmit(boolean senderPartitioned, SocketAddress sender, SocketAddress receiver, Message message) {
         messages++;
         boolean toController = receiver.port() == CONTROLLER_PORT;
         Router router = routers.get(receiver);
-        boolean isCut =
-                toController ? senderIsolated : router != null && router.isolated && sender.port() == CONTROLLER_PORT;
+        boolean isPartitioned = toController
+                ? senderPartitioned
+                : router != null && router.partitioned && sender.port() == CONTROLLER_PORT;
         boolean isLost = plan.faults && random.nextDouble() < 0.03;
-        if (isCut || isLost) {
+        if (isPartitioned || isLost) {
             return;
         }
         deliver(sender, receiver, message);
@@ -335,8 +340,8 @@
     }
 
     private void deliver(SocketAddress sender, SocketAddress receiver, Message message) {
-        boolean isLate = plan.faults && random.nextDouble() < 0.02;
-        double delayMs = isLate ? random.nextDouble(5_000) : 0.2 + random.nextDouble(1.8);
+        boolean isDelayed = plan.faults && random.nextDouble() < 0.02;
+        double delayMs = isDelayed ? random.nextDouble(5_000) : 0.2 + random.nextDouble(1.8);
         events.schedule(delayMs, () -> {
             if (message instanceof QuotaRequest request) {
                 controllers.stream()
@@ -344,12 +349,12 @@
                         .forEach(each -> each.onRequest(sender, request));
             } else {
                 Router router = routers.get(receiver);
-                router.whenAwake(() -> router.client.onMessage(sender, message, events.nowMs()));
+                router.runWhenResumed(() -> router.client.onMessage(sender, message, events.nowMs()));
             }
         });
     }
 
-    /** The most that was sent and executed within one window. */
+    /** The highest cost that was both sent and executed within one window. */
     double highestSum() {
         List<Executed> bySent = executed.stream()
                 .sorted((left, right) -> Double.compare(left.sentMs, right.sentMs))
--- a/router-fleet/quota/src/test/java/pinewick/quota/QuotaFleetTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/QuotaFleetTest.java
@@ -14,13 +14,13 @@
 
 /** The limit of a tenant over a fleet whose messages, routers and controllers fail (docs/quotas.md). */
 class QuotaFleetTest {
-    /** A small allowance, so that errors show; the platform's is several times as large. */
+    /** A small allowance, so that defects exceed it; the platform's is several times as large. */
     private static final QuotaPolicy POLICY = new QuotaPolicy(8_000, 0, 40_000);
 
     private static final QuotaLimit LIMIT = new QuotaLimit(47_000, 47_000, QuotaUnit.TOKENS, 200);
-    private static final double BASE = 47_000 * 8 + 47_000;
+    private static final double BASE_LIMIT = 47_000 * 8 + 47_000;
     private static final double RUN_MS = 30_000;
-    /** Five times the limit at a mean of some 4,300 tokens a request. */
+    /** Five times the limit, at a mean of about 4,300 tokens per request. */
     private static final double FIVEFOLD_PER_SECOND = 55;
 
     private static final double LONG_FRACTION = 0.2;
@@ -56,9 +56,9 @@
         return fleet;
     }
 
-    /** What docs/quotas.md promises: three quarters of the allowance. */
+    /** The bound that docs/quotas.md guarantees: it uses three quarters of the allowance. */
     private static double bound() {
-        return BASE + 0.75 * POLICY.allowance(47, 47_000);
+        return BASE_LIMIT + 0.75 * POLICY.allowance(47, 47_000);
     }
 
     @Property(tries = 25)
@@ -96,10 +96,10 @@
         assertTrue(served >= 0.95 * 47 * RUN_MS, served + " served");
     }
 
-    /** At half of its limit, with the platform's allowance; the bucket is empty at first. */
+    /** The tenant sends at half of its limit, with the platform's allowance; the bucket is empty at first. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void aTenantBelowItsLimitIsHardlyEverRefused(long seed) {
+    void aTenantBelowItsLimitIsRarelyRefused(long seed) {
         QuotaFleet fleet = new QuotaFleet(
                 new QuotaFleet.Plan(
                         84,
@@ -117,10 +117,10 @@
         assertTrue(fleet.rejected <= 0.03 * fleet.offered, fleet.rejected + " of " + fleet.offered);
     }
 
-    /** Each of these errors exceeds the bound with some seed, in a small fleet or in a larger one. */
+    /** Each defect exceeds the bound with some seed, in a small fleet or in a larger one. */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void brokenVariantsAreDetected(QuotaFleet.Defect defect) {
+    void defectsAreDetected(QuotaFleet.Defect defect) {
         assertTrue(
                 LongStream.range(0, MAX_SEEDS).anyMatch(seed -> exceedsBound(defect, seed)),
                 defect + " was not detected");
--- a/router-fleet/quota/src/test/java/pinewick/quota/TenantBucketTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/TenantBucketTest.java
@@ -31,7 +31,7 @@
         assertTrue(bucket.tryGrant(1, 1));
     }
 
-    /** A bucket after its first window with nothing in it. */
+    /** A bucket past its first window, with less than one token left. */
     private static TenantBucket drained(double nowMs) {
         TenantBucket bucket = bucket(nowMs - 2 * POLICY.windowMs());
         while (bucket.level(nowMs) >= 1) {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aRequestBeyondTheDebtWaitsForTheRest() {
+    void aRequestBeyondTheMaximumDebtWaitsForTheDifference() {
         TenantBucket bucket = drained(100_000);
         double cost = POLICY.maxDebt(RATE_PER_MS, BURST) + 4_700 + bucket.level(100_000);
         assertFalse(bucket.tryGrant(cost, 100_050));
@@ -59,15 +59,15 @@
     }
 
     @Test
-    void inItsFirstWindowABucketMakesNoDebt() {
+    void aBucketDoesNotGoIntoDebtInItsFirstWindow() {
         TenantBucket bucket = bucket(0);
         assertFalse(bucket.tryGrant(17_000, 300));
         assertTrue(bucket.tryGrant(17_000, 362));
     }
 
-    /** The first is full, each ends in as much debt as it may have, and the next one follows at once. */
+    /** The first bucket is full, each is drained as far into debt as it may go, and the next one follows at once. */
     @Test
-    void anyNumberOfCoordinatorsInOneWindowKeepsTheBound() {
+    void anyNumberOfCoordinatorsInOneWindowStaysWithinTheBound() {
         double granted = 0;
         double nowMs = 100_000;
         TenantBucket bucket = bucket(0);
@@ -90,14 +90,14 @@
     }
 
     @Test
-    void aLoweredLimitTakesAwayWhatIsAboveItsCapacity() {
+    void aLoweredLimitDiscardsTokensAboveItsCapacity() {
         TenantBucket bucket = bucket(0);
         bucket.setLimit(1, 1_000, POLICY, 60_000);
         assertEquals(POLICY.capacity(1, 1_000), bucket.level(60_000), 1e-6);
     }
 
     @Test
-    void timeThatSeemsToGoBackAddsNothing() {
+    void timeThatGoesBackwardsAddsNoTokens() {
         TenantBucket bucket = bucket(1_000);
         double level = bucket.level(2_000);
         assertEquals(level, bucket.level(500), 0);
@@ -106,7 +106,7 @@
 
     private record Grant(double atMs, int cost) {}
 
-    /** Buckets that follow each other, as coordinators do, under any demand: the bound of docs/quotas.md. */
+    /** Checks the bound of docs/quotas.md on the buckets of consecutive coordinators under any demand. */
     @Property(tries = 200)
     void noWindowExceedsItsBoundAcrossCoordinators(
             @ForAll long seed,
--- a/router-fleet/quota/src/test/java/pinewick/quota/VirtualEvents.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/VirtualEvents.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Events in virtual time, those of one instant in the order in which they were scheduled. */
+/** An event queue in virtual time; events due at the same time run in the order in which they were scheduled. */
 final class VirtualEvents {
     private final PriorityQueue<Event> queue =
             new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::sequence));
