--- a/router-fleet/membership/src/main/java/pinewick/membership/FleetSizeEstimator.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/FleetSizeEstimator.java
@@ -7,18 +7,21 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Estimates the number of routers. While the view contains all of them, the estimate is its size. Beyond that each
- * router sets a bit chosen by a hash of its address, the bits are merged by gossip, and the number of clear bits gives
- * the estimate (linear counting, Whang and others, 1990). Counting restarts in each epoch, so that routers that have
- * ended drop out; the higher epoch wins, so that all processes restart within a few exchanges. Control loop only.
+ * Estimates the number of routers. While the view contains all of them, the estimate is its size. In a larger fleet
+ * each router sets a bit chosen by a hash of its address, the bits are merged by gossip, and the number of clear bits
+ * gives the estimate (linear counting, Whang and others, 1990). Counting restarts in each epoch, so that stopped
+ * routers are no longer counted; a process adopts any higher epoch, so that all processes restart within a few
+ * exchanges.
+ *
+ * <p>Not thread-safe: control loop only.
  */
 final class FleetSizeEstimator {
     static final double EPOCH_DURATION_MS = 15_000;
-    /** The upper bound is the highest value within this time. */
+    /** The upper bound is the highest that was sampled or reported within this time. */
     static final double BOUND_RETENTION_MS = 60_000;
     /**
-     * For this long after its own start a process multiplies the bound: other routers may have started with it, and
-     * those that run do not count them yet.
+     * For this time after its own start a process multiplies the bound by {@link #STARTUP_FACTOR}: other routers may
+     * have started at the same time, and running routers do not count those yet.
      */
     static final double STARTUP_MS = 8_000;
 
@@ -26,13 +29,15 @@
     private static final int MAX_PEER_BOUNDS = 32;
     private static final int BITS = 1_024;
     private static final double SKETCH_RETENTION_MS = 2 * EPOCH_DURATION_MS;
+    /** Number of standard deviations of linear counting that the upper bound adds to the estimate. */
     private static final double DEVIATIONS = 3;
+
     private static final double SAMPLE_INTERVAL_MS = 1_000;
 
     private final NodeDescriptor self;
     private final double startedAtMs;
     private final Deque<Sample> samples = new ArrayDeque<>();
-    /** Bounds that peers reported when this process had just started. */
+    /** Bounds that peers reported to this process when it had just started. */
     private final Deque<Sample> peerBounds = new ArrayDeque<>();
 
     private BitSet bits = new BitSet(BITS);
@@ -51,7 +56,7 @@
     }
 
     private void startEpoch(int number, double nowMs) {
-        lastEpochEstimate = linearCount();
+        lastEpochEstimate = linearCountingEstimate();
         epoch = number;
         epochStartedAtMs = nowMs;
         bits = new BitSet(BITS);
@@ -60,7 +65,12 @@
         }
     }
 
-    /** Time has passed; the view contains this many routers now. */
+    /**
+     * Samples the bound, and starts the next epoch if it is due.
+     *
+     * @param routersKnown routers in the view, plus this process if it is a router
+     * @param isViewFull whether the fleet may be larger than the view
+     */
     void onTick(int routersKnown, boolean isViewFull, double nowMs) {
         routersInView = routersKnown;
         if (isViewFull) {
@@ -77,14 +87,14 @@
         }
     }
 
-    /** The bits for a message; null, as on the wire, while the view contains all routers. */
+    /** The sketch to send to a peer; null, as on the wire, while the view contains all routers. */
     SizeSketch sketch(double nowMs) {
         return isSketchInUse(nowMs)
                 ? new SizeSketch(epoch, bits.toByteArray(), (int) Math.round(lastEpochEstimate))
                 : null;
     }
 
-    /** Merges the bits of a peer; null for none. */
+    /** Merges the sketch of a peer; null, and one of an unexpected length, are ignored. */
     void merge(SizeSketch sketch, double nowMs) {
         if (sketch == null || sketch.bits().length > BITS / Byte.SIZE) {
             return;
@@ -103,20 +113,20 @@
         return nowMs < sketchUsedUntilMs;
     }
 
-    /** Routers that are believed to run, including this process. */
+    /** Estimated number of running routers, counting this process if it is one; at least 1. */
     int estimate(double nowMs) {
         return (int) Math.max(1, Math.round(bestEstimate(nowMs)));
     }
 
     private double bestEstimate(double nowMs) {
         return isSketchInUse(nowMs)
-                ? Math.max(routersInView, Math.max(linearCount(), lastEpochEstimate))
+                ? Math.max(routersInView, Math.max(linearCountingEstimate(), lastEpochEstimate))
                 : routersInView;
     }
 
     /**
-     * A peer has reported its own bound. The peers that this process reaches may be partitioned from most of the fleet,
-     * and have counted it before.
+     * Adds the own bound of a peer. The peers that this process reaches may be partitioned from most of the fleet now,
+     * and have counted it before the partition.
      */
     void addPeerBound(int upperBound, double nowMs) {
         peerBounds.addLast(new Sample(nowMs, upperBound));
@@ -125,7 +135,7 @@
         }
     }
 
-    /** The highest bound that this process has recently counted itself. */
+    /** The highest bound that this process itself has counted within {@link #BOUND_RETENTION_MS}; at least 1. */
     int ownBound(double nowMs) {
         double highest = currentUpperBound(nowMs);
         for (Sample sample : samples) {
@@ -134,7 +144,7 @@
         return (int) Math.max(1, Math.ceil(highest));
     }
 
-    /** More routers than run, with high probability. */
+    /** Upper bound of the number of running routers, with high probability. */
     int upperBound(double nowMs) {
         boolean isStartingUp = nowMs - startedAtMs < STARTUP_MS;
         double highest = isStartingUp ? (double) STARTUP_FACTOR * ownBound(nowMs) : ownBound(nowMs);
@@ -156,7 +166,7 @@
         return estimate + DEVIATIONS * deviation + 1;
     }
 
-    private double linearCount() {
+    private double linearCountingEstimate() {
         int clear = Math.max(1, BITS - bits.cardinality());
         return -BITS * Math.log((double) clear / BITS);
     }
--- a/router-fleet/membership/src/main/java/pinewick/membership/KnownPeer.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/KnownPeer.java
@@ -2,10 +2,10 @@
 
 import pinewick.membership.MembershipMessages.PeerEntry;
 
-/** A peer in a view: its newest known entry, and an estimate of when that entry was created, in local time. */
+/** A peer in a view: its newest known entry, and an estimate of the local time at which the entry was created. */
 final class KnownPeer {
     private PeerEntry entry;
-    /** Local time at the peer's heartbeat 0, estimated from above. */
+    /** Upper bound of the local time at which the peer's heartbeat was 0, milliseconds. */
     private double offsetMs;
 
     KnownPeer(PeerEntry entry, double nowMs) {
@@ -21,7 +21,7 @@
         return entry.node();
     }
 
-    /** Replaces the entry by a newer one; returns whether it was newer. */
+    /** Replaces the entry if {@code other} is newer; returns whether it was. */
     boolean update(PeerEntry other, double nowMs) {
         if (!other.isNewerThan(entry)) {
             return false;
@@ -33,12 +33,12 @@
         return true;
     }
 
-    /** When the entry was created, at the latest. */
+    /** Upper bound of the local time at which the entry was created, milliseconds. */
     double entryTimeMs() {
         return offsetMs + entry.heartbeat();
     }
 
-    /** The heartbeat that the peer had at a local time, at least. */
+    /** Lower bound of the peer's heartbeat at a local time. */
     long heartbeatAt(double timeMs) {
         return (long) Math.floor(timeMs - offsetMs);
     }
--- a/router-fleet/membership/src/main/java/pinewick/membership/MembershipMessages.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/MembershipMessages.java
@@ -23,8 +23,8 @@
      * The entry of a process in a view.
      *
      * @param node the process
-     * @param heartbeat milliseconds of its own steady clock since its start, raised by the process alone: of two
-     *     entries with one incarnation, the one with the higher heartbeat is newer
+     * @param heartbeat milliseconds since the start of the process by its steady clock, increased only by the process
+     *     itself: of two entries with the same incarnation, the one with the higher heartbeat is newer
      */
     public record PeerEntry(NodeDescriptor node, long heartbeat) {
         /** Whether this is newer than {@code other}, an entry of the same address. */
@@ -36,11 +36,12 @@
     }
 
     /**
-     * Bits that count routers: each sets the bit that its address hashes to in this epoch, and bits are merged.
+     * A linear counting sketch of the routers: each sets the bit that its address hashes to in this epoch, and the bits
+     * of all are merged.
      *
-     * @param epoch number of the count; a higher one restarts it
+     * @param epoch number of the count; a receiver in a lower epoch restarts its count
      * @param bits the merged bits
-     * @param countBefore the result of the previous epoch
+     * @param countBefore estimated number of routers at the end of the previous epoch
      */
     public record SizeSketch(int epoch, byte[] bits, int countBefore) {}
 
@@ -48,9 +49,9 @@
      * Offers a sample of the sender's view and requests one of the receiver's.
      *
      * @param requestId repeated in the reply
-     * @param self the sender
-     * @param sample some of the peers it knows
-     * @param sketch its count of routers, null while its view contains all of them
+     * @param self entry of the sender
+     * @param sample entries of some of the peers that the sender knows
+     * @param sketch the sender's count of routers, null while its view contains all of them
      */
     public record ShuffleRequest(long requestId, PeerEntry self, List<PeerEntry> sample, SizeSketch sketch)
             implements Message {}
@@ -59,6 +60,10 @@
     public record ShuffleReply(long requestId, PeerEntry self, List<PeerEntry> sample, SizeSketch sketch)
             implements Message {}
 
-    /** A process is shutting down. */
+    /**
+     * Announces that a process is shutting down; forwarded by its receivers.
+     *
+     * @param node the process
+     */
     public record LeaveAnnouncement(NodeDescriptor node) implements Message {}
 }
--- a/router-fleet/membership/src/main/java/pinewick/membership/NodeRole.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/NodeRole.java
@@ -1,9 +1,9 @@
 package pinewick.membership;
 
-/** What a process of the fleet does. */
+/** The role of a process of the fleet. */
 public enum NodeRole {
-    /** Data plane. */
+    /** A process of the data plane. */
     ROUTER,
-    /** Control plane. */
+    /** A process of the control plane. */
     CONTROLLER
 }
--- a/router-fleet/membership/src/main/java/pinewick/membership/OutstandingRequests.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/OutstandingRequests.java
@@ -8,13 +8,15 @@
 
 /**
  * The requests of this process that wait for a reply, by their ids. Ids count up from a number drawn at random at the
- * start of the process, so that a reply to a request of an earlier incarnation matches none. A reply counts once, in
- * time, and from the peer that was asked. Control loop only.
+ * start of the process, so that a reply to a request of an earlier incarnation matches none. A reply is accepted once,
+ * within the time-out, and only from the peer that the request was sent to.
  *
- * @param <T> the context that is handed back with the reply
+ * <p>Not thread-safe: control loop only.
+ *
+ * @param <T> the context that is returned with the reply
  */
 public final class OutstandingRequests<T> {
-    /** The id of a message that is no reply. */
+    /** The id in a message that is not a reply. */
     public static final long NO_REQUEST = 0;
 
     private final double timeoutMs;
@@ -25,10 +27,10 @@
     private record Request<T>(SocketAddress peer, T context, double sentAtMs) {}
 
     /**
-     * A reply that counts.
+     * The request of an accepted reply.
      *
-     * @param context as given with the request
-     * @param sentAtMs when the request was sent
+     * @param context the context registered with the request
+     * @param sentAtMs when the request was sent, milliseconds
      */
     public record Completed<T>(T context, double sentAtMs) {}
 
@@ -56,14 +58,14 @@
         return lastId;
     }
 
-    /** A reply has arrived: the request that it answers, empty if it is ignored. */
+    /** Matches a reply with its request, which no longer waits; empty if the reply has to be ignored. */
     public Optional<Completed<T>> complete(long id, SocketAddress sender, double nowMs) {
         Request<T> request = requests.get(id);
         if (request == null || !request.peer.equals(sender)) {
             return Optional.empty();
         }
         requests.remove(id);
-        boolean inTime = nowMs - request.sentAtMs <= timeoutMs;
-        return inTime ? Optional.of(new Completed<>(request.context, request.sentAtMs)) : Optional.empty();
+        boolean isInTime = nowMs - request.sentAtMs <= timeoutMs;
+        return isInTime ? Optional.of(new Completed<>(request.context, request.sentAtMs)) : Optional.empty();
     }
 }
--- a/router-fleet/membership/src/main/java/pinewick/membership/PartialView.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/PartialView.java
@@ -12,7 +12,10 @@
 import pinewick.membership.MembershipMessages.PeerEntry;
 import pinewick.model.SocketAddress;
 
-/** A bounded set of peers of one role. When it is full, entries that were offered to others are evicted first. */
+/**
+ * A bounded set of peers of one role. When it is full, the entries that this process has sent in the current exchange
+ * are evicted first.
+ */
 final class PartialView {
     private final int capacity;
     private final Map<SocketAddress, KnownPeer> peers = new LinkedHashMap<>();
@@ -49,7 +52,8 @@
     /**
      * Adds an entry, or replaces an older one of its address.
      *
-     * @param evictable addresses that are evicted first if the view is full
+     * @param evictable addresses that are evicted first if the view is full; if it contains none of them, the peer with
+     *     the oldest entry is evicted
      */
     void offer(PeerEntry entry, Set<SocketAddress> evictable, double nowMs) {
         KnownPeer known = peers.get(entry.node().address());
@@ -72,12 +76,12 @@
         return oldest().orElseThrow().node().address();
     }
 
-    /** The peer with the oldest entry. */
+    /** The peer with the oldest entry; empty if the view is. */
     Optional<KnownPeer> oldest() {
         return peers.values().stream().min(Comparator.comparingDouble(KnownPeer::entryTimeMs));
     }
 
-    /** Up to {@code count} entries drawn at random, except that of one address. */
+    /** Up to {@code count} entries drawn at random, without that of {@code excluded}. */
     List<PeerEntry> sample(int count, SocketAddress excluded, RandomGenerator random) {
         List<PeerEntry> entries = new ArrayList<>(peers.size());
         for (KnownPeer peer : peers.values()) {
--- a/router-fleet/membership/src/main/java/pinewick/membership/PeerSampling.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/PeerSampling.java
@@ -17,28 +17,32 @@
 import pinewick.model.SocketAddress;
 
 /**
- * A process's partial view of the fleet after Cyclon (Voulgaris and others, 2005): at an interval it offers a sample of
- * its entries to the peer with the oldest entry and gets a sample of that peer's. Controllers have a view of their own,
- * so that each process always knows some, and controllers know each other. A peer that does not answer twice becomes
- * unreachable. Seeds and unreachable controllers are retried at intervals. Control loop only.
+ * A process's partial view of the fleet, after Cyclon (Voulgaris and others, 2005). Periodically it shuffles: it sends
+ * a sample of its entries to the peer with the oldest entry, and receives a sample of that peer's. Controllers are kept
+ * in a separate view, so that each process always knows some, and controllers know each other. A peer that leaves a
+ * request and its retry unanswered becomes unreachable. Seeds and unreachable controllers are retried at intervals.
+ *
+ * <p>Not thread-safe: control loop only.
  */
 public final class PeerSampling {
-    /** Routers in a view; a smaller fleet is known completely. */
+    /** Maximum number of routers in the view; a fleet with fewer routers is known completely. */
     public static final int ROUTER_CAPACITY = 30;
 
-    /** Controllers in a view. */
+    /** Maximum number of controllers in the view. */
     public static final int CONTROLLER_CAPACITY = 16;
 
     private static final double SHUFFLE_INTERVAL_MS = 1_000;
     private static final double STARTUP_SHUFFLE_INTERVAL_MS = 300;
     private static final double STARTUP_MS = 5_000;
+    /** Width of the range of the shuffle interval, as a fraction of the interval. */
     private static final double JITTER = 0.2;
+
     private static final double REPLY_TIMEOUT_MS = 400;
-    /** A reply that is later than this is ignored. */
+    /** A reply that arrives later than this after its request is ignored. */
     private static final double MAX_REPLY_AGE_MS = 2_000;
 
-    private static final int MAX_OUTSTANDING = 64;
-    /** The shuffle number of requests outside the regular shuffles. */
+    private static final int MAX_OUTSTANDING_REQUESTS = 64;
+    /** The shuffle number of requests that are not part of a regular shuffle. */
     private static final int OUTSIDE_SHUFFLE = 0;
 
     private static final double CONTROLLER_RETRY_INTERVAL_MS = 500;
@@ -57,9 +61,9 @@
     private final PartialView routers = new PartialView(ROUTER_CAPACITY);
     private final PartialView controllers = new PartialView(CONTROLLER_CAPACITY);
     private final UnreachablePeers unreachable = new UnreachablePeers();
-    /** Requests without a reply, with their shuffle numbers. */
+    /** Requests that wait for a reply, with the number of the shuffle that sent them. */
     private final OutstandingRequests<Integer> requests;
-    /** Controllers in the view that have not sent a message to this process yet; used by controllers only. */
+    /** Controllers in the view that this process has not received a message from yet; used by controllers only. */
     private final Set<SocketAddress> awaitingContact = new LinkedHashSet<>();
 
     private NodeDescriptor self;
@@ -71,13 +75,13 @@
     private int retryCount;
     private Optional<PendingShuffle> pending = Optional.empty();
 
-    /** A shuffle without a reply yet. */
+    /** The shuffle whose reply is awaited; it is retried once. */
     private record PendingShuffle(
             KnownPeer target, int shuffleNumber, double firstSentAtMs, double sentAtMs, Set<SocketAddress> offered) {}
 
     /**
      * @param self this process
-     * @param seeds addresses of some controllers
+     * @param seeds addresses of controllers to contact first
      * @param outbox sends messages to peers
      * @param random source of randomness
      */
@@ -86,7 +90,7 @@
         this.seeds = seeds.stream().filter(seed -> !seed.equals(self.address())).toList();
         this.outbox = outbox;
         this.random = random;
-        this.requests = new OutstandingRequests<>(MAX_REPLY_AGE_MS, MAX_OUTSTANDING, random);
+        this.requests = new OutstandingRequests<>(MAX_REPLY_AGE_MS, MAX_OUTSTANDING_REQUESTS, random);
     }
 
     /** This process, with its current incarnation. */
@@ -94,7 +98,7 @@
         return self;
     }
 
-    /** Every peer in the view. */
+    /** Every peer in the view, controllers first. */
     public List<NodeDescriptor> peers() {
         List<NodeDescriptor> peers = new ArrayList<>(routers.size() + controllers.size());
         controllers.all().forEach(peer -> peers.add(peer.node()));
@@ -102,17 +106,17 @@
         return peers;
     }
 
-    /** How many peers are in the view. */
+    /** Number of peers in the view. */
     public int viewSize() {
         return routers.size() + controllers.size();
     }
 
-    /** Addresses of every controller in the view, without this process. */
+    /** Addresses of all controllers in the view; this process is not among them. */
     public List<SocketAddress> controllers() {
         return addresses(controllers.all());
     }
 
-    /** Addresses of routers in the view, a random sample of them all. */
+    /** Addresses of all routers in the view, which are a random sample of the fleet's. */
     public List<SocketAddress> routers() {
         return addresses(routers.all());
     }
@@ -130,30 +134,30 @@
         return RandomChoice.draw(addresses, count, random);
     }
 
-    /** Routers that are believed to run. */
+    /** Estimated number of running routers; 1 before the first tick or message. */
     public int routerCount(double nowMs) {
         return sizeEstimator.map(estimator -> estimator.estimate(nowMs)).orElse(1);
     }
 
-    /** The highest number of routers that this process has recently counted itself, as an upper bound. */
+    /** Upper bound of the number of routers as counted by this process recently, without the bounds of peers. */
     public int ownRouterBound(double nowMs) {
         return sizeEstimator.map(estimator -> estimator.ownBound(nowMs)).orElse(1);
     }
 
-    /** A peer has reported its own bound when this process had just started. */
+    /** Adds the own bound of a peer, which it reports to a process that has just started. */
     public void addPeerRouterBound(int upperBound, double nowMs) {
-        startIfNew(nowMs).addPeerBound(upperBound, nowMs);
+        startIfNeeded(nowMs).addPeerBound(upperBound, nowMs);
     }
 
-    /** More routers than run, with high probability. */
+    /** Upper bound of the number of running routers, with high probability; 1 before the first tick or message. */
     public int routerCountUpperBound(double nowMs) {
         return sizeEstimator.map(estimator -> estimator.upperBound(nowMs)).orElse(1);
     }
 
-    /** Time has passed. */
+    /** Does what is due: reply time-outs, shuffles, retries of seeds and unreachable peers, fleet size samples. */
     public void onTick(double nowMs) {
-        FleetSizeEstimator estimator = startIfNew(nowMs);
-        checkPending(nowMs);
+        FleetSizeEstimator estimator = startIfNeeded(nowMs);
+        checkReplyTimeout(nowMs);
         if (nowMs >= nextShuffleAtMs) {
             shuffle(nowMs);
             nextShuffleAtMs = nowMs + shuffleIntervalMs(nowMs);
@@ -166,14 +170,14 @@
         estimator.onTick(routersKnown, routers.isFull(), nowMs);
     }
 
-    /** When {@link #onTick} has work next, steady time in milliseconds. */
+    /** When {@link #onTick} has work next, milliseconds on the steady clock. */
     public double nextDueMs() {
         double replyDueMs =
                 pending.map(shuffle -> shuffle.sentAtMs + REPLY_TIMEOUT_MS).orElse(Double.POSITIVE_INFINITY);
         return Math.min(replyDueMs, Math.min(nextShuffleAtMs, nextRetryAtMs));
     }
 
-    private FleetSizeEstimator startIfNew(double nowMs) {
+    private FleetSizeEstimator startIfNeeded(double nowMs) {
         if (sizeEstimator.isEmpty()) {
             startedAtMs = nowMs;
             sizeEstimator = Optional.of(new FleetSizeEstimator(self, nowMs));
@@ -219,11 +223,11 @@
         return isStale || shuffleNumber % SHUFFLES_PER_CONTROLLER == 0 ? controller : router;
     }
 
-    /** Requests an exchange of entries with a peer; returns the addresses of those offered. */
-    private Set<SocketAddress> sendRequest(SocketAddress peer, int ofShuffle, double nowMs) {
+    /** Requests an exchange of entries with a peer; returns the addresses of the routers in the sample sent. */
+    private Set<SocketAddress> sendRequest(SocketAddress peer, int requestShuffleNumber, double nowMs) {
         List<PeerEntry> sample = sampleFor(peer, CONTROLLERS_IN_SAMPLE, nowMs);
-        long requestId = requests.register(peer, ofShuffle, nowMs);
-        SizeSketch sketch = startIfNew(nowMs).sketch(nowMs);
+        long requestId = requests.register(peer, requestShuffleNumber, nowMs);
+        SizeSketch sketch = startIfNeeded(nowMs).sketch(nowMs);
         outbox.send(peer, new ShuffleRequest(requestId, ownEntry(nowMs), sample, sketch));
         return offeredRouters(sample);
     }
@@ -249,7 +253,7 @@
         return new PeerEntry(self, (long) (nowMs - startedAtMs));
     }
 
-    private void checkPending(double nowMs) {
+    private void checkReplyTimeout(double nowMs) {
         if (pending.isEmpty() || nowMs - pending.get().sentAtMs < REPLY_TIMEOUT_MS) {
             return;
         }
@@ -266,7 +270,7 @@
         }
     }
 
-    /** Removes a peer that did not answer; entries from before the first request do not bring it back. */
+    /** Removes a peer that did not answer; an entry that is older than the first request does not bring it back. */
     private void markUnreachable(KnownPeer peer, double firstSentAtMs, double nowMs) {
         if (viewOf(peer.node()).remove(peer.node().address())) {
             unreachable.markUnreachable(peer.node(), peer.heartbeatAt(firstSentAtMs), nowMs);
@@ -277,16 +281,16 @@
         return node.role() == NodeRole.CONTROLLER ? controllers : routers;
     }
 
-    /** Retries seeds and unreachable controllers, and at a lower rate an unreachable router. */
+    /** Contacts missing seeds and unreachable controllers, and at a lower rate an unreachable router. */
     private void retryUnreachable(double nowMs) {
         retryCount++;
-        Set<SocketAddress> missing = new LinkedHashSet<>(unreachable.retryCandidates(NodeRole.CONTROLLER, nowMs));
-        missing.addAll(seeds);
+        Set<SocketAddress> retryTargets = new LinkedHashSet<>(unreachable.retryCandidates(NodeRole.CONTROLLER, nowMs));
+        retryTargets.addAll(seeds);
         awaitingContact.removeIf(address -> !controllers.contains(address));
-        missing.addAll(awaitingContact);
-        missing.removeIf(address -> controllers.contains(address) && !awaitingContact.contains(address));
-        int count = self.role() == NodeRole.CONTROLLER ? missing.size() : 1;
-        for (SocketAddress address : RandomChoice.draw(new ArrayList<>(missing), count, random)) {
+        retryTargets.addAll(awaitingContact);
+        retryTargets.removeIf(address -> controllers.contains(address) && !awaitingContact.contains(address));
+        int count = self.role() == NodeRole.CONTROLLER ? retryTargets.size() : 1;
+        for (SocketAddress address : RandomChoice.draw(new ArrayList<>(retryTargets), count, random)) {
             sendRequest(address, OUTSIDE_SHUFFLE, nowMs);
         }
         if (retryCount % RETRIES_PER_UNREACHABLE_ROUTER == 0) {
@@ -297,21 +301,21 @@
     }
 
     /**
-     * Another message of a peer has arrived. A controller that does not know it, and has space for routers, requests an
-     * exchange of entries: after a restart of all controllers they would know no router until one happens to shuffle
-     * with them.
+     * Handles contact by a message that is not one of {@link MembershipMessages}. A controller that does not know the
+     * sender, and whose router view is not full, requests an exchange of entries: otherwise, after a restart of all
+     * controllers, they would know no router until one happens to shuffle with them.
      */
     public void onContact(SocketAddress peer, double nowMs) {
         boolean isKnown = routers.contains(peer) || controllers.contains(peer);
         if (self.role() == NodeRole.CONTROLLER && !isKnown && !routers.isFull()) {
-            startIfNew(nowMs);
+            startIfNeeded(nowMs);
             sendRequest(peer, OUTSIDE_SHUFFLE, nowMs);
         }
     }
 
     /** Handles a message if it is one of {@link MembershipMessages}; returns whether it was. */
     public boolean onMessage(SocketAddress sender, Message message, double nowMs) {
-        startIfNew(nowMs);
+        startIfNeeded(nowMs);
         if (message instanceof ShuffleRequest request) {
             onRequest(sender, request, nowMs);
         } else if (message instanceof ShuffleReply reply) {
@@ -330,13 +334,13 @@
         List<PeerEntry> sample = sampleFor(sender, controllerCount, nowMs);
         Set<SocketAddress> offered = offeredRouters(sample);
         addNewerIncarnation(request.self(), sample);
-        FleetSizeEstimator estimator = startIfNew(nowMs);
+        FleetSizeEstimator estimator = startIfNeeded(nowMs);
         estimator.merge(request.sketch(), nowMs);
         outbox.send(sender, new ShuffleReply(request.requestId(), ownEntry(nowMs), sample, estimator.sketch(nowMs)));
         mergeFrom(sender, request.self(), request.sample(), offered, nowMs);
     }
 
-    /** Informs a process that restarted with a lower incarnation which entry it has to exceed. */
+    /** Adds the entry that a process which restarted with a lower incarnation has to exceed, if there is one. */
     private void addNewerIncarnation(PeerEntry entry, List<PeerEntry> sample) {
         NodeDescriptor node = entry.node();
         Optional<PeerEntry> newer =
@@ -348,7 +352,7 @@
         }
     }
 
-    /** A reply to another incarnation of this process, a duplicate and a late one are ignored. */
+    /** Ignores replies to another incarnation of this process, duplicates and late replies. */
     private void onReply(SocketAddress sender, ShuffleReply reply, double nowMs) {
         Optional<OutstandingRequests.Completed<Integer>> request = requests.complete(reply.requestId(), sender, nowMs);
         if (request.isEmpty()) {
@@ -362,7 +366,7 @@
             offered = answered.get().offered;
             pending = Optional.empty();
         }
-        startIfNew(nowMs).merge(reply.sketch(), nowMs);
+        startIfNeeded(nowMs).merge(reply.sketch(), nowMs);
         mergeFrom(sender, reply.self(), reply.sample(), offered, nowMs);
     }
 
@@ -386,14 +390,14 @@
         }
     }
 
-    /** Controllers contact each other at once: replication needs all of them. */
+    /** Whether this controller has to contact another at once: replication needs all of them. */
     private boolean isNewController(NodeDescriptor node) {
         return self.role() == NodeRole.CONTROLLER
                 && node.role() == NodeRole.CONTROLLER
                 && !controllers.contains(node.address());
     }
 
-    /** The sender knows an earlier incarnation of this process: exceeds it, so that peers accept this one. */
+    /** Exceeds an earlier incarnation of this process that the sender knows, so that peers accept this one. */
     private void supersedeEarlierIncarnation(SocketAddress sender, PeerEntry entry, double nowMs) {
         long incarnation = entry.node().incarnation();
         boolean isAheadOfSelf = incarnation == self.incarnation()
@@ -421,7 +425,7 @@
         }
     }
 
-    /** Informs the peers that this process is shutting down. */
+    /** Announces to all peers in the view that this process is shutting down. */
     public void leave() {
         peers().forEach(peer -> outbox.send(peer.address(), new LeaveAnnouncement(self)));
     }
--- a/router-fleet/membership/src/main/java/pinewick/membership/RandomChoice.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/RandomChoice.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Draws at random. */
+/** Draws random elements without replacement. */
 public final class RandomChoice {
     private RandomChoice() {}
 
-    /** Up to {@code count} different elements; reorders {@code from}. */
+    /** Draws up to {@code count} elements, each at most once; reorders {@code from}. */
     public static <T> List<T> draw(List<T> from, int count, RandomGenerator random) {
-        int wanted = Math.min(count, from.size());
-        for (int i = 0; i < wanted; i++) {
+        int drawn = Math.min(count, from.size());
+        for (int i = 0; i < drawn; i++) {
             Collections.swap(from, i, i + random.nextInt(from.size() - i));
         }
-        return List.copyOf(from.subList(0, wanted));
+        return List.copyOf(from.subList(0, drawn));
     }
 }
--- a/router-fleet/membership/src/main/java/pinewick/membership/UnreachablePeers.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/UnreachablePeers.java
@@ -9,18 +9,19 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Peers that stopped answering or left. Their entries are not accepted from other peers unless they are newer than
- * that; those that stopped answering are retried for some time, so that a healed partition is noticed.
+ * Peers that stopped answering or left. An entry of such a peer is accepted from other peers only if it is newer than
+ * the moment at which the peer became unreachable. Peers that stopped answering are retried for
+ * {@link #RETRY_DURATION_MS}, so that a healed partition is noticed.
  */
 final class UnreachablePeers {
     private static final int MAX_ENTRIES = 512;
     private static final double RETRY_DURATION_MS = 600_000;
 
     /**
-     * @param node the peer as it was last known
-     * @param heartbeat only an entry with a higher heartbeat is newer
-     * @param hasLeft whether it announced that it leaves
-     * @param sinceMs since when it is unreachable
+     * @param node the peer as last known
+     * @param heartbeat an entry of the same incarnation is newer only if its heartbeat is higher than this
+     * @param hasLeft whether it announced its shutdown
+     * @param sinceMs when it became unreachable, milliseconds
      */
     private record UnreachablePeer(NodeDescriptor node, long heartbeat, boolean hasLeft, double sinceMs) {}
 
@@ -33,12 +34,12 @@
         }
     };
 
-    /** A peer did not answer a request that was sent when its heartbeat was {@code heartbeat}. */
+    /** Adds a peer that did not answer a request, sent when its heartbeat was {@code heartbeat}. */
     void markUnreachable(NodeDescriptor node, long heartbeat, double nowMs) {
         add(new UnreachablePeer(node, heartbeat, false, nowMs));
     }
 
-    /** A peer announced that it leaves; returns whether that was new. */
+    /** Adds a peer that announced its shutdown; returns whether that was not known yet. */
     boolean markLeft(NodeDescriptor node, double nowMs) {
         UnreachablePeer known = unreachable.get(node.address());
         if (known != null && known.hasLeft && known.node.incarnation() >= node.incarnation()) {
@@ -53,7 +54,7 @@
         unreachable.put(peer.node.address(), peer);
     }
 
-    /** Whether an entry is newer than the time when its peer became unreachable, or the peer never was. */
+    /** Whether an entry is to be accepted: its peer is not unreachable, or became so before the entry was created. */
     boolean admits(PeerEntry entry) {
         UnreachablePeer peer = unreachable.get(entry.node().address());
         return peer == null
@@ -61,7 +62,10 @@
                 || (entry.node().incarnation() == peer.node.incarnation() && entry.heartbeat() > peer.heartbeat);
     }
 
-    /** There was contact with the peer itself; returns false if it announced before that this incarnation leaves. */
+    /**
+     * Removes a peer that was contacted directly. Returns false, and keeps it, if this incarnation announced its
+     * shutdown or a later incarnation is recorded.
+     */
     boolean onContact(NodeDescriptor node) {
         UnreachablePeer peer = unreachable.get(node.address());
         if (peer == null) {
@@ -75,12 +79,12 @@
         return true;
     }
 
-    /** The entry that an entry of this address has to exceed to be accepted again. */
+    /** The entry that an entry of this address has to exceed to be accepted; empty if the peer is not unreachable. */
     Optional<PeerEntry> lastEntryOf(SocketAddress address) {
         return Optional.ofNullable(unreachable.get(address)).map(peer -> new PeerEntry(peer.node, peer.heartbeat));
     }
 
-    /** Addresses to be retried. */
+    /** Addresses of the peers of a role that stopped answering and are still to be retried. */
     List<SocketAddress> retryCandidates(NodeRole role, double nowMs) {
         List<SocketAddress> addresses = new ArrayList<>();
         for (UnreachablePeer peer : unreachable.values()) {
--- a/router-fleet/membership/src/test/java/pinewick/membership/FleetSizeEstimatorTest.java
+++ b/router-fleet/membership/src/test/java/pinewick/membership/FleetSizeEstimatorTest.java
@@ -13,19 +13,19 @@
 import pinewick.model.SocketAddress;
 
 class FleetSizeEstimatorTest {
-    private static final int VIEW = 30;
+    private static final int VIEW_SIZE = 30;
 
     private static NodeDescriptor router(int number) {
         SocketAddress address = new SocketAddress("10.1." + number / 250 + "." + (number % 250 + 1), 7_720);
         return new NodeDescriptor(address, 1, NodeRole.ROUTER, "zone");
     }
 
-    /** Estimators of so many routers, each of which has seen the bits of all. */
+    /** Estimators of {@code routers} routers, each of which has merged the bits of all. */
     private static List<FleetSizeEstimator> converged(int routers, double nowMs) {
         List<FleetSizeEstimator> fleet = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
             FleetSizeEstimator estimator = new FleetSizeEstimator(router(i), 0);
-            estimator.onTick(VIEW, true, nowMs);
+            estimator.onTick(VIEW_SIZE, true, nowMs);
             fleet.add(estimator);
         }
         exchangeAll(fleet, nowMs);
@@ -40,7 +40,7 @@
 
     @Test
     void theEstimateIsCloseAndTheBoundAboveForEverySize() {
-        for (int routers = VIEW; routers <= 900; routers++) {
+        for (int routers = VIEW_SIZE; routers <= 900; routers++) {
             FleetSizeEstimator estimator = converged(routers, 10_000).get(0);
             assertEquals(routers, estimator.estimate(10_000), 0.12 * routers);
             int bound = estimator.upperBound(10_000);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aSmallFleetIsCountedByTheViewAndSendsNoBits() {
+    void aSmallFleetIsCountedByTheViewAndSendsNoSketch() {
         FleetSizeEstimator estimator = new FleetSizeEstimator(router(0), 0);
         estimator.onTick(9, false, 20_000);
         assertEquals(9, estimator.estimate(20_000));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aYoungProcessRequestsTheBoundSeveralTimes() {
+    void aProcessThatHasJustStartedMultipliesTheBound() {
         FleetSizeEstimator estimator = new FleetSizeEstimator(router(0), 0);
         estimator.onTick(9, false, 100);
         assertEquals(36, estimator.upperBound(100));
@@ -77,35 +77,35 @@
     }
 
     @Test
-    void stoppedRoutersLeaveTheEstimateWithTheEpochs() {
+    void stoppedRoutersAreNoLongerCountedInLaterEpochs() {
         List<FleetSizeEstimator> fleet = converged(100, 10_000);
-        List<FleetSizeEstimator> left = new ArrayList<>(fleet.subList(0, 40));
+        List<FleetSizeEstimator> remaining = new ArrayList<>(fleet.subList(0, 40));
         double nowMs = 10_000;
         for (int epoch = 0; epoch < 3; epoch++) {
             nowMs += FleetSizeEstimator.EPOCH_DURATION_MS;
-            for (FleetSizeEstimator estimator : left) {
-                estimator.onTick(VIEW, true, nowMs);
+            for (FleetSizeEstimator estimator : remaining) {
+                estimator.onTick(VIEW_SIZE, true, nowMs);
             }
-            exchangeAll(left, nowMs);
+            exchangeAll(remaining, nowMs);
         }
-        assertEquals(40, left.get(7).estimate(nowMs), 4);
+        assertEquals(40, remaining.get(7).estimate(nowMs), 4);
     }
 
     @Test
-    void oneThatJoinsAtTheStartOfAnEpochTakesTheCountBefore() {
-        FleetSizeEstimator old = converged(200, 10_000).get(0);
-        old.onTick(VIEW, true, FleetSizeEstimator.EPOCH_DURATION_MS + 1);
-        SizeSketch sketch = old.sketch(FleetSizeEstimator.EPOCH_DURATION_MS + 1);
+    void aProcessThatJoinsAtTheStartOfAnEpochUsesTheCountOfThePreviousOne() {
+        FleetSizeEstimator running = converged(200, 10_000).get(0);
+        running.onTick(VIEW_SIZE, true, FleetSizeEstimator.EPOCH_DURATION_MS + 1);
+        SizeSketch sketch = running.sketch(FleetSizeEstimator.EPOCH_DURATION_MS + 1);
         assertNotNull(sketch);
-        FleetSizeEstimator fresh = new FleetSizeEstimator(router(500), 0);
-        fresh.merge(sketch, 10);
-        assertEquals(200, fresh.estimate(10), 20);
+        FleetSizeEstimator joining = new FleetSizeEstimator(router(500), 0);
+        joining.merge(sketch, 10);
+        assertEquals(200, joining.estimate(10), 20);
     }
 
     @Test
-    void bitsOfAnEarlierEpochAndOfAnotherLengthAreIgnored() {
+    void sketchesOfAnEarlierEpochAndOfAnotherLengthAreIgnored() {
         FleetSizeEstimator estimator = new FleetSizeEstimator(router(0), 0);
-        estimator.onTick(VIEW, true, FleetSizeEstimator.EPOCH_DURATION_MS);
+        estimator.onTick(VIEW_SIZE, true, FleetSizeEstimator.EPOCH_DURATION_MS);
         int before = estimator.estimate(FleetSizeEstimator.EPOCH_DURATION_MS);
         byte[] all = new byte[128];
         Arrays.fill(all, (byte) 0xFF);
--- a/router-fleet/membership/src/test/java/pinewick/membership/PeerSamplingTest.java
+++ b/router-fleet/membership/src/test/java/pinewick/membership/PeerSamplingTest.java
@@ -17,7 +17,7 @@
 import pinewick.model.Message;
 import pinewick.model.SocketAddress;
 
-/** One process, message by message. */
+/** Tests one process by the messages that it receives and sends. */
 class PeerSamplingTest {
     private static final SocketAddress SEED = new SocketAddress("10.9.0.1", 7_721);
 
@@ -50,7 +50,7 @@
         return new PeerEntry(node(number, 1, NodeRole.CONTROLLER), heartbeat);
     }
 
-    private void hear(PeerEntry peer, PeerEntry... sample) {
+    private void receive(PeerEntry peer, PeerEntry... sample) {
         sampling.onMessage(peer.node().address(), new ShuffleRequest(1, peer, List.of(sample), null), nowMs);
     }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    private Set<SocketAddress> known() {
+    private Set<SocketAddress> knownAddresses() {
         return Set.copyOf(sampling.peers().stream().map(NodeDescriptor::address).toList());
     }
 
@@ -81,83 +81,83 @@
 
     @Test
     void aPeerThatMissesTwoRepliesIsRemoved() {
-        hear(router(1, 100));
+        receive(router(1, 100));
         tickFor(400);
         sent.clear();
         tickFor(900);
-        assertFalse(known().contains(node(1, 1, NodeRole.ROUTER).address()));
+        assertFalse(knownAddresses().contains(node(1, 1, NodeRole.ROUTER).address()));
     }
 
     @Test
     void aRemovedPeerReturnsOnlyWithALaterHeartbeat() {
-        hear(router(1, 100));
+        receive(router(1, 100));
         tickFor(3_000);
-        hear(controller(9, 1), router(1, 150));
-        assertFalse(known().contains(router(1, 0).node().address()));
-        hear(controller(9, 2), router(1, 100 + 2_000));
-        assertTrue(known().contains(router(1, 0).node().address()));
+        receive(controller(9, 1), router(1, 150));
+        assertFalse(knownAddresses().contains(router(1, 0).node().address()));
+        receive(controller(9, 2), router(1, 100 + 2_000));
+        assertTrue(knownAddresses().contains(router(1, 0).node().address()));
     }
 
     @Test
     void aRemovedPeerThatSendsAMessageReturns() {
-        hear(router(1, 100));
+        receive(router(1, 100));
         tickFor(3_000);
-        hear(router(1, 120));
-        assertTrue(known().contains(router(1, 0).node().address()));
+        receive(router(1, 120));
+        assertTrue(knownAddresses().contains(router(1, 0).node().address()));
     }
 
     @Test
     void aHigherIncarnationOfARemovedPeerIsAccepted() {
-        hear(router(1, 100));
+        receive(router(1, 100));
         tickFor(3_000);
-        hear(controller(9, 1), new PeerEntry(node(1, 2, NodeRole.ROUTER), 0));
-        assertTrue(known().contains(router(1, 0).node().address()));
+        receive(controller(9, 1), new PeerEntry(node(1, 2, NodeRole.ROUTER), 0));
+        assertTrue(knownAddresses().contains(router(1, 0).node().address()));
     }
 
     @Test
-    void aPeerThatShutDownIsRemovedForTheRestOfItsIncarnation() {
-        hear(router(1, 100));
-        hear(router(2, 100));
+    void aPeerThatLeftIsRemovedForTheRestOfItsIncarnation() {
+        receive(router(1, 100));
+        receive(router(2, 100));
         sent.clear();
         LeaveAnnouncement leaving = new LeaveAnnouncement(node(1, 1, NodeRole.ROUTER));
         sampling.onMessage(leaving.node().address(), leaving, nowMs);
-        assertTrue(sent.stream().anyMatch(each -> each.message.equals(leaving)), "told on");
+        assertTrue(sent.stream().anyMatch(each -> each.message.equals(leaving)), "forwarded");
         sent.clear();
         sampling.onMessage(leaving.node().address(), leaving, nowMs);
-        assertTrue(sent.isEmpty(), "told on once");
-        hear(router(1, 5_000));
-        hear(router(2, 200), router(1, 6_000));
-        assertFalse(known().contains(leaving.node().address()));
-        hear(new PeerEntry(node(1, 2, NodeRole.ROUTER), 0));
-        assertTrue(known().contains(leaving.node().address()));
+        assertTrue(sent.isEmpty(), "forwarded only once");
+        receive(router(1, 5_000));
+        receive(router(2, 200), router(1, 6_000));
+        assertFalse(knownAddresses().contains(leaving.node().address()));
+        receive(new PeerEntry(node(1, 2, NodeRole.ROUTER), 0));
+        assertTrue(knownAddresses().contains(leaving.node().address()));
     }
 
     @Test
-    void aLateShutdownOfAnEarlierIncarnationDoesNotRemoveTheLaterOne() {
-        hear(new PeerEntry(node(1, 2, NodeRole.ROUTER), 10));
+    void aLateAnnouncementOfAnEarlierIncarnationDoesNotRemoveTheLaterOne() {
+        receive(new PeerEntry(node(1, 2, NodeRole.ROUTER), 10));
         sampling.onMessage(
                 node(1, 1, NodeRole.ROUTER).address(), new LeaveAnnouncement(node(1, 1, NodeRole.ROUTER)), nowMs);
-        assertTrue(known().contains(node(1, 2, NodeRole.ROUTER).address()));
+        assertTrue(knownAddresses().contains(node(1, 2, NodeRole.ROUTER).address()));
     }
 
     @Test
     void anEarlierProcessWithAHigherIncarnationIsSuperseded() {
-        hear(router(1, 100), new PeerEntry(node(0, 9, NodeRole.ROUTER), 77));
+        receive(router(1, 100), new PeerEntry(node(0, 9, NodeRole.ROUTER), 77));
         assertEquals(10, sampling.self().incarnation());
-        hear(router(1, 200), new PeerEntry(node(0, 9, NodeRole.ROUTER), 99));
+        receive(router(1, 200), new PeerEntry(node(0, 9, NodeRole.ROUTER), 99));
         assertEquals(10, sampling.self().incarnation());
     }
 
     @Test
     void anEarlierProcessWithTheSameIncarnationIsSuperseded() {
-        hear(router(1, 100), new PeerEntry(node(0, 5, NodeRole.ROUTER), 1_000_000));
+        receive(router(1, 100), new PeerEntry(node(0, 5, NodeRole.ROUTER), 1_000_000));
         assertEquals(6, sampling.self().incarnation());
     }
 
     @Test
     void aPeerThatKnowsAnEarlierIncarnationIsContactedAtOnceUnderTheLaterOne() {
         sent.clear();
-        hear(router(1, 100), new PeerEntry(node(0, 9, NodeRole.ROUTER), 77));
+        receive(router(1, 100), new PeerEntry(node(0, 9, NodeRole.ROUTER), 77));
         ShuffleRequest request = sent.stream()
                 .map(Sent::message)
                 .filter(ShuffleRequest.class::isInstance)
@@ -176,43 +176,43 @@
                 new Random(1));
         sampling.onTick(nowMs);
         SocketAddress other = controller(9, 0).node().address();
-        hear(router(1, 100), controller(9, 100));
+        receive(router(1, 100), controller(9, 100));
         assertEquals(1, requestsTo(other));
         nowMs += 600;
         sent.clear();
         sampling.onTick(nowMs);
         assertTrue(requestsTo(other) >= 1);
-        hear(controller(9, 200));
+        receive(controller(9, 200));
         sent.clear();
-        hear(router(1, 200), controller(9, 150));
+        receive(router(1, 200), controller(9, 150));
         assertEquals(0, requestsTo(other));
     }
 
     @Test
-    void ownEntriesFromPeersChangeNothing() {
+    void anOwnEntryOfTheCurrentProcessDoesNotChangeTheIncarnation() {
         tickFor(500);
-        hear(router(1, 100), new PeerEntry(node(0, 5, NodeRole.ROUTER), 400));
+        receive(router(1, 100), new PeerEntry(node(0, 5, NodeRole.ROUTER), 400));
         assertEquals(5, sampling.self().incarnation());
     }
 
     @Test
     void aRestartedProcessIsNotifiedOfItsEarlierIncarnation() {
-        hear(new PeerEntry(node(1, 7, NodeRole.ROUTER), 50_000));
+        receive(new PeerEntry(node(1, 7, NodeRole.ROUTER), 50_000));
         sent.clear();
-        hear(new PeerEntry(node(1, 6, NodeRole.ROUTER), 10));
+        receive(new PeerEntry(node(1, 6, NodeRole.ROUTER), 10));
         ShuffleReply reply = (ShuffleReply) sent.get(0).message;
         assertTrue(reply.sample().contains(new PeerEntry(node(1, 7, NodeRole.ROUTER), 50_000)));
         sent.clear();
-        hear(new PeerEntry(node(1, 7, NodeRole.ROUTER), 10));
-        ShuffleReply same = (ShuffleReply) sent.get(0).message;
-        assertTrue(same.sample().contains(new PeerEntry(node(1, 7, NodeRole.ROUTER), 50_000)));
+        receive(new PeerEntry(node(1, 7, NodeRole.ROUTER), 10));
+        ShuffleReply sameIncarnationReply = (ShuffleReply) sent.get(0).message;
+        assertTrue(sameIncarnationReply.sample().contains(new PeerEntry(node(1, 7, NodeRole.ROUTER), 50_000)));
     }
 
     @Test
     void unreachableControllersAndMissingSeedsAreContactedAgain() {
-        hear(controller(9, 100));
+        receive(controller(9, 100));
         tickFor(8_000);
-        assertFalse(known().contains(controller(9, 0).node().address()));
+        assertFalse(knownAddresses().contains(controller(9, 0).node().address()));
         sent.clear();
         tickFor(20_000);
         assertTrue(requestsTo(controller(9, 0).node().address()) > 3);
@@ -220,24 +220,24 @@
     }
 
     @Test
-    void theViewIsBoundedAndControllersAreExempt() {
-        hear(controller(999, 1));
+    void theRouterViewIsBoundedAndDoesNotEvictControllers() {
+        receive(controller(999, 1));
         for (int i = 1; i < 200; i++) {
-            hear(router(i, i));
+            receive(router(i, i));
         }
         assertEquals(PeerSampling.ROUTER_CAPACITY, sampling.routers().size());
         assertEquals(List.of(controller(999, 0).node().address()), sampling.controllers());
     }
 
     @Test
-    void anEntryUnderAnotherSendersAddressIsIgnored() {
+    void anEntryWhoseAddressIsNotTheSendersIsIgnored() {
         sampling.onMessage(
                 new SocketAddress("10.7.7.7", 1), new ShuffleRequest(1, router(1, 5), List.of(), null), nowMs);
-        assertTrue(known().isEmpty());
+        assertTrue(knownAddresses().isEmpty());
     }
 
     @Test
-    void otherMessagesAreNotHandled() {
+    void messagesOfOtherTypesAreNotHandled() {
         record Other() implements Message {}
 
         assertFalse(sampling.onMessage(SEED, new Other(), nowMs));
--- a/router-fleet/membership/src/test/java/pinewick/membership/ShuffleReplyTest.java
+++ b/router-fleet/membership/src/test/java/pinewick/membership/ShuffleReplyTest.java
@@ -14,7 +14,7 @@
 import pinewick.membership.MembershipMessages.ShuffleRequest;
 import pinewick.model.SocketAddress;
 
-/** A reply counts once, in time, from the peer that was asked, and for the life of the process that asked. */
+/** A reply is accepted once, in time, from the peer that was asked, and by the incarnation that asked. */
 class ShuffleReplyTest {
     private static final SocketAddress SELF = new SocketAddress("10.1.0.1", 7_720);
     private static final SocketAddress SEED = new SocketAddress("10.2.0.4", 7_721);
@@ -48,17 +48,17 @@
     }
 
     @Test
-    void aReplyCounts() {
+    void aReplyInTimeIsAccepted() {
         sampling.onMessage(SEED, reply(requests.get(0), router(7)), 100);
         assertEquals(2, sampling.viewSize());
     }
 
     @Test
     void aReplyToAnEarlierIncarnationIsIgnored() {
-        ShuffleRequest ofEarlierLife = requests.get(0);
-        PeerSampling laterLife = startedWith(2);
-        laterLife.onMessage(SEED, reply(ofEarlierLife, router(7)), 100);
-        assertEquals(0, laterLife.viewSize());
+        ShuffleRequest requestOfEarlierIncarnation = requests.get(0);
+        PeerSampling laterIncarnation = startedWith(2);
+        laterIncarnation.onMessage(SEED, reply(requestOfEarlierIncarnation, router(7)), 100);
+        assertEquals(0, laterIncarnation.viewSize());
     }
 
     @Test
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aReplyOfAnotherPeerIsIgnored() {
+    void aReplyFromAnotherPeerIsIgnored() {
         PeerEntry other = router(9);
         ShuffleReply reply = new ShuffleReply(requests.get(0).requestId(), other, List.of(router(7)), null);
         sampling.onMessage(other.node().address(), reply, 100);
