--- a/router-fleet/membership/src/main/java/pinewick/membership/FleetSizeEstimator.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/FleetSizeEstimator.java
@@ -94,7 +94,7 @@
                 : null;
     }
 
-    /** Merges the sketch of a peer; null, and one of an unexpected length, are ignored. */
+    /** Merges the sketch of a peer; null, and one with too many bits, are ignored. */
     void merge(SizeSketch sketch, double nowMs) {
         if (sketch == null || sketch.bits().length > BITS / Byte.SIZE) {
             return;
--- a/router-fleet/membership/src/test/java/pinewick/membership/FleetSizeEstimatorTest.java
+++ b/router-fleet/membership/src/test/java/pinewick/membership/FleetSizeEstimatorTest.java
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void sketchesOfAnEarlierEpochAndOfAnotherLengthAreIgnored() {
+    void sketchesOfAnEarlierEpochAndWithTooManyBitsAreIgnored() {
         FleetSizeEstimator estimator = new FleetSizeEstimator(router(0), 0);
         estimator.onTick(VIEW_SIZE, true, FleetSizeEstimator.EPOCH_DURATION_MS);
         int before = estimator.estimate(FleetSizeEstimator.EPOCH_DURATION_MS);
