--- a/router-fleet/quota/src/test/java/pinewick/quota/RunAheadAllowanceTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/FallbackAllowanceTest.java
@@ -7,16 +7,16 @@
 import pinewick.model.QuotaLimit;
 import pinewick.model.QuotaUnit;
 
-class RunAheadAllowanceTest {
+class FallbackAllowanceTest {
     /** Rate x window + burst is 9,000, the allowance 900 + 9,100, a quarter of it 2,500. */
     private static final QuotaLimit LIMIT = new QuotaLimit(1_000, 1_000, QuotaUnit.TOKENS, 200);
 
-    private static final QuotaTerms TERMS = new QuotaTerms(8_000, 0.1, 9_100);
+    private static final QuotaPolicy POLICY = new QuotaPolicy(8_000, 0.1, 9_100);
 
-    private final RunAheadAllowance allowance = new RunAheadAllowance(TERMS, 0);
+    private final FallbackAllowance allowance = new FallbackAllowance(POLICY, 0);
 
     @Test
-    void eachRouterHasAnEqualPartInAWindow() {
+    void eachRouterHasAnEqualShareInAWindow() {
         allowance.setRouterCount(10, 0);
         assertTrue(allowance.tryUse("t", LIMIT, 200, 8_000));
         assertFalse(allowance.tryUse("t", LIMIT, 51, 8_000));
@@ -26,18 +26,18 @@
     }
 
     @Test
-    void aRouterThatHasJustStartedHasNone() {
+    void aRouterHasNoShareInItsFirstWindow() {
         allowance.setRouterCount(1, 0);
         assertFalse(allowance.tryUse("t", LIMIT, 1, 7_999));
     }
 
     @Test
-    void beforeTheRoutersAreCountedThereIsNone() {
+    void aRouterHasNoShareBeforeTheRouterCountIsSet() {
         assertFalse(allowance.tryUse("t", LIMIT, 1, 8_000));
     }
 
     @Test
-    void fewerRoutersCountAfterOneMoreWindow() {
+    void aLowerRouterCountTakesEffectAfterOneWindow() {
         allowance.setRouterCount(10, 0);
         allowance.setRouterCount(5, 8_000);
         assertFalse(allowance.tryUse("t", LIMIT, 500, 15_999));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void tenantsDoNotShareTheirParts() {
+    void tenantsHaveSeparateShares() {
         allowance.setRouterCount(10, 0);
         assertTrue(allowance.tryUse("t", LIMIT, 250, 8_000));
         assertTrue(allowance.tryUse("u", LIMIT, 250, 8_000));
--- a/router-fleet/quota/src/test/java/pinewick/quota/TenantBucketTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/TenantBucketTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 
 class TenantBucketTest {
-    private static final QuotaTerms TERMS = new QuotaTerms(8_000, 0.1, 190_000);
+    private static final QuotaPolicy POLICY = new QuotaPolicy(8_000, 0.1, 190_000);
     private static final double RATE_PER_MS = 47;
     private static final double BURST = 47_000;
 
     private static TenantBucket bucket(double nowMs) {
         TenantBucket bucket = new TenantBucket(nowMs);
-        bucket.setLimit(RATE_PER_MS, BURST, TERMS, nowMs);
+        bucket.setLimit(RATE_PER_MS, BURST, POLICY, nowMs);
         return bucket;
     }
 
@@ -31,9 +31,9 @@
         assertTrue(bucket.tryGrant(1, 1));
     }
 
-    /** A bucket after its first window with nothing in it. */
+    /** A bucket past its first window, with less than one token left. */
     private static TenantBucket drained(double nowMs) {
-        TenantBucket bucket = bucket(nowMs - 2 * TERMS.windowMs());
+        TenantBucket bucket = bucket(nowMs - 2 * POLICY.windowMs());
         while (bucket.level(nowMs) >= 1) {
             assertTrue(bucket.tryGrant(1, nowMs));
         }
@@ -50,24 +50,24 @@
     }
 
     @Test
-    void aRequestBeyondTheDebtWaitsForTheRest() {
+    void aRequestBeyondTheMaximumDebtWaitsForTheDifference() {
         TenantBucket bucket = drained(100_000);
-        double cost = TERMS.maxDebt(RATE_PER_MS, BURST) + 4_700 + bucket.level(100_000);
+        double cost = POLICY.maxDebt(RATE_PER_MS, BURST) + 4_700 + bucket.level(100_000);
         assertFalse(bucket.tryGrant(cost, 100_050));
         assertEquals(50, bucket.waitMs(cost, 100_050), 1e-6);
         assertTrue(bucket.tryGrant(cost, 100_100.1));
     }
 
     @Test
-    void inItsFirstWindowABucketMakesNoDebt() {
+    void aBucketDoesNotGoIntoDebtInItsFirstWindow() {
         TenantBucket bucket = bucket(0);
         assertFalse(bucket.tryGrant(17_000, 300));
         assertTrue(bucket.tryGrant(17_000, 362));
     }
 
-    /** The first is full, each ends in as much debt as it may have, and the next one follows at once. */
+    /** The first bucket is full, each is drained as far into debt as it may go, and the next one follows at once. */
     @Test
-    void anyNumberOfCoordinatorsInOneWindowKeepsTheBound() {
+    void anyNumberOfCoordinatorsInOneWindowStaysWithinTheBound() {
         double granted = 0;
         double nowMs = 100_000;
         TenantBucket bucket = bucket(0);
@@ -84,20 +84,20 @@
             nowMs += 100;
         }
         double bound = RATE_PER_MS * (nowMs - 100_000)
-                + TERMS.capacity(RATE_PER_MS, BURST)
-                + TERMS.maxDebt(RATE_PER_MS, BURST);
+                + POLICY.capacity(RATE_PER_MS, BURST)
+                + POLICY.maxDebt(RATE_PER_MS, BURST);
         assertTrue(granted <= bound, granted + " of " + bound);
     }
 
     @Test
-    void aLoweredLimitTakesAwayWhatIsAboveItsCapacity() {
+    void aLoweredLimitDiscardsTokensAboveItsCapacity() {
         TenantBucket bucket = bucket(0);
-        bucket.setLimit(1, 1_000, TERMS, 60_000);
-        assertEquals(TERMS.capacity(1, 1_000), bucket.level(60_000), 1e-6);
+        bucket.setLimit(1, 1_000, POLICY, 60_000);
+        assertEquals(POLICY.capacity(1, 1_000), bucket.level(60_000), 1e-6);
     }
 
     @Test
-    void timeThatSeemsToGoBackAddsNothing() {
+    void timeThatGoesBackwardsAddsNoTokens() {
         TenantBucket bucket = bucket(1_000);
         double level = bucket.level(2_000);
         assertEquals(level, bucket.level(500), 0);
@@ -106,7 +106,7 @@
 
     private record Grant(double atMs, int cost) {}
 
-    /** Buckets that follow each other, as coordinators do, under any demand: the bound of docs/quotas.md. */
+    /** Checks the bound of docs/quotas.md on the buckets of consecutive coordinators under any demand. */
     @Property(tries = 200)
     void noWindowExceedsItsBoundAcrossCoordinators(
             @ForAll long seed,
@@ -118,7 +118,7 @@
         double nowMs = 0;
         for (int index = 0; index < coordinators; index++) {
             TenantBucket bucket = new TenantBucket(nowMs);
-            bucket.setLimit(ratePerMs, burst, TERMS, nowMs);
+            bucket.setLimit(ratePerMs, burst, POLICY, nowMs);
             double endsAtMs = nowMs + random.nextDouble(20_000);
             while (nowMs < endsAtMs) {
                 nowMs += random.nextDouble(200);
@@ -129,7 +129,7 @@
             }
         }
         double bound =
-                ratePerMs * TERMS.windowMs() + TERMS.capacity(ratePerMs, burst) + TERMS.maxDebt(ratePerMs, burst);
+                ratePerMs * POLICY.windowMs() + POLICY.capacity(ratePerMs, burst) + POLICY.maxDebt(ratePerMs, burst);
         assertTrue(highestSum(grants) <= bound + 1e-6, highestSum(grants) + " of " + bound);
     }
 
@@ -137,7 +137,7 @@
         double highest = 0;
         for (Grant first : grants) {
             double sum = grants.stream()
-                    .filter(each -> each.atMs >= first.atMs && each.atMs <= first.atMs + TERMS.windowMs())
+                    .filter(each -> each.atMs >= first.atMs && each.atMs <= first.atMs + POLICY.windowMs())
                     .mapToDouble(Grant::cost)
                     .sum();
             highest = Math.max(highest, sum);
