--- a/query-mixer/core/src/main/java/pinewick/DeploymentTerms.java
+++ b/query-mixer/core/src/main/java/pinewick/core/DeploymentTerms.java
@@ -1,4 +1,4 @@
-package pinewick;
+package pinewick.core;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
--- a/query-mixer/core/src/main/java/pinewick/FleetStats.java
+++ b/query-mixer/core/src/main/java/pinewick/core/FleetStats.java
@@ -1,4 +1,4 @@
-package pinewick;
+package pinewick.core;
 
 import pinewick.selection.DecayingHistogram;
 import pinewick.selection.PersistenceByAge;
--- a/query-mixer/core/src/main/java/pinewick/Launch.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Launch.java
@@ -1,4 +1,4 @@
-package pinewick;
+package pinewick.core;
 
 /** One launch of a part: where it went, when, and what became of it. */
 final class Launch {
--- a/query-mixer/core/src/main/java/pinewick/Placement.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Placement.java
@@ -1,4 +1,4 @@
-package pinewick;
+package pinewick.core;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/query-mixer/core/src/main/java/pinewick/Query.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Query.java
@@ -1,4 +1,4 @@
-package pinewick;
+package pinewick.core;
 
 /** A query's handle: all that happens to it after it was taken is a call on this. */
 public final class Query extends QueryState {
--- a/query-mixer/core/src/main/java/pinewick/Replica.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Replica.java
@@ -1,4 +1,4 @@
-package pinewick;
+package pinewick.core;
 
 /** A replica as one router judges it: its score, its health, and how much more it may be sent. */
 final class Replica extends ReplicaState {
--- a/query-mixer/core/src/main/java/pinewick/Retries.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Retries.java
@@ -1,4 +1,4 @@
-package pinewick;
+package pinewick.core;
 
 /** Further launches of parts: retries after failures, and hedges of launches that are overdue. */
 final class Retries {
--- a/query-mixer/core/src/main/java/pinewick/RouterState.java
+++ b/query-mixer/core/src/main/java/pinewick/core/RouterState.java
@@ -1,4 +1,4 @@
-package pinewick;
+package pinewick.core;
 
 import java.util.LinkedHashSet;
 import java.util.SplittableRandom;
--- a/query-mixer/core/src/test/java/pinewick/ColdFleetTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/ColdFleetTest.java
@@ -1,4 +1,4 @@
-package pinewick;
+package pinewick.core;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,9 +8,9 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import pinewick.Host.Ending;
-import pinewick.Host.ListForm;
-import pinewick.Host.Stage;
+import pinewick.core.Host.Ending;
+import pinewick.core.Host.ListForm;
+import pinewick.core.Host.Stage;
 
 /** What all mixers of a fleet together send to one searcher that has just started, each by its own {@link Logic}. */
 class ColdFleetTest {
--- a/query-mixer/core/src/test/java/pinewick/PlacementTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/PlacementTest.java
@@ -1,15 +1,15 @@
-package pinewick;
+package pinewick.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static pinewick.FakeHost.queued;
+import static pinewick.core.FakeHost.queued;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pinewick.Host.Ending;
-import pinewick.Host.ListForm;
-import pinewick.Host.Stage;
+import pinewick.core.Host.Ending;
+import pinewick.core.Host.ListForm;
+import pinewick.core.Host.Stage;
 
 /** Which replica a part goes to, when a query starts, and what holds it. */
 class PlacementTest {
--- a/query-mixer/core/src/test/java/pinewick/QueryTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/QueryTest.java
@@ -1,12 +1,12 @@
-package pinewick;
+package pinewick.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import pinewick.Host.Ending;
-import pinewick.Host.ListForm;
-import pinewick.Host.Stage;
+import pinewick.core.Host.Ending;
+import pinewick.core.Host.ListForm;
+import pinewick.core.Host.Stage;
 
 /** How a query ends: whole, in part, declined or given up, once and in time. */
 class QueryTest {
--- a/query-mixer/core/src/test/java/pinewick/ReplicaTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/ReplicaTest.java
@@ -1,15 +1,15 @@
-package pinewick;
+package pinewick.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pinewick.FakeHost.queued;
+import static pinewick.core.FakeHost.queued;
 
 import org.junit.jupiter.api.Test;
-import pinewick.Host.Ending;
-import pinewick.Host.ListForm;
-import pinewick.Host.LoadReport;
-import pinewick.Host.Stage;
+import pinewick.core.Host.Ending;
+import pinewick.core.Host.ListForm;
+import pinewick.core.Host.LoadReport;
+import pinewick.core.Host.Stage;
 
 /** How a router judges replicas: warm-up, backoff, probes, hidden queues, its own pauses, and the list. */
 class ReplicaTest {
--- a/query-mixer/core/src/test/java/pinewick/RetriesTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/RetriesTest.java
@@ -1,11 +1,11 @@
-package pinewick;
+package pinewick.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import pinewick.Host.Ending;
+import pinewick.core.Host.Ending;
 
 /** Further launches of parts: when they are made, and when they would do harm or break a budget. */
 class RetriesTest {
--- a/query-mixer/daemon/src/main/java/pinewick/benchlink/Benchlink.java
+++ b/query-mixer/daemon/src/main/java/pinewick/benchlink/Benchlink.java
@@ -13,7 +13,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pinewick.Host;
+import pinewick.core.Host;
 
 /** Speaks the bench's wire: reads batches, turns each line into calls on its mixer, writes the reply. */
 public final class Benchlink {
--- a/query-mixer/daemon/src/main/java/pinewick/benchlink/Mixer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/benchlink/Mixer.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import pinewick.DeploymentTerms;
-import pinewick.Host;
-import pinewick.Logic;
-import pinewick.Query;
+import pinewick.core.DeploymentTerms;
+import pinewick.core.Host;
+import pinewick.core.Logic;
+import pinewick.core.Query;
 
 /** One mixer on the wire: hands events to its own {@link Logic} and writes down what that asks for. */
 final class Mixer implements Host {
--- a/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
--- a/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 import java.util.function.IntConsumer;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.registry.KeptCodec;
--- a/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
@@ -10,7 +10,7 @@
 import org.xnio.ChannelPipe;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
--- a/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
@@ -12,7 +12,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.fleet.FleetTerms;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
--- a/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
@@ -11,8 +11,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pinewick.DeploymentTerms;
-import pinewick.Host;
+import pinewick.core.DeploymentTerms;
+import pinewick.core.Host;
 import pinewick.loop.Limits;
 import pinewick.wire.ListText;
 
--- a/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.IntPredicate;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.fleet.state.Fact;
 import pinewick.fleet.state.FactKind;
 import pinewick.fleet.state.SnapshotText;
--- a/query-mixer/daemon/src/main/java/pinewick/memory/OpenQuery.java
+++ b/query-mixer/daemon/src/main/java/pinewick/memory/OpenQuery.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.xnio.XnioExecutor;
-import pinewick.Query;
+import pinewick.core.Query;
 
 /** A query that was taken: what came with it, what is out for it, and the handle on which news of it is a call. */
 public final class OpenQuery {
--- a/query-mixer/daemon/src/main/java/pinewick/memory/Searchers.java
+++ b/query-mixer/daemon/src/main/java/pinewick/memory/Searchers.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pinewick.Host;
+import pinewick.core.Host;
 
 /** Where searchers listen, whether they take new parts, and the connections that lead there. */
 public final class Searchers {
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Locale;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.memory.Counters;
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
@@ -1,7 +1,7 @@
 package pinewick.stages;
 
 import java.nio.charset.StandardCharsets;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.loop.Loop;
 import pinewick.memory.Counters;
 import pinewick.memory.LiveLaunch;
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Route.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Route.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import pinewick.Host;
-import pinewick.Logic;
+import pinewick.core.Host;
+import pinewick.core.Logic;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.memory.Counters;
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
 import pinewick.memory.Call;
--- a/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
@@ -5,7 +5,7 @@
 import io.undertow.util.HttpString;
 import java.util.HashMap;
 import java.util.Map;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
 import pinewick.loop.Pressure;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/AnswerFrame.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/AnswerFrame.java
@@ -2,8 +2,8 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import pinewick.DeploymentTerms;
-import pinewick.Host;
+import pinewick.core.DeploymentTerms;
+import pinewick.core.Host;
 
 /**
  * An answer as a searcher sends it: a line with the part, how it ended, a number and a load report, and then the value.
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ListText.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/ListText.java
@@ -8,7 +8,7 @@
 import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
-import pinewick.Host;
+import pinewick.core.Host;
 
 /** Discovery's form of the list of searchers. */
 public final class ListText {
--- a/query-mixer/daemon/src/main/java/pinewick/wire/SearcherLink.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/SearcherLink.java
@@ -14,7 +14,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
 import pinewick.memory.Call;
--- a/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
@@ -29,7 +29,7 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import pinewick.Host;
+import pinewick.core.Host;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
--- a/query-mixer/registry/src/main/java/pinewick/registry/RegistryView.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/RegistryView.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pinewick.Host;
+import pinewick.core.Host;
 
 /**
  * The searchers under one prefix at one revision. No I/O. A view that is read anew goes into force only when whole, in
--- a/query-mixer/registry/src/main/java/pinewick/registry/Store.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/Store.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import pinewick.Host;
+import pinewick.core.Host;
 
 /**
  * One searcher as its key's value in the registry tells it: JSON with {@code addresses} (texts of host and port, the
--- a/query-mixer/registry/src/test/java/pinewick/registry/KeptCopyTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/KeptCopyTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pinewick.Host;
+import pinewick.core.Host;
 
 /** Stories of the kept copy: crashes at every byte, spoilt bytes, disks that fail. */
 class KeptCopyTest {
--- a/query-mixer/registry/src/test/java/pinewick/registry/RegistrySessionTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/RegistrySessionTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pinewick.Host;
+import pinewick.core.Host;
 
 /** Stories of a session and a registry that breaks, in virtual time. */
 class RegistrySessionTest {
