--- a/query-mixer/core/src/main/java/pinewick/core/Launch.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Attempt.java
@@ -1,7 +1,7 @@
 package pinewick.core;
 
 /** One launch of a part: where it went, when, and what became of it. */
-final class Launch {
+final class Attempt {
     final Replica replica;
     final double sentAt;
     final double overdueAt;
@@ -15,7 +15,7 @@
 
     boolean cancelled;
 
-    Launch(Replica replica, double sentAt, double overdueAt, double queuedAhead) {
+    Attempt(Replica replica, double sentAt, double overdueAt, double queuedAhead) {
         this.replica = replica;
         this.sentAt = sentAt;
         this.overdueAt = overdueAt;
--- a/query-mixer/core/src/main/java/pinewick/core/DeploymentTerms.java
+++ b/query-mixer/core/src/main/java/pinewick/core/DeploymentParser.java
@@ -12,10 +12,10 @@
  * Reads the settings that open a router, and load reports, for every front end; unknown keys are skipped, absent
  * ones mean "not limited".
  */
-public final class DeploymentTerms {
-    private DeploymentTerms() {}
+public final class DeploymentParser {
+    private DeploymentParser() {}
 
-    public static Host.Deployment read(String text) {
+    public static SchedulerHost.Deployment read(String text) {
         try {
             return read(JsonParser.parseString(text).getAsJsonObject());
         } catch (JsonSyntaxException | IllegalStateException wrong) {
@@ -23,22 +23,22 @@
         }
     }
 
-    public static Host.Deployment read(JsonObject all) {
+    public static SchedulerHost.Deployment read(JsonObject all) {
         JsonObject bounds = object(all, "bounds");
         JsonObject family = object(all, "family-info");
         JsonObject rules = object(all, "rules");
-        List<Host.GradeTerms> grades = new ArrayList<>();
+        List<SchedulerHost.ServiceClassConfig> grades = new ArrayList<>();
         for (JsonElement each : array(all, "categories")) {
             JsonObject grade = each.getAsJsonObject();
             int row = grades.size();
-            Host.Repeat repeat =
+            SchedulerHost.RetrySafety repeat =
                     switch (text(grade, "effect", "fragile")) {
-                        case "retryable" -> Host.Repeat.IDEMPOTENT;
-                        case "dedup" -> Host.Repeat.DEDUPLICATED;
-                        default -> Host.Repeat.UNREPEATABLE;
+                        case "retryable" -> SchedulerHost.RetrySafety.IDEMPOTENT;
+                        case "dedup" -> SchedulerHost.RetrySafety.DEDUPLICATED;
+                        default -> SchedulerHost.RetrySafety.UNREPEATABLE;
                     };
             double hardStop = seconds(grade, "hard-limit-ns", Double.POSITIVE_INFINITY);
-            grades.add(new Host.GradeTerms(
+            grades.add(new SchedulerHost.ServiceClassConfig(
                     text(grade, "name", ""),
                     seconds(grade, "slo-ns", hardStop),
                     number(grade, "aim-stretch", 0),
@@ -53,7 +53,7 @@
                     (int) item(family, "class-fetch", row, 0)));
         }
         boolean rationed = number(rules, "repeat-ratio", 0) > 0 || rules.has("free-resends");
-        Host.RuleTerms terms = new Host.RuleTerms(
+        SchedulerHost.SchedulingRules terms = new SchedulerHost.SchedulingRules(
                 seconds(rules, "drain-grace-ns", 0),
                 number(rules, "cold-from", 1),
                 seconds(rules, "cold-ns", 0),
@@ -63,7 +63,7 @@
                 number(rules, "repeat-ratio", 0),
                 seconds(rules, "extra-window-ns", 0),
                 seconds(rules, "ask-within-ns", Double.POSITIVE_INFINITY));
-        return new Host.Deployment(
+        return new SchedulerHost.Deployment(
                 (int) number(all, "instances", 1),
                 text(all, "locality", ""),
                 seconds(all, "granularity-ns", 0),
@@ -117,7 +117,7 @@
     }
 
     /** A report of pairs set apart by commas; null where there is none. Both fronts' names are known. */
-    public static Host.LoadReport report(String text, char between) {
+    public static SchedulerHost.LoadReport report(String text, char between) {
         if (text.isEmpty() || text.equals("-")) {
             return null;
         }
@@ -144,6 +144,6 @@
                 }
             }
         }
-        return new Host.LoadReport(pending, inFlight, busyShare, servedRate);
+        return new SchedulerHost.LoadReport(pending, inFlight, busyShare, servedRate);
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/Placement.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Placement.java
@@ -12,7 +12,7 @@
     private static final int NARROW = 8; // parts; such a query is never wide
 
     private final RouterState router;
-    private final List<Plan> reserved = new ArrayList<>();
+    private final List<PlacementPlan> reserved = new ArrayList<>();
     private final long[] roomAtTurn; // by first cell: the turn in which some holder had room; negated, none
 
     Placement(RouterState router) {
@@ -27,9 +27,9 @@
         if (!reserve && !startable(query)) {
             return false; // planning anew what is held after each batch took most of a router's time
         }
-        Plan plan = new Plan();
+        PlacementPlan plan = new PlacementPlan();
         // Where a call costs work, parts with the same holders share it, or they would pay twice.
-        List<List<Part>> groups = query.unlaunched(callsCostWork());
+        List<List<ShardRequest>> groups = query.unlaunched(callsCostWork());
         groups.forEach(group -> plan.add(group, choose(group.get(0), group.size())));
         if (!query.started() && plan.missingWeight() > START_LACKS * query.mayLack()) {
             // Under overload narrow queries would take bit by bit the room that a wide one needs: so the
@@ -45,7 +45,7 @@
         plan.withdrawOnlyThis();
         query.startedAt = query.started() ? query.startedAt : router.now();
         query.canary = needsCanary(query);
-        for (Map.Entry<List<Part>, Replica> entry : plan.replicas().entrySet()) {
+        for (Map.Entry<List<ShardRequest>, Replica> entry : plan.replicas().entrySet()) {
             entry.getKey().forEach(part -> launch(part, entry.getValue()));
             if (query.canary) {
                 return true; // the rest waits for its answer; of a wide query, until it is overdue
@@ -55,7 +55,7 @@
     }
 
     void releaseReserved() {
-        reserved.forEach(Plan::withdraw);
+        reserved.forEach(PlacementPlan::withdraw);
         reserved.clear();
     }
 
@@ -93,7 +93,7 @@
     }
 
     /** The lowest score among the holders fit to take so many parts now; null if there is none. */
-    Replica choose(Part part, int count) {
+    Replica choose(ShardRequest part, int count) {
         Replica best = null;
         double lowest = 0;
         for (Replica replica : router.replicas.holders(part)) {
@@ -112,7 +112,7 @@
     }
 
     /** An unhealthy holder is the last resort, for one part at a time: it may be judged wrongly. */
-    private boolean fits(Replica replica, Part part, int count) {
+    private boolean fits(Replica replica, ShardRequest part, int count) {
         return !part.outstandingAt(replica)
                 && replica.hasColdBudget(part.query, count)
                 && (replica.healthy()
@@ -122,7 +122,7 @@
     }
 
     /** Whether any holder may take a part never launched: looked up once a turn, unless a draw decides. */
-    private boolean anyFits(Part part) {
+    private boolean anyFits(ShardRequest part) {
         int first = part.firstCell;
         if (Math.abs(roomAtTurn[first]) == router.turn) {
             return roomAtTurn[first] > 0; // asking each time took half of a busy router's time
@@ -137,7 +137,7 @@
         return found;
     }
 
-    void launch(Part part, Replica replica) {
+    void launch(ShardRequest part, Replica replica) {
         Query query = part.query;
         double now = router.now();
         if (!part.launches.isEmpty()) {
@@ -145,7 +145,7 @@
         }
         boolean freshReport = now - replica.reportedAt < Replica.REPORT_LIFETIME * router.latencyGoal;
         double queuedAhead = freshReport ? replica.queue + replica.launchedSinceReport : 0;
-        Launch launch = new Launch(replica, now, now + query.grade.hedgeDelay(), queuedAhead);
+        Attempt launch = new Attempt(replica, now, now + query.grade.hedgeDelay(), queuedAhead);
         router.turn++;
         part.launched(launch);
         replica.launched(launch);
--- a/query-mixer/core/src/main/java/pinewick/core/Plan.java
+++ b/query-mixer/core/src/main/java/pinewick/core/PlacementPlan.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /** Which replica each group of a query's parts would go to. Until it is withdrawn, replicas count it as load. */
-final class Plan {
-    private final Map<List<Part>, Replica> replicas = new LinkedHashMap<>();
+final class PlacementPlan {
+    private final Map<List<ShardRequest>, Replica> replicas = new LinkedHashMap<>();
     private double missingWeight;
 
     /** Adds a group; the replica is null where none was found for it. */
-    void add(List<Part> group, Replica replica) {
+    void add(List<ShardRequest> group, Replica replica) {
         if (replica == null) {
             group.forEach(part -> missingWeight += part.weight);
         } else {
@@ -24,7 +24,7 @@
         return missingWeight;
     }
 
-    Map<List<Part>, Replica> replicas() {
+    Map<List<ShardRequest>, Replica> replicas() {
         return replicas;
     }
 
--- a/query-mixer/core/src/main/java/pinewick/core/Query.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Query.java
@@ -20,13 +20,13 @@
     final double randomDraw;
     final boolean clientRetry;
     private final RouterState router;
-    private final Retries retries;
+    private final RetryPolicy retries;
 
     Query(
             RouterState router,
-            Retries retries,
+            RetryPolicy retries,
             String id,
-            Grade grade,
+            ServiceClass grade,
             double timeToLive,
             int parts,
             double workHint,
@@ -48,7 +48,7 @@
 
     /** One of the query's parts; the last one awaited lets the query start. */
     public void part(String partId, int shard, double weight) {
-        Part part = new Part(this, partId, shard, router.replicas.cell(shard), weight);
+        ShardRequest part = new ShardRequest(this, partId, shard, router.replicas.cell(shard), weight);
         if (parts.putIfAbsent(partId, part) != null) {
             return;
         }
@@ -60,9 +60,10 @@
     }
 
     /** How one launch ended; parts of an ended query still tell about their replica. */
-    public void settled(String partId, int number, Host.Ending ending, double took, Host.LoadReport report) {
-        Part part = parts.get(partId);
-        Launch launch = settle(part, number, ending);
+    public void settled(
+            String partId, int number, SchedulerHost.Outcome ending, double took, SchedulerHost.LoadReport report) {
+        ShardRequest part = parts.get(partId);
+        Attempt launch = settle(part, number, ending);
         if (launch == null) {
             return;
         }
@@ -71,9 +72,9 @@
         replica.reported(report);
         double queued = router.fleet.drainTime() * (1 + launch.queuedAhead);
         double expected = Math.max(grade.answerTime(0.5), queued);
-        if (ending == Host.Ending.FULFILLED) {
+        if (ending == SchedulerHost.Outcome.FULFILLED) {
             answered(part, launch, latency, expected);
-        } else if (ending != Host.Ending.MOOT) { // never sent, it says nothing of the replica
+        } else if (ending != SchedulerHost.Outcome.MOOT) { // never sent, it says nothing of the replica
             failed(launch, ending, latency, expected);
         }
         router.host.saw(replica.id, replica.latency, replica.queue, replica.failures);
@@ -89,12 +90,12 @@
     /** After this router itself stood still (a gap between batches) every answer looks slow. */
     private double withoutOwnPause(double took, Replica replica) {
         double gap = router.now() - router.batchEndedAt;
-        return gap > PAUSE * Logic.CHECK_INTERVAL * router.latencyGoal
+        return gap > PAUSE * QueryScheduler.CHECK_INTERVAL * router.latencyGoal
                 ? Math.max(Math.min(took, replica.lowestLatency()), took - gap)
                 : took;
     }
 
-    private void answered(Part part, Launch launch, double took, double expected) {
+    private void answered(ShardRequest part, Attempt launch, double took, double expected) {
         if (launch.queuedAhead >= 2) {
             router.fleet.drainTimes.add(took / (1 + launch.queuedAhead));
         }
@@ -116,18 +117,18 @@
         }
     }
 
-    private void failed(Launch launch, Host.Ending ending, double took, double expected) {
+    private void failed(Attempt launch, SchedulerHost.Outcome ending, double took, double expected) {
         Replica replica = launch.replica;
-        boolean waited = ending == Host.Ending.CANCELLED || ending == Host.Ending.TIMED_OUT;
+        boolean waited = ending == SchedulerHost.Outcome.CANCELLED || ending == SchedulerHost.Outcome.TIMED_OUT;
         // A failure counts as the full time-out, or failing early would make a replica look fast.
-        double counted = ending == Host.Ending.CANCELLED ? replica.latency : usefulUntil() - launch.sentAt;
-        replica.silent |= ending == Host.Ending.NOT_CONNECTED;
+        double counted = ending == SchedulerHost.Outcome.CANCELLED ? replica.latency : usefulUntil() - launch.sentAt;
+        replica.silent |= ending == SchedulerHost.Outcome.NOT_CONNECTED;
         replica.measured(Math.max(took, counted), expected, waited && !replica.silent);
         // A launch lost on the way, while later ones are answered, is no fault of the replica.
         if (!waited || replica.newestAnsweredSentAt <= launch.sentAt) {
             replica.failed(ending);
         }
-        if (ending == Host.Ending.DROPPED) {
+        if (ending == SchedulerHost.Outcome.DROPPED) {
             crashes++;
             router.connectionLostAt = router.now();
         }
@@ -157,7 +158,7 @@
     }
 
     /** No launch of this part is left: the query goes on while the others can make an answer. */
-    void exhausted(Part part) {
+    void exhausted(ShardRequest part) {
         lost(part);
         if (weightLost > mayLack() || nothingAwaited()) {
             conclude();
@@ -174,7 +175,7 @@
     }
 
     private boolean mayAnswerPartly() {
-        Host.GradeTerms terms = grade.terms;
+        SchedulerHost.ServiceClassConfig terms = grade.terms;
         return terms.secondStep() == 0
                 && terms.leastShare() < terms.wholeFrom()
                 && weightIn >= terms.leastShare()
@@ -202,7 +203,8 @@
         }
         if (mayAnswerPartly()) {
             assemble(false);
-        } else if (grade.terms.repeat() == Host.Repeat.IDEMPOTENT || neverRan()) { // harmless to ask again
+        } else if (grade.terms.repeat() == SchedulerHost.RetrySafety.IDEMPOTENT
+                || neverRan()) { // harmless to ask again
             double advice = Math.min(router.deployment.longestAdvice(), Replica.BACKOFF * router.latencyGoal);
             router.host.decline(id, router.deployment.mayAdvise() ? advice : 0);
         } else {
--- a/query-mixer/core/src/main/java/pinewick/core/Logic.java
+++ b/query-mixer/core/src/main/java/pinewick/core/QueryScheduler.java
@@ -6,10 +6,10 @@
 
 /**
  * The decisions of one router. A front end tells it of replicas and queries and ends each batch of events;
- * what is decided goes out through {@link Host}. Start reading at {@link Placement#start}, the usual path of
+ * what is decided goes out through {@link SchedulerHost}. Start reading at {@link Placement#start}, the usual path of
  * a query, then {@link #check}, which looks after what is outstanding. Exceptions: see docs/design.md.
  */
-public final class Logic {
+public final class QueryScheduler {
     static final double CHECK_INTERVAL = 0.01; // of the latency goal, like the next
     private static final double OVERLOAD_WAIT = 0.1; // of the oldest held query
     // of `askWithin`; least share of a wait
@@ -20,19 +20,19 @@
 
     private final RouterState router;
     private final Placement placement;
-    private final Retries retries;
-    private final LoadProbes probes;
-    private final List<Grade> grades = new ArrayList<>();
+    private final RetryPolicy retries;
+    private final ReplicaProber probes;
+    private final List<ServiceClass> grades = new ArrayList<>();
     private double listAgainAt = Double.POSITIVE_INFINITY;
     private int listFailures;
     private boolean checkDue;
 
-    public Logic(Host host, Host.Deployment deployment, SplittableRandom random) {
+    public QueryScheduler(SchedulerHost host, SchedulerHost.Deployment deployment, SplittableRandom random) {
         router = new RouterState(host, deployment, random);
         placement = new Placement(router);
-        retries = new Retries(router, placement);
-        probes = new LoadProbes(router);
-        deployment.grades().forEach(terms -> grades.add(new Grade(terms, deployment.callWork())));
+        retries = new RetryPolicy(router, placement);
+        probes = new ReplicaProber(router);
+        deployment.grades().forEach(terms -> grades.add(new ServiceClass(terms, deployment.callWork())));
         if (deployment.mustAsk()) {
             host.track(true);
         }
@@ -46,11 +46,11 @@
     }
 
     /** News of the list. Draining and gone replicas get nothing new from this call on (rule 3). */
-    public void list(Host.ListForm form, List<Host.Listing> entries) {
-        Host.RuleTerms rules = router.deployment.rules();
+    public void list(SchedulerHost.ListUpdateKind form, List<SchedulerHost.ReplicaEntry> entries) {
+        SchedulerHost.SchedulingRules rules = router.deployment.rules();
         double now = router.now();
         double goal = router.latencyGoal;
-        if (form == Host.ListForm.FAILED) {
+        if (form == SchedulerHost.ListUpdateKind.FAILED) {
             // Waits are spread, or all routers would ask the list's service again at once.
             double wait = Replica.BACKOFF * goal * (1 << Math.min(listFailures++, 5));
             double spread = LIST_SPREAD + router.random.nextDouble();
@@ -59,7 +59,7 @@
         }
         listFailures = 0;
         listAgainAt = Double.POSITIVE_INFINITY;
-        router.replicas.update(form != Host.ListForm.CHANGES, entries, now);
+        router.replicas.update(form != SchedulerHost.ListUpdateKind.CHANGES, entries, now);
         router.turn++;
         // With ever new ids memory would grow all day: one gone is forgotten once no rule needs it.
         double keep = 2 * Replica.LONGEST_BACKOFF * goal + rules.coldTime() + rules.fallTime();
@@ -92,7 +92,7 @@
     }
 
     /** How a probe ended. */
-    public void probed(String id, Host.Ending ending, Host.LoadReport report) {
+    public void probed(String id, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
         Replica replica = router.replicas.get(id);
         if (replica != null) {
             probes.ended(replica, ending, report);
--- a/query-mixer/core/src/main/java/pinewick/core/QueryState.java
+++ b/query-mixer/core/src/main/java/pinewick/core/QueryState.java
@@ -9,9 +9,9 @@
 /** What is known of a query: its parts, and how far it is; what follows from that is decided in {@link Query}. */
 class QueryState {
     final String id;
-    final Grade grade;
+    final ServiceClass grade;
     final double takenAt;
-    final Map<String, Part> parts = new LinkedHashMap<>();
+    final Map<String, ShardRequest> parts = new LinkedHashMap<>();
     /** Parts not handed in yet. */
     int awaited;
     /** Launches without an outcome yet. */
@@ -37,7 +37,7 @@
 
     boolean ended;
 
-    QueryState(String id, Grade grade, int awaited, double takenAt) {
+    QueryState(String id, ServiceClass grade, int awaited, double takenAt) {
         this.id = id;
         this.grade = grade;
         this.awaited = awaited;
@@ -55,16 +55,16 @@
 
     long overdueParts(double now) {
         long overdue = 0;
-        for (Part part : parts.values()) {
+        for (ShardRequest part : parts.values()) {
             overdue += part.overdue(now) ? 1 : 0;
         }
         return overdue;
     }
 
     /** The parts that wait for their first launch, those of one shard together, or all with the same holders. */
-    List<List<Part>> unlaunched(boolean sameHoldersTogether) {
-        Map<Integer, List<Part>> groups = new LinkedHashMap<>();
-        for (Part part : parts.values()) {
+    List<List<ShardRequest>> unlaunched(boolean sameHoldersTogether) {
+        Map<Integer, List<ShardRequest>> groups = new LinkedHashMap<>();
+        for (ShardRequest part : parts.values()) {
             if (part.unlaunched()) {
                 int key = sameHoldersTogether ? part.firstCell : part.shard;
                 groups.computeIfAbsent(key, any -> new ArrayList<>()).add(part);
@@ -74,9 +74,9 @@
     }
 
     /** The weight of all parts for which something holds. */
-    double weightOf(Predicate<Part> condition) {
+    double weightOf(Predicate<ShardRequest> condition) {
         double weight = 0;
-        for (Part part : parts.values()) {
+        for (ShardRequest part : parts.values()) {
             weight += condition.test(part) ? part.weight : 0;
         }
         return weight;
@@ -88,8 +88,8 @@
     }
 
     /** Notes a launch's outcome; null where there was no such launch or it had one. */
-    Launch settle(Part part, int number, Host.Ending ending) {
-        Launch launch = part == null ? null : part.launch(number);
+    Attempt settle(ShardRequest part, int number, SchedulerHost.Outcome ending) {
+        Attempt launch = part == null ? null : part.launch(number);
         if (launch == null || launch.over) {
             return null;
         }
@@ -101,13 +101,13 @@
         return launch;
     }
 
-    void answered(Part part) {
+    void answered(ShardRequest part) {
         part.done = true;
         answered++;
         weightIn += part.weight;
     }
 
-    void lost(Part part) {
+    void lost(ShardRequest part) {
         part.exhausted = true;
         exhausted++;
         weightLost += part.weight;
--- a/query-mixer/core/src/main/java/pinewick/core/Replica.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Replica.java
@@ -26,7 +26,7 @@
     }
 
     /** The C3 score of docs/design.md; unlike there, measurements fade with age and silence counts. */
-    double score(Part part, int planned) {
+    double score(ShardRequest part, int planned) {
         double now = router.now();
         double guess = FleetStats.FIRST_GUESS * part.query.grade.terms.latencyGoal();
         double known = 0;
@@ -93,7 +93,8 @@
                     && (trialAllowed || !router.deployment.mayProbe() || warmingUp());
         }
         double silence = now - Math.max(answeredAt, oldestSentAt(now));
-        return silence <= Grade.LONGEST_HEDGE_DELAY * router.latencyGoal && !router.host.othersWarn(id, answeredAt);
+        return silence <= ServiceClass.LONGEST_HEDGE_DELAY * router.latencyGoal
+                && !router.host.othersWarn(id, answeredAt);
     }
 
     /** Whether so many more parts would wait shortly; for one, hidden queues hinder only many routers. */
@@ -115,7 +116,7 @@
         if (!warmingUp()) {
             return true;
         }
-        Host.RuleTerms rules = router.deployment.rules();
+        SchedulerHost.SchedulingRules rules = router.deployment.rules();
         double window = rules.fallTime();
         double from = router.now() - window;
         double capacity = rules.capacity(Math.max(startedAt, from) - startedAt);
@@ -139,7 +140,7 @@
     }
 
     /** Takes in a load report; null where none came. */
-    void reported(Host.LoadReport report) {
+    void reported(SchedulerHost.LoadReport report) {
         if (report == null) {
             return;
         }
@@ -156,7 +157,7 @@
     }
 
     /** An answer: {@code expected} is what reports foretold, {@code target} what still counts as prompt. */
-    void answered(Launch launch, double took, double expected, double target) {
+    void answered(Attempt launch, double took, double expected, double target) {
         newestAnsweredSentAt = Math.max(newestAnsweredSentAt, launch.sentAt);
         if (failures > 0 && unreachable && router.deployment.rules().coldTime() > 0) {
             // It had answered, then was out of reach: it has restarted, and the list doesn't say so yet.
@@ -164,7 +165,7 @@
         }
         failures = 0;
         unreachable = trialAllowed = false;
-        heardFrom(Host.Ending.FULFILLED);
+        heardFrom(SchedulerHost.Outcome.FULFILLED);
         answeredAt = router.now();
         lowestLatency.add(answeredAt, took, LONGEST_BACKOFF * router.latencyGoal);
         measured(took, expected, true);
@@ -190,7 +191,7 @@
     }
 
     /** Any failure starts a backoff, growing while failures go on; after it come trials, one at a time. */
-    void failed(Host.Ending ending) {
+    void failed(SchedulerHost.Outcome ending) {
         if (failures == 0) {
             router.host.log(id + " rests, " + ending);
         } else if (router.now() < backoffUntil) {
@@ -200,6 +201,6 @@
         backoffUntil = router.now() + backoff * router.latencyGoal;
         failures++;
         trialAllowed = false;
-        unreachable |= ending == Host.Ending.NOT_CONNECTED && answeredAt > Double.NEGATIVE_INFINITY;
+        unreachable |= ending == SchedulerHost.Outcome.NOT_CONNECTED && answeredAt > Double.NEGATIVE_INFINITY;
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/ReplicaList.java
+++ b/query-mixer/core/src/main/java/pinewick/core/ReplicaList.java
@@ -10,7 +10,7 @@
 
 /** The replicas as they were last listed, which of them hold a shard, and how many parts came for each. */
 final class ReplicaList {
-    private final Host.Deployment deployment;
+    private final SchedulerHost.Deployment deployment;
     private final Function<String, Replica> newReplica;
     private final Map<String, Replica> replicas = new LinkedHashMap<>();
     /** The ready holders of a shard and the parts taken for it, by the shard's first cell. */
@@ -19,7 +19,7 @@
     private final List<WindowedSum> partsTaken = new ArrayList<>();
     private int ready;
 
-    ReplicaList(Host.Deployment deployment, Function<String, Replica> newReplica) {
+    ReplicaList(SchedulerHost.Deployment deployment, Function<String, Replica> newReplica) {
         this.deployment = deployment;
         this.newReplica = newReplica;
         for (int cell = 0; cell < deployment.cells(); cell++) {
@@ -29,11 +29,11 @@
     }
 
     /** Takes in a piece of the list. */
-    void update(boolean whole, List<Host.Listing> entries, double now) {
+    void update(boolean whole, List<SchedulerHost.ReplicaEntry> entries, double now) {
         if (whole) {
-            replicas.values().forEach(replica -> replica.stage = Host.Stage.GONE);
+            replicas.values().forEach(replica -> replica.stage = SchedulerHost.LifecycleState.GONE);
         }
-        for (Host.Listing entry : entries) {
+        for (SchedulerHost.ReplicaEntry entry : entries) {
             Replica replica = replicas.computeIfAbsent(entry.replica(), newReplica);
             if (entry.startedAt() > replica.startedAt) {
                 replica.restarted(entry.startedAt());
@@ -43,7 +43,7 @@
             replica.sameZone = entry.zone().equals(deployment.zone());
         }
         for (Replica replica : replicas.values()) {
-            boolean gone = replica.stage == Host.Stage.GONE;
+            boolean gone = replica.stage == SchedulerHost.LifecycleState.GONE;
             replica.goneAt = gone ? Math.min(replica.goneAt, now) : Double.POSITIVE_INFINITY;
         }
         indexHolders();
@@ -54,7 +54,7 @@
         holders.forEach(any -> byCell.add(new ArrayList<>()));
         ready = 0;
         for (Replica replica : replicas.values()) {
-            if (replica.stage == Host.Stage.READY) {
+            if (replica.stage == SchedulerHost.LifecycleState.READY) {
                 byCell.get(replica.cell).add(replica);
                 ready++;
             }
@@ -93,11 +93,11 @@
     }
 
     /** The ready replicas that hold the part's shard. */
-    List<Replica> holders(Part part) {
+    List<Replica> holders(ShardRequest part) {
         return holders.get(part.firstCell);
     }
 
-    void partTaken(Part part, double now) {
+    void partTaken(ShardRequest part, double now) {
         partsTaken.get(part.firstCell).add(now, 1);
     }
 
--- a/query-mixer/core/src/main/java/pinewick/core/LoadProbes.java
+++ b/query-mixer/core/src/main/java/pinewick/core/ReplicaProber.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Probes: of holders whose load reports are old, before a query starts, and of replicas after failures. */
-final class LoadProbes {
+final class ReplicaProber {
     // of the latency goal: reports; while held
     private static final double OLD = 0.1;
     private static final double AGAIN_AFTER = 0.2;
@@ -13,7 +13,7 @@
 
     private final RouterState router;
 
-    LoadProbes(RouterState router) {
+    ReplicaProber(RouterState router) {
         this.router = router;
     }
 
@@ -32,7 +32,7 @@
         }
         query.probeAgainAt = again ? now + AGAIN_AFTER * router.latencyGoal : query.probeAgainAt;
         boolean waits = false;
-        for (Part part : query.parts.values()) {
+        for (ShardRequest part : query.parts.values()) {
             List<Replica> fit = new ArrayList<>(router.replicas.holders(part));
             fit.removeIf(replica -> !replica.healthy() || replica.warmingUp());
             waits |= fit.stream().anyMatch(replica -> replica.probing && now < replica.probedAt + wait);
@@ -64,7 +64,8 @@
      *  backoff: so few of many probe, and the others try it with one part. */
     void probeAfterBackoff(Replica replica) {
         double few = 2 * Replica.FEW_ROUTERS;
-        boolean useful = replica.stage == Host.Stage.READY && !replica.probing && !replica.warmingUp();
+        boolean useful =
+                replica.stage == SchedulerHost.LifecycleState.READY && !replica.probing && !replica.warmingUp();
         if (useful
                 && replica.failures > 0
                 && router.now() >= replica.backoffUntil
@@ -83,10 +84,10 @@
     }
 
     /** How a probe ended; one turned away by the replica's limit proves that it runs. */
-    void ended(Replica replica, Host.Ending ending, Host.LoadReport report) {
+    void ended(Replica replica, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
         replica.probeEnded(ending);
         replica.reported(report);
-        replica.trialAllowed = ending == Host.Ending.FULFILLED || ending == Host.Ending.REJECTED;
+        replica.trialAllowed = ending == SchedulerHost.Outcome.FULFILLED || ending == SchedulerHost.Outcome.REJECTED;
         if (!replica.trialAllowed) {
             replica.failed(ending);
         }
--- a/query-mixer/core/src/main/java/pinewick/core/ReplicaState.java
+++ b/query-mixer/core/src/main/java/pinewick/core/ReplicaState.java
@@ -8,7 +8,7 @@
 class ReplicaState {
     final String id;
     /** As listed; {@code startedAt} 0 means long ago. */
-    Host.Stage stage = Host.Stage.READY;
+    SchedulerHost.LifecycleState stage = SchedulerHost.LifecycleState.READY;
 
     int cell;
     boolean sameZone;
@@ -39,7 +39,7 @@
     double roomCutAt = Double.NEGATIVE_INFINITY;
     private final double firstRoom;
     /** Launches without an outcome yet. */
-    final LinkedHashSet<Launch> outstanding = new LinkedHashSet<>();
+    final LinkedHashSet<Attempt> outstanding = new LinkedHashSet<>();
     /** Parts that the plan being made would add. */
     int planned;
     /** Work sent to it during its warm-up. */
@@ -74,7 +74,7 @@
         return outstanding.isEmpty() ? now : outstanding.iterator().next().sentAt;
     }
 
-    void launched(Launch launch) {
+    void launched(Attempt launch) {
         outstanding.add(launch);
         launchedSinceReport++;
     }
@@ -84,14 +84,14 @@
         probedAt = at;
     }
 
-    void probeEnded(Host.Ending ending) {
+    void probeEnded(SchedulerHost.Outcome ending) {
         probing = false;
         heardFrom(ending);
     }
 
     /** A word came from it, or a probe got none. One silent before was not slow: its hidden delay is forgotten. */
-    void heardFrom(Host.Ending ending) {
-        boolean noWord = ending == Host.Ending.TIMED_OUT || ending == Host.Ending.NOT_CONNECTED;
+    void heardFrom(SchedulerHost.Outcome ending) {
+        boolean noWord = ending == SchedulerHost.Outcome.TIMED_OUT || ending == SchedulerHost.Outcome.NOT_CONNECTED;
         hiddenDelay = silent && !noWord ? 0 : hiddenDelay;
         silent = noWord;
     }
--- a/query-mixer/core/src/main/java/pinewick/core/RouterState.java
+++ b/query-mixer/core/src/main/java/pinewick/core/RouterState.java
@@ -6,8 +6,8 @@
 
 /** What all decisions of one router share: its deployment, its queries and replicas, and what it measured. */
 final class RouterState {
-    final Host host;
-    final Host.Deployment deployment;
+    final SchedulerHost host;
+    final SchedulerHost.Deployment deployment;
     final SplittableRandom random;
     /** The shortest latency goal of all grades, in seconds. */
     final double latencyGoal;
@@ -33,14 +33,14 @@
     /** Goes up with whatever may change which holders have room. */
     long turn = 1;
 
-    RouterState(Host host, Host.Deployment deployment, SplittableRandom random) {
+    RouterState(SchedulerHost host, SchedulerHost.Deployment deployment, SplittableRandom random) {
         this.host = host;
         this.deployment = deployment;
         this.random = random;
         routers = deployment.routers();
         sendingRouters = deployment.routers();
         latencyGoal = deployment.grades().stream()
-                .mapToDouble(Host.GradeTerms::latencyGoal)
+                .mapToDouble(SchedulerHost.ServiceClassConfig::latencyGoal)
                 .min()
                 .orElse(1);
         replicas = new ReplicaList(deployment, id -> new Replica(id, this));
--- a/query-mixer/core/src/main/java/pinewick/core/Host.java
+++ b/query-mixer/core/src/main/java/pinewick/core/SchedulerHost.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What the decisions in {@link Logic} call, and the plain data they are handed. A front end (today
+ * What the decisions in {@link QueryScheduler} call, and the plain data they are handed. A front end (today
  * {@code benchlink}) implements it once for each router. Times are seconds; ids stay as they came.
  */
-public interface Host {
+public interface SchedulerHost {
     /** The clock of the events now being handled. */
     double now();
 
@@ -27,7 +27,7 @@
 
     void probe(String replica);
 
-    /** Asks for {@link Logic#timerFired} after so many seconds. */
+    /** Asks for {@link QueryScheduler#timerFired} after so many seconds. */
     void timer(double in, long name);
 
     /** Subscribes to changes of the list of replicas, or ends that. */
@@ -50,7 +50,7 @@
     void log(String text);
 
     /** How a launch or a probe ended. */
-    enum Ending {
+    enum Outcome {
         FULFILLED,
         ERROR,
         REJECTED,
@@ -67,21 +67,21 @@
     }
 
     /** What a repeat of a grade's parts does. */
-    enum Repeat {
+    enum RetrySafety {
         IDEMPOTENT,
         DEDUPLICATED,
         UNREPEATABLE
     }
 
     /** The lifecycle state of a searcher in the list. */
-    enum Stage {
+    enum LifecycleState {
         GONE,
         READY,
         DRAINING
     }
 
     /** How a piece of the list relates to the list in hand. */
-    enum ListForm {
+    enum ListUpdateKind {
         CHANGES,
         WHOLE,
         CACHED,
@@ -89,20 +89,20 @@
     }
 
     /** One line of the list of replicas; {@code startedAt} 0 means long ago. */
-    record Listing(String replica, int cell, String zone, Stage stage, double startedAt) {}
+    record ReplicaEntry(String replica, int cell, String zone, LifecycleState stage, double startedAt) {}
 
     /** A replica's load report; a value that it does not carry is NaN. */
     record LoadReport(double pending, double inFlight, double busyShare, double servedRate) {}
 
     /** A service grade as the deployment states it. */
-    record GradeTerms(
+    record ServiceClassConfig(
             String name,
             double latencyGoal,
             double goalStretch,
             double hardStop,
             double value,
             double lateValue,
-            Repeat repeat,
+            RetrySafety repeat,
             double repeatWindow,
             double leastShare,
             double wholeFrom,
@@ -115,7 +115,7 @@
     }
 
     /** The rules' figures; an absent budget has an infinite {@code freeLaunches}. */
-    record RuleTerms(
+    record SchedulingRules(
             double drainGrace,
             double coldFrom,
             double coldTime,
@@ -136,8 +136,8 @@
             int routers,
             String zone,
             double tick,
-            List<GradeTerms> grades,
-            RuleTerms rules,
+            List<ServiceClassConfig> grades,
+            SchedulingRules rules,
             boolean mustAsk,
             boolean mayProbe,
             boolean mayCancel,
--- a/query-mixer/core/src/main/java/pinewick/core/Grade.java
+++ b/query-mixer/core/src/main/java/pinewick/core/ServiceClass.java
@@ -3,7 +3,7 @@
 import pinewick.selection.DecayingHistogram;
 
 /** A service grade: its terms, and how long its parts and queries were seen to take. */
-final class Grade {
+final class ServiceClass {
     static final double LONGEST_HEDGE_DELAY = 0.5; // of the latency goal, like the next two
     private static final double SHORTEST_HEDGE_DELAY = 0.125;
     private static final double LONGEST_RUN = 0.6;
@@ -12,7 +12,7 @@
     private static final double RUN_QUANTILE = 0.8;
     private static final double LONGEST_MEASURED = 3;
 
-    final Host.GradeTerms terms;
+    final SchedulerHost.ServiceClassConfig terms;
     final DecayingHistogram answerTimes;
     final DecayingHistogram runTimes;
     // since a query of this grade brought replicas down
@@ -20,7 +20,7 @@
     double lethalUntil;
     private final double callWork;
 
-    Grade(Host.GradeTerms terms, double callWork) {
+    ServiceClass(SchedulerHost.ServiceClassConfig terms, double callWork) {
         this.terms = terms;
         this.callWork = callWork;
         answerTimes = FleetStats.times(LONGEST_MEASURED * terms.latencyGoal());
--- a/query-mixer/core/src/main/java/pinewick/core/Part.java
+++ b/query-mixer/core/src/main/java/pinewick/core/ShardRequest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** One part of a query, with its launches in the order in which they were made. */
-final class Part {
+final class ShardRequest {
     final Query query;
     final String id;
     final int shard;
@@ -12,13 +12,13 @@
     final int firstCell;
 
     final double weight;
-    final List<Launch> launches = new ArrayList<>();
+    final List<Attempt> launches = new ArrayList<>();
     int outstanding;
     boolean done;
     /** No further launch of it is allowed, and none is outstanding. */
     boolean exhausted;
 
-    Part(Query query, String id, int shard, int firstCell, double weight) {
+    ShardRequest(Query query, String id, int shard, int firstCell, double weight) {
         this.query = query;
         this.id = id;
         this.shard = shard;
@@ -32,7 +32,7 @@
     }
 
     boolean outstandingAt(Replica replica) {
-        for (Launch launch : launches) {
+        for (Attempt launch : launches) {
             if (launch.replica == replica && !launch.over) {
                 return true;
             }
@@ -45,16 +45,16 @@
     }
 
     /** Null where there was no such launch. */
-    Launch launch(int number) {
+    Attempt launch(int number) {
         return number >= 0 && number < launches.size() ? launches.get(number) : null;
     }
 
-    Launch latest() {
+    Attempt latest() {
         return launches.get(launches.size() - 1);
     }
 
     /** Notes a new launch, also with the earlier ones. */
-    void launched(Launch launch) {
+    void launched(Attempt launch) {
         launches.forEach(earlier -> earlier.outstandingAtNext |= !earlier.over);
         launches.add(launch);
         outstanding++;
--- a/query-mixer/core/src/test/java/pinewick/core/ColdFleetTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/ColdFleetTest.java
@@ -8,11 +8,11 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import pinewick.core.Host.Ending;
-import pinewick.core.Host.ListForm;
-import pinewick.core.Host.Stage;
+import pinewick.core.SchedulerHost.LifecycleState;
+import pinewick.core.SchedulerHost.ListUpdateKind;
+import pinewick.core.SchedulerHost.Outcome;
 
-/** What all mixers of a fleet together send to one searcher that has just started, each by its own {@link Logic}. */
+/** The total load that all routers of a fleet, each with its own scheduler, send to one replica in warm-up. */
 class ColdFleetTest {
     private static final double WORK = 0.1;
 
@@ -58,7 +58,7 @@
         void step() {
             while (!answers.isEmpty() && (double) answers.peek()[0] <= host.clock) {
                 Object[] due = answers.poll();
-                ((Query) due[1]).settled((String) due[2], 0, Ending.FULFILLED, (double) due[3], null);
+                ((Query) due[1]).settled((String) due[2], 0, Outcome.FULFILLED, (double) due[3], null);
             }
         }
 
@@ -71,7 +71,7 @@
     private static double overrun(
             int mixers, double partsASecond, double wrong, double restarted, boolean heavy, int holders, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        Host.RuleTerms rules = new FakeHost().rules;
+        SchedulerHost.SchedulingRules rules = new FakeHost().rules;
         int believed = Math.max(1, (int) Math.round(mixers * (1 + wrong)));
         double clock = 100;
         List<Mixer> fleet = new ArrayList<>();
@@ -92,13 +92,13 @@
                 Mixer mixer = fleet.get(each);
                 if (clock >= startedAt && chance.nextDouble() < restarted * step / rules.coldTime()) {
                     mixer = new Mixer(clock, chance.nextLong(), believed, holders);
-                    mixer.host.list(ListForm.CHANGES, Stage.READY, startedAt, "cold");
+                    mixer.host.list(ListUpdateKind.CHANGES, LifecycleState.READY, startedAt, "cold");
                     fleet.set(each, mixer);
                 }
                 mixer.host.clock = clock;
                 mixer.step();
                 if (starts) {
-                    mixer.host.list(ListForm.CHANGES, Stage.READY, startedAt, "cold");
+                    mixer.host.list(ListUpdateKind.CHANGES, LifecycleState.READY, startedAt, "cold");
                 }
                 double want = partsASecond * step * share[each] / all;
                 while (want > 0 && chance.nextDouble() < want) {
--- a/query-mixer/core/src/test/java/pinewick/core/FakeHost.java
+++ b/query-mixer/core/src/test/java/pinewick/core/FakeHost.java
@@ -7,11 +7,12 @@
 import java.util.SplittableRandom;
 
 /** A host whose clock the story moves and which writes down what it was asked for. */
-final class FakeHost implements Host {
+final class FakeHost implements SchedulerHost {
     double clock = 100;
     final List<String> said = new ArrayList<>();
-    Host.Repeat repeat = Host.Repeat.IDEMPOTENT;
-    Host.RuleTerms rules = new Host.RuleTerms(0.5, 0.25, 10, 2, 1.5, Double.POSITIVE_INFINITY, 0, 0, 10);
+    SchedulerHost.RetrySafety repeat = SchedulerHost.RetrySafety.IDEMPOTENT;
+    SchedulerHost.SchedulingRules rules =
+            new SchedulerHost.SchedulingRules(0.5, 0.25, 10, 2, 1.5, Double.POSITIVE_INFINITY, 0, 0, 10);
     boolean mustAsk;
     boolean overlap = true;
     boolean probing;
@@ -27,15 +28,17 @@
     double advice;
     final Map<String, Double> othersPaces = new HashMap<>();
     final Map<String, Double> warned = new HashMap<>();
-    Logic logic;
+    QueryScheduler logic;
 
     /** A mixer over one cell of searchers a, b, ... that all hold every shard. */
     FakeHost open(String... names) {
-        Host.GradeTerms grade = new Host.GradeTerms("any", 2, 0, 8, 1, lateValue, repeat, 3, leastShare, 1, 0.9, 0);
-        Host.GradeTerms rich = new Host.GradeTerms("rich", 2, 0, 8, 10, 0, Host.Repeat.IDEMPOTENT, 0, 1, 1, 0, 0);
-        logic = new Logic(
+        SchedulerHost.ServiceClassConfig grade =
+                new SchedulerHost.ServiceClassConfig("any", 2, 0, 8, 1, lateValue, repeat, 3, leastShare, 1, 0.9, 0);
+        SchedulerHost.ServiceClassConfig rich = new SchedulerHost.ServiceClassConfig(
+                "rich", 2, 0, 8, 10, 0, SchedulerHost.RetrySafety.IDEMPOTENT, 0, 1, 1, 0, 0);
+        logic = new QueryScheduler(
                 this,
-                new Host.Deployment(
+                new SchedulerHost.Deployment(
                         mixers,
                         "near",
                         0.005,
@@ -54,26 +57,29 @@
                         callWork > 0 ? 16 : 1,
                         callWork),
                 new SplittableRandom(seed));
-        list(Host.ListForm.CACHED, Host.Stage.READY, 0, names);
+        list(SchedulerHost.ListUpdateKind.CACHED, SchedulerHost.LifecycleState.READY, 0, names);
         return this;
     }
 
     /** A load report of nothing but a queue. */
-    static Host.LoadReport queued(double parts) {
-        return new Host.LoadReport(parts, Double.NaN, Double.NaN, Double.NaN);
+    static SchedulerHost.LoadReport queued(double parts) {
+        return new SchedulerHost.LoadReport(parts, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    void list(Host.ListForm form, Host.Stage stage, double startedAt, String... names) {
-        List<Host.Listing> entries = new ArrayList<>();
+    void list(
+            SchedulerHost.ListUpdateKind form, SchedulerHost.LifecycleState stage, double startedAt, String... names) {
+        List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>();
         for (String name : names) {
-            entries.add(new Host.Listing(name, 0, "near", stage, startedAt));
+            entries.add(new SchedulerHost.ReplicaEntry(name, 0, "near", stage, startedAt));
         }
         logic.list(form, entries);
     }
 
     /** News of one searcher, alone in its cell. */
     void listAt(String name, int cell) {
-        logic.list(Host.ListForm.CHANGES, List.of(new Host.Listing(name, cell, "near", Host.Stage.READY, 0)));
+        logic.list(
+                SchedulerHost.ListUpdateKind.CHANGES,
+                List.of(new SchedulerHost.ReplicaEntry(name, cell, "near", SchedulerHost.LifecycleState.READY, 0)));
     }
 
     /** Takes a query of so many parts, named q-0, q-1, ..., and ends the batch. */
@@ -100,7 +106,7 @@
         }
     }
 
-    void ends(Query query, String part, int number, Ending ending, double took) {
+    void ends(Query query, String part, int number, Outcome ending, double took) {
         query.settled(part, number, ending, took, null);
         logic.endOfBatch();
     }
@@ -110,7 +116,7 @@
         for (int each = 0; each < queries; each++) {
             Query query = take("w" + clock + "-" + each, 1);
             clock += took;
-            ends(query, "w" + (clock - took) + "-" + each + "-0", 0, Ending.FULFILLED, took);
+            ends(query, "w" + (clock - took) + "-" + each + "-0", 0, Outcome.FULFILLED, took);
         }
         said.clear();
     }
--- a/query-mixer/core/src/test/java/pinewick/core/PlacementTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/PlacementTest.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pinewick.core.Host.Ending;
-import pinewick.core.Host.ListForm;
-import pinewick.core.Host.Stage;
+import pinewick.core.SchedulerHost.LifecycleState;
+import pinewick.core.SchedulerHost.ListUpdateKind;
+import pinewick.core.SchedulerHost.Outcome;
 
 /** Which replica a part goes to, when a query starts, and what holds it. */
 class PlacementTest {
@@ -18,12 +18,12 @@
     @Test
     void partsGoToTheLowestScoreByReport() {
         host.open("a", "b");
-        host.logic.probed("a", Ending.FULFILLED, queued(6));
-        host.logic.probed("b", Ending.FULFILLED, queued(0));
+        host.logic.probed("a", Outcome.FULFILLED, queued(6));
+        host.logic.probed("b", Outcome.FULFILLED, queued(0));
         host.warmUp(4, 0.1);
         Query first = host.take("q", 1);
         String quiet = host.where("q-0");
-        first.settled("q-0", 0, Ending.FULFILLED, 0.1, queued(9));
+        first.settled("q-0", 0, Outcome.FULFILLED, 0.1, queued(9));
         host.take("r", 1);
         assertNotEquals(quiet, host.where("r-0"), "the report of a long queue sends the next part elsewhere");
     }
@@ -31,12 +31,12 @@
     @Test
     void nothingNewGoesToASearcherThatDrainsOrIsGone() {
         host.open("a", "b");
-        host.list(ListForm.CHANGES, Stage.DRAINING, 0, "a");
+        host.list(ListUpdateKind.CHANGES, LifecycleState.DRAINING, 0, "a");
         for (int each = 0; each < 3; each++) {
             host.take("q" + each, 1);
             assertEquals("b", host.where("q" + each + "-0"));
         }
-        host.list(ListForm.WHOLE, Stage.READY, 0, "c");
+        host.list(ListUpdateKind.WHOLE, LifecycleState.READY, 0, "c");
         host.take("r", 1);
         assertEquals("c", host.where("r-0"));
     }
@@ -46,13 +46,13 @@
         host.open("a", "b");
         Query one = host.take("q", 1);
         Query two = host.take("r", 1);
-        host.ends(one, "q-0", 0, Ending.FULFILLED, 0.1);
-        host.ends(two, "r-0", 0, Ending.FULFILLED, 0.1);
+        host.ends(one, "q-0", 0, Outcome.FULFILLED, 0.1);
+        host.ends(two, "r-0", 0, Outcome.FULFILLED, 0.1);
         Query heavy = host.take("s", 1);
         String shunned = host.where("s-0");
-        host.ends(heavy, "s-0", 0, Ending.FULFILLED, 1.9);
+        host.ends(heavy, "s-0", 0, Outcome.FULFILLED, 1.9);
         host.clock += 20;
-        host.logic.probed(shunned.equals("a") ? "b" : "a", Ending.FULFILLED, queued(0.6));
+        host.logic.probed(shunned.equals("a") ? "b" : "a", Outcome.FULFILLED, queued(0.6));
         host.take("t", 1);
         assertEquals(shunned, host.where("t-0"), "a slightly longer queue elsewhere now weighs more");
     }
@@ -64,16 +64,16 @@
             host.take(each, 1);
         }
         for (String each : List.of("a", "b", "c")) {
-            host.logic.probed(each, Ending.FULFILLED, queued(0));
+            host.logic.probed(each, Outcome.FULFILLED, queued(0));
         }
         host.pass(0.02);
         Query one = host.take("t", 3);
         for (int part = 0; part < 3; part++) {
-            host.ends(one, "t-" + part, 0, Ending.FULFILLED, 0.1);
+            host.ends(one, "t-" + part, 0, Outcome.FULFILLED, 0.1);
         }
         host.clock += 1;
-        host.logic.probed("b", Ending.FULFILLED, queued(1));
-        host.logic.probed("c", Ending.FULFILLED, queued(4));
+        host.logic.probed("b", Outcome.FULFILLED, queued(1));
+        host.logic.probed("c", Outcome.FULFILLED, queued(4));
         host.take("u", 1);
         assertEquals("b", host.where("u-0"), "a's empty queue is old news");
     }
@@ -122,7 +122,7 @@
         host.take("narrow", 1);
         assertEquals(0, host.count("launch narrow"), "the room is kept for the wide one");
         for (int each = 0; each < 4; each++) {
-            host.ends(first.get(each), "q" + each + "-0", 0, Ending.FULFILLED, 0.3);
+            host.ends(first.get(each), "q" + each + "-0", 0, Outcome.FULFILLED, 0.3);
         }
         assertEquals(6, host.count("launch wide"));
     }
@@ -130,10 +130,10 @@
     @Test
     void aLongReportedQueueHoldsTheQuery() {
         host.open("a");
-        host.logic.probed("a", Ending.FULFILLED, queued(30));
+        host.logic.probed("a", Outcome.FULFILLED, queued(30));
         host.take("q", 1);
         assertEquals(0, host.count("launch"));
-        host.logic.probed("a", Ending.FULFILLED, queued(1));
+        host.logic.probed("a", Outcome.FULFILLED, queued(1));
         host.logic.endOfBatch();
         assertEquals(1, host.count("launch"));
     }
@@ -158,9 +158,9 @@
         host.open("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
         Query deadly = host.take("q", 10);
         assertEquals(1, host.count("launch q"), "one part goes first");
-        host.ends(deadly, lastOf(host), 0, Ending.DROPPED, 0.1);
+        host.ends(deadly, lastOf(host), 0, Outcome.DROPPED, 0.1);
         assertEquals(2, host.count("launch q"));
-        host.ends(deadly, lastOf(host), 1, Ending.DROPPED, 0.1);
+        host.ends(deadly, lastOf(host), 1, Outcome.DROPPED, 0.1);
         assertEquals(2, host.count("launch q"));
         assertEquals(1, host.count("decline q"), "no third searcher, and its answer at once");
     }
@@ -169,10 +169,10 @@
     void afterACrashOnePartGoesFirstAndTheRestFollowItsAnswer() {
         host.open("a", "b", "c");
         Query crashed = host.take("p", 1);
-        host.ends(crashed, "p-0", 0, Ending.DROPPED, 0.1);
+        host.ends(crashed, "p-0", 0, Outcome.DROPPED, 0.1);
         Query answered = host.take("q", 3);
         assertEquals(1, host.count("launch q"));
-        host.ends(answered, lastOf(host), 0, Ending.FULFILLED, 0.1);
+        host.ends(answered, lastOf(host), 0, Outcome.FULFILLED, 0.1);
         assertEquals(3, host.count("launch q"));
     }
 
@@ -215,7 +215,7 @@
         assertEquals(1, host.count("launch r-0"), "with all warned of, one part at a time goes all the same");
         String where = host.where("r-0");
         host.clock += 0.1;
-        host.ends(last, "r-0", 0, Ending.FULFILLED, 0.1);
+        host.ends(last, "r-0", 0, Outcome.FULFILLED, 0.1);
         host.take("s", 1);
         assertEquals(where, host.where("s-0"), "its own answer came after the warning");
     }
--- a/query-mixer/core/src/test/java/pinewick/core/QueryTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/QueryTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import pinewick.core.Host.Ending;
-import pinewick.core.Host.ListForm;
-import pinewick.core.Host.Stage;
+import pinewick.core.SchedulerHost.LifecycleState;
+import pinewick.core.SchedulerHost.ListUpdateKind;
+import pinewick.core.SchedulerHost.Outcome;
 
 /** How a query ends: whole, in part, declined or given up, once and in time. */
 class QueryTest {
@@ -20,12 +20,12 @@
         host.pass(4.99);
         assertEquals(1, host.count("decline q") + host.count("give up q"));
         host.said.clear();
-        host.ends(query, "q-0", 0, Ending.TIMED_OUT, 5);
-        host.ends(query, "q-1", 0, Ending.FULFILLED, 5);
+        host.ends(query, "q-0", 0, Outcome.TIMED_OUT, 5);
+        host.ends(query, "q-1", 0, Outcome.FULFILLED, 5);
         host.pass(1);
         assertEquals(0, host.count("launch q"));
-        query.settled("q-0", 1, Ending.CANCELLED, 4, null);
-        query.settled("q-1", 1, Ending.CANCELLED, 4, null);
+        query.settled("q-0", 1, Outcome.CANCELLED, 4, null);
+        query.settled("q-1", 1, Outcome.CANCELLED, 4, null);
         assertEquals(0, host.count("assemble q") + host.count("give up q") + host.count("decline q"));
         assertTrue(query.over());
     }
@@ -37,10 +37,10 @@
         host.open("a", "b");
         Query enough = host.take("q", 3);
         Query scant = host.take("r", 3);
-        host.ends(enough, "q-0", 0, Ending.FULFILLED, 0.1);
-        host.ends(enough, "q-0", 0, Ending.FULFILLED, 0.1);
-        host.ends(enough, "q-1", 0, Ending.FULFILLED, 0.1);
-        host.ends(scant, "r-0", 0, Ending.FULFILLED, 0.1);
+        host.ends(enough, "q-0", 0, Outcome.FULFILLED, 0.1);
+        host.ends(enough, "q-0", 0, Outcome.FULFILLED, 0.1);
+        host.ends(enough, "q-1", 0, Outcome.FULFILLED, 0.1);
+        host.ends(scant, "r-0", 0, Outcome.FULFILLED, 0.1);
         host.pass(7.99);
         assertEquals(1, host.count("assemble q part"));
         assertEquals(0, host.count("assemble q whole"));
@@ -50,7 +50,7 @@
     @Test
     void aShardWithoutAnyHolderIsDeclinedAtOnce() {
         host.open("a");
-        host.list(ListForm.CHANGES, Stage.GONE, 0, "a");
+        host.list(ListUpdateKind.CHANGES, LifecycleState.GONE, 0, "a");
         host.take("q", 1);
         assertEquals(1, host.count("decline q"));
         assertEquals(0, host.count("launch"));
@@ -87,7 +87,7 @@
         for (int each = 0; each < 10; each++) {
             Query query = host.take("w" + each, 1);
             host.clock += 1;
-            host.ends(query, "w" + each + "-0", 0, Ending.FULFILLED, 1);
+            host.ends(query, "w" + each + "-0", 0, Outcome.FULFILLED, 1);
         }
         host.said.clear();
         host.take("q", 8);
@@ -132,8 +132,8 @@
         host.open("a", "b");
         Query query = host.take("q", 3);
         double taken = host.clock;
-        host.ends(query, "q-0", 0, Ending.FULFILLED, 0.1);
-        host.ends(query, "q-1", 0, Ending.FULFILLED, 0.1);
+        host.ends(query, "q-0", 0, Outcome.FULFILLED, 0.1);
+        host.ends(query, "q-1", 0, Outcome.FULFILLED, 0.1);
         while (host.count("assemble q part") == 0 && host.clock < taken + 8) {
             host.clock += 0.005;
             host.logic.timerFired(1);
@@ -146,13 +146,13 @@
     @Test
     void aPartWithoutALaunchLeftDoesNotEndAQueryThatMayLackIt() {
         host.leastShare = 0.5;
-        host.repeat = Host.Repeat.UNREPEATABLE;
+        host.repeat = SchedulerHost.RetrySafety.UNREPEATABLE;
         host.open("a", "b", "c");
         Query query = host.take("q", 4);
-        host.ends(query, "q-0", 0, Ending.ERROR, 0.1);
+        host.ends(query, "q-0", 0, Outcome.ERROR, 0.1);
         assertEquals(0, host.count("give up q") + host.count("assemble q"));
         for (int part = 1; part < 4; part++) {
-            host.ends(query, "q-" + part, 0, Ending.FULFILLED, 0.1);
+            host.ends(query, "q-" + part, 0, Outcome.FULFILLED, 0.1);
         }
         assertEquals(1, host.count("assemble q part"), "nothing more can come, so it is answered at once");
     }
--- a/query-mixer/daemon/src/main/java/pinewick/benchlink/Benchlink.java
+++ b/query-mixer/daemon/src/main/java/pinewick/benchlink/Benchlink.java
@@ -13,14 +13,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 
 /** Speaks the bench's wire: reads batches, turns each line into calls on its mixer, writes the reply. */
 public final class Benchlink {
     private final BufferedReader in;
     private final BufferedWriter out;
     private final Map<Integer, Mixer> mixers = new HashMap<>();
-    private final Map<Integer, List<Host.Listing>> pools = new HashMap<>();
+    private final Map<Integer, List<SchedulerHost.ReplicaEntry>> pools = new HashMap<>();
     private final Map<Integer, Mixer> touched = new LinkedHashMap<>();
     private long lines;
 
@@ -79,20 +79,20 @@
     }
 
     private void pool(Fields head) throws IOException {
-        List<Host.Listing> entries = new ArrayList<>();
+        List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>();
         for (long left = head.whole("items"); left > 0; left--) {
             String line = next();
             if (line == null || !line.startsWith("m ")) {
                 throw new IllegalArgumentException("an entry of the pool expected");
             }
             Fields m = new Fields(line);
-            Host.Stage stage =
+            SchedulerHost.LifecycleState stage =
                     switch ((int) m.whole("stage-state", 1)) {
-                        case 0 -> Host.Stage.GONE;
-                        case 2 -> Host.Stage.DRAINING;
-                        default -> Host.Stage.READY;
+                        case 0 -> SchedulerHost.LifecycleState.GONE;
+                        case 2 -> SchedulerHost.LifecycleState.DRAINING;
+                        default -> SchedulerHost.LifecycleState.READY;
                     };
-            entries.add(new Host.Listing(
+            entries.add(new SchedulerHost.ReplicaEntry(
                     m.text("searcher"),
                     (int) m.whole("cell", 0),
                     m.text("site", ""),
@@ -120,7 +120,7 @@
             throw new IllegalArgumentException("mixer " + number + " was never opened");
         }
         touched.put(number, mixer);
-        List<Host.Listing> entries = List.of();
+        List<SchedulerHost.ReplicaEntry> entries = List.of();
         if (event.verb().equals("discovery") && event.whole("form") != 3) {
             entries = pools.get((int) event.whole("slot"));
             if (entries == null) {
--- a/query-mixer/daemon/src/main/java/pinewick/benchlink/Mixer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/benchlink/Mixer.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import pinewick.core.DeploymentTerms;
-import pinewick.core.Host;
-import pinewick.core.Logic;
+import pinewick.core.DeploymentParser;
 import pinewick.core.Query;
+import pinewick.core.QueryScheduler;
+import pinewick.core.SchedulerHost;
 
-/** One mixer on the wire: hands events to its own {@link Logic} and writes down what that asks for. */
-final class Mixer implements Host {
+/** One mixer on the wire: hands events to its own {@link QueryScheduler} and writes down what that asks for. */
+final class Mixer implements SchedulerHost {
     private final int number;
-    private final Logic logic;
-    private final Host.Deployment deployment;
+    private final QueryScheduler logic;
+    private final SchedulerHost.Deployment deployment;
     private final Map<String, Integer> gradeRows = new HashMap<>();
     private final Map<Long, Query> byJob = new HashMap<>();
     private final Map<String, Query> byId = new HashMap<>();
@@ -32,14 +32,14 @@
     Mixer(int number, long clock, Fields opening) {
         this.number = number;
         this.clock = clock;
-        deployment = DeploymentTerms.read(opening.text("config"));
-        for (Host.GradeTerms grade : deployment.grades()) {
+        deployment = DeploymentParser.read(opening.text("config"));
+        for (SchedulerHost.ServiceClassConfig grade : deployment.grades()) {
             gradeRows.put(grade.name(), gradeRows.size());
         }
-        logic = new Logic(this, deployment, new SplittableRandom(opening.whole("rng-seed", 0)));
+        logic = new QueryScheduler(this, deployment, new SplittableRandom(opening.whole("rng-seed", 0)));
     }
 
-    void event(Fields event, long batchClock, List<Listing> entries) {
+    void event(Fields event, long batchClock, List<ReplicaEntry> entries) {
         clock = batchClock;
         if (broken) {
             return;
@@ -85,14 +85,14 @@
         reply.setLength(0);
     }
 
-    private void dispatch(Fields event, List<Listing> entries) {
+    private void dispatch(Fields event, List<ReplicaEntry> entries) {
         switch (event.verb()) {
             case "discovery" -> logic.list(
                     switch ((int) event.whole("form")) {
-                        case 0 -> ListForm.CHANGES;
-                        case 1 -> ListForm.WHOLE;
-                        case 2 -> ListForm.CACHED;
-                        default -> ListForm.FAILED;
+                        case 0 -> ListUpdateKind.CHANGES;
+                        case 1 -> ListUpdateKind.WHOLE;
+                        case 2 -> ListUpdateKind.CACHED;
+                        default -> ListUpdateKind.FAILED;
                     },
                     entries);
             case "req" -> request(event);
@@ -160,21 +160,21 @@
         }
     }
 
-    private static Ending ending(Fields event) {
+    private static Outcome ending(Fields event) {
         return switch ((int) event.whole("outcome")) {
-            case 0 -> Ending.FULFILLED;
-            case 8 -> Ending.REJECTED;
-            case 4 -> Ending.TIMED_OUT;
-            case 14 -> Ending.NOT_CONNECTED;
-            case 10 -> Ending.DROPPED;
-            case 1 -> Ending.CANCELLED;
-            case 9 -> Ending.MOOT;
-            default -> Ending.ERROR;
+            case 0 -> Outcome.FULFILLED;
+            case 8 -> Outcome.REJECTED;
+            case 4 -> Outcome.TIMED_OUT;
+            case 14 -> Outcome.NOT_CONNECTED;
+            case 10 -> Outcome.DROPPED;
+            case 1 -> Outcome.CANCELLED;
+            case 9 -> Outcome.MOOT;
+            default -> Outcome.ERROR;
         };
     }
 
     private static LoadReport report(Fields event) {
-        return DeploymentTerms.report(event.text("metrics", ""), ':');
+        return DeploymentParser.report(event.text("metrics", ""), ':');
     }
 
     private StringBuilder write(String verb) {
--- a/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
@@ -34,10 +34,10 @@
     private final Loop loop;
     private final Send send;
     private Supplier<String> others = () -> "";
-    private Consumer<List<Host.Listing>> alsoListed = any -> {};
+    private Consumer<List<SchedulerHost.ReplicaEntry>> alsoListed = any -> {};
 
     Chain(
-            Host.Deployment given,
+            SchedulerHost.Deployment given,
             Limits limits,
             long seed,
             Loop loop,
@@ -54,11 +54,11 @@
         book.tells(route);
         Admit admit = new Admit(limits, loop, queries, counters, route, relay);
         double goal = given.grades().stream()
-                .mapToDouble(Host.GradeTerms::latencyGoal)
+                .mapToDouble(SchedulerHost.ServiceClassConfig::latencyGoal)
                 .min()
                 .orElse(1);
         double value = given.grades().stream()
-                .mapToDouble(Host.GradeTerms::value)
+                .mapToDouble(SchedulerHost.ServiceClassConfig::value)
                 .max()
                 .orElse(1);
         Pressure pressure = new Pressure(
@@ -73,12 +73,12 @@
     }
 
     /** News of the list: the decisions are told, and what waits for a searcher that takes nothing new goes back. */
-    void list(ListText.Piece piece, Host.ListForm form) {
-        if (form != Host.ListForm.CHANGES) {
+    void list(ListText.Piece piece, SchedulerHost.ListUpdateKind form) {
+        if (form != SchedulerHost.ListUpdateKind.CHANGES) {
             searchers.allGone();
         }
         for (int each = 0; each < piece.listings().size(); each++) {
-            Host.Listing entry = piece.listings().get(each);
+            SchedulerHost.ReplicaEntry entry = piece.listings().get(each);
             if (searchers.listed(entry, piece.addresses().get(each))) {
                 send.leaves(entry.replica(), "address changed");
             }
@@ -108,7 +108,7 @@
     }
 
     /** Is handed each piece of the list that came, after the decisions. */
-    void listener(Consumer<List<Host.Listing>> to) {
+    void listener(Consumer<List<SchedulerHost.ReplicaEntry>> to) {
         alsoListed = to;
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 import java.util.function.IntConsumer;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.registry.KeptCodec;
@@ -30,7 +30,7 @@
     private final Loop loop;
     private final Log log;
     private final OperatorFile.Registry given;
-    private final BiConsumer<ListText.Piece, Host.ListForm> news;
+    private final BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> news;
     private final RegistryView view;
     private final RegistrySession session;
     private final RegistryWire wire;
@@ -44,7 +44,7 @@
             StartOrders orders,
             Loop loop,
             Log log,
-            BiConsumer<ListText.Piece, Host.ListForm> news,
+            BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> news,
             IntConsumer mixers) {
         this.given = given;
         this.loop = loop;
@@ -93,7 +93,7 @@
                     Integer.toString(view.stores().size()),
                     "revision",
                     Long.toString(view.revision()));
-            news.accept(piece(view.stores(), true), Host.ListForm.CACHED);
+            news.accept(piece(view.stores(), true), SchedulerHost.ListUpdateKind.CACHED);
         }
         wire.follow(session);
         if (members != null) {
@@ -202,7 +202,9 @@
                         Long.toString(step.revision())));
         Collection<Store> told = step.whole() ? view.stores() : step.changed();
         if (step.whole() || !step.changed().isEmpty()) {
-            news.accept(piece(told, step.whole()), step.whole() ? Host.ListForm.WHOLE : Host.ListForm.CHANGES);
+            news.accept(
+                    piece(told, step.whole()),
+                    step.whole() ? SchedulerHost.ListUpdateKind.WHOLE : SchedulerHost.ListUpdateKind.CHANGES);
         }
         if (step.whole()) {
             log.say(
@@ -227,7 +229,7 @@
     }
 
     private ListText.Piece piece(Collection<Store> stores, boolean whole) {
-        List<Host.Listing> listings = new ArrayList<>(stores.size());
+        List<SchedulerHost.ReplicaEntry> listings = new ArrayList<>(stores.size());
         List<InetSocketAddress> addresses = new ArrayList<>(stores.size());
         for (Store each : stores) {
             try {
@@ -236,11 +238,13 @@
             } catch (IllegalArgumentException odd) {
                 // Danger: passing it over would also pass over its drain, and new parts would go to the old address.
                 addresses.add(null);
-                listings.add(new Host.Listing(
+                listings.add(new SchedulerHost.ReplicaEntry(
                         each.id(),
                         each.cell(),
                         each.zone(),
-                        each.stage() == Host.Stage.READY ? Host.Stage.GONE : each.stage(),
+                        each.stage() == SchedulerHost.LifecycleState.READY
+                                ? SchedulerHost.LifecycleState.GONE
+                                : each.stage(),
                         each.startedAt()));
                 log.say(
                         Log.Level.WARNING,
--- a/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
@@ -10,7 +10,7 @@
 import org.xnio.ChannelPipe;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
@@ -27,7 +27,7 @@
     /** Few, since each pipe takes four descriptors. */
     private static final int CELLS = 4;
 
-    private final Host.Deployment given;
+    private final SchedulerHost.Deployment given;
     private final Limits limits;
     private final Loop loop;
     private final Log log;
@@ -50,13 +50,14 @@
 
     void start() {
         startedAt = loop.now();
-        List<Host.Listing> listings = new ArrayList<>();
+        List<SchedulerHost.ReplicaEntry> listings = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int cell = 0; cell < Math.min(CELLS, given.cells()); cell++) {
-            listings.add(new Host.Listing("r-" + cell, cell, given.zone(), Host.Stage.READY, 0));
+            listings.add(new SchedulerHost.ReplicaEntry(
+                    "r-" + cell, cell, given.zone(), SchedulerHost.LifecycleState.READY, 0));
             addresses.add(InetSocketAddress.createUnresolved("pipe", 1 + cell));
         }
-        chain.list(new ListText.Piece(1, true, listings, addresses), Host.ListForm.CACHED);
+        chain.list(new ListText.Piece(1, true, listings, addresses), SchedulerHost.ListUpdateKind.CACHED);
         try {
             client = pipe(chain.door::handleEvent);
         } catch (IOException none) {
@@ -89,7 +90,8 @@
     }
 
     private void ask() {
-        Host.GradeTerms grade = given.grades().get(asked++ % given.grades().size());
+        SchedulerHost.ServiceClassConfig grade =
+                given.grades().get(asked++ % given.grades().size());
         StringBuilder body = new StringBuilder("{\"slices\":[");
         int parts = Math.min(Math.min(CELLS, given.cells()), limits.shards());
         for (int part = 0; part < parts; part++) {
--- a/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
@@ -12,7 +12,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.fleet.FleetTerms;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
@@ -138,7 +138,7 @@
      * Harm: a start beside an agent that says nothing takes two tries longer.
      */
     private void followPlatform() {
-        chain.list(orders.known(), Host.ListForm.CACHED);
+        chain.list(orders.known(), SchedulerHost.ListUpdateKind.CACHED);
         watch = new ListWatch(
                 orders.discovery(),
                 loop,
@@ -147,12 +147,14 @@
                 buffers,
                 orders.known().revision(),
                 piece -> {
-                    chain.list(piece, piece.whole() ? Host.ListForm.WHOLE : Host.ListForm.CHANGES);
+                    chain.list(
+                            piece,
+                            piece.whole() ? SchedulerHost.ListUpdateKind.WHOLE : SchedulerHost.ListUpdateKind.CHANGES);
                     serveByList();
                 },
                 () -> {
                     if (orders.deployment().mustAsk()) {
-                        chain.route.list(Host.ListForm.FAILED, List.of());
+                        chain.route.list(SchedulerHost.ListUpdateKind.FAILED, List.of());
                     }
                     if (watch.mayServeUnproven() && !orders.known().listings().isEmpty()) {
                         serveByList();
--- a/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
@@ -11,8 +11,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pinewick.core.DeploymentTerms;
-import pinewick.core.Host;
+import pinewick.core.DeploymentParser;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.wire.ListText;
 
@@ -23,7 +23,7 @@
         InetSocketAddress discovery,
         long seed,
         Limits limits,
-        Host.Deployment deployment,
+        SchedulerHost.Deployment deployment,
         ListText.Piece known,
         Peers peers) {
 
@@ -95,10 +95,10 @@
             throw new IllegalArgumentException("EDGE_CONFIG: field settings is missing or no object");
         }
         Limits limits;
-        Host.Deployment deployment;
+        SchedulerHost.Deployment deployment;
         try {
             limits = Limits.of(all);
-            deployment = DeploymentTerms.read(all.getAsJsonObject("settings"));
+            deployment = DeploymentParser.read(all.getAsJsonObject("settings"));
         } catch (RuntimeException wrong) {
             throw new IllegalArgumentException("EDGE_CONFIG: field settings or limits: " + wrong.getMessage());
         }
--- a/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.IntPredicate;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.fleet.state.Fact;
 import pinewick.fleet.state.FactKind;
 import pinewick.fleet.state.SnapshotText;
@@ -112,16 +112,17 @@
     }
 
     /** Searchers that a list named, be it an old one. */
-    void knows(List<Host.Listing> listings) {
+    void knows(List<SchedulerHost.ReplicaEntry> listings) {
         listings.forEach(each -> key(each.replica()));
     }
 
     /** What the list says; those that leave are told to the others, whose own list may come later. */
-    void list(List<Host.Listing> listings) {
-        for (Host.Listing each : listings) {
+    void list(List<SchedulerHost.ReplicaEntry> listings) {
+        for (SchedulerHost.ReplicaEntry each : listings) {
             int key = key(each.replica());
-            if (each.stage() != Host.Stage.READY && !mixedUp.contains(key)) {
-                state.saw(loop.now(), key, FactKind.LEAVES, each.stage() == Host.Stage.GONE ? 2 : 1, 0);
+            if (each.stage() != SchedulerHost.LifecycleState.READY && !mixedUp.contains(key)) {
+                state.saw(
+                        loop.now(), key, FactKind.LEAVES, each.stage() == SchedulerHost.LifecycleState.GONE ? 2 : 1, 0);
             }
         }
     }
--- a/query-mixer/daemon/src/main/java/pinewick/memory/Searchers.java
+++ b/query-mixer/daemon/src/main/java/pinewick/memory/Searchers.java
@@ -5,17 +5,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 
 /** Where searchers listen, whether they take new parts, and the connections that lead there. */
 public final class Searchers {
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final Map<String, Host.Stage> stages = new LinkedHashMap<>();
+    private final Map<String, SchedulerHost.LifecycleState> stages = new LinkedHashMap<>();
     private final Map<String, List<Carrier>> links = new LinkedHashMap<>();
     private int open;
 
     /** True where the address has changed. */
-    public boolean listed(Host.Listing entry, InetSocketAddress address) {
+    public boolean listed(SchedulerHost.ReplicaEntry entry, InetSocketAddress address) {
         stages.put(entry.replica(), entry.stage());
         if (address == null) {
             return false;
@@ -26,18 +26,18 @@
 
     /** A whole list has come: what it does not name is gone. */
     public void allGone() {
-        stages.replaceAll((id, stage) -> Host.Stage.GONE);
+        stages.replaceAll((id, stage) -> SchedulerHost.LifecycleState.GONE);
     }
 
     public boolean takesNew(String id) {
-        return stages.get(id) == Host.Stage.READY;
+        return stages.get(id) == SchedulerHost.LifecycleState.READY;
     }
 
     /** Forgets searchers that are gone and have no connection left. */
     public void prune() {
         stages.entrySet().removeIf(each -> {
-            boolean done =
-                    each.getValue() == Host.Stage.GONE && links(each.getKey()).isEmpty();
+            boolean done = each.getValue() == SchedulerHost.LifecycleState.GONE
+                    && links(each.getKey()).isEmpty();
             if (done) {
                 addresses.remove(each.getKey());
                 links.remove(each.getKey());
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Locale;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.memory.Counters;
@@ -40,7 +40,7 @@
     }
 
     /** A launch is over, once. */
-    void ended(LiveLaunch launch, Host.Ending ending, Host.LoadReport report) {
+    void ended(LiveLaunch launch, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
         if (launch.over) {
             return;
         }
@@ -79,35 +79,35 @@
         }
     }
 
-    void probeEnded(String searcher, Host.Ending ending, Host.LoadReport report) {
+    void probeEnded(String searcher, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
         counters.add("probe-" + ending.name().toLowerCase(Locale.ROOT));
         route.probed(searcher, ending, report);
     }
 
     @Override
-    public void answered(LiveLaunch launch, char end, Host.LoadReport report, byte[] value) {
+    public void answered(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value) {
         if (end == 'S' && launch.piece.value == null) {
             launch.piece.value = value;
         }
         ended(
                 launch,
                 switch (end) {
-                    case 'S' -> Host.Ending.FULFILLED;
-                    case 'B' -> Host.Ending.REJECTED;
-                    default -> Host.Ending.ERROR;
+                    case 'S' -> SchedulerHost.Outcome.FULFILLED;
+                    case 'B' -> SchedulerHost.Outcome.REJECTED;
+                    default -> SchedulerHost.Outcome.ERROR;
                 },
                 report);
     }
 
     @Override
-    public void probed(String searcher, long probe, boolean good, Host.LoadReport report) {
-        send.probeEnds(probe, good ? Host.Ending.FULFILLED : Host.Ending.ERROR, report);
+    public void probed(String searcher, long probe, boolean good, SchedulerHost.LoadReport report) {
+        send.probeEnds(probe, good ? SchedulerHost.Outcome.FULFILLED : SchedulerHost.Outcome.ERROR, report);
     }
 
     @Override
     public void spoilt(SearcherLink link, String why, LiveLaunch launch) {
         counters.add("spoilt-answers");
-        link.waiting().forEach(each -> send.takeBack(each, Host.Ending.MOOT));
+        link.waiting().forEach(each -> send.takeBack(each, SchedulerHost.Outcome.MOOT));
         log.say(
                 Log.Level.WARNING,
                 "searchers",
@@ -115,7 +115,7 @@
                 "searcher",
                 link.searcher());
         if (launch != null) {
-            ended(launch, Host.Ending.ERROR, null);
+            ended(launch, SchedulerHost.Outcome.ERROR, null);
         }
     }
 
@@ -126,7 +126,7 @@
 
     @Override
     public void unsent(List<LiveLaunch> launches) {
-        launches.forEach(each -> loop.guarded("a launch unsent", () -> ended(each, Host.Ending.MOOT, null)));
+        launches.forEach(each -> loop.guarded("a launch unsent", () -> ended(each, SchedulerHost.Outcome.MOOT, null)));
     }
 
     @Override
@@ -140,8 +140,8 @@
                     "searcher",
                     link.searcher());
         }
-        launches.forEach(
-                each -> loop.guarded("a launch not connected", () -> ended(each, Host.Ending.NOT_CONNECTED, null)));
+        launches.forEach(each ->
+                loop.guarded("a launch not connected", () -> ended(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
     }
 
     @Override
@@ -157,8 +157,9 @@
                     "searcher",
                     link.searcher());
         }
-        never.forEach(
-                each -> loop.guarded("a launch not connected", () -> ended(each, Host.Ending.NOT_CONNECTED, null)));
-        perhaps.forEach(each -> loop.guarded("a launch dropped", () -> ended(each, Host.Ending.DROPPED, null)));
+        never.forEach(each ->
+                loop.guarded("a launch not connected", () -> ended(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
+        perhaps.forEach(
+                each -> loop.guarded("a launch dropped", () -> ended(each, SchedulerHost.Outcome.DROPPED, null)));
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
@@ -1,7 +1,7 @@
 package pinewick.stages;
 
 import java.nio.charset.StandardCharsets;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Loop;
 import pinewick.memory.Counters;
 import pinewick.memory.LiveLaunch;
@@ -76,7 +76,7 @@
         });
         for (OpenQuery.Piece piece : query.pieces.values()) {
             for (LiveLaunch launch : piece.launches) {
-                send.takeBack(launch, Host.Ending.MOOT);
+                send.takeBack(launch, SchedulerHost.Outcome.MOOT);
             }
         }
         return true;
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Route.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Route.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import pinewick.core.Host;
-import pinewick.core.Logic;
+import pinewick.core.QueryScheduler;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.memory.Counters;
@@ -12,19 +12,19 @@
 import pinewick.memory.OpenQuery;
 
 /** Third stage: hands events to the decisions and passes on what they ask for. It decides nothing itself. */
-public final class Route implements Host {
+public final class Route implements SchedulerHost {
     private final Loop loop;
     private final Log log;
     private final OpenQueries queries;
     private final Counters counters;
     private final Send send;
     private final Relay relay;
-    private final Logic logic;
+    private final QueryScheduler logic;
     private Others others = new Others() {};
     private boolean over;
 
     public Route(
-            Host.Deployment given,
+            SchedulerHost.Deployment given,
             long seed,
             Loop loop,
             Log log,
@@ -38,7 +38,7 @@
         this.counters = counters;
         this.send = send;
         this.relay = relay;
-        logic = new Logic(this, given, new SplittableRandom(seed));
+        logic = new QueryScheduler(this, given, new SplittableRandom(seed));
     }
 
     /** What the other mixers see; without them, nothing. */
@@ -73,11 +73,11 @@
         }
     }
 
-    public void list(Host.ListForm form, List<Host.Listing> entries) {
+    public void list(SchedulerHost.ListUpdateKind form, List<SchedulerHost.ReplicaEntry> entries) {
         logic.list(form, entries);
     }
 
-    public void probed(String searcher, Host.Ending ending, Host.LoadReport report) {
+    public void probed(String searcher, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
         logic.probed(searcher, ending, report);
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
 import pinewick.memory.Call;
@@ -19,7 +19,7 @@
 
 /** Fourth stage: what one batch launches to a searcher goes out together, over a connection with a place. */
 public final class Send {
-    private final Host.Deployment given;
+    private final SchedulerHost.Deployment given;
     private final Loop loop;
     private final Limits limits;
     private final Counters counters;
@@ -33,7 +33,7 @@
     private Book book;
 
     public Send(
-            Host.Deployment given,
+            SchedulerHost.Deployment given,
             Loop loop,
             Limits limits,
             Counters counters,
@@ -80,7 +80,7 @@
             boolean told = !searchers.takesNew(searcher);
             Carrier link = told ? null : link(searcher);
             if (link == null) {
-                Host.Ending ending = told ? Host.Ending.MOOT : Host.Ending.NOT_CONNECTED;
+                SchedulerHost.Outcome ending = told ? SchedulerHost.Outcome.MOOT : SchedulerHost.Outcome.NOT_CONNECTED;
                 List.copyOf(call).forEach(each -> endLater(each, ending));
                 continue;
             }
@@ -99,8 +99,8 @@
      * searcher that does not read. Harm: none, the decisions may launch it no more either.
      */
     private void writeInWindow(LiveLaunch launch) {
-        Host.GradeTerms grade = given.grades().get(launch.piece.query.grade);
-        if (grade.repeat() == Host.Repeat.DEDUPLICATED && launch.number > 0) {
+        SchedulerHost.ServiceClassConfig grade = given.grades().get(launch.piece.query.grade);
+        if (grade.repeat() == SchedulerHost.RetrySafety.DEDUPLICATED && launch.number > 0) {
             launch.piece.launches.stream()
                     .filter(each -> each != launch && !each.neverRan)
                     .findFirst()
@@ -109,7 +109,7 @@
                         loop.after(
                                 launch.writeBy - loop.clock(),
                                 "the end of a window",
-                                () -> takeBack(launch, Host.Ending.MOOT));
+                                () -> takeBack(launch, SchedulerHost.Outcome.MOOT));
                     });
         }
     }
@@ -131,7 +131,7 @@
             lookAtList.run();
         }
         if (!launch.over && !query.ended && (now >= launch.writeBy || !searchers.takesNew(launch.searcher))) {
-            takeBack(launch, Host.Ending.MOOT);
+            takeBack(launch, SchedulerHost.Outcome.MOOT);
             return false;
         }
         return !launch.over && !query.ended;
@@ -182,10 +182,10 @@
             }
             boolean tell = given.mayCancel() && !given.mayOverlap();
             call.link.drop(launch, tell);
-            book.ended(launch, Host.Ending.TIMED_OUT, null);
+            book.ended(launch, SchedulerHost.Outcome.TIMED_OUT, null);
         } else {
             call.link.drop(launch, false);
-            book.ended(launch, Host.Ending.NOT_CONNECTED, null);
+            book.ended(launch, SchedulerHost.Outcome.NOT_CONNECTED, null);
         }
     }
 
@@ -194,12 +194,12 @@
             if (launch.call != null) {
                 launch.call.link.drop(launch, given.mayCancel());
             }
-            endLater(launch, Host.Ending.CANCELLED);
+            endLater(launch, SchedulerHost.Outcome.CANCELLED);
         }
     }
 
     /** Takes back what has not been written yet; it never ran. */
-    public void takeBack(LiveLaunch launch, Host.Ending ending) {
+    public void takeBack(LiveLaunch launch, SchedulerHost.Outcome ending) {
         if (!launch.over && launch.waits()) {
             if (launch.call != null) {
                 launch.call.link.drop(launch, false);
@@ -214,13 +214,13 @@
     public void leaves(String searcher, String why) {
         for (Carrier link : List.copyOf(searchers.links(searcher))) {
             for (LiveLaunch launch : link.waiting()) {
-                takeBack(launch, Host.Ending.MOOT);
+                takeBack(launch, SchedulerHost.Outcome.MOOT);
             }
             link.retire(why);
         }
     }
 
-    private void endLater(LiveLaunch launch, Host.Ending ending) {
+    private void endLater(LiveLaunch launch, SchedulerHost.Outcome ending) {
         loop.later("a launch's end", () -> book.ended(launch, ending, null));
     }
 
@@ -231,17 +231,19 @@
         loop.later("probing", () -> {
             Carrier link = searchers.takesNew(searcher) ? link(searcher) : null;
             if (link == null) {
-                probeEnds(number, Host.Ending.NOT_CONNECTED, null);
+                probeEnds(number, SchedulerHost.Outcome.NOT_CONNECTED, null);
                 return;
             }
             loop.timeOut(
-                    limits.probeWait(), "a probe's time-out", () -> probeEnds(number, Host.Ending.TIMED_OUT, null));
+                    limits.probeWait(),
+                    "a probe's time-out",
+                    () -> probeEnds(number, SchedulerHost.Outcome.TIMED_OUT, null));
             link.probe(number, true);
         });
     }
 
     /** A probe ends once. */
-    void probeEnds(long number, Host.Ending ending, Host.LoadReport report) {
+    void probeEnds(long number, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
         String searcher = probes.remove(number);
         if (searcher != null) {
             book.probeEnded(searcher, ending, report);
--- a/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
@@ -5,7 +5,7 @@
 import io.undertow.util.HttpString;
 import java.util.HashMap;
 import java.util.Map;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
 import pinewick.loop.Pressure;
@@ -22,7 +22,7 @@
     private static final HttpString KEY = new HttpString("Idempotency-Key");
     private static final HttpString RETRY = new HttpString("Req-Retry");
 
-    private final Host.Deployment given;
+    private final SchedulerHost.Deployment given;
     private final Limits limits;
     private final Counters counters;
     private final Admit admit;
@@ -33,7 +33,7 @@
     private final Map<String, Integer> gradeRows = new HashMap<>();
 
     public TakeIn(
-            Host.Deployment given,
+            SchedulerHost.Deployment given,
             Limits limits,
             Counters counters,
             Admit admit,
@@ -60,7 +60,7 @@
         wrongIf(!wait.matches("[0-9]+(\\.[0-9]*)?|\\.[0-9]+"), "time: Req-Deadline is no number");
         double ttl = Double.parseDouble(wait);
         wrongIf(!(ttl > 0 && ttl <= limits.longestWait()), "time: Req-Deadline out of bounds");
-        boolean keyed = given.grades().get(grade).repeat() == Host.Repeat.DEDUPLICATED;
+        boolean keyed = given.grades().get(grade).repeat() == SchedulerHost.RetrySafety.DEDUPLICATED;
         String key = keyed ? header(headers, KEY) : null;
         OpenQuery query = new OpenQuery(id, grade, ttl, key, asker);
         query.seenAt = loop.now();
--- a/query-mixer/daemon/src/main/java/pinewick/wire/AnswerFrame.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/AnswerFrame.java
@@ -2,8 +2,8 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import pinewick.core.DeploymentTerms;
-import pinewick.core.Host;
+import pinewick.core.DeploymentParser;
+import pinewick.core.SchedulerHost;
 
 /**
  * An answer as a searcher sends it: a line with the part, how it ended, a number and a load report, and then the value.
@@ -13,7 +13,7 @@
  * @param end the letter that says how it ended
  * @param report the searcher's load; null where it can't be read
  */
-record AnswerFrame(String part, boolean wellFormed, char end, Host.LoadReport report, byte[] value) {
+record AnswerFrame(String part, boolean wellFormed, char end, SchedulerHost.LoadReport report, byte[] value) {
     private static final int WORDS = 4;
     private static final int MOST_WORDS = 5;
     private static final String ENDS = "SEB";
@@ -50,9 +50,9 @@
     }
 
     /** Danger: an answer would be lost for a report that can't be read. It counts as none. */
-    static Host.LoadReport report(String text) {
+    static SchedulerHost.LoadReport report(String text) {
         try {
-            return DeploymentTerms.report(text, '=');
+            return DeploymentParser.report(text, '=');
         } catch (RuntimeException unreadable) {
             return null;
         }
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ListText.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/ListText.java
@@ -8,13 +8,17 @@
 import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 
 /** Discovery's form of the list of searchers. */
 public final class ListText {
     /** A piece of the list; each entry's address stands at the same place as its listing. */
-    public record Piece(long revision, boolean whole, List<Host.Listing> listings, List<InetSocketAddress> addresses) {
-        public Piece(long revision, boolean whole, List<Host.Listing> none) {
+    public record Piece(
+            long revision,
+            boolean whole,
+            List<SchedulerHost.ReplicaEntry> listings,
+            List<InetSocketAddress> addresses) {
+        public Piece(long revision, boolean whole, List<SchedulerHost.ReplicaEntry> none) {
             this(revision, whole, none, List.of());
         }
     }
@@ -27,15 +31,15 @@
     }
 
     public static Piece read(JsonObject piece) {
-        List<Host.Listing> listings = new ArrayList<>();
+        List<SchedulerHost.ReplicaEntry> listings = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (JsonElement each : piece.getAsJsonArray("members")) {
             JsonObject member = each.getAsJsonObject();
-            Host.Stage stage =
+            SchedulerHost.LifecycleState stage =
                     switch (member.get("phase").getAsString()) {
-                        case "ready" -> Host.Stage.READY;
-                        case "draining" -> Host.Stage.DRAINING;
-                        case "gone" -> Host.Stage.GONE;
+                        case "ready" -> SchedulerHost.LifecycleState.READY;
+                        case "draining" -> SchedulerHost.LifecycleState.DRAINING;
+                        case "gone" -> SchedulerHost.LifecycleState.GONE;
                         default -> throw new IllegalArgumentException("phase " + member.get("phase"));
                     };
             double startedAt =
@@ -43,11 +47,11 @@
             String zone = member.has("locality") ? member.get("locality").getAsString() : "";
             boolean placed = member.has("host_port")
                     && !member.get("host_port").getAsString().isEmpty();
-            if (!placed && stage != Host.Stage.GONE) {
+            if (!placed && stage != SchedulerHost.LifecycleState.GONE) {
                 throw new IllegalArgumentException("host_port is missing");
             }
             addresses.add(placed ? address(member.get("host_port").getAsString()) : null);
-            listings.add(new Host.Listing(
+            listings.add(new SchedulerHost.ReplicaEntry(
                     member.get("id").getAsString(),
                     member.has("cell") ? member.get("cell").getAsInt() : 0,
                     zone,
--- a/query-mixer/daemon/src/main/java/pinewick/wire/SearcherLink.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/SearcherLink.java
@@ -14,7 +14,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
 import pinewick.memory.Call;
@@ -25,9 +25,9 @@
 public final class SearcherLink implements Carrier {
     /** What a link tells; every call is an event of its own on the loop. */
     public interface Events {
-        void answered(LiveLaunch launch, char end, Host.LoadReport report, byte[] value);
+        void answered(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value);
 
-        void probed(String searcher, long probe, boolean good, Host.LoadReport report);
+        void probed(String searcher, long probe, boolean good, SchedulerHost.LoadReport report);
 
         /** Something came that is no answer; the launch that it ends, null where there is none to be told. */
         void spoilt(SearcherLink link, String why, LiveLaunch launch);
--- a/query-mixer/daemon/src/test/java/pinewick/life/LaunchCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/life/LaunchCrossingTest.java
@@ -31,8 +31,8 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
-import pinewick.core.DeploymentTerms;
-import pinewick.core.Host;
+import pinewick.core.DeploymentParser;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
@@ -87,14 +87,14 @@
         JsonObject settings = JsonParser.parseString(SETTINGS).getAsJsonObject();
         onLoop(() -> {
             chain = new Chain(
-                    DeploymentTerms.read(settings.getAsJsonObject("settings")),
+                    DeploymentParser.read(settings.getAsJsonObject("settings")),
                     Limits.of(settings),
                     7,
                     loop,
                     log,
                     new DefaultByteBufferPool(true, 8 << 10, 16, 4),
                     SearcherLink::dial);
-            chain.list(list(Host.Stage.READY), Host.ListForm.WHOLE);
+            chain.list(list(SchedulerHost.LifecycleState.READY), SchedulerHost.ListUpdateKind.WHOLE);
             door = worker.createStreamConnectionServer(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                     ChannelListeners.openListenerAdapter(chain.door),
@@ -110,11 +110,11 @@
         worker.shutdownNow();
     }
 
-    private ListText.Piece list(Host.Stage stage) {
+    private ListText.Piece list(SchedulerHost.LifecycleState stage) {
         return new ListText.Piece(
                 1,
                 true,
-                List.of(new Host.Listing("a", 0, "", stage, 0)),
+                List.of(new SchedulerHost.ReplicaEntry("a", 0, "", stage, 0)),
                 List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), searcher.getLocalPort())));
     }
 
@@ -215,7 +215,8 @@
     void aDrainToldInTheBatchOfALaunchComesBeforeIt() throws Exception {
         try (Socket first = firstQuery();
                 Socket second = client()) {
-            beforeLaunches(() -> chain.list(list(Host.Stage.DRAINING), Host.ListForm.CHANGES));
+            beforeLaunches(() ->
+                    chain.list(list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.CHANGES));
             post(second, "second");
             assertEquals("HTTP/1.1 503", new String(second.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
             assertEquals(0, frames.size());
@@ -226,7 +227,8 @@
     void aDrainThatCameDuringALongBatchIsReadBeforeTheLaunch() throws Exception {
         try (Socket first = firstQuery();
                 Socket second = client()) {
-            chain.looksAtList(() -> chain.list(list(Host.Stage.DRAINING), Host.ListForm.CHANGES));
+            chain.looksAtList(() ->
+                    chain.list(list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.CHANGES));
             beforeLaunches(() -> assertNull(frames.poll(100, TimeUnit.MILLISECONDS)));
             post(second, "second");
             assertEquals("HTTP/1.1 503", new String(second.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
--- a/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
@@ -29,7 +29,7 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
@@ -53,12 +53,12 @@
     /** Writes down what the link tells, and books a launch's end as the last stage would. */
     private final class Told implements SearcherLink.Events {
         @Override
-        public void answered(LiveLaunch launch, char end, Host.LoadReport report, byte[] value) {
+        public void answered(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value) {
             ends(launch, "answered " + launch.piece.id);
         }
 
         @Override
-        public void probed(String from, long probe, boolean good, Host.LoadReport report) {}
+        public void probed(String from, long probe, boolean good, SchedulerHost.LoadReport report) {}
 
         @Override
         public void spoilt(SearcherLink from, String why, LiveLaunch launch) {
--- a/query-mixer/registry/src/main/java/pinewick/registry/RegistryView.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/RegistryView.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 
 /**
  * The searchers under one prefix at one revision. No I/O. A view that is read anew goes into force only when whole, in
@@ -113,21 +113,22 @@
         int vanished = 0;
         for (Map.Entry<String, Row> each : before.entrySet()) {
             if (each.getValue().store != null && !next.containsKey(each.getKey())) {
-                changed.add(each.getValue().store.at(Host.Stage.GONE));
+                changed.add(each.getValue().store.at(SchedulerHost.LifecycleState.GONE));
                 vanished++;
             }
         }
         for (Map.Entry<String, Row> each : next.entrySet()) {
             Row row = each.getValue();
             Row old = before.get(each.getKey());
-            boolean drained = old != null && old.store != null && old.store.stage() == Host.Stage.DRAINING;
+            boolean drained =
+                    old != null && old.store != null && old.store.stage() == SchedulerHost.LifecycleState.DRAINING;
             if (row.store != null
-                    && row.store.stage() == Host.Stage.READY
+                    && row.store.stage() == SchedulerHost.LifecycleState.READY
                     && drained
                     && row.store.startedAt() <= old.store.startedAt()
                     && (restored || (old.distrusted && row.modRevision == old.modRevision))) {
                 row.distrusted = true;
-                row.store = row.store.at(Host.Stage.DRAINING);
+                row.store = row.store.at(SchedulerHost.LifecycleState.DRAINING);
             }
             if (row.store != null && (old == null || !row.store.equals(old.store))) {
                 changed.add(row.store);
@@ -181,7 +182,7 @@
             Store now = row == null ? null : row.store;
             Store then = stood.get(key);
             if (now == null && (then != null || left.containsKey(key))) {
-                changed.add((then != null ? then : left.get(key)).at(Host.Stage.GONE));
+                changed.add((then != null ? then : left.get(key)).at(SchedulerHost.LifecycleState.GONE));
                 vanished++;
             } else if (now != null && !now.equals(then)) {
                 changed.add(now);
@@ -208,7 +209,7 @@
         row.value = entry.value();
         row.lease = entry.lease();
         if (known != null && known.modRevision == entry.modRevision() && Arrays.equals(known.value, entry.value())) {
-            row.store = known.distrusted ? known.store.at(Host.Stage.READY) : known.store;
+            row.store = known.distrusted ? known.store.at(SchedulerHost.LifecycleState.READY) : known.store;
             into.put(entry.key(), row);
             return;
         }
--- a/query-mixer/registry/src/main/java/pinewick/registry/Store.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/Store.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 
 /**
  * One searcher as its key's value in the registry tells it: JSON with {@code addresses} (texts of host and port, the
@@ -16,14 +16,20 @@
  * @param startedAt seconds since 1970, 0 means long ago
  */
 public record Store(
-        String id, List<String> addresses, String zone, int cell, Host.Stage stage, double size, double startedAt) {
+        String id,
+        List<String> addresses,
+        String zone,
+        int cell,
+        SchedulerHost.LifecycleState stage,
+        double size,
+        double startedAt) {
 
     /** What the decisions are told of it. */
-    public Host.Listing listing() {
-        return new Host.Listing(id, cell, zone, stage, startedAt);
+    public SchedulerHost.ReplicaEntry listing() {
+        return new SchedulerHost.ReplicaEntry(id, cell, zone, stage, startedAt);
     }
 
-    Store at(Host.Stage other) {
+    Store at(SchedulerHost.LifecycleState other) {
         return new Store(id, addresses, zone, cell, other, size, startedAt);
     }
 
@@ -48,10 +54,10 @@
             throw new IllegalArgumentException("addresses: at least one is expected");
         }
         String phase = text(all, "phase", "ready");
-        Host.Stage stage =
+        SchedulerHost.LifecycleState stage =
                 switch (phase) {
-                    case "ready" -> Host.Stage.READY;
-                    case "draining" -> Host.Stage.DRAINING;
+                    case "ready" -> SchedulerHost.LifecycleState.READY;
+                    case "draining" -> SchedulerHost.LifecycleState.DRAINING;
                     default -> throw new IllegalArgumentException("phase: ready or draining is expected, not " + phase);
                 };
         if (!text(all, "id", id).equals(id)) {
--- a/query-mixer/registry/src/test/java/pinewick/registry/KeptCopyTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/KeptCopyTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 
 /** Stories of the kept copy: crashes at every byte, spoilt bytes, disks that fail. */
 class KeptCopyTest {
@@ -138,6 +138,8 @@
     void aKeptDrainStaysADrain() {
         RegistryView view = new RegistryView("s/");
         KeptCodec.into(KeptCodec.read(KeptCodec.whole(12, after(2).entries())), view);
-        assertEquals(Host.Stage.DRAINING, view.stores().iterator().next().stage());
+        assertEquals(
+                SchedulerHost.LifecycleState.DRAINING,
+                view.stores().iterator().next().stage());
     }
 }
--- a/query-mixer/registry/src/test/java/pinewick/registry/RegistrySessionTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/RegistrySessionTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pinewick.core.Host;
+import pinewick.core.SchedulerHost;
 
 /** Stories of a session and a registry that breaks, in virtual time. */
 class RegistrySessionTest {
@@ -45,7 +45,8 @@
         assertTrue(untilDrained(world, "s-3", 1) <= 0.06);
         Step last = world.steps.get(world.steps.size() - 1);
         assertEquals(1, last.changed().size());
-        assertEquals(Host.Stage.DRAINING, last.changed().get(0).stage());
+        assertEquals(
+                SchedulerHost.LifecycleState.DRAINING, last.changed().get(0).stage());
     }
 
     @Test
