--- a/query-mixer/core/src/main/java/pinewick/core/Attempt.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Attempt.java
@@ -1,17 +1,17 @@
 package pinewick.core;
 
-/** One launch of a part: where it went, when, and what became of it. */
+/** One attempt of a shard request: its replica, its times and its outcome. */
 final class Attempt {
     final Replica replica;
     final double sentAt;
     final double overdueAt;
-    /** Parts known to be in the replica's queue before this one. */
+    /** Shard requests known to be ahead of this one in the queue of the replica. */
     final double queuedAhead;
 
-    boolean over;
+    boolean finished;
     boolean neverRan;
-    /** Whether it was still outstanding when the part was launched again. */
-    boolean outstandingAtNext;
+    /** Whether it was still outstanding when the next attempt was sent. */
+    boolean outstandingAtRetry;
 
     boolean cancelled;
 
--- a/query-mixer/core/src/main/java/pinewick/core/DeploymentParser.java
+++ b/query-mixer/core/src/main/java/pinewick/core/DeploymentParser.java
@@ -9,57 +9,57 @@
 import java.util.List;
 
 /**
- * Reads the settings that open a router, and load reports, for every front end; unknown keys are skipped, absent
- * ones mean "not limited".
+ * Parses the configuration of a deployment, and load reports, for every front end. Unknown keys are ignored; an absent
+ * key means no limit.
  */
 public final class DeploymentParser {
     private DeploymentParser() {}
 
-    public static SchedulerHost.Deployment read(String text) {
+    public static SchedulerHost.Deployment parse(String text) {
         try {
-            return read(JsonParser.parseString(text).getAsJsonObject());
+            return parse(JsonParser.parseString(text).getAsJsonObject());
         } catch (JsonSyntaxException | IllegalStateException wrong) {
             throw new IllegalArgumentException("config is not an object: " + wrong.getMessage());
         }
     }
 
-    public static SchedulerHost.Deployment read(JsonObject all) {
+    public static SchedulerHost.Deployment parse(JsonObject all) {
         JsonObject bounds = object(all, "bounds");
         JsonObject family = object(all, "family-info");
         JsonObject rules = object(all, "rules");
-        List<SchedulerHost.ServiceClassConfig> grades = new ArrayList<>();
+        List<SchedulerHost.ServiceClassConfig> serviceClasses = new ArrayList<>();
         for (JsonElement each : array(all, "categories")) {
-            JsonObject grade = each.getAsJsonObject();
-            int row = grades.size();
-            SchedulerHost.RetrySafety repeat =
-                    switch (text(grade, "effect", "fragile")) {
+            JsonObject serviceClass = each.getAsJsonObject();
+            int row = serviceClasses.size();
+            SchedulerHost.RetrySafety retrySafety =
+                    switch (text(serviceClass, "effect", "fragile")) {
                         case "retryable" -> SchedulerHost.RetrySafety.IDEMPOTENT;
                         case "dedup" -> SchedulerHost.RetrySafety.DEDUPLICATED;
-                        default -> SchedulerHost.RetrySafety.UNREPEATABLE;
+                        default -> SchedulerHost.RetrySafety.UNSAFE;
                     };
-            double hardStop = seconds(grade, "hard-limit-ns", Double.POSITIVE_INFINITY);
-            grades.add(new SchedulerHost.ServiceClassConfig(
-                    text(grade, "name", ""),
-                    seconds(grade, "slo-ns", hardStop),
-                    number(grade, "aim-stretch", 0),
-                    hardStop,
-                    number(grade, "worth", 1),
-                    number(grade, "late-worth", 0),
-                    repeat,
-                    seconds(grade, "dedup-window-ns", 0),
+            double hardDeadlineSeconds = seconds(serviceClass, "hard-limit-ns", Double.POSITIVE_INFINITY);
+            serviceClasses.add(new SchedulerHost.ServiceClassConfig(
+                    text(serviceClass, "name", ""),
+                    seconds(serviceClass, "slo-ns", hardDeadlineSeconds),
+                    number(serviceClass, "aim-stretch", 0),
+                    hardDeadlineSeconds,
+                    number(serviceClass, "worth", 1),
+                    number(serviceClass, "late-worth", 0),
+                    retrySafety,
+                    seconds(serviceClass, "dedup-window-ns", 0),
                     item(family, "class-floor", row, 1),
                     item(family, "complete-from", row, 1),
                     item(family, "incomplete-worth", row, 0),
                     (int) item(family, "class-fetch", row, 0)));
         }
-        boolean rationed = number(rules, "repeat-ratio", 0) > 0 || rules.has("free-resends");
-        SchedulerHost.SchedulingRules terms = new SchedulerHost.SchedulingRules(
+        boolean hasRetryBudget = number(rules, "repeat-ratio", 0) > 0 || rules.has("free-resends");
+        SchedulerHost.SchedulingRules schedulingRules = new SchedulerHost.SchedulingRules(
                 seconds(rules, "drain-grace-ns", 0),
                 number(rules, "cold-from", 1),
                 seconds(rules, "cold-ns", 0),
                 number(rules, "overload-factor", 1),
                 seconds(rules, "fall-ns", 0),
-                rationed ? number(rules, "free-resends", 0) : Double.POSITIVE_INFINITY,
+                hasRetryBudget ? number(rules, "free-resends", 0) : Double.POSITIVE_INFINITY,
                 number(rules, "repeat-ratio", 0),
                 seconds(rules, "extra-window-ns", 0),
                 seconds(rules, "ask-within-ns", Double.POSITIVE_INFINITY));
@@ -67,14 +67,14 @@
                 (int) number(all, "instances", 1),
                 text(all, "locality", ""),
                 seconds(all, "granularity-ns", 0),
-                grades,
-                terms,
+                serviceClasses,
+                schedulingRules,
                 text(all, "registry-mode", "automatic").equals("subscribe"),
-                yes(bounds, "probing"),
-                yes(bounds, "may-cancel"),
-                yes(bounds, "parallel-tries"),
-                yes(bounds, "retry-after"),
-                yes(object(all, "clients"), "marks-retry"),
+                flag(bounds, "probing"),
+                flag(bounds, "may-cancel"),
+                flag(bounds, "parallel-tries"),
+                flag(bounds, "retry-after"),
+                flag(object(all, "clients"), "marks-retry"),
                 seconds(bounds, "max-retry-after-ns", 0),
                 (int) number(bounds, "try-limit", 1),
                 (int) number(family, "cells", 1),
@@ -91,24 +91,24 @@
         return from.has(key) && from.get(key).isJsonArray() ? from.getAsJsonArray(key) : new JsonArray();
     }
 
-    private static boolean given(JsonObject from, String key) {
+    private static boolean isPresent(JsonObject from, String key) {
         return from.has(key) && !from.get(key).isJsonNull();
     }
 
     private static String text(JsonObject from, String key, String absent) {
-        return given(from, key) ? from.get(key).getAsString() : absent;
+        return isPresent(from, key) ? from.get(key).getAsString() : absent;
     }
 
     private static double number(JsonObject from, String key, double absent) {
-        return given(from, key) ? from.get(key).getAsDouble() : absent;
+        return isPresent(from, key) ? from.get(key).getAsDouble() : absent;
     }
 
     private static double seconds(JsonObject from, String key, double absent) {
-        return given(from, key) ? from.get(key).getAsDouble() / 1e9 : absent;
+        return isPresent(from, key) ? from.get(key).getAsDouble() / 1e9 : absent;
     }
 
-    private static boolean yes(JsonObject from, String key) {
-        return given(from, key) && from.get(key).getAsBoolean();
+    private static boolean flag(JsonObject from, String key) {
+        return isPresent(from, key) && from.get(key).getAsBoolean();
     }
 
     private static double item(JsonObject from, String key, int row, double absent) {
@@ -116,34 +116,37 @@
         return row < list.size() ? list.get(row).getAsDouble() : absent;
     }
 
-    /** A report of pairs set apart by commas; null where there is none. Both fronts' names are known. */
-    public static SchedulerHost.LoadReport report(String text, char between) {
+    /**
+     * Parses a load report of comma-separated pairs; null if there is none or a value is not a finite amount. The
+     * key names of both front ends are accepted. Throws IllegalArgumentException for a pair without the separator.
+     */
+    public static SchedulerHost.LoadReport parseLoadReport(String text, char separator) {
         if (text.isEmpty() || text.equals("-")) {
             return null;
         }
         double pending = Double.NaN;
         double inFlight = Double.NaN;
-        double busyShare = Double.NaN;
-        double servedRate = Double.NaN;
+        double utilization = Double.NaN;
+        double servedPerSecond = Double.NaN;
         for (String pair : text.split(",")) {
-            int middle = pair.indexOf(between);
+            int middle = pair.indexOf(separator);
             if (middle < 0) {
                 throw new IllegalArgumentException("report " + text);
             }
             double value = Double.parseDouble(pair.substring(middle + 1));
             if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-                return null; // no amount, so no report
+                return null; // not an amount: the report is discarded
             }
             switch (pair.substring(0, middle)) {
                 case "pending", "queue" -> pending = value;
                 case "busy_reqs", "inflight" -> inFlight = value;
-                case "cpu_share", "util" -> busyShare = value;
-                case "served_ps", "qps" -> servedRate = value;
+                case "cpu_share", "util" -> utilization = value;
+                case "served_ps", "qps" -> servedPerSecond = value;
                 default -> {
-                    // A value that no decision reads.
+                    // The scheduler does not use other values.
                 }
             }
         }
-        return new SchedulerHost.LoadReport(pending, inFlight, busyShare, servedRate);
+        return new SchedulerHost.LoadReport(pending, inFlight, utilization, servedPerSecond);
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/Placement.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Placement.java
@@ -4,104 +4,111 @@
 import java.util.List;
 import java.util.Map;
 
-/** Where parts go: starts queries, chooses a replica among the holders of a shard, and launches. */
+/** Places shard requests: starts queries, selects a replica among the holders of a shard, and sends attempts. */
 final class Placement {
-    // of what may lack; of the ready replicas
-    private static final double START_LACKS = 0.9;
+    // share of the allowed missing weight; share of the ready replicas
+    private static final double START_MISSING_SHARE = 0.9;
     private static final double WIDE = 0.5;
-    private static final int NARROW = 8; // parts; such a query is never wide
+    private static final int NARROW = 8; // shard requests; queries up to this width are never wide
 
     private final RouterState router;
     private final List<PlacementPlan> reserved = new ArrayList<>();
-    private final long[] roomAtTurn; // by first cell: the turn in which some holder had room; negated, none
+    private final long[] roomAtVersion; // by first cell: version at which a holder had capacity; negated: none
 
     Placement(RouterState router) {
         this.router = router;
-        roomAtTurn = new long[router.deployment.cells()];
+        roomAtVersion = new long[router.deployment.cells()];
     }
 
-    /** The usual path of a query: group its parts by holders, each group to the holder of lowest score,
-     *  launch all together. If one finds no room, all are held, as no work may go to what is declined; but of
-     *  the parts that an answer may lack most may follow later. False if the query stays held. */
+    /**
+     * Starts a query: groups its shard requests by holders, selects the holder with the lowest score for each group and
+     * sends them together. If a group finds no capacity, the whole query stays pending, so that no work goes to a query
+     * that is later rejected; but most of the weight that an answer may lack can follow later. Returns false if the
+     * query stays pending.
+     */
     boolean start(Query query, boolean reserve) {
-        if (!reserve && !startable(query)) {
-            return false; // planning anew what is held after each batch took most of a router's time
+        if (!reserve && !canStart(query)) {
+            return false; // replanning all pending queries after each batch took most of a router's CPU time
         }
         PlacementPlan plan = new PlacementPlan();
-        // Where a call costs work, parts with the same holders share it, or they would pay twice.
-        List<List<ShardRequest>> groups = query.unlaunched(callsCostWork());
-        groups.forEach(group -> plan.add(group, choose(group.get(0), group.size())));
-        if (!query.started() && plan.missingWeight() > START_LACKS * query.mayLack()) {
-            // Under overload narrow queries would take bit by bit the room that a wide one needs: so the
-            // first by value keeps what it found in this turn. Not done within one grade, as room lies idle.
+        // Where a call has overhead, shard requests with the same holders share one call.
+        List<List<ShardRequest>> groups = query.unsent(callsCostWork());
+        groups.forEach(group -> plan.add(group, selectReplica(group.get(0), group.size())));
+        if (!query.started() && plan.missingWeight() > START_MISSING_SHARE * query.allowedMissingWeight()) {
+            // Under overload narrow queries would starve a wide one of capacity, so the first by value keeps its
+            // reservation for this pass. Not done with a single service class, as capacity would lie idle.
             if (reserve) {
                 reserved.add(plan);
             } else {
-                plan.withdraw();
+                plan.release();
             }
-            router.turn++;
+            router.roomVersion++;
             return false;
         }
-        plan.withdrawOnlyThis();
+        plan.releaseOnlyThis();
         query.startedAt = query.started() ? query.startedAt : router.now();
         query.canary = needsCanary(query);
         for (Map.Entry<List<ShardRequest>, Replica> entry : plan.replicas().entrySet()) {
-            entry.getKey().forEach(part -> launch(part, entry.getValue()));
+            entry.getKey().forEach(request -> sendAttempt(request, entry.getValue()));
             if (query.canary) {
-                return true; // the rest waits for its answer; of a wide query, until it is overdue
+                return true; // the others wait for the canary's answer; of a wide query, until it is overdue
             }
         }
         return plan.replicas().size() == groups.size();
     }
 
     void releaseReserved() {
-        reserved.forEach(PlacementPlan::withdraw);
+        reserved.forEach(PlacementPlan::release);
         reserved.clear();
     }
 
     private boolean callsCostWork() {
-        return router.deployment.callSize() > 1 && router.deployment.callWork() > 0;
+        return router.deployment.maxRequestsPerCall() > 1 && router.deployment.callOverheadSeconds() > 0;
     }
 
-    /** Whether enough parts have a holder that may take one now; of a started query any will do. */
-    private boolean startable(Query query) {
+    /** Whether enough shard requests have a holder that accepts one now; for a started query one is enough. */
+    private boolean canStart(Query query) {
         if (query.started()) {
-            return query.parts.values().stream().anyMatch(part -> part.unlaunched() && anyFits(part));
+            return query.requests.values().stream().anyMatch(request -> request.unsent() && anyHolderAccepts(request));
         }
-        double missing = query.weightOf(part -> part.unlaunched() && !anyFits(part));
-        return missing <= START_LACKS * query.mayLack();
+        double missing = query.weightOf(request -> request.unsent() && !anyHolderAccepts(request));
+        return missing <= START_MISSING_SHARE * query.allowedMissingWeight();
     }
 
-    /** Whether so many shards have no holder at all that no answer could be given. */
+    /** Whether so many shards have no ready holder that no answer is possible. */
     boolean lacksHolders(Query query) {
-        return query.weightOf(part ->
-                        part.launches.isEmpty() && router.replicas.holders(part).isEmpty())
-                > query.mayLack();
+        return query.weightOf(request -> request.attempts.isEmpty()
+                        && router.replicas.holders(request).isEmpty())
+                > query.allowedMissingWeight();
     }
 
-    /** Whether one part goes first: some queries bring down all that begin them. So for the widest (until
-     *  that part is overdue), clients' retries, and all after a lost connection. Cost: an answer's time. */
+    /**
+     * Whether one shard request goes first as a canary, since some queries crash every replica that runs them. Applies
+     * to the widest queries (until the canary is overdue), to client retries, and to all queries after a lost
+     * connection. It costs the duration of one answer.
+     */
     boolean needsCanary(Query query) {
         boolean alarm = router.now()
-                < router.connectionLostAt + router.deployment.rules().coldTime();
-        int width = query.parts.size();
+                < router.connectionLostAt + router.deployment.rules().warmUpSeconds();
+        int width = query.requests.size();
         boolean wide = width > Math.max(NARROW, WIDE * router.replicas.ready());
         return query.answered == 0
-                && query.step == 1
+                && query.phase == 1
                 && width > 1
-                && (alarm || query.clientRetry || (wide && query.overdueParts(router.now()) == 0));
+                && (alarm || query.clientRetry || (wide && query.overdueRequests(router.now()) == 0));
     }
 
-    /** The lowest score among the holders fit to take so many parts now; null if there is none. */
-    Replica choose(ShardRequest part, int count) {
+    /** Selects the holder with the lowest score that accepts so many shard requests now; null if there is none. */
+    Replica selectReplica(ShardRequest request, int count) {
         Replica best = null;
         double lowest = 0;
-        for (Replica replica : router.replicas.holders(part)) {
-            if (fits(replica, part, count)) {
-                // Where a call costs work, a part joins one of this turn for nothing, another costs one more.
+        for (Replica replica : router.replicas.holders(request)) {
+            if (canAccept(replica, request, count)) {
+                // Where a call has overhead, joining a planned call is free, and any other call adds the overhead.
                 double score = !callsCostWork()
-                        ? replica.score(part, replica.planned)
-                        : replica.score(part, 0) + (replica.planned > 0 ? 0 : router.deployment.callWork());
+                        ? replica.score(request, replica.planned)
+                        : replica.score(request, 0)
+                                + (replica.planned > 0 ? 0 : router.deployment.callOverheadSeconds());
                 if (best == null || score < lowest) {
                     best = replica;
                     lowest = score;
@@ -111,48 +118,51 @@
         return best;
     }
 
-    /** An unhealthy holder is the last resort, for one part at a time: it may be judged wrongly. */
-    private boolean fits(Replica replica, ShardRequest part, int count) {
-        return !part.outstandingAt(replica)
-                && replica.hasColdBudget(part.query, count)
-                && (replica.healthy()
-                        ? replica.hasRoom(count)
+    /**
+     * Whether the replica accepts so many shard requests. An unhealthy holder is the last resort, for one request at a
+     * time, as its state may be misjudged.
+     */
+    private boolean canAccept(Replica replica, ShardRequest request, int count) {
+        return !request.outstandingAt(replica)
+                && replica.hasWarmUpBudget(request.query, count)
+                && (replica.isHealthy()
+                        ? replica.hasCapacity(count)
                         : replica.load() == 0
-                                && router.replicas.holders(part).stream().noneMatch(Replica::healthy));
+                                && router.replicas.holders(request).stream().noneMatch(Replica::isHealthy));
     }
 
-    /** Whether any holder may take a part never launched: looked up once a turn, unless a draw decides. */
-    private boolean anyFits(ShardRequest part) {
-        int first = part.firstCell;
-        if (Math.abs(roomAtTurn[first]) == router.turn) {
-            return roomAtTurn[first] > 0; // asking each time took half of a busy router's time
+    /** Whether any holder accepts an unsent shard request: cached per room version, unless a random draw decides. */
+    private boolean anyHolderAccepts(ShardRequest request) {
+        int first = request.firstCell;
+        if (Math.abs(roomAtVersion[first]) == router.roomVersion) {
+            return roomAtVersion[first] > 0; // evaluating each time took half of a busy router's CPU time
         }
         boolean found = false;
         boolean sameForAll = true;
-        for (Replica replica : router.replicas.holders(part)) {
-            sameForAll &= !replica.warmingUp();
-            found = found || fits(replica, part, 1);
+        for (Replica replica : router.replicas.holders(request)) {
+            sameForAll &= !replica.isWarmingUp();
+            found = found || canAccept(replica, request, 1);
         }
-        roomAtTurn[first] = !sameForAll ? 0 : found ? router.turn : -router.turn;
+        roomAtVersion[first] = !sameForAll ? 0 : found ? router.roomVersion : -router.roomVersion;
         return found;
     }
 
-    void launch(ShardRequest part, Replica replica) {
-        Query query = part.query;
+    void sendAttempt(ShardRequest request, Replica replica) {
+        Query query = request.query;
         double now = router.now();
-        if (!part.launches.isEmpty()) {
-            router.relaunched.add(now, 1);
+        if (!request.attempts.isEmpty()) {
+            router.reattempts.add(now, 1);
         }
-        boolean freshReport = now - replica.reportedAt < Replica.REPORT_LIFETIME * router.latencyGoal;
-        double queuedAhead = freshReport ? replica.queue + replica.launchedSinceReport : 0;
-        Attempt launch = new Attempt(replica, now, now + query.grade.hedgeDelay(), queuedAhead);
-        router.turn++;
-        part.launched(launch);
-        replica.launched(launch);
-        if (replica.warmingUp()) {
-            replica.coldWork.add(now, query.grade.meanWork());
+        boolean freshReport = now - replica.reportedAt < Replica.REPORT_LIFETIME * router.latencyTargetSeconds;
+        double queuedAhead = freshReport ? replica.queue + replica.sentSinceReport : 0;
+        Attempt attempt = new Attempt(replica, now, now + query.serviceClass.hedgeDelay(), queuedAhead);
+        router.roomVersion++;
+        request.onAttemptSent(attempt);
+        replica.onAttemptSent(attempt);
+        if (replica.isWarmingUp()) {
+            replica.warmUpWork.add(now, query.serviceClass.meanWork());
         }
-        double longest = Math.min(query.usefulUntil() - now, query.grade.terms.latencyGoal());
-        router.host.launch(part.id, replica.id, Math.max(router.deployment.tick(), longest));
+        double longest = Math.min(query.usefulUntil() - now, query.serviceClass.config.latencyTargetSeconds());
+        router.host.sendAttempt(request.id, replica.id, Math.max(router.deployment.timerGranularitySeconds(), longest));
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/PlacementPlan.java
+++ b/query-mixer/core/src/main/java/pinewick/core/PlacementPlan.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which replica each group of a query's parts would go to. Until it is withdrawn, replicas count it as load. */
+/** The replica selected for each group of shard requests of a query. Until released, it counts as replica load. */
 final class PlacementPlan {
     private final Map<List<ShardRequest>, Replica> replicas = new LinkedHashMap<>();
     private double missingWeight;
 
-    /** Adds a group; the replica is null where none was found for it. */
+    /** Adds a group; the replica is null if none was found. */
     void add(List<ShardRequest> group, Replica replica) {
         if (replica == null) {
-            group.forEach(part -> missingWeight += part.weight);
+            group.forEach(request -> missingWeight += request.weight);
         } else {
             replica.planned += group.size();
             replicas.put(group, replica);
         }
     }
 
-    /** The weight of the parts for which no replica was found. */
+    /** The total weight of the shard requests without a replica. */
     double missingWeight() {
         return missingWeight;
     }
@@ -28,13 +28,13 @@
         return replicas;
     }
 
-    /** Takes it off the replicas' load, together with any other plan of this turn. */
-    void withdraw() {
+    /** Removes its load from the replicas, together with any other plan of this pass. */
+    void release() {
         replicas.values().forEach(replica -> replica.planned = 0);
     }
 
-    /** Takes it off the replicas' load, and nothing else. */
-    void withdrawOnlyThis() {
+    /** Removes only the load of this plan from the replicas. */
+    void releaseOnlyThis() {
         replicas.forEach((group, replica) -> replica.planned -= group.size());
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/QueryScheduler.java
+++ b/query-mixer/core/src/main/java/pinewick/core/QueryScheduler.java
@@ -5,157 +5,175 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one router. A front end tells it of replicas and queries and ends each batch of events;
- * what is decided goes out through {@link SchedulerHost}. Start reading at {@link Placement#start}, the usual path of
- * a query, then {@link #check}, which looks after what is outstanding. Exceptions: see docs/design.md.
+ * The query scheduler of one router: decides on which replica each shard request of a query runs, and when it is
+ * retried, hedged or abandoned. A front end reports events and ends each batch of events with {@link #onBatchEnd};
+ * the decisions are issued through {@link SchedulerHost}. Start reading at {@link Placement#start}, the usual path of
+ * a query, then {@link #runPeriodicCheck}, which handles outstanding work. Exceptions: see docs/design.md.
  */
 public final class QueryScheduler {
-    static final double CHECK_INTERVAL = 0.01; // of the latency goal, like the next
-    private static final double OVERLOAD_WAIT = 0.1; // of the oldest held query
-    // of `askWithin`; least share of a wait
-    private static final double LIST_SHARE = 0.25;
-    private static final double LIST_SPREAD = 0.5;
+    static final double CHECK_INTERVAL = 0.01; // share of the latency target, like the next
+    private static final double OVERLOAD_WAIT = 0.1; // wait of the oldest pending query
+    // share of resubscribeWithinSeconds; minimum share of a wait
+    private static final double RESUBSCRIBE_SHARE = 0.25;
+    private static final double RESUBSCRIBE_JITTER = 0.5;
     private static final long CHECK_TIMER = 0;
     private static final long QUERY_TIMER = 1;
 
     private final RouterState router;
     private final Placement placement;
-    private final RetryPolicy retries;
-    private final ReplicaProber probes;
-    private final List<ServiceClass> grades = new ArrayList<>();
-    private double listAgainAt = Double.POSITIVE_INFINITY;
+    private final RetryPolicy retryPolicy;
+    private final ReplicaProber prober;
+    private final List<ServiceClass> serviceClasses = new ArrayList<>();
+    private double resubscribeAt = Double.POSITIVE_INFINITY;
     private int listFailures;
     private boolean checkDue;
 
     public QueryScheduler(SchedulerHost host, SchedulerHost.Deployment deployment, SplittableRandom random) {
         router = new RouterState(host, deployment, random);
         placement = new Placement(router);
-        retries = new RetryPolicy(router, placement);
-        probes = new ReplicaProber(router);
-        deployment.grades().forEach(terms -> grades.add(new ServiceClass(terms, deployment.callWork())));
-        if (deployment.mustAsk()) {
-            host.track(true);
+        retryPolicy = new RetryPolicy(router, placement);
+        prober = new ReplicaProber(router);
+        deployment
+                .serviceClasses()
+                .forEach(config -> serviceClasses.add(new ServiceClass(config, deployment.callOverheadSeconds())));
+        if (deployment.mustSubscribe()) {
+            host.watchReplicas(true);
         }
-        host.timer(CHECK_INTERVAL * router.latencyGoal, CHECK_TIMER);
+        host.scheduleTimer(CHECK_INTERVAL * router.latencyTargetSeconds, CHECK_TIMER);
     }
 
-    /** So many routers live, for the score, and so many may send at most, for this one's share in rule 4. */
-    public void routers(int live, int sending) {
-        router.routers = live;
+    /**
+     * Sets the number of live routers, used in the replica score, and the maximum number of routers that may be
+     * sending, used for this router's share in rule 4.
+     */
+    public void updateRouterCount(int liveRouters, int sending) {
+        router.routers = liveRouters;
         router.sendingRouters = sending;
     }
 
-    /** News of the list. Draining and gone replicas get nothing new from this call on (rule 3). */
-    public void list(SchedulerHost.ListUpdateKind form, List<SchedulerHost.ReplicaEntry> entries) {
+    /**
+     * Applies a discovery update. Draining and gone replicas receive no new attempts from this call on (rule 3).
+     * A FAILED update schedules a new subscription after a backoff.
+     */
+    public void onReplicaListUpdate(SchedulerHost.ListUpdateKind kind, List<SchedulerHost.ReplicaEntry> entries) {
         SchedulerHost.SchedulingRules rules = router.deployment.rules();
         double now = router.now();
-        double goal = router.latencyGoal;
-        if (form == SchedulerHost.ListUpdateKind.FAILED) {
-            // Waits are spread, or all routers would ask the list's service again at once.
-            double wait = Replica.BACKOFF * goal * (1 << Math.min(listFailures++, 5));
-            double spread = LIST_SPREAD + router.random.nextDouble();
-            listAgainAt = now + Math.min(wait, rules.askWithin() * LIST_SHARE) * spread;
+        double latencyTarget = router.latencyTargetSeconds;
+        if (kind == SchedulerHost.ListUpdateKind.FAILED) {
+            // Jitter prevents all routers from querying the discovery service at the same moment.
+            double wait = Replica.BACKOFF * latencyTarget * (1 << Math.min(listFailures++, 5));
+            double spread = RESUBSCRIBE_JITTER + router.random.nextDouble();
+            resubscribeAt = now + Math.min(wait, rules.resubscribeWithinSeconds() * RESUBSCRIBE_SHARE) * spread;
             return;
         }
         listFailures = 0;
-        listAgainAt = Double.POSITIVE_INFINITY;
-        router.replicas.update(form != SchedulerHost.ListUpdateKind.CHANGES, entries, now);
-        router.turn++;
-        // With ever new ids memory would grow all day: one gone is forgotten once no rule needs it.
-        double keep = 2 * Replica.LONGEST_BACKOFF * goal + rules.coldTime() + rules.fallTime();
-        router.replicas.forgetGone(now, keep);
+        resubscribeAt = Double.POSITIVE_INFINITY;
+        router.replicas.update(kind != SchedulerHost.ListUpdateKind.INCREMENTAL, entries, now);
+        router.roomVersion++;
+        // New replica ids keep appearing, so a gone replica is evicted once no rule needs it; else memory would leak.
+        double keep = 2 * Replica.MAX_BACKOFF * latencyTarget + rules.warmUpSeconds() + rules.overloadWindowSeconds();
+        router.replicas.evictGone(now, keep);
     }
 
-    /** Takes a query of so many parts; it starts once all of them have been handed in. */
-    public Query take(String id, int grade, double timeToLive, int parts, double workHint, boolean retry) {
-        Query query = new Query(router, retries, id, grades.get(grade), timeToLive, parts, workHint, retry);
-        router.taken.add(router.now(), 1);
-        router.live.add(query);
-        // With a long goal the periodic check comes too seldom to end a query in time.
-        startQueryTimer(query.stopAt);
-        if (query.grade.terms.leastShare() < query.grade.terms.wholeFrom()) {
+    /** Admits a query of so many shard requests; it starts once all of them have been added. Times are seconds. */
+    public Query submit(
+            String id, int serviceClass, double timeToLive, int requestCount, double workHint, boolean retry) {
+        Query query = new Query(
+                router, retryPolicy, id, serviceClasses.get(serviceClass), timeToLive, requestCount, workHint, retry);
+        router.admitted.add(router.now(), 1);
+        router.activeQueries.add(query);
+        // With a long latency target the periodic check is too infrequent to end a query in time.
+        startQueryTimer(query.deadlineAt);
+        if (query.serviceClass.config.minShare() < query.serviceClass.config.completeShare()) {
             startQueryTimer(query.partialAt());
         }
         return query;
     }
 
     private void startQueryTimer(double at) {
-        router.host.timer(Math.max(router.deployment.tick(), at - router.now()), QUERY_TIMER);
+        router.host.scheduleTimer(
+                Math.max(router.deployment.timerGranularitySeconds(), at - router.now()), QUERY_TIMER);
     }
 
-    /** A timer that was asked for has fired. */
-    public void timerFired(long name) {
+    /** Handles a timer requested by {@link SchedulerHost#scheduleTimer}. */
+    public void onTimer(long timerId) {
         checkDue = true;
-        if (name == CHECK_TIMER) {
-            router.host.timer(CHECK_INTERVAL * router.latencyGoal, CHECK_TIMER);
+        if (timerId == CHECK_TIMER) {
+            router.host.scheduleTimer(CHECK_INTERVAL * router.latencyTargetSeconds, CHECK_TIMER);
         }
     }
 
-    /** How a probe ended. */
-    public void probed(String id, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
+    /** Handles the outcome of a probe; the report is null if there is none. Unknown replicas are ignored. */
+    public void onProbeResult(String id, SchedulerHost.Outcome outcome, SchedulerHost.LoadReport report) {
         Replica replica = router.replicas.get(id);
         if (replica != null) {
-            probes.ended(replica, ending, report);
+            prober.onProbeEnd(replica, outcome, report);
         }
     }
 
-    /** After each batch: starts what is held, as it came, or by value once the oldest waited too long. */
-    public void endOfBatch() {
+    /**
+     * Ends a batch of events: starts the pending queries, in order of arrival, or by value per unit of work once the
+     * oldest of them has waited too long.
+     */
+    public void onBatchEnd() {
         if (checkDue) {
             checkDue = false;
-            check();
+            runPeriodicCheck();
         }
-        router.turn++;
+        router.roomVersion++;
         router.batchEndedAt = router.now();
-        List<Query> order = new ArrayList<>(router.held);
-        double longestWait = order.isEmpty() ? 0 : router.now() - order.get(0).takenAt;
-        boolean overload = longestWait > OVERLOAD_WAIT * router.latencyGoal;
+        List<Query> order = new ArrayList<>(router.pendingQueries);
+        double longestWait = order.isEmpty() ? 0 : router.now() - order.get(0).admittedAt;
+        boolean overload = longestWait > OVERLOAD_WAIT * router.latencyTargetSeconds;
         if (overload) {
-            order.forEach(query -> query.valueForWork =
-                    query.grade.terms.value() / (query.parts.size() * query.grade.answerTime(0.5)));
-            order.sort((one, other) -> Double.compare(other.valueForWork, one.valueForWork));
+            order.forEach(query -> query.valuePerWork = query.serviceClass.config.value()
+                    / (query.requests.size() * query.serviceClass.attemptLatency(0.5)));
+            order.sort((one, other) -> Double.compare(other.valuePerWork, one.valuePerWork));
         }
-        boolean mayReserve = overload && grades.size() > 1;
+        boolean mayReserve = overload && serviceClasses.size() > 1;
         for (Query query : order) {
-            if (query.ended || probes.awaited(query)) {
+            if (query.ended || prober.isAwaitingProbe(query)) {
                 continue;
             }
-            if (!query.started() && hopeless(query)) {
+            if (!query.started() && cannotFinishInTime(query)) {
                 query.conclude();
             } else if (placement.start(query, mayReserve)) {
-                router.held.remove(query);
+                router.pendingQueries.remove(query);
             } else {
-                mayReserve = false; // room is reserved for one query at a time
+                mayReserve = false; // capacity is reserved for one query at a time
             }
         }
         placement.releaseReserved();
     }
 
-    /** What cannot be fulfilled in time is declined before work or half of the client's time is spent. */
-    private boolean hopeless(Query query) {
-        return router.now() + query.grade.runTime() > Math.min(query.goalAt, query.stopAt)
-                || router.now() > query.startBy
+    /**
+     * Whether the query should be rejected, because it cannot finish in time: before any work is done for it and before
+     * half of the client's time is spent.
+     */
+    private boolean cannotFinishInTime(Query query) {
+        return router.now() + query.serviceClass.expectedQueryLatency() > Math.min(query.targetAt, query.deadlineAt)
+                || router.now() > query.startDeadlineAt
                 || placement.lacksHolders(query);
     }
 
-    /** Looks after what is outstanding: answers that are due, overdue launches, replicas after a backoff. */
-    private void check() {
-        if (router.now() >= listAgainAt) {
-            listAgainAt = Double.POSITIVE_INFINITY;
-            router.host.track(true);
+    /** Handles outstanding work: answers that are due, overdue attempts, replicas whose backoff has ended. */
+    private void runPeriodicCheck() {
+        if (router.now() >= resubscribeAt) {
+            resubscribeAt = Double.POSITIVE_INFINITY;
+            router.host.watchReplicas(true);
         }
-        retries.hasBudget(true); // lets its sums forget what is older than their window
-        for (Query query : List.copyOf(router.live)) {
+        retryPolicy.hasRetryBudget(true); // evicts entries older than the window from its sums
+        for (Query query : List.copyOf(router.activeQueries)) {
             if (query.due()) {
                 query.conclude();
             } else if (query.started()) {
                 if (query.canary && !placement.needsCanary(query)) {
                     query.endCanary();
                 }
-                long overdue = query.overdueParts(router.now());
-                query.parts.values().forEach(part -> retries.retry(part, overdue));
+                long overdue = query.overdueRequests(router.now());
+                query.requests.values().forEach(request -> retryPolicy.retry(request, overdue));
             }
         }
-        router.replicas.all().forEach(probes::probeAfterBackoff);
+        router.replicas.all().forEach(prober::probeAfterBackoff);
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/QueryState.java
+++ b/query-mixer/core/src/main/java/pinewick/core/QueryState.java
@@ -6,46 +6,46 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** What is known of a query: its parts, and how far it is; what follows from that is decided in {@link Query}. */
+/** The state of a query: its shard requests and progress; {@link Query} decides what follows. */
 class QueryState {
     final String id;
-    final ServiceClass grade;
-    final double takenAt;
-    final Map<String, ShardRequest> parts = new LinkedHashMap<>();
-    /** Parts not handed in yet. */
-    int awaited;
-    /** Launches without an outcome yet. */
+    final ServiceClass serviceClass;
+    final double admittedAt;
+    final Map<String, ShardRequest> requests = new LinkedHashMap<>();
+    /** Shard requests not added yet. */
+    int missingRequests;
+    /** Attempts without an outcome yet. */
     int outstanding;
-    /** Parts answered, and parts of which no answer can come any more; with the weight of each. */
+    /** Shard requests answered, and those that can no longer be answered; each with its weight. */
     int answered;
 
-    double weightIn;
+    double answeredWeight;
     int exhausted;
-    double weightLost;
-    /** Connections lost under launches of this query. */
-    int crashes;
-    /** 2 for the second of two steps. */
-    int step = 1;
+    double lostWeight;
+    /** Connections lost during attempts of this query. */
+    int lostConnections;
+    /** 1, or 2 in the second of two phases. */
+    int phase = 1;
 
     double startedAt = Double.NEGATIVE_INFINITY;
-    /** From when on its holders may be probed again. */
+    /** The earliest time to probe its holders again. */
     double probeAgainAt;
 
-    double valueForWork;
-    /** Whether one part was sent first and its answer is awaited. */
+    double valuePerWork;
+    /** Whether one shard request was sent first as a canary and its answer is outstanding. */
     boolean canary;
 
     boolean ended;
 
-    QueryState(String id, ServiceClass grade, int awaited, double takenAt) {
+    QueryState(String id, ServiceClass serviceClass, int missingRequests, double admittedAt) {
         this.id = id;
-        this.grade = grade;
-        this.awaited = awaited;
-        this.takenAt = takenAt;
+        this.serviceClass = serviceClass;
+        this.missingRequests = missingRequests;
+        this.admittedAt = admittedAt;
     }
 
-    /** Whether nothing more can be told of it. */
-    public boolean over() {
+    /** Whether it has ended and no attempt is outstanding. */
+    public boolean isFinished() {
         return ended && outstanding == 0;
     }
 
@@ -53,75 +53,76 @@
         return startedAt > Double.NEGATIVE_INFINITY;
     }
 
-    long overdueParts(double now) {
+    long overdueRequests(double now) {
         long overdue = 0;
-        for (ShardRequest part : parts.values()) {
-            overdue += part.overdue(now) ? 1 : 0;
+        for (ShardRequest request : requests.values()) {
+            overdue += request.overdue(now) ? 1 : 0;
         }
         return overdue;
     }
 
-    /** The parts that wait for their first launch, those of one shard together, or all with the same holders. */
-    List<List<ShardRequest>> unlaunched(boolean sameHoldersTogether) {
+    /** The shard requests without an attempt, grouped by shard, or by holders. */
+    List<List<ShardRequest>> unsent(boolean groupByHolders) {
         Map<Integer, List<ShardRequest>> groups = new LinkedHashMap<>();
-        for (ShardRequest part : parts.values()) {
-            if (part.unlaunched()) {
-                int key = sameHoldersTogether ? part.firstCell : part.shard;
-                groups.computeIfAbsent(key, any -> new ArrayList<>()).add(part);
+        for (ShardRequest request : requests.values()) {
+            if (request.unsent()) {
+                int key = groupByHolders ? request.firstCell : request.shard;
+                groups.computeIfAbsent(key, any -> new ArrayList<>()).add(request);
             }
         }
         return new ArrayList<>(groups.values());
     }
 
-    /** The weight of all parts for which something holds. */
+    /** The total weight of the shard requests that match a condition. */
     double weightOf(Predicate<ShardRequest> condition) {
         double weight = 0;
-        for (ShardRequest part : parts.values()) {
-            weight += condition.test(part) ? part.weight : 0;
+        for (ShardRequest request : requests.values()) {
+            weight += condition.test(request) ? request.weight : 0;
         }
         return weight;
     }
 
-    /** Whether no launch of it could have had an effect. */
+    /** Whether none of its attempts can have had an effect. */
     boolean neverRan() {
-        return parts.values().stream().allMatch(part -> part.launches.stream().allMatch(launch -> launch.neverRan));
+        return requests.values().stream()
+                .allMatch(request -> request.attempts.stream().allMatch(attempt -> attempt.neverRan));
     }
 
-    /** Notes a launch's outcome; null where there was no such launch or it had one. */
-    Attempt settle(ShardRequest part, int number, SchedulerHost.Outcome ending) {
-        Attempt launch = part == null ? null : part.launch(number);
-        if (launch == null || launch.over) {
+    /** Records the outcome of an attempt; null if there was no such attempt or it already had an outcome. */
+    Attempt finishAttempt(ShardRequest request, int number, SchedulerHost.Outcome outcome) {
+        Attempt attempt = request == null ? null : request.attempt(number);
+        if (attempt == null || attempt.finished) {
             return null;
         }
-        launch.over = true;
-        launch.neverRan = ending.neverRan();
-        launch.replica.outstanding.remove(launch);
-        part.outstanding--;
+        attempt.finished = true;
+        attempt.neverRan = outcome.neverRan();
+        attempt.replica.outstanding.remove(attempt);
+        request.outstanding--;
         outstanding--;
-        return launch;
+        return attempt;
     }
 
-    void answered(ShardRequest part) {
-        part.done = true;
+    void answered(ShardRequest request) {
+        request.done = true;
         answered++;
-        weightIn += part.weight;
+        answeredWeight += request.weight;
     }
 
-    void lost(ShardRequest part) {
-        part.exhausted = true;
+    void markExhausted(ShardRequest request) {
+        request.exhausted = true;
         exhausted++;
-        weightLost += part.weight;
+        lostWeight += request.weight;
     }
 
-    /** Whether every part is answered or can't be any more. */
-    boolean nothingAwaited() {
-        return answered + exhausted == parts.size();
+    /** Whether every shard request is answered or can no longer be. */
+    boolean allResolved() {
+        return answered + exhausted == requests.size();
     }
 
-    /** Begins the second step, of so many parts. */
-    void nextStep(int ofParts) {
-        step = 2;
-        awaited = ofParts;
+    /** Starts the second phase, with so many shard requests. */
+    void startSecondPhase(int requestCount) {
+        phase = 2;
+        missingRequests = requestCount;
         startedAt = Double.NEGATIVE_INFINITY;
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/ReplicaList.java
+++ b/query-mixer/core/src/main/java/pinewick/core/ReplicaList.java
@@ -8,15 +8,15 @@
 import java.util.function.Function;
 import pinewick.selection.WindowedSum;
 
-/** The replicas as they were last listed, which of them hold a shard, and how many parts came for each. */
+/** The replicas from discovery, which of them hold a shard, and how many requests were admitted for each shard. */
 final class ReplicaList {
     private final SchedulerHost.Deployment deployment;
     private final Function<String, Replica> newReplica;
     private final Map<String, Replica> replicas = new LinkedHashMap<>();
-    /** The ready holders of a shard and the parts taken for it, by the shard's first cell. */
+    /** The ready holders of a shard and the requests admitted for it, by the first cell of the shard. */
     private final List<List<Replica>> holders = new ArrayList<>();
 
-    private final List<WindowedSum> partsTaken = new ArrayList<>();
+    private final List<WindowedSum> requestsAdmitted = new ArrayList<>();
     private int ready;
 
     ReplicaList(SchedulerHost.Deployment deployment, Function<String, Replica> newReplica) {
@@ -24,26 +24,26 @@
         this.newReplica = newReplica;
         for (int cell = 0; cell < deployment.cells(); cell++) {
             holders.add(new ArrayList<>());
-            partsTaken.add(new WindowedSum());
+            requestsAdmitted.add(new WindowedSum());
         }
     }
 
-    /** Takes in a piece of the list. */
-    void update(boolean whole, List<SchedulerHost.ReplicaEntry> entries, double now) {
-        if (whole) {
-            replicas.values().forEach(replica -> replica.stage = SchedulerHost.LifecycleState.GONE);
+    /** Applies a discovery update; a full one replaces the list. */
+    void update(boolean full, List<SchedulerHost.ReplicaEntry> entries, double now) {
+        if (full) {
+            replicas.values().forEach(replica -> replica.state = SchedulerHost.LifecycleState.GONE);
         }
         for (SchedulerHost.ReplicaEntry entry : entries) {
-            Replica replica = replicas.computeIfAbsent(entry.replica(), newReplica);
+            Replica replica = replicas.computeIfAbsent(entry.replicaId(), newReplica);
             if (entry.startedAt() > replica.startedAt) {
-                replica.restarted(entry.startedAt());
+                replica.onRestart(entry.startedAt());
             }
-            replica.stage = entry.stage();
+            replica.state = entry.state();
             replica.cell = cell(entry.cell());
             replica.sameZone = entry.zone().equals(deployment.zone());
         }
         for (Replica replica : replicas.values()) {
-            boolean gone = replica.stage == SchedulerHost.LifecycleState.GONE;
+            boolean gone = replica.state == SchedulerHost.LifecycleState.GONE;
             replica.goneAt = gone ? Math.min(replica.goneAt, now) : Double.POSITIVE_INFINITY;
         }
         indexHolders();
@@ -54,21 +54,21 @@
         holders.forEach(any -> byCell.add(new ArrayList<>()));
         ready = 0;
         for (Replica replica : replicas.values()) {
-            if (replica.stage == SchedulerHost.LifecycleState.READY) {
+            if (replica.state == SchedulerHost.LifecycleState.READY) {
                 byCell.get(replica.cell).add(replica);
                 ready++;
             }
         }
         for (int first = 0; first < holders.size(); first++) {
             holders.get(first).clear();
-            for (int cell = first; cell < first + deployment.reach(); cell++) {
+            for (int cell = first; cell < first + deployment.cellsPerShard(); cell++) {
                 holders.get(first).addAll(byCell.get(cell(cell)));
             }
         }
     }
 
-    /** Drops what is known of replicas that have been gone for more than this time and owe no answer. */
-    void forgetGone(double now, double time) {
+    /** Evicts replicas that have been gone for longer than this time (seconds) and have no outstanding attempts. */
+    void evictGone(double now, double time) {
         replicas.values().removeIf(replica -> replica.outstanding.isEmpty() && now - replica.goneAt > time);
     }
 
@@ -77,36 +77,35 @@
         return Math.floorMod(number, deployment.cells());
     }
 
-    /** Null where it was never listed, or is forgotten. */
+    /** Returns null if it was never listed or has been evicted. */
     Replica get(String id) {
         return replicas.get(id);
     }
 
-    /** All that are known, also those that are gone. */
+    /** All known replicas, including those that are gone. */
     Collection<Replica> all() {
         return replicas.values();
     }
 
-    /** How many are ready. */
     int ready() {
         return ready;
     }
 
-    /** The ready replicas that hold the part's shard. */
-    List<Replica> holders(ShardRequest part) {
-        return holders.get(part.firstCell);
+    /** The ready replicas that hold the shard of the request. */
+    List<Replica> holders(ShardRequest request) {
+        return holders.get(request.firstCell);
     }
 
-    void partTaken(ShardRequest part, double now) {
-        partsTaken.get(part.firstCell).add(now, 1);
+    void recordRequest(ShardRequest request, double now) {
+        requestsAdmitted.get(request.firstCell).add(now, 1);
     }
 
-    /** How many parts were taken since a time for shards that this cell may hold. */
-    double partsTakenFor(int cell, double since) {
-        double parts = 0;
-        for (int back = 0; back < deployment.reach(); back++) {
-            parts += partsTaken.get(cell(cell - back)).since(since);
+    /** The number of shard requests admitted since a time for shards that this cell may hold. */
+    double requestsAdmittedFor(int cell, double since) {
+        double requests = 0;
+        for (int back = 0; back < deployment.cellsPerShard(); back++) {
+            requests += requestsAdmitted.get(cell(cell - back)).since(since);
         }
-        return parts;
+        return requests;
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/ReplicaProber.java
+++ b/query-mixer/core/src/main/java/pinewick/core/ReplicaProber.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Probes: of holders whose load reports are old, before a query starts, and of replicas after failures. */
+/** Sends probes: to holders with stale load reports before a query starts, and to replicas after failures. */
 final class ReplicaProber {
-    // of the latency goal: reports; while held
-    private static final double OLD = 0.1;
-    private static final double AGAIN_AFTER = 0.2;
-    private static final double LEAST_CHANCE = 0.3; // of probing an old report; more the busier replicas are
-    private static final int MOST_HELD = 32; // queries; with more of them held none is probed for
+    // shares of the latency target: age of a stale report; interval for a pending query
+    private static final double STALE_AFTER = 0.1;
+    private static final double PROBE_AGAIN_AFTER = 0.2;
+    private static final double MIN_PROBE_CHANCE = 0.3; // of probing a stale report; rises with the replicas' load
+    private static final int MAX_PENDING = 32; // queries; with more of them pending, none triggers probes
 
     private final RouterState router;
 
@@ -17,79 +17,85 @@
         this.router = router;
     }
 
-    /** Probes two of each part's holders, by chance, where their reports are old: with many routers reports
-     *  come rarely. Seldom while queues are short, as probes cost. True if the query should wait a moment. */
-    boolean awaited(Query query) {
+    /**
+     * Probes two random holders of each shard request where load reports are stale, since with many routers reports
+     * arrive rarely. While queues are short probes are rare, as they cost work. Returns true if the query should wait
+     * briefly for the results.
+     */
+    boolean isAwaitingProbe(Query query) {
         double now = router.now();
-        double wait = Replica.PROBE_WAIT * router.latencyGoal;
-        boolean first = now <= query.takenAt + 2 * wait;
+        double wait = Replica.PROBE_WAIT * router.latencyTargetSeconds;
+        boolean first = now <= query.admittedAt + 2 * wait;
         boolean again = now >= query.probeAgainAt;
-        if (!router.deployment.mayProbe()
+        if (!router.deployment.allowsProbes()
                 || (!first && !again)
-                || router.held.size() > MOST_HELD
+                || router.pendingQueries.size() > MAX_PENDING
                 || router.routers < 2 * Replica.FEW_ROUTERS) {
             return false;
         }
-        query.probeAgainAt = again ? now + AGAIN_AFTER * router.latencyGoal : query.probeAgainAt;
+        query.probeAgainAt = again ? now + PROBE_AGAIN_AFTER * router.latencyTargetSeconds : query.probeAgainAt;
         boolean waits = false;
-        for (ShardRequest part : query.parts.values()) {
-            List<Replica> fit = new ArrayList<>(router.replicas.holders(part));
-            fit.removeIf(replica -> !replica.healthy() || replica.warmingUp());
-            waits |= fit.stream().anyMatch(replica -> replica.probing && now < replica.probedAt + wait);
-            if (again && (first || fit.stream().noneMatch(replica -> replica.hasRoom(1)))) {
-                waits |= probeTwo(fit);
+        for (ShardRequest request : query.requests.values()) {
+            List<Replica> candidates = new ArrayList<>(router.replicas.holders(request));
+            candidates.removeIf(replica -> !replica.isHealthy() || replica.isWarmingUp());
+            waits |= candidates.stream().anyMatch(replica -> replica.probeOutstanding && now < replica.probedAt + wait);
+            if (again && (first || candidates.stream().noneMatch(replica -> replica.hasCapacity(1)))) {
+                waits |= probeUpToTwo(candidates);
             }
         }
         return waits;
     }
 
-    private boolean probeTwo(List<Replica> fit) {
-        while (fit.size() > 2) {
-            fit.remove(router.random.nextInt(fit.size()));
+    private boolean probeUpToTwo(List<Replica> candidates) {
+        while (candidates.size() > 2) {
+            candidates.remove(router.random.nextInt(candidates.size()));
         }
         boolean sent = false;
-        for (Replica replica : fit) {
+        for (Replica replica : candidates) {
             double age = router.now() - Math.max(replica.probedAt, replica.reportedAt);
-            if (age > OLD * router.latencyGoal
-                    && !replica.probing
-                    && router.random.nextDouble() < LEAST_CHANCE + router.fleet.busy) {
-                probe(replica);
+            if (age > STALE_AFTER * router.latencyTargetSeconds
+                    && !replica.probeOutstanding
+                    && router.random.nextDouble() < MIN_PROBE_CHANCE + router.fleet.busy) {
+                sendProbe(replica);
                 sent = true;
             }
         }
         return sent;
     }
 
-    /** Probes a replica whose backoff is over. If all routers did, its limit would fail most, and prolong the
-     *  backoff: so few of many probe, and the others try it with one part. */
+    /**
+     * Probes a replica whose backoff has ended. If all routers did so, the replica's limit would reject most probes and
+     * prolong the backoff; so only a few of many routers probe, and the others try it with one shard request.
+     */
     void probeAfterBackoff(Replica replica) {
         double few = 2 * Replica.FEW_ROUTERS;
-        boolean useful =
-                replica.stage == SchedulerHost.LifecycleState.READY && !replica.probing && !replica.warmingUp();
+        boolean useful = replica.state == SchedulerHost.LifecycleState.READY
+                && !replica.probeOutstanding
+                && !replica.isWarmingUp();
         if (useful
-                && replica.failures > 0
+                && replica.consecutiveFailures > 0
                 && router.now() >= replica.backoffUntil
                 && !replica.trialAllowed
-                && router.deployment.mayProbe()) {
+                && router.deployment.allowsProbes()) {
             replica.trialAllowed = router.routers > few && router.random.nextDouble() >= few / router.routers;
             if (!replica.trialAllowed) {
-                probe(replica);
+                sendProbe(replica);
             }
         }
     }
 
-    private void probe(Replica replica) {
-        replica.probeSent(router.now());
-        router.host.probe(replica.id);
+    private void sendProbe(Replica replica) {
+        replica.onProbeSent(router.now());
+        router.host.sendProbe(replica.id);
     }
 
-    /** How a probe ended; one turned away by the replica's limit proves that it runs. */
-    void ended(Replica replica, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
-        replica.probeEnded(ending);
-        replica.reported(report);
-        replica.trialAllowed = ending == SchedulerHost.Outcome.FULFILLED || ending == SchedulerHost.Outcome.REJECTED;
+    /** Handles the outcome of a probe; a rejection by the replica's limit proves that the replica is running. */
+    void onProbeEnd(Replica replica, SchedulerHost.Outcome outcome, SchedulerHost.LoadReport report) {
+        replica.onProbeEnd(outcome);
+        replica.onLoadReport(report);
+        replica.trialAllowed = outcome == SchedulerHost.Outcome.FULFILLED || outcome == SchedulerHost.Outcome.REJECTED;
         if (!replica.trialAllowed) {
-            replica.failed(ending);
+            replica.onFailure(outcome);
         }
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/ReplicaState.java
+++ b/query-mixer/core/src/main/java/pinewick/core/ReplicaState.java
@@ -4,107 +4,108 @@
 import pinewick.selection.WindowedMinimum;
 import pinewick.selection.WindowedSum;
 
-/** What one router was told of a replica and saw of it; what follows from that is decided in {@link Follower}. */
+/** The known state of a replica, from discovery and from own measurements; {@link Replica} decides what follows. */
 class ReplicaState {
     final String id;
-    /** As listed; {@code startedAt} 0 means long ago. */
-    SchedulerHost.LifecycleState stage = SchedulerHost.LifecycleState.READY;
+    /** From discovery; {@code startedAt} 0 means that it started long ago. */
+    SchedulerHost.LifecycleState state = SchedulerHost.LifecycleState.READY;
 
     int cell;
     boolean sameZone;
     double startedAt;
-    /** Since when it has been gone. */
+    /** When it was first listed as gone. */
     double goneAt = Double.POSITIVE_INFINITY;
-    /** The last load report: parts in its queue, busy share of its cores, when it came. */
+    /** The last load report: queue length, CPU utilization, time of arrival. */
     double queue;
 
-    double busyShare;
+    double utilization;
     double reportedAt = Double.NEGATIVE_INFINITY;
-    int launchedSinceReport;
-    /** Whether any launch was measured since its start, and the smoothed latency. */
-    boolean measured;
+    int sentSinceReport;
+    /** Whether any attempt was measured since its start, and the smoothed latency. */
+    boolean hasMeasurements;
 
     double latency;
     WindowedMinimum lowestLatency = new WindowedMinimum();
-    /** How much longer launches took than load reports foretold, smoothed, and when that was last measured. */
+    /** How much longer attempts took than load reports predicted, smoothed, and when it was last measured. */
     double hiddenDelay;
 
     double hiddenDelayAt;
     double answeredAt = Double.NEGATIVE_INFINITY;
-    /** When the newest of the launches that it has answered was sent. */
+    /** When the newest of its answered attempts was sent. */
     double newestAnsweredSentAt = Double.NEGATIVE_INFINITY;
-    /** How many parts may be outstanding, and when that was last cut. */
-    double room;
+    /** Maximum number of outstanding attempts, and when it was last reduced. */
+    double concurrencyLimit;
 
-    double roomCutAt = Double.NEGATIVE_INFINITY;
-    private final double firstRoom;
-    /** Launches without an outcome yet. */
+    double limitCutAt = Double.NEGATIVE_INFINITY;
+    private final double initialLimit;
+    /** Attempts without an outcome yet. */
     final LinkedHashSet<Attempt> outstanding = new LinkedHashSet<>();
-    /** Parts that the plan being made would add. */
+    /** Shard requests that the plan being made would add. */
     int planned;
     /** Work sent to it during its warm-up. */
-    final WindowedSum coldWork = new WindowedSum();
-    /** Failures in a row. */
-    int failures;
-    /** Until when it is left alone after failures. */
+    final WindowedSum warmUpWork = new WindowedSum();
+
+    int consecutiveFailures;
+    /** End of the backoff after failures. */
     double backoffUntil;
     /** Whether a connection failed since its last answer, though it had answered before. */
     boolean unreachable;
-    /** Whether the last probe or connection brought no word from it. */
-    boolean silent;
+    /** Whether the last probe or connection got no response. */
+    boolean unresponsive;
 
-    boolean probing;
+    boolean probeOutstanding;
     double probedAt;
-    /** Whether it may get one part as a trial once its backoff is over. */
+    /** Whether it may get one shard request as a trial after its backoff. */
     boolean trialAllowed;
 
-    ReplicaState(String id, double firstRoom) {
+    ReplicaState(String id, double initialLimit) {
         this.id = id;
-        this.firstRoom = firstRoom;
-        room = firstRoom;
+        this.initialLimit = initialLimit;
+        concurrencyLimit = initialLimit;
     }
 
-    /** Parts that it has or would have by the plan being made. */
+    /** Outstanding attempts and those of the plan being made. */
     int load() {
         return outstanding.size() + planned;
     }
 
-    /** When the oldest launch without an outcome was sent; now if there is none. */
+    /** When the oldest attempt without an outcome was sent; now if there is none. */
     double oldestSentAt(double now) {
         return outstanding.isEmpty() ? now : outstanding.iterator().next().sentAt;
     }
 
-    void launched(Attempt launch) {
-        outstanding.add(launch);
-        launchedSinceReport++;
+    void onAttemptSent(Attempt attempt) {
+        outstanding.add(attempt);
+        sentSinceReport++;
     }
 
-    void probeSent(double at) {
-        probing = true;
+    void onProbeSent(double at) {
+        probeOutstanding = true;
         probedAt = at;
     }
 
-    void probeEnded(SchedulerHost.Outcome ending) {
-        probing = false;
-        heardFrom(ending);
+    void onProbeEnd(SchedulerHost.Outcome outcome) {
+        probeOutstanding = false;
+        onContact(outcome);
     }
 
-    /** A word came from it, or a probe got none. One silent before was not slow: its hidden delay is forgotten. */
-    void heardFrom(SchedulerHost.Outcome ending) {
-        boolean noWord = ending == SchedulerHost.Outcome.TIMED_OUT || ending == SchedulerHost.Outcome.NOT_CONNECTED;
-        hiddenDelay = silent && !noWord ? 0 : hiddenDelay;
-        silent = noWord;
+    /** Handles a response, or a probe without one. One unresponsive before was not slow: its hidden delay is reset. */
+    void onContact(SchedulerHost.Outcome outcome) {
+        boolean noResponse =
+                outcome == SchedulerHost.Outcome.TIMED_OUT || outcome == SchedulerHost.Outcome.NOT_CONNECTED;
+        hiddenDelay = unresponsive && !noResponse ? 0 : hiddenDelay;
+        unresponsive = noResponse;
     }
 
-    /** A new process: nothing that was seen of the one before still holds. */
-    void restarted(double at) {
+    /** Resets what was measured of the previous process. */
+    void onRestart(double at) {
         startedAt = at;
-        measured = false;
+        hasMeasurements = false;
         hiddenDelay = 0;
-        failures = 0;
+        consecutiveFailures = 0;
         queue = 0;
-        busyShare = 0;
-        room = firstRoom;
+        utilization = 0;
+        concurrencyLimit = initialLimit;
         lowestLatency = new WindowedMinimum();
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/RetryPolicy.java
+++ b/query-mixer/core/src/main/java/pinewick/core/RetryPolicy.java
@@ -1,11 +1,11 @@
 package pinewick.core;
 
-/** Further launches of parts: retries after failures, and hedges of launches that are overdue. */
+/** Decides on further attempts: retries after failures, and hedges of overdue attempts. */
 final class RetryPolicy {
-    private static final double HEAVY = 0.15; // of a query's parts; with more of them overdue it is heavy
-    // the budget where none is stated
-    private static final double OWN_SHARE = 0.1;
-    private static final double OWN_FREE = 5;
+    private static final double HEAVY = 0.15; // share of a query's shard requests; with more overdue it is heavy
+    // the retry budget if none is configured
+    private static final double DEFAULT_RETRY_RATIO = 0.1;
+    private static final double DEFAULT_FREE_RETRIES = 5;
 
     private final RouterState router;
     private final Placement placement;
@@ -15,75 +15,83 @@
         this.placement = placement;
     }
 
-    /** Launches one part of a started query again, or a second copy, where that helps and is allowed. */
-    void retry(ShardRequest part, long overdue) {
-        if (part.done || part.exhausted || part.query.ended || part.launches.isEmpty()) {
+    /** Retries or hedges a shard request of a started query, where that is useful and allowed. */
+    void retry(ShardRequest request, long overdue) {
+        if (request.done || request.exhausted || request.query.ended || request.attempts.isEmpty()) {
             return;
         }
-        if (part.outstanding > 0) {
-            if (mayHedge(part, overdue)) {
-                hedge(part, part.latest());
+        if (request.outstanding > 0) {
+            if (canHedge(request, overdue)) {
+                hedge(request, request.latest());
             }
-        } else if (!mayRepeat(part)) {
-            part.query.exhausted(part);
-        } else if (hasBudget(true)) {
-            Replica next = placement.choose(part, 1);
-            if (next != null && next.canAnswerInTime(part.query)) {
-                placement.launch(part, next);
+        } else if (!canRetry(request)) {
+            request.query.exhausted(request);
+        } else if (hasRetryBudget(true)) {
+            Replica next = placement.selectReplica(request, 1);
+            if (next != null && next.canAnswerInTime(request.query)) {
+                placement.sendAttempt(request, next);
             }
         }
     }
 
-    /** A heavy query's parts are all overdue, as in a jam, and each further launch is as heavy: so of several
-     *  only one at a failed replica is hedged, and none once the least share of the answer is in. */
-    private boolean mayHedge(ShardRequest part, long overdue) {
-        Attempt latest = part.latest();
-        boolean heavy = overdue > Math.max(1, HEAVY * part.query.parts.size());
-        return part.outstanding == 1
-                && !latest.over
+    /**
+     * Whether the latest attempt may be hedged. The shard requests of a heavy query are all overdue, as under overload,
+     * and each further attempt is as heavy: of several overdue requests only those at a failed replica are hedged, and
+     * none once the minimum share of the answer has arrived.
+     */
+    private boolean canHedge(ShardRequest request, long overdue) {
+        Attempt latest = request.latest();
+        boolean heavy = overdue > Math.max(1, HEAVY * request.query.requests.size());
+        return request.outstanding == 1
+                && !latest.finished
                 && !latest.cancelled
-                && part.overdue(router.now())
-                && !(overdue > 1 && part.query.hasLeastShare())
-                && !(heavy && latest.replica.failures == 0)
-                && mayRepeat(part)
-                && hasBudget(!latest.replica.healthy());
+                && request.overdue(router.now())
+                && !(overdue > 1 && request.query.hasMinShare())
+                && !(heavy && latest.replica.consecutiveFailures == 0)
+                && canRetry(request)
+                && hasRetryBudget(!latest.replica.isHealthy());
     }
 
-    private void hedge(ShardRequest part, Attempt latest) {
-        Replica next = placement.choose(part, 1);
-        if (next == null || !next.healthy() || !next.canAnswerInTime(part.query)) {
+    private void hedge(ShardRequest request, Attempt latest) {
+        Replica next = placement.selectReplica(request, 1);
+        if (next == null || !next.isHealthy() || !next.canAnswerInTime(request.query)) {
             return;
         }
-        if (router.deployment.mayOverlap()) {
-            placement.launch(part, next);
-        } else if (router.deployment.mayCancel() && !latest.replica.healthy()) {
+        if (router.deployment.allowsConcurrentAttempts()) {
+            placement.sendAttempt(request, next);
+        } else if (router.deployment.allowsCancel() && !latest.replica.isHealthy()) {
             latest.cancelled = true;
-            router.host.cancel(part.id, part.launches.size() - 1);
+            router.host.cancelAttempt(request.id, request.attempts.size() - 1);
         }
     }
 
-    /** Rule 2: whether another launch could do no harm. The window runs from the first launch that might have
-     *  run when one more was sent, also when that one proves later that it never ran. */
-    private boolean mayRepeat(ShardRequest part) {
-        SchedulerHost.ServiceClassConfig terms = part.query.grade.terms;
-        double soon = router.now() + 2 * router.deployment.tick();
-        return part.launches.size() < router.deployment.mostLaunches()
-                && (terms.repeat() == SchedulerHost.RetrySafety.IDEMPOTENT
-                        || part.launches.stream()
-                                .allMatch(launch -> (launch.neverRan && !launch.outstandingAtNext)
-                                        || (terms.repeat() == SchedulerHost.RetrySafety.DEDUPLICATED
-                                                && soon < launch.sentAt + terms.repeatWindow())));
+    /**
+     * Rule 2: whether another attempt is safe. The deduplication window runs from the first attempt that might have run
+     * when the next one was sent, even if that one later proves that it never ran.
+     */
+    private boolean canRetry(ShardRequest request) {
+        SchedulerHost.ServiceClassConfig config = request.query.serviceClass.config;
+        double soon = router.now() + 2 * router.deployment.timerGranularitySeconds();
+        return request.attempts.size() < router.deployment.maxAttempts()
+                && (config.retrySafety() == SchedulerHost.RetrySafety.IDEMPOTENT
+                        || request.attempts.stream()
+                                .allMatch(attempt -> (attempt.neverRan && !attempt.outstandingAtRetry)
+                                        || (config.retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED
+                                                && soon < attempt.sentAt + config.dedupWindowSeconds())));
     }
 
-    /** Rule 6, one launch short of the stated budget; where none is stated, a limit of our own. */
-    boolean hasBudget(boolean replacesFailed) {
+    /**
+     * Rule 6: whether the retry budget allows another attempt, one short of the configured budget. Without a configured
+     * budget the default applies, from which replacements of failed attempts are exempt.
+     */
+    boolean hasRetryBudget(boolean replacesFailed) {
         SchedulerHost.SchedulingRules rules = router.deployment.rules();
-        boolean stated = rules.freeLaunches() < Double.POSITIVE_INFINITY;
-        double window = stated ? rules.launchWindow() : 2 * Replica.LONGEST_BACKOFF * router.latencyGoal;
+        boolean stated = rules.freeRetries() < Double.POSITIVE_INFINITY;
+        double window = stated ? rules.retryWindowSeconds() : 2 * Replica.MAX_BACKOFF * router.latencyTargetSeconds;
         double from = router.now() - window;
-        double tick = router.deployment.tick();
-        double free = stated ? rules.freeLaunches() : OWN_FREE;
-        double most = free + (stated ? rules.launchShare() : OWN_SHARE) * router.taken.since(from + tick);
-        return router.relaunched.since(from - tick) + 2 <= most || (!stated && replacesFailed);
+        double tick = router.deployment.timerGranularitySeconds();
+        double free = stated ? rules.freeRetries() : DEFAULT_FREE_RETRIES;
+        double most = free + (stated ? rules.retryRatio() : DEFAULT_RETRY_RATIO) * router.admitted.since(from + tick);
+        return router.reattempts.since(from - tick) + 2 <= most || (!stated && replacesFailed);
     }
 }
--- a/query-mixer/core/src/main/java/pinewick/core/RouterState.java
+++ b/query-mixer/core/src/main/java/pinewick/core/RouterState.java
@@ -4,34 +4,34 @@
 import java.util.SplittableRandom;
 import pinewick.selection.WindowedSum;
 
-/** What all decisions of one router share: its deployment, its queries and replicas, and what it measured. */
+/** The state that all decisions of one router share: deployment, queries, replicas and measurements. */
 final class RouterState {
     final SchedulerHost host;
     final SchedulerHost.Deployment deployment;
     final SplittableRandom random;
-    /** The shortest latency goal of all grades, in seconds. */
-    final double latencyGoal;
+    /** The shortest latency target of all service classes. */
+    final double latencyTargetSeconds;
 
-    final double openedAt;
+    final double createdAt;
     final ReplicaList replicas;
     final FleetStats fleet;
-    /** Queries without a final answer, and those of them with parts that wait for their first launch. */
-    final LinkedHashSet<Query> live = new LinkedHashSet<>();
+    /** Queries without a final answer, and those of them with shard requests that wait for their first attempt. */
+    final LinkedHashSet<Query> activeQueries = new LinkedHashSet<>();
 
-    final LinkedHashSet<Query> held = new LinkedHashSet<>();
-    /** Queries and parts taken, and further launches of parts: what budgets are counted against. */
-    final WindowedSum taken = new WindowedSum();
+    final LinkedHashSet<Query> pendingQueries = new LinkedHashSet<>();
+    /** Queries and shard requests admitted, and further attempts: the base of retry budgets. */
+    final WindowedSum admitted = new WindowedSum();
 
-    final WindowedSum relaunched = new WindowedSum();
-    /** Routers that live, and those of them that may send. */
+    final WindowedSum reattempts = new WindowedSum();
+    /** Live routers, and those of them that may send. */
     int routers;
 
     int sendingRouters;
     double batchEndedAt;
-    /** When a connection was last lost with work outstanding. */
+    /** When a connection was last lost with attempts outstanding. */
     double connectionLostAt = Double.NEGATIVE_INFINITY;
-    /** Goes up with whatever may change which holders have room. */
-    long turn = 1;
+    /** Incremented on every event that may change which holders have capacity. */
+    long roomVersion = 1;
 
     RouterState(SchedulerHost host, SchedulerHost.Deployment deployment, SplittableRandom random) {
         this.host = host;
@@ -39,14 +39,14 @@
         this.random = random;
         routers = deployment.routers();
         sendingRouters = deployment.routers();
-        latencyGoal = deployment.grades().stream()
-                .mapToDouble(SchedulerHost.ServiceClassConfig::latencyGoal)
+        latencyTargetSeconds = deployment.serviceClasses().stream()
+                .mapToDouble(SchedulerHost.ServiceClassConfig::latencyTargetSeconds)
                 .min()
                 .orElse(1);
         replicas = new ReplicaList(deployment, id -> new Replica(id, this));
-        fleet = new FleetStats(latencyGoal);
-        openedAt = host.now();
-        batchEndedAt = openedAt;
+        fleet = new FleetStats(latencyTargetSeconds);
+        createdAt = host.now();
+        batchEndedAt = createdAt;
     }
 
     double now() {
--- a/query-mixer/core/src/main/java/pinewick/core/SchedulerHost.java
+++ b/query-mixer/core/src/main/java/pinewick/core/SchedulerHost.java
@@ -3,53 +3,54 @@
 import java.util.List;
 
 /**
- * What the decisions in {@link QueryScheduler} call, and the plain data they are handed. A front end (today
- * {@code benchlink}) implements it once for each router. Times are seconds; ids stay as they came.
+ * The callbacks of {@link QueryScheduler} and the plain data that it is handed. A front end implements it once for
+ * each router. Times are seconds; ids are passed through unchanged.
  */
 public interface SchedulerHost {
-    /** The clock of the events now being handled. */
+    /** The time of the current batch of events. */
     double now();
 
-    /** Sends a part to a replica; {@code maxWait} is this launch's time-out. */
-    void launch(String part, String replica, double maxWait);
+    /** Sends a shard request to a replica; {@code timeoutSeconds} is the time-out of this attempt. */
+    void sendAttempt(String requestId, String replicaId, double timeoutSeconds);
 
-    /** Final answer from the parts that are in (or the end of the first of two steps). */
-    void assemble(String query, boolean whole);
+    /** Sends the final answer from the shard results that have arrived, or ends the first of two phases. */
+    void mergeResults(String queryId, boolean complete);
 
-    /** Final answer: turned away, and trying again is harmless; {@code retryAfter} 0 gives no advice. */
-    void decline(String query, double retryAfter);
+    /** Sends the final answer: rejected and safe to retry; {@code retryAfterSeconds} 0 gives no advice. */
+    void rejectQuery(String queryId, double retryAfterSeconds);
 
-    /** Final answer: given up, with no promise about effects. */
-    void giveUp(String query);
+    /** Sends the final answer: failed, and effects are possible. */
+    void failQuery(String queryId);
 
-    /** Stops waiting for one launch. */
-    void cancel(String part, int launch);
+    /** Cancels one attempt; {@code attempt} counts from 0 for each shard request. */
+    void cancelAttempt(String requestId, int attempt);
 
-    void probe(String replica);
+    void sendProbe(String replicaId);
 
-    /** Asks for {@link QueryScheduler#timerFired} after so many seconds. */
-    void timer(double in, long name);
+    /** Requests a call of {@link QueryScheduler#onTimer} after a delay. */
+    void scheduleTimer(double delaySeconds, long timerId);
 
-    /** Subscribes to changes of the list of replicas, or ends that. */
-    void track(boolean on);
+    /** Subscribes to changes of the list of replicas, or unsubscribes. */
+    void watchReplicas(boolean enabled);
 
-    /** What this router measured: a replica's smoothed latency (seconds), reported queue, failures in a row. */
-    default void saw(String replica, double latency, double queue, int failures) {}
+    /** Reports what this router measured: smoothed latency (seconds), reported queue length, consecutive failures. */
+    default void onReplicaMeasured(
+            String replicaId, double latencySeconds, double queueLength, int consecutiveFailures) {}
 
-    /** The latency other routers see there, seconds; 0 where none is known. Late, and may be wrong. */
-    default double othersPace(String replica) {
+    /** The latency that other routers measured there, in seconds; 0 if unknown. It may be stale or wrong. */
+    default double peerLatency(String replicaId) {
         return 0;
     }
 
-    /** Whether several other routers saw it fail or leave after this time. Late, and may be wrong. */
-    default boolean othersWarn(String replica, double since) {
+    /** Whether several other routers saw it fail or leave after this time. It may be stale or wrong. */
+    default boolean peersReportFailure(String replicaId, double since) {
         return false;
     }
 
-    /** Adds a line to the operators' report. */
+    /** Writes a line to the operators' log. */
     void log(String text);
 
-    /** How a launch or a probe ended. */
+    /** The outcome of an attempt or a probe. */
     enum Outcome {
         FULFILLED,
         ERROR,
@@ -60,94 +61,94 @@
         CANCELLED,
         MOOT;
 
-        /** Whether this ending proves that the part never ran. */
+        /** Whether this outcome proves that the shard request never ran. */
         public boolean neverRan() {
             return this == REJECTED || this == NOT_CONNECTED || this == MOOT;
         }
     }
 
-    /** What a repeat of a grade's parts does. */
+    /** Whether shard requests of a service class can be retried safely. */
     enum RetrySafety {
         IDEMPOTENT,
         DEDUPLICATED,
-        UNREPEATABLE
+        UNSAFE
     }
 
-    /** The lifecycle state of a searcher in the list. */
+    /** The lifecycle state of a replica in discovery. */
     enum LifecycleState {
         GONE,
         READY,
         DRAINING
     }
 
-    /** How a piece of the list relates to the list in hand. */
+    /** How a discovery update relates to the current list of replicas. */
     enum ListUpdateKind {
-        CHANGES,
-        WHOLE,
+        INCREMENTAL,
+        FULL,
         CACHED,
         FAILED
     }
 
-    /** One line of the list of replicas; {@code startedAt} 0 means long ago. */
-    record ReplicaEntry(String replica, int cell, String zone, LifecycleState stage, double startedAt) {}
+    /** One entry of the list of replicas; {@code startedAt} 0 means that it started long ago. */
+    record ReplicaEntry(String replicaId, int cell, String zone, LifecycleState state, double startedAt) {}
 
-    /** A replica's load report; a value that it does not carry is NaN. */
-    record LoadReport(double pending, double inFlight, double busyShare, double servedRate) {}
+    /** A load report of a replica; values that it lacks are NaN. */
+    record LoadReport(double pending, double inFlight, double utilization, double servedPerSecond) {}
 
-    /** A service grade as the deployment states it. */
+    /** The configuration of a service class. */
     record ServiceClassConfig(
             String name,
-            double latencyGoal,
-            double goalStretch,
-            double hardStop,
+            double latencyTargetSeconds,
+            double targetStretch,
+            double hardDeadlineSeconds,
             double value,
             double lateValue,
-            RetrySafety repeat,
-            double repeatWindow,
-            double leastShare,
-            double wholeFrom,
-            double partValue,
-            int secondStep) {
-        /** The latency goal of a query of so much work. */
-        double goal(double work) {
-            return latencyGoal + goalStretch * work;
+            RetrySafety retrySafety,
+            double dedupWindowSeconds,
+            double minShare,
+            double completeShare,
+            double partialValue,
+            int secondPhaseRequests) {
+        /** The latency target of a query with this amount of work, both in seconds. */
+        double latencyTarget(double work) {
+            return latencyTargetSeconds + targetStretch * work;
         }
     }
 
-    /** The rules' figures; an absent budget has an infinite {@code freeLaunches}. */
+    /** The parameters of the rules; without a retry budget {@code freeRetries} is infinite. */
     record SchedulingRules(
-            double drainGrace,
-            double coldFrom,
-            double coldTime,
+            double drainGraceSeconds,
+            double coldCapacityShare,
+            double warmUpSeconds,
             double overloadFactor,
-            double fallTime,
-            double freeLaunches,
-            double launchShare,
-            double launchWindow,
-            double askWithin) {
-        /** The share of its full work that a replica may be sent so long after its start. */
+            double overloadWindowSeconds,
+            double freeRetries,
+            double retryRatio,
+            double retryWindowSeconds,
+            double resubscribeWithinSeconds) {
+        /** The share of its full capacity that a replica may be sent at this age in seconds. */
         double capacity(double age) {
-            return coldFrom + (1 - coldFrom) * Math.min(1, age / coldTime);
+            return coldCapacityShare + (1 - coldCapacityShare) * Math.min(1, age / warmUpSeconds);
         }
     }
 
-    /** What a deployment hands a router at its start. */
+    /** The configuration of a router at its start. */
     record Deployment(
             int routers,
             String zone,
-            double tick,
-            List<ServiceClassConfig> grades,
+            double timerGranularitySeconds,
+            List<ServiceClassConfig> serviceClasses,
             SchedulingRules rules,
-            boolean mustAsk,
-            boolean mayProbe,
-            boolean mayCancel,
-            boolean mayOverlap,
-            boolean mayAdvise,
-            boolean marksRetries,
-            double longestAdvice,
-            int mostLaunches,
+            boolean mustSubscribe,
+            boolean allowsProbes,
+            boolean allowsCancel,
+            boolean allowsConcurrentAttempts,
+            boolean allowsRetryAfter,
+            boolean clientsMarkRetries,
+            double maxRetryAfterSeconds,
+            int maxAttempts,
             int cells,
-            int reach,
-            int callSize,
-            double callWork) {}
+            int cellsPerShard,
+            int maxRequestsPerCall,
+            double callOverheadSeconds) {}
 }
--- a/query-mixer/core/src/main/java/pinewick/core/ShardRequest.java
+++ b/query-mixer/core/src/main/java/pinewick/core/ShardRequest.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One part of a query, with its launches in the order in which they were made. */
+/** One shard request of a query, with its attempts in the order in which they were sent. */
 final class ShardRequest {
     final Query query;
     final String id;
@@ -12,10 +12,10 @@
     final int firstCell;
 
     final double weight;
-    final List<Attempt> launches = new ArrayList<>();
+    final List<Attempt> attempts = new ArrayList<>();
     int outstanding;
     boolean done;
-    /** No further launch of it is allowed, and none is outstanding. */
+    /** No further attempt is allowed, and none is outstanding. */
     boolean exhausted;
 
     ShardRequest(Query query, String id, int shard, int firstCell, double weight) {
@@ -26,14 +26,14 @@
         this.weight = weight;
     }
 
-    /** Whether it still waits for its first launch. */
-    boolean unlaunched() {
-        return launches.isEmpty() && !done;
+    /** Whether it still waits for its first attempt. */
+    boolean unsent() {
+        return attempts.isEmpty() && !done;
     }
 
     boolean outstandingAt(Replica replica) {
-        for (Attempt launch : launches) {
-            if (launch.replica == replica && !launch.over) {
+        for (Attempt attempt : attempts) {
+            if (attempt.replica == replica && !attempt.finished) {
                 return true;
             }
         }
@@ -44,19 +44,19 @@
         return outstanding > 0 && !done && now >= latest().overdueAt;
     }
 
-    /** Null where there was no such launch. */
-    Attempt launch(int number) {
-        return number >= 0 && number < launches.size() ? launches.get(number) : null;
+    /** Returns null if there was no such attempt. */
+    Attempt attempt(int number) {
+        return number >= 0 && number < attempts.size() ? attempts.get(number) : null;
     }
 
     Attempt latest() {
-        return launches.get(launches.size() - 1);
+        return attempts.get(attempts.size() - 1);
     }
 
-    /** Notes a new launch, also with the earlier ones. */
-    void launched(Attempt launch) {
-        launches.forEach(earlier -> earlier.outstandingAtNext |= !earlier.over);
-        launches.add(launch);
+    /** Records a new attempt, and marks the outstanding earlier ones. */
+    void onAttemptSent(Attempt attempt) {
+        attempts.forEach(earlier -> earlier.outstandingAtRetry |= !earlier.finished);
+        attempts.add(attempt);
         outstanding++;
         query.outstanding++;
     }
--- a/query-mixer/core/src/test/java/pinewick/core/FakeHost.java
+++ b/query-mixer/core/src/test/java/pinewick/core/FakeHost.java
@@ -6,130 +6,130 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** A host whose clock the story moves and which writes down what it was asked for. */
+/** A fake host with a manual clock, which records the calls of the scheduler. */
 final class FakeHost implements SchedulerHost {
     double clock = 100;
-    final List<String> said = new ArrayList<>();
-    SchedulerHost.RetrySafety repeat = SchedulerHost.RetrySafety.IDEMPOTENT;
+    final List<String> calls = new ArrayList<>();
+    SchedulerHost.RetrySafety retrySafety = SchedulerHost.RetrySafety.IDEMPOTENT;
     SchedulerHost.SchedulingRules rules =
             new SchedulerHost.SchedulingRules(0.5, 0.25, 10, 2, 1.5, Double.POSITIVE_INFINITY, 0, 0, 10);
-    boolean mustAsk;
-    boolean overlap = true;
+    boolean mustSubscribe;
+    boolean concurrentAttempts = true;
     boolean probing;
-    boolean marksRetries;
+    boolean clientsMarkRetries;
     double lateValue = 0.3;
-    double leastShare = 1;
-    double callWork;
-    int mixers = 2;
+    double minShare = 1;
+    double callOverheadSeconds;
+    int routers = 2;
     int cells = 1;
-    int reach = 1;
+    int cellsPerShard = 1;
     long seed = 7;
-    double longestWait;
-    double advice;
-    final Map<String, Double> othersPaces = new HashMap<>();
-    final Map<String, Double> warned = new HashMap<>();
-    QueryScheduler logic;
+    double longestTimeoutSeconds;
+    double retryAfterSeconds;
+    final Map<String, Double> peerLatencies = new HashMap<>();
+    final Map<String, Double> peerWarnedAt = new HashMap<>();
+    QueryScheduler scheduler;
 
-    /** A mixer over one cell of searchers a, b, ... that all hold every shard. */
+    /** Creates a router with one cell of replicas that all hold every shard. */
     FakeHost open(String... names) {
-        SchedulerHost.ServiceClassConfig grade =
-                new SchedulerHost.ServiceClassConfig("any", 2, 0, 8, 1, lateValue, repeat, 3, leastShare, 1, 0.9, 0);
-        SchedulerHost.ServiceClassConfig rich = new SchedulerHost.ServiceClassConfig(
+        SchedulerHost.ServiceClassConfig serviceClass =
+                new SchedulerHost.ServiceClassConfig("any", 2, 0, 8, 1, lateValue, retrySafety, 3, minShare, 1, 0.9, 0);
+        SchedulerHost.ServiceClassConfig highValue = new SchedulerHost.ServiceClassConfig(
                 "rich", 2, 0, 8, 10, 0, SchedulerHost.RetrySafety.IDEMPOTENT, 0, 1, 1, 0, 0);
-        logic = new QueryScheduler(
+        scheduler = new QueryScheduler(
                 this,
                 new SchedulerHost.Deployment(
-                        mixers,
+                        routers,
                         "near",
                         0.005,
-                        List.of(grade, rich),
+                        List.of(serviceClass, highValue),
                         rules,
-                        mustAsk,
+                        mustSubscribe,
                         probing,
                         true,
-                        overlap,
+                        concurrentAttempts,
                         true,
-                        marksRetries,
+                        clientsMarkRetries,
                         1,
                         4,
                         cells,
-                        reach,
-                        callWork > 0 ? 16 : 1,
-                        callWork),
+                        cellsPerShard,
+                        callOverheadSeconds > 0 ? 16 : 1,
+                        callOverheadSeconds),
                 new SplittableRandom(seed));
         list(SchedulerHost.ListUpdateKind.CACHED, SchedulerHost.LifecycleState.READY, 0, names);
         return this;
     }
 
-    /** A load report of nothing but a queue. */
-    static SchedulerHost.LoadReport queued(double parts) {
-        return new SchedulerHost.LoadReport(parts, Double.NaN, Double.NaN, Double.NaN);
+    /** A load report with only a queue length. */
+    static SchedulerHost.LoadReport queued(double requests) {
+        return new SchedulerHost.LoadReport(requests, Double.NaN, Double.NaN, Double.NaN);
     }
 
     void list(
-            SchedulerHost.ListUpdateKind form, SchedulerHost.LifecycleState stage, double startedAt, String... names) {
+            SchedulerHost.ListUpdateKind form, SchedulerHost.LifecycleState state, double startedAt, String... names) {
         List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>();
         for (String name : names) {
-            entries.add(new SchedulerHost.ReplicaEntry(name, 0, "near", stage, startedAt));
+            entries.add(new SchedulerHost.ReplicaEntry(name, 0, "near", state, startedAt));
         }
-        logic.list(form, entries);
+        scheduler.onReplicaListUpdate(form, entries);
     }
 
-    /** News of one searcher, alone in its cell. */
+    /** Applies a discovery update for one replica, alone in its cell. */
     void listAt(String name, int cell) {
-        logic.list(
-                SchedulerHost.ListUpdateKind.CHANGES,
+        scheduler.onReplicaListUpdate(
+                SchedulerHost.ListUpdateKind.INCREMENTAL,
                 List.of(new SchedulerHost.ReplicaEntry(name, cell, "near", SchedulerHost.LifecycleState.READY, 0)));
     }
 
-    /** Takes a query of so many parts, named q-0, q-1, ..., and ends the batch. */
-    Query take(String query, int parts) {
-        return take(query, parts, 8);
+    /** Submits a query of so many shard requests, named q-0, q-1, ..., and ends the batch. */
+    Query submit(String query, int requests) {
+        return submit(query, requests, 8);
     }
 
-    Query take(String query, int parts, double ttl) {
-        Query taken = logic.take(query, 0, ttl, parts, 0, false);
-        for (int part = 0; part < parts; part++) {
-            taken.part(query + "-" + part, part, 1.0 / parts);
+    Query submit(String query, int requests, double ttl) {
+        Query taken = scheduler.submit(query, 0, ttl, requests, 0, false);
+        for (int request = 0; request < requests; request++) {
+            taken.addShardRequest(query + "-" + request, request, 1.0 / requests);
         }
-        logic.endOfBatch();
+        scheduler.onBatchEnd();
         return taken;
     }
 
-    /** Lets time pass with the timer ringing as it was asked to. */
+    /** Advances the clock and fires the periodic timer. */
     void pass(double seconds) {
         double end = clock + seconds;
         while (clock < end) {
             clock += 0.02;
-            logic.timerFired(0);
-            logic.endOfBatch();
+            scheduler.onTimer(0);
+            scheduler.onBatchEnd();
         }
     }
 
-    void ends(Query query, String part, int number, Outcome ending, double took) {
-        query.settled(part, number, ending, took, null);
-        logic.endOfBatch();
+    void endAttempt(Query query, String request, int number, Outcome outcome, double elapsedSeconds) {
+        query.onAttemptEnd(request, number, outcome, elapsedSeconds, null);
+        scheduler.onBatchEnd();
     }
 
-    /** Answers one lone query of the searcher's, so that the module has heard it. */
-    void warmUp(int queries, double took) {
+    /** Runs single-request queries one after another, so that the scheduler has latency samples. */
+    void warmUp(int queries, double elapsedSeconds) {
         for (int each = 0; each < queries; each++) {
-            Query query = take("w" + clock + "-" + each, 1);
-            clock += took;
-            ends(query, "w" + (clock - took) + "-" + each + "-0", 0, Outcome.FULFILLED, took);
+            Query query = submit("w" + clock + "-" + each, 1);
+            clock += elapsedSeconds;
+            endAttempt(query, "w" + (clock - elapsedSeconds) + "-" + each + "-0", 0, Outcome.FULFILLED, elapsedSeconds);
         }
-        said.clear();
+        calls.clear();
     }
 
     long count(String start) {
-        return said.stream().filter(line -> line.startsWith(start)).count();
+        return calls.stream().filter(line -> line.startsWith(start)).count();
     }
 
-    /** Where a part's latest launch went. */
-    String where(String part) {
+    /** The replica of the latest attempt of a shard request; null if there is none. */
+    String lastReplica(String request) {
         String last = null;
-        for (String line : said) {
-            if (line.startsWith("launch " + part + " ")) {
+        for (String line : calls) {
+            if (line.startsWith("launch " + request + " ")) {
                 last = line.substring(line.lastIndexOf(' ') + 1);
             }
         }
@@ -142,59 +142,59 @@
     }
 
     @Override
-    public void launch(String part, String searcher, double maxWait) {
-        longestWait = Math.max(longestWait, maxWait);
-        said.add("launch " + part + " " + searcher);
+    public void sendAttempt(String request, String replica, double timeoutSeconds) {
+        longestTimeoutSeconds = Math.max(longestTimeoutSeconds, timeoutSeconds);
+        calls.add("launch " + request + " " + replica);
     }
 
     @Override
-    public void assemble(String query, boolean whole) {
-        said.add("assemble " + query + (whole ? " whole" : " part"));
+    public void mergeResults(String query, boolean whole) {
+        calls.add("assemble " + query + (whole ? " whole" : " part"));
     }
 
     @Override
-    public void decline(String query, double retryAfter) {
-        advice = retryAfter;
-        said.add("decline " + query);
+    public void rejectQuery(String query, double retryAfter) {
+        retryAfterSeconds = retryAfter;
+        calls.add("decline " + query);
     }
 
     @Override
-    public void giveUp(String query) {
-        said.add("give up " + query);
+    public void failQuery(String query) {
+        calls.add("give up " + query);
     }
 
     @Override
-    public void cancel(String part, int launch) {
-        said.add("cancel " + part + " " + launch);
+    public void cancelAttempt(String request, int attempt) {
+        calls.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void probe(String searcher) {
-        said.add("probe " + searcher);
+    public void sendProbe(String replica) {
+        calls.add("probe " + replica);
     }
 
     @Override
-    public void timer(double in, long name) {
-        said.add("timer " + name + " in " + in);
+    public void scheduleTimer(double in, long name) {
+        calls.add("timer " + name + " in " + in);
     }
 
     @Override
-    public void track(boolean on) {
-        said.add("track");
+    public void watchReplicas(boolean on) {
+        calls.add("track");
     }
 
     @Override
-    public double othersPace(String searcher) {
-        return othersPaces.getOrDefault(searcher, 0.0);
+    public double peerLatency(String replica) {
+        return peerLatencies.getOrDefault(replica, 0.0);
     }
 
     @Override
-    public boolean othersWarn(String searcher, double since) {
-        return warned.getOrDefault(searcher, Double.NEGATIVE_INFINITY) > since;
+    public boolean peersReportFailure(String replica, double since) {
+        return peerWarnedAt.getOrDefault(replica, Double.NEGATIVE_INFINITY) > since;
     }
 
     @Override
     public void log(String text) {
-        said.add("log " + text);
+        calls.add("log " + text);
     }
 }
--- a/query-mixer/core/src/test/java/pinewick/core/PlacementTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/PlacementTest.java
@@ -11,218 +11,218 @@
 import pinewick.core.SchedulerHost.ListUpdateKind;
 import pinewick.core.SchedulerHost.Outcome;
 
-/** Which replica a part goes to, when a query starts, and what holds it. */
+/** Which replica a shard request goes to, when a query starts, and what keeps it pending. */
 class PlacementTest {
     private final FakeHost host = new FakeHost();
 
     @Test
-    void partsGoToTheLowestScoreByReport() {
+    void requestsGoToTheLowestScoreByLoadReport() {
         host.open("a", "b");
-        host.logic.probed("a", Outcome.FULFILLED, queued(6));
-        host.logic.probed("b", Outcome.FULFILLED, queued(0));
+        host.scheduler.onProbeResult("a", Outcome.FULFILLED, queued(6));
+        host.scheduler.onProbeResult("b", Outcome.FULFILLED, queued(0));
         host.warmUp(4, 0.1);
-        Query first = host.take("q", 1);
-        String quiet = host.where("q-0");
-        first.settled("q-0", 0, Outcome.FULFILLED, 0.1, queued(9));
-        host.take("r", 1);
-        assertNotEquals(quiet, host.where("r-0"), "the report of a long queue sends the next part elsewhere");
+        Query first = host.submit("q", 1);
+        String quiet = host.lastReplica("q-0");
+        first.onAttemptEnd("q-0", 0, Outcome.FULFILLED, 0.1, queued(9));
+        host.submit("r", 1);
+        assertNotEquals(quiet, host.lastReplica("r-0"), "the report of a long queue sends the next request elsewhere");
     }
 
     @Test
-    void nothingNewGoesToASearcherThatDrainsOrIsGone() {
+    void drainingOrGoneReplicaGetsNoNewRequests() {
         host.open("a", "b");
-        host.list(ListUpdateKind.CHANGES, LifecycleState.DRAINING, 0, "a");
+        host.list(ListUpdateKind.INCREMENTAL, LifecycleState.DRAINING, 0, "a");
         for (int each = 0; each < 3; each++) {
-            host.take("q" + each, 1);
-            assertEquals("b", host.where("q" + each + "-0"));
+            host.submit("q" + each, 1);
+            assertEquals("b", host.lastReplica("q" + each + "-0"));
         }
-        host.list(ListUpdateKind.WHOLE, LifecycleState.READY, 0, "c");
-        host.take("r", 1);
-        assertEquals("c", host.where("r-0"));
+        host.list(ListUpdateKind.FULL, LifecycleState.READY, 0, "c");
+        host.submit("r", 1);
+        assertEquals("c", host.lastReplica("r-0"));
     }
 
     @Test
-    void aShunnedSearcherIsTriedAgainOnceItsBadLatencyIsOld() {
+    void avoidedReplicaIsTriedAgainOnceItsHighLatencyIsOld() {
         host.open("a", "b");
-        Query one = host.take("q", 1);
-        Query two = host.take("r", 1);
-        host.ends(one, "q-0", 0, Outcome.FULFILLED, 0.1);
-        host.ends(two, "r-0", 0, Outcome.FULFILLED, 0.1);
-        Query heavy = host.take("s", 1);
-        String shunned = host.where("s-0");
-        host.ends(heavy, "s-0", 0, Outcome.FULFILLED, 1.9);
+        Query one = host.submit("q", 1);
+        Query two = host.submit("r", 1);
+        host.endAttempt(one, "q-0", 0, Outcome.FULFILLED, 0.1);
+        host.endAttempt(two, "r-0", 0, Outcome.FULFILLED, 0.1);
+        Query heavy = host.submit("s", 1);
+        String shunned = host.lastReplica("s-0");
+        host.endAttempt(heavy, "s-0", 0, Outcome.FULFILLED, 1.9);
         host.clock += 20;
-        host.logic.probed(shunned.equals("a") ? "b" : "a", Outcome.FULFILLED, queued(0.6));
-        host.take("t", 1);
-        assertEquals(shunned, host.where("t-0"), "a slightly longer queue elsewhere now weighs more");
+        host.scheduler.onProbeResult(shunned.equals("a") ? "b" : "a", Outcome.FULFILLED, queued(0.6));
+        host.submit("t", 1);
+        assertEquals(shunned, host.lastReplica("t-0"), "a slightly longer queue elsewhere now weighs more");
     }
 
     @Test
-    void aStaleLowReportFadesTowardsTheNeighbours() {
+    void staleReportOfAShortQueueDecaysTowardsTheMean() {
         host.open("a", "b", "c");
         for (String each : List.of("q", "r", "s")) {
-            host.take(each, 1);
+            host.submit(each, 1);
         }
         for (String each : List.of("a", "b", "c")) {
-            host.logic.probed(each, Outcome.FULFILLED, queued(0));
+            host.scheduler.onProbeResult(each, Outcome.FULFILLED, queued(0));
         }
         host.pass(0.02);
-        Query one = host.take("t", 3);
-        for (int part = 0; part < 3; part++) {
-            host.ends(one, "t-" + part, 0, Outcome.FULFILLED, 0.1);
+        Query one = host.submit("t", 3);
+        for (int request = 0; request < 3; request++) {
+            host.endAttempt(one, "t-" + request, 0, Outcome.FULFILLED, 0.1);
         }
         host.clock += 1;
-        host.logic.probed("b", Outcome.FULFILLED, queued(1));
-        host.logic.probed("c", Outcome.FULFILLED, queued(4));
-        host.take("u", 1);
-        assertEquals("b", host.where("u-0"), "a's empty queue is old news");
+        host.scheduler.onProbeResult("b", Outcome.FULFILLED, queued(1));
+        host.scheduler.onProbeResult("c", Outcome.FULFILLED, queued(4));
+        host.submit("u", 1);
+        assertEquals("b", host.lastReplica("u-0"), "the report of an empty queue at a is stale");
     }
 
     @Test
-    void partsWithTheSameHoldersShareACallWhereCallsCost() {
-        host.callWork = 0.05;
+    void requestsWithTheSameHoldersShareACallWhereCallsHaveOverhead() {
+        host.callOverheadSeconds = 0.05;
         host.open("a", "b");
-        host.take("q", 3);
-        assertEquals(host.where("q-0"), host.where("q-1"));
-        assertEquals(host.where("q-0"), host.where("q-2"));
+        host.submit("q", 3);
+        assertEquals(host.lastReplica("q-0"), host.lastReplica("q-1"));
+        assertEquals(host.lastReplica("q-0"), host.lastReplica("q-2"));
     }
 
     @Test
-    void whereACallCostsWorkNeighbouringPartsJoinTheCallThatTheirTurnAlreadyMakes() {
-        host.callWork = 0.05;
+    void whereCallsHaveOverheadRequestsOfNeighbouringShardsJoinAPlannedCall() {
+        host.callOverheadSeconds = 0.05;
         host.cells = 6;
-        host.reach = 3;
-        host.mixers = 30;
+        host.cellsPerShard = 3;
+        host.routers = 30;
         host.open();
         for (int cell = 2; cell < 5; cell++) {
             host.listAt("s" + cell, cell);
         }
-        host.take("q", 3);
-        long calls = host.said.stream()
+        host.submit("q", 3);
+        long calls = host.calls.stream()
                 .filter(line -> line.startsWith("launch q"))
                 .map(line -> line.split(" ")[2])
                 .distinct()
                 .count();
-        assertEquals(1, calls, "the first part has one holder, which holds the others too");
+        assertEquals(1, calls, "the first request has one holder, which holds the others too");
     }
 
     @Test
-    void aWideValuableQueryDoesNotStarveBehindNarrowOnes() {
-        host.overlap = false;
+    void wideQueryOfHighValueDoesNotStarveBehindNarrowOnes() {
+        host.concurrentAttempts = false;
         host.open("a", "b");
         List<Query> first = new ArrayList<>();
         for (int each = 0; each < 4; each++) {
-            first.add(host.take("q" + each, 1));
+            first.add(host.submit("q" + each, 1));
         }
-        Query wide = host.logic.take("wide", 1, 8, 6, 0, false);
-        for (int part = 0; part < 6; part++) {
-            wide.part("wide-" + part, part, 1.0 / 6);
+        Query wide = host.scheduler.submit("wide", 1, 8, 6, 0, false);
+        for (int request = 0; request < 6; request++) {
+            wide.addShardRequest("wide-" + request, request, 1.0 / 6);
         }
         host.pass(0.3);
-        host.take("narrow", 1);
-        assertEquals(0, host.count("launch narrow"), "the room is kept for the wide one");
+        host.submit("narrow", 1);
+        assertEquals(0, host.count("launch narrow"), "the capacity is reserved for the wide one");
         for (int each = 0; each < 4; each++) {
-            host.ends(first.get(each), "q" + each + "-0", 0, Outcome.FULFILLED, 0.3);
+            host.endAttempt(first.get(each), "q" + each + "-0", 0, Outcome.FULFILLED, 0.3);
         }
         assertEquals(6, host.count("launch wide"));
     }
 
     @Test
-    void aLongReportedQueueHoldsTheQuery() {
+    void longReportedQueueKeepsTheQueryPending() {
         host.open("a");
-        host.logic.probed("a", Outcome.FULFILLED, queued(30));
-        host.take("q", 1);
+        host.scheduler.onProbeResult("a", Outcome.FULFILLED, queued(30));
+        host.submit("q", 1);
         assertEquals(0, host.count("launch"));
-        host.logic.probed("a", Outcome.FULFILLED, queued(1));
-        host.logic.endOfBatch();
+        host.scheduler.onProbeResult("a", Outcome.FULFILLED, queued(1));
+        host.scheduler.onBatchEnd();
         assertEquals(1, host.count("launch"));
     }
 
     @Test
-    void aQueryThatMayLackPartsStartsWithoutMostOfThemAndTheRestFollow() {
-        host.leastShare = 0.5;
+    void queryThatMayLackRequestsStartsWithoutThemAndTheyFollow() {
+        host.minShare = 0.5;
         host.cells = 8;
         host.open();
         host.listAt("a", 0);
         host.listAt("b", 1);
         host.listAt("c", 2);
-        host.take("q", 4);
-        assertEquals(3, host.count("launch q"), "a quarter has no holder, and half may be lacking");
+        host.submit("q", 4);
+        assertEquals(3, host.count("launch q"), "a quarter has no holder, and half may be missing");
         host.listAt("d", 3);
         host.pass(0.02);
-        assertEquals("d", host.where("q-3"));
+        assertEquals("d", host.lastReplica("q-3"));
     }
 
     @Test
-    void aWideQueryThatBringsDownSearchersTakesTwoAlongNotAll() {
+    void wideQueryThatCrashesReplicasCrashesTwoNotAll() {
         host.open("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
-        Query deadly = host.take("q", 10);
-        assertEquals(1, host.count("launch q"), "one part goes first");
-        host.ends(deadly, lastOf(host), 0, Outcome.DROPPED, 0.1);
+        Query deadly = host.submit("q", 10);
+        assertEquals(1, host.count("launch q"), "a canary goes first");
+        host.endAttempt(deadly, lastOf(host), 0, Outcome.DROPPED, 0.1);
         assertEquals(2, host.count("launch q"));
-        host.ends(deadly, lastOf(host), 1, Outcome.DROPPED, 0.1);
+        host.endAttempt(deadly, lastOf(host), 1, Outcome.DROPPED, 0.1);
         assertEquals(2, host.count("launch q"));
-        assertEquals(1, host.count("decline q"), "no third searcher, and its answer at once");
+        assertEquals(1, host.count("decline q"), "no third replica, and a final answer at once");
     }
 
     @Test
-    void afterACrashOnePartGoesFirstAndTheRestFollowItsAnswer() {
+    void afterACrashACanaryGoesFirstAndTheOthersFollowItsAnswer() {
         host.open("a", "b", "c");
-        Query crashed = host.take("p", 1);
-        host.ends(crashed, "p-0", 0, Outcome.DROPPED, 0.1);
-        Query answered = host.take("q", 3);
+        Query crashed = host.submit("p", 1);
+        host.endAttempt(crashed, "p-0", 0, Outcome.DROPPED, 0.1);
+        Query answered = host.submit("q", 3);
         assertEquals(1, host.count("launch q"));
-        host.ends(answered, lastOf(host), 0, Outcome.FULFILLED, 0.1);
+        host.endAttempt(answered, lastOf(host), 0, Outcome.FULFILLED, 0.1);
         assertEquals(3, host.count("launch q"));
     }
 
     @Test
-    void aScoutThatIsOverdueHoldsAWideQueryBackNoLonger() {
-        host.overlap = false;
+    void overdueCanaryNoLongerDelaysAWideQuery() {
+        host.concurrentAttempts = false;
         host.open("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
-        host.take("q", 10);
+        host.submit("q", 10);
         host.pass(0.2);
         assertEquals(1, host.count("launch q"));
         host.pass(0.4);
-        assertEquals(10, host.count("launch q"), "silence is no crash");
+        assertEquals(10, host.count("launch q"), "an overdue answer is not a crash");
     }
 
     @Test
-    void whatOtherMixersSawMakesAnUnheardSearcherLookWorseAndNeverBetterThanItsNeighbours() {
+    void peerLatencyRaisesTheScoreOfAnUnmeasuredReplicaAndNeverLowersIt() {
         host.open("a", "b");
-        host.othersPaces.put("a", 1.5);
-        host.take("q", 1);
-        assertEquals("b", host.where("q-0"), "nothing was heard of either here, but others wait long at a");
+        host.peerLatencies.put("a", 1.5);
+        host.submit("q", 1);
+        assertEquals("b", host.lastReplica("q-0"), "neither was measured here, but peers report a high latency of a");
         FakeHost again = new FakeHost().open("a", "b");
         again.warmUp(2, 0.1);
-        again.othersPaces.put("a", 1e-6);
-        again.take("q", 1);
+        again.peerLatencies.put("a", 1e-6);
+        again.submit("q", 1);
         FakeHost without = new FakeHost().open("a", "b");
         without.warmUp(2, 0.1);
-        without.take("q", 1);
-        assertEquals(without.where("q-0"), again.where("q-0"), "praise changes nothing");
+        without.submit("q", 1);
+        assertEquals(without.lastReplica("q-0"), again.lastReplica("q-0"), "a low peer latency changes nothing");
     }
 
     @Test
-    void aSearcherThatOthersWarnOfIsPassedOverUntilItAnswersHereAndIsStillTheLastResort() {
+    void replicaReportedByPeersIsAvoidedUntilItAnswersHereAndIsStillTheLastResort() {
         host.open("a", "b");
-        host.warned.put("a", host.clock);
-        host.take("q", 2);
-        assertEquals("b", host.where("q-0"));
-        assertEquals("b", host.where("q-1"));
-        host.warned.put("b", host.clock);
-        Query last = host.take("r", 1);
-        assertEquals(1, host.count("launch r-0"), "with all warned of, one part at a time goes all the same");
-        String where = host.where("r-0");
+        host.peerWarnedAt.put("a", host.clock);
+        host.submit("q", 2);
+        assertEquals("b", host.lastReplica("q-0"));
+        assertEquals("b", host.lastReplica("q-1"));
+        host.peerWarnedAt.put("b", host.clock);
+        Query last = host.submit("r", 1);
+        assertEquals(1, host.count("launch r-0"), "with all reported, one request at a time is still sent");
+        String lastReplica = host.lastReplica("r-0");
         host.clock += 0.1;
-        host.ends(last, "r-0", 0, Outcome.FULFILLED, 0.1);
-        host.take("s", 1);
-        assertEquals(where, host.where("s-0"), "its own answer came after the warning");
+        host.endAttempt(last, "r-0", 0, Outcome.FULFILLED, 0.1);
+        host.submit("s", 1);
+        assertEquals(lastReplica, host.lastReplica("s-0"), "its own answer came after the report of the peers");
     }
 
-    /** The part of query q launched last. */
+    /** The shard request of query q that was sent last. */
     private static String lastOf(FakeHost host) {
-        return host.said.stream()
+        return host.calls.stream()
                 .filter(line -> line.startsWith("launch q"))
                 .reduce((one, other) -> other)
                 .orElseThrow()
--- a/query-mixer/core/src/test/java/pinewick/core/ReplicaTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/ReplicaTest.java
@@ -11,42 +11,42 @@
 import pinewick.core.SchedulerHost.LoadReport;
 import pinewick.core.SchedulerHost.Outcome;
 
-/** How a router judges replicas: warm-up, backoff, probes, hidden queues, its own pauses, and the list. */
+/** The state of replicas in a router: warm-up, backoff, probes, hidden queues, router pauses, and discovery. */
 class ReplicaTest {
     private final FakeHost host = new FakeHost();
 
     @Test
-    void aColdSearcherGetsNoMoreThanThisMixersShareOfItsBudget() {
+    void warmingUpReplicaGetsNoMoreThanThisRoutersShareOfItsBudget() {
         host.open("a");
         host.warmUp(10, 0.2);
-        host.list(ListUpdateKind.CHANGES, LifecycleState.READY, host.clock, "a");
+        host.list(ListUpdateKind.INCREMENTAL, LifecycleState.READY, host.clock, "a");
         int sent = 0;
         for (int each = 0; each < 70; each++) {
-            Query query = host.take("q" + each, 1);
-            if (host.where("q" + each + "-0") != null) {
+            Query query = host.submit("q" + each, 1);
+            if (host.lastReplica("q" + each + "-0") != null) {
                 sent++;
-                host.ends(query, "q" + each + "-0", 0, Outcome.FULFILLED, 0.02);
+                host.endAttempt(query, "q" + each + "-0", 0, Outcome.FULFILLED, 0.02);
             }
             host.clock += 0.02;
         }
-        // Of one core's 1.4 s at a quarter of its capacity, twice, over two mixers: 0.35 s, with parts of 0.2 s.
+        // Of one core's 1.4 s at a quarter of its capacity, twice, over two routers: 0.35 s, with requests of 0.2 s.
         assertTrue(sent >= 1 && sent <= 3, "sent " + sent);
     }
 
     @Test
-    void aColdSearcherMayDoMoreWhereWarmOnesWereSeenToServeFast() {
+    void warmUpBudgetIsHigherWhereWarmReplicasServeAtAHighRate() {
         long[] sent = new long[2];
         for (int fast = 0; fast < 2; fast++) {
             FakeHost each = new FakeHost().open("a", "b");
             each.warmUp(10, 0.2);
             for (int report = 0; report < 20; report++) {
                 double rate = fast == 1 ? 15 : 0;
-                each.logic.probed("b", Outcome.FULFILLED, new LoadReport(0, Double.NaN, Double.NaN, rate));
+                each.scheduler.onProbeResult("b", Outcome.FULFILLED, new LoadReport(0, Double.NaN, Double.NaN, rate));
             }
-            each.list(ListUpdateKind.CHANGES, LifecycleState.GONE, 0, "b");
-            each.list(ListUpdateKind.CHANGES, LifecycleState.READY, each.clock, "a");
+            each.list(ListUpdateKind.INCREMENTAL, LifecycleState.GONE, 0, "b");
+            each.list(ListUpdateKind.INCREMENTAL, LifecycleState.READY, each.clock, "a");
             for (int query = 0; query < 10; query++) {
-                each.ends(each.take("q" + query, 1), "q" + query + "-0", 0, Outcome.FULFILLED, 0.02);
+                each.endAttempt(each.submit("q" + query, 1), "q" + query + "-0", 0, Outcome.FULFILLED, 0.02);
             }
             sent[fast] = each.count("launch");
         }
@@ -54,21 +54,21 @@
     }
 
     @Test
-    void aColdSearcherMayDoMoreWhereAnswersHoldWaitsAndQueuesDrainFast() {
+    void warmUpBudgetIsHigherWhereAnswersIncludeWaitsAndQueuesDrainFast() {
         long[] sent = new long[2];
         for (int queued = 0; queued < 2; queued++) {
             FakeHost each = new FakeHost().open("a", "b");
             for (int query = 0; query < 12; query++) {
-                each.logic.probed(
+                each.scheduler.onProbeResult(
                         "a", Outcome.FULFILLED, new LoadReport(4 * queued, Double.NaN, Double.NaN, Double.NaN));
-                each.logic.probed(
+                each.scheduler.onProbeResult(
                         "b", Outcome.FULFILLED, new LoadReport(4 * queued, Double.NaN, Double.NaN, Double.NaN));
                 each.warmUp(1, 0.2);
             }
-            each.list(ListUpdateKind.CHANGES, LifecycleState.GONE, 0, "b");
-            each.list(ListUpdateKind.CHANGES, LifecycleState.READY, each.clock, "a");
+            each.list(ListUpdateKind.INCREMENTAL, LifecycleState.GONE, 0, "b");
+            each.list(ListUpdateKind.INCREMENTAL, LifecycleState.READY, each.clock, "a");
             for (int query = 0; query < 10; query++) {
-                each.ends(each.take("q" + query, 1), "q" + query + "-0", 0, Outcome.FULFILLED, 0.02);
+                each.endAttempt(each.submit("q" + query, 1), "q" + query + "-0", 0, Outcome.FULFILLED, 0.02);
             }
             sent[queued] = each.count("launch");
         }
@@ -76,243 +76,245 @@
     }
 
     @Test
-    void withManyMixersSomeQueriesMayUseAColdSearcher() {
-        host.mixers = 60;
+    void withManyRoutersSomeQueriesMayUseAWarmingUpReplica() {
+        host.routers = 60;
         host.open("a");
-        host.list(ListUpdateKind.CHANGES, LifecycleState.READY, host.clock, "a");
+        host.list(ListUpdateKind.INCREMENTAL, LifecycleState.READY, host.clock, "a");
         int used = 0;
         for (int each = 0; each < 40; each++) {
-            Query query = host.take("q" + each, 1);
-            long launched = host.count("launch q" + each);
-            used += (int) launched;
+            Query query = host.submit("q" + each, 1);
+            long onAttemptSent = host.count("launch q" + each);
+            used += (int) onAttemptSent;
             host.clock += 2;
-            if (launched > 0) {
-                host.ends(query, "q" + each + "-0", 0, Outcome.FULFILLED, 0.1);
+            if (onAttemptSent > 0) {
+                host.endAttempt(query, "q" + each + "-0", 0, Outcome.FULFILLED, 0.1);
             }
-            query.withdrawn("q" + each);
-            host.list(ListUpdateKind.CHANGES, LifecycleState.READY, host.clock, "a");
+            query.onCancelled("q" + each);
+            host.list(ListUpdateKind.INCREMENTAL, LifecycleState.READY, host.clock, "a");
         }
-        assertTrue(used > 0 && used < 10, used + " of 40 while its share of the budget is under one part");
+        assertTrue(used > 0 && used < 10, used + " of 40 while its share of the budget is less than one request");
     }
 
     @Test
-    void failedAsksForTheListAreRepeatedWithinTheTimeThatCountsAsTold() {
-        host.mustAsk = true;
+    void failedSubscriptionsAreRepeatedWithinTheResubscribeTime() {
+        host.mustSubscribe = true;
         host.open("a");
         assertEquals(1, host.count("track"));
         for (int each = 0; each < 4; each++) {
             host.list(ListUpdateKind.FAILED, LifecycleState.READY, 0);
             host.pass(5);
         }
-        assertTrue(host.count("track") == 5, host.said.toString());
+        assertTrue(host.count("track") == 5, host.calls.toString());
     }
 
     @Test
-    void aSearcherGoneForLongIsForgottenAndComesBackAsOneNeverMet() {
+    void replicaGoneForLongIsEvictedAndReturnsWithoutHistory() {
         FakeHost host = new FakeHost();
         host.probing = true;
         host.open("a");
         for (double away : new double[] {1, 60}) {
             host.clock += 60;
-            Query query = host.take("q" + away, 1);
-            host.ends(query, "q" + away + "-0", 0, SchedulerHost.Outcome.ERROR, 0.1);
-            host.list(SchedulerHost.ListUpdateKind.CHANGES, SchedulerHost.LifecycleState.GONE, 0, "a");
+            Query query = host.submit("q" + away, 1);
+            host.endAttempt(query, "q" + away + "-0", 0, SchedulerHost.Outcome.ERROR, 0.1);
+            host.list(SchedulerHost.ListUpdateKind.INCREMENTAL, SchedulerHost.LifecycleState.GONE, 0, "a");
             host.clock += away;
-            host.list(SchedulerHost.ListUpdateKind.CHANGES, SchedulerHost.LifecycleState.READY, 0, "b");
-            host.list(SchedulerHost.ListUpdateKind.CHANGES, SchedulerHost.LifecycleState.GONE, 0, "b");
-            host.list(SchedulerHost.ListUpdateKind.CHANGES, SchedulerHost.LifecycleState.READY, 0, "a");
-            host.said.clear();
+            host.list(SchedulerHost.ListUpdateKind.INCREMENTAL, SchedulerHost.LifecycleState.READY, 0, "b");
+            host.list(SchedulerHost.ListUpdateKind.INCREMENTAL, SchedulerHost.LifecycleState.GONE, 0, "b");
+            host.list(SchedulerHost.ListUpdateKind.INCREMENTAL, SchedulerHost.LifecycleState.READY, 0, "a");
+            host.calls.clear();
             host.pass(0.1);
             assertEquals(away > 30 ? 0 : 1, host.count("probe a"), "its failure is known after " + away);
-            host.logic.probed("a", SchedulerHost.Outcome.FULFILLED, null);
+            host.scheduler.onProbeResult("a", SchedulerHost.Outcome.FULFILLED, null);
         }
     }
 
     @Test
-    void aLostConnectionIsNoRestartButASearcherThatWasNotReachedComesBackCold() {
-        for (SchedulerHost.Outcome ending :
+    void lostConnectionIsNoRestartButAnUnreachableReplicaReturnsInWarmUp() {
+        for (SchedulerHost.Outcome outcome :
                 new SchedulerHost.Outcome[] {SchedulerHost.Outcome.DROPPED, SchedulerHost.Outcome.NOT_CONNECTED}) {
             FakeHost host = new FakeHost().open("a");
             host.warmUp(10, 0.2);
-            Query broken = host.take("q", 1);
-            host.ends(broken, "q-0", 0, ending, 0.1);
+            Query broken = host.submit("q", 1);
+            host.endAttempt(broken, "q-0", 0, outcome, 0.1);
             host.pass(0.2);
-            host.ends(broken, "q-0", 1, SchedulerHost.Outcome.FULFILLED, 0.2);
+            host.endAttempt(broken, "q-0", 1, SchedulerHost.Outcome.FULFILLED, 0.2);
             for (int each = 0; each < 4; each++) {
-                host.take("s" + each, 1);
+                host.submit("s" + each, 1);
             }
-            assertEquals(ending == SchedulerHost.Outcome.DROPPED ? 4 : 1, host.count("launch s"), "after " + ending);
+            assertEquals(outcome == SchedulerHost.Outcome.DROPPED ? 4 : 1, host.count("launch s"), "after " + outcome);
         }
         FakeHost young = new FakeHost().open("a");
-        Query first = young.take("q", 1);
-        young.ends(first, "q-0", 0, SchedulerHost.Outcome.NOT_CONNECTED, 0.1);
-        first.withdrawn("q");
+        Query first = young.submit("q", 1);
+        young.endAttempt(first, "q-0", 0, SchedulerHost.Outcome.NOT_CONNECTED, 0.1);
+        first.onCancelled("q");
         young.pass(0.6);
-        young.ends(young.take("r", 1), "r-0", 0, SchedulerHost.Outcome.FULFILLED, 0.2);
+        young.endAttempt(young.submit("r", 1), "r-0", 0, SchedulerHost.Outcome.FULFILLED, 0.2);
         for (int each = 0; each < 4; each++) {
-            young.take("s" + each, 1);
+            young.submit("s" + each, 1);
         }
-        assertEquals(4, young.count("launch s"), "a mixer that just started has seen nobody come back");
+        assertEquals(4, young.count("launch s"), "a router that just started has seen no replica return");
     }
 
     @Test
-    void aStallOfThisMixerIsNotTakenForSlowSearchers() {
+    void pauseOfThisRouterIsNotTakenForSlowReplicas() {
         host.open("a");
         host.warmUp(20, 0.1);
-        Query before = host.take("q", 4);
+        Query before = host.submit("q", 4);
         assertEquals(4, host.count("launch q"));
         host.clock += 1.5;
-        host.logic.timerFired(0);
-        for (int part = 0; part < 4; part++) {
-            before.settled("q-" + part, 0, Outcome.FULFILLED, 1.5, null);
+        host.scheduler.onTimer(0);
+        for (int request = 0; request < 4; request++) {
+            before.onAttemptEnd("q-" + request, 0, Outcome.FULFILLED, 1.5, null);
         }
-        host.logic.endOfBatch();
+        host.scheduler.onBatchEnd();
         assertEquals(1, host.count("assemble q whole"));
-        host.take("r", 4);
-        assertEquals(4, host.count("launch r"), "room is as it was");
+        host.submit("r", 4);
+        assertEquals(4, host.count("launch r"), "the concurrency limit is unchanged");
     }
 
     @Test
-    void holdersAreAskedWhereReportsAreOldAndAProbeTurnedAwayIsNoFailure() {
+    void holdersWithStaleReportsAreProbedAndARejectedProbeIsNoFailure() {
         host.probing = true;
-        host.mixers = 60;
+        host.routers = 60;
         host.open("a", "b");
-        host.take("q", 1);
+        host.submit("q", 1);
         assertEquals(2, host.count("probe"));
-        assertEquals(0, host.count("launch"), "waits a moment for the reports");
-        host.logic.probed("a", Outcome.FULFILLED, queued(3));
-        host.logic.probed("b", Outcome.REJECTED, null);
-        host.logic.probed("unknown", Outcome.FULFILLED, null);
-        host.logic.endOfBatch();
+        assertEquals(0, host.count("launch"), "waits briefly for the reports");
+        host.scheduler.onProbeResult("a", Outcome.FULFILLED, queued(3));
+        host.scheduler.onProbeResult("b", Outcome.REJECTED, null);
+        host.scheduler.onProbeResult("unknown", Outcome.FULFILLED, null);
+        host.scheduler.onBatchEnd();
         assertEquals(1, host.count("launch"));
         assertEquals(0, host.count("log"));
-        host.take("r", 1);
+        host.submit("r", 1);
         assertEquals(2, host.count("probe"), "the reports are still fresh");
     }
 
     @Test
-    void withManyMixersASlowSearcherIsLeftAloneThoughItReportsToBeIdle() {
-        host.mixers = 60;
+    void withManyRoutersASlowReplicaIsAvoidedAlthoughItReportsIdle() {
+        host.routers = 60;
         host.open("a", "b");
         host.warmUp(20, 0.1);
-        Query slow = host.take("q", 1);
-        String where = host.where("q-0");
+        Query slow = host.submit("q", 1);
+        String lastReplica = host.lastReplica("q-0");
         for (int each = 0; each < 40; each++) {
             host.clock += 0.1;
-            host.logic.endOfBatch();
+            host.scheduler.onBatchEnd();
         }
-        slow.settled("q-0", 0, Outcome.FULFILLED, 4, queued(0));
+        slow.onAttemptEnd("q-0", 0, Outcome.FULFILLED, 4, queued(0));
         for (int each = 0; each < 3; each++) {
             host.clock += 1;
-            Query query = host.take("r" + each, 1);
-            assertNotEquals(where, host.where("r" + each + "-0"));
-            host.ends(query, "r" + each + "-0", 0, Outcome.FULFILLED, 0.1);
+            Query query = host.submit("r" + each, 1);
+            assertNotEquals(lastReplica, host.lastReplica("r" + each + "-0"));
+            host.endAttempt(query, "r" + each + "-0", 0, Outcome.FULFILLED, 0.1);
         }
     }
 
     @Test
-    void aSearcherThatOwesAProbesAnswerIsPassedOver() {
+    void replicaWithAnOverdueProbeIsAvoided() {
         host.probing = true;
-        host.mixers = 60;
+        host.routers = 60;
         host.open("a", "b");
-        host.take("q", 1);
-        host.logic.probed("b", Outcome.FULFILLED, queued(5));
+        host.submit("q", 1);
+        host.scheduler.onProbeResult("b", Outcome.FULFILLED, queued(5));
         host.pass(0.1);
-        assertEquals("b", host.where("q-0"), "though nothing is known against a and b has a queue");
+        assertEquals("b", host.lastReplica("q-0"), "although a has no failures and b has a queue");
     }
 
     @Test
-    void aHundredMixersSendFewProbesToASearcherAtRestAndTheOthersTryItWithAPart() {
-        int probes = 0;
+    void fewOfAHundredRoutersProbeAReplicaAfterBackoffAndTheOthersTryItWithARequest() {
+        int prober = 0;
         int tried = 0;
         for (long seed = 0; seed < 100; seed++) {
             FakeHost one = new FakeHost();
-            one.mixers = 100;
+            one.routers = 100;
             one.probing = true;
             one.seed = seed;
             one.open("a");
-            Query query = one.take("q", 1);
-            one.logic.probed("a", Outcome.FULFILLED, queued(0));
+            Query query = one.submit("q", 1);
+            one.scheduler.onProbeResult("a", Outcome.FULFILLED, queued(0));
             one.pass(0.02);
-            one.ends(query, "q-0", 0, Outcome.ERROR, 0.1);
-            one.said.clear();
+            one.endAttempt(query, "q-0", 0, Outcome.ERROR, 0.1);
+            one.calls.clear();
             one.pass(4);
-            probes += (int) one.count("probe a");
-            one.said.clear();
-            one.take("r", 1);
+            prober += (int) one.count("probe a");
+            one.calls.clear();
+            one.submit("r", 1);
             one.pass(0.1);
             tried += (int) one.count("launch r-0 a");
         }
-        assertTrue(probes <= 20, probes + " of a hundred mixers probed the same searcher as its rest ended");
-        assertTrue(tried >= 80, "only " + tried + " of a hundred mixers used it again");
+        assertTrue(prober <= 20, prober + " of a hundred routers probed the same replica as its backoff ended");
+        assertTrue(tried >= 80, "only " + tried + " of a hundred routers used it again");
     }
 
     @Test
-    void aSearcherThatCouldNotBeReachedHasNoQueueOnceItIsBack() {
-        host.mixers = 100;
+    void unreachableReplicaHasNoHiddenQueueOnceItIsBack() {
+        host.routers = 100;
         host.open("a");
         host.warmUp(20, 0.1);
         for (int each = 0; each < 3; each++) {
-            Query query = host.take("q" + each, 1);
+            Query query = host.submit("q" + each, 1);
             for (int number = 0; number < 4; number++) {
-                host.ends(query, "q" + each + "-0", number, Outcome.NOT_CONNECTED, 0.25);
+                host.endAttempt(query, "q" + each + "-0", number, Outcome.NOT_CONNECTED, 0.25);
             }
             host.pass(5);
         }
-        host.said.clear();
-        host.take("r", 1);
-        assertEquals(1, host.count("launch r-0 a"), "its rest is over, and it was never slow");
+        host.calls.clear();
+        host.submit("r", 1);
+        assertEquals(1, host.count("launch r-0 a"), "its backoff is over, and it was never slow");
     }
 
-    /** Takes a query of one part; its searcher a answers the probe at once. */
-    private Query asked(String id) {
-        Query query = host.take(id, 1);
-        host.logic.probed("a", Outcome.FULFILLED, queued(0));
+    /** Submits a query of one shard request; replica a answers the probe at once. */
+    private Query submitAndAnswerProbe(String id) {
+        Query query = host.submit(id, 1);
+        host.scheduler.onProbeResult("a", Outcome.FULFILLED, queued(0));
         host.pass(0.1);
         return query;
     }
 
     @Test
-    void aSearcherThatAnsweredNoProbeWasSilentAndNotSlow() {
-        host.mixers = 100;
+    void replicaWithoutProbeAnswersWasUnresponsiveAndNotSlow() {
+        host.routers = 100;
         host.probing = true;
         host.open("a");
-        Query first = asked("first");
-        host.ends(first, "first-0", 0, Outcome.FULFILLED, 0.1);
-        Query query = asked("q");
+        Query first = submitAndAnswerProbe("first");
+        host.endAttempt(first, "first-0", 0, Outcome.FULFILLED, 0.1);
+        Query query = submitAndAnswerProbe("q");
         for (int number = 0; number < 4; number++) {
             host.pass(2);
-            host.ends(query, "q-0", number, Outcome.TIMED_OUT, 2);
+            host.endAttempt(query, "q-0", number, Outcome.TIMED_OUT, 2);
         }
         host.pass(4);
-        host.logic.probed("a", Outcome.TIMED_OUT, null);
+        host.scheduler.onProbeResult("a", Outcome.TIMED_OUT, null);
         host.pass(4.5);
-        host.logic.probed("a", Outcome.FULFILLED, queued(0));
-        host.said.clear();
-        asked("r");
+        host.scheduler.onProbeResult("a", Outcome.FULFILLED, queued(0));
+        host.calls.clear();
+        submitAndAnswerProbe("r");
         assertEquals(
-                1, host.count("launch r-0 a"), "with its first word the silence is over, and no queue is left of it");
+                1,
+                host.count("launch r-0 a"),
+                "its first response ends the unresponsive state, and no hidden queue is left");
     }
 
     @Test
-    void whereSlowAnswersWereMostlyFollowedByQuickOnesAHiddenQueueIsBelievedForAShorterTime() {
-        host.mixers = 100;
+    void hiddenQueueDecaysFasterWhereSlowAnswersWereMostlyFollowedByFastOnes() {
+        host.routers = 100;
         host.open("a");
         host.warmUp(20, 0.1);
         for (int each = 0; each < 40; each++) {
-            double took = each % 5 == 0 ? 1.4 : 0.1;
-            Query query = host.take("q" + each, 1);
-            host.pass(took);
-            host.ends(query, "q" + each + "-0", 0, Outcome.FULFILLED, took);
+            double elapsedSeconds = each % 5 == 0 ? 1.4 : 0.1;
+            Query query = host.submit("q" + each, 1);
+            host.pass(elapsedSeconds);
+            host.endAttempt(query, "q" + each + "-0", 0, Outcome.FULFILLED, elapsedSeconds);
             host.pass(1.5);
         }
-        Query slow = host.take("s", 1);
+        Query slow = host.submit("s", 1);
         host.pass(1);
-        slow.settled("s-0", 0, Outcome.FULFILLED, 3.9, queued(0));
-        host.logic.endOfBatch();
+        slow.onAttemptEnd("s-0", 0, Outcome.FULFILLED, 3.9, queued(0));
+        host.scheduler.onBatchEnd();
         host.pass(1.5);
-        host.said.clear();
-        host.take("r", 1);
+        host.calls.clear();
+        host.submit("r", 1);
         assertEquals(1, host.count("launch r-0 a"), "such queues were gone by then");
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/benchlink/Mixer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/benchlink/Mixer.java
@@ -32,8 +32,8 @@
     Mixer(int number, long clock, Fields opening) {
         this.number = number;
         this.clock = clock;
-        deployment = DeploymentParser.read(opening.text("config"));
-        for (SchedulerHost.ServiceClassConfig grade : deployment.grades()) {
+        deployment = DeploymentParser.parse(opening.text("config"));
+        for (SchedulerHost.ServiceClassConfig grade : deployment.serviceClasses()) {
             gradeRows.put(grade.name(), gradeRows.size());
         }
         logic = new QueryScheduler(this, deployment, new SplittableRandom(opening.whole("rng-seed", 0)));
@@ -58,7 +58,7 @@
             return;
         }
         try {
-            logic.endOfBatch();
+            logic.onBatchEnd();
             ended.forEach(id -> {
                 if (byId.containsKey(id)) {
                     forget(byId.get(id));
@@ -87,10 +87,10 @@
 
     private void dispatch(Fields event, List<ReplicaEntry> entries) {
         switch (event.verb()) {
-            case "discovery" -> logic.list(
+            case "discovery" -> logic.onReplicaListUpdate(
                     switch ((int) event.whole("form")) {
-                        case 0 -> ListUpdateKind.CHANGES;
-                        case 1 -> ListUpdateKind.WHOLE;
+                        case 0 -> ListUpdateKind.INCREMENTAL;
+                        case 1 -> ListUpdateKind.FULL;
                         case 2 -> ListUpdateKind.CACHED;
                         default -> ListUpdateKind.FAILED;
                     },
@@ -99,7 +99,7 @@
             case "settled" -> {
                 Query query = byId.get(event.text("call"));
                 if (query != null) {
-                    query.settled(
+                    query.onAttemptEnd(
                             event.text("call"),
                             (int) event.whole("go"),
                             ending(event),
@@ -111,12 +111,12 @@
             case "withdrawn" -> {
                 Query query = byId.get(event.text("call"));
                 if (query != null) {
-                    query.withdrawn(event.text("call"));
+                    query.onCancelled(event.text("call"));
                     forget(query);
                 }
             }
-            case "probe_done" -> logic.probed(event.text("searcher"), ending(event), report(event));
-            case "ring" -> logic.timerFired(event.whole("name"));
+            case "probe_done" -> logic.onProbeResult(event.text("searcher"), ending(event), report(event));
+            case "ring" -> logic.onTimer(event.whole("name"));
             default -> {
                 // Nothing that a mixer acts on: messages from peers, streams (no grade has them).
             }
@@ -131,7 +131,7 @@
             if (row == null) {
                 throw new IllegalArgumentException("unknown priority " + event.text("priority"));
             }
-            Query query = logic.take(
+            Query query = logic.submit(
                     id,
                     row,
                     event.seconds("ttl-ns", 0),
@@ -147,13 +147,13 @@
         if (query != null) {
             byId.put(id, query);
             wired.get(query).ids().add(id);
-            query.part(id, (int) event.whole("segment-no"), event.number("share-or-count", 0));
+            query.addShardRequest(id, (int) event.whole("segment-no"), event.number("share-or-count", 0));
         }
     }
 
     /** Drops the ids of a query of which nothing more can be told. */
     private void forget(Query query) {
-        if (query.over()) {
+        if (query.isFinished()) {
             Wired names = wired.remove(query);
             names.ids().forEach(byId::remove);
             byJob.remove(names.job(), query);
@@ -174,7 +174,7 @@
     }
 
     private static LoadReport report(Fields event) {
-        return DeploymentParser.report(event.text("metrics", ""), ':');
+        return DeploymentParser.parseLoadReport(event.text("metrics", ""), ':');
     }
 
     private StringBuilder write(String verb) {
@@ -191,7 +191,7 @@
     }
 
     @Override
-    public void launch(String part, String searcher, double maxWait) {
+    public void sendAttempt(String part, String searcher, double maxWait) {
         write("issue")
                 .append(" call=")
                 .append(part)
@@ -203,7 +203,7 @@
     }
 
     @Override
-    public void assemble(String query, boolean whole) {
+    public void mergeResults(String query, boolean whole) {
         ended.add(query);
         write("assemble")
                 .append(" call=")
@@ -214,7 +214,7 @@
     }
 
     @Override
-    public void decline(String query, double retryAfter) {
+    public void rejectQuery(String query, double retryAfter) {
         ended.add(query);
         write("not_now").append(" call=").append(query);
         if (retryAfter > 0) {
@@ -224,13 +224,13 @@
     }
 
     @Override
-    public void giveUp(String query) {
+    public void failQuery(String query) {
         ended.add(query);
         write("drop_request").append(" call=").append(query).append('\n');
     }
 
     @Override
-    public void cancel(String part, int launch) {
+    public void cancelAttempt(String part, int launch) {
         write("undo_send")
                 .append(" call=")
                 .append(part)
@@ -240,12 +240,12 @@
     }
 
     @Override
-    public void probe(String searcher) {
+    public void sendProbe(String searcher) {
         write("test").append(" searcher=").append(searcher).append('\n');
     }
 
     @Override
-    public void timer(double in, long name) {
+    public void scheduleTimer(double in, long name) {
         write("timer")
                 .append(" in-ns=")
                 .append(nanos(in))
@@ -255,7 +255,7 @@
     }
 
     @Override
-    public void track(boolean on) {
+    public void watchReplicas(boolean on) {
         write("track").append(" complete=").append(on ? 1 : 0).append('\n');
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
@@ -53,18 +53,18 @@
         route = new Route(given, seed, loop, log, queries, counters, send, relay);
         book.tells(route);
         Admit admit = new Admit(limits, loop, queries, counters, route, relay);
-        double goal = given.grades().stream()
-                .mapToDouble(SchedulerHost.ServiceClassConfig::latencyGoal)
+        double goal = given.serviceClasses().stream()
+                .mapToDouble(SchedulerHost.ServiceClassConfig::latencyTargetSeconds)
                 .min()
                 .orElse(1);
-        double value = given.grades().stream()
+        double value = given.serviceClasses().stream()
                 .mapToDouble(SchedulerHost.ServiceClassConfig::value)
                 .max()
                 .orElse(1);
         Pressure pressure = new Pressure(
                 limits.lagShare() * goal,
                 limits.lagMemory(),
-                given.mayAdvise() ? Math.min(given.longestAdvice() / 1.5, limits.lagAdvice() * goal) : 0,
+                given.allowsRetryAfter() ? Math.min(given.maxRetryAfterSeconds() / 1.5, limits.lagAdvice() * goal) : 0,
                 value,
                 new SplittableRandom(seed));
         loop.watches(pressure);
@@ -74,13 +74,13 @@
 
     /** News of the list: the decisions are told, and what waits for a searcher that takes nothing new goes back. */
     void list(ListText.Piece piece, SchedulerHost.ListUpdateKind form) {
-        if (form != SchedulerHost.ListUpdateKind.CHANGES) {
+        if (form != SchedulerHost.ListUpdateKind.INCREMENTAL) {
             searchers.allGone();
         }
         for (int each = 0; each < piece.listings().size(); each++) {
             SchedulerHost.ReplicaEntry entry = piece.listings().get(each);
             if (searchers.listed(entry, piece.addresses().get(each))) {
-                send.leaves(entry.replica(), "address changed");
+                send.leaves(entry.replicaId(), "address changed");
             }
         }
         route.list(form, piece.listings());
--- a/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
@@ -204,7 +204,7 @@
         if (step.whole() || !step.changed().isEmpty()) {
             news.accept(
                     piece(told, step.whole()),
-                    step.whole() ? SchedulerHost.ListUpdateKind.WHOLE : SchedulerHost.ListUpdateKind.CHANGES);
+                    step.whole() ? SchedulerHost.ListUpdateKind.FULL : SchedulerHost.ListUpdateKind.INCREMENTAL);
         }
         if (step.whole()) {
             log.say(
--- a/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
@@ -91,7 +91,7 @@
 
     private void ask() {
         SchedulerHost.ServiceClassConfig grade =
-                given.grades().get(asked++ % given.grades().size());
+                given.serviceClasses().get(asked++ % given.serviceClasses().size());
         StringBuilder body = new StringBuilder("{\"slices\":[");
         int parts = Math.min(Math.min(CELLS, given.cells()), limits.shards());
         for (int part = 0; part < parts; part++) {
@@ -104,7 +104,8 @@
         }
         body.append("],\"filter\":\"rehearsal\"}");
         String request = "POST /api HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: rehearsal-" + asked + "\r\nReq-Kind: "
-                + grade.name() + "\r\nReq-Deadline: " + Math.min(limits.longestWait(), Math.max(1, grade.hardStop()))
+                + grade.name() + "\r\nReq-Deadline: "
+                + Math.min(limits.longestWait(), Math.max(1, grade.hardDeadlineSeconds()))
                 + "\r\nIdempotency-Key: rehearsal-" + asked + "\r\nContent-Length: " + body.length() + "\r\n\r\n"
                 + body;
         try {
--- a/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
@@ -149,11 +149,13 @@
                 piece -> {
                     chain.list(
                             piece,
-                            piece.whole() ? SchedulerHost.ListUpdateKind.WHOLE : SchedulerHost.ListUpdateKind.CHANGES);
+                            piece.whole()
+                                    ? SchedulerHost.ListUpdateKind.FULL
+                                    : SchedulerHost.ListUpdateKind.INCREMENTAL);
                     serveByList();
                 },
                 () -> {
-                    if (orders.deployment().mustAsk()) {
+                    if (orders.deployment().mustSubscribe()) {
                         chain.route.list(SchedulerHost.ListUpdateKind.FAILED, List.of());
                     }
                     if (watch.mayServeUnproven() && !orders.known().listings().isEmpty()) {
--- a/query-mixer/daemon/src/main/java/pinewick/life/Serving.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Serving.java
@@ -52,7 +52,8 @@
             }
             StartOrders orders = StartOrders.read(System.getenv());
             System.out.println(orders.name() + " listens at " + orders.listen() + ", discovery at "
-                    + orders.discovery() + ", " + orders.deployment().grades().size() + " service grades, "
+                    + orders.discovery() + ", "
+                    + orders.deployment().serviceClasses().size() + " service grades, "
                     + orders.known().listings().size() + " searchers known at revision "
                     + orders.known().revision()
                     + "\n" + orders.limits());
--- a/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
@@ -98,11 +98,11 @@
         SchedulerHost.Deployment deployment;
         try {
             limits = Limits.of(all);
-            deployment = DeploymentParser.read(all.getAsJsonObject("settings"));
+            deployment = DeploymentParser.parse(all.getAsJsonObject("settings"));
         } catch (RuntimeException wrong) {
             throw new IllegalArgumentException("EDGE_CONFIG: field settings or limits: " + wrong.getMessage());
         }
-        if (deployment.grades().isEmpty()) {
+        if (deployment.serviceClasses().isEmpty()) {
             throw new IllegalArgumentException("EDGE_CONFIG: field settings.categories is missing or empty");
         }
         long seed;
--- a/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
@@ -113,16 +113,16 @@
 
     /** Searchers that a list named, be it an old one. */
     void knows(List<SchedulerHost.ReplicaEntry> listings) {
-        listings.forEach(each -> key(each.replica()));
+        listings.forEach(each -> key(each.replicaId()));
     }
 
     /** What the list says; those that leave are told to the others, whose own list may come later. */
     void list(List<SchedulerHost.ReplicaEntry> listings) {
         for (SchedulerHost.ReplicaEntry each : listings) {
-            int key = key(each.replica());
-            if (each.stage() != SchedulerHost.LifecycleState.READY && !mixedUp.contains(key)) {
+            int key = key(each.replicaId());
+            if (each.state() != SchedulerHost.LifecycleState.READY && !mixedUp.contains(key)) {
                 state.saw(
-                        loop.now(), key, FactKind.LEAVES, each.stage() == SchedulerHost.LifecycleState.GONE ? 2 : 1, 0);
+                        loop.now(), key, FactKind.LEAVES, each.state() == SchedulerHost.LifecycleState.GONE ? 2 : 1, 0);
             }
         }
     }
--- a/query-mixer/daemon/src/main/java/pinewick/memory/Searchers.java
+++ b/query-mixer/daemon/src/main/java/pinewick/memory/Searchers.java
@@ -16,11 +16,11 @@
 
     /** True where the address has changed. */
     public boolean listed(SchedulerHost.ReplicaEntry entry, InetSocketAddress address) {
-        stages.put(entry.replica(), entry.stage());
+        stages.put(entry.replicaId(), entry.state());
         if (address == null) {
             return false;
         }
-        InetSocketAddress before = addresses.put(entry.replica(), address);
+        InetSocketAddress before = addresses.put(entry.replicaId(), address);
         return before != null && !before.equals(address);
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
@@ -55,7 +55,7 @@
         counters.add("ended-" + ending.name().toLowerCase(Locale.ROOT));
         OpenQuery query = launch.piece.query;
         try {
-            query.handle.settled(launch.piece.id, launch.number, ending, loop.now() - launch.sentAt, report);
+            query.handle.onAttemptEnd(launch.piece.id, launch.number, ending, loop.now() - launch.sentAt, report);
         } catch (RuntimeException fault) {
             relay.giveUp(query);
             throw fault;
@@ -68,13 +68,13 @@
     void withdrawn(OpenQuery query) {
         relay.left(query);
         if (query.handle != null) {
-            query.handle.withdrawn(query.id);
+            query.handle.onCancelled(query.id);
             forget(query);
         }
     }
 
     private void forget(OpenQuery query) {
-        if (query.handle.over()) {
+        if (query.handle.isFinished()) {
             queries.forget(query);
         }
     }
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
@@ -70,7 +70,7 @@
         // Danger: a query of which nothing is out when it ends gets no more news, and would be kept for good. The
         // decisions are done with it only once they return.
         loop.later("forgetting a query", () -> {
-            if (query.handle == null || query.handle.over()) {
+            if (query.handle == null || query.handle.isFinished()) {
                 queries.forget(query);
             }
         });
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Route.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Route.java
@@ -61,8 +61,8 @@
     public void take(OpenQuery query) {
         try {
             query.handle =
-                    logic.take(query.id, query.grade, query.ttl, query.pieces.size(), query.workHint, query.again);
-            query.pieces.values().forEach(piece -> query.handle.part(piece.id, piece.shard, piece.mass));
+                    logic.submit(query.id, query.grade, query.ttl, query.pieces.size(), query.workHint, query.again);
+            query.pieces.values().forEach(piece -> query.handle.addShardRequest(piece.id, piece.shard, piece.mass));
         } catch (RuntimeException fault) {
             // Whatever went wrong inside, the client gets its one answer.
             relay.giveUp(query);
@@ -74,16 +74,16 @@
     }
 
     public void list(SchedulerHost.ListUpdateKind form, List<SchedulerHost.ReplicaEntry> entries) {
-        logic.list(form, entries);
+        logic.onReplicaListUpdate(form, entries);
     }
 
     public void probed(String searcher, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
-        logic.probed(searcher, ending, report);
+        logic.onProbeResult(searcher, ending, report);
     }
 
     /** So many mixers live from now on, and so many may be sending at most. */
     public void mixers(int count, int most) {
-        logic.routers(count, most);
+        logic.updateRouterCount(count, most);
     }
 
     /** No more timers: these decisions are done with. */
@@ -92,7 +92,7 @@
     }
 
     public void endOfBatch() {
-        loop.guarded("deciding at a batch's end", logic::endOfBatch);
+        loop.guarded("deciding at a batch's end", logic::onBatchEnd);
         send.flush();
     }
 
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public void launch(String part, String searcher, double maxWait) {
+    public void sendAttempt(String part, String searcher, double maxWait) {
         OpenQuery.Piece piece = queries.piece(part);
         LiveLaunch launch = new LiveLaunch(piece, piece.launches.size(), searcher, now(), now() + maxWait);
         piece.launches.add(launch);
@@ -110,59 +110,59 @@
     }
 
     @Override
-    public void assemble(String query, boolean whole) {
+    public void mergeResults(String query, boolean whole) {
         relay.fulfil(queries.query(query), whole);
     }
 
     @Override
-    public void decline(String query, double retryAfter) {
+    public void rejectQuery(String query, double retryAfter) {
         relay.decline(queries.query(query), retryAfter);
     }
 
     @Override
-    public void giveUp(String query) {
+    public void failQuery(String query) {
         relay.giveUp(queries.query(query));
     }
 
     @Override
-    public void cancel(String part, int number) {
+    public void cancelAttempt(String part, int number) {
         send.cancel(queries.piece(part).launches.get(number));
     }
 
     @Override
-    public void probe(String searcher) {
+    public void sendProbe(String searcher) {
         send.probe(searcher);
     }
 
     @Override
-    public void timer(double in, long name) {
+    public void scheduleTimer(double in, long name) {
         if (!over) {
             loop.after(in, "a timer", () -> {
                 if (!over) {
-                    logic.timerFired(name);
+                    logic.onTimer(name);
                 }
             });
         }
     }
 
     @Override
-    public void track(boolean on) {
+    public void watchReplicas(boolean on) {
         // The watch is always open or about to be; asking starts nothing more.
         counters.add("asked-to-track");
     }
 
     @Override
-    public void saw(String searcher, double pace, double queue, int failures) {
+    public void onReplicaMeasured(String searcher, double pace, double queue, int failures) {
         others.saw(searcher, pace, queue, failures);
     }
 
     @Override
-    public double othersPace(String searcher) {
+    public double peerLatency(String searcher) {
         return others.pace(searcher);
     }
 
     @Override
-    public boolean othersWarn(String searcher, double since) {
+    public boolean peersReportFailure(String searcher, double since) {
         return others.warn(searcher, since);
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
@@ -99,13 +99,13 @@
      * searcher that does not read. Harm: none, the decisions may launch it no more either.
      */
     private void writeInWindow(LiveLaunch launch) {
-        SchedulerHost.ServiceClassConfig grade = given.grades().get(launch.piece.query.grade);
-        if (grade.repeat() == SchedulerHost.RetrySafety.DEDUPLICATED && launch.number > 0) {
+        SchedulerHost.ServiceClassConfig grade = given.serviceClasses().get(launch.piece.query.grade);
+        if (grade.retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED && launch.number > 0) {
             launch.piece.launches.stream()
                     .filter(each -> each != launch && !each.neverRan)
                     .findFirst()
                     .ifPresent(first -> {
-                        launch.writeBy = first.sentAt + grade.repeatWindow() - given.tick();
+                        launch.writeBy = first.sentAt + grade.dedupWindowSeconds() - given.timerGranularitySeconds();
                         loop.after(
                                 launch.writeBy - loop.clock(),
                                 "the end of a window",
@@ -180,7 +180,7 @@
             if (call.link.silentSince(call)) {
                 call.link.retire("silent");
             }
-            boolean tell = given.mayCancel() && !given.mayOverlap();
+            boolean tell = given.allowsCancel() && !given.allowsConcurrentAttempts();
             call.link.drop(launch, tell);
             book.ended(launch, SchedulerHost.Outcome.TIMED_OUT, null);
         } else {
@@ -192,7 +192,7 @@
     public void cancel(LiveLaunch launch) {
         if (!launch.over) {
             if (launch.call != null) {
-                launch.call.link.drop(launch, given.mayCancel());
+                launch.call.link.drop(launch, given.allowsCancel());
             }
             endLater(launch, SchedulerHost.Outcome.CANCELLED);
         }
--- a/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
@@ -47,7 +47,7 @@
         this.book = book;
         this.pressure = pressure;
         this.loop = loop;
-        given.grades().forEach(grade -> gradeRows.put(grade.name(), gradeRows.size()));
+        given.serviceClasses().forEach(grade -> gradeRows.put(grade.name(), gradeRows.size()));
     }
 
     @Override
@@ -60,17 +60,17 @@
         wrongIf(!wait.matches("[0-9]+(\\.[0-9]*)?|\\.[0-9]+"), "time: Req-Deadline is no number");
         double ttl = Double.parseDouble(wait);
         wrongIf(!(ttl > 0 && ttl <= limits.longestWait()), "time: Req-Deadline out of bounds");
-        boolean keyed = given.grades().get(grade).repeat() == SchedulerHost.RetrySafety.DEDUPLICATED;
+        boolean keyed = given.serviceClasses().get(grade).retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED;
         String key = keyed ? header(headers, KEY) : null;
         OpenQuery query = new OpenQuery(id, grade, ttl, key, asker);
         query.seenAt = loop.now();
         if (loop.now() + ttl > lastEnd) {
             // Danger: a request taken while leaving that can't end before the exit would be lost with its effects.
             counters.add("turned-away-leaving");
-            admit.turnAway(query, given.mayAdvise() ? pressure.comeBack() : 0);
+            admit.turnAway(query, given.allowsRetryAfter() ? pressure.comeBack() : 0);
             return query;
         }
-        if (pressure.turnsAway(loop.now(), given.grades().get(grade).value())) {
+        if (pressure.turnsAway(loop.now(), given.serviceClasses().get(grade).value())) {
             // Before the body is parsed: what can't be served in time should cost as little as it can.
             counters.add("turned-away-behind");
             admit.turnAway(query, pressure.comeBack());
--- a/query-mixer/daemon/src/main/java/pinewick/wire/AnswerFrame.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/AnswerFrame.java
@@ -52,7 +52,7 @@
     /** Danger: an answer would be lost for a report that can't be read. It counts as none. */
     static SchedulerHost.LoadReport report(String text) {
         try {
-            return DeploymentParser.report(text, '=');
+            return DeploymentParser.parseLoadReport(text, '=');
         } catch (RuntimeException unreadable) {
             return null;
         }
--- a/query-mixer/daemon/src/test/java/pinewick/life/LaunchCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/life/LaunchCrossingTest.java
@@ -87,14 +87,14 @@
         JsonObject settings = JsonParser.parseString(SETTINGS).getAsJsonObject();
         onLoop(() -> {
             chain = new Chain(
-                    DeploymentParser.read(settings.getAsJsonObject("settings")),
+                    DeploymentParser.parse(settings.getAsJsonObject("settings")),
                     Limits.of(settings),
                     7,
                     loop,
                     log,
                     new DefaultByteBufferPool(true, 8 << 10, 16, 4),
                     SearcherLink::dial);
-            chain.list(list(SchedulerHost.LifecycleState.READY), SchedulerHost.ListUpdateKind.WHOLE);
+            chain.list(list(SchedulerHost.LifecycleState.READY), SchedulerHost.ListUpdateKind.FULL);
             door = worker.createStreamConnectionServer(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                     ChannelListeners.openListenerAdapter(chain.door),
@@ -216,7 +216,7 @@
         try (Socket first = firstQuery();
                 Socket second = client()) {
             beforeLaunches(() ->
-                    chain.list(list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.CHANGES));
+                    chain.list(list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.INCREMENTAL));
             post(second, "second");
             assertEquals("HTTP/1.1 503", new String(second.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
             assertEquals(0, frames.size());
@@ -228,7 +228,7 @@
         try (Socket first = firstQuery();
                 Socket second = client()) {
             chain.looksAtList(() ->
-                    chain.list(list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.CHANGES));
+                    chain.list(list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.INCREMENTAL));
             beforeLaunches(() -> assertNull(frames.poll(100, TimeUnit.MILLISECONDS)));
             post(second, "second");
             assertEquals("HTTP/1.1 503", new String(second.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
