--- a/query-mixer/core/src/main/java/pinewick/core/Placement.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Placement.java
@@ -13,11 +13,11 @@
 
     private final RouterState router;
     private final List<PlacementPlan> reserved = new ArrayList<>();
-    private final long[] roomAtVersion; // by first cell: version at which a holder had capacity; negated: none
+    private final long[] capacityAtVersion; // by first cell: version when a holder had capacity; negated: none
 
     Placement(RouterState router) {
         this.router = router;
-        roomAtVersion = new long[router.deployment.cells()];
+        capacityAtVersion = new long[router.deployment.cells()];
     }
 
     /**
@@ -31,7 +31,7 @@
             return false; // replanning all pending queries after each batch took most of a router's CPU time
         }
         PlacementPlan plan = new PlacementPlan();
-        // Where a call has overhead, shard requests with the same holders share one call.
+        // Where a call has overhead, shard requests with the same holders share one call and pay it once.
         List<List<ShardRequest>> groups = query.unsent(callsCostWork());
         groups.forEach(group -> plan.add(group, selectReplica(group.get(0), group.size())));
         if (!query.started() && plan.missingWeight() > START_MISSING_SHARE * query.allowedMissingWeight()) {
@@ -42,7 +42,7 @@
             } else {
                 plan.release();
             }
-            router.roomVersion++;
+            router.capacityVersion++;
             return false;
         }
         plan.releaseOnlyThis();
@@ -131,11 +131,11 @@
                                 && router.replicas.holders(request).stream().noneMatch(Replica::isHealthy));
     }
 
-    /** Whether any holder accepts an unsent shard request: cached per room version, unless a random draw decides. */
+    /** Whether any holder accepts an unsent shard request: cached per version, unless a random draw decides. */
     private boolean anyHolderAccepts(ShardRequest request) {
         int first = request.firstCell;
-        if (Math.abs(roomAtVersion[first]) == router.roomVersion) {
-            return roomAtVersion[first] > 0; // evaluating each time took half of a busy router's CPU time
+        if (Math.abs(capacityAtVersion[first]) == router.capacityVersion) {
+            return capacityAtVersion[first] > 0; // evaluating each time took half of a busy router's CPU time
         }
         boolean found = false;
         boolean sameForAll = true;
@@ -143,7 +143,7 @@
             sameForAll &= !replica.isWarmingUp();
             found = found || canAccept(replica, request, 1);
         }
-        roomAtVersion[first] = !sameForAll ? 0 : found ? router.roomVersion : -router.roomVersion;
+        capacityAtVersion[first] = !sameForAll ? 0 : found ? router.capacityVersion : -router.capacityVersion;
         return found;
     }
 
@@ -156,7 +156,7 @@
         boolean freshReport = now - replica.reportedAt < Replica.REPORT_LIFETIME * router.latencyTargetSeconds;
         double queuedAhead = freshReport ? replica.queue + replica.sentSinceReport : 0;
         Attempt attempt = new Attempt(replica, now, now + query.serviceClass.hedgeDelay(), queuedAhead);
-        router.roomVersion++;
+        router.capacityVersion++;
         request.onAttemptSent(attempt);
         replica.onAttemptSent(attempt);
         if (replica.isWarmingUp()) {
--- a/query-mixer/core/src/main/java/pinewick/core/QueryScheduler.java
+++ b/query-mixer/core/src/main/java/pinewick/core/QueryScheduler.java
@@ -69,7 +69,7 @@
         listFailures = 0;
         resubscribeAt = Double.POSITIVE_INFINITY;
         router.replicas.update(kind != SchedulerHost.ListUpdateKind.INCREMENTAL, entries, now);
-        router.roomVersion++;
+        router.capacityVersion++;
         // New replica ids keep appearing, so a gone replica is evicted once no rule needs it; else memory would leak.
         double keep = 2 * Replica.MAX_BACKOFF * latencyTarget + rules.warmUpSeconds() + rules.overloadWindowSeconds();
         router.replicas.evictGone(now, keep);
@@ -120,7 +120,7 @@
             checkDue = false;
             runPeriodicCheck();
         }
-        router.roomVersion++;
+        router.capacityVersion++;
         router.batchEndedAt = router.now();
         List<Query> order = new ArrayList<>(router.pendingQueries);
         double longestWait = order.isEmpty() ? 0 : router.now() - order.get(0).admittedAt;
--- a/query-mixer/core/src/main/java/pinewick/core/RouterState.java
+++ b/query-mixer/core/src/main/java/pinewick/core/RouterState.java
@@ -31,7 +31,7 @@
     /** When a connection was last lost with attempts outstanding. */
     double connectionLostAt = Double.NEGATIVE_INFINITY;
     /** Incremented on every event that may change which holders have capacity. */
-    long roomVersion = 1;
+    long capacityVersion = 1;
 
     RouterState(SchedulerHost host, SchedulerHost.Deployment deployment, SplittableRandom random) {
         this.host = host;
--- a/query-mixer/core/src/test/java/pinewick/core/ColdFleetTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/ColdFleetTest.java
@@ -45,7 +45,7 @@
         int attempts(Query query, SplittableRandom chance, boolean heavy) {
             int cold = 0;
             for (String line : host.calls) {
-                if (line.startsWith("launch ")) {
+                if (line.startsWith("sendAttempt ")) {
                     cold += line.endsWith(" cold") ? 1 : 0;
                     double elapsedSeconds = heavy ? WORK * Math.exp(1.2 * gauss(chance) - 0.72) : WORK;
                     answers.add(new Object[] {host.clock + elapsedSeconds, query, line.split(" ")[1], elapsedSeconds});
--- a/query-mixer/core/src/test/java/pinewick/core/FakeHost.java
+++ b/query-mixer/core/src/test/java/pinewick/core/FakeHost.java
@@ -129,7 +129,7 @@
     String lastReplica(String request) {
         String last = null;
         for (String line : calls) {
-            if (line.startsWith("launch " + request + " ")) {
+            if (line.startsWith("sendAttempt " + request + " ")) {
                 last = line.substring(line.lastIndexOf(' ') + 1);
             }
         }
@@ -144,43 +144,43 @@
     @Override
     public void sendAttempt(String request, String replica, double timeoutSeconds) {
         longestTimeoutSeconds = Math.max(longestTimeoutSeconds, timeoutSeconds);
-        calls.add("launch " + request + " " + replica);
+        calls.add("sendAttempt " + request + " " + replica);
     }
 
     @Override
-    public void mergeResults(String query, boolean whole) {
-        calls.add("assemble " + query + (whole ? " whole" : " part"));
+    public void mergeResults(String query, boolean complete) {
+        calls.add("mergeResults " + query + (complete ? " complete" : " partial"));
     }
 
     @Override
     public void rejectQuery(String query, double retryAfter) {
         retryAfterSeconds = retryAfter;
-        calls.add("decline " + query);
+        calls.add("rejectQuery " + query);
     }
 
     @Override
     public void failQuery(String query) {
-        calls.add("give up " + query);
+        calls.add("failQuery " + query);
     }
 
     @Override
     public void cancelAttempt(String request, int attempt) {
-        calls.add("cancel " + request + " " + attempt);
+        calls.add("cancelAttempt " + request + " " + attempt);
     }
 
     @Override
     public void sendProbe(String replica) {
-        calls.add("probe " + replica);
+        calls.add("sendProbe " + replica);
     }
 
     @Override
-    public void scheduleTimer(double in, long name) {
-        calls.add("timer " + name + " in " + in);
+    public void scheduleTimer(double delaySeconds, long timerId) {
+        calls.add("scheduleTimer " + timerId + " in " + delaySeconds);
     }
 
     @Override
-    public void watchReplicas(boolean on) {
-        calls.add("track");
+    public void watchReplicas(boolean enabled) {
+        calls.add("watchReplicas");
     }
 
     @Override
--- a/query-mixer/core/src/test/java/pinewick/core/PlacementTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/PlacementTest.java
@@ -99,7 +99,7 @@
         }
         host.submit("q", 3);
         long calls = host.calls.stream()
-                .filter(line -> line.startsWith("launch q"))
+                .filter(line -> line.startsWith("sendAttempt q"))
                 .map(line -> line.split(" ")[2])
                 .distinct()
                 .count();
@@ -120,11 +120,11 @@
         }
         host.pass(0.3);
         host.submit("narrow", 1);
-        assertEquals(0, host.count("launch narrow"), "the capacity is reserved for the wide one");
+        assertEquals(0, host.count("sendAttempt narrow"), "the capacity is reserved for the wide one");
         for (int each = 0; each < 4; each++) {
             host.endAttempt(first.get(each), "q" + each + "-0", 0, Outcome.FULFILLED, 0.3);
         }
-        assertEquals(6, host.count("launch wide"));
+        assertEquals(6, host.count("sendAttempt wide"));
     }
 
     @Test
@@ -132,10 +132,10 @@
         host.open("a");
         host.scheduler.onProbeResult("a", Outcome.FULFILLED, queued(30));
         host.submit("q", 1);
-        assertEquals(0, host.count("launch"));
+        assertEquals(0, host.count("sendAttempt"));
         host.scheduler.onProbeResult("a", Outcome.FULFILLED, queued(1));
         host.scheduler.onBatchEnd();
-        assertEquals(1, host.count("launch"));
+        assertEquals(1, host.count("sendAttempt"));
     }
 
     @Test
@@ -147,7 +147,7 @@
         host.listAt("b", 1);
         host.listAt("c", 2);
         host.submit("q", 4);
-        assertEquals(3, host.count("launch q"), "a quarter has no holder, and half may be missing");
+        assertEquals(3, host.count("sendAttempt q"), "a quarter has no holder, and half may be missing");
         host.listAt("d", 3);
         host.pass(0.02);
         assertEquals("d", host.lastReplica("q-3"));
@@ -157,12 +157,12 @@
     void wideQueryThatCrashesReplicasCrashesTwoNotAll() {
         host.open("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
         Query deadly = host.submit("q", 10);
-        assertEquals(1, host.count("launch q"), "a canary goes first");
+        assertEquals(1, host.count("sendAttempt q"), "a canary goes first");
         host.endAttempt(deadly, lastOf(host), 0, Outcome.DROPPED, 0.1);
-        assertEquals(2, host.count("launch q"));
+        assertEquals(2, host.count("sendAttempt q"));
         host.endAttempt(deadly, lastOf(host), 1, Outcome.DROPPED, 0.1);
-        assertEquals(2, host.count("launch q"));
-        assertEquals(1, host.count("decline q"), "no third replica, and a final answer at once");
+        assertEquals(2, host.count("sendAttempt q"));
+        assertEquals(1, host.count("rejectQuery q"), "no third replica, and a final answer at once");
     }
 
     @Test
@@ -171,9 +171,9 @@
         Query crashed = host.submit("p", 1);
         host.endAttempt(crashed, "p-0", 0, Outcome.DROPPED, 0.1);
         Query answered = host.submit("q", 3);
-        assertEquals(1, host.count("launch q"));
+        assertEquals(1, host.count("sendAttempt q"));
         host.endAttempt(answered, lastOf(host), 0, Outcome.FULFILLED, 0.1);
-        assertEquals(3, host.count("launch q"));
+        assertEquals(3, host.count("sendAttempt q"));
     }
 
     @Test
@@ -182,9 +182,9 @@
         host.open("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
         host.submit("q", 10);
         host.pass(0.2);
-        assertEquals(1, host.count("launch q"));
+        assertEquals(1, host.count("sendAttempt q"));
         host.pass(0.4);
-        assertEquals(10, host.count("launch q"), "an overdue answer is not a crash");
+        assertEquals(10, host.count("sendAttempt q"), "an overdue answer is not a crash");
     }
 
     @Test
@@ -212,7 +212,7 @@
         assertEquals("b", host.lastReplica("q-1"));
         host.peerWarnedAt.put("b", host.clock);
         Query last = host.submit("r", 1);
-        assertEquals(1, host.count("launch r-0"), "with all reported, one request at a time is still sent");
+        assertEquals(1, host.count("sendAttempt r-0"), "with all reported, one request at a time is still sent");
         String lastReplica = host.lastReplica("r-0");
         host.clock += 0.1;
         host.endAttempt(last, "r-0", 0, Outcome.FULFILLED, 0.1);
@@ -223,7 +223,7 @@
     /** The shard request of query q that was sent last. */
     private static String lastOf(FakeHost host) {
         return host.calls.stream()
-                .filter(line -> line.startsWith("launch q"))
+                .filter(line -> line.startsWith("sendAttempt q"))
                 .reduce((one, other) -> other)
                 .orElseThrow()
                 .split(" ")[1];
--- a/query-mixer/core/src/test/java/pinewick/core/QueryTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/QueryTest.java
@@ -16,17 +16,17 @@
     void everyQueryEndsOnceBeforeItsDeadline() {
         host.open("a", "b");
         Query query = host.submit("q", 2, 5);
-        assertEquals(1, host.count("timer 1 in 4.9"), "its end does not wait for the periodic check");
+        assertEquals(1, host.count("scheduleTimer 1 in 4.9"), "its end does not wait for the periodic check");
         host.pass(4.99);
-        assertEquals(1, host.count("decline q") + host.count("give up q"));
+        assertEquals(1, host.count("rejectQuery q") + host.count("failQuery q"));
         host.calls.clear();
         host.endAttempt(query, "q-0", 0, Outcome.TIMED_OUT, 5);
         host.endAttempt(query, "q-1", 0, Outcome.FULFILLED, 5);
         host.pass(1);
-        assertEquals(0, host.count("launch q"));
+        assertEquals(0, host.count("sendAttempt q"));
         query.onAttemptEnd("q-0", 1, Outcome.CANCELLED, 4, null);
         query.onAttemptEnd("q-1", 1, Outcome.CANCELLED, 4, null);
-        assertEquals(0, host.count("assemble q") + host.count("give up q") + host.count("decline q"));
+        assertEquals(0, host.count("mergeResults q") + host.count("failQuery q") + host.count("rejectQuery q"));
         assertTrue(query.isFinished());
     }
 
@@ -42,9 +42,9 @@
         host.endAttempt(enough, "q-1", 0, Outcome.FULFILLED, 0.1);
         host.endAttempt(scant, "r-0", 0, Outcome.FULFILLED, 0.1);
         host.pass(7.99);
-        assertEquals(1, host.count("assemble q part"));
-        assertEquals(0, host.count("assemble q whole"));
-        assertEquals(0, host.count("assemble r"));
+        assertEquals(1, host.count("mergeResults q partial"));
+        assertEquals(0, host.count("mergeResults q complete"));
+        assertEquals(0, host.count("mergeResults r"));
     }
 
     @Test
@@ -52,8 +52,8 @@
         host.open("a");
         host.list(ListUpdateKind.INCREMENTAL, LifecycleState.GONE, 0, "a");
         host.submit("q", 1);
-        assertEquals(1, host.count("decline q"));
-        assertEquals(0, host.count("launch"));
+        assertEquals(1, host.count("rejectQuery q"));
+        assertEquals(0, host.count("sendAttempt"));
     }
 
     @Test
@@ -63,11 +63,11 @@
         for (int each = 0; each < 8; each++) {
             host.submit("q" + each, 2);
         }
-        long started = host.count("launch");
+        long started = host.count("sendAttempt");
         assertTrue(started < 16, started + " attempts sent");
         host.pass(2);
-        assertTrue(host.count("decline") >= 1);
-        assertEquals(started, host.count("launch"), "no work is done for rejected queries");
+        assertTrue(host.count("rejectQuery") >= 1);
+        assertEquals(started, host.count("sendAttempt"), "no work is done for rejected queries");
     }
 
     @Test
@@ -77,8 +77,8 @@
         left.onCancelled("q");
         Query crippled = host.submit("r", 2);
         crippled.onCancelled("r-1");
-        assertEquals(0, host.count("decline q"));
-        assertEquals(1, host.count("decline r"));
+        assertEquals(0, host.count("rejectQuery q"));
+        assertEquals(1, host.count("rejectQuery r"));
     }
 
     @Test
@@ -92,9 +92,9 @@
         host.calls.clear();
         host.submit("q", 8);
         host.submit("r", 8);
-        assertEquals(0, host.count("launch r"));
+        assertEquals(0, host.count("sendAttempt r"));
         host.pass(1.3);
-        assertEquals(1, host.count("decline r"), "1 s of the target is left, and queries took as long");
+        assertEquals(1, host.count("rejectQuery r"), "1 s of the target is left, and queries took as long");
     }
 
     @Test
@@ -105,11 +105,11 @@
             host.open("a");
             host.warmUp(10, 0.1);
             host.submit("hasty", 1, 1);
-            assertEquals(marked ? 1 : 0, host.count("launch hasty-0"));
+            assertEquals(marked ? 1 : 0, host.count("sendAttempt hasty-0"));
             Query again = host.scheduler.submit("again", 0, 1, 1, 0, true);
             again.addShardRequest("again-0", 0, 1);
             host.scheduler.onBatchEnd();
-            assertEquals(1, host.count("decline again"), "its target has passed");
+            assertEquals(1, host.count("rejectQuery again"), "its target has passed");
         }
     }
 
@@ -121,7 +121,7 @@
         }
         host.submit("hasty", 1, 1);
         host.pass(0.48);
-        assertEquals(1, host.count("decline hasty"));
+        assertEquals(1, host.count("rejectQuery hasty"));
         assertEquals(
                 0.5,
                 host.retryAfterSeconds,
@@ -138,13 +138,13 @@
         double taken = host.clock;
         host.endAttempt(query, "q-0", 0, Outcome.FULFILLED, 0.1);
         host.endAttempt(query, "q-1", 0, Outcome.FULFILLED, 0.1);
-        while (host.count("assemble q part") == 0 && host.clock < taken + 8) {
+        while (host.count("mergeResults q partial") == 0 && host.clock < taken + 8) {
             host.clock += 0.005;
             host.scheduler.onTimer(1);
             host.scheduler.onBatchEnd();
         }
         assertTrue(host.clock < taken + 2, "given " + (host.clock - taken) + " s after admission, the target is 2 s");
-        assertEquals(1, host.count("timer 1 in 1.9"), "by its own timer, not the next periodic check");
+        assertEquals(1, host.count("scheduleTimer 1 in 1.9"), "by its own timer, not the next periodic check");
     }
 
     @Test
@@ -154,10 +154,10 @@
         host.open("a", "b", "c");
         Query query = host.submit("q", 4);
         host.endAttempt(query, "q-0", 0, Outcome.ERROR, 0.1);
-        assertEquals(0, host.count("give up q") + host.count("assemble q"));
+        assertEquals(0, host.count("failQuery q") + host.count("mergeResults q"));
         for (int request = 1; request < 4; request++) {
             host.endAttempt(query, "q-" + request, 0, Outcome.FULFILLED, 0.1);
         }
-        assertEquals(1, host.count("assemble q part"), "no more results can arrive, so it is answered at once");
+        assertEquals(1, host.count("mergeResults q partial"), "no more results can arrive, so it is answered at once");
     }
 }
--- a/query-mixer/core/src/test/java/pinewick/core/ReplicaTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/ReplicaTest.java
@@ -48,7 +48,7 @@
             for (int query = 0; query < 10; query++) {
                 each.endAttempt(each.submit("q" + query, 1), "q" + query + "-0", 0, Outcome.FULFILLED, 0.02);
             }
-            sent[fast] = each.count("launch");
+            sent[fast] = each.count("sendAttempt");
         }
         assertTrue(sent[1] > sent[0], sent[0] + " and " + sent[1]);
     }
@@ -70,7 +70,7 @@
             for (int query = 0; query < 10; query++) {
                 each.endAttempt(each.submit("q" + query, 1), "q" + query + "-0", 0, Outcome.FULFILLED, 0.02);
             }
-            sent[queued] = each.count("launch");
+            sent[queued] = each.count("sendAttempt");
         }
         assertTrue(sent[1] > sent[0], "answers of 0.2 s behind four others: " + sent[1] + ", without: " + sent[0]);
     }
@@ -83,10 +83,10 @@
         int used = 0;
         for (int each = 0; each < 40; each++) {
             Query query = host.submit("q" + each, 1);
-            long onAttemptSent = host.count("launch q" + each);
-            used += (int) onAttemptSent;
+            long attempts = host.count("sendAttempt q" + each);
+            used += (int) attempts;
             host.clock += 2;
-            if (onAttemptSent > 0) {
+            if (attempts > 0) {
                 host.endAttempt(query, "q" + each + "-0", 0, Outcome.FULFILLED, 0.1);
             }
             query.onCancelled("q" + each);
@@ -99,12 +99,12 @@
     void failedSubscriptionsAreRepeatedWithinTheResubscribeTime() {
         host.mustSubscribe = true;
         host.open("a");
-        assertEquals(1, host.count("track"));
+        assertEquals(1, host.count("watchReplicas"));
         for (int each = 0; each < 4; each++) {
             host.list(ListUpdateKind.FAILED, LifecycleState.READY, 0);
             host.pass(5);
         }
-        assertTrue(host.count("track") == 5, host.calls.toString());
+        assertTrue(host.count("watchReplicas") == 5, host.calls.toString());
     }
 
     @Test
@@ -123,7 +123,7 @@
             host.list(SchedulerHost.ListUpdateKind.INCREMENTAL, SchedulerHost.LifecycleState.READY, 0, "a");
             host.calls.clear();
             host.pass(0.1);
-            assertEquals(away > 30 ? 0 : 1, host.count("probe a"), "its failure is known after " + away);
+            assertEquals(away > 30 ? 0 : 1, host.count("sendProbe a"), "its failure is known after " + away);
             host.scheduler.onProbeResult("a", SchedulerHost.Outcome.FULFILLED, null);
         }
     }
@@ -141,7 +141,8 @@
             for (int each = 0; each < 4; each++) {
                 host.submit("s" + each, 1);
             }
-            assertEquals(outcome == SchedulerHost.Outcome.DROPPED ? 4 : 1, host.count("launch s"), "after " + outcome);
+            assertEquals(
+                    outcome == SchedulerHost.Outcome.DROPPED ? 4 : 1, host.count("sendAttempt s"), "after " + outcome);
         }
         FakeHost young = new FakeHost().open("a");
         Query first = young.submit("q", 1);
@@ -152,7 +153,7 @@
         for (int each = 0; each < 4; each++) {
             young.submit("s" + each, 1);
         }
-        assertEquals(4, young.count("launch s"), "a router that just started has seen no replica return");
+        assertEquals(4, young.count("sendAttempt s"), "a router that just started has seen no replica return");
     }
 
     @Test
@@ -160,16 +161,16 @@
         host.open("a");
         host.warmUp(20, 0.1);
         Query before = host.submit("q", 4);
-        assertEquals(4, host.count("launch q"));
+        assertEquals(4, host.count("sendAttempt q"));
         host.clock += 1.5;
         host.scheduler.onTimer(0);
         for (int request = 0; request < 4; request++) {
             before.onAttemptEnd("q-" + request, 0, Outcome.FULFILLED, 1.5, null);
         }
         host.scheduler.onBatchEnd();
-        assertEquals(1, host.count("assemble q whole"));
+        assertEquals(1, host.count("mergeResults q complete"));
         host.submit("r", 4);
-        assertEquals(4, host.count("launch r"), "the concurrency limit is unchanged");
+        assertEquals(4, host.count("sendAttempt r"), "the concurrency limit is unchanged");
     }
 
     @Test
@@ -178,16 +179,16 @@
         host.routers = 60;
         host.open("a", "b");
         host.submit("q", 1);
-        assertEquals(2, host.count("probe"));
-        assertEquals(0, host.count("launch"), "waits briefly for the reports");
+        assertEquals(2, host.count("sendProbe"));
+        assertEquals(0, host.count("sendAttempt"), "waits briefly for the reports");
         host.scheduler.onProbeResult("a", Outcome.FULFILLED, queued(3));
         host.scheduler.onProbeResult("b", Outcome.REJECTED, null);
         host.scheduler.onProbeResult("unknown", Outcome.FULFILLED, null);
         host.scheduler.onBatchEnd();
-        assertEquals(1, host.count("launch"));
+        assertEquals(1, host.count("sendAttempt"));
         assertEquals(0, host.count("log"));
         host.submit("r", 1);
-        assertEquals(2, host.count("probe"), "the reports are still fresh");
+        assertEquals(2, host.count("sendProbe"), "the reports are still fresh");
     }
 
     @Test
@@ -237,11 +238,11 @@
             one.endAttempt(query, "q-0", 0, Outcome.ERROR, 0.1);
             one.calls.clear();
             one.pass(4);
-            prober += (int) one.count("probe a");
+            prober += (int) one.count("sendProbe a");
             one.calls.clear();
             one.submit("r", 1);
             one.pass(0.1);
-            tried += (int) one.count("launch r-0 a");
+            tried += (int) one.count("sendAttempt r-0 a");
         }
         assertTrue(prober <= 20, prober + " of a hundred routers probed the same replica as its backoff ended");
         assertTrue(tried >= 80, "only " + tried + " of a hundred routers used it again");
@@ -261,7 +262,7 @@
         }
         host.calls.clear();
         host.submit("r", 1);
-        assertEquals(1, host.count("launch r-0 a"), "its backoff is over, and it was never slow");
+        assertEquals(1, host.count("sendAttempt r-0 a"), "its backoff is over, and it was never slow");
     }
 
     /** Submits a query of one shard request; replica a answers the probe at once. */
@@ -292,7 +293,7 @@
         submitAndAnswerProbe("r");
         assertEquals(
                 1,
-                host.count("launch r-0 a"),
+                host.count("sendAttempt r-0 a"),
                 "its first response ends the unresponsive state, and no hidden queue is left");
     }
 
@@ -315,6 +316,6 @@
         host.pass(1.5);
         host.calls.clear();
         host.submit("r", 1);
-        assertEquals(1, host.count("launch r-0 a"), "such queues were gone by then");
+        assertEquals(1, host.count("sendAttempt r-0 a"), "such queues were gone by then");
     }
 }
--- a/query-mixer/core/src/test/java/pinewick/core/RetryPolicyTest.java
+++ b/query-mixer/core/src/test/java/pinewick/core/RetryPolicyTest.java
@@ -17,12 +17,12 @@
         host.open("a", "b");
         Query never = host.submit("q", 1);
         host.endAttempt(never, "q-0", 0, Outcome.NOT_CONNECTED, 0.25);
-        assertEquals(2, host.count("launch q-0"));
+        assertEquals(2, host.count("sendAttempt q-0"));
         host.endAttempt(never, "q-0", 1, Outcome.DROPPED, 0.1);
         host.pass(1);
-        assertEquals(2, host.count("launch q-0"));
-        assertEquals(1, host.count("give up q"));
-        assertEquals(0, host.count("decline q"));
+        assertEquals(2, host.count("sendAttempt q-0"));
+        assertEquals(1, host.count("failQuery q"));
+        assertEquals(0, host.count("rejectQuery q"));
     }
 
     @Test
@@ -33,8 +33,8 @@
         host.concurrentAttempts = false;
         host.clock += 3.1;
         host.endAttempt(query, "q-0", 0, Outcome.DROPPED, 3.1);
-        assertEquals(1, host.count("launch q-0"));
-        assertEquals(1, host.count("give up q"));
+        assertEquals(1, host.count("sendAttempt q-0"));
+        assertEquals(1, host.count("failQuery q"));
     }
 
     @Test
@@ -46,7 +46,7 @@
             host.endAttempt(query, "q" + each + "-0", 0, Outcome.ERROR, 0.01);
             host.clock += 0.7;
         }
-        long attempts = host.count("launch");
+        long attempts = host.count("sendAttempt");
         assertTrue(attempts > 10 && attempts <= 14, attempts + " attempts of 10 shard requests");
     }
 
@@ -57,7 +57,7 @@
         host.submit("q", 1);
         String hung = host.lastReplica("q-0");
         host.pass(0.6);
-        assertEquals(2, host.count("launch q-0"));
+        assertEquals(2, host.count("sendAttempt q-0"));
         String other = host.lastReplica("q-0");
         assertNotEquals(hung, other);
         for (int each = 0; each < 3; each++) {
@@ -92,10 +92,10 @@
         host.warmUp(20, 0.1);
         Query query = host.submit("q", 1);
         host.pass(1.1);
-        assertEquals(1, host.count("cancel q-0 0"));
-        assertEquals(1, host.count("launch q-0"));
+        assertEquals(1, host.count("cancelAttempt q-0 0"));
+        assertEquals(1, host.count("sendAttempt q-0"));
         host.endAttempt(query, "q-0", 0, Outcome.CANCELLED, 1.1);
-        assertEquals(2, host.count("launch q-0"));
+        assertEquals(2, host.count("sendAttempt q-0"));
     }
 
     @Test
@@ -104,10 +104,10 @@
         host.warmUp(20, 0.1);
         host.submit("heavy", 3);
         host.pass(1.5);
-        assertEquals(3, host.count("launch heavy"));
+        assertEquals(3, host.count("sendAttempt heavy"));
         host.submit("light", 1);
         host.pass(0.6);
-        assertEquals(2, host.count("launch light"));
+        assertEquals(2, host.count("sendAttempt light"));
     }
 
     @Test
@@ -136,8 +136,8 @@
             host.endAttempt(wide, "q-" + request, 0, Outcome.FULFILLED, 0.1);
         }
         host.pass(0.6);
-        assertEquals(2, host.count("launch q-0 "));
-        assertEquals(2, host.count("launch q-1 "), "two of sixteen overdue do not make a heavy query");
+        assertEquals(2, host.count("sendAttempt q-0 "));
+        assertEquals(2, host.count("sendAttempt q-1 "), "two of sixteen overdue do not make a heavy query");
     }
 
     @Test
@@ -149,10 +149,10 @@
             host.endAttempt(query, "q-" + request, 0, Outcome.FULFILLED, 0.1);
         }
         host.pass(1.2);
-        assertEquals(8, host.count("launch q"), "two are overdue and may be missing");
+        assertEquals(8, host.count("sendAttempt q"), "two are overdue and may be missing");
         host.endAttempt(query, "q-6", 0, Outcome.FULFILLED, 1.2);
         host.pass(0.1);
-        assertEquals(9, host.count("launch q"), "the last one completes the answer");
+        assertEquals(9, host.count("sendAttempt q"), "the last one completes the answer");
     }
 
     @Test
@@ -163,13 +163,13 @@
         double taken = host.clock;
         Query query = host.submit("q", 1);
         host.pass(0.4);
-        assertEquals(2, host.count("launch q-0"), "a hedge of the overdue request");
+        assertEquals(2, host.count("sendAttempt q-0"), "a hedge of the overdue request");
         host.endAttempt(query, "q-0", 0, Outcome.NOT_CONNECTED, 0.4);
         host.clock = taken + 3.1;
         host.endAttempt(query, "q-0", 1, Outcome.DROPPED, 2);
         host.pass(0.5);
-        assertEquals(2, host.count("launch q-0"), "3 s after the first attempt the window is over");
-        assertEquals(1, host.count("give up q"));
+        assertEquals(2, host.count("sendAttempt q-0"), "3 s after the first attempt the window is over");
+        assertEquals(1, host.count("failQuery q"));
     }
 
     @Test
