--- a/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.IntPredicate;
-import pinewick.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.fleet.state.Fact;
 import pinewick.fleet.state.FactKind;
 import pinewick.fleet.state.SnapshotText;
@@ -112,16 +112,17 @@
     }
 
     /** Searchers that a list named, be it an old one. */
-    void knows(List<Host.Listing> listings) {
-        listings.forEach(each -> key(each.replica()));
+    void knows(List<SchedulerHost.ReplicaEntry> listings) {
+        listings.forEach(each -> key(each.replicaId()));
     }
 
     /** What the list says; those that leave are told to the others, whose own list may come later. */
-    void list(List<Host.Listing> listings) {
-        for (Host.Listing each : listings) {
-            int key = key(each.replica());
-            if (each.stage() != Host.Stage.READY && !mixedUp.contains(key)) {
-                state.saw(loop.now(), key, FactKind.LEAVES, each.stage() == Host.Stage.GONE ? 2 : 1, 0);
+    void list(List<SchedulerHost.ReplicaEntry> listings) {
+        for (SchedulerHost.ReplicaEntry each : listings) {
+            int key = key(each.replicaId());
+            if (each.state() != SchedulerHost.LifecycleState.READY && !mixedUp.contains(key)) {
+                state.saw(
+                        loop.now(), key, FactKind.LEAVES, each.state() == SchedulerHost.LifecycleState.GONE ? 2 : 1, 0);
             }
         }
     }
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
@@ -1,7 +1,7 @@
 package pinewick.stages;
 
 import java.nio.charset.StandardCharsets;
-import pinewick.Host;
+import pinewick.core.SchedulerHost;
 import pinewick.loop.Loop;
 import pinewick.memory.Counters;
 import pinewick.memory.LiveLaunch;
@@ -70,13 +70,13 @@
         // Danger: a query of which nothing is out when it ends gets no more news, and would be kept for good. The
         // decisions are done with it only once they return.
         loop.later("forgetting a query", () -> {
-            if (query.handle == null || query.handle.over()) {
+            if (query.handle == null || query.handle.isFinished()) {
                 queries.forget(query);
             }
         });
         for (OpenQuery.Piece piece : query.pieces.values()) {
             for (LiveLaunch launch : piece.launches) {
-                send.takeBack(launch, Host.Ending.MOOT);
+                send.takeBack(launch, SchedulerHost.Outcome.MOOT);
             }
         }
         return true;
