--- a/query-mixer/daemon/src/main/java/pinewick/life/FleetLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/FleetLife.java
@@ -4,10 +4,10 @@
 import java.util.SplittableRandom;
 import org.xnio.XnioWorker;
 import pinewick.fleet.Datagram;
-import pinewick.fleet.FleetTerms;
-import pinewick.fleet.FleetView;
-import pinewick.fleet.Standing;
-import pinewick.fleet.state.FactText;
+import pinewick.fleet.MemberState;
+import pinewick.fleet.MembershipSettings;
+import pinewick.fleet.MembershipView;
+import pinewick.fleet.state.FactDatagram;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.wire.PeerSocket;
@@ -31,7 +31,7 @@
     private final Loop loop;
     private final Log log;
     private final Counts counts;
-    private final FleetView view;
+    private final MembershipView view;
     private final PeerSocket socket;
     /** Null where nothing is replicated. */
     private final StateLife state;
@@ -43,7 +43,7 @@
     /** @param replicated null where nothing is */
     FleetLife(
             StartOrders.Peers peers,
-            FleetTerms terms,
+            MembershipSettings terms,
             OperatorFile.Replicated replicated,
             long seed,
             XnioWorker worker,
@@ -58,13 +58,13 @@
         tick = terms.period() / LOOKS;
         socket = new PeerSocket(peers.listen(), Datagram.MOST, worker, loop, this::took);
         socket.listed(peers.peers(), peers.all());
-        view = new FleetView(
+        view = new MembershipView(
                 peers.peers().size(),
                 peers.self(),
                 Math.round(loop.now() * 1e3),
                 terms,
                 new SplittableRandom(seed),
-                new FleetView.Wire() {
+                new MembershipView.Wire() {
                     @Override
                     public void send(int place, byte[] datagram) {
                         socket.send(place, datagram);
@@ -90,7 +90,7 @@
                         loop,
                         log,
                         socket::send,
-                        place -> place < view.size() && view.standing(place) == Standing.ALIVE);
+                        place -> place < view.size() && view.standing(place) == MemberState.ALIVE);
     }
 
     /** What the other mixers see of the searchers; null where nothing is replicated. */
@@ -129,7 +129,7 @@
     private void took(int place, byte[] datagram, int length) {
         if (place < 0) {
             view.stranger();
-        } else if (length > 0 && datagram[0] == FactText.VERSION) {
+        } else if (length > 0 && datagram[0] == FactDatagram.VERSION) {
             if (state != null) {
                 state.took(place, datagram, length);
             }
@@ -138,12 +138,12 @@
         }
     }
 
-    private void changed(int place, Standing was, Standing is) {
-        if (was == Standing.UNHEARD && is == Standing.ALIVE) {
+    private void changed(int place, MemberState was, MemberState is) {
+        if (was == MemberState.UNHEARD && is == MemberState.ALIVE) {
             return; // At a start all others come so, and a line each would crowd out the rest of the log.
         }
         log.say(
-                is == Standing.DEAD ? Log.Level.WARNING : Log.Level.INFO,
+                is == MemberState.DEAD ? Log.Level.WARNING : Log.Level.INFO,
                 "fleet",
                 "mixer " + place + ": " + was.name().toLowerCase(java.util.Locale.ROOT) + " to "
                         + is.name().toLowerCase(java.util.Locale.ROOT),
--- a/query-mixer/daemon/src/main/java/pinewick/life/OperatorFile.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/OperatorFile.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
-import pinewick.fleet.FleetTerms;
+import pinewick.fleet.MembershipSettings;
 import pinewick.loop.Log;
 import pinewick.wire.ListText;
 
@@ -49,7 +49,7 @@
     /** Null where the log is the plain one. */
     private Logs logs;
     /** Null where the mixers don't look at each other. */
-    private FleetTerms fleet = FleetTerms.usual();
+    private MembershipSettings fleet = MembershipSettings.usual();
 
     private Replicated replicated;
 
@@ -64,7 +64,7 @@
         return replicated;
     }
 
-    FleetTerms fleet() {
+    MembershipSettings fleet() {
         return fleet;
     }
 
@@ -127,7 +127,7 @@
                         "snapshot",
                         "snapshot-every-s"));
         boolean on = choice(in, "/fleet", "view", "on", List.of("on", "off")).equals("on");
-        FleetTerms usual = FleetTerms.usual();
+        MembershipSettings usual = MembershipSettings.usual();
         double period = number(in, "/fleet", "period-s", usual.period(), 0.1, 10, false);
         double silence = number(in, "/fleet", "silence-s", usual.silence(), 0.6, 60, false);
         if (silence < 4 * period) {
@@ -145,7 +145,7 @@
         double stretch = period / usual.period();
         fleet = !on || !wrong.isEmpty()
                 ? null
-                : new FleetTerms(
+                : new MembershipSettings(
                         period,
                         usual.again() * stretch,
                         usual.probe() * stretch,
--- a/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
@@ -13,7 +13,7 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 import pinewick.Host;
-import pinewick.fleet.FleetTerms;
+import pinewick.fleet.MembershipSettings;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
@@ -80,7 +80,7 @@
 
     /** Where the platform lets mixers talk and the operator's file does not forbid it. */
     private void joinFleet() {
-        FleetTerms terms = operator == null ? FleetTerms.usual() : operator.fleet();
+        MembershipSettings terms = operator == null ? MembershipSettings.usual() : operator.fleet();
         if (orders.peers() == null || terms == null) {
             return;
         }
--- a/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
@@ -11,9 +11,9 @@
 import pinewick.Host;
 import pinewick.fleet.state.Fact;
 import pinewick.fleet.state.FactKind;
-import pinewick.fleet.state.SnapshotText;
-import pinewick.fleet.state.StateShare;
-import pinewick.fleet.state.StateTerms;
+import pinewick.fleet.state.FactReplicationSettings;
+import pinewick.fleet.state.FactReplicator;
+import pinewick.fleet.state.FactSnapshotFormat;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.stages.Route;
@@ -22,7 +22,7 @@
 final class StateLife implements Route.Others {
     private final Loop loop;
     private final Log log;
-    private final StateShare state;
+    private final FactReplicator state;
     private final SnapshotFile file;
     private final double every;
     private final int self;
@@ -45,7 +45,7 @@
             double every,
             Loop loop,
             Log log,
-            StateShare.Wire wire,
+            FactReplicator.Wire wire,
             IntPredicate takesPart) {
         this.loop = loop;
         this.log = log;
@@ -53,14 +53,15 @@
         this.every = every;
         this.self = self;
         this.size = size;
-        state = new StateShare(size, self, StateTerms.usual(), new SplittableRandom(seed), wire, takesPart);
+        state = new FactReplicator(
+                size, self, FactReplicationSettings.usual(), new SplittableRandom(seed), wire, takesPart);
     }
 
     void start() {
         state.start(loop.now()); // first, as the age of a snapshot's facts is told by its clock
         byte[] whole = file == null ? null : file.read();
         if (whole != null) {
-            SnapshotText.Read read = SnapshotText.read(whole, self, size, loop.now(), FactKind.PACE.most());
+            FactSnapshotFormat.Read read = FactSnapshotFormat.read(whole, self, size, loop.now(), FactKind.PACE.most());
             read.facts().forEach(state::fact);
             log.say(
                     read.refused() == null ? Log.Level.INFO : Log.Level.WARNING,
@@ -87,7 +88,8 @@
         }
         if (file != null && loop.now() - wroteAt >= every) {
             wroteAt = loop.now();
-            file.write(SnapshotText.write(self, size, loop.now(), state.store().all(-1)));
+            file.write(FactSnapshotFormat.write(
+                    self, size, loop.now(), state.store().all(-1)));
         }
     }
 
--- a/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pinewick.fleet.state.Fact;
+import pinewick.fleet.state.FactDatagram;
 import pinewick.fleet.state.FactKind;
-import pinewick.fleet.state.FactText;
-import pinewick.fleet.state.SnapshotText;
+import pinewick.fleet.state.FactSnapshotFormat;
 import pinewick.standins.FleetProcesses;
 import pinewick.standins.StandinSearchers;
 
@@ -207,7 +207,7 @@
                     lies.add(new Fact(key, FactKind.LEAVES, 1 + round % 3, stamp, 2, 0));
                     lies.add(new Fact(key, FactKind.PACE, 1 + round % 3, stamp, 1e5, 1e5));
                 }
-                byte[] datagram = FactText.facts(lies.subList(0, Math.min(lies.size(), FactText.FACTS)), false);
+                byte[] datagram = FactDatagram.facts(lies.subList(0, Math.min(lies.size(), FactDatagram.FACTS)), false);
                 liar.send(new DatagramPacket(
                         datagram, datagram.length, fleet.relay().address(1, 0)));
                 datagram[5] ^= 1;
@@ -249,9 +249,9 @@
         Files.write(snapshot, java.util.Arrays.copyOf(whole, whole.length - 7));
         starts("snapshot refused: torn");
         double now = System.currentTimeMillis() / 1e3;
-        Files.write(snapshot, SnapshotText.write(0, 1, now - 1000, List.of()));
+        Files.write(snapshot, FactSnapshotFormat.write(0, 1, now - 1000, List.of()));
         starts("snapshot refused: stale");
-        Files.write(snapshot, SnapshotText.write(3, 9, now, List.of()));
+        Files.write(snapshot, FactSnapshotFormat.write(3, 9, now, List.of()));
         starts("snapshot refused: of another mixer");
         Files.delete(snapshot);
         Files.createDirectory(snapshot);
@@ -267,7 +267,7 @@
     private int holds(Path snapshot) {
         try {
             return Files.exists(snapshot)
-                    ? SnapshotText.read(Files.readAllBytes(snapshot), 0, 1, System.currentTimeMillis() / 1e3, 60)
+                    ? FactSnapshotFormat.read(Files.readAllBytes(snapshot), 0, 1, System.currentTimeMillis() / 1e3, 60)
                             .facts()
                             .size()
                     : 0;
--- a/query-mixer/daemon/src/test/java/pinewick/life/OperatorFileTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/life/OperatorFileTest.java
@@ -120,7 +120,7 @@
     @Test
     void theViewOfTheMixersIsOnWithTheUsualTimesUnlessSaidOtherwise() {
         assertEquals(
-                pinewick.fleet.FleetTerms.usual(),
+                pinewick.fleet.MembershipSettings.usual(),
                 OperatorFile.of(JsonParser.parseString("{}")).fleet());
         assertEquals(
                 null,
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
@@ -32,7 +32,7 @@
 
     static final byte VERSION = (byte) 0xF1;
     private static final int HEAD = 21;
-    private static final int SUM = Seal.BYTES;
+    private static final int SUM = DatagramEnvelope.BYTES;
     private static final int ENTRY = 8;
     /** The most that accuse in one entry. */
     static final int ACCUSERS = 4;
@@ -45,7 +45,7 @@
      */
     private static final long INCARNATIONS = (1L << 47) - 1;
 
-    private static final Standing[] STANDINGS = Standing.values();
+    private static final MemberState[] STANDINGS = MemberState.values();
     private static final Kind[] KINDS = Kind.values();
 
     /** What a datagram is for. */
@@ -84,7 +84,7 @@
          *
          * @param silent since when, seconds, and {@code accusers}, their places, of a suspect only
          */
-        void entry(int place, Standing standing, long incarnation, int[] accusers, double silent);
+        void entry(int place, MemberState standing, long incarnation, int[] accusers, double silent);
     }
 
     private final ByteBuffer buffer = ByteBuffer.allocate(MOST);
@@ -106,13 +106,13 @@
     }
 
     /** Adds an entry. Throws IllegalStateException where it does not fit: no datagram is ever longer than allowed. */
-    void entry(int place, Standing standing, long incarnation, int[] accusers, double silent) {
+    void entry(int place, MemberState standing, long incarnation, int[] accusers, double silent) {
         if (!hasRoom()) {
             throw new IllegalStateException("a datagram of " + buffer.position() + " bytes takes no more");
         }
         buffer.putShort((short) (standing.ordinal() << 13 | place));
         number(incarnation);
-        if (standing == Standing.SUSPECT) {
+        if (standing == MemberState.SUSPECT) {
             int count = Math.min(ACCUSERS, accusers.length);
             buffer.putShort((short) Math.round(silent * STEPS)).put((byte) count);
             for (int each = 0; each < count; each++) {
@@ -135,7 +135,7 @@
 
     /** The whole datagram. */
     byte[] end() {
-        Seal.put(buffer);
+        DatagramEnvelope.put(buffer);
         byte[] whole = new byte[buffer.position()];
         buffer.flip();
         buffer.get(whole);
@@ -154,7 +154,7 @@
      * @param size how many members are known here: entries of places from there on are passed over
      */
     public static String read(double now, byte[] whole, int length, int size, Reader reader) {
-        String fault = Seal.fault(whole, length, VERSION, HEAD);
+        String fault = DatagramEnvelope.fault(whole, length, VERSION, HEAD);
         if (fault != null) {
             return fault;
         }
@@ -201,7 +201,7 @@
             if (standing >= STANDINGS.length || standing == 0 || at > INCARNATIONS) {
                 return "form";
             }
-            boolean suspect = STANDINGS[standing] == Standing.SUSPECT;
+            boolean suspect = STANDINGS[standing] == MemberState.SUSPECT;
             double silent = suspect ? since(now, in.getShort()) : 0;
             int[] accusers = new int[suspect ? in.get() & 0xFF : 0];
             if (accusers.length > ACCUSERS) {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Seal.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramEnvelope.java
@@ -4,11 +4,11 @@
 import java.util.zip.CRC32;
 
 /** What every datagram between mixers has: a version in its first byte, a CRC-32 of all before in its last four. */
-public final class Seal {
+public final class DatagramEnvelope {
     /** Bytes of the sum. */
     public static final int BYTES = 4;
 
-    private Seal() {}
+    private DatagramEnvelope() {}
 
     /** Ends what was written so far with its sum. */
     public static void put(ByteBuffer out) {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramSender.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramSender.java
@@ -10,19 +10,19 @@
     private static final int HEARD_AGAIN = 2;
 
     private final MemberTable table;
-    private final FleetTerms terms;
-    private final FleetView.Wire wire;
-    private final Rumours rumours;
+    private final MembershipSettings terms;
+    private final MembershipView.Wire wire;
+    private final GossipQueue rumours;
     private final Datagram out = new Datagram();
     private int filled;
     private long sent;
     private long sentBytes;
 
-    DatagramSender(MemberTable table, FleetTerms terms, FleetView.Wire wire) {
+    DatagramSender(MemberTable table, MembershipSettings terms, MembershipView.Wire wire) {
         this.table = table;
         this.terms = terms;
         this.wire = wire;
-        rumours = new Rumours(table.size());
+        rumours = new GossipQueue(table.size());
     }
 
     /** Another list of members: all news is forgotten. */
@@ -122,7 +122,7 @@
             return out.end(); // These go out in numbers while links are bad; the rest carries the news.
         }
         Member receiver = table.get(to);
-        if (to != table.self() && receiver.standing != Standing.ALIVE) {
+        if (to != table.self() && receiver.standing != MemberState.ALIVE) {
             put(receiver);
             return out.end(); // It may well be gone; news would be wasted on it.
         }
@@ -152,7 +152,7 @@
     }
 
     private void put(Member member) {
-        if (member.standing != Standing.UNHEARD) {
+        if (member.standing != MemberState.UNHEARD) {
             out.entry(member.place, member.standing, member.incarnation, member.accusers, member.silentSince);
         }
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/FailureDetector.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/FailureDetector.java
@@ -20,10 +20,10 @@
 
     private final MemberTable table;
     private final DatagramSender sender;
-    private final FleetTerms terms;
-    private final FleetView.News news;
+    private final MembershipSettings terms;
+    private final MembershipView.News news;
     private final SplittableRandom random;
-    private final ProbeTurns turns;
+    private final ProbeSchedule turns;
     private final Suspicion suspicion;
     private final LocalHealth health;
     private final Map<Integer, Probe> probes = new HashMap<>();
@@ -41,13 +41,17 @@
     private long deaths;
 
     FailureDetector(
-            MemberTable table, DatagramSender sender, FleetTerms terms, FleetView.News news, SplittableRandom random) {
+            MemberTable table,
+            DatagramSender sender,
+            MembershipSettings terms,
+            MembershipView.News news,
+            SplittableRandom random) {
         this.table = table;
         this.sender = sender;
         this.terms = terms;
         this.news = news;
         this.random = random;
-        turns = new ProbeTurns(terms.period());
+        turns = new ProbeSchedule(terms.period());
         suspicion = new Suspicion(terms);
         health = new LocalHealth(terms.period());
     }
@@ -150,15 +154,15 @@
         if (member.heardAt > probe.since || !member.standing.takesPart()) {
             return; // Heard of meanwhile, or known as gone already.
         }
-        Standing was = member.standing;
-        table.update(now, member, Standing.SUSPECT, member.incarnation);
+        MemberState was = member.standing;
+        table.update(now, member, MemberState.SUSPECT, member.incarnation);
         accused(member, probe.since, table.self());
         for (int helper : probe.lookedInVain) {
             accused(member, probe.since, helper);
         }
-        if (was != Standing.SUSPECT) {
+        if (was != MemberState.SUSPECT) {
             suspicions++;
-            news.changed(member.place, was, Standing.SUSPECT);
+            news.changed(member.place, was, MemberState.SUSPECT);
         }
         ping(member.place); // It hears of it first, so that it can object in time.
     }
@@ -187,7 +191,7 @@
         int first = due ? random.nextInt(table.size()) : 0;
         for (int each = 0; table.suspects() > 0 && each < table.size(); each++) {
             Member member = table.get((first + each) % table.size());
-            if (member.standing != Standing.SUSPECT) {
+            if (member.standing != MemberState.SUSPECT) {
                 continue;
             }
             double time = suspicion.left(now, member, table.live());
@@ -201,10 +205,10 @@
     }
 
     private void declareDead(double now, Member member) {
-        table.update(now, member, Standing.DEAD, member.incarnation);
+        table.update(now, member, MemberState.DEAD, member.incarnation);
         deaths++;
         sender.spread(member);
-        news.changed(member.place, Standing.SUSPECT, Standing.DEAD);
+        news.changed(member.place, MemberState.SUSPECT, MemberState.DEAD);
     }
 
     private boolean lastProbeHere(double timeLeft) {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Rumours.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/GossipQueue.java
@@ -12,7 +12,7 @@
  * <p>A ring for each number of sends, linked through arrays by place: adding, moving and dropping cost the same for ten
  * members and for a thousand.
  */
-final class Rumours {
+final class GossipQueue {
     private static final int LEVELS = 64;
 
     /** Neighbours in the ring; rings' own ends stand behind the places. */
@@ -25,7 +25,7 @@
     private int size;
     private int waiting;
 
-    Rumours(int size) {
+    GossipQueue(int size) {
         resize(size);
     }
 
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/IndirectProbe.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/IndirectProbe.java
@@ -12,7 +12,7 @@
     private final double endsAt;
     private boolean reported;
 
-    IndirectProbe(int requester, int requesterNumber, double now, FleetTerms terms) {
+    IndirectProbe(int requester, int requesterNumber, double now, MembershipSettings terms) {
         this.requester = requester;
         this.requesterNumber = requesterNumber;
         reportAt = now + terms.again();
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Member.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Member.java
@@ -6,7 +6,7 @@
  */
 final class Member {
     final int place;
-    Standing standing = Standing.UNHEARD;
+    MemberState standing = MemberState.UNHEARD;
     long incarnation;
     /**
      * Only while suspected: when the first ping went out that it left unanswered or, if later, when anybody last heard
@@ -32,21 +32,21 @@
     }
 
     /** Whether this would tell something new of it. */
-    boolean newer(Standing said, long at) {
+    boolean newer(MemberState said, long at) {
         return at > incarnation || (at == incarnation && said.compareTo(standing) > 0);
     }
 
     /** Takes what was said, if it is newer. Returns whether it was. */
-    boolean takes(double now, Standing said, long at) {
+    boolean takes(double now, MemberState said, long at) {
         if (!newer(said, at)) {
             return false;
         }
-        if (!said.takesPart() && (standing.takesPart() || standing == Standing.UNHEARD)) {
+        if (!said.takesPart() && (standing.takesPart() || standing == MemberState.UNHEARD)) {
             endedAt = now;
         } else if (said.takesPart()) {
             endedAt = Double.POSITIVE_INFINITY;
         }
-        if (said != Standing.SUSPECT || at > incarnation) {
+        if (said != MemberState.SUSPECT || at > incarnation) {
             accusers = new int[0];
             silentSince = Double.NEGATIVE_INFINITY;
         }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/ShareCount.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MemberCounts.java
@@ -3,10 +3,10 @@
 /**
  * The two counts of mixers that decisions take from the view, each erring to the side that does less harm.
  */
-final class ShareCount {
-    private final FleetTerms terms;
+final class MemberCounts {
+    private final MembershipSettings terms;
 
-    ShareCount(FleetTerms terms) {
+    MemberCounts(MembershipSettings terms) {
         this.terms = terms;
     }
 
@@ -20,7 +20,7 @@
     int spread(Member[] members, int live) {
         int unheard = 0;
         for (Member each : members) {
-            unheard += each.standing == Standing.UNHEARD ? 1 : 0;
+            unheard += each.standing == MemberState.UNHEARD ? 1 : 0;
         }
         return Math.max(live + unheard, (members.length + 1) / 2);
     }
@@ -37,7 +37,7 @@
     int bound(double now, Member[] members, int self) {
         int bound = 0;
         for (Member each : members) {
-            boolean ended = each.standing == Standing.DEAD || each.standing == Standing.LEFT;
+            boolean ended = each.standing == MemberState.DEAD || each.standing == MemberState.LEFT;
             bound += each.place == self || !ended || now - each.endedAt < terms.lowerAfter() ? 1 : 0;
         }
         return Math.max(bound, (int) Math.ceil(terms.leastShare() * members.length - 1e-9));
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Standing.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MemberState.java
@@ -5,7 +5,7 @@
  * any standing at a lower one (SWIM, DSN 2002, section 4.2, with deaths bound to an incarnation, so that a member cut
  * off for a while can come back without a restart).
  */
-public enum Standing {
+public enum MemberState {
     /** Listed, but nothing was heard of it since this mixer started. */
     UNHEARD,
     ALIVE,
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MemberTable.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MemberTable.java
@@ -80,16 +80,16 @@
 
     /** This router takes part. */
     void joinSelf(double now) {
-        update(now, members[self], Standing.ALIVE, incarnation);
+        update(now, members[self], MemberState.ALIVE, incarnation);
     }
 
     /** This router stops; its own checksums stay, so that others don't take its last datagrams for another view. */
     void leaveSelf(double now) {
-        members[self].takes(now, Standing.LEFT, incarnation);
+        members[self].takes(now, MemberState.LEFT, incarnation);
     }
 
     /** Merges what was said of a member. Returns whether it was newer than what is held. */
-    boolean update(double now, Member member, Standing standing, long at) {
+    boolean update(double now, Member member, MemberState standing, long at) {
         boolean newer = member.takes(now, standing, at);
         if (newer) {
             count(member);
@@ -140,7 +140,7 @@
 
     /** Counts a member whose standing or incarnation changed. */
     private void count(Member member) {
-        long kind = member.standing.takesPart() ? 1 : member.standing == Standing.UNHEARD ? 0 : 2;
+        long kind = member.standing.takesPart() ? 1 : member.standing == MemberState.UNHEARD ? 0 : 2;
         long mark = new SplittableRandom(member.place * 4L + kind ^ member.incarnation << 16).nextLong();
         long change = member.mark ^ mark;
         member.mark = mark;
@@ -149,7 +149,7 @@
         boolean counted = member.place == self || member.standing.takesPart();
         live += counted == member.counted ? 0 : counted ? 1 : -1;
         member.counted = counted;
-        boolean suspect = member.standing == Standing.SUSPECT;
+        boolean suspect = member.standing == MemberState.SUSPECT;
         suspects += suspect == member.suspect ? 0 : suspect ? 1 : -1;
         member.suspect = suspect;
     }
@@ -178,7 +178,7 @@
     int anyTakingPart() {
         for (int draw = 0; draw < DRAWS; draw++) {
             int place = random.nextInt(members.length);
-            if (place != self && members[place].standing == Standing.ALIVE) {
+            if (place != self && members[place].standing == MemberState.ALIVE) {
                 return place;
             }
         }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/FleetTerms.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipSettings.java
@@ -16,7 +16,7 @@
  * @param lowerAfter how long a death must have stood before it raises this mixer's share of a budget
  * @param leastShare the budget's count never falls below this share of the listed members
  */
-public record FleetTerms(
+public record MembershipSettings(
         double period,
         double again,
         double probe,
@@ -30,11 +30,11 @@
         double leastShare) {
 
     /** What suits a tier on one platform, where datagrams take some milliseconds and a tenth of them is lost. */
-    public static FleetTerms usual() {
-        return new FleetTerms(0.35, 0.15, 0.8, 2.45, 4.9, 2, 3, 0.2, 4, 30, 0.8);
+    public static MembershipSettings usual() {
+        return new MembershipSettings(0.35, 0.15, 0.8, 2.45, 4.9, 2, 3, 0.2, 4, 30, 0.8);
     }
 
-    public FleetTerms {
+    public MembershipSettings {
         if (!(period > 0 && again > 0 && probe >= 3 * again && silence > probe && silenceMost >= silence)) {
             throw new IllegalArgumentException("fleet: period and again above 0, probe at least three times again, "
                     + "silence above probe and not above silenceMost are expected");
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/FleetView.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipView.java
@@ -14,7 +14,7 @@
  * ({@link FailureDetector}, {@link DatagramSender}). From Lifeguard (DSN 2018): answers to this router's own slowness,
  * suspicion that shortens with confirmations, telling a suspect at once. docs/fleet-view.md says what differs, and why.
  */
-public final class FleetView implements Datagram.Reader {
+public final class MembershipView implements Datagram.Reader {
     /** Sends datagrams; they may be lost. */
     public interface Wire {
         /** Sends a datagram to the member at a place. */
@@ -27,7 +27,7 @@
     /** Hears of changes. */
     public interface News {
         /** A member's standing changed. */
-        void changed(int place, Standing was, Standing is);
+        void changed(int place, MemberState was, MemberState is);
     }
 
     /** Datagrams asked for at a start, for the largest list thrice over. */
@@ -39,13 +39,13 @@
     private static final int ANNOUNCEMENTS_AT_CHANGE = 2;
     private static final int NO_REQUEST = -1;
 
-    private final FleetTerms terms;
+    private final MembershipSettings terms;
     private final News news;
     private final SplittableRandom random;
     private final MemberTable table;
     private final DatagramSender sender;
     private final FailureDetector detector;
-    private final ShareCount shares;
+    private final MemberCounts shares;
     private boolean leaving;
     private double now;
     /** Whose datagram is being read. */
@@ -69,15 +69,21 @@
      * @param self this one's place
      * @param incarnation above that of any start before; milliseconds since 1970 serve
      */
-    public FleetView(
-            int size, int self, long incarnation, FleetTerms terms, SplittableRandom random, Wire wire, News news) {
+    public MembershipView(
+            int size,
+            int self,
+            long incarnation,
+            MembershipSettings terms,
+            SplittableRandom random,
+            Wire wire,
+            News news) {
         this.terms = terms;
         this.news = news;
         this.random = random;
         table = new MemberTable(size, self, incarnation, random);
         sender = new DatagramSender(table, terms, wire);
         detector = new FailureDetector(table, sender, terms, news, random);
-        shares = new ShareCount(terms);
+        shares = new MemberCounts(terms);
     }
 
     /** Begins: tells everybody that it is here, and asks for what the others know. */
@@ -177,8 +183,8 @@
         if (place != from) {
             drop("place"); // It has another list; that it lives is true all the same.
         }
-        learn(member, Standing.ALIVE, at);
-        if (member.standing == Standing.SUSPECT && member.livedAt(now)) {
+        learn(member, MemberState.ALIVE, at);
+        if (member.standing == MemberState.SUSPECT && member.livedAt(now)) {
             sender.spread(member);
         }
         if (tellItsStanding(member, is)) {
@@ -191,10 +197,10 @@
      * of one that left nothing is, as late datagrams of its end may still come.
      */
     private boolean tellItsStanding(Member member, Datagram.Kind is) {
-        if (member.standing == Standing.LEFT) {
+        if (member.standing == MemberState.LEFT) {
             return false;
         }
-        if (member.standing != Standing.ALIVE && is != Datagram.Kind.PING && is != Datagram.Kind.ASK) {
+        if (member.standing != MemberState.ALIVE && is != Datagram.Kind.PING && is != Datagram.Kind.ASK) {
             // An answer to these two carries it anyway.
             sender.send(member.place, Datagram.Kind.NEWS, 0, member.place);
         }
@@ -239,7 +245,7 @@
     }
 
     @Override
-    public void entry(int place, Standing standing, long at, int[] accusers, double silentSince) {
+    public void entry(int place, MemberState standing, long at, int[] accusers, double silentSince) {
         if (place == table.self()) {
             toldOfSelf(standing, at);
             return;
@@ -249,7 +255,7 @@
             sender.heardAgain(member);
         }
         learn(member, standing, at);
-        if (standing == Standing.SUSPECT && member.standing == Standing.SUSPECT && member.incarnation == at) {
+        if (standing == MemberState.SUSPECT && member.standing == MemberState.SUSPECT && member.incarnation == at) {
             double since = Math.min(now, silentSince);
             detector.accused(member, since, accusers);
             if (member.livedAt(Math.max(since, member.heardAt))) {
@@ -259,8 +265,8 @@
     }
 
     /** Objects to being held for silent or dead, and to an incarnation that is not its own. */
-    private void toldOfSelf(Standing standing, long at) {
-        boolean against = standing != Standing.ALIVE && at >= table.incarnation();
+    private void toldOfSelf(MemberState standing, long at) {
+        boolean against = standing != MemberState.ALIVE && at >= table.incarnation();
         if (!against && at <= table.incarnation()) {
             return;
         }
@@ -273,8 +279,8 @@
         announceIfDue();
     }
 
-    private void learn(Member member, Standing standing, long at) {
-        Standing was = member.standing;
+    private void learn(Member member, MemberState standing, long at) {
+        MemberState was = member.standing;
         if (table.update(now, member, standing, at)) {
             sender.spread(member);
             if (was != standing) {
@@ -331,7 +337,7 @@
     }
 
     /** How the member at a place stands. */
-    public Standing standing(int place) {
+    public MemberState standing(int place) {
         return table.get(place).standing;
     }
 
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Probe.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Probe.java
@@ -27,7 +27,7 @@
     final List<Integer> lookedInVain = new ArrayList<>();
 
     /** @param stretch what the times are multiplied by, from this mixer's own health */
-    Probe(int target, int number, double now, FleetTerms terms, double stretch) {
+    Probe(int target, int number, double now, MembershipSettings terms, double stretch) {
         this.target = target;
         this.number = number;
         since = now;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/ProbeTurns.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/ProbeSchedule.java
@@ -9,10 +9,10 @@
  * exactly one, and a crash is noticed within a period where the prober lives. Where views or clocks differ, the choice
  * is as good as random, since the shift is drawn anew each period.
  */
-final class ProbeTurns {
+final class ProbeSchedule {
     private final double period;
 
-    ProbeTurns(double period) {
+    ProbeSchedule(double period) {
         this.period = period;
     }
 
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
@@ -6,9 +6,9 @@
  * it: so all members come to the same end at nearly the same moment, and the news of the death need not spread first.
  */
 final class Suspicion {
-    private final FleetTerms terms;
+    private final MembershipSettings terms;
 
-    Suspicion(FleetTerms terms) {
+    Suspicion(MembershipSettings terms) {
         this.terms = terms;
     }
 
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/Agreed.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactAggregator.java
@@ -11,7 +11,7 @@
  * more careful than its own observations, never less ({@link #worse}). Harm: with fewer than three origins a single
  * liar can make a searcher look bad to those that never heard it, which costs choice but breaks no rule.
  */
-public final class Agreed {
+public final class FactAggregator {
     /** Seconds in which a word's weight halves. */
     private static final double HALVES = 2;
     /** Origins that a warning needs. */
@@ -19,7 +19,7 @@
 
     private final FactStore store;
 
-    public Agreed(FactStore store) {
+    public FactAggregator(FactStore store) {
         this.store = store;
     }
 
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactText.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactDatagram.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 import pinewick.fleet.Datagram;
-import pinewick.fleet.Seal;
+import pinewick.fleet.DatagramEnvelope;
 
 /**
  * Datagrams of replicated facts, written and read; never over {@link Datagram#MOST} bytes, numbers most significant
@@ -20,11 +20,11 @@
  * 4     CRC-32 of all before
  * </pre>
  */
-public final class FactText {
+public final class FactDatagram {
     public static final byte VERSION = (byte) 0xF2;
     static final int FACT = 17;
     private static final int HEAD = 3;
-    private static final int SUM = Seal.BYTES;
+    private static final int SUM = DatagramEnvelope.BYTES;
     /** Facts that one datagram takes. */
     public static final int FACTS = (Datagram.MOST - HEAD - SUM) / FACT;
 
@@ -53,7 +53,7 @@
     static final int WANTED = (Datagram.MOST - HEAD - SUM) / 4;
     private static final int[] SIZES = {FACT, 4, FACT, 8, 4};
 
-    private FactText() {}
+    private FactDatagram() {}
 
     /** @param last whether it ends an answer to sums */
     public static byte[] facts(List<Fact> facts, boolean last) {
@@ -117,7 +117,7 @@
     }
 
     private static byte[] summed(ByteBuffer out) {
-        Seal.put(out);
+        DatagramEnvelope.put(out);
         return out.array();
     }
 
@@ -126,7 +126,7 @@
      * told.
      */
     public static String read(byte[] whole, int length, Reader reader) {
-        String fault = Seal.fault(whole, length, VERSION, HEAD);
+        String fault = DatagramEnvelope.fault(whole, length, VERSION, HEAD);
         if (fault != null) {
             return fault;
         }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/StateTerms.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicationSettings.java
@@ -12,7 +12,7 @@
  * @param enough words of other origins, younger than {@code fresh} seconds and alike, that make one's own superfluous
  * @param alike the relative difference below which two words of a pace are alike
  */
-public record StateTerms(
+public record FactReplicationSettings(
         double turn,
         double bytesASecond,
         double burst,
@@ -23,7 +23,7 @@
         int enough,
         double fresh,
         double alike) {
-    public static StateTerms usual() {
-        return new StateTerms(0.1, 1500, 16_000, 4, 1, 0.3, 1.5, 3, 30, 0.25);
+    public static FactReplicationSettings usual() {
+        return new FactReplicationSettings(0.1, 1500, 16_000, 4, 1, 0.3, 1.5, 3, 30, 0.25);
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/StateShare.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
@@ -16,7 +16,7 @@
  * bounded rate. No I/O, no clock; the same events give the same datagrams. Times are seconds on the clock that all
  * share.
  */
-public final class StateShare implements FactText.Reader {
+public final class FactReplicator implements FactDatagram.Reader {
     /** Sends datagrams; they may be lost. */
     public interface Wire {
         void send(int place, byte[] datagram);
@@ -30,8 +30,8 @@
     private static final int AGREED = 2; // members that held nothing else, until a mixer says it has caught up
 
     private final FactStore store = new FactStore();
-    private final Agreed agreed = new Agreed(store);
-    private final StateTerms terms;
+    private final FactAggregator agreed = new FactAggregator(store);
+    private final FactReplicationSettings terms;
     private final Wire wire;
     private final SplittableRandom chance;
     private final int self;
@@ -74,8 +74,13 @@
     private long held;
 
     /** @param takesPart whether the member at a place takes part, as the fleet's view has it */
-    public StateShare(
-            int size, int self, StateTerms terms, SplittableRandom chance, Wire wire, IntPredicate takesPart) {
+    public FactReplicator(
+            int size,
+            int self,
+            FactReplicationSettings terms,
+            SplittableRandom chance,
+            Wire wire,
+            IntPredicate takesPart) {
         this.size = size;
         this.self = self;
         this.terms = terms;
@@ -88,7 +93,7 @@
         return store;
     }
 
-    public Agreed agreed() {
+    public FactAggregator agreed() {
         return agreed;
     }
 
@@ -193,16 +198,16 @@
     private void tell(ArrayDeque<Fact> what, int fan) {
         while (!what.isEmpty() && bytes > 0) {
             List<Fact> some = new ArrayList<>();
-            while (!what.isEmpty() && some.size() < FactText.FACTS) {
+            while (!what.isEmpty() && some.size() < FactDatagram.FACTS) {
                 some.add(what.poll());
             }
-            byte[] datagram = FactText.facts(some, false);
+            byte[] datagram = FactDatagram.facts(some, false);
             for (int each = 0; each < fan; each++) {
                 post(anyOther(), datagram);
             }
         }
         // Danger: under a flood news would pile up without end; what waits is told by comparison anyway.
-        while (what.size() > 4 * FactText.FACTS) {
+        while (what.size() > 4 * FactDatagram.FACTS) {
             what.poll();
             held++;
         }
@@ -220,14 +225,14 @@
         newsSinceAsked = 0;
         asked = to;
         differed = false;
-        post(to, FactText.sums(store.sums()));
+        post(to, FactDatagram.sums(store.sums()));
     }
 
     /** A datagram came from a member. Returns why it can't be used, or null where it could. */
     public String heard(double at, int place, byte[] datagram, int length) {
         now = at;
         from = place;
-        return FactText.read(datagram, length, this);
+        return FactDatagram.read(datagram, length, this);
     }
 
     @Override
@@ -276,18 +281,18 @@
             }
         }
         int left = ANSWERS;
-        for (int at = 0; at < keys.size() && left > 0 && spares(); at += FactText.SEARCHERS) {
-            int end = Math.min(keys.size(), at + FactText.SEARCHERS);
-            post(from, FactText.searchers(keys.subList(at, end), keySums.subList(at, end)));
+        for (int at = 0; at < keys.size() && left > 0 && spares(); at += FactDatagram.SEARCHERS) {
+            int end = Math.min(keys.size(), at + FactDatagram.SEARCHERS);
+            post(from, FactDatagram.searchers(keys.subList(at, end), keySums.subList(at, end)));
             left--;
         }
         left = Math.max(1, left);
         // Danger: two that return and hold nothing would tell each other that there is nothing to catch up with.
         boolean knows = !Double.isNaN(caughtUpAt);
-        for (int at = 0; (at == 0 || at < facts.size()) && left > 0 && spares(); at += FactText.FACTS) {
-            int end = Math.min(facts.size(), at + FactText.FACTS);
+        for (int at = 0; (at == 0 || at < facts.size()) && left > 0 && spares(); at += FactDatagram.FACTS) {
+            int end = Math.min(facts.size(), at + FactDatagram.FACTS);
             left--;
-            post(from, FactText.facts(facts.subList(at, end), knows && (left == 0 || end == facts.size())));
+            post(from, FactDatagram.facts(facts.subList(at, end), knows && (left == 0 || end == facts.size())));
         }
     }
 
@@ -308,7 +313,7 @@
         }
         differed |= from == asked && !differ.isEmpty();
         if (!differ.isEmpty() && spares()) {
-            post(from, FactText.wanted(differ));
+            post(from, FactDatagram.wanted(differ));
             facts(own);
         }
     }
@@ -323,8 +328,8 @@
     }
 
     private void facts(List<Fact> all) {
-        for (int at = 0; at < all.size() && spares(); at += FactText.FACTS) {
-            post(from, FactText.facts(all.subList(at, Math.min(all.size(), at + FactText.FACTS)), false));
+        for (int at = 0; at < all.size() && spares(); at += FactDatagram.FACTS) {
+            post(from, FactDatagram.facts(all.subList(at, Math.min(all.size(), at + FactDatagram.FACTS)), false));
         }
     }
 
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/SnapshotText.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactSnapshotFormat.java
@@ -13,19 +13,19 @@
  * 4  "PWF1"
  * 2  place of the mixer, 2 how many are listed
  * 8  milliseconds since 1970
- * 4  how many records; each 17 bytes of a fact as in {@link FactText} and the CRC-32 of these
+ * 4  how many records; each 17 bytes of a fact as in {@link FactDatagram} and the CRC-32 of these
  * 4  CRC-32 of all before
  * </pre>
  */
-public final class SnapshotText {
+public final class FactSnapshotFormat {
     private static final int MAGIC = 0x50574631;
     private static final int HEAD = 20;
-    private static final int RECORD = FactText.FACT + 4;
+    private static final int RECORD = FactDatagram.FACT + 4;
 
     /** What was read: facts, or why nothing can be believed. */
     public record Read(List<Fact> facts, String refused) {}
 
-    private SnapshotText() {}
+    private FactSnapshotFormat() {}
 
     public static byte[] write(int self, int size, double now, List<Fact> facts) {
         ByteBuffer out = ByteBuffer.allocate(HEAD + facts.size() * RECORD + 4);
@@ -36,8 +36,8 @@
                 .putInt(facts.size());
         for (Fact each : facts) {
             int from = out.position();
-            FactText.put(out, each);
-            out.putInt(sum(out.array(), from, FactText.FACT));
+            FactDatagram.put(out, each);
+            out.putInt(sum(out.array(), from, FactDatagram.FACT));
         }
         out.putInt(sum(out.array(), 0, out.position()));
         return out.array();
@@ -71,8 +71,8 @@
         List<Fact> facts = new ArrayList<>(records);
         for (int each = 0; each < records; each++) {
             int from = in.position();
-            Fact fact = FactText.get(in);
-            if (fact == null || in.getInt() != sum(whole, from, FactText.FACT)) {
+            Fact fact = FactDatagram.get(in);
+            if (fact == null || in.getInt() != sum(whole, from, FactDatagram.FACT)) {
                 return refused("spoilt: record " + each);
             }
             facts.add(fact);
--- a/query-mixer/fleet/src/test/java/pinewick/fleet/FleetPropertyTest.java
+++ b/query-mixer/fleet/src/test/java/pinewick/fleet/FleetPropertyTest.java
@@ -23,12 +23,12 @@
 
 /** What must hold of merges, datagrams, rumours and turns whatever comes. */
 class FleetPropertyTest {
-    record Said(Standing standing, long incarnation) {}
+    record Said(MemberState standing, long incarnation) {}
 
     @Provide
     Arbitrary<List<Said>> news() {
         return Combinators.combine(
-                        Arbitraries.of(Standing.ALIVE, Standing.SUSPECT, Standing.DEAD, Standing.LEFT),
+                        Arbitraries.of(MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT),
                         Arbitraries.longs().between(1, 4))
                 .as(Said::new)
                 .list()
@@ -63,9 +63,9 @@
         }
 
         @Override
-        public void entry(int place, Standing standing, long incarnation, int[] accusers, double silent) {
+        public void entry(int place, MemberState standing, long incarnation, int[] accusers, double silent) {
             said.add(place + " " + standing + " " + incarnation + " " + Arrays.toString(accusers)
-                    + (standing == Standing.SUSPECT ? " " + Math.round(silent * 20) : ""));
+                    + (standing == MemberState.SUSPECT ? " " + Math.round(silent * 20) : ""));
         }
     }
 
@@ -82,15 +82,15 @@
         List<String> expected = new ArrayList<>();
         expected.add("PING " + sender + " " + bounded + " 77 " + number + " 5");
         while (out.hasRoom()) {
-            Standing standing = Standing.values()[1 + chance.nextInt(4)];
+            MemberState standing = MemberState.values()[1 + chance.nextInt(4)];
             int place = chance.nextInt(Datagram.PLACES);
             long at = chance.nextLong(1L << 47);
-            int[] accusers = chance.ints(standing == Standing.SUSPECT ? chance.nextInt(5) : 0, 0, 8192)
+            int[] accusers = chance.ints(standing == MemberState.SUSPECT ? chance.nextInt(5) : 0, 0, 8192)
                     .toArray();
             double silent = now - 12 * chance.nextDouble();
             out.entry(place, standing, at, accusers, silent);
             expected.add(place + " " + standing + " " + at + " " + Arrays.toString(accusers)
-                    + (standing == Standing.SUSPECT ? " " + Math.round(silent * 20) : ""));
+                    + (standing == MemberState.SUSPECT ? " " + Math.round(silent * 20) : ""));
         }
         byte[] whole = out.end();
         assertTrue(whole.length <= 256, whole.length + " bytes");
@@ -104,7 +104,7 @@
         SplittableRandom chance = new SplittableRandom(seed);
         Datagram out = new Datagram().begin(Datagram.Kind.NEWS, 3, 9, 1, 2, 4);
         for (int each = chance.nextInt(10); each > 0; each--) {
-            out.entry(each, Standing.SUSPECT, 5, new int[] {1, 2}, 100);
+            out.entry(each, MemberState.SUSPECT, 5, new int[] {1, 2}, 100);
         }
         byte[] whole = out.end();
         byte[] odd = whole.clone();
@@ -122,13 +122,13 @@
         java.util.zip.CRC32 sum = new java.util.zip.CRC32();
         sum.update(whole, 0, noise.length);
         java.nio.ByteBuffer.wrap(whole).putInt(noise.length, (int) sum.getValue());
-        FleetView view = new FleetView(
+        MembershipView view = new MembershipView(
                 4,
                 0,
                 1,
-                FleetTerms.usual(),
+                MembershipSettings.usual(),
                 new SplittableRandom(1),
-                new FleetView.Wire() {
+                new MembershipView.Wire() {
                     @Override
                     public void send(int place, byte[] datagram) {
                         assertTrue(place > 0 && place < 4 && datagram.length <= 256);
@@ -149,16 +149,16 @@
     void aFullDatagramTakesNoMore() {
         Datagram out = new Datagram().begin(Datagram.Kind.NEWS, 0, 1, 0, 0, 0);
         while (out.hasRoom()) {
-            out.entry(1, Standing.SUSPECT, 1, new int[] {1, 2, 3, 4}, 1);
+            out.entry(1, MemberState.SUSPECT, 1, new int[] {1, 2, 3, 4}, 1);
         }
-        assertThrows(IllegalStateException.class, () -> out.entry(1, Standing.ALIVE, 1, new int[0], 0));
+        assertThrows(IllegalStateException.class, () -> out.entry(1, MemberState.ALIVE, 1, new int[0], 0));
         assertTrue(out.end().length <= 256);
     }
 
     @Property(tries = 200, seed = "20261201")
     void everyPieceOfNewsIsSentSoOftenAndTheLeastSentGoesFirst(
             @ForAll @IntRange(min = 1, max = 50) int size, @ForAll @IntRange(min = 1, max = 7) int room) {
-        Rumours rumours = new Rumours(size);
+        GossipQueue rumours = new GossipQueue(size);
         int[] sent = new int[size];
         for (int place = 0; place < size; place++) {
             rumours.add(place);
@@ -187,25 +187,25 @@
         Member[] members = new Member[size];
         for (int place = 0; place < size; place++) {
             members[place] = new Member(place);
-            members[place].takes(0, place < 2 || chance.nextBoolean() ? Standing.ALIVE : Standing.DEAD, 1);
+            members[place].takes(0, place < 2 || chance.nextBoolean() ? MemberState.ALIVE : MemberState.DEAD, 1);
         }
         int[] looks = new int[size];
         for (Member each : members) {
-            if (each.standing == Standing.ALIVE) {
-                int target = new ProbeTurns(0.4).target(turn, each.place, members);
+            if (each.standing == MemberState.ALIVE) {
+                int target = new ProbeSchedule(0.4).target(turn, each.place, members);
                 assertTrue(target != each.place);
                 looks[target]++;
             }
         }
         for (Member each : members) {
-            assertEquals(each.standing == Standing.ALIVE ? 1 : 0, looks[each.place]);
+            assertEquals(each.standing == MemberState.ALIVE ? 1 : 0, looks[each.place]);
         }
     }
 
     @Property(tries = 200, seed = "20261201")
     void moreAccusersNeverLengthenAndAreNeverShorterThanTheLeastSilence(
             @ForAll @IntRange(min = 2, max = 1000) int members, @ForAll @IntRange(min = 1, max = 6) int accusers) {
-        FleetTerms terms = FleetTerms.usual();
+        MembershipSettings terms = MembershipSettings.usual();
         Suspicion suspicion = new Suspicion(terms);
         double allowed = suspicion.allowed(accusers, members);
         assertTrue(allowed >= terms.silence() && allowed <= terms.silenceMost());
@@ -215,7 +215,7 @@
     @Test
     void anIncarnationThatLeavesNoRoomToObjectIsRefused() {
         Datagram out = new Datagram().begin(Datagram.Kind.NEWS, 1, 5, 0, 0, 0);
-        out.entry(2, Standing.DEAD, (1L << 48) - 1, new int[0], 0);
+        out.entry(2, MemberState.DEAD, (1L << 48) - 1, new int[0], 0);
         byte[] whole = out.end();
         Kept kept = new Kept();
         assertEquals("form", Datagram.read(100, whole, whole.length, 4, kept));
--- a/query-mixer/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
+++ b/query-mixer/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
@@ -91,16 +91,16 @@
         store.merge(new Fact(1, FactKind.PACE, 1, 100_000, honest, 0));
         store.merge(new Fact(1, FactKind.PACE, 2, 100_000, second, 0));
         store.merge(new Fact(1, FactKind.PACE, 3, 100_000, lie, 0));
-        double pace = new Agreed(store).pace(1, 0, 100);
+        double pace = new FactAggregator(store).pace(1, 0, 100);
         assertTrue(pace >= Math.min(honest, second) && pace <= Math.max(honest, second), pace + " of " + lie);
     }
 
     @Property(tries = 300, seed = "20261201")
     void othersNeverMakeAMixerLessCarefulThanItsOwnEyes(@ForAll double own, @ForAll double others) {
-        assertTrue(Double.isNaN(own) || Agreed.worse(own, others) >= own);
+        assertTrue(Double.isNaN(own) || FactAggregator.worse(own, others) >= own);
     }
 
-    private static final class Kept implements FactText.Reader {
+    private static final class Kept implements FactDatagram.Reader {
         final List<Fact> facts = new ArrayList<>();
         int[] sums;
         int[] named;
@@ -136,54 +136,54 @@
 
     @Property(tries = 300, seed = "20261201")
     void whatIsWrittenIsReadAndNeverLongerThanAllowed(@ForAll("facts") List<Fact> facts, @ForAll boolean last) {
-        List<Fact> some = facts.subList(0, Math.min(facts.size(), FactText.FACTS));
-        byte[] whole = FactText.facts(some, last);
+        List<Fact> some = facts.subList(0, Math.min(facts.size(), FactDatagram.FACTS));
+        byte[] whole = FactDatagram.facts(some, last);
         assertTrue(whole.length <= 256);
         Kept kept = new Kept();
-        assertNull(FactText.read(whole, whole.length, kept));
+        assertNull(FactDatagram.read(whole, whole.length, kept));
         assertEquals(some, kept.facts);
         assertEquals(last, kept.last);
-        byte[] sums = FactText.sums(store(facts).sums());
+        byte[] sums = FactDatagram.sums(store(facts).sums());
         assertTrue(sums.length <= 256);
-        assertNull(FactText.read(sums, sums.length, kept));
+        assertNull(FactDatagram.read(sums, sums.length, kept));
         assertTrue(Arrays.equals(store(facts).sums(), kept.sums));
-        List<Integer> keys = java.util.stream.IntStream.range(0, FactText.SEARCHERS)
+        List<Integer> keys = java.util.stream.IntStream.range(0, FactDatagram.SEARCHERS)
                 .mapToObj(each -> each * 7919)
                 .toList();
         List<Integer> keySums = keys.stream().map(each -> each * 31).toList();
-        byte[] searchers = FactText.searchers(keys, keySums);
+        byte[] searchers = FactDatagram.searchers(keys, keySums);
         assertTrue(searchers.length <= 256);
-        assertNull(FactText.read(searchers, searchers.length, kept));
+        assertNull(FactDatagram.read(searchers, searchers.length, kept));
         assertEquals(keys, Arrays.stream(kept.named).boxed().toList());
         assertEquals(keySums.get(5), kept.namedSums[5]);
-        byte[] wanted = FactText.wanted(keys);
+        byte[] wanted = FactDatagram.wanted(keys);
         assertTrue(wanted.length <= 256);
-        assertNull(FactText.read(wanted, wanted.length, kept));
+        assertNull(FactDatagram.read(wanted, wanted.length, kept));
     }
 
     @Property(tries = 300, seed = "20261201")
     void aSpoiltDatagramTellsNothing(@ForAll("facts") List<Fact> facts, @ForAll long seed) {
-        byte[] whole = FactText.facts(facts.subList(0, Math.min(facts.size(), FactText.FACTS)), false);
+        byte[] whole = FactDatagram.facts(facts.subList(0, Math.min(facts.size(), FactDatagram.FACTS)), false);
         Random chance = new Random(seed);
         byte[] odd = whole.clone();
         odd[chance.nextInt(odd.length)] ^= (byte) (1 << chance.nextInt(8));
         Kept kept = new Kept();
-        assertTrue(FactText.read(odd, odd.length, kept) != null);
-        assertTrue(FactText.read(whole, chance.nextInt(whole.length), kept) != null);
+        assertTrue(FactDatagram.read(odd, odd.length, kept) != null);
+        assertTrue(FactDatagram.read(whole, chance.nextInt(whole.length), kept) != null);
         assertTrue(kept.facts.isEmpty() && kept.sums == null && kept.named == null && !kept.last);
     }
 
     @Property(tries = 500, seed = "20261201")
     void noiseUnderARightSumIsNeverThrownIntoTheLoop(@ForAll @Size(min = 1, max = 240) byte[] noise) {
         byte[] whole = Arrays.copyOf(noise, noise.length + 4);
-        whole[0] = FactText.VERSION;
+        whole[0] = FactDatagram.VERSION;
         java.util.zip.CRC32 sum = new java.util.zip.CRC32();
         sum.update(whole, 0, noise.length);
         java.nio.ByteBuffer.wrap(whole).putInt(noise.length, (int) sum.getValue());
-        StateShare state = new StateShare(
+        FactReplicator state = new FactReplicator(
                 4,
                 0,
-                StateTerms.usual(),
+                FactReplicationSettings.usual(),
                 new java.util.SplittableRandom(1),
                 (place, datagram) -> assertTrue(place > 0 && place < 4 && datagram.length <= 256),
                 place -> true);
@@ -204,7 +204,7 @@
         for (int origin = 0; origin < origins; origin++) {
             store.merge(new Fact(1, FactKind.ILL, origin, 100_000 + origin, 3, 0));
         }
-        Agreed agreed = new Agreed(store);
+        FactAggregator agreed = new FactAggregator(store);
         assertEquals(origins >= 2, agreed.ill(1, 9, 100.5, 0));
         assertEquals(
                 Math.min(origins, FactStore.ORIGINS) - (origins >= 1 && origins <= 3 ? 1 : 0) >= 2,
@@ -220,25 +220,28 @@
             facts.add(new Fact(
                     each * 77_777, FactKind.PACE, each % 5, 100_000 + each, Fact.decoded(Fact.coded(0.1 + each)), 0));
         }
-        byte[] whole = SnapshotText.write(3, 9, 100, facts);
-        assertEquals(facts, SnapshotText.read(whole, 3, 9, 101, 60).facts());
+        byte[] whole = FactSnapshotFormat.write(3, 9, 100, facts);
+        assertEquals(facts, FactSnapshotFormat.read(whole, 3, 9, 101, 60).facts());
         for (int at = 0; at < whole.length; at++) {
             for (int bit = 0; bit < 8; bit++) {
                 byte[] odd = whole.clone();
                 odd[at] ^= (byte) (1 << bit);
-                SnapshotText.Read read = SnapshotText.read(odd, 3, 9, 101, 60);
+                FactSnapshotFormat.Read read = FactSnapshotFormat.read(odd, 3, 9, 101, 60);
                 assertTrue(read.refused() != null && read.facts().isEmpty(), "byte " + at + ", bit " + bit);
             }
             assertTrue(
-                    SnapshotText.read(Arrays.copyOf(whole, at), 3, 9, 101, 60).refused() != null, "cut at " + at);
+                    FactSnapshotFormat.read(Arrays.copyOf(whole, at), 3, 9, 101, 60)
+                                    .refused()
+                            != null,
+                    "cut at " + at);
         }
         byte[] longer = Arrays.copyOf(whole, whole.length + 1);
-        assertTrue(SnapshotText.read(longer, 3, 9, 101, 60).refused().startsWith("torn"));
-        assertTrue(SnapshotText.read(whole, 4, 9, 101, 60).refused().startsWith("of another mixer"));
-        assertTrue(SnapshotText.read(whole, 3, 10, 101, 60).refused().startsWith("of another mixer"));
-        assertTrue(SnapshotText.read(whole, 3, 9, 161.1, 60).refused().startsWith("stale"));
-        assertTrue(SnapshotText.read(whole, 3, 9, 98, 60).refused().startsWith("stale"), "of the future");
-        assertTrue(SnapshotText.read("someone else's".getBytes(UTF_8), 3, 9, 101, 60)
+        assertTrue(FactSnapshotFormat.read(longer, 3, 9, 101, 60).refused().startsWith("torn"));
+        assertTrue(FactSnapshotFormat.read(whole, 4, 9, 101, 60).refused().startsWith("of another mixer"));
+        assertTrue(FactSnapshotFormat.read(whole, 3, 10, 101, 60).refused().startsWith("of another mixer"));
+        assertTrue(FactSnapshotFormat.read(whole, 3, 9, 161.1, 60).refused().startsWith("stale"));
+        assertTrue(FactSnapshotFormat.read(whole, 3, 9, 98, 60).refused().startsWith("stale"), "of the future");
+        assertTrue(FactSnapshotFormat.read("someone else's".getBytes(UTF_8), 3, 9, 101, 60)
                         .refused()
                 != null);
     }
--- a/testing/emulator/src/main/java/pinewick/emulator/SimulatedMixerFleet.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/SimulatedMixerFleet.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
-import pinewick.fleet.FleetTerms;
-import pinewick.fleet.FleetView;
-import pinewick.fleet.Standing;
+import pinewick.fleet.MemberState;
+import pinewick.fleet.MembershipSettings;
+import pinewick.fleet.MembershipView;
 
 /**
  * The mixers' views of each other, a whole tier of them in virtual time, over links that a story breaks. Times are
@@ -16,23 +16,23 @@
     private static final double TICK_SECONDS = 0.05;
 
     private final SimulatedDatagrams datagrams;
-    private final FleetView[] views;
+    private final MembershipView[] views;
     private final List<String> deaths = new ArrayList<>();
     private final SplittableRandom random;
-    private final FleetTerms terms;
+    private final MembershipSettings terms;
     private final boolean hasBroadcast;
 
     public SimulatedMixerFleet(int size, long seed) {
-        this(size, seed, FleetTerms.usual(), true);
+        this(size, seed, MembershipSettings.usual(), true);
     }
 
     /** @param all whether there is a way to send to all at once */
-    public SimulatedMixerFleet(int size, long seed, FleetTerms terms, boolean all) {
+    public SimulatedMixerFleet(int size, long seed, MembershipSettings terms, boolean all) {
         random = new SplittableRandom(seed);
         this.terms = terms;
         this.hasBroadcast = all;
         datagrams = new SimulatedDatagrams(size, TICK_SECONDS, random.split(), 1000);
-        views = new FleetView[size];
+        views = new MembershipView[size];
     }
 
     public SimulatedDatagrams datagrams() {
@@ -43,7 +43,7 @@
         return views.length;
     }
 
-    public FleetView view(int member) {
+    public MembershipView view(int member) {
         return views[member];
     }
 
@@ -65,13 +65,13 @@
 
     /** With an incarnation of the story's choice. */
     public void startWith(int member, long incarnation) {
-        FleetView view = new FleetView(
+        MembershipView view = new MembershipView(
                 views.length,
                 member,
                 incarnation,
                 terms,
                 random.split(),
-                new FleetView.Wire() {
+                new MembershipView.Wire() {
                     @Override
                     public void send(int to, byte[] datagram) {
                         datagrams.send(member, to, datagram);
@@ -86,7 +86,7 @@
                     }
                 },
                 (other, before, after) -> {
-                    if (after == Standing.DEAD) {
+                    if (after == MemberState.DEAD) {
                         deaths.add(other + " by " + member);
                     }
                 });
@@ -107,7 +107,7 @@
 
     public long sent() {
         long datagrams = 0;
-        for (FleetView each : views) {
+        for (MembershipView each : views) {
             datagrams += each.sent();
         }
         return datagrams;
@@ -115,7 +115,7 @@
 
     public long sentBytes() {
         long bytes = 0;
-        for (FleetView each : views) {
+        for (MembershipView each : views) {
             bytes += each.sentBytes();
         }
         return bytes;
--- a/testing/emulator/src/main/java/pinewick/emulator/SimulatedStateFleet.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/SimulatedStateFleet.java
@@ -1,29 +1,29 @@
 package pinewick.emulator;
 
 import java.util.SplittableRandom;
-import pinewick.fleet.state.StateShare;
-import pinewick.fleet.state.StateTerms;
+import pinewick.fleet.state.FactReplicationSettings;
+import pinewick.fleet.state.FactReplicator;
 
 /** What mixers replicate of searchers, a whole tier of them in virtual time, over links that a story breaks. */
 public final class SimulatedStateFleet {
     private final SimulatedDatagrams datagrams;
-    private final StateShare[] states;
-    private final StateTerms terms;
+    private final FactReplicator[] states;
+    private final FactReplicationSettings terms;
     private final SplittableRandom random;
     private long malformedDatagrams;
 
-    public SimulatedStateFleet(int size, long seed, StateTerms terms) {
+    public SimulatedStateFleet(int size, long seed, FactReplicationSettings terms) {
         random = new SplittableRandom(seed);
         this.terms = terms;
         datagrams = new SimulatedDatagrams(size, 0.044, random.split(), 1000);
-        states = new StateShare[size];
+        states = new FactReplicator[size];
     }
 
     public SimulatedDatagrams datagrams() {
         return datagrams;
     }
 
-    public StateShare state(int member) {
+    public FactReplicator state(int member) {
         return states[member];
     }
 
@@ -40,7 +40,7 @@
 
     /** A member starts, knowing nothing. Who lives is known at once here; the view has its own stories. */
     public void start(int member) {
-        StateShare state = new StateShare(
+        FactReplicator state = new FactReplicator(
                 states.length,
                 member,
                 terms,
@@ -69,7 +69,7 @@
 
     public long sentBytes() {
         long bytes = 0;
-        for (StateShare each : states) {
+        for (FactReplicator each : states) {
             bytes += each.sentBytes();
         }
         return bytes;
--- a/testing/emulator/src/test/java/pinewick/emulator/SimulatedMixerFleetTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/SimulatedMixerFleetTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import pinewick.fleet.FleetTerms;
-import pinewick.fleet.FleetView;
-import pinewick.fleet.Standing;
+import pinewick.fleet.MemberState;
+import pinewick.fleet.MembershipSettings;
+import pinewick.fleet.MembershipView;
 
 /** Stories of whole fleets in virtual time, over links that lose, delay, double and cut. */
 class SimulatedMixerFleetTest {
@@ -33,7 +33,7 @@
     @Test
     void aJoinIsKnownToAllWithinTwoSecondsEvenWithoutBroadcast() {
         for (boolean all : new boolean[] {true, false}) {
-            SimulatedMixerFleet world = new SimulatedMixerFleet(100, 3, FleetTerms.usual(), all);
+            SimulatedMixerFleet world = new SimulatedMixerFleet(100, 3, MembershipSettings.usual(), all);
             world.datagrams().links(0.1, 0, 0.001, 0.018);
             for (int place = 1; place < 100; place++) {
                 world.start(place);
@@ -64,8 +64,8 @@
             SimulatedMixerFleet world = running(100, 0.1, seed);
             world.datagrams().partition((from, to) -> from < 20 != to < 20);
             world.datagrams().run(world.datagrams().now() + 6);
-            assertEquals(Standing.DEAD, world.view(5).standing(70));
-            assertEquals(Standing.DEAD, world.view(70).standing(5));
+            assertEquals(MemberState.DEAD, world.view(5).standing(70));
+            assertEquals(MemberState.DEAD, world.view(70).standing(5));
             world.datagrams().partition((from, to) -> false);
             assertTrue(world.secondsToConverge(3) <= 3, "seed " + seed);
         }
@@ -96,7 +96,7 @@
         world.datagrams().run(world.datagrams().now() + 0.1);
         world.datagrams().kill(2);
         assertTrue(world.secondsToConverge(1) <= 1);
-        assertEquals(Standing.LEFT, world.view(0).standing(2));
+        assertEquals(MemberState.LEFT, world.view(0).standing(2));
         world.datagrams().run(world.datagrams().now() + 4);
         assertEquals(0, world.deaths().size());
         world.start(2);
@@ -122,7 +122,7 @@
         long before = world.view(0).incarnation(1);
         world.datagrams().kill(1);
         world.datagrams().run(world.datagrams().now() + 5);
-        assertEquals(Standing.DEAD, world.view(0).standing(1));
+        assertEquals(MemberState.DEAD, world.view(0).standing(1));
         world.startWith(1, 5);
         assertTrue(world.secondsToConverge(2) <= 2, "it takes an incarnation above the one it is told of");
         assertTrue(world.view(0).incarnation(1) > before);
@@ -131,7 +131,7 @@
     @Test
     void aLongerMemberListRetainsWhatIsKnownAndNewMembersAreUnknown() {
         SimulatedMixerFleet world = running(4, 0, 10);
-        FleetView view = world.view(0);
+        MembershipView view = world.view(0);
         view.listed(world.datagrams().now(), 6, 0);
         assertEquals("AAAAUU", view.letters());
         assertEquals(4, view.live());
@@ -145,7 +145,7 @@
     @Test
     void aDeadMemberRaisesTheBudgetShareOnlyAfterADelayAndWithinItsBound() {
         SimulatedMixerFleet world = running(10, 0, 11);
-        FleetView view = world.view(0);
+        MembershipView view = world.view(0);
         for (int place = 1; place < 6; place++) {
             world.datagrams().kill(place);
         }
--- a/testing/emulator/src/test/java/pinewick/emulator/SimulatedStateFleetTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/SimulatedStateFleetTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test;
 import pinewick.fleet.state.Fact;
 import pinewick.fleet.state.FactKind;
-import pinewick.fleet.state.StateTerms;
+import pinewick.fleet.state.FactReplicationSettings;
 
 /** Stories of what a tier of mixers replicates, in virtual time. */
 class SimulatedStateFleetTest {
     private static SimulatedStateFleet running(int size, double loss, long seed) {
-        SimulatedStateFleet world = new SimulatedStateFleet(size, seed, StateTerms.usual());
+        SimulatedStateFleet world = new SimulatedStateFleet(size, seed, FactReplicationSettings.usual());
         world.datagrams().links(loss, 0.01, 0.001, 0.018);
         world.startAll();
         world.datagrams().run(world.datagrams().now() + 5);
@@ -98,7 +98,7 @@
         }
         world.datagrams().run(world.datagrams().now() + 4);
         double each = (stayedBytes(world) - before) / 30.0;
-        StateTerms terms = StateTerms.usual();
+        FactReplicationSettings terms = FactReplicationSettings.usual();
         assertTrue(
                 each <= 4 * terms.bytesASecond() + 2 * terms.burst() + 1000,
                 each + " bytes in 4 s by " + "one that stayed");
@@ -190,7 +190,7 @@
             assertEquals(0, world.malformedDatagrams());
         }
         assertTrue(
-                bytes[1] <= StateTerms.usual().bytesASecond() && bytes[1] < 1.5 * bytes[0],
+                bytes[1] <= FactReplicationSettings.usual().bytesASecond() && bytes[1] < 1.5 * bytes[0],
                 bytes[0] + "," + " " + bytes[1]);
     }
 
@@ -198,7 +198,7 @@
     void aForgedFactWithAFutureTimestampDoesNotSuppressItsOwner() {
         SimulatedStateFleet world = running(10, 0, 8);
         int key = Fact.key("s-1");
-        byte[] forged = pinewick.fleet.state.FactText.facts(
+        byte[] forged = pinewick.fleet.state.FactDatagram.facts(
                 java.util.List.of(new Fact(key, FactKind.ILL, 0, 1L << 47, 0, 0)), false);
         world.state(0).heard(world.datagrams().now(), 3, forged, forged.length);
         world.state(0).saw(world.datagrams().now(), key, FactKind.ILL, 4, 0);
--- a/testing/lab/src/main/java/pinewick/lab/StateLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/StateLab.java
@@ -13,7 +13,7 @@
 import pinewick.emulator.SimulatedStateFleet;
 import pinewick.fleet.state.Fact;
 import pinewick.fleet.state.FactKind;
-import pinewick.fleet.state.StateTerms;
+import pinewick.fleet.state.FactReplicationSettings;
 
 /**
  * In virtual time, with the very classes that decide: how fast a warning gets round, what replication costs, how far a
@@ -109,7 +109,8 @@
                 pass &= loss > 0.1 || found.divergent == 0;
             }
         }
-        pass &= load[1] <= 1.5 * load[0] && load[1] <= StateTerms.usual().bytesASecond();
+        pass &= load[1] <= 1.5 * load[0]
+                && load[1] <= FactReplicationSettings.usual().bytesASecond();
         figures.addProperty("pass", pass);
         System.out.println(table);
         Files.createDirectories(results);
@@ -129,7 +130,7 @@
 
     private static void play(Setting setting, long seed, Found found) {
         SplittableRandom chance = new SplittableRandom(seed);
-        SimulatedStateFleet world = new SimulatedStateFleet(setting.size, seed, StateTerms.usual());
+        SimulatedStateFleet world = new SimulatedStateFleet(setting.size, seed, FactReplicationSettings.usual());
         world.datagrams().links(setting.loss, 0.01, 0.001, 0.018);
         world.startAll();
         traffic(world, 10, chance);
