--- a/query-mixer/daemon/src/main/java/pinewick/life/FleetLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/FleetLife.java
@@ -55,8 +55,8 @@
         this.loop = loop;
         this.log = log;
         this.counts = counts;
-        tick = terms.period() / LOOKS;
-        socket = new PeerSocket(peers.listen(), Datagram.MOST, worker, loop, this::took);
+        tick = terms.probeIntervalSeconds() / LOOKS;
+        socket = new PeerSocket(peers.listen(), Datagram.MAX_BYTES, worker, loop, this::took);
         socket.listed(peers.peers(), peers.all());
         view = new MembershipView(
                 peers.peers().size(),
@@ -64,14 +64,14 @@
                 Math.round(loop.now() * 1e3),
                 terms,
                 new SplittableRandom(seed),
-                new MembershipView.Wire() {
+                new MembershipView.Transport() {
                     @Override
                     public void send(int place, byte[] datagram) {
                         socket.send(place, datagram);
                     }
 
                     @Override
-                    public boolean sendAll(byte[] datagram) {
+                    public boolean broadcast(byte[] datagram) {
                         return socket.sendAll(datagram);
                     }
                 },
@@ -90,7 +90,7 @@
                         loop,
                         log,
                         socket::send,
-                        place -> place < view.size() && view.standing(place) == MemberState.ALIVE);
+                        place -> place < view.size() && view.state(place) == MemberState.ALIVE);
     }
 
     /** What the other mixers see of the searchers; null where nothing is replicated. */
@@ -128,13 +128,13 @@
 
     private void took(int place, byte[] datagram, int length) {
         if (place < 0) {
-            view.stranger();
+            view.onUnknownSender();
         } else if (length > 0 && datagram[0] == FactDatagram.VERSION) {
             if (state != null) {
                 state.took(place, datagram, length);
             }
         } else {
-            view.heard(loop.now(), place, datagram, length);
+            view.onDatagram(loop.now(), place, datagram, length);
         }
     }
 
@@ -154,8 +154,8 @@
     }
 
     private void tells() {
-        int live = view.spread();
-        int most = view.bound(loop.now());
+        int live = view.estimatedSenders();
+        int most = view.maxSenders(loop.now());
         if (live != toldLive || most != toldMost) {
             toldLive = live;
             toldMost = most;
@@ -173,7 +173,7 @@
                     "mixers listed: " + peers.peers().size() + ", " + view.size() + " before",
                     "mixers",
                     Integer.toString(peers.peers().size()));
-            view.listed(loop.now(), peers.peers().size(), peers.self());
+            view.onMemberListChanged(loop.now(), peers.peers().size(), peers.self());
             if (state != null) {
                 state.listed(peers.peers().size());
             }
@@ -188,6 +188,6 @@
     }
 
     String figures() {
-        return view.figures() + "fleet-unsent " + socket.unsent() + "\n" + (state == null ? "" : state.figures());
+        return view.metrics() + "fleet-unsent " + socket.unsent() + "\n" + (state == null ? "" : state.figures());
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/life/OperatorFile.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/OperatorFile.java
@@ -49,7 +49,7 @@
     /** Null where the log is the plain one. */
     private Logs logs;
     /** Null where the mixers don't look at each other. */
-    private MembershipSettings fleet = MembershipSettings.usual();
+    private MembershipSettings fleet = MembershipSettings.defaults();
 
     private Replicated replicated;
 
@@ -127,9 +127,9 @@
                         "snapshot",
                         "snapshot-every-s"));
         boolean on = choice(in, "/fleet", "view", "on", List.of("on", "off")).equals("on");
-        MembershipSettings usual = MembershipSettings.usual();
-        double period = number(in, "/fleet", "period-s", usual.period(), 0.1, 10, false);
-        double silence = number(in, "/fleet", "silence-s", usual.silence(), 0.6, 60, false);
+        MembershipSettings usual = MembershipSettings.defaults();
+        double period = number(in, "/fleet", "period-s", usual.probeIntervalSeconds(), 0.1, 10, false);
+        double silence = number(in, "/fleet", "silence-s", usual.minSilenceSeconds(), 0.6, 60, false);
         if (silence < 4 * period) {
             wrong.add("/fleet/silence-s: at least four times period-s is expected, or a lost datagram would "
                     + "look like death");
@@ -142,21 +142,21 @@
             wrong.add("/fleet/state: needs /fleet/view to be on");
         }
         replicated = state ? new Replicated(snapshot == null ? null : Path.of(snapshot), every) : null;
-        double stretch = period / usual.period();
+        double stretch = period / usual.probeIntervalSeconds();
         fleet = !on || !wrong.isEmpty()
                 ? null
                 : new MembershipSettings(
                         period,
-                        usual.again() * stretch,
-                        usual.probe() * stretch,
+                        usual.pingRetrySeconds() * stretch,
+                        usual.probeTimeoutSeconds() * stretch,
                         silence,
                         2 * silence,
                         usual.confirmations(),
-                        usual.helpers(),
-                        usual.gossip() * stretch,
-                        usual.spread(),
-                        number(in, "/fleet", "lower-after-s", usual.lowerAfter(), 1, 3600, false),
-                        number(in, "/fleet", "least-share", usual.leastShare(), 0, 1, false));
+                        usual.indirectProbers(),
+                        usual.gossipIntervalSeconds() * stretch,
+                        usual.retransmitMultiplier(),
+                        number(in, "/fleet", "lower-after-s", usual.deadCountedSeconds(), 1, 3600, false),
+                        number(in, "/fleet", "least-share", usual.minCountedShare(), 0, 1, false));
     }
 
     private void logs(JsonElement part) {
--- a/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
@@ -80,7 +80,7 @@
 
     /** Where the platform lets mixers talk and the operator's file does not forbid it. */
     private void joinFleet() {
-        MembershipSettings terms = operator == null ? MembershipSettings.usual() : operator.fleet();
+        MembershipSettings terms = operator == null ? MembershipSettings.defaults() : operator.fleet();
         if (orders.peers() == null || terms == null) {
             return;
         }
--- a/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
@@ -45,7 +45,7 @@
             double every,
             Loop loop,
             Log log,
-            FactReplicator.Wire wire,
+            FactReplicator.Transport wire,
             IntPredicate takesPart) {
         this.loop = loop;
         this.log = log;
@@ -54,28 +54,29 @@
         this.self = self;
         this.size = size;
         state = new FactReplicator(
-                size, self, FactReplicationSettings.usual(), new SplittableRandom(seed), wire, takesPart);
+                size, self, FactReplicationSettings.defaults(), new SplittableRandom(seed), wire, takesPart);
     }
 
     void start() {
         state.start(loop.now()); // first, as the age of a snapshot's facts is told by its clock
         byte[] whole = file == null ? null : file.read();
         if (whole != null) {
-            FactSnapshotFormat.Read read = FactSnapshotFormat.read(whole, self, size, loop.now(), FactKind.PACE.most());
-            read.facts().forEach(state::fact);
+            FactSnapshotFormat.Result read =
+                    FactSnapshotFormat.read(whole, self, size, loop.now(), FactKind.LATENCY.maxAgeSeconds());
+            read.facts().forEach(state::onFact);
             log.say(
-                    read.refused() == null ? Log.Level.INFO : Log.Level.WARNING,
+                    read.rejection() == null ? Log.Level.INFO : Log.Level.WARNING,
                     "fleet",
-                    read.refused() == null
+                    read.rejection() == null
                             ? "snapshot: " + read.facts().size() + " facts"
-                            : "snapshot refused: " + read.refused() + "; asking the other mixers");
+                            : "snapshot refused: " + read.rejection() + "; asking the other mixers");
         }
         wroteAt = loop.now();
     }
 
     void tick() {
         state.tick(loop.now());
-        if (!saidCaughtUp && !Double.isNaN(state.caughtUpAfter())) {
+        if (!saidCaughtUp && !Double.isNaN(state.catchUpSeconds())) {
             saidCaughtUp = true;
             log.say(
                     Log.Level.INFO,
@@ -83,7 +84,7 @@
                     String.format(
                             java.util.Locale.ROOT,
                             "caught up with the other mixers after " + "%.2f s: %d facts",
-                            state.caughtUpAfter(),
+                            state.catchUpSeconds(),
                             state.store().size()));
         }
         if (file != null && loop.now() - wroteAt >= every) {
@@ -94,12 +95,12 @@
     }
 
     void took(int place, byte[] datagram, int length) {
-        spoilt += state.heard(loop.now(), place, datagram, length) == null ? 0 : 1;
+        spoilt += state.onDatagram(loop.now(), place, datagram, length) == null ? 0 : 1;
     }
 
     void listed(int mixers) {
         size = mixers;
-        state.listed(mixers);
+        state.onMemberListChanged(mixers);
     }
 
     private int key(String searcher) {
@@ -123,7 +124,7 @@
         for (Host.Listing each : listings) {
             int key = key(each.replica());
             if (each.stage() != Host.Stage.READY && !mixedUp.contains(key)) {
-                state.saw(loop.now(), key, FactKind.LEAVES, each.stage() == Host.Stage.GONE ? 2 : 1, 0);
+                state.recordObservation(loop.now(), key, FactKind.LEAVING, each.stage() == Host.Stage.GONE ? 2 : 1, 0);
             }
         }
     }
@@ -132,14 +133,14 @@
     public void saw(String searcher, double pace, double queue, int failures) {
         int key = key(searcher);
         if (!mixedUp.contains(key)) {
-            state.sawWork(loop.now(), key, pace, queue, failures);
+            state.recordWork(loop.now(), key, pace, queue, failures);
         }
     }
 
     @Override
     public double pace(String searcher) {
         int key = key(searcher);
-        double pace = mixedUp.contains(key) ? Double.NaN : state.agreed().pace(key, self, loop.now());
+        double pace = mixedUp.contains(key) ? Double.NaN : state.aggregator().latencySeconds(key, self, loop.now());
         return Double.isNaN(pace) ? 0 : pace;
     }
 
@@ -147,8 +148,8 @@
     public boolean warn(String searcher, double since) {
         int key = key(searcher);
         return !mixedUp.contains(key)
-                && (state.agreed().ill(key, self, loop.now(), since)
-                        || state.agreed().leaves(key, self, loop.now(), since));
+                && (state.aggregator().isUnhealthy(key, self, loop.now(), since)
+                        || state.aggregator().isLeaving(key, self, loop.now(), since));
     }
 
     String figures() {
@@ -156,7 +157,7 @@
         List<String> paces = new ArrayList<>();
         List<String> warned = new ArrayList<>();
         keys.keySet().stream().sorted().limit(200).forEach(each -> {
-            if (warn(each, loop.now() - FactKind.ILL.most())) {
+            if (warn(each, loop.now() - FactKind.UNHEALTHY.maxAgeSeconds())) {
                 warned.add(each);
             }
             double pace = pace(each);
@@ -164,7 +165,7 @@
                 paces.add(each + "=" + Math.round(pace * 1e3));
             }
         });
-        return state.figures() + "state-spoilt " + spoilt + "\nstate-paces " + String.join(",", paces)
+        return state.metrics() + "state-spoilt " + spoilt + "\nstate-paces " + String.join(",", paces)
                 + "\nstate-warned " + String.join(",", warned) + "\n";
     }
 }
--- a/query-mixer/daemon/src/test/java/pinewick/FleetServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/FleetServeTest.java
@@ -23,7 +23,7 @@
 class FleetServeTest {
     private static final double START = 30; // seconds that so many processes may take to start on a busy machine
     /** A pause that ends, to the others' eyes, before the least silence that a death takes. */
-    private static final double LONGEST_PAUSE = MembershipSettings.usual().silence() - 0.1;
+    private static final double LONGEST_PAUSE = MembershipSettings.defaults().minSilenceSeconds() - 0.1;
     /** How often a pause may be tried that a busy machine draws out over that. */
     private static final int TRIES = 12;
 
--- a/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
@@ -203,11 +203,12 @@
                 for (int each = 0; each < TAKES.length; each++) {
                     long stamp = System.currentTimeMillis() + round;
                     int key = Fact.key("s-" + each);
-                    lies.add(new Fact(key, FactKind.ILL, 1 + round % 3, stamp, 9, 0));
-                    lies.add(new Fact(key, FactKind.LEAVES, 1 + round % 3, stamp, 2, 0));
-                    lies.add(new Fact(key, FactKind.PACE, 1 + round % 3, stamp, 1e5, 1e5));
+                    lies.add(new Fact(key, FactKind.UNHEALTHY, 1 + round % 3, stamp, 9, 0));
+                    lies.add(new Fact(key, FactKind.LEAVING, 1 + round % 3, stamp, 2, 0));
+                    lies.add(new Fact(key, FactKind.LATENCY, 1 + round % 3, stamp, 1e5, 1e5));
                 }
-                byte[] datagram = FactDatagram.facts(lies.subList(0, Math.min(lies.size(), FactDatagram.FACTS)), false);
+                byte[] datagram =
+                        FactDatagram.facts(lies.subList(0, Math.min(lies.size(), FactDatagram.MAX_FACTS)), false);
                 liar.send(new DatagramPacket(
                         datagram, datagram.length, fleet.relay().address(1, 0)));
                 datagram[5] ^= 1;
--- a/query-mixer/daemon/src/test/java/pinewick/life/OperatorFileTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/life/OperatorFileTest.java
@@ -120,7 +120,7 @@
     @Test
     void theViewOfTheMixersIsOnWithTheUsualTimesUnlessSaidOtherwise() {
         assertEquals(
-                pinewick.fleet.MembershipSettings.usual(),
+                pinewick.fleet.MembershipSettings.defaults(),
                 OperatorFile.of(JsonParser.parseString("{}")).fleet());
         assertEquals(
                 null,
@@ -130,6 +130,6 @@
                 5,
                 OperatorFile.of(JsonParser.parseString("{\"fleet\":{\"silence-s\":5}}"))
                         .fleet()
-                        .silence());
+                        .minSilenceSeconds());
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
@@ -26,123 +26,123 @@
  */
 public final class Datagram {
     /** Bytes; a longer datagram would void a run of the platform's. */
-    public static final int MOST = 256;
+    public static final int MAX_BYTES = 256;
     /** Places are below this, as three bits of sixteen tell the standing. */
-    public static final int PLACES = 1 << 13;
+    public static final int MAX_MEMBERS = 1 << 13;
 
     static final byte VERSION = (byte) 0xF1;
-    private static final int HEAD = 21;
-    private static final int SUM = DatagramEnvelope.BYTES;
-    private static final int ENTRY = 8;
+    private static final int HEADER_BYTES = 21;
+    private static final int CHECKSUM_BYTES = DatagramEnvelope.CHECKSUM_BYTES;
+    private static final int ENTRY_BYTES = 8;
     /** The most that accuse in one entry. */
-    static final int ACCUSERS = 4;
+    static final int MAX_ACCUSERS = 4;
 
-    private static final int LONGEST = ENTRY + 3 + 2 * ACCUSERS;
-    private static final double STEPS = 20; // a second
+    private static final int MAX_ENTRY_BYTES = ENTRY_BYTES + 3 + 2 * MAX_ACCUSERS;
+    private static final double STEPS_PER_SECOND = 20; // a second
     /**
      * Danger: above the highest there is no room to object, so half of what fits is refused; milliseconds reach it in
      * 6429.
      */
-    private static final long INCARNATIONS = (1L << 47) - 1;
+    private static final long MAX_INCARNATION = (1L << 47) - 1;
 
-    private static final MemberState[] STANDINGS = MemberState.values();
+    private static final MemberState[] STATES = MemberState.values();
     private static final Kind[] KINDS = Kind.values();
 
     /** What a datagram is for. */
     public enum Kind {
         /** Asks for an {@link #ANSWER} with its number. */
         PING,
-        ANSWER,
+        ACK,
         /** Asks the receiver to look at another member, and to answer with the number. */
-        LOOK,
+        PING_REQUEST,
         /** The member that was looked at answered. */
-        SEEN,
+        INDIRECT_ACK,
         /** It has not answered so far. */
-        NOT_SEEN,
+        INDIRECT_NACK,
         /** News alone. */
-        NEWS,
+        GOSSIP,
         /** Asks for all that is known of the members from a place on. */
-        ASK,
+        STATE_REQUEST,
         /** What was asked for. */
-        STATE,
+        STATE_REPLY,
         /**
          * Sums over stretches of the list, for the receiver to answer with what differs; the number is the list's
          * length.
          */
-        SUMS
+        CHECKSUMS
     }
 
     /** Is told what a datagram says; a field at a time, nothing before the whole of it was found sound. */
     public interface Reader {
-        void said(Kind kind, int sender, long incarnation, int digest, int number, int about);
+        void onHeader(Kind kind, int sender, long incarnation, int digest, int number, int subject);
 
         /** Each stretch's sum, in order. */
-        void sums(short[] sums);
+        void onChecksums(short[] checksums);
 
         /**
          * One member, as the sender sees it.
          *
          * @param silent since when, seconds, and {@code accusers}, their places, of a suspect only
          */
-        void entry(int place, MemberState standing, long incarnation, int[] accusers, double silent);
+        void onEntry(int index, MemberState state, long incarnation, int[] accusers, double silentSince);
     }
 
-    private final ByteBuffer buffer = ByteBuffer.allocate(MOST);
+    private final ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
     private int entries;
 
     /** Begins a datagram. */
-    Datagram begin(Kind kind, int sender, long incarnation, int digest, int number, int about) {
+    Datagram begin(Kind kind, int sender, long incarnation, int digest, int number, int subject) {
         buffer.clear();
         entries = 0;
         buffer.put(VERSION).put((byte) kind.ordinal()).putShort((short) sender);
-        number(incarnation);
-        buffer.putInt(digest).putInt(number).putShort((short) about).put((byte) 0);
+        putIncarnation(incarnation);
+        buffer.putInt(digest).putInt(number).putShort((short) subject).put((byte) 0);
         return this;
     }
 
     /** Whether one more entry fits, be it the longest. */
     boolean hasRoom() {
-        return buffer.remaining() >= LONGEST + SUM && entries < 255;
+        return buffer.remaining() >= MAX_ENTRY_BYTES + CHECKSUM_BYTES && entries < 255;
     }
 
     /** Adds an entry. Throws IllegalStateException where it does not fit: no datagram is ever longer than allowed. */
-    void entry(int place, MemberState standing, long incarnation, int[] accusers, double silent) {
+    void addEntry(int index, MemberState state, long incarnation, int[] accusers, double silentSince) {
         if (!hasRoom()) {
             throw new IllegalStateException("a datagram of " + buffer.position() + " bytes takes no more");
         }
-        buffer.putShort((short) (standing.ordinal() << 13 | place));
-        number(incarnation);
-        if (standing == MemberState.SUSPECT) {
-            int count = Math.min(ACCUSERS, accusers.length);
-            buffer.putShort((short) Math.round(silent * STEPS)).put((byte) count);
+        buffer.putShort((short) (state.ordinal() << 13 | index));
+        putIncarnation(incarnation);
+        if (state == MemberState.SUSPECT) {
+            int count = Math.min(MAX_ACCUSERS, accusers.length);
+            buffer.putShort((short) Math.round(silentSince * STEPS_PER_SECOND)).put((byte) count);
             for (int each = 0; each < count; each++) {
                 buffer.putShort((short) accusers[each]);
             }
         }
-        buffer.put(HEAD - 1, (byte) ++entries);
+        buffer.put(HEADER_BYTES - 1, (byte) ++entries);
     }
 
     /** Adds a stretch's sum. */
-    void sum(short sum) {
-        buffer.putShort(sum).put(HEAD - 1, (byte) ++entries);
+    void addChecksum(short checksum) {
+        buffer.putShort(checksum).put(HEADER_BYTES - 1, (byte) ++entries);
     }
 
     /** Changes the place that it is about. */
-    Datagram about(int place) {
-        buffer.putShort(HEAD - 3, (short) place);
+    Datagram subject(int index) {
+        buffer.putShort(HEADER_BYTES - 3, (short) index);
         return this;
     }
 
     /** The whole datagram. */
-    byte[] end() {
-        DatagramEnvelope.put(buffer);
-        byte[] whole = new byte[buffer.position()];
+    byte[] finish() {
+        DatagramEnvelope.appendChecksum(buffer);
+        byte[] datagram = new byte[buffer.position()];
         buffer.flip();
-        buffer.get(whole);
-        return whole;
+        buffer.get(datagram);
+        return datagram;
     }
 
-    private void number(long incarnation) {
+    private void putIncarnation(long incarnation) {
         buffer.putShort((short) (incarnation >>> 32)).putInt((int) incarnation);
     }
 
@@ -153,13 +153,13 @@
      * @param now the clock that all share, seconds
      * @param size how many members are known here: entries of places from there on are passed over
      */
-    public static String read(double now, byte[] whole, int length, int size, Reader reader) {
-        String fault = DatagramEnvelope.fault(whole, length, VERSION, HEAD);
+    public static String read(double now, byte[] datagram, int length, int size, Reader reader) {
+        String fault = DatagramEnvelope.findFault(datagram, length, VERSION, HEADER_BYTES);
         if (fault != null) {
             return fault;
         }
-        ByteBuffer in = ByteBuffer.wrap(whole, 0, length);
-        in.limit(length - SUM);
+        ByteBuffer in = ByteBuffer.wrap(datagram, 0, length);
+        in.limit(length - CHECKSUM_BYTES);
         try {
             return read(now, in, size, null) != null ? "form" : read(now, in.rewind(), size, reader);
         } catch (BufferUnderflowException shorter) {
@@ -175,57 +175,61 @@
         long incarnation = (in.getShort() & 0xFFFFL) << 32 | (in.getInt() & 0xFFFFFFFFL);
         int digest = in.getInt();
         int number = in.getInt();
-        int about = in.getShort() & 0xFFFF;
+        int subject = in.getShort() & 0xFFFF;
         int entries = in.get() & 0xFF;
-        if (kind < 0 || kind >= KINDS.length || sender >= PLACES || about >= PLACES || incarnation > INCARNATIONS) {
+        if (kind < 0
+                || kind >= KINDS.length
+                || sender >= MAX_MEMBERS
+                || subject >= MAX_MEMBERS
+                || incarnation > MAX_INCARNATION) {
             return "form";
         }
         if (reader != null) {
-            reader.said(KINDS[kind], sender, incarnation, digest, number, about);
+            reader.onHeader(KINDS[kind], sender, incarnation, digest, number, subject);
         }
-        if (KINDS[kind] == Kind.SUMS) {
-            short[] sums = new short[entries];
+        if (KINDS[kind] == Kind.CHECKSUMS) {
+            short[] checksums = new short[entries];
             for (int each = 0; each < entries; each++) {
-                sums[each] = in.getShort();
+                checksums[each] = in.getShort();
             }
             if (reader != null && number == size) {
-                reader.sums(sums);
+                reader.onChecksums(checksums);
             }
             return in.hasRemaining() ? "form" : null;
         }
         for (int each = 0; each < entries; each++) {
-            int head = in.getShort() & 0xFFFF;
-            int place = head & PLACES - 1;
-            int standing = head >>> 13;
-            long at = (in.getShort() & 0xFFFFL) << 32 | (in.getInt() & 0xFFFFFFFFL);
-            if (standing >= STANDINGS.length || standing == 0 || at > INCARNATIONS) {
+            int packed = in.getShort() & 0xFFFF;
+            int index = packed & MAX_MEMBERS - 1;
+            int state = packed >>> 13;
+            long entryIncarnation = (in.getShort() & 0xFFFFL) << 32 | (in.getInt() & 0xFFFFFFFFL);
+            if (state >= STATES.length || state == 0 || entryIncarnation > MAX_INCARNATION) {
                 return "form";
             }
-            boolean suspect = STANDINGS[standing] == MemberState.SUSPECT;
-            double silent = suspect ? since(now, in.getShort()) : 0;
-            int[] accusers = new int[suspect ? in.get() & 0xFF : 0];
-            if (accusers.length > ACCUSERS) {
+            boolean isSuspect = STATES[state] == MemberState.SUSPECT;
+            double silentSince = isSuspect ? nearestTime(now, in.getShort()) : 0;
+            int[] accusers = new int[isSuspect ? in.get() & 0xFF : 0];
+            if (accusers.length > MAX_ACCUSERS) {
                 return "form";
             }
             for (int one = 0; one < accusers.length; one++) {
                 accusers[one] = in.getShort() & 0xFFFF;
             }
             // While a longer list of mixers is rolled out, some are told of members that they do not know yet.
-            if (reader != null && place < size) {
-                reader.entry(place, STANDINGS[standing], at, accusers, silent);
+            if (reader != null && index < size) {
+                reader.onEntry(index, STATES[state], entryIncarnation, accusers, silentSince);
             }
         }
         return in.hasRemaining() ? "form" : null;
     }
 
     /** The moment nearest to now of which these are the last bits. */
-    private static double since(double now, short bits) {
-        long steps = Math.round(now * STEPS);
-        return (steps + (short) (bits - (short) steps)) / STEPS;
+    private static double nearestTime(double now, short bits) {
+        long steps = Math.round(now * STEPS_PER_SECOND);
+        return (steps + (short) (bits - (short) steps)) / STEPS_PER_SECOND;
     }
 
     /** As many bits of an incarnation as a datagram carries. */
-    static long bounded(long incarnation) {
-        return incarnation & INCARNATIONS;
+    static long truncateIncarnation(long incarnation) {
+        return incarnation & MAX_INCARNATION;
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramSender.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramSender.java
@@ -3,200 +3,200 @@
 /** Composes this router's datagrams, each with the gossip that fits, and sends and counts them. */
 final class DatagramSender {
     /** Datagrams that answer checksums at most. */
-    private static final int DIFFERENCES = 2;
+    private static final int MAX_DIFFERENCE_DATAGRAMS = 2;
     /** Entries of plain state that ride along where there is no news. */
-    private static final int FILL = 4;
+    private static final int MAX_FILL_ENTRIES = 4;
     /** Sends that hearing one's own news from another is worth. */
-    private static final int HEARD_AGAIN = 2;
+    private static final int SENDS_PER_DUPLICATE = 2;
 
     private final MemberTable table;
-    private final MembershipSettings terms;
-    private final MembershipView.Wire wire;
-    private final GossipQueue rumours;
+    private final MembershipSettings settings;
+    private final MembershipView.Transport transport;
+    private final GossipQueue gossipQueue;
     private final Datagram out = new Datagram();
-    private int filled;
+    private int lastFillIndex;
     private long sent;
     private long sentBytes;
 
-    DatagramSender(MemberTable table, MembershipSettings terms, MembershipView.Wire wire) {
+    DatagramSender(MemberTable table, MembershipSettings settings, MembershipView.Transport transport) {
         this.table = table;
-        this.terms = terms;
-        this.wire = wire;
-        rumours = new GossipQueue(table.size());
+        this.settings = settings;
+        this.transport = transport;
+        gossipQueue = new GossipQueue(table.size());
     }
 
     /** Another list of members: all news is forgotten. */
-    void membersReplaced() {
-        rumours.resize(table.size());
+    void onMembersReplaced() {
+        gossipQueue.resize(table.size());
     }
 
     /** There is news of this member, to be gossiped. */
-    void spread(Member member) {
-        rumours.add(member.place);
+    void enqueueGossip(Member member) {
+        gossipQueue.add(member.index);
     }
 
     /** Another member told the same news of this one. */
-    void heardAgain(Member member) {
-        rumours.heardAgain(member.place, HEARD_AGAIN, sendsOfNews());
+    void onDuplicateGossip(Member member) {
+        gossipQueue.recordDuplicate(member.index, SENDS_PER_DUPLICATE, maxSends());
     }
 
     /** Of how many members there is news. */
-    int newsWaiting() {
-        return rumours.waiting();
+    int pendingGossip() {
+        return gossipQueue.pending();
     }
 
     /** How often a piece of news is sent. */
-    private int sendsOfNews() {
-        return terms.spread() * (int) Math.ceil(Math.log10(table.size() + 1));
+    private int maxSends() {
+        return settings.retransmitMultiplier() * (int) Math.ceil(Math.log10(table.size() + 1));
     }
 
     /** Sends a datagram with gossip to a place. */
-    void send(int to, Datagram.Kind kind, int number, int about) {
-        post(to, compose(to, kind, number, about));
+    void send(int to, Datagram.Kind kind, int number, int subject) {
+        transmit(to, compose(to, kind, number, subject));
     }
 
     /** Sends news alone to a place. */
-    void sendNews(int to) {
-        send(to, Datagram.Kind.NEWS, 0, table.self());
+    void sendGossip(int to) {
+        send(to, Datagram.Kind.GOSSIP, 0, table.self());
     }
 
     /** Sends this router's own state to all members, or to some where there is no way to all. */
     void announce() {
-        spread(table.get(table.self()));
-        if (!sendToAll(ownNews())) {
-            for (int each = 0; each < terms.helpers(); each++) {
-                int to = table.anyListed();
+        enqueueGossip(table.get(table.self()));
+        if (!sendToAll(composeOwnState())) {
+            for (int each = 0; each < settings.indirectProbers(); each++) {
+                int to = table.randomListedIndex();
                 if (to >= 0) {
-                    sendNews(to);
+                    sendGossip(to);
                 }
             }
         }
     }
 
     /** Tells all members, and some of them once more, of this router's end. */
-    void announceEnd() {
-        spread(table.get(table.self()));
-        byte[] datagram = ownNews();
+    void announceLeave() {
+        enqueueGossip(table.get(table.self()));
+        byte[] datagram = composeOwnState();
         sendToAll(datagram);
-        for (int each = 0; each < 2 * terms.helpers(); each++) {
-            int to = table.anyTakingPart();
+        for (int each = 0; each < 2 * settings.indirectProbers(); each++) {
+            int to = table.randomActiveIndex();
             if (to >= 0) {
-                post(to, datagram);
+                transmit(to, datagram);
             }
         }
     }
 
-    private byte[] ownNews() {
-        return compose(table.self(), Datagram.Kind.NEWS, 0, table.self());
+    private byte[] composeOwnState() {
+        return compose(table.self(), Datagram.Kind.GOSSIP, 0, table.self());
     }
 
     private boolean sendToAll(byte[] datagram) {
-        boolean possible = wire.sendAll(datagram);
-        if (possible) {
-            count(datagram);
+        boolean isBroadcast = transport.broadcast(datagram);
+        if (isBroadcast) {
+            recordSent(datagram);
         }
-        return possible;
+        return isBroadcast;
     }
 
-    private void post(int to, byte[] datagram) {
-        count(datagram);
-        wire.send(to, datagram);
+    private void transmit(int to, byte[] datagram) {
+        recordSent(datagram);
+        transport.send(to, datagram);
     }
 
-    private void count(byte[] datagram) {
+    private void recordSent(byte[] datagram) {
         sent++;
         sentBytes += datagram.length;
     }
 
-    private Datagram begin(Datagram.Kind kind, int number, int about) {
-        return out.begin(kind, table.self(), table.incarnation(), table.shortDigest(), number, about);
+    private Datagram begin(Datagram.Kind kind, int number, int subject) {
+        return out.begin(kind, table.self(), table.incarnation(), table.shortDigest(), number, subject);
     }
 
     /** A datagram with what concerns the receiver first, then news, then some plain state. */
-    private byte[] compose(int to, Datagram.Kind kind, int number, int about) {
-        begin(kind, number, about);
-        if (kind == Datagram.Kind.LOOK
-                || kind == Datagram.Kind.SEEN
-                || kind == Datagram.Kind.NOT_SEEN
-                || kind == Datagram.Kind.ASK) {
-            return out.end(); // These go out in numbers while links are bad; the rest carries the news.
+    private byte[] compose(int to, Datagram.Kind kind, int number, int subject) {
+        begin(kind, number, subject);
+        if (kind == Datagram.Kind.PING_REQUEST
+                || kind == Datagram.Kind.INDIRECT_ACK
+                || kind == Datagram.Kind.INDIRECT_NACK
+                || kind == Datagram.Kind.STATE_REQUEST) {
+            return out.finish(); // These go out in numbers while links are bad; the rest carries the news.
         }
         Member receiver = table.get(to);
-        if (to != table.self() && receiver.standing != MemberState.ALIVE) {
-            put(receiver);
-            return out.end(); // It may well be gone; news would be wasted on it.
+        if (to != table.self() && receiver.state != MemberState.ALIVE) {
+            addEntry(receiver);
+            return out.finish(); // It may well be gone; news would be wasted on it.
         }
-        boolean hasNews = rumours.any();
-        rumours.offer(sendsOfNews(), this::putIfRoom);
-        if (!hasNews) {
-            putPlainState();
+        boolean hasGossip = gossipQueue.hasPending();
+        gossipQueue.drain(maxSends(), this::addEntryIfRoom);
+        if (!hasGossip) {
+            addFillEntries();
         }
-        return out.end();
+        return out.finish();
     }
 
     /** News that was lost on every way would never be told again; so a little plain state rides along. */
-    private void putPlainState() {
-        int fill = Math.min(FILL, table.size());
+    private void addFillEntries() {
+        int fill = Math.min(MAX_FILL_ENTRIES, table.size());
         for (int each = 0; each < fill && out.hasRoom(); each++) {
-            filled = (filled + 1) % table.size();
-            put(table.get(filled));
+            lastFillIndex = (lastFillIndex + 1) % table.size();
+            addEntry(table.get(lastFillIndex));
         }
     }
 
-    private boolean putIfRoom(int place) {
-        boolean room = out.hasRoom();
-        if (room) {
-            put(table.get(place));
+    private boolean addEntryIfRoom(int index) {
+        boolean hasRoom = out.hasRoom();
+        if (hasRoom) {
+            addEntry(table.get(index));
         }
-        return room;
+        return hasRoom;
     }
 
-    private void put(Member member) {
-        if (member.standing != MemberState.UNHEARD) {
-            out.entry(member.place, member.standing, member.incarnation, member.accusers, member.silentSince);
+    private void addEntry(Member member) {
+        if (member.state != MemberState.UNHEARD) {
+            out.addEntry(member.index, member.state, member.incarnation, member.accusers, member.silentSince);
         }
     }
 
     /** Sends the checksums of all stretches of the list; the other answers with what it holds where its own differ. */
     void sendChecksums(int to) {
-        begin(Datagram.Kind.SUMS, table.size(), to);
+        begin(Datagram.Kind.CHECKSUMS, table.size(), to);
         for (short each : table.checksums()) {
-            out.sum(each);
+            out.addChecksum(each);
         }
-        post(to, out.end());
+        transmit(to, out.finish());
     }
 
     /** Answers another's checksums with what is held of the stretches that differ, as much as a few datagrams take. */
-    void sendDifferences(int to, short[] others, int firstStretch) {
-        int left = DIFFERENCES;
-        begin(Datagram.Kind.NEWS, 0, table.self());
+    void sendDifferences(int to, short[] others, int firstRange) {
+        int remaining = MAX_DIFFERENCE_DATAGRAMS;
+        begin(Datagram.Kind.GOSSIP, 0, table.self());
         for (int each = 0; each < others.length; each++) {
-            int stretch = (firstStretch + each) % others.length;
-            if (table.checksums()[stretch] == others[stretch]) {
+            int range = (firstRange + each) % others.length;
+            if (table.checksums()[range] == others[range]) {
                 continue;
             }
-            for (int place = table.stretchStart(stretch); place < table.stretchStart(stretch + 1); place++) {
-                put(table.get(place));
+            for (int index = table.rangeStart(range); index < table.rangeStart(range + 1); index++) {
+                addEntry(table.get(index));
                 if (!out.hasRoom()) {
-                    post(to, out.end());
-                    if (--left == 0) {
+                    transmit(to, out.finish());
+                    if (--remaining == 0) {
                         return;
                     }
-                    begin(Datagram.Kind.NEWS, 0, table.self());
+                    begin(Datagram.Kind.GOSSIP, 0, table.self());
                 }
             }
         }
-        post(to, out.end());
+        transmit(to, out.finish());
     }
 
     /** Sends what is known of the members from a place on, as much as fits; the last piece names place 0 as next. */
-    void sendState(int to, int firstPlace) {
-        begin(Datagram.Kind.STATE, firstPlace, 0);
-        int next = Math.max(0, firstPlace);
+    void sendState(int to, int firstIndex) {
+        begin(Datagram.Kind.STATE_REPLY, firstIndex, 0);
+        int next = Math.max(0, firstIndex);
         while (next < table.size() && out.hasRoom()) {
-            put(table.get(next++));
+            addEntry(table.get(next++));
         }
-        post(to, next < table.size() ? out.about(next).end() : out.end());
+        transmit(to, next < table.size() ? out.subject(next).finish() : out.finish());
     }
 
     /** Datagrams sent so far. */
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/FailureDetector.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/FailureDetector.java
@@ -10,55 +10,55 @@
 /** Probes members in turn, directly and through others, suspects the silent, and declares suspects dead in time. */
 final class FailureDetector {
     /** Further probes in a turn after others found members silent. */
-    private static final int MORE_PROBES = 3;
+    private static final int MAX_EXTRA_PROBES = 3;
     /** Suspects that are probed once more shortly before their end, in each gossip interval. */
-    private static final int LAST_PROBES = 12;
+    private static final int MAX_FINAL_PROBES = 12;
     /** Members that probe one such suspect in a gossip interval. */
-    private static final int LAST_PROBERS = 20;
+    private static final int FINAL_PROBERS = 20;
     /** Gossip intervals before a suspect's end in which that is done. */
-    private static final int LAST_INTERVALS = 3;
+    private static final int FINAL_PROBE_INTERVALS = 3;
 
     private final MemberTable table;
     private final DatagramSender sender;
-    private final MembershipSettings terms;
-    private final MembershipView.News news;
+    private final MembershipSettings settings;
+    private final MembershipView.Listener listener;
     private final SplittableRandom random;
-    private final ProbeSchedule turns;
+    private final ProbeSchedule schedule;
     private final Suspicion suspicion;
     private final LocalHealth health;
     private final Map<Integer, Probe> probes = new HashMap<>();
     /** By the number of this router's own ping. */
     private final Map<Integer, IndirectProbe> indirectProbes = new TreeMap<>();
 
-    private int numbers;
+    private int lastNumber;
     /** Probes since the last turn that found a member silent. */
-    private int silences;
+    private int failedProbes;
 
-    private long lastTurn = Long.MIN_VALUE;
-    private double heardAt = Double.NEGATIVE_INFINITY;
-    private double lastProbesAt = Double.NEGATIVE_INFINITY;
+    private long lastRound = Long.MIN_VALUE;
+    private double lastHeardAt = Double.NEGATIVE_INFINITY;
+    private double lastFinalProbesAt = Double.NEGATIVE_INFINITY;
     private long suspicions;
     private long deaths;
 
     FailureDetector(
             MemberTable table,
             DatagramSender sender,
-            MembershipSettings terms,
-            MembershipView.News news,
+            MembershipSettings settings,
+            MembershipView.Listener listener,
             SplittableRandom random) {
         this.table = table;
         this.sender = sender;
-        this.terms = terms;
-        this.news = news;
+        this.settings = settings;
+        this.listener = listener;
         this.random = random;
-        turns = new ProbeSchedule(terms.period());
-        suspicion = new Suspicion(terms);
-        health = new LocalHealth(terms.period());
+        schedule = new ProbeSchedule(settings.probeIntervalSeconds());
+        suspicion = new Suspicion(settings);
+        health = new LocalHealth(settings.probeIntervalSeconds());
     }
 
     /** Begins to watch the clock. */
     void start(double now) {
-        health.look(now);
+        health.checkForPause(now);
     }
 
     /** Forgets all probes that are under way. */
@@ -69,66 +69,66 @@
 
     /** The regular look: whether this router itself paused, the probe whose turn it is, probes and suspects. */
     void tick(double now) {
-        if (health.look(now) > 0) {
+        if (health.checkForPause(now) > 0) {
             clear(); // What was missed during a pause would look like the others' silence.
         }
-        long turn = turns.turn(now);
-        if (turn > lastTurn && now >= turns.at(turn, table.self(), table.size())) {
-            lastTurn = turn;
-            takeTurn(now, turn);
+        long round = schedule.round(now);
+        if (round > lastRound && now >= schedule.probeTime(round, table.self(), table.size())) {
+            lastRound = round;
+            runProbeRound(now, round);
         }
-        checkProbes(now);
+        advanceProbes(now);
         checkSuspects(now);
-        reportSilence(now);
+        sendNacks(now);
     }
 
     /**
      * Where most of a fleet dies at once, those left would probe one member each a turn, and mostly dead ones; so each
      * silence found brings one probe more. Cost: up to four times the probes for that time.
      */
-    private void takeTurn(double now, long turn) {
-        int more = Math.min(MORE_PROBES, silences);
-        silences = 0;
-        for (int each = 0; each <= more; each++) {
-            probe(now, turns.target(turn * (MORE_PROBES + 1) + each, table.self(), table.all()));
+    private void runProbeRound(double now, long round) {
+        int extraProbes = Math.min(MAX_EXTRA_PROBES, failedProbes);
+        failedProbes = 0;
+        for (int each = 0; each <= extraProbes; each++) {
+            probe(now, schedule.target(round * (MAX_EXTRA_PROBES + 1) + each, table.self(), table.all()));
         }
-        pingOneGone();
+        pingOneInactive();
     }
 
     private void probe(double now, int target) {
         if (target >= 0) {
-            Probe probe = new Probe(target, ++numbers, now, terms, health.stretch());
+            Probe probe = new Probe(target, ++lastNumber, now, settings, health.timeoutMultiplier());
             probes.put(probe.number, probe);
             sender.send(target, Datagram.Kind.PING, probe.number, target);
         }
     }
 
     /** A ping that nothing follows from. */
-    private void ping(int place) {
-        sender.send(place, Datagram.Kind.PING, ++numbers, place);
+    private void ping(int index) {
+        sender.send(index, Datagram.Kind.PING, ++lastNumber, index);
     }
 
     /**
      * Pings one that does not take part: two parts of a fleet that took each other for dead would otherwise never meet
      * again. Cost: a datagram a period while anyone is gone.
      */
-    private void pingOneGone() {
-        int gone = table.anyOther(false);
-        if (gone >= 0) {
-            ping(gone);
+    private void pingOneInactive() {
+        int inactive = table.randomOtherIndex(false);
+        if (inactive >= 0) {
+            ping(inactive);
         }
     }
 
-    private void checkProbes(double now) {
+    private void advanceProbes(double now) {
         for (Probe probe : List.copyOf(probes.values())) {
-            switch (probe.due(now)) {
-                case PING_AGAIN -> sender.send(probe.target, Datagram.Kind.PING, probe.number, probe.target);
-                case ASK_OTHERS -> {
-                    for (int helper : table.someTakingPart(terms.helpers(), probe.target)) {
-                        sender.send(helper, Datagram.Kind.LOOK, probe.number, probe.target);
+            switch (probe.nextAction(now)) {
+                case RETRY_PING -> sender.send(probe.target, Datagram.Kind.PING, probe.number, probe.target);
+                case PING_REQUEST -> {
+                    for (int helper : table.randomActiveIndexes(settings.indirectProbers(), probe.target)) {
+                        sender.send(helper, Datagram.Kind.PING_REQUEST, probe.number, probe.target);
                     }
                 }
-                case SILENT -> foundSilent(now, probe);
+                case TIMED_OUT -> onProbeTimeout(now, probe);
                 default -> {
                     // Not yet.
                 }
@@ -136,46 +136,46 @@
         }
     }
 
-    private void foundSilent(double now, Probe probe) {
+    private void onProbeTimeout(double now, Probe probe) {
         probes.remove(probe.number);
-        silences++;
+        failedProbes++;
         // With not a word from anybody meanwhile, the own links are to blame. (Lifeguard counts each helper that said
         // nothing; where most of a fleet dies at once, the helpers are dead too.)
-        if (heardAt <= probe.since) {
-            health.worse();
+        if (lastHeardAt <= probe.startedAt) {
+            health.degrade();
         }
-        if (!health.stoodStill(now)) {
+        if (!health.wasRecentlyPaused(now)) {
             suspect(now, table.get(probe.target), probe);
         }
     }
 
     /** Suspects a member, on this router's word and on that of those that probed it in vain over other links. */
     private void suspect(double now, Member member, Probe probe) {
-        if (member.heardAt > probe.since || !member.standing.takesPart()) {
+        if (member.lastHeardAt > probe.startedAt || !member.state.isActive()) {
             return; // Heard of meanwhile, or known as gone already.
         }
-        MemberState was = member.standing;
+        MemberState previousState = member.state;
         table.update(now, member, MemberState.SUSPECT, member.incarnation);
-        accused(member, probe.since, table.self());
-        for (int helper : probe.lookedInVain) {
-            accused(member, probe.since, helper);
+        addAccusers(member, probe.startedAt, table.self());
+        for (int helper : probe.failedHelpers) {
+            addAccusers(member, probe.startedAt, helper);
         }
-        if (was != MemberState.SUSPECT) {
+        if (previousState != MemberState.SUSPECT) {
             suspicions++;
-            news.changed(member.place, was, MemberState.SUSPECT);
+            listener.onStateChanged(member.index, previousState, MemberState.SUSPECT);
         }
-        ping(member.place); // It hears of it first, so that it can object in time.
+        ping(member.index); // It hears of it first, so that it can object in time.
     }
 
     /** These members noticed that a suspect has been silent since then. */
-    void accused(Member suspect, double since, int... accusers) {
-        int most = suspicion.accusersMost(table.live());
-        boolean more = false;
+    void addAccusers(Member suspect, double since, int... accusers) {
+        int maxAccusers = suspicion.maxAccusers(table.liveCount());
+        boolean added = false;
         for (int each : accusers) {
-            more |= suspect.accused(since, each, most);
+            added |= suspect.addAccuser(since, each, maxAccusers);
         }
-        if (more) {
-            sender.spread(suspect);
+        if (added) {
+            sender.enqueueGossip(suspect);
         }
     }
 
@@ -185,21 +185,21 @@
      * time at most, from another place on each time, so that a mass of dead ones makes no flood.
      */
     private void checkSuspects(double now) {
-        boolean due = now - lastProbesAt >= terms.gossip();
-        lastProbesAt = due ? now : lastProbesAt;
-        int left = due ? LAST_PROBES : 0;
-        int first = due ? random.nextInt(table.size()) : 0;
-        for (int each = 0; table.suspects() > 0 && each < table.size(); each++) {
+        boolean isDue = now - lastFinalProbesAt >= settings.gossipIntervalSeconds();
+        lastFinalProbesAt = isDue ? now : lastFinalProbesAt;
+        int remaining = isDue ? MAX_FINAL_PROBES : 0;
+        int first = isDue ? random.nextInt(table.size()) : 0;
+        for (int each = 0; table.suspectCount() > 0 && each < table.size(); each++) {
             Member member = table.get((first + each) % table.size());
-            if (member.standing != MemberState.SUSPECT) {
+            if (member.state != MemberState.SUSPECT) {
                 continue;
             }
-            double time = suspicion.left(now, member, table.live());
-            if (time <= 0 && !health.stoodStill(now)) {
+            double timeLeft = suspicion.remainingSeconds(now, member, table.liveCount());
+            if (timeLeft <= 0 && !health.wasRecentlyPaused(now)) {
                 declareDead(now, member);
-            } else if (left > 0 && (accusedHere(member) || lastProbeHere(time))) {
-                left--;
-                ping(member.place);
+            } else if (remaining > 0 && (isAccusedBySelf(member) || shouldProbeBeforeDeath(timeLeft))) {
+                remaining--;
+                ping(member.index);
             }
         }
     }
@@ -207,15 +207,16 @@
     private void declareDead(double now, Member member) {
         table.update(now, member, MemberState.DEAD, member.incarnation);
         deaths++;
-        sender.spread(member);
-        news.changed(member.place, MemberState.SUSPECT, MemberState.DEAD);
+        sender.enqueueGossip(member);
+        listener.onStateChanged(member.index, MemberState.SUSPECT, MemberState.DEAD);
     }
 
-    private boolean lastProbeHere(double timeLeft) {
-        return timeLeft <= LAST_INTERVALS * terms.gossip() && random.nextInt(table.live()) < LAST_PROBERS;
+    private boolean shouldProbeBeforeDeath(double timeLeft) {
+        return timeLeft <= FINAL_PROBE_INTERVALS * settings.gossipIntervalSeconds()
+                && random.nextInt(table.liveCount()) < FINAL_PROBERS;
     }
 
-    private boolean accusedHere(Member suspect) {
+    private boolean isAccusedBySelf(Member suspect) {
         for (int each : suspect.accusers) {
             if (each == table.self()) {
                 return true;
@@ -225,70 +226,70 @@
     }
 
     /** Tells those that asked for indirect probes that no answer came so far: so they know their own links are well. */
-    private void reportSilence(double now) {
+    private void sendNacks(double now) {
         Iterator<IndirectProbe> all = indirectProbes.values().iterator();
         while (all.hasNext()) {
             IndirectProbe probe = all.next();
-            if (probe.over(now)) {
+            if (probe.isExpired(now)) {
                 all.remove();
-            } else if (probe.reportDue(now)) {
-                sender.send(probe.requester, Datagram.Kind.NOT_SEEN, probe.requesterNumber, table.self());
+            } else if (probe.takeNackDue(now)) {
+                sender.send(probe.requester, Datagram.Kind.INDIRECT_NACK, probe.requesterNumber, table.self());
             }
         }
     }
 
     /** A datagram of some member came. */
-    void heard(double now) {
-        heardAt = now;
+    void onDatagram(double now) {
+        lastHeardAt = now;
     }
 
     /** A member answered a ping. Returns whether that ended a probe of it. */
-    boolean answered(int number, Member member) {
+    boolean onAck(int number, Member member) {
         Probe probe = probes.get(number);
-        if (probe == null || probe.target != member.place) {
+        if (probe == null || probe.target != member.index) {
             return false;
         }
         probes.remove(number);
-        health.better();
+        health.improve();
         return true;
     }
 
     /** A member answered a ping: who asked for an indirect probe of it is told. */
-    void answeredIndirectly(int number, Member member) {
+    void onIndirectProbeAck(int number, Member member) {
         IndirectProbe probe = indirectProbes.remove(number);
         if (probe != null) {
-            sender.send(probe.requester, Datagram.Kind.SEEN, probe.requesterNumber, member.place);
+            sender.send(probe.requester, Datagram.Kind.INDIRECT_ACK, probe.requesterNumber, member.index);
         }
     }
 
     /** A member asks for an indirect probe of another one. */
-    void probeRequested(double now, Member requester, int number, int place) {
-        if (place < table.size() && place != table.self()) {
-            indirectProbes.put(++numbers, new IndirectProbe(requester.place, number, now, terms));
-            sender.send(place, Datagram.Kind.PING, numbers, place);
+    void onPingRequest(double now, Member requester, int number, int index) {
+        if (index < table.size() && index != table.self()) {
+            indirectProbes.put(++lastNumber, new IndirectProbe(requester.index, number, now, settings));
+            sender.send(index, Datagram.Kind.PING, lastNumber, index);
         }
     }
 
     /** An indirect probe found that the member lives. */
-    void seenByOther(double now, int number) {
+    void onIndirectAck(double now, int number) {
         Probe probe = probes.remove(number);
         if (probe != null) {
-            health.better();
-            table.get(probe.target).heardAt = now;
+            health.improve();
+            table.get(probe.target).lastHeardAt = now;
         }
     }
 
     /** An indirect probe got no answer so far. */
-    void notSeenByOther(int number, Member helper) {
+    void onIndirectNack(int number, Member helper) {
         Probe probe = probes.get(number);
         if (probe != null) {
-            probe.lookedInVain.add(helper.place);
+            probe.failedHelpers.add(helper.index);
         }
     }
 
     /** This router is itself suspected or held for dead. */
-    void selfAccused() {
-        health.worse();
+    void onSelfAccused() {
+        health.degrade();
     }
 
     int healthScore() {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/GossipQueue.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/GossipQueue.java
@@ -13,17 +13,17 @@
  * members and for a thousand.
  */
 final class GossipQueue {
-    private static final int LEVELS = 64;
+    private static final int MAX_SEND_COUNT = 64;
 
     /** Neighbours in the ring; rings' own ends stand behind the places. */
     private int[] next;
 
-    private int[] before;
+    private int[] previous;
     /** How often each place's news was sent; -1 where there is none. */
-    private int[] sends;
+    private int[] sendCounts;
 
     private int size;
-    private int waiting;
+    private int pending;
 
     GossipQueue(int size) {
         resize(size);
@@ -32,26 +32,26 @@
     /** For another number of members; forgets all news. */
     void resize(int members) {
         size = members;
-        next = new int[size + LEVELS];
-        before = new int[size + LEVELS];
-        for (int end = size; end < size + LEVELS; end++) {
-            next[end] = before[end] = end;
+        next = new int[size + MAX_SEND_COUNT];
+        previous = new int[size + MAX_SEND_COUNT];
+        for (int sentinel = size; sentinel < size + MAX_SEND_COUNT; sentinel++) {
+            next[sentinel] = previous[sentinel] = sentinel;
         }
-        sends = new int[size];
-        Arrays.fill(sends, -1);
-        waiting = 0;
+        sendCounts = new int[size];
+        Arrays.fill(sendCounts, -1);
+        pending = 0;
     }
 
     /** News of this member, to be sent from now on as if for the first time. */
-    void add(int place) {
-        drop(place);
-        put(place, 0);
+    void add(int index) {
+        remove(index);
+        link(index, 0);
     }
 
     /** Another told the same: that is worth so many sends. */
-    void heardAgain(int place, int worth, int most) {
-        if (sends[place] >= 0) {
-            sent(place, worth, most);
+    void recordDuplicate(int index, int sends, int maxSends) {
+        if (sendCounts[index] >= 0) {
+            recordSends(index, sends, maxSends);
         }
     }
 
@@ -60,55 +60,55 @@
      *
      * @param most how often each is sent before it is dropped
      */
-    void offer(int most, IntPredicate taker) {
-        int[] taken = new int[waiting];
+    void drain(int maxSends, IntPredicate consumer) {
+        int[] taken = new int[pending];
         int count = 0;
-        for (int end = size; end < size + LEVELS && count < taken.length; end++) {
-            for (int place = next[end]; place != end; place = next[place]) {
-                if (!taker.test(place)) {
-                    end = size + LEVELS;
+        for (int sentinel = size; sentinel < size + MAX_SEND_COUNT && count < taken.length; sentinel++) {
+            for (int index = next[sentinel]; index != sentinel; index = next[index]) {
+                if (!consumer.test(index)) {
+                    sentinel = size + MAX_SEND_COUNT;
                     break;
                 }
-                taken[count++] = place;
+                taken[count++] = index;
             }
         }
         for (int each = 0; each < count; each++) {
-            sent(taken[each], 1, most);
+            recordSends(taken[each], 1, maxSends);
         }
     }
 
-    private void sent(int place, int worth, int most) {
-        int level = sends[place] + worth;
-        drop(place);
-        if (level < Math.min(most, LEVELS)) {
-            put(place, level);
+    private void recordSends(int index, int sends, int maxSends) {
+        int sendCount = sendCounts[index] + sends;
+        remove(index);
+        if (sendCount < Math.min(maxSends, MAX_SEND_COUNT)) {
+            link(index, sendCount);
         }
     }
 
-    private void put(int place, int level) {
-        int end = size + level;
-        sends[place] = level;
-        before[place] = before[end];
-        next[place] = end;
-        next[before[end]] = place;
-        before[end] = place;
-        waiting++;
+    private void link(int index, int sendCount) {
+        int sentinel = size + sendCount;
+        sendCounts[index] = sendCount;
+        previous[index] = previous[sentinel];
+        next[index] = sentinel;
+        next[previous[sentinel]] = index;
+        previous[sentinel] = index;
+        pending++;
     }
 
-    private void drop(int place) {
-        if (sends[place] >= 0) {
-            sends[place] = -1;
-            next[before[place]] = next[place];
-            before[next[place]] = before[place];
-            waiting--;
+    private void remove(int index) {
+        if (sendCounts[index] >= 0) {
+            sendCounts[index] = -1;
+            next[previous[index]] = next[index];
+            previous[next[index]] = previous[index];
+            pending--;
         }
     }
 
-    boolean any() {
-        return waiting > 0;
+    boolean hasPending() {
+        return pending > 0;
     }
 
-    int waiting() {
-        return waiting;
+    int pending() {
+        return pending;
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/IndirectProbe.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/IndirectProbe.java
@@ -7,26 +7,26 @@
 
     final int requesterNumber;
     /** From when on the requester is told that no answer came so far, and until when it is told anything. */
-    private final double reportAt;
+    private final double nackAt;
 
-    private final double endsAt;
-    private boolean reported;
+    private final double expiresAt;
+    private boolean nackSent;
 
-    IndirectProbe(int requester, int requesterNumber, double now, MembershipSettings terms) {
+    IndirectProbe(int requester, int requesterNumber, double now, MembershipSettings settings) {
         this.requester = requester;
         this.requesterNumber = requesterNumber;
-        reportAt = now + terms.again();
-        endsAt = now + terms.probe();
+        nackAt = now + settings.pingRetrySeconds();
+        expiresAt = now + settings.probeTimeoutSeconds();
     }
 
-    boolean over(double now) {
-        return now >= endsAt;
+    boolean isExpired(double now) {
+        return now >= expiresAt;
     }
 
     /** Whether the requester is to be told now that there is no answer; true once. */
-    boolean reportDue(double now) {
-        boolean due = now >= reportAt && !reported;
-        reported |= due;
-        return due;
+    boolean takeNackDue(double now) {
+        boolean isDue = now >= nackAt && !nackSent;
+        nackSent |= isDue;
+        return isDue;
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/LocalHealth.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/LocalHealth.java
@@ -5,41 +5,41 @@
  * take longer the worse it stands; nothing else changes, so that a healthy fleet is not slowed. No clock of its own.
  */
 final class LocalHealth {
-    private static final int WORST = 8;
+    private static final int MAX_SCORE = 8;
     /** A gap between two looks of so many periods is this mixer's own standing still. */
-    private static final double STILL = 0.75;
+    private static final double PAUSE_THRESHOLD = 0.75;
 
-    private final double period;
+    private final double probeIntervalSeconds;
     private int score;
-    private double lookedAt = Double.NaN;
-    private double stoodStillUntil = Double.NEGATIVE_INFINITY;
+    private double lastCheckedAt = Double.NaN;
+    private double recentlyPausedUntil = Double.NEGATIVE_INFINITY;
 
-    LocalHealth(double period) {
-        this.period = period;
+    LocalHealth(double probeIntervalSeconds) {
+        this.probeIntervalSeconds = probeIntervalSeconds;
     }
 
     /** A look; returns for how long this mixer stood still before it, 0 where it did not. */
-    double look(double now) {
-        double gap = now - lookedAt;
-        lookedAt = now;
-        if (gap > STILL * period) {
-            worse();
-            stoodStillUntil = now + period;
+    double checkForPause(double now) {
+        double gap = now - lastCheckedAt;
+        lastCheckedAt = now;
+        if (gap > PAUSE_THRESHOLD * probeIntervalSeconds) {
+            degrade();
+            recentlyPausedUntil = now + probeIntervalSeconds;
             return gap;
         }
         return 0;
     }
 
     /** Whether this mixer stood still a moment ago, so that what it missed may be its own fault. */
-    boolean stoodStill(double now) {
-        return now < stoodStillUntil;
+    boolean wasRecentlyPaused(double now) {
+        return now < recentlyPausedUntil;
     }
 
-    void worse() {
-        score = Math.min(WORST, score + 1);
+    void degrade() {
+        score = Math.min(MAX_SCORE, score + 1);
     }
 
-    void better() {
+    void improve() {
         score = Math.max(0, score - 1);
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** What the times of own probes are multiplied by. */
-    double stretch() {
+    double timeoutMultiplier() {
         return 1 + score * 0.25;
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Member.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Member.java
@@ -5,8 +5,8 @@
  * by standing, so that the order in which news comes, and whether it comes twice, makes no difference.
  */
 final class Member {
-    final int place;
-    MemberState standing = MemberState.UNHEARD;
+    final int index;
+    MemberState state = MemberState.UNHEARD;
     long incarnation;
     /**
      * Only while suspected: when the first ping went out that it left unanswered or, if later, when anybody last heard
@@ -16,65 +16,65 @@
     /** Who noticed, each once, as many as count. */
     int[] accusers = new int[0];
     /** When a datagram of its own last came. */
-    double heardAt = Double.NEGATIVE_INFINITY;
+    double lastHeardAt = Double.NEGATIVE_INFINITY;
     /** What it adds to the sums of the view, and whether it counts as live and as a suspect there. */
-    long mark;
+    long digestContribution;
 
-    boolean counted;
-    boolean suspect;
+    boolean countedAsLive;
+    boolean countedAsSuspect;
     /** Whether its view differed from this mixer's when it last sent something. */
-    boolean otherView;
+    boolean hasDivergentView;
     /** When it last took part, for one that no longer does. */
-    double endedAt = Double.POSITIVE_INFINITY;
+    double inactiveSince = Double.POSITIVE_INFINITY;
 
-    Member(int place) {
-        this.place = place;
+    Member(int index) {
+        this.index = index;
     }
 
     /** Whether this would tell something new of it. */
-    boolean newer(MemberState said, long at) {
-        return at > incarnation || (at == incarnation && said.compareTo(standing) > 0);
+    boolean supersedes(MemberState newState, long newIncarnation) {
+        return newIncarnation > incarnation || (newIncarnation == incarnation && newState.compareTo(state) > 0);
     }
 
     /** Takes what was said, if it is newer. Returns whether it was. */
-    boolean takes(double now, MemberState said, long at) {
-        if (!newer(said, at)) {
+    boolean merge(double now, MemberState newState, long newIncarnation) {
+        if (!supersedes(newState, newIncarnation)) {
             return false;
         }
-        if (!said.takesPart() && (standing.takesPart() || standing == MemberState.UNHEARD)) {
-            endedAt = now;
-        } else if (said.takesPart()) {
-            endedAt = Double.POSITIVE_INFINITY;
+        if (!newState.isActive() && (state.isActive() || state == MemberState.UNHEARD)) {
+            inactiveSince = now;
+        } else if (newState.isActive()) {
+            inactiveSince = Double.POSITIVE_INFINITY;
         }
-        if (said != MemberState.SUSPECT || at > incarnation) {
+        if (newState != MemberState.SUSPECT || newIncarnation > incarnation) {
             accusers = new int[0];
             silentSince = Double.NEGATIVE_INFINITY;
         }
-        standing = said;
-        incarnation = at;
+        state = newState;
+        incarnation = newIncarnation;
         return true;
     }
 
     /** A sign of life of a suspect. Returns whether that is news, by a quarter of a second or more. */
-    boolean livedAt(double time) {
-        boolean news = time >= silentSince + 0.25;
+    boolean recordSignOfLife(double time) {
+        boolean isNewer = time >= silentSince + 0.25;
         silentSince = Math.max(silentSince, time);
-        return news;
+        return isNewer;
     }
 
     /** One more who noticed that a suspect is silent. Returns whether that adds anything, up to so many. */
-    boolean accused(double since, int by, int most) {
+    boolean addAccuser(double since, int accuser, int maxAccusers) {
         silentSince = accusers.length == 0 ? Math.max(silentSince, since) : silentSince;
         for (int each : accusers) {
-            if (each == by) {
+            if (each == accuser) {
                 return false;
             }
         }
-        if (accusers.length >= most) {
+        if (accusers.length >= maxAccusers) {
             return false;
         }
         accusers = java.util.Arrays.copyOf(accusers, accusers.length + 1);
-        accusers[accusers.length - 1] = by;
+        accusers[accusers.length - 1] = accuser;
         return true;
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MemberCounts.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MemberCounts.java
@@ -4,10 +4,10 @@
  * The two counts of mixers that decisions take from the view, each erring to the side that does less harm.
  */
 final class MemberCounts {
-    private final MembershipSettings terms;
+    private final MembershipSettings settings;
 
-    MemberCounts(MembershipSettings terms) {
-        this.terms = terms;
+    MemberCounts(MembershipSettings settings) {
+        this.settings = settings;
     }
 
     /**
@@ -17,12 +17,12 @@
      * time; so not fewer than half of those listed count. Harm: after a true loss of more than half, others are thought
      * to send up to twice and more of what they do.
      */
-    int spread(Member[] members, int live) {
-        int unheard = 0;
+    int estimatedSenders(Member[] members, int liveCount) {
+        int unheardCount = 0;
         for (Member each : members) {
-            unheard += each.standing == MemberState.UNHEARD ? 1 : 0;
+            unheardCount += each.state == MemberState.UNHEARD ? 1 : 0;
         }
-        return Math.max(live + unheard, (members.length + 1) / 2);
+        return Math.max(liveCount + unheardCount, (members.length + 1) / 2);
     }
 
     /**
@@ -34,12 +34,13 @@
      * for dead stays inside. Harm: after a true loss of many mixers the rest use less of a cold searcher than they
      * might.
      */
-    int bound(double now, Member[] members, int self) {
-        int bound = 0;
+    int maxSenders(double now, Member[] members, int self) {
+        int maxSenders = 0;
         for (Member each : members) {
-            boolean ended = each.standing == MemberState.DEAD || each.standing == MemberState.LEFT;
-            bound += each.place == self || !ended || now - each.endedAt < terms.lowerAfter() ? 1 : 0;
+            boolean isGone = each.state == MemberState.DEAD || each.state == MemberState.LEFT;
+            maxSenders +=
+                    each.index == self || !isGone || now - each.inactiveSince < settings.deadCountedSeconds() ? 1 : 0;
         }
-        return Math.max(bound, (int) Math.ceil(terms.leastShare() * members.length - 1e-9));
+        return Math.max(maxSenders, (int) Math.ceil(settings.minCountedShare() * members.length - 1e-9));
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MemberState.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MemberState.java
@@ -17,7 +17,7 @@
     LEFT;
 
     /** Whether it takes part: it is looked after, and told the news. */
-    public boolean takesPart() {
+    public boolean isActive() {
         return this == ALIVE || this == SUSPECT;
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MemberTable.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MemberTable.java
@@ -7,13 +7,13 @@
 /** The listed members by place, with running counts and checksums of the view, and random choices among them. */
 final class MemberTable {
     /** Stretches of the list with a checksum each, so that differences between two views are found. */
-    private static final int STRETCHES = 64;
+    private static final int MAX_RANGES = 64;
     /** Draws before the choice of a live member looks at all of them. */
-    private static final int DRAWS = 6;
+    private static final int RANDOM_TRIES = 6;
 
     private static final long DIGEST_SEED = 17;
-    private static final long DIGEST_PLACE = 31;
-    private static final long DIGEST_MEMBER = 1_000_003;
+    private static final long DIGEST_INDEX_FACTOR = 31;
+    private static final long DIGEST_MEMBER_FACTOR = 1_000_003;
 
     private final SplittableRandom random;
     private Member[] members = new Member[0];
@@ -21,8 +21,8 @@
     private long incarnation;
     private int shortDigest;
     private short[] checksums;
-    private int live;
-    private int suspects;
+    private int liveCount;
+    private int suspectCount;
 
     /**
      * @param size how many routers are listed, this one with them
@@ -31,24 +31,24 @@
      */
     MemberTable(int size, int self, long incarnation, SplittableRandom random) {
         this.random = random;
-        this.incarnation = Datagram.bounded(Math.max(1, incarnation));
+        this.incarnation = Datagram.truncateIncarnation(Math.max(1, incarnation));
         replaceMembers(size, self);
     }
 
     /** Another list: places keep what is known of them, but for this router's own old and new place. */
-    void replaceMembers(int size, int place) {
-        if (size < 1 || size > Datagram.PLACES || place < 0 || place >= size) {
-            throw new IllegalArgumentException("peers: 1 to " + Datagram.PLACES + " mixers are expected, this one "
-                    + "among them; there are " + size + " and this one's place is " + place);
+    void replaceMembers(int size, int index) {
+        if (size < 1 || size > Datagram.MAX_MEMBERS || index < 0 || index >= size) {
+            throw new IllegalArgumentException("peers: 1 to " + Datagram.MAX_MEMBERS + " mixers are expected, this one "
+                    + "among them; there are " + size + " and this one's place is " + index);
         }
         Member[] next = new Member[size];
         for (int each = 0; each < size; each++) {
-            boolean known = each < members.length && each != place && each != self;
+            boolean known = each < members.length && each != index && each != self;
             next[each] = known ? members[each] : new Member(each);
         }
         members = next;
-        self = place;
-        countAll();
+        self = index;
+        recount();
     }
 
     int size() {
@@ -59,8 +59,8 @@
         return self;
     }
 
-    Member get(int place) {
-        return members[place];
+    Member get(int index) {
+        return members[index];
     }
 
     Member[] all() {
@@ -73,37 +73,37 @@
     }
 
     /** This router is alive, at an incarnation above this one. */
-    void outbid(double now, long said) {
-        incarnation = Datagram.bounded(said + 1);
-        joinSelf(now);
+    void refute(double now, long accusedIncarnation) {
+        incarnation = Datagram.truncateIncarnation(accusedIncarnation + 1);
+        markSelfAlive(now);
     }
 
     /** This router takes part. */
-    void joinSelf(double now) {
+    void markSelfAlive(double now) {
         update(now, members[self], MemberState.ALIVE, incarnation);
     }
 
     /** This router stops; its own checksums stay, so that others don't take its last datagrams for another view. */
-    void leaveSelf(double now) {
-        members[self].takes(now, MemberState.LEFT, incarnation);
+    void markSelfLeft(double now) {
+        members[self].merge(now, MemberState.LEFT, incarnation);
     }
 
     /** Merges what was said of a member. Returns whether it was newer than what is held. */
-    boolean update(double now, Member member, MemberState standing, long at) {
-        boolean newer = member.takes(now, standing, at);
-        if (newer) {
-            count(member);
+    boolean update(double now, Member member, MemberState state, long newIncarnation) {
+        boolean changed = member.merge(now, state, newIncarnation);
+        if (changed) {
+            updateCounts(member);
         }
-        return newer;
+        return changed;
     }
 
     /** How many members take part, this one with them. */
-    int live() {
-        return live;
+    int liveCount() {
+        return liveCount;
     }
 
-    int suspects() {
-        return suspects;
+    int suspectCount() {
+        return suspectCount;
     }
 
     /** Differs, most likely, between two different views. */
@@ -117,101 +117,101 @@
     }
 
     /** The first place of a stretch; for the one after the last, how many members there are. */
-    int stretchStart(int stretch) {
-        return Math.min(members.length, stretch * stretchLength());
+    int rangeStart(int range) {
+        return Math.min(members.length, range * rangeLength());
     }
 
-    private int stretchLength() {
-        return (members.length + STRETCHES - 1) / STRETCHES;
+    private int rangeLength() {
+        return (members.length + MAX_RANGES - 1) / MAX_RANGES;
     }
 
-    private void countAll() {
-        live = 0;
-        suspects = 0;
+    private void recount() {
+        liveCount = 0;
+        suspectCount = 0;
         shortDigest = 0;
-        checksums = new short[(members.length + stretchLength() - 1) / stretchLength()];
+        checksums = new short[(members.length + rangeLength() - 1) / rangeLength()];
         for (Member each : members) {
-            each.mark = 0;
-            each.counted = false;
-            each.suspect = false;
-            count(each);
+            each.digestContribution = 0;
+            each.countedAsLive = false;
+            each.countedAsSuspect = false;
+            updateCounts(each);
         }
     }
 
     /** Counts a member whose standing or incarnation changed. */
-    private void count(Member member) {
-        long kind = member.standing.takesPart() ? 1 : member.standing == MemberState.UNHEARD ? 0 : 2;
-        long mark = new SplittableRandom(member.place * 4L + kind ^ member.incarnation << 16).nextLong();
-        long change = member.mark ^ mark;
-        member.mark = mark;
+    private void updateCounts(Member member) {
+        long kind = member.state.isActive() ? 1 : member.state == MemberState.UNHEARD ? 0 : 2;
+        long digestContribution = new SplittableRandom(member.index * 4L + kind ^ member.incarnation << 16).nextLong();
+        long change = member.digestContribution ^ digestContribution;
+        member.digestContribution = digestContribution;
         shortDigest ^= (int) (change >>> 32);
-        checksums[member.place / stretchLength()] ^= (short) change;
-        boolean counted = member.place == self || member.standing.takesPart();
-        live += counted == member.counted ? 0 : counted ? 1 : -1;
-        member.counted = counted;
-        boolean suspect = member.standing == MemberState.SUSPECT;
-        suspects += suspect == member.suspect ? 0 : suspect ? 1 : -1;
-        member.suspect = suspect;
+        checksums[member.index / rangeLength()] ^= (short) change;
+        boolean countedAsLive = member.index == self || member.state.isActive();
+        liveCount += countedAsLive == member.countedAsLive ? 0 : countedAsLive ? 1 : -1;
+        member.countedAsLive = countedAsLive;
+        boolean countedAsSuspect = member.state == MemberState.SUSPECT;
+        suspectCount += countedAsSuspect == member.countedAsSuspect ? 0 : countedAsSuspect ? 1 : -1;
+        member.countedAsSuspect = countedAsSuspect;
     }
 
     /** The same for any two routers that hold the same members for taking part, at the same incarnations. */
     long digest() {
         long digest = DIGEST_SEED;
         for (Member each : members) {
-            if (each.standing.takesPart()) {
-                digest = (digest * DIGEST_PLACE + each.place) * DIGEST_MEMBER + each.incarnation;
+            if (each.state.isActive()) {
+                digest = (digest * DIGEST_INDEX_FACTOR + each.index) * DIGEST_MEMBER_FACTOR + each.incarnation;
             }
         }
         return digest;
     }
 
     /** A letter a member, by place. */
-    String letters() {
-        StringBuilder letters = new StringBuilder(members.length);
+    String stateLetters() {
+        StringBuilder stateLetters = new StringBuilder(members.length);
         for (Member each : members) {
-            letters.append(each.standing.name().charAt(0));
+            stateLetters.append(each.state.name().charAt(0));
         }
-        return letters.toString();
+        return stateLetters.toString();
     }
 
     /** The place of any other member that takes part; -1 where there is none. */
-    int anyTakingPart() {
-        for (int draw = 0; draw < DRAWS; draw++) {
-            int place = random.nextInt(members.length);
-            if (place != self && members[place].standing == MemberState.ALIVE) {
-                return place;
+    int randomActiveIndex() {
+        for (int attempt = 0; attempt < RANDOM_TRIES; attempt++) {
+            int index = random.nextInt(members.length);
+            if (index != self && members[index].state == MemberState.ALIVE) {
+                return index;
             }
         }
-        return anyOther(true);
+        return randomOtherIndex(true);
     }
 
     /** The place of any other member that takes part, or of any that doesn't; -1 where there is none. */
-    int anyOther(boolean takingPart) {
+    int randomOtherIndex(boolean isActive) {
         int found = -1;
         int seen = 0;
         for (Member each : members) {
-            if (each.place != self && each.standing.takesPart() == takingPart && random.nextInt(++seen) == 0) {
-                found = each.place;
+            if (each.index != self && each.state.isActive() == isActive && random.nextInt(++seen) == 0) {
+                found = each.index;
             }
         }
         return found;
     }
 
     /** The place of any other listed member; -1 where this one is alone. */
-    int anyListed() {
-        int place = members.length < 2 ? -1 : random.nextInt(members.length - 1);
-        return place >= self ? place + 1 : place;
+    int randomListedIndex() {
+        int index = members.length < 2 ? -1 : random.nextInt(members.length - 1);
+        return index >= self ? index + 1 : index;
     }
 
     /** Places of so many members at most that take part, but for one. */
-    List<Integer> someTakingPart(int most, int but) {
-        List<Integer> places = new ArrayList<>();
-        for (int tries = 0; tries < 4 * most && places.size() < most; tries++) {
-            int place = anyTakingPart();
-            if (place >= 0 && place != but && !places.contains(place)) {
-                places.add(place);
+    List<Integer> randomActiveIndexes(int maxCount, int excluded) {
+        List<Integer> indexes = new ArrayList<>();
+        for (int tries = 0; tries < 4 * maxCount && indexes.size() < maxCount; tries++) {
+            int index = randomActiveIndex();
+            if (index >= 0 && index != excluded && !indexes.contains(index)) {
+                indexes.add(index);
             }
         }
-        return places;
+        return indexes;
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipSettings.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipSettings.java
@@ -17,34 +17,38 @@
  * @param leastShare the budget's count never falls below this share of the listed members
  */
 public record MembershipSettings(
-        double period,
-        double again,
-        double probe,
-        double silence,
-        double silenceMost,
+        double probeIntervalSeconds,
+        double pingRetrySeconds,
+        double probeTimeoutSeconds,
+        double minSilenceSeconds,
+        double maxSilenceSeconds,
         int confirmations,
-        int helpers,
-        double gossip,
-        int spread,
-        double lowerAfter,
-        double leastShare) {
+        int indirectProbers,
+        double gossipIntervalSeconds,
+        int retransmitMultiplier,
+        double deadCountedSeconds,
+        double minCountedShare) {
 
     /** What suits a tier on one platform, where datagrams take some milliseconds and a tenth of them is lost. */
-    public static MembershipSettings usual() {
+    public static MembershipSettings defaults() {
         return new MembershipSettings(0.35, 0.15, 0.8, 2.45, 4.9, 2, 3, 0.2, 4, 30, 0.8);
     }
 
     public MembershipSettings {
-        if (!(period > 0 && again > 0 && probe >= 3 * again && silence > probe && silenceMost >= silence)) {
+        if (!(probeIntervalSeconds > 0
+                && pingRetrySeconds > 0
+                && probeTimeoutSeconds >= 3 * pingRetrySeconds
+                && minSilenceSeconds > probeTimeoutSeconds
+                && maxSilenceSeconds >= minSilenceSeconds)) {
             throw new IllegalArgumentException("fleet: period and again above 0, probe at least three times again, "
                     + "silence above probe and not above silenceMost are expected");
         }
         if (confirmations < 0
-                || helpers < 1
-                || !(gossip > 0)
-                || spread < 1
-                || !(lowerAfter >= 0)
-                || !(leastShare >= 0 && leastShare <= 1)) {
+                || indirectProbers < 1
+                || !(gossipIntervalSeconds > 0)
+                || retransmitMultiplier < 1
+                || !(deadCountedSeconds >= 0)
+                || !(minCountedShare >= 0 && minCountedShare <= 1)) {
             throw new IllegalArgumentException(
                     "fleet: confirmations, helpers, gossip, spread, lowerAfter or leastShare " + "is out of range");
         }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipView.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipView.java
@@ -16,52 +16,52 @@
  */
 public final class MembershipView implements Datagram.Reader {
     /** Sends datagrams; they may be lost. */
-    public interface Wire {
+    public interface Transport {
         /** Sends a datagram to the member at a place. */
-        void send(int place, byte[] datagram);
+        void send(int index, byte[] datagram);
 
         /** To every member at once. Returns false where there is no such way. */
-        boolean sendAll(byte[] datagram);
+        boolean broadcast(byte[] datagram);
     }
 
     /** Hears of changes. */
-    public interface News {
+    public interface Listener {
         /** A member's standing changed. */
-        void changed(int place, MemberState was, MemberState is);
+        void onStateChanged(int index, MemberState previousState, MemberState newState);
     }
 
     /** Datagrams asked for at a start, for the largest list thrice over. */
-    private static final int MOST_REQUESTS = 400;
+    private static final int MAX_STATE_REQUESTS = 400;
     /** With more news than this waiting, differences between views are no sign of loss. */
-    private static final int MUCH_NEWS = 24;
+    private static final int GOSSIP_BACKLOG = 24;
 
     private static final int ANNOUNCEMENTS_AT_START = 3;
     private static final int ANNOUNCEMENTS_AT_CHANGE = 2;
     private static final int NO_REQUEST = -1;
 
-    private final MembershipSettings terms;
-    private final News news;
+    private final MembershipSettings settings;
+    private final Listener listener;
     private final SplittableRandom random;
     private final MemberTable table;
     private final DatagramSender sender;
     private final FailureDetector detector;
-    private final MemberCounts shares;
+    private final MemberCounts counts;
     private boolean leaving;
     private double now;
     /** Whose datagram is being read. */
-    private int from;
+    private int senderIndex;
 
-    private double newsSentAt = Double.NEGATIVE_INFINITY;
+    private double gossipSentAt = Double.NEGATIVE_INFINITY;
     private double announcedAt = Double.NEGATIVE_INFINITY;
     private int announcementsLeft;
     /** The place from which on the others' state is still to be asked for. */
-    private int requestFrom;
+    private int nextRequestIndex;
 
-    private int requests;
+    private int stateRequests;
     private double requestedAt = Double.NEGATIVE_INFINITY;
     private long received;
     private long receivedBytes;
-    private long objections;
+    private long refutations;
     private final Map<String, Long> dropped = new TreeMap<>();
 
     /**
@@ -73,23 +73,23 @@
             int size,
             int self,
             long incarnation,
-            MembershipSettings terms,
+            MembershipSettings settings,
             SplittableRandom random,
-            Wire wire,
-            News news) {
-        this.terms = terms;
-        this.news = news;
+            Transport transport,
+            Listener listener) {
+        this.settings = settings;
+        this.listener = listener;
         this.random = random;
         table = new MemberTable(size, self, incarnation, random);
-        sender = new DatagramSender(table, terms, wire);
-        detector = new FailureDetector(table, sender, terms, news, random);
-        shares = new MemberCounts(terms);
+        sender = new DatagramSender(table, settings, transport);
+        detector = new FailureDetector(table, sender, settings, listener, random);
+        counts = new MemberCounts(settings);
     }
 
     /** Begins: tells everybody that it is here, and asks for what the others know. */
-    public void start(double at) {
-        now = at;
-        table.joinSelf(now);
+    public void start(double nowSeconds) {
+        now = nowSeconds;
+        table.markSelfAlive(now);
         detector.start(now);
         announcementsLeft = ANNOUNCEMENTS_AT_START;
         requestState();
@@ -98,26 +98,26 @@
     }
 
     /** The regular look, several times a period: probes and suspects, then what this router has to tell or to ask. */
-    public void tick(double at) {
-        now = at;
+    public void tick(double nowSeconds) {
+        now = nowSeconds;
         if (leaving) {
             return;
         }
         detector.tick(now);
         announceIfDue();
         requestStateIfDue();
-        if (sender.newsWaiting() > 0 && now - newsSentAt >= terms.gossip()) {
-            newsSentAt = now;
-            int to = table.anyTakingPart();
+        if (sender.pendingGossip() > 0 && now - gossipSentAt >= settings.gossipIntervalSeconds()) {
+            gossipSentAt = now;
+            int to = table.randomActiveIndex();
             if (to >= 0) {
-                sender.sendNews(to);
+                sender.sendGossip(to);
             }
         }
     }
 
     /** Tells all members of this router's own state, a few times over; once a gossip interval at most. */
     private void announceIfDue() {
-        if (announcementsLeft == 0 || now - announcedAt < terms.gossip()) {
+        if (announcementsLeft == 0 || now - announcedAt < settings.gossipIntervalSeconds()) {
             return;
         }
         announcedAt = now;
@@ -126,69 +126,69 @@
     }
 
     private void requestState() {
-        requestFrom = 0;
-        requests = 0;
+        nextRequestIndex = 0;
+        stateRequests = 0;
     }
 
     /** Asks one member after another for the next piece of what is known, until the last piece came. */
     private void requestStateIfDue() {
-        if (requestFrom == NO_REQUEST || now - requestedAt < terms.again()) {
+        if (nextRequestIndex == NO_REQUEST || now - requestedAt < settings.pingRetrySeconds()) {
             return;
         }
         requestedAt = now;
-        int to = requests % 2 == 0 ? table.anyTakingPart() : table.anyListed();
-        to = to < 0 ? table.anyListed() : to;
-        if (to < 0 || ++requests > MOST_REQUESTS) {
-            requestFrom = NO_REQUEST;
+        int to = stateRequests % 2 == 0 ? table.randomActiveIndex() : table.randomListedIndex();
+        to = to < 0 ? table.randomListedIndex() : to;
+        if (to < 0 || ++stateRequests > MAX_STATE_REQUESTS) {
+            nextRequestIndex = NO_REQUEST;
             return;
         }
-        sender.send(to, Datagram.Kind.ASK, requestFrom, table.self());
+        sender.send(to, Datagram.Kind.STATE_REQUEST, nextRequestIndex, table.self());
     }
 
     /** A datagram came from this place's address; what can't be used is counted and dropped. */
-    public void heard(double at, int place, byte[] datagram, int length) {
-        now = at;
+    public void onDatagram(double nowSeconds, int index, byte[] datagram, int length) {
+        now = nowSeconds;
         if (leaving) {
             return;
         }
-        from = place;
+        senderIndex = index;
         received++;
         receivedBytes += length;
-        if (place < 0 || place >= table.size() || place == table.self()) {
-            drop("stranger");
+        if (index < 0 || index >= table.size() || index == table.self()) {
+            countDropped("stranger");
             return;
         }
-        String wrong = Datagram.read(now, datagram, length, table.size(), this);
-        if (wrong != null) {
-            drop(wrong);
+        String fault = Datagram.read(now, datagram, length, table.size(), this);
+        if (fault != null) {
+            countDropped(fault);
         }
     }
 
     /** One that came from an address not in the list of peers. */
-    public void stranger() {
+    public void onUnknownSender() {
         received++;
-        drop("stranger");
+        countDropped("stranger");
     }
 
-    private void drop(String why) {
-        dropped.merge(why, 1L, Long::sum);
+    private void countDropped(String reason) {
+        dropped.merge(reason, 1L, Long::sum);
     }
 
     @Override
-    public void said(Datagram.Kind is, int place, long at, int digest, int number, int about) {
-        Member member = table.get(from);
-        member.otherView = digest != table.shortDigest();
-        member.heardAt = now;
-        detector.heard(now);
-        if (place != from) {
-            drop("place"); // It has another list; that it lives is true all the same.
+    public void onHeader(Datagram.Kind kind, int index, long incarnation, int digest, int number, int subject) {
+        Member member = table.get(senderIndex);
+        member.hasDivergentView = digest != table.shortDigest();
+        member.lastHeardAt = now;
+        detector.onDatagram(now);
+        if (index != senderIndex) {
+            countDropped("place"); // It has another list; that it lives is true all the same.
         }
-        learn(member, MemberState.ALIVE, at);
-        if (member.standing == MemberState.SUSPECT && member.livedAt(now)) {
-            sender.spread(member);
+        mergeState(member, MemberState.ALIVE, incarnation);
+        if (member.state == MemberState.SUSPECT && member.recordSignOfLife(now)) {
+            sender.enqueueGossip(member);
         }
-        if (tellItsStanding(member, is)) {
-            act(member, is, number, about);
+        if (notifyOfItsState(member, kind)) {
+            handle(member, kind, number, subject);
         }
     }
 
@@ -196,134 +196,134 @@
      * One held for silent or dead that speaks is told so, and can object. Returns whether the rest is to be acted on:
      * of one that left nothing is, as late datagrams of its end may still come.
      */
-    private boolean tellItsStanding(Member member, Datagram.Kind is) {
-        if (member.standing == MemberState.LEFT) {
+    private boolean notifyOfItsState(Member member, Datagram.Kind kind) {
+        if (member.state == MemberState.LEFT) {
             return false;
         }
-        if (member.standing != MemberState.ALIVE && is != Datagram.Kind.PING && is != Datagram.Kind.ASK) {
+        if (member.state != MemberState.ALIVE && kind != Datagram.Kind.PING && kind != Datagram.Kind.STATE_REQUEST) {
             // An answer to these two carries it anyway.
-            sender.send(member.place, Datagram.Kind.NEWS, 0, member.place);
+            sender.send(member.index, Datagram.Kind.GOSSIP, 0, member.index);
         }
         return true;
     }
 
-    private void act(Member member, Datagram.Kind is, int number, int about) {
-        switch (is) {
-            case PING -> sender.send(member.place, Datagram.Kind.ANSWER, number, member.place);
-            case ANSWER -> answered(member, number);
-            case LOOK -> detector.probeRequested(now, member, number, about);
-            case SEEN -> detector.seenByOther(now, number);
-            case NOT_SEEN -> detector.notSeenByOther(number, member);
-            case ASK -> sender.sendState(member.place, number);
-            case STATE -> stateCame(number, about);
+    private void handle(Member member, Datagram.Kind kind, int number, int subject) {
+        switch (kind) {
+            case PING -> sender.send(member.index, Datagram.Kind.ACK, number, member.index);
+            case ACK -> onAck(member, number);
+            case PING_REQUEST -> detector.onPingRequest(now, member, number, subject);
+            case INDIRECT_ACK -> detector.onIndirectAck(now, number);
+            case INDIRECT_NACK -> detector.onIndirectNack(number, member);
+            case STATE_REQUEST -> sender.sendState(member.index, number);
+            case STATE_REPLY -> onStateReply(number, subject);
             default -> {
                 // News is in the entries.
             }
         }
     }
 
-    private void answered(Member member, int number) {
-        if (detector.answered(number, member) && member.otherView && sender.newsWaiting() < MUCH_NEWS) {
-            sender.sendChecksums(member.place);
+    private void onAck(Member member, int number) {
+        if (detector.onAck(number, member) && member.hasDivergentView && sender.pendingGossip() < GOSSIP_BACKLOG) {
+            sender.sendChecksums(member.index);
         }
-        detector.answeredIndirectly(number, member);
+        detector.onIndirectProbeAck(number, member);
     }
 
     /** A piece of another's state, from a place on; the next one is asked for at once. */
-    private void stateCame(int first, int next) {
-        if (requestFrom != NO_REQUEST && first == requestFrom) {
-            requestFrom = next > first ? next : NO_REQUEST;
+    private void onStateReply(int first, int next) {
+        if (nextRequestIndex != NO_REQUEST && first == nextRequestIndex) {
+            nextRequestIndex = next > first ? next : NO_REQUEST;
             requestedAt = Double.NEGATIVE_INFINITY;
         }
     }
 
     @Override
-    public void sums(short[] others) {
+    public void onChecksums(short[] others) {
         if (others.length == table.checksums().length) {
-            sender.sendDifferences(from, others, random.nextInt(others.length));
+            sender.sendDifferences(senderIndex, others, random.nextInt(others.length));
         }
     }
 
     @Override
-    public void entry(int place, MemberState standing, long at, int[] accusers, double silentSince) {
-        if (place == table.self()) {
-            toldOfSelf(standing, at);
+    public void onEntry(int index, MemberState state, long incarnation, int[] accusers, double silentSince) {
+        if (index == table.self()) {
+            onEntryAboutSelf(state, incarnation);
             return;
         }
-        Member member = table.get(place);
-        if (member.standing == standing && member.incarnation == at) {
-            sender.heardAgain(member);
+        Member member = table.get(index);
+        if (member.state == state && member.incarnation == incarnation) {
+            sender.onDuplicateGossip(member);
         }
-        learn(member, standing, at);
-        if (standing == MemberState.SUSPECT && member.standing == MemberState.SUSPECT && member.incarnation == at) {
+        mergeState(member, state, incarnation);
+        if (state == MemberState.SUSPECT && member.state == MemberState.SUSPECT && member.incarnation == incarnation) {
             double since = Math.min(now, silentSince);
-            detector.accused(member, since, accusers);
-            if (member.livedAt(Math.max(since, member.heardAt))) {
-                sender.spread(member);
+            detector.addAccusers(member, since, accusers);
+            if (member.recordSignOfLife(Math.max(since, member.lastHeardAt))) {
+                sender.enqueueGossip(member);
             }
         }
     }
 
     /** Objects to being held for silent or dead, and to an incarnation that is not its own. */
-    private void toldOfSelf(MemberState standing, long at) {
-        boolean against = standing != MemberState.ALIVE && at >= table.incarnation();
-        if (!against && at <= table.incarnation()) {
+    private void onEntryAboutSelf(MemberState state, long incarnation) {
+        boolean isAccusation = state != MemberState.ALIVE && incarnation >= table.incarnation();
+        if (!isAccusation && incarnation <= table.incarnation()) {
             return;
         }
-        table.outbid(now, at);
-        if (against) {
-            objections++;
-            detector.selfAccused();
+        table.refute(now, incarnation);
+        if (isAccusation) {
+            refutations++;
+            detector.onSelfAccused();
         }
         announcementsLeft = ANNOUNCEMENTS_AT_CHANGE;
         announceIfDue();
     }
 
-    private void learn(Member member, MemberState standing, long at) {
-        MemberState was = member.standing;
-        if (table.update(now, member, standing, at)) {
-            sender.spread(member);
-            if (was != standing) {
-                news.changed(member.place, was, standing);
+    private void mergeState(Member member, MemberState state, long incarnation) {
+        MemberState previousState = member.state;
+        if (table.update(now, member, state, incarnation)) {
+            sender.enqueueGossip(member);
+            if (previousState != state) {
+                listener.onStateChanged(member.index, previousState, state);
             }
         }
     }
 
     /** The list of routers is another now: places keep what is known of them, new ones are unheard. Not a restart. */
-    public void listed(double at, int size, int place) {
-        table.replaceMembers(size, place);
-        now = at;
-        table.joinSelf(now);
-        sender.membersReplaced();
+    public void onMemberListChanged(double nowSeconds, int size, int index) {
+        table.replaceMembers(size, index);
+        now = nowSeconds;
+        table.markSelfAlive(now);
+        sender.onMembersReplaced();
         detector.clear();
         announcementsLeft = ANNOUNCEMENTS_AT_CHANGE;
         requestState();
     }
 
     /** This router stops: the others are told, so that nobody need find it out. */
-    public void leave(double at) {
-        now = at;
+    public void leave(double nowSeconds) {
+        now = nowSeconds;
         if (leaving) {
             return;
         }
         leaving = true;
-        table.leaveSelf(now);
-        sender.announceEnd();
+        table.markSelfLeft(now);
+        sender.announceLeave();
     }
 
     /** How many routers are to be thought of as sending beside this one and with it: for spreading work. */
-    public int spread() {
-        return shares.spread(table.all(), table.live());
+    public int estimatedSenders() {
+        return counts.estimatedSenders(table.all(), table.liveCount());
     }
 
     /** How many routers take part, this one with them. */
-    public int live() {
-        return table.live();
+    public int liveCount() {
+        return table.liveCount();
     }
 
     /** How many routers may be sending at most: for this one's share of what all may send together. */
-    public int bound(double at) {
-        return shares.bound(at, table.all(), table.self());
+    public int maxSenders(double nowSeconds) {
+        return counts.maxSenders(nowSeconds, table.all(), table.self());
     }
 
     /** How many routers are listed, this one with them. */
@@ -337,18 +337,18 @@
     }
 
     /** How the member at a place stands. */
-    public MemberState standing(int place) {
-        return table.get(place).standing;
+    public MemberState state(int index) {
+        return table.get(index).state;
     }
 
     /** The newest incarnation known of the member at a place. */
-    public long incarnation(int place) {
-        return table.get(place).incarnation;
+    public long incarnation(int index) {
+        return table.get(index).incarnation;
     }
 
     /** A letter a member, by place: A alive, S suspect, D dead, L left, U unheard. */
-    public String letters() {
-        return table.letters();
+    public String stateLetters() {
+        return table.stateLetters();
     }
 
     /** The same for any two routers that hold the same members for taking part, at the same incarnations. */
@@ -372,28 +372,28 @@
     }
 
     /** A line a figure. */
-    public String figures() {
+    public String metrics() {
         StringBuilder text = new StringBuilder();
-        figure(text, "view", letters());
-        figure(text, "live", live());
-        figure(text, "spread", spread());
-        figure(text, "bound", bound(now));
-        figure(text, "digest", Long.toHexString(digest()));
-        figure(text, "incarnation", table.incarnation());
-        figure(text, "own-health", detector.healthScore());
-        figure(text, "sent", sent());
-        figure(text, "sent-bytes", sentBytes());
-        figure(text, "got", received);
-        figure(text, "got-bytes", receivedBytes);
-        figure(text, "suspicions", detector.suspicions());
-        figure(text, "deaths", deaths());
-        figure(text, "objections", objections);
-        figure(text, "news", sender.newsWaiting());
-        dropped.forEach((why, times) -> figure(text, "dropped-" + why, times));
+        appendMetric(text, "view", stateLetters());
+        appendMetric(text, "live", liveCount());
+        appendMetric(text, "spread", estimatedSenders());
+        appendMetric(text, "bound", maxSenders(now));
+        appendMetric(text, "digest", Long.toHexString(digest()));
+        appendMetric(text, "incarnation", table.incarnation());
+        appendMetric(text, "own-health", detector.healthScore());
+        appendMetric(text, "sent", sent());
+        appendMetric(text, "sent-bytes", sentBytes());
+        appendMetric(text, "got", received);
+        appendMetric(text, "got-bytes", receivedBytes);
+        appendMetric(text, "suspicions", detector.suspicions());
+        appendMetric(text, "deaths", deaths());
+        appendMetric(text, "objections", refutations);
+        appendMetric(text, "news", sender.pendingGossip());
+        dropped.forEach((reason, times) -> appendMetric(text, "dropped-" + reason, times));
         return text.toString();
     }
 
-    private static void figure(StringBuilder text, String name, Object value) {
+    private static void appendMetric(StringBuilder text, String name, Object value) {
         text.append("fleet-").append(name).append(' ').append(value).append('\n');
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Probe.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Probe.java
@@ -10,54 +10,54 @@
  */
 final class Probe {
     /** What is due next of a probe. */
-    enum Due {
-        NOTHING,
-        PING_AGAIN,
-        ASK_OTHERS,
-        SILENT
+    enum Action {
+        NONE,
+        RETRY_PING,
+        PING_REQUEST,
+        TIMED_OUT
     }
 
     final int target;
     final int number;
-    final double since;
-    private final double again;
-    private final double most;
+    final double startedAt;
+    private final double retrySeconds;
+    private final double timeoutSeconds;
     private int step;
     /** Members that were asked, looked and saw nothing. */
-    final List<Integer> lookedInVain = new ArrayList<>();
+    final List<Integer> failedHelpers = new ArrayList<>();
 
     /** @param stretch what the times are multiplied by, from this mixer's own health */
-    Probe(int target, int number, double now, MembershipSettings terms, double stretch) {
+    Probe(int target, int number, double now, MembershipSettings settings, double timeoutMultiplier) {
         this.target = target;
         this.number = number;
-        since = now;
-        again = terms.again() * stretch;
-        most = terms.probe() * stretch;
+        startedAt = now;
+        retrySeconds = settings.pingRetrySeconds() * timeoutMultiplier;
+        timeoutSeconds = settings.probeTimeoutSeconds() * timeoutMultiplier;
     }
 
     /** What is due now; each step is told once. */
-    Due due(double now) {
-        double spent = now - since;
-        if (spent >= most) {
-            return Due.SILENT;
+    Action nextAction(double now) {
+        double elapsed = now - startedAt;
+        if (elapsed >= timeoutSeconds) {
+            return Action.TIMED_OUT;
         }
         // Pinged after one and four times the wait, others asked after two and four.
-        if (step == 0 && spent >= again) {
+        if (step == 0 && elapsed >= retrySeconds) {
             step = 1;
-            return Due.PING_AGAIN;
+            return Action.RETRY_PING;
         }
-        if (step == 1 && spent >= 2 * again) {
+        if (step == 1 && elapsed >= 2 * retrySeconds) {
             step = 2;
-            return Due.ASK_OTHERS;
+            return Action.PING_REQUEST;
         }
-        if (step == 2 && spent >= 3 * again) {
+        if (step == 2 && elapsed >= 3 * retrySeconds) {
             step = 3;
-            return Due.PING_AGAIN;
+            return Action.RETRY_PING;
         }
-        if (step == 3 && spent >= 3.5 * again) {
+        if (step == 3 && elapsed >= 3.5 * retrySeconds) {
             step = 4;
-            return Due.ASK_OTHERS;
+            return Action.PING_REQUEST;
         }
-        return Due.NOTHING;
+        return Action.NONE;
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/ProbeSchedule.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/ProbeSchedule.java
@@ -10,27 +10,27 @@
  * is as good as random, since the shift is drawn anew each period.
  */
 final class ProbeSchedule {
-    private final double period;
+    private final double probeIntervalSeconds;
 
-    ProbeSchedule(double period) {
-        this.period = period;
+    ProbeSchedule(double probeIntervalSeconds) {
+        this.probeIntervalSeconds = probeIntervalSeconds;
     }
 
-    long turn(double now) {
-        return (long) Math.floor(now / period);
+    long round(double now) {
+        return (long) Math.floor(now / probeIntervalSeconds);
     }
 
     /**
      * When in its turn a member probes: spread over the first part of the period by place, so that not all datagrams of
      * the tier go out at once.
      */
-    double at(long turn, int place, int size) {
-        return (turn + 0.5 * place / size) * period;
+    double probeTime(long round, int index, int size) {
+        return (round + 0.5 * index / size) * probeIntervalSeconds;
     }
 
     /** How many places on, among so many that take part, for a draw; 0 where there is nobody else. */
-    int shift(long draw, int takingPart) {
-        return takingPart < 2 ? 0 : new SplittableRandom(draw).nextInt(1, takingPart);
+    int shift(long seed, int activeCount) {
+        return activeCount < 2 ? 0 : new SplittableRandom(seed).nextInt(1, activeCount);
     }
 
     /**
@@ -39,24 +39,24 @@
      * @param draw the turn's number, or what is made of it for one more look in the same turn
      * @return its place, or -1 where nobody else takes part
      */
-    int target(long draw, int self, Member[] members) {
-        int takingPart = 0;
+    int target(long seed, int self, Member[] members) {
+        int activeCount = 0;
         int rank = 0;
         for (Member each : members) {
-            boolean counts = each.place == self || each.standing.takesPart();
-            rank += counts && each.place < self ? 1 : 0;
-            takingPart += counts ? 1 : 0;
+            boolean counted = each.index == self || each.state.isActive();
+            rank += counted && each.index < self ? 1 : 0;
+            activeCount += counted ? 1 : 0;
         }
-        int shift = shift(draw, takingPart);
+        int shift = shift(seed, activeCount);
         if (shift == 0) {
             return -1;
         }
-        int wanted = (rank + shift) % takingPart;
+        int remaining = (rank + shift) % activeCount;
         for (Member each : members) {
-            if ((each.place == self || each.standing.takesPart()) && wanted-- == 0) {
-                return each.place;
+            if ((each.index == self || each.state.isActive()) && remaining-- == 0) {
+                return each.index;
             }
         }
-        throw new IllegalStateException("rank " + wanted + " of " + takingPart);
+        throw new IllegalStateException("rank " + remaining + " of " + activeCount);
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
@@ -6,31 +6,33 @@
  * it: so all members come to the same end at nearly the same moment, and the news of the death need not spread first.
  */
 final class Suspicion {
-    private final MembershipSettings terms;
+    private final MembershipSettings settings;
 
-    Suspicion(MembershipSettings terms) {
-        this.terms = terms;
+    Suspicion(MembershipSettings settings) {
+        this.settings = settings;
     }
 
     /** How many accusers count at most: the first, and the confirmations that so many members can give. */
-    int accusersMost(int takingPart) {
-        return 1 + needed(takingPart);
+    int maxAccusers(int activeCount) {
+        return 1 + requiredConfirmations(activeCount);
     }
 
     /** Among few members fewer can confirm: not the suspect, not the first accuser. */
-    private int needed(int takingPart) {
-        return Math.max(0, Math.min(terms.confirmations(), takingPart - 2));
+    private int requiredConfirmations(int activeCount) {
+        return Math.max(0, Math.min(settings.confirmations(), activeCount - 2));
     }
 
     /** Seconds of silence until death, by how many accuse it among how many that take part, the suspect with them. */
-    double allowed(int accusers, int takingPart) {
-        int needed = needed(takingPart);
-        if (needed == 0) {
-            return terms.silence();
+    double timeoutSeconds(int accusers, int activeCount) {
+        int requiredConfirmations = requiredConfirmations(activeCount);
+        if (requiredConfirmations == 0) {
+            return settings.minSilenceSeconds();
         }
-        double confirmed = Math.max(0, Math.min(needed, accusers - 1));
-        return terms.silenceMost()
-                - (terms.silenceMost() - terms.silence()) * Math.log(confirmed + 1) / Math.log(needed + 1);
+        double confirmed = Math.max(0, Math.min(requiredConfirmations, accusers - 1));
+        return settings.maxSilenceSeconds()
+                - (settings.maxSilenceSeconds() - settings.minSilenceSeconds())
+                        * Math.log(confirmed + 1)
+                        / Math.log(requiredConfirmations + 1);
     }
 
     /**
@@ -38,8 +40,8 @@
      * than a word heard from the member itself must not kill it. Harm: where the members' clocks of rumours differ, a
      * death comes some milliseconds late.
      */
-    double left(double now, Member suspect, int takingPart) {
-        double silent = Math.max(suspect.silentSince, suspect.heardAt);
-        return silent + allowed(suspect.accusers.length, takingPart) - now;
+    double remainingSeconds(double now, Member suspect, int activeCount) {
+        double silentSince = Math.max(suspect.silentSince, suspect.lastHeardAt);
+        return silentSince + timeoutSeconds(suspect.accusers.length, activeCount) - now;
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/Fact.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/Fact.java
@@ -11,9 +11,9 @@
  * @param first the kind's figure; 0 to 10^6
  * @param second the kind's further figure, or 0
  */
-public record Fact(int key, FactKind kind, int origin, long stamp, double first, double second) {
-    private static final double LEAST = 1e-6;
-    private static final double STEPS = 1600; // a doubling; 2 bytes reach from a millionth to a million
+public record Fact(int key, FactKind kind, int origin, long stamp, double value, double secondValue) {
+    private static final double MIN_VALUE = 1e-6;
+    private static final double STEPS_PER_DOUBLING = 1600; // a doubling; 2 bytes reach from a millionth to a million
 
     /**
      * A searcher's id as four bytes. Two ids with one key are told apart by nobody; the store's user must leave both
@@ -31,18 +31,21 @@
     }
 
     /** Seconds since it was seen. */
-    public double age(double now) {
+    public double ageSeconds(double now) {
         return now - stamp / 1e3;
     }
 
     /** A figure in two bytes, within a part in two thousand; what is under a millionth is 0. */
-    public static short coded(double figure) {
+    public static short encode(double value) {
         return (short)
-                (figure < LEAST ? 0 : Math.min(65535, 1 + Math.round(Math.log(figure / LEAST) / Math.log(2) * STEPS)));
+                (value < MIN_VALUE
+                        ? 0
+                        : Math.min(
+                                65535, 1 + Math.round(Math.log(value / MIN_VALUE) / Math.log(2) * STEPS_PER_DOUBLING)));
     }
 
-    public static double decoded(short code) {
+    public static double decode(short code) {
         int steps = code & 0xFFFF;
-        return steps == 0 ? 0 : LEAST * Math.pow(2, (steps - 1) / STEPS);
+        return steps == 0 ? 0 : MIN_VALUE * Math.pow(2, (steps - 1) / STEPS_PER_DOUBLING);
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactAggregator.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactAggregator.java
@@ -13,9 +13,9 @@
  */
 public final class FactAggregator {
     /** Seconds in which a word's weight halves. */
-    private static final double HALVES = 2;
+    private static final double HALF_LIFE_SECONDS = 2;
     /** Origins that a warning needs. */
-    private static final int WARNED = 2;
+    private static final int MIN_WARNING_ORIGINS = 2;
 
     private final FactStore store;
 
@@ -24,71 +24,71 @@
     }
 
     /** The latency that other mixers see, seconds; NaN where none is known. */
-    public double pace(int key, int self, double now) {
-        return median(key, FactKind.PACE, self, now, false);
+    public double latencySeconds(int key, int self, double now) {
+        return median(key, FactKind.LATENCY, self, now, false);
     }
 
     /** The queue that was reported to them; NaN where none is known. */
-    public double queue(int key, int self, double now) {
-        return median(key, FactKind.PACE, self, now, true);
+    public double queueLength(int key, int self, double now) {
+        return median(key, FactKind.LATENCY, self, now, true);
     }
 
     /**
      * What this mixer may take for a searcher's figure: its own, or the others' if that is worse; theirs if it has
      * none.
      */
-    public static double worse(double own, double others) {
+    public static double worseOf(double own, double others) {
         return Double.isNaN(own) ? others : Double.isNaN(others) ? own : Math.max(own, others);
     }
 
     /** Whether two others or more saw it fail of late, and after this time. */
-    public boolean ill(int key, int self, double now, double since) {
-        return warned(key, FactKind.ILL, self, now, since);
+    public boolean isUnhealthy(int key, int self, double now, double since) {
+        return isReported(key, FactKind.UNHEALTHY, self, now, since);
     }
 
     /** Whether two others or more saw it drain or go, after this time. */
-    public boolean leaves(int key, int self, double now, double since) {
-        return warned(key, FactKind.LEAVES, self, now, since);
+    public boolean isLeaving(int key, int self, double now, double since) {
+        return isReported(key, FactKind.LEAVING, self, now, since);
     }
 
-    private boolean warned(int key, FactKind kind, int self, double now, double since) {
+    private boolean isReported(int key, FactKind kind, int self, double now, double since) {
         int origins = 0;
         for (Fact each : store.of(key, kind)) {
             origins += each.origin() != self
-                            && each.first() > 0
-                            && each.age(now) <= kind.most()
+                            && each.value() > 0
+                            && each.ageSeconds(now) <= kind.maxAgeSeconds()
                             && each.stamp() / 1e3 > since
                     ? 1
                     : 0;
         }
-        return origins >= WARNED;
+        return origins >= MIN_WARNING_ORIGINS;
     }
 
     /** What others sent to a cold searcher, seconds of work, as far as it is known: a lower bound of the truth. */
-    public double spent(int key, int self, double now) {
-        double spent = 0;
-        for (Fact each : store.of(key, FactKind.SPENT)) {
-            spent += each.origin() != self && each.age(now) <= each.second() ? each.first() : 0;
+    public double coldWorkSeconds(int key, int self, double now) {
+        double totalSeconds = 0;
+        for (Fact each : store.of(key, FactKind.COLD_WORK)) {
+            totalSeconds += each.origin() != self && each.ageSeconds(now) <= each.secondValue() ? each.value() : 0;
         }
-        return spent;
+        return totalSeconds;
     }
 
-    private double median(int key, FactKind kind, int self, double now, boolean second) {
-        List<double[]> words = new ArrayList<>();
-        double total = 0;
+    private double median(int key, FactKind kind, int self, double now, boolean useSecondValue) {
+        List<double[]> samples = new ArrayList<>();
+        double totalWeight = 0;
         for (Fact each : store.of(key, kind)) {
-            double age = Math.max(0, each.age(now));
-            if (each.origin() != self && age <= kind.most()) {
-                double weight = Math.pow(0.5, age / HALVES);
-                words.add(new double[] {second ? each.second() : each.first(), weight});
-                total += weight;
+            double ageSeconds = Math.max(0, each.ageSeconds(now));
+            if (each.origin() != self && ageSeconds <= kind.maxAgeSeconds()) {
+                double weight = Math.pow(0.5, ageSeconds / HALF_LIFE_SECONDS);
+                samples.add(new double[] {useSecondValue ? each.secondValue() : each.value(), weight});
+                totalWeight += weight;
             }
         }
-        words.sort(Comparator.comparingDouble(word -> word[0]));
-        double passed = 0;
-        for (double[] each : words) {
-            passed += each[1];
-            if (passed >= total / 2) {
+        samples.sort(Comparator.comparingDouble(sample -> sample[0]));
+        double cumulativeWeight = 0;
+        for (double[] each : samples) {
+            cumulativeWeight += each[1];
+            if (cumulativeWeight >= totalWeight / 2) {
                 return each[0];
             }
         }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicationSettings.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicationSettings.java
@@ -13,17 +13,17 @@
  * @param alike the relative difference below which two words of a pace are alike
  */
 public record FactReplicationSettings(
-        double turn,
-        double bytesASecond,
-        double burst,
-        int fan,
-        double compare,
-        double again,
-        double freshest,
-        int enough,
-        double fresh,
-        double alike) {
-    public static FactReplicationSettings usual() {
+        double sendIntervalSeconds,
+        double bytesPerSecond,
+        double burstBytes,
+        int fanout,
+        double comparisonIntervalSeconds,
+        double warningResendSeconds,
+        double maxGossipAgeSeconds,
+        int sufficientReports,
+        double reportFreshSeconds,
+        double similarityTolerance) {
+    public static FactReplicationSettings defaults() {
         return new FactReplicationSettings(0.1, 1500, 16_000, 4, 1, 0.3, 1.5, 3, 30, 0.25);
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
@@ -18,94 +18,96 @@
  */
 public final class FactReplicator implements FactDatagram.Reader {
     /** Sends datagrams; they may be lost. */
-    public interface Wire {
-        void send(int place, byte[] datagram);
+    public interface Transport {
+        void send(int index, byte[] datagram);
     }
 
-    private static final double CHANGED = 8; // times as often where the searcher changed
-    private static final int ILL = 2; // failures in a row that are told: one alone is often a lost answer
-    private static final int TRIES =
+    private static final double CHANGED_RATE_FACTOR = 8; // times as often where the searcher changed
+    private static final int UNHEALTHY_FAILURES =
+            2; // failures in a row that are told: one alone is often a lost answer
+    private static final int MAX_CATCH_UP_COMPARISONS =
             40; // comparisons that a mixer that returns makes at most before it goes on without
-    private static final int ANSWERS = 12; // datagrams that answer one comparison
-    private static final int AGREED = 2; // members that held nothing else, until a mixer says it has caught up
+    private static final int MAX_ANSWER_DATAGRAMS = 12; // datagrams that answer one comparison
+    private static final int REQUIRED_MATCHES =
+            2; // members that held nothing else, until a mixer says it has caught up
 
     private final FactStore store = new FactStore();
-    private final FactAggregator agreed = new FactAggregator(store);
-    private final FactReplicationSettings terms;
-    private final Wire wire;
-    private final SplittableRandom chance;
+    private final FactAggregator aggregator = new FactAggregator(store);
+    private final FactReplicationSettings settings;
+    private final Transport transport;
+    private final SplittableRandom random;
     private final int self;
     private int size;
-    private final IntPredicate takesPart;
+    private final IntPredicate isActive;
     /** To be handed on: facts that were news here, each once. */
-    private final ArrayDeque<Fact> news = new ArrayDeque<>();
+    private final ArrayDeque<Fact> pendingFacts = new ArrayDeque<>();
 
-    private final ArrayDeque<Fact> urgent = new ArrayDeque<>();
+    private final ArrayDeque<Fact> pendingWarnings = new ArrayDeque<>();
     /** Warnings handed on once, to be handed on once more. */
-    private final ArrayDeque<Fact> again = new ArrayDeque<>();
+    private final ArrayDeque<Fact> warningsToResend = new ArrayDeque<>();
 
-    private final ArrayDeque<Double> againAt = new ArrayDeque<>();
+    private final ArrayDeque<Double> resendTimes = new ArrayDeque<>();
     /** By searcher: when this mixer saw it last, and the smoothed time between. */
-    private final Map<Integer, double[]> seen = new HashMap<>();
+    private final Map<Integer, double[]> observations = new HashMap<>();
     /** Searchers that this mixer warned the others of. */
-    private final Set<Integer> warnedOf = new HashSet<>();
+    private final Set<Integer> reportedUnhealthy = new HashSet<>();
     /**
      * Whom this mixer sent sums to last, -1 where no answer is awaited; whether the answer named searchers that differ.
      */
-    private int asked = -1;
+    private int awaitedPeer = -1;
 
-    private boolean differed;
+    private boolean answerDiffered;
     private double now;
-    private int from;
+    private int senderIndex;
     private long stamp;
-    private double bytes;
-    private double filledAt = Double.NaN;
-    private double turnAt = Double.NEGATIVE_INFINITY;
-    private double comparedAt = Double.NEGATIVE_INFINITY;
-    private double forgotAt = Double.NEGATIVE_INFINITY;
+    private double budgetBytes;
+    private double budgetFilledAt = Double.NaN;
+    private double lastSendAt = Double.NEGATIVE_INFINITY;
+    private double lastComparedAt = Double.NEGATIVE_INFINITY;
+    private double lastExpiryAt = Double.NEGATIVE_INFINITY;
     private double startedAt = Double.NaN;
     private double caughtUpAt = Double.NaN;
-    private int tries;
-    private int alike;
-    private int newsSinceAsked;
+    private int comparisons;
+    private int consecutiveMatches;
+    private int mergedSinceComparison;
     private long sent;
     private long sentBytes;
-    private long merged;
-    private long held;
+    private long mergedFacts;
+    private long droppedFacts;
 
     /** @param takesPart whether the member at a place takes part, as the fleet's view has it */
     public FactReplicator(
             int size,
             int self,
-            FactReplicationSettings terms,
-            SplittableRandom chance,
-            Wire wire,
-            IntPredicate takesPart) {
+            FactReplicationSettings settings,
+            SplittableRandom random,
+            Transport transport,
+            IntPredicate isActive) {
         this.size = size;
         this.self = self;
-        this.terms = terms;
-        this.chance = chance;
-        this.wire = wire;
-        this.takesPart = takesPart;
+        this.settings = settings;
+        this.random = random;
+        this.transport = transport;
+        this.isActive = isActive;
     }
 
     public FactStore store() {
         return store;
     }
 
-    public FactAggregator agreed() {
-        return agreed;
+    public FactAggregator aggregator() {
+        return aggregator;
     }
 
     /** Begins: what the others know is pulled first, while the mixer serves. */
-    public void start(double at) {
-        now = at;
-        startedAt = at;
-        filledAt = at;
-        bytes = terms.burst();
+    public void start(double nowSeconds) {
+        now = nowSeconds;
+        startedAt = nowSeconds;
+        budgetFilledAt = nowSeconds;
+        budgetBytes = settings.burstBytes();
     }
 
-    public void listed(int members) {
+    public void onMemberListChanged(int members) {
         size = members;
     }
 
@@ -115,34 +117,36 @@
      *
      * @return whether it is told to the others
      */
-    public boolean saw(double at, int key, FactKind kind, double first, double second) {
-        now = at;
-        if (kind == FactKind.PACE && !worthTelling(key, first)) {
+    public boolean recordObservation(double nowSeconds, int key, FactKind kind, double value, double secondValue) {
+        now = nowSeconds;
+        if (kind == FactKind.LATENCY && !shouldPublish(key, value)) {
             return false;
         }
         stamp = Math.max(stamp + 1, Math.round(now * 1e3));
-        Fact fact = new Fact(key, kind, self, stamp, first, second);
+        Fact fact = new Fact(key, kind, self, stamp, value, secondValue);
         store.merge(fact);
-        handOn(fact);
+        enqueue(fact);
         return true;
     }
 
     /** What this mixer saw of a searcher at work; some failures in a row are a warning, taken back once it answers. */
-    public void sawWork(double at, int key, double pace, double queue, int failures) {
-        saw(at, key, FactKind.PACE, pace, queue);
-        if (failures >= ILL ? warnedOf.add(key) || failures > ILL : failures == 0 && warnedOf.remove(key)) {
-            saw(at, key, FactKind.ILL, failures, 0);
+    public void recordWork(double nowSeconds, int key, double latencySeconds, double queueLength, int failures) {
+        recordObservation(nowSeconds, key, FactKind.LATENCY, latencySeconds, queueLength);
+        if (failures >= UNHEALTHY_FAILURES
+                ? reportedUnhealthy.add(key) || failures > UNHEALTHY_FAILURES
+                : failures == 0 && reportedUnhealthy.remove(key)) {
+            recordObservation(nowSeconds, key, FactKind.UNHEALTHY, failures, 0);
         }
     }
 
     /** A warning goes out twice: of a hundred mixers handed it at random by four others each, three would miss it. */
-    private void handOn(Fact fact) {
-        if (fact.kind() == FactKind.PACE) {
-            news.add(fact);
+    private void enqueue(Fact fact) {
+        if (fact.kind() == FactKind.LATENCY) {
+            pendingFacts.add(fact);
         } else {
-            urgent.add(fact);
-            again.add(fact);
-            againAt.add(now + terms.again());
+            pendingWarnings.add(fact);
+            warningsToResend.add(fact);
+            resendTimes.add(now + settings.warningResendSeconds());
         }
     }
 
@@ -151,96 +155,105 @@
      * see the searcher would tell at once. The lot is such that among all that see it about as many tell as are wanted;
      * eight times as many where the others' word is another one, as that is news.
      */
-    private boolean worthTelling(int key, double pace) {
-        double[] times = seen.computeIfAbsent(key, any -> new double[] {now, terms.fresh() / terms.enough()});
-        times[1] += 0.3 * (now - times[0] - times[1]) * (now > times[0] ? 1 : 0);
-        times[0] = now;
+    private boolean shouldPublish(int key, double latencySeconds) {
+        double[] observation = observations.computeIfAbsent(
+                key, any -> new double[] {now, settings.reportFreshSeconds() / settings.sufficientReports()});
+        observation[1] += 0.3 * (now - observation[0] - observation[1]) * (now > observation[0] ? 1 : 0);
+        observation[0] = now;
         int similar = 0;
         int fresh = 0;
-        for (Fact each : store.of(key, FactKind.PACE)) {
-            boolean young = each.age(now) < terms.fresh();
-            fresh += young ? 1 : 0;
-            similar += young && Math.abs(each.first() - pace) <= terms.alike() * pace ? 1 : 0;
+        for (Fact each : store.of(key, FactKind.LATENCY)) {
+            boolean isFresh = each.ageSeconds(now) < settings.reportFreshSeconds();
+            fresh += isFresh ? 1 : 0;
+            similar += isFresh
+                            && Math.abs(each.value() - latencySeconds)
+                                    <= settings.similarityTolerance() * latencySeconds
+                    ? 1
+                    : 0;
         }
-        int takingPart = 1;
-        for (int place = 0; place < size; place++) {
-            takingPart += place != self && takesPart.test(place) ? 1 : 0;
+        int activeCount = 1;
+        for (int index = 0; index < size; index++) {
+            activeCount += index != self && isActive.test(index) ? 1 : 0;
         }
-        double wanted = terms.enough() / terms.fresh() * (fresh > similar || fresh == 0 ? CHANGED : 1);
-        return similar < terms.enough() && chance.nextDouble() < wanted * times[1] / takingPart;
+        double targetRate = settings.sufficientReports()
+                / settings.reportFreshSeconds()
+                * (fresh > similar || fresh == 0 ? CHANGED_RATE_FACTOR : 1);
+        return similar < settings.sufficientReports()
+                && random.nextDouble() < targetRate * observation[1] / activeCount;
     }
 
     /** The regular look: news goes out, copies are compared. */
-    public void tick(double at) {
-        now = at;
-        bytes = Math.min(terms.burst(), bytes + (now - filledAt) * terms.bytesASecond());
-        filledAt = now;
-        if (now - turnAt < terms.turn()) {
+    public void tick(double nowSeconds) {
+        now = nowSeconds;
+        budgetBytes = Math.min(settings.burstBytes(), budgetBytes + (now - budgetFilledAt) * settings.bytesPerSecond());
+        budgetFilledAt = now;
+        if (now - lastSendAt < settings.sendIntervalSeconds()) {
             return;
         }
-        turnAt = now;
-        if (Math.floor(now) > forgotAt) {
-            forgotAt = Math.floor(now);
-            store.forget(now);
+        lastSendAt = now;
+        if (Math.floor(now) > lastExpiryAt) {
+            lastExpiryAt = Math.floor(now);
+            store.removeExpired(now);
         }
-        while (!againAt.isEmpty() && againAt.peek() <= now) {
-            againAt.poll();
-            urgent.add(again.poll());
+        while (!resendTimes.isEmpty() && resendTimes.peek() <= now) {
+            resendTimes.poll();
+            pendingWarnings.add(warningsToResend.poll());
         }
-        tell(urgent, terms.fan());
-        tell(news, terms.fan() / 2);
-        boolean returning = Double.isNaN(caughtUpAt);
-        if (now - comparedAt >= (returning ? terms.turn() : terms.compare())) {
-            compare();
+        publish(pendingWarnings, settings.fanout());
+        publish(pendingFacts, settings.fanout() / 2);
+        boolean isCatchingUp = Double.isNaN(caughtUpAt);
+        if (now - lastComparedAt
+                >= (isCatchingUp ? settings.sendIntervalSeconds() : settings.comparisonIntervalSeconds())) {
+            compareWithPeer();
         }
     }
 
-    private void tell(ArrayDeque<Fact> what, int fan) {
-        while (!what.isEmpty() && bytes > 0) {
+    private void publish(ArrayDeque<Fact> queue, int fanout) {
+        while (!queue.isEmpty() && budgetBytes > 0) {
             List<Fact> some = new ArrayList<>();
-            while (!what.isEmpty() && some.size() < FactDatagram.FACTS) {
-                some.add(what.poll());
+            while (!queue.isEmpty() && some.size() < FactDatagram.MAX_FACTS) {
+                some.add(queue.poll());
             }
             byte[] datagram = FactDatagram.facts(some, false);
-            for (int each = 0; each < fan; each++) {
-                post(anyOther(), datagram);
+            for (int each = 0; each < fanout; each++) {
+                send(randomActivePeer(), datagram);
             }
         }
         // Danger: under a flood news would pile up without end; what waits is told by comparison anyway.
-        while (what.size() > 4 * FactDatagram.FACTS) {
-            what.poll();
-            held++;
+        while (queue.size() > 4 * FactDatagram.MAX_FACTS) {
+            queue.poll();
+            droppedFacts++;
         }
     }
 
-    private void compare() {
-        int to = anyOther();
-        if (to < 0 || bytes <= 0) {
+    private void compareWithPeer() {
+        int to = randomActivePeer();
+        if (to < 0 || budgetBytes <= 0) {
             return;
         }
-        comparedAt = now;
-        if (Double.isNaN(caughtUpAt) && ++tries > TRIES) {
+        lastComparedAt = now;
+        if (Double.isNaN(caughtUpAt) && ++comparisons > MAX_CATCH_UP_COMPARISONS) {
             caughtUpAt = now; // Nobody answers: there is nobody to catch up with.
         }
-        newsSinceAsked = 0;
-        asked = to;
-        differed = false;
-        post(to, FactDatagram.sums(store.sums()));
+        mergedSinceComparison = 0;
+        awaitedPeer = to;
+        answerDiffered = false;
+        send(to, FactDatagram.checksums(store.checksums()));
     }
 
     /** A datagram came from a member. Returns why it can't be used, or null where it could. */
-    public String heard(double at, int place, byte[] datagram, int length) {
-        now = at;
-        from = place;
+    public String onDatagram(double nowSeconds, int index, byte[] datagram, int length) {
+        now = nowSeconds;
+        senderIndex = index;
         return FactDatagram.read(datagram, length, this);
     }
 
     @Override
-    public void fact(Fact fact) {
+    public void onFact(Fact fact) {
         // Danger: a stamp far ahead would prevail for good, and under this mixer's name would make all its later words
         // such
         // that nobody takes them. Harm: where clocks differ by more, facts are not taken.
-        if (FactStore.old(fact, now) || fact.age(now) < -1) {
+        if (FactStore.isExpired(fact, now) || fact.ageSeconds(now) < -1) {
             return;
         }
         if (fact.origin() == self) {
@@ -251,10 +264,10 @@
         if (!store.merge(fact)) {
             return;
         }
-        merged++;
-        newsSinceAsked++;
-        if (fact.age(now) <= terms.freshest()) {
-            handOn(fact);
+        mergedFacts++;
+        mergedSinceComparison++;
+        if (fact.ageSeconds(now) <= settings.maxGossipAgeSeconds()) {
+            enqueue(fact);
         }
     }
 
@@ -263,121 +276,125 @@
      * searchers with a sum each, so that only what differs crosses the network.
      */
     @Override
-    public void sums(int[] others) {
-        int[] own = store.sums();
+    public void onChecksums(int[] others) {
+        int[] own = store.checksums();
         List<Fact> facts = new ArrayList<>();
         List<Integer> keys = new ArrayList<>();
-        List<Integer> keySums = new ArrayList<>();
-        int first = chance.nextInt(own.length);
+        List<Integer> keyChecksums = new ArrayList<>();
+        int first = random.nextInt(own.length);
         for (int each = 0; each < own.length && others.length == own.length; each++) {
-            int stretch = (first + each) % own.length;
-            if (own[stretch] != others[stretch] && others[stretch] == 0) {
-                facts.addAll(store.all(stretch));
-            } else if (own[stretch] != others[stretch]) {
-                store.keySums(stretch).forEach((key, sum) -> {
+            int range = (first + each) % own.length;
+            if (own[range] != others[range] && others[range] == 0) {
+                facts.addAll(store.all(range));
+            } else if (own[range] != others[range]) {
+                store.keyChecksums(range).forEach((key, checksum) -> {
                     keys.add(key);
-                    keySums.add(sum);
+                    keyChecksums.add(checksum);
                 });
             }
         }
-        int left = ANSWERS;
-        for (int at = 0; at < keys.size() && left > 0 && spares(); at += FactDatagram.SEARCHERS) {
-            int end = Math.min(keys.size(), at + FactDatagram.SEARCHERS);
-            post(from, FactDatagram.searchers(keys.subList(at, end), keySums.subList(at, end)));
-            left--;
+        int remaining = MAX_ANSWER_DATAGRAMS;
+        for (int at = 0; at < keys.size() && remaining > 0 && hasBudget(); at += FactDatagram.MAX_SEARCHERS) {
+            int end = Math.min(keys.size(), at + FactDatagram.MAX_SEARCHERS);
+            send(senderIndex, FactDatagram.searchers(keys.subList(at, end), keyChecksums.subList(at, end)));
+            remaining--;
         }
-        left = Math.max(1, left);
+        remaining = Math.max(1, remaining);
         // Danger: two that return and hold nothing would tell each other that there is nothing to catch up with.
-        boolean knows = !Double.isNaN(caughtUpAt);
-        for (int at = 0; (at == 0 || at < facts.size()) && left > 0 && spares(); at += FactDatagram.FACTS) {
-            int end = Math.min(facts.size(), at + FactDatagram.FACTS);
-            left--;
-            post(from, FactDatagram.facts(facts.subList(at, end), knows && (left == 0 || end == facts.size())));
+        boolean hasCaughtUp = !Double.isNaN(caughtUpAt);
+        for (int at = 0; (at == 0 || at < facts.size()) && remaining > 0 && hasBudget(); at += FactDatagram.MAX_FACTS) {
+            int end = Math.min(facts.size(), at + FactDatagram.MAX_FACTS);
+            remaining--;
+            send(
+                    senderIndex,
+                    FactDatagram.facts(facts.subList(at, end), hasCaughtUp && (remaining == 0 || end == facts.size())));
         }
     }
 
     /** Seventy that return at once share what the others can spare. */
-    private boolean spares() {
-        return bytes > -terms.burst();
+    private boolean hasBudget() {
+        return budgetBytes > -settings.burstBytes();
     }
 
     @Override
-    public void searchers(int[] keys, int[] sums) {
-        List<Integer> differ = new ArrayList<>();
+    public void onSearchers(int[] keys, int[] peerChecksums) {
+        List<Integer> differing = new ArrayList<>();
         List<Fact> own = new ArrayList<>();
         for (int each = 0; each < keys.length; each++) {
-            if (store.sum(keys[each]) != sums[each]) {
-                differ.add(keys[each]);
+            if (store.checksum(keys[each]) != peerChecksums[each]) {
+                differing.add(keys[each]);
                 own.addAll(store.of(keys[each]));
             }
         }
-        differed |= from == asked && !differ.isEmpty();
-        if (!differ.isEmpty() && spares()) {
-            post(from, FactDatagram.wanted(differ));
-            facts(own);
+        answerDiffered |= senderIndex == awaitedPeer && !differing.isEmpty();
+        if (!differing.isEmpty() && hasBudget()) {
+            send(senderIndex, FactDatagram.keyRequest(differing));
+            sendFacts(own);
         }
     }
 
     @Override
-    public void wanted(int[] keys) {
+    public void onKeysRequested(int[] keys) {
         List<Fact> all = new ArrayList<>();
         for (int each : keys) {
             all.addAll(store.of(each));
         }
-        facts(all);
+        sendFacts(all);
     }
 
-    private void facts(List<Fact> all) {
-        for (int at = 0; at < all.size() && spares(); at += FactDatagram.FACTS) {
-            post(from, FactDatagram.facts(all.subList(at, Math.min(all.size(), at + FactDatagram.FACTS)), false));
+    private void sendFacts(List<Fact> all) {
+        for (int at = 0; at < all.size() && hasBudget(); at += FactDatagram.MAX_FACTS) {
+            send(
+                    senderIndex,
+                    FactDatagram.facts(all.subList(at, Math.min(all.size(), at + FactDatagram.MAX_FACTS)), false));
         }
     }
 
     @Override
-    public void last() {
-        if (from != asked) {
+    public void onAnswerComplete() {
+        if (senderIndex != awaitedPeer) {
             return;
         }
-        asked = -1;
-        boolean same = newsSinceAsked == 0 && !differed;
-        alike = same ? alike + 1 : 0;
-        if (!same) {
-            comparedAt = Double.NEGATIVE_INFINITY; // There may be more: on with the next member in the next turn.
+        awaitedPeer = -1;
+        boolean matched = mergedSinceComparison == 0 && !answerDiffered;
+        consecutiveMatches = matched ? consecutiveMatches + 1 : 0;
+        if (!matched) {
+            lastComparedAt = Double.NEGATIVE_INFINITY; // There may be more: on with the next member in the next turn.
         }
-        newsSinceAsked = 0;
-        if (alike >= AGREED && Double.isNaN(caughtUpAt)) {
+        mergedSinceComparison = 0;
+        if (consecutiveMatches >= REQUIRED_MATCHES && Double.isNaN(caughtUpAt)) {
             caughtUpAt = now;
         }
     }
 
-    private void post(int to, byte[] datagram) {
+    private void send(int to, byte[] datagram) {
         if (to >= 0) {
-            bytes -= datagram.length;
+            budgetBytes -= datagram.length;
             sent++;
             sentBytes += datagram.length;
-            wire.send(to, datagram);
+            transport.send(to, datagram);
         }
     }
 
-    private int anyOther() {
-        for (int tries = 0; tries < 8; tries++) {
-            int place = chance.nextInt(size);
-            if (place != self && takesPart.test(place)) {
-                return place;
+    private int randomActivePeer() {
+        for (int attempt = 0; attempt < 8; attempt++) {
+            int index = random.nextInt(size);
+            if (index != self && isActive.test(index)) {
+                return index;
             }
         }
         int found = -1;
-        int seen = 0;
-        for (int place = 0; place < size; place++) {
-            if (place != self && takesPart.test(place) && chance.nextInt(++seen) == 0) {
-                found = place;
+        int candidates = 0;
+        for (int index = 0; index < size; index++) {
+            if (index != self && isActive.test(index) && random.nextInt(++candidates) == 0) {
+                found = index;
             }
         }
         return found;
     }
 
     /** Seconds that catching up took; NaN while it goes on. */
-    public double caughtUpAfter() {
+    public double catchUpSeconds() {
         return caughtUpAt - startedAt;
     }
 
@@ -386,11 +403,12 @@
     }
 
     /** A line a figure. */
-    public String figures() {
+    public String metrics() {
         return "state-facts " + store.size() + "\nstate-digest " + Long.toHexString(store.digest()) + "\nstate-merged "
-                + merged + "\nstate-sent " + sent + "\nstate-sent-bytes " + sentBytes + "\nstate-left-out " + held
+                + mergedFacts + "\nstate-sent " + sent + "\nstate-sent-bytes " + sentBytes + "\nstate-left-out "
+                + droppedFacts
                 + "\nstate-caught-up "
-                + (Double.isNaN(caughtUpAt) ? "no" : String.format(java.util.Locale.ROOT, "%.2f", caughtUpAfter()))
+                + (Double.isNaN(caughtUpAt) ? "no" : String.format(java.util.Locale.ROOT, "%.2f", catchUpSeconds()))
                 + "\n";
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactSnapshotFormat.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactSnapshotFormat.java
@@ -19,16 +19,16 @@
  */
 public final class FactSnapshotFormat {
     private static final int MAGIC = 0x50574631;
-    private static final int HEAD = 20;
-    private static final int RECORD = FactDatagram.FACT + 4;
+    private static final int HEADER_BYTES = 20;
+    private static final int RECORD_BYTES = FactDatagram.FACT_BYTES + 4;
 
     /** What was read: facts, or why nothing can be believed. */
-    public record Read(List<Fact> facts, String refused) {}
+    public record Result(List<Fact> facts, String rejection) {}
 
     private FactSnapshotFormat() {}
 
     public static byte[] write(int self, int size, double now, List<Fact> facts) {
-        ByteBuffer out = ByteBuffer.allocate(HEAD + facts.size() * RECORD + 4);
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + facts.size() * RECORD_BYTES + 4);
         out.putInt(MAGIC)
                 .putShort((short) self)
                 .putShort((short) size)
@@ -36,57 +36,57 @@
                 .putInt(facts.size());
         for (Fact each : facts) {
             int from = out.position();
-            FactDatagram.put(out, each);
-            out.putInt(sum(out.array(), from, FactDatagram.FACT));
+            FactDatagram.writeFact(out, each);
+            out.putInt(crc32(out.array(), from, FactDatagram.FACT_BYTES));
         }
-        out.putInt(sum(out.array(), 0, out.position()));
+        out.putInt(crc32(out.array(), 0, out.position()));
         return out.array();
     }
 
     /** @param most seconds that a snapshot may be old */
-    public static Read read(byte[] whole, int self, int size, double now, double most) {
-        ByteBuffer in = ByteBuffer.wrap(whole);
-        if (whole.length < HEAD + 4) {
-            return refused("torn: " + whole.length + " bytes");
+    public static Result read(byte[] snapshot, int self, int size, double now, double maxAgeSeconds) {
+        ByteBuffer in = ByteBuffer.wrap(snapshot);
+        if (snapshot.length < HEADER_BYTES + 4) {
+            return rejected("torn: " + snapshot.length + " bytes");
         }
         if (in.getInt() != MAGIC) {
-            return refused("no snapshot of this program's");
+            return rejected("no snapshot of this program's");
         }
-        int place = in.getShort() & 0xFFFF;
-        int listed = in.getShort() & 0xFFFF;
-        double age = now - in.getLong() / 1e3;
+        int index = in.getShort() & 0xFFFF;
+        int listedMembers = in.getShort() & 0xFFFF;
+        double ageSeconds = now - in.getLong() / 1e3;
         int records = in.getInt();
-        if (records < 0 || whole.length != HEAD + (long) records * RECORD + 4) {
-            return refused("torn: " + whole.length + " bytes for " + records + " records");
+        if (records < 0 || snapshot.length != HEADER_BYTES + (long) records * RECORD_BYTES + 4) {
+            return rejected("torn: " + snapshot.length + " bytes for " + records + " records");
         }
-        if (in.getInt(whole.length - 4) != sum(whole, 0, whole.length - 4)) {
-            return refused("spoilt: the sum over all does not fit");
+        if (in.getInt(snapshot.length - 4) != crc32(snapshot, 0, snapshot.length - 4)) {
+            return rejected("spoilt: the sum over all does not fit");
         }
-        if (place != self || listed != size) {
-            return refused("of another mixer: " + place + " of " + listed);
+        if (index != self || listedMembers != size) {
+            return rejected("of another mixer: " + index + " of " + listedMembers);
         }
-        if (!(age >= -1 && age <= most)) {
-            return refused("stale: written " + Math.round(age) + " s ago");
+        if (!(ageSeconds >= -1 && ageSeconds <= maxAgeSeconds)) {
+            return rejected("stale: written " + Math.round(ageSeconds) + " s ago");
         }
         List<Fact> facts = new ArrayList<>(records);
         for (int each = 0; each < records; each++) {
             int from = in.position();
-            Fact fact = FactDatagram.get(in);
-            if (fact == null || in.getInt() != sum(whole, from, FactDatagram.FACT)) {
-                return refused("spoilt: record " + each);
+            Fact fact = FactDatagram.readFact(in);
+            if (fact == null || in.getInt() != crc32(snapshot, from, FactDatagram.FACT_BYTES)) {
+                return rejected("spoilt: record " + each);
             }
             facts.add(fact);
         }
-        return new Read(facts, null);
+        return new Result(facts, null);
     }
 
-    private static Read refused(String why) {
-        return new Read(List.of(), why);
+    private static Result rejected(String reason) {
+        return new Result(List.of(), reason);
     }
 
-    private static int sum(byte[] bytes, int from, int length) {
-        CRC32 sum = new CRC32();
-        sum.update(bytes, from, length);
-        return (int) sum.getValue();
+    private static int crc32(byte[] bytes, int from, int length) {
+        CRC32 crc = new CRC32();
+        crc.update(bytes, from, length);
+        return (int) crc.getValue();
     }
 }
--- a/query-mixer/fleet/src/test/java/pinewick/fleet/FleetPropertyTest.java
+++ b/query-mixer/fleet/src/test/java/pinewick/fleet/FleetPropertyTest.java
@@ -23,49 +23,49 @@
 
 /** What must hold of merges, datagrams, rumours and turns whatever comes. */
 class FleetPropertyTest {
-    record Said(MemberState standing, long incarnation) {}
+    record Update(MemberState state, long incarnation) {}
 
     @Provide
-    Arbitrary<List<Said>> news() {
+    Arbitrary<List<Update>> news() {
         return Combinators.combine(
                         Arbitraries.of(MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT),
                         Arbitraries.longs().between(1, 4))
-                .as(Said::new)
+                .as(Update::new)
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(12);
     }
 
     @Property(tries = 500, seed = "20261201")
-    void newsInAnyOrderAndAnyNumberOfTimesGivesTheSameStanding(@ForAll("news") List<Said> news, @ForAll long seed) {
-        List<Said> mixed = new ArrayList<>(news);
+    void newsInAnyOrderAndAnyNumberOfTimesGivesTheSameStanding(@ForAll("news") List<Update> news, @ForAll long seed) {
+        List<Update> mixed = new ArrayList<>(news);
         mixed.addAll(news.subList(0, news.size() / 2));
         Collections.shuffle(mixed, new Random(seed));
         Member one = new Member(0);
         Member other = new Member(0);
-        news.forEach(each -> one.takes(1, each.standing, each.incarnation));
-        mixed.forEach(each -> other.takes(2, each.standing, each.incarnation));
-        assertEquals(one.standing, other.standing);
+        news.forEach(each -> one.merge(1, each.state, each.incarnation));
+        mixed.forEach(each -> other.merge(2, each.state, each.incarnation));
+        assertEquals(one.state, other.state);
         assertEquals(one.incarnation, other.incarnation);
     }
 
-    private static final class Kept implements Datagram.Reader {
-        final List<String> said = new ArrayList<>();
+    private static final class RecordingReader implements Datagram.Reader {
+        final List<String> events = new ArrayList<>();
 
         @Override
-        public void said(Datagram.Kind kind, int sender, long incarnation, int digest, int number, int about) {
-            said.add(kind + " " + sender + " " + incarnation + " " + digest + " " + number + " " + about);
+        public void onHeader(Datagram.Kind kind, int sender, long incarnation, int digest, int number, int about) {
+            events.add(kind + " " + sender + " " + incarnation + " " + digest + " " + number + " " + about);
         }
 
         @Override
-        public void sums(short[] sums) {
-            said.add("sums " + Arrays.toString(sums));
+        public void onChecksums(short[] sums) {
+            events.add("sums " + Arrays.toString(sums));
         }
 
         @Override
-        public void entry(int place, MemberState standing, long incarnation, int[] accusers, double silent) {
-            said.add(place + " " + standing + " " + incarnation + " " + Arrays.toString(accusers)
-                    + (standing == MemberState.SUSPECT ? " " + Math.round(silent * 20) : ""));
+        public void onEntry(int index, MemberState state, long incarnation, int[] accusers, double silentSince) {
+            events.add(index + " " + state + " " + incarnation + " " + Arrays.toString(accusers)
+                    + (state == MemberState.SUSPECT ? " " + Math.round(silentSince * 20) : ""));
         }
     }
 
@@ -75,103 +75,103 @@
             @ForAll long incarnation,
             @ForAll int number,
             @ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        double now = 1.79e9 + chance.nextDouble();
-        long bounded = Datagram.bounded(incarnation);
-        Datagram out = new Datagram().begin(Datagram.Kind.PING, sender, bounded, 77, number, 5);
+        SplittableRandom random = new SplittableRandom(seed);
+        double now = 1.79e9 + random.nextDouble();
+        long truncateIncarnation = Datagram.truncateIncarnation(incarnation);
+        Datagram out = new Datagram().begin(Datagram.Kind.PING, sender, truncateIncarnation, 77, number, 5);
         List<String> expected = new ArrayList<>();
-        expected.add("PING " + sender + " " + bounded + " 77 " + number + " 5");
+        expected.add("PING " + sender + " " + truncateIncarnation + " 77 " + number + " 5");
         while (out.hasRoom()) {
-            MemberState standing = MemberState.values()[1 + chance.nextInt(4)];
-            int place = chance.nextInt(Datagram.PLACES);
-            long at = chance.nextLong(1L << 47);
-            int[] accusers = chance.ints(standing == MemberState.SUSPECT ? chance.nextInt(5) : 0, 0, 8192)
+            MemberState state = MemberState.values()[1 + random.nextInt(4)];
+            int index = random.nextInt(Datagram.MAX_MEMBERS);
+            long at = random.nextLong(1L << 47);
+            int[] accusers = random.ints(state == MemberState.SUSPECT ? random.nextInt(5) : 0, 0, 8192)
                     .toArray();
-            double silent = now - 12 * chance.nextDouble();
-            out.entry(place, standing, at, accusers, silent);
-            expected.add(place + " " + standing + " " + at + " " + Arrays.toString(accusers)
-                    + (standing == MemberState.SUSPECT ? " " + Math.round(silent * 20) : ""));
+            double silentSince = now - 12 * random.nextDouble();
+            out.addEntry(index, state, at, accusers, silentSince);
+            expected.add(index + " " + state + " " + at + " " + Arrays.toString(accusers)
+                    + (state == MemberState.SUSPECT ? " " + Math.round(silentSince * 20) : ""));
         }
-        byte[] whole = out.end();
-        assertTrue(whole.length <= 256, whole.length + " bytes");
-        Kept kept = new Kept();
-        assertNull(Datagram.read(now, whole, whole.length, Datagram.PLACES, kept));
-        assertEquals(expected, kept.said);
+        byte[] datagram = out.finish();
+        assertTrue(datagram.length <= 256, datagram.length + " bytes");
+        RecordingReader recorder = new RecordingReader();
+        assertNull(Datagram.read(now, datagram, datagram.length, Datagram.MAX_MEMBERS, recorder));
+        assertEquals(expected, recorder.events);
     }
 
     @Property(tries = 500, seed = "20261201")
     void aDatagramThatWasChangedOrCutIsRefusedWholeAndNothingIsThrown(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        Datagram out = new Datagram().begin(Datagram.Kind.NEWS, 3, 9, 1, 2, 4);
-        for (int each = chance.nextInt(10); each > 0; each--) {
-            out.entry(each, MemberState.SUSPECT, 5, new int[] {1, 2}, 100);
+        SplittableRandom random = new SplittableRandom(seed);
+        Datagram out = new Datagram().begin(Datagram.Kind.GOSSIP, 3, 9, 1, 2, 4);
+        for (int each = random.nextInt(10); each > 0; each--) {
+            out.addEntry(each, MemberState.SUSPECT, 5, new int[] {1, 2}, 100);
         }
-        byte[] whole = out.end();
-        byte[] odd = whole.clone();
-        odd[chance.nextInt(odd.length)] ^= (byte) (1 << chance.nextInt(8));
-        Kept kept = new Kept();
-        assertTrue(Datagram.read(100, odd, odd.length, 10, kept) != null);
-        assertTrue(Datagram.read(100, whole, chance.nextInt(whole.length), 10, kept) != null);
-        assertTrue(kept.said.isEmpty(), "nothing of a spoilt datagram is told");
+        byte[] datagram = out.finish();
+        byte[] corrupted = datagram.clone();
+        corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 << random.nextInt(8));
+        RecordingReader recorder = new RecordingReader();
+        assertTrue(Datagram.read(100, corrupted, corrupted.length, 10, recorder) != null);
+        assertTrue(Datagram.read(100, datagram, random.nextInt(datagram.length), 10, recorder) != null);
+        assertTrue(recorder.events.isEmpty(), "nothing of a spoilt datagram is told");
     }
 
     @Property(tries = 500, seed = "20261201")
     void noiseUnderARightSumIsRefusedOrReadButNeverThrown(@ForAll @Size(min = 1, max = 240) byte[] noise) {
-        byte[] whole = Arrays.copyOf(noise, noise.length + 4);
-        whole[0] = Datagram.VERSION;
+        byte[] datagram = Arrays.copyOf(noise, noise.length + 4);
+        datagram[0] = Datagram.VERSION;
         java.util.zip.CRC32 sum = new java.util.zip.CRC32();
-        sum.update(whole, 0, noise.length);
-        java.nio.ByteBuffer.wrap(whole).putInt(noise.length, (int) sum.getValue());
+        sum.update(datagram, 0, noise.length);
+        java.nio.ByteBuffer.wrap(datagram).putInt(noise.length, (int) sum.getValue());
         MembershipView view = new MembershipView(
                 4,
                 0,
                 1,
-                MembershipSettings.usual(),
+                MembershipSettings.defaults(),
                 new SplittableRandom(1),
-                new MembershipView.Wire() {
+                new MembershipView.Transport() {
                     @Override
-                    public void send(int place, byte[] datagram) {
-                        assertTrue(place > 0 && place < 4 && datagram.length <= 256);
+                    public void send(int index, byte[] datagram) {
+                        assertTrue(index > 0 && index < 4 && datagram.length <= 256);
                     }
 
                     @Override
-                    public boolean sendAll(byte[] datagram) {
+                    public boolean broadcast(byte[] datagram) {
                         return true;
                     }
                 },
-                (place, was, is) -> {});
+                (index, was, is) -> {});
         view.start(100);
-        view.heard(100.1, 2, whole, whole.length);
+        view.onDatagram(100.1, 2, datagram, datagram.length);
         view.tick(100.2);
     }
 
     @Test
     void aFullDatagramTakesNoMore() {
-        Datagram out = new Datagram().begin(Datagram.Kind.NEWS, 0, 1, 0, 0, 0);
+        Datagram out = new Datagram().begin(Datagram.Kind.GOSSIP, 0, 1, 0, 0, 0);
         while (out.hasRoom()) {
-            out.entry(1, MemberState.SUSPECT, 1, new int[] {1, 2, 3, 4}, 1);
+            out.addEntry(1, MemberState.SUSPECT, 1, new int[] {1, 2, 3, 4}, 1);
         }
-        assertThrows(IllegalStateException.class, () -> out.entry(1, MemberState.ALIVE, 1, new int[0], 0));
-        assertTrue(out.end().length <= 256);
+        assertThrows(IllegalStateException.class, () -> out.addEntry(1, MemberState.ALIVE, 1, new int[0], 0));
+        assertTrue(out.finish().length <= 256);
     }
 
     @Property(tries = 200, seed = "20261201")
     void everyPieceOfNewsIsSentSoOftenAndTheLeastSentGoesFirst(
             @ForAll @IntRange(min = 1, max = 50) int size, @ForAll @IntRange(min = 1, max = 7) int room) {
-        GossipQueue rumours = new GossipQueue(size);
+        GossipQueue gossipQueue = new GossipQueue(size);
         int[] sent = new int[size];
-        for (int place = 0; place < size; place++) {
-            rumours.add(place);
+        for (int index = 0; index < size; index++) {
+            gossipQueue.add(index);
         }
-        for (int turn = 0; rumours.any(); turn++) {
+        for (int turn = 0; gossipQueue.hasPending(); turn++) {
             assertTrue(turn <= 5 * size, "news goes out without end");
             int[] left = {room};
-            rumours.offer(4, place -> {
+            gossipQueue.drain(4, index -> {
                 if (left[0] == 0) {
                     return false;
                 }
                 left[0]--;
-                sent[place]++;
+                sent[index]++;
                 return true;
             });
             int most = Arrays.stream(sent).max().orElse(0);
@@ -183,42 +183,42 @@
     @Property(tries = 200, seed = "20261201")
     void inATurnEachMemberThatTakesPartIsLookedAtByExactlyOne(
             @ForAll @IntRange(min = 2, max = 60) int size, @ForAll long turn, @ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         Member[] members = new Member[size];
-        for (int place = 0; place < size; place++) {
-            members[place] = new Member(place);
-            members[place].takes(0, place < 2 || chance.nextBoolean() ? MemberState.ALIVE : MemberState.DEAD, 1);
+        for (int index = 0; index < size; index++) {
+            members[index] = new Member(index);
+            members[index].merge(0, index < 2 || random.nextBoolean() ? MemberState.ALIVE : MemberState.DEAD, 1);
         }
-        int[] looks = new int[size];
+        int[] probeCounts = new int[size];
         for (Member each : members) {
-            if (each.standing == MemberState.ALIVE) {
-                int target = new ProbeSchedule(0.4).target(turn, each.place, members);
-                assertTrue(target != each.place);
-                looks[target]++;
+            if (each.state == MemberState.ALIVE) {
+                int target = new ProbeSchedule(0.4).target(turn, each.index, members);
+                assertTrue(target != each.index);
+                probeCounts[target]++;
             }
         }
         for (Member each : members) {
-            assertEquals(each.standing == MemberState.ALIVE ? 1 : 0, looks[each.place]);
+            assertEquals(each.state == MemberState.ALIVE ? 1 : 0, probeCounts[each.index]);
         }
     }
 
     @Property(tries = 200, seed = "20261201")
     void moreAccusersNeverLengthenAndAreNeverShorterThanTheLeastSilence(
             @ForAll @IntRange(min = 2, max = 1000) int members, @ForAll @IntRange(min = 1, max = 6) int accusers) {
-        MembershipSettings terms = MembershipSettings.usual();
-        Suspicion suspicion = new Suspicion(terms);
-        double allowed = suspicion.allowed(accusers, members);
-        assertTrue(allowed >= terms.silence() && allowed <= terms.silenceMost());
-        assertTrue(suspicion.allowed(accusers + 1, members) <= allowed);
+        MembershipSettings settings = MembershipSettings.defaults();
+        Suspicion suspicion = new Suspicion(settings);
+        double timeoutSeconds = suspicion.timeoutSeconds(accusers, members);
+        assertTrue(timeoutSeconds >= settings.minSilenceSeconds() && timeoutSeconds <= settings.maxSilenceSeconds());
+        assertTrue(suspicion.timeoutSeconds(accusers + 1, members) <= timeoutSeconds);
     }
 
     @Test
     void anIncarnationThatLeavesNoRoomToObjectIsRefused() {
-        Datagram out = new Datagram().begin(Datagram.Kind.NEWS, 1, 5, 0, 0, 0);
-        out.entry(2, MemberState.DEAD, (1L << 48) - 1, new int[0], 0);
-        byte[] whole = out.end();
-        Kept kept = new Kept();
-        assertEquals("form", Datagram.read(100, whole, whole.length, 4, kept));
-        assertTrue(kept.said.isEmpty());
+        Datagram out = new Datagram().begin(Datagram.Kind.GOSSIP, 1, 5, 0, 0, 0);
+        out.addEntry(2, MemberState.DEAD, (1L << 48) - 1, new int[0], 0);
+        byte[] datagram = out.finish();
+        RecordingReader recorder = new RecordingReader();
+        assertEquals("form", Datagram.read(100, datagram, datagram.length, 4, recorder));
+        assertTrue(recorder.events.isEmpty());
     }
 }
--- a/query-mixer/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
+++ b/query-mixer/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
@@ -35,7 +35,7 @@
                         Arbitraries.integers().between(1, 9))
                 .as((key, kind, origin, stamp, figure) ->
                         // One origin says one thing with one stamp.
-                        new Fact(key << 28, kind, origin, stamp, Fact.decoded(Fact.coded(origin * 7 + stamp)), 0))
+                        new Fact(key << 28, kind, origin, stamp, Fact.decode(Fact.encode(origin * 7 + stamp)), 0))
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(60);
@@ -77,8 +77,8 @@
     void sumsDifferWhereCopiesDo(@ForAll("facts") List<Fact> facts, @ForAll("facts") List<Fact> others) {
         FactStore one = store(facts);
         FactStore other = store(others);
-        for (int stretch = 0; stretch < FactStore.STRETCHES; stretch++) {
-            assertEquals(one.all(stretch).equals(other.all(stretch)), one.sums()[stretch] == other.sums()[stretch]);
+        for (int range = 0; range < FactStore.RANGES; range++) {
+            assertEquals(one.all(range).equals(other.all(range)), one.checksums()[range] == other.checksums()[range]);
         }
     }
 
@@ -88,19 +88,19 @@
             @ForAll @DoubleRange(min = 0.01, max = 1) double second,
             @ForAll @DoubleRange(min = 1e-6, max = 1e6) @Scale(6) double lie) {
         FactStore store = new FactStore();
-        store.merge(new Fact(1, FactKind.PACE, 1, 100_000, honest, 0));
-        store.merge(new Fact(1, FactKind.PACE, 2, 100_000, second, 0));
-        store.merge(new Fact(1, FactKind.PACE, 3, 100_000, lie, 0));
-        double pace = new FactAggregator(store).pace(1, 0, 100);
+        store.merge(new Fact(1, FactKind.LATENCY, 1, 100_000, honest, 0));
+        store.merge(new Fact(1, FactKind.LATENCY, 2, 100_000, second, 0));
+        store.merge(new Fact(1, FactKind.LATENCY, 3, 100_000, lie, 0));
+        double pace = new FactAggregator(store).latencySeconds(1, 0, 100);
         assertTrue(pace >= Math.min(honest, second) && pace <= Math.max(honest, second), pace + " of " + lie);
     }
 
     @Property(tries = 300, seed = "20261201")
     void othersNeverMakeAMixerLessCarefulThanItsOwnEyes(@ForAll double own, @ForAll double others) {
-        assertTrue(Double.isNaN(own) || FactAggregator.worse(own, others) >= own);
+        assertTrue(Double.isNaN(own) || FactAggregator.worseOf(own, others) >= own);
     }
 
-    private static final class Kept implements FactDatagram.Reader {
+    private static final class RecordingReader implements FactDatagram.Reader {
         final List<Fact> facts = new ArrayList<>();
         int[] sums;
         int[] named;
@@ -108,109 +108,109 @@
         boolean last;
 
         @Override
-        public void fact(Fact fact) {
+        public void onFact(Fact fact) {
             facts.add(fact);
         }
 
         @Override
-        public void sums(int[] given) {
+        public void onChecksums(int[] given) {
             sums = given;
         }
 
         @Override
-        public void searchers(int[] keys, int[] given) {
+        public void onSearchers(int[] keys, int[] given) {
             named = keys;
             namedSums = given;
         }
 
         @Override
-        public void wanted(int[] keys) {
+        public void onKeysRequested(int[] keys) {
             named = keys;
         }
 
         @Override
-        public void last() {
+        public void onAnswerComplete() {
             last = true;
         }
     }
 
     @Property(tries = 300, seed = "20261201")
     void whatIsWrittenIsReadAndNeverLongerThanAllowed(@ForAll("facts") List<Fact> facts, @ForAll boolean last) {
-        List<Fact> some = facts.subList(0, Math.min(facts.size(), FactDatagram.FACTS));
-        byte[] whole = FactDatagram.facts(some, last);
-        assertTrue(whole.length <= 256);
-        Kept kept = new Kept();
-        assertNull(FactDatagram.read(whole, whole.length, kept));
-        assertEquals(some, kept.facts);
-        assertEquals(last, kept.last);
-        byte[] sums = FactDatagram.sums(store(facts).sums());
+        List<Fact> some = facts.subList(0, Math.min(facts.size(), FactDatagram.MAX_FACTS));
+        byte[] datagram = FactDatagram.facts(some, last);
+        assertTrue(datagram.length <= 256);
+        RecordingReader recorder = new RecordingReader();
+        assertNull(FactDatagram.read(datagram, datagram.length, recorder));
+        assertEquals(some, recorder.facts);
+        assertEquals(last, recorder.last);
+        byte[] sums = FactDatagram.checksums(store(facts).checksums());
         assertTrue(sums.length <= 256);
-        assertNull(FactDatagram.read(sums, sums.length, kept));
-        assertTrue(Arrays.equals(store(facts).sums(), kept.sums));
-        List<Integer> keys = java.util.stream.IntStream.range(0, FactDatagram.SEARCHERS)
+        assertNull(FactDatagram.read(sums, sums.length, recorder));
+        assertTrue(Arrays.equals(store(facts).checksums(), recorder.sums));
+        List<Integer> keys = java.util.stream.IntStream.range(0, FactDatagram.MAX_SEARCHERS)
                 .mapToObj(each -> each * 7919)
                 .toList();
         List<Integer> keySums = keys.stream().map(each -> each * 31).toList();
         byte[] searchers = FactDatagram.searchers(keys, keySums);
         assertTrue(searchers.length <= 256);
-        assertNull(FactDatagram.read(searchers, searchers.length, kept));
-        assertEquals(keys, Arrays.stream(kept.named).boxed().toList());
-        assertEquals(keySums.get(5), kept.namedSums[5]);
-        byte[] wanted = FactDatagram.wanted(keys);
+        assertNull(FactDatagram.read(searchers, searchers.length, recorder));
+        assertEquals(keys, Arrays.stream(recorder.named).boxed().toList());
+        assertEquals(keySums.get(5), recorder.namedSums[5]);
+        byte[] wanted = FactDatagram.keyRequest(keys);
         assertTrue(wanted.length <= 256);
-        assertNull(FactDatagram.read(wanted, wanted.length, kept));
+        assertNull(FactDatagram.read(wanted, wanted.length, recorder));
     }
 
     @Property(tries = 300, seed = "20261201")
     void aSpoiltDatagramTellsNothing(@ForAll("facts") List<Fact> facts, @ForAll long seed) {
-        byte[] whole = FactDatagram.facts(facts.subList(0, Math.min(facts.size(), FactDatagram.FACTS)), false);
-        Random chance = new Random(seed);
-        byte[] odd = whole.clone();
-        odd[chance.nextInt(odd.length)] ^= (byte) (1 << chance.nextInt(8));
-        Kept kept = new Kept();
-        assertTrue(FactDatagram.read(odd, odd.length, kept) != null);
-        assertTrue(FactDatagram.read(whole, chance.nextInt(whole.length), kept) != null);
-        assertTrue(kept.facts.isEmpty() && kept.sums == null && kept.named == null && !kept.last);
+        byte[] datagram = FactDatagram.facts(facts.subList(0, Math.min(facts.size(), FactDatagram.MAX_FACTS)), false);
+        Random random = new Random(seed);
+        byte[] corrupted = datagram.clone();
+        corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 << random.nextInt(8));
+        RecordingReader recorder = new RecordingReader();
+        assertTrue(FactDatagram.read(corrupted, corrupted.length, recorder) != null);
+        assertTrue(FactDatagram.read(datagram, random.nextInt(datagram.length), recorder) != null);
+        assertTrue(recorder.facts.isEmpty() && recorder.sums == null && recorder.named == null && !recorder.last);
     }
 
     @Property(tries = 500, seed = "20261201")
     void noiseUnderARightSumIsNeverThrownIntoTheLoop(@ForAll @Size(min = 1, max = 240) byte[] noise) {
-        byte[] whole = Arrays.copyOf(noise, noise.length + 4);
-        whole[0] = FactDatagram.VERSION;
+        byte[] datagram = Arrays.copyOf(noise, noise.length + 4);
+        datagram[0] = FactDatagram.VERSION;
         java.util.zip.CRC32 sum = new java.util.zip.CRC32();
-        sum.update(whole, 0, noise.length);
-        java.nio.ByteBuffer.wrap(whole).putInt(noise.length, (int) sum.getValue());
-        FactReplicator state = new FactReplicator(
+        sum.update(datagram, 0, noise.length);
+        java.nio.ByteBuffer.wrap(datagram).putInt(noise.length, (int) sum.getValue());
+        FactReplicator replicator = new FactReplicator(
                 4,
                 0,
-                FactReplicationSettings.usual(),
+                FactReplicationSettings.defaults(),
                 new java.util.SplittableRandom(1),
-                (place, datagram) -> assertTrue(place > 0 && place < 4 && datagram.length <= 256),
-                place -> true);
-        state.start(100);
-        state.heard(100.1, 2, whole, whole.length);
-        state.tick(100.2);
+                (index, sent) -> assertTrue(index > 0 && index < 4 && sent.length <= 256),
+                index -> true);
+        replicator.start(100);
+        replicator.onDatagram(100.1, 2, datagram, datagram.length);
+        replicator.tick(100.2);
     }
 
     @Property(tries = 300, seed = "20261201")
     void aFigureInTwoBytesIsWithinAPartInTwoThousand(
             @ForAll @DoubleRange(min = 1e-6, max = 9e5) @Scale(6) double figure) {
-        assertEquals(figure, Fact.decoded(Fact.coded(figure)), figure / 2000);
+        assertEquals(figure, Fact.decode(Fact.encode(figure)), figure / 2000);
     }
 
     @Property(tries = 100, seed = "20261201")
     void aWarningNeedsTwoOthers(@ForAll @IntRange(min = 0, max = 4) int origins) {
         FactStore store = new FactStore();
         for (int origin = 0; origin < origins; origin++) {
-            store.merge(new Fact(1, FactKind.ILL, origin, 100_000 + origin, 3, 0));
+            store.merge(new Fact(1, FactKind.UNHEALTHY, origin, 100_000 + origin, 3, 0));
         }
-        FactAggregator agreed = new FactAggregator(store);
-        assertEquals(origins >= 2, agreed.ill(1, 9, 100.5, 0));
+        FactAggregator aggregator = new FactAggregator(store);
+        assertEquals(origins >= 2, aggregator.isUnhealthy(1, 9, 100.5, 0));
         assertEquals(
-                Math.min(origins, FactStore.ORIGINS) - (origins >= 1 && origins <= 3 ? 1 : 0) >= 2,
-                agreed.ill(1, 0, 100.5, 0),
+                Math.min(origins, FactStore.MAX_ORIGINS) - (origins >= 1 && origins <= 3 ? 1 : 0) >= 2,
+                aggregator.isUnhealthy(1, 0, 100.5, 0),
                 "its own word is none of the others'");
-        assertFalse(agreed.ill(1, 9, 110, 0), "an old warning is none");
+        assertFalse(aggregator.isUnhealthy(1, 9, 110, 0), "an old warning is none");
     }
 
     @Test
@@ -218,31 +218,37 @@
         List<Fact> facts = new ArrayList<>();
         for (int each = 0; each < 40; each++) {
             facts.add(new Fact(
-                    each * 77_777, FactKind.PACE, each % 5, 100_000 + each, Fact.decoded(Fact.coded(0.1 + each)), 0));
+                    each * 77_777,
+                    FactKind.LATENCY,
+                    each % 5,
+                    100_000 + each,
+                    Fact.decode(Fact.encode(0.1 + each)),
+                    0));
         }
-        byte[] whole = FactSnapshotFormat.write(3, 9, 100, facts);
-        assertEquals(facts, FactSnapshotFormat.read(whole, 3, 9, 101, 60).facts());
-        for (int at = 0; at < whole.length; at++) {
+        byte[] datagram = FactSnapshotFormat.write(3, 9, 100, facts);
+        assertEquals(facts, FactSnapshotFormat.read(datagram, 3, 9, 101, 60).facts());
+        for (int at = 0; at < datagram.length; at++) {
             for (int bit = 0; bit < 8; bit++) {
-                byte[] odd = whole.clone();
-                odd[at] ^= (byte) (1 << bit);
-                FactSnapshotFormat.Read read = FactSnapshotFormat.read(odd, 3, 9, 101, 60);
-                assertTrue(read.refused() != null && read.facts().isEmpty(), "byte " + at + ", bit " + bit);
+                byte[] corrupted = datagram.clone();
+                corrupted[at] ^= (byte) (1 << bit);
+                FactSnapshotFormat.Result result = FactSnapshotFormat.read(corrupted, 3, 9, 101, 60);
+                assertTrue(result.rejection() != null && result.facts().isEmpty(), "byte " + at + ", bit " + bit);
             }
             assertTrue(
-                    FactSnapshotFormat.read(Arrays.copyOf(whole, at), 3, 9, 101, 60)
-                                    .refused()
+                    FactSnapshotFormat.read(Arrays.copyOf(datagram, at), 3, 9, 101, 60)
+                                    .rejection()
                             != null,
                     "cut at " + at);
         }
-        byte[] longer = Arrays.copyOf(whole, whole.length + 1);
-        assertTrue(FactSnapshotFormat.read(longer, 3, 9, 101, 60).refused().startsWith("torn"));
-        assertTrue(FactSnapshotFormat.read(whole, 4, 9, 101, 60).refused().startsWith("of another mixer"));
-        assertTrue(FactSnapshotFormat.read(whole, 3, 10, 101, 60).refused().startsWith("of another mixer"));
-        assertTrue(FactSnapshotFormat.read(whole, 3, 9, 161.1, 60).refused().startsWith("stale"));
-        assertTrue(FactSnapshotFormat.read(whole, 3, 9, 98, 60).refused().startsWith("stale"), "of the future");
+        byte[] longer = Arrays.copyOf(datagram, datagram.length + 1);
+        assertTrue(FactSnapshotFormat.read(longer, 3, 9, 101, 60).rejection().startsWith("torn"));
+        assertTrue(FactSnapshotFormat.read(datagram, 4, 9, 101, 60).rejection().startsWith("of another mixer"));
+        assertTrue(FactSnapshotFormat.read(datagram, 3, 10, 101, 60).rejection().startsWith("of another mixer"));
+        assertTrue(
+                FactSnapshotFormat.read(datagram, 3, 9, 161.1, 60).rejection().startsWith("stale"));
+        assertTrue(FactSnapshotFormat.read(datagram, 3, 9, 98, 60).rejection().startsWith("stale"), "of the future");
         assertTrue(FactSnapshotFormat.read("someone else's".getBytes(UTF_8), 3, 9, 101, 60)
-                        .refused()
+                        .rejection()
                 != null);
     }
 }
--- a/testing/emulator/src/main/java/pinewick/emulator/SimulatedMixerFleet.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/SimulatedMixerFleet.java
@@ -23,7 +23,7 @@
     private final boolean hasBroadcast;
 
     public SimulatedMixerFleet(int size, long seed) {
-        this(size, seed, MembershipSettings.usual(), true);
+        this(size, seed, MembershipSettings.defaults(), true);
     }
 
     /** @param all whether there is a way to send to all at once */
@@ -71,14 +71,14 @@
                 incarnation,
                 terms,
                 random.split(),
-                new MembershipView.Wire() {
+                new MembershipView.Transport() {
                     @Override
                     public void send(int to, byte[] datagram) {
                         datagrams.send(member, to, datagram);
                     }
 
                     @Override
-                    public boolean sendAll(byte[] datagram) {
+                    public boolean broadcast(byte[] datagram) {
                         if (hasBroadcast) {
                             datagrams.sendAll(member, datagram);
                         }
@@ -99,7 +99,7 @@
 
             @Override
             public void datagram(double now, int from, byte[] bytes) {
-                view.heard(now, from, bytes, bytes.length);
+                view.onDatagram(now, from, bytes, bytes.length);
             }
         });
         view.start(datagrams.now());
@@ -124,7 +124,7 @@
     /** Whether this member holds exactly the live ones for taking part, at their newest incarnations. */
     public boolean hasTrueView(int member) {
         for (int other = 0; other < views.length; other++) {
-            if (views[member].standing(other).takesPart() != datagrams.isRunning(other)
+            if (views[member].state(other).isActive() != datagrams.isRunning(other)
                     || (datagrams.isRunning(other)
                             && views[member].incarnation(other) != views[other].incarnation(other))) {
                 return false;
--- a/testing/emulator/src/main/java/pinewick/emulator/SimulatedStateFleet.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/SimulatedStateFleet.java
@@ -56,7 +56,7 @@
 
             @Override
             public void datagram(double now, int from, byte[] bytes) {
-                malformedDatagrams += state.heard(now, from, bytes, bytes.length) == null ? 0 : 1;
+                malformedDatagrams += state.onDatagram(now, from, bytes, bytes.length) == null ? 0 : 1;
             }
         });
         state.start(datagrams.now());
--- a/testing/emulator/src/test/java/pinewick/emulator/SimulatedMixerFleetTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/SimulatedMixerFleetTest.java
@@ -33,7 +33,7 @@
     @Test
     void aJoinIsKnownToAllWithinTwoSecondsEvenWithoutBroadcast() {
         for (boolean all : new boolean[] {true, false}) {
-            SimulatedMixerFleet world = new SimulatedMixerFleet(100, 3, MembershipSettings.usual(), all);
+            SimulatedMixerFleet world = new SimulatedMixerFleet(100, 3, MembershipSettings.defaults(), all);
             world.datagrams().links(0.1, 0, 0.001, 0.018);
             for (int place = 1; place < 100; place++) {
                 world.start(place);
@@ -64,8 +64,8 @@
             SimulatedMixerFleet world = running(100, 0.1, seed);
             world.datagrams().partition((from, to) -> from < 20 != to < 20);
             world.datagrams().run(world.datagrams().now() + 6);
-            assertEquals(MemberState.DEAD, world.view(5).standing(70));
-            assertEquals(MemberState.DEAD, world.view(70).standing(5));
+            assertEquals(MemberState.DEAD, world.view(5).state(70));
+            assertEquals(MemberState.DEAD, world.view(70).state(5));
             world.datagrams().partition((from, to) -> false);
             assertTrue(world.secondsToConverge(3) <= 3, "seed " + seed);
         }
@@ -96,7 +96,7 @@
         world.datagrams().run(world.datagrams().now() + 0.1);
         world.datagrams().kill(2);
         assertTrue(world.secondsToConverge(1) <= 1);
-        assertEquals(MemberState.LEFT, world.view(0).standing(2));
+        assertEquals(MemberState.LEFT, world.view(0).state(2));
         world.datagrams().run(world.datagrams().now() + 4);
         assertEquals(0, world.deaths().size());
         world.start(2);
@@ -122,7 +122,7 @@
         long before = world.view(0).incarnation(1);
         world.datagrams().kill(1);
         world.datagrams().run(world.datagrams().now() + 5);
-        assertEquals(MemberState.DEAD, world.view(0).standing(1));
+        assertEquals(MemberState.DEAD, world.view(0).state(1));
         world.startWith(1, 5);
         assertTrue(world.secondsToConverge(2) <= 2, "it takes an incarnation above the one it is told of");
         assertTrue(world.view(0).incarnation(1) > before);
@@ -132,14 +132,14 @@
     void aLongerMemberListRetainsWhatIsKnownAndNewMembersAreUnknown() {
         SimulatedMixerFleet world = running(4, 0, 10);
         MembershipView view = world.view(0);
-        view.listed(world.datagrams().now(), 6, 0);
-        assertEquals("AAAAUU", view.letters());
-        assertEquals(4, view.live());
-        assertEquals(6, view.bound(world.datagrams().now()));
-        view.listed(world.datagrams().now(), 3, 0);
-        assertEquals("AAA", view.letters());
+        view.onMemberListChanged(world.datagrams().now(), 6, 0);
+        assertEquals("AAAAUU", view.stateLetters());
+        assertEquals(4, view.liveCount());
+        assertEquals(6, view.maxSenders(world.datagrams().now()));
+        view.onMemberListChanged(world.datagrams().now(), 3, 0);
+        assertEquals("AAA", view.stateLetters());
         world.datagrams().run(world.datagrams().now() + 3);
-        assertEquals("AAA", view.letters(), "news of places that are not listed here is passed over");
+        assertEquals("AAA", view.stateLetters(), "news of places that are not listed here is passed over");
     }
 
     @Test
@@ -150,12 +150,12 @@
             world.datagrams().kill(place);
         }
         world.secondsToConverge(15);
-        assertEquals(5, view.live());
-        assertEquals(10, view.bound(world.datagrams().now()));
+        assertEquals(5, view.liveCount());
+        assertEquals(10, view.maxSenders(world.datagrams().now()));
         world.datagrams().run(world.datagrams().now() + 31);
         assertEquals(
                 8,
-                view.bound(world.datagrams().now()),
+                view.maxSenders(world.datagrams().now()),
                 "half may be cut off and still sending: four fifths " + "at the least");
     }
 
@@ -181,31 +181,31 @@
         one.datagrams().run(one.datagrams().now() + 4);
         other.datagrams().run(other.datagrams().now() + 4);
         assertEquals(one.sentBytes(), other.sentBytes());
-        assertEquals(one.view(0).figures(), other.view(0).figures());
+        assertEquals(one.view(0).metrics(), other.view(0).metrics());
     }
 
     @Test
     void aFleetOfOneHasNoPeersAndNoWarnings() {
         SimulatedMixerFleet world = new SimulatedMixerFleet(1, 14).startAll();
         world.datagrams().run(world.datagrams().now() + 5);
-        assertEquals("A", world.view(0).letters());
-        assertEquals(1, world.view(0).bound(world.datagrams().now()));
+        assertEquals("A", world.view(0).stateLetters());
+        assertEquals(1, world.view(0).maxSenders(world.datagrams().now()));
         assertEquals(0, world.deaths().size());
-        assertFalse(world.view(0).figures().isEmpty());
+        assertFalse(world.view(0).metrics().isEmpty());
     }
 
     @Test
     void aMemberWithoutContactDoesNotDecideAsIfItWereTheOnlyOne() {
         SimulatedMixerFleet world = new SimulatedMixerFleet(10, 15);
         world.start(0);
-        assertEquals(10, world.view(0).spread(), "nothing is known of the others but that they are listed");
+        assertEquals(10, world.view(0).estimatedSenders(), "nothing is known of the others but that they are listed");
         world = running(10, 0, 15);
         world.datagrams().partition((from, to) -> true);
         world.datagrams().run(world.datagrams().now() + 12);
-        assertEquals(1, world.view(0).live());
-        assertEquals(5, world.view(0).spread());
+        assertEquals(1, world.view(0).liveCount());
+        assertEquals(5, world.view(0).estimatedSenders());
         world.datagrams().partition((from, to) -> false);
         assertTrue(world.secondsToConverge(3) <= 3);
-        assertEquals(10, world.view(0).spread());
+        assertEquals(10, world.view(0).estimatedSenders());
     }
 }
