--- a/testing/emulator/src/test/java/pinewick/emulator/SimulatedStateFleetTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/SimulatedStateFleetTest.java
@@ -13,7 +13,7 @@
 /** Stories of what a tier of mixers replicates, in virtual time. */
 class SimulatedStateFleetTest {
     private static SimulatedStateFleet running(int size, double loss, long seed) {
-        SimulatedStateFleet world = new SimulatedStateFleet(size, seed, FactReplicationSettings.usual());
+        SimulatedStateFleet world = new SimulatedStateFleet(size, seed, FactReplicationSettings.defaults());
         world.datagrams().links(loss, 0.01, 0.001, 0.018);
         world.startAll();
         world.datagrams().run(world.datagrams().now() + 5);
@@ -28,10 +28,10 @@
                 int searcher = chance.nextInt(searchers);
                 if (world.datagrams().isRunning(place)) {
                     world.state(place)
-                            .saw(
+                            .recordObservation(
                                     world.datagrams().now(),
                                     Fact.key("s-" + searcher),
-                                    FactKind.PACE,
+                                    FactKind.LATENCY,
                                     0.01 * (searcher + 1) * (0.95 + 0.1 * chance.nextDouble()),
                                     3);
                 }
@@ -56,9 +56,9 @@
         for (long seed = 1; seed <= 10; seed++) {
             SimulatedStateFleet world = running(100, 0.1, seed);
             int key = Fact.key("s-bad");
-            world.state(3).saw(world.datagrams().now(), key, FactKind.ILL, 4, 0);
+            world.state(3).recordObservation(world.datagrams().now(), key, FactKind.UNHEALTHY, 4, 0);
             world.datagrams().run(world.datagrams().now() + 1);
-            assertTrue(holders(world, key, FactKind.ILL) >= 99, "seed " + seed);
+            assertTrue(holders(world, key, FactKind.UNHEALTHY) >= 99, "seed " + seed);
         }
     }
 
@@ -72,16 +72,19 @@
         int near = 0;
         for (int searcher = 0; searcher < 50; searcher++) {
             double its = world.state(7)
-                    .agreed()
-                    .pace(Fact.key("s-" + searcher), 7, world.datagrams().now());
+                    .aggregator()
+                    .latencySeconds(
+                            Fact.key("s-" + searcher), 7, world.datagrams().now());
             double others = world.state(20)
-                    .agreed()
-                    .pace(Fact.key("s-" + searcher), 20, world.datagrams().now());
+                    .aggregator()
+                    .latencySeconds(
+                            Fact.key("s-" + searcher), 20, world.datagrams().now());
             near += Math.abs(its - others) <= 0.2 * others ? 1 : 0;
         }
         assertEquals(50, near);
         world.datagrams().run(world.datagrams().now() + 5);
-        assertFalse(Double.isNaN(world.state(7).caughtUpAfter()), world.state(7).figures());
+        assertFalse(
+                Double.isNaN(world.state(7).catchUpSeconds()), world.state(7).metrics());
     }
 
     @Test
@@ -98,16 +101,16 @@
         }
         world.datagrams().run(world.datagrams().now() + 4);
         double each = (stayedBytes(world) - before) / 30.0;
-        FactReplicationSettings terms = FactReplicationSettings.usual();
+        FactReplicationSettings terms = FactReplicationSettings.defaults();
         assertTrue(
-                each <= 4 * terms.bytesASecond() + 2 * terms.burst() + 1000,
+                each <= 4 * terms.bytesPerSecond() + 2 * terms.burstBytes() + 1000,
                 each + " bytes in 4 s by " + "one that stayed");
         for (int place = 0; place < 70; place++) {
             assertTrue(
                     world.state(place).store().size()
                             > 0.9 * world.state(80).store().size(),
-                    "mixer " + place + ": " + world.state(place).figures() + " beside "
-                            + world.state(80).figures());
+                    "mixer " + place + ": " + world.state(place).metrics() + " beside "
+                            + world.state(80).metrics());
         }
     }
 
@@ -140,26 +143,28 @@
         int key = Fact.key("s-1");
         SplittableRandom chance = new SplittableRandom(8);
         for (int place = 1; place < 6; place++) {
-            world.state(place).saw(world.datagrams().now(), key, FactKind.PACE, 0.1 * (1 + 0.3 * place), 2);
+            world.state(place)
+                    .recordObservation(world.datagrams().now(), key, FactKind.LATENCY, 0.1 * (1 + 0.3 * place), 2);
         }
         for (int each = 0; each < 10; each++) {
-            world.state(0).saw(world.datagrams().now(), key, FactKind.PACE, each % 2 == 0 ? 1e5 : 1e-6, 0);
-            world.state(0).saw(world.datagrams().now(), key, FactKind.ILL, 60, 0);
-            world.state(0).saw(world.datagrams().now(), key, FactKind.LEAVES, 2, 0);
+            world.state(0)
+                    .recordObservation(world.datagrams().now(), key, FactKind.LATENCY, each % 2 == 0 ? 1e5 : 1e-6, 0);
+            world.state(0).recordObservation(world.datagrams().now(), key, FactKind.UNHEALTHY, 60, 0);
+            world.state(0).recordObservation(world.datagrams().now(), key, FactKind.LEAVING, 2, 0);
             world.datagrams().run(world.datagrams().now() + 0.2 * chance.nextDouble());
         }
         world.datagrams().run(world.datagrams().now() + 1);
         for (int place = 6; place < 20; place++) {
             double pace = world.state(place)
-                    .agreed()
-                    .pace(key, place, world.datagrams().now());
+                    .aggregator()
+                    .latencySeconds(key, place, world.datagrams().now());
             assertTrue(pace > 0.12 && pace < 0.26, place + " holds " + pace);
             assertFalse(world.state(place)
-                    .agreed()
-                    .ill(key, place, world.datagrams().now(), 0));
+                    .aggregator()
+                    .isUnhealthy(key, place, world.datagrams().now(), 0));
             assertFalse(world.state(place)
-                    .agreed()
-                    .leaves(key, place, world.datagrams().now(), 0));
+                    .aggregator()
+                    .isLeaving(key, place, world.datagrams().now(), 0));
         }
     }
 
@@ -167,14 +172,15 @@
     void factsFromBeforeARestartDoNotOverrideLaterOnesThoughTheClockWentBack() {
         SimulatedStateFleet world = running(10, 0, 6);
         int key = Fact.key("s-1");
-        world.state(0).saw(world.datagrams().now() + 0.9, key, FactKind.ILL, 5, 0);
+        world.state(0).recordObservation(world.datagrams().now() + 0.9, key, FactKind.UNHEALTHY, 5, 0);
         world.datagrams().run(world.datagrams().now() + 0.5);
         world.datagrams().kill(0);
         world.start(0);
         world.datagrams().run(world.datagrams().now() + 0.5);
-        world.state(0).saw(world.datagrams().now() - 0.5, key, FactKind.ILL, 0, 0);
+        world.state(0).recordObservation(world.datagrams().now() - 0.5, key, FactKind.UNHEALTHY, 0, 0);
         world.datagrams().run(world.datagrams().now() + 1);
-        assertEquals(0, world.state(5).store().of(key, FactKind.ILL).get(0).first());
+        assertEquals(
+                0, world.state(5).store().of(key, FactKind.UNHEALTHY).get(0).value());
     }
 
     @Test
@@ -190,7 +196,7 @@
             assertEquals(0, world.malformedDatagrams());
         }
         assertTrue(
-                bytes[1] <= FactReplicationSettings.usual().bytesASecond() && bytes[1] < 1.5 * bytes[0],
+                bytes[1] <= FactReplicationSettings.defaults().bytesPerSecond() && bytes[1] < 1.5 * bytes[0],
                 bytes[0] + "," + " " + bytes[1]);
     }
 
@@ -199,10 +205,10 @@
         SimulatedStateFleet world = running(10, 0, 8);
         int key = Fact.key("s-1");
         byte[] forged = pinewick.fleet.state.FactDatagram.facts(
-                java.util.List.of(new Fact(key, FactKind.ILL, 0, 1L << 47, 0, 0)), false);
-        world.state(0).heard(world.datagrams().now(), 3, forged, forged.length);
-        world.state(0).saw(world.datagrams().now(), key, FactKind.ILL, 4, 0);
+                java.util.List.of(new Fact(key, FactKind.UNHEALTHY, 0, 1L << 47, 0, 0)), false);
+        world.state(0).onDatagram(world.datagrams().now(), 3, forged, forged.length);
+        world.state(0).recordObservation(world.datagrams().now(), key, FactKind.UNHEALTHY, 4, 0);
         world.datagrams().run(world.datagrams().now() + 1);
-        assertEquals(1, world.state(5).store().of(key, FactKind.ILL).size());
+        assertEquals(1, world.state(5).store().of(key, FactKind.UNHEALTHY).size());
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/StateLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/StateLab.java
@@ -110,7 +110,7 @@
             }
         }
         pass &= load[1] <= 1.5 * load[0]
-                && load[1] <= FactReplicationSettings.usual().bytesASecond();
+                && load[1] <= FactReplicationSettings.defaults().bytesPerSecond();
         figures.addProperty("pass", pass);
         System.out.println(table);
         Files.createDirectories(results);
@@ -130,7 +130,7 @@
 
     private static void play(Setting setting, long seed, Found found) {
         SplittableRandom chance = new SplittableRandom(seed);
-        SimulatedStateFleet world = new SimulatedStateFleet(setting.size, seed, FactReplicationSettings.usual());
+        SimulatedStateFleet world = new SimulatedStateFleet(setting.size, seed, FactReplicationSettings.defaults());
         world.datagrams().links(setting.loss, 0.01, 0.001, 0.018);
         world.startAll();
         traffic(world, 10, chance);
@@ -140,13 +140,14 @@
 
         int key = Fact.key("s-warned");
         double from = world.datagrams().now();
-        world.state(1).saw(from, key, FactKind.ILL, 3, 0);
+        world.state(1).recordObservation(from, key, FactKind.UNHEALTHY, 3, 0);
         double held = Double.POSITIVE_INFINITY;
         while (world.datagrams().now() < from + 3 && Double.isInfinite(held)) {
             world.datagrams().run(world.datagrams().now() + 0.02);
             int holders = 0;
             for (int place = 0; place < setting.size; place++) {
-                holders += world.state(place).store().of(key, FactKind.ILL).isEmpty() ? 0 : 1;
+                holders +=
+                        world.state(place).store().of(key, FactKind.UNHEALTHY).isEmpty() ? 0 : 1;
             }
             held = holders >= 0.99 * setting.size ? world.datagrams().now() - from : held;
         }
@@ -183,11 +184,11 @@
         for (int searcher = 0; searcher < SEARCHERS; searcher++) {
             int key = Fact.key("s-" + searcher);
             double others = world.state(beside)
-                    .agreed()
-                    .pace(key, beside, world.datagrams().now());
+                    .aggregator()
+                    .latencySeconds(key, beside, world.datagrams().now());
             double its = world.state(place)
-                    .agreed()
-                    .pace(key, place, world.datagrams().now());
+                    .aggregator()
+                    .latencySeconds(key, place, world.datagrams().now());
             if (!Double.isNaN(others)) {
                 errors.add(Double.isNaN(its) ? 10 : Math.abs(its - others) / others);
             }
@@ -205,10 +206,10 @@
                     int searcher = chance.nextInt(SEARCHERS);
                     double pace = 0.02 * Math.pow(25, searcher / (double) SEARCHERS);
                     world.state(place)
-                            .saw(
+                            .recordObservation(
                                     world.datagrams().now(),
                                     Fact.key("s-" + searcher),
-                                    FactKind.PACE,
+                                    FactKind.LATENCY,
                                     pace * (0.9 + 0.2 * chance.nextDouble()),
                                     2);
                 }
