--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
@@ -4,43 +4,44 @@
 import java.nio.ByteBuffer;
 
 /**
- * The datagrams between mixers, written and read. Never over {@link #MOST} bytes, which the platform allows; numbers
- * most significant byte first.
+ * Encodes and decodes the membership datagrams between mixers. A datagram never exceeds {@link #MAX_BYTES}, the
+ * platform's limit; numbers are big-endian.
  *
  * <pre>
  * byte  version, 0xF1
  * byte  kind
- * 2     place of the sender
+ * 2     index of the sender
  * 6     incarnation of the sender
  * 4     digest of the sender's view
- * 4     number: a probe's, handed back by what answers it; a state's first place
- * 2     place of the member it is about
- * byte  how many entries follow, or in SUMS how many sums of 2 bytes; then each entry:
- *   2     place, its standing in the three highest bits
+ * 4     number: sequence number of a probe, echoed by its answers; or the first index of a state reply or request
+ * 2     index of the member that the datagram is about
+ * byte  number of entries that follow, in CHECKSUMS the number of 2-byte checksums; then for each entry:
+ *   2     member index, with the state in the three highest bits
  *   6     incarnation
- *   2, 1 of a suspect only: since when it is silent, the last bits of twentieths of a second since 1970; how many
- * accuse it
- *   2     of a suspect only, each: place of an accuser
- * 4     CRC-32 of all before
+ *   2, 1 for a suspect only: the low bits of the time since which it is silent, in twentieths of a second since 1970;
+ *         number of accusers
+ *   2     for a suspect only, for each accuser: its index
+ * 4     CRC-32 of all preceding bytes
  * </pre>
  */
 public final class Datagram {
-    /** Bytes; a longer datagram would void a run of the platform's. */
+    /** Maximum length in bytes; the platform declares a run with a longer datagram invalid. */
     public static final int MAX_BYTES = 256;
-    /** Places are below this, as three bits of sixteen tell the standing. */
+    /** Member indexes are below this, as three of sixteen bits hold the state. */
     public static final int MAX_MEMBERS = 1 << 13;
 
     static final byte VERSION = (byte) 0xF1;
     private static final int HEADER_BYTES = 21;
     private static final int CHECKSUM_BYTES = DatagramEnvelope.CHECKSUM_BYTES;
     private static final int ENTRY_BYTES = 8;
-    /** The most that accuse in one entry. */
+    /** Maximum number of accusers in one entry. */
     static final int MAX_ACCUSERS = 4;
 
     private static final int MAX_ENTRY_BYTES = ENTRY_BYTES + 3 + 2 * MAX_ACCUSERS;
-    private static final double STEPS_PER_SECOND = 20; // a second
+    private static final double STEPS_PER_SECOND = 20;
     /**
-     * Danger: above the highest there is no room to object, so half of what fits is refused; milliseconds reach it in
+     * Incarnations above this are rejected. A member that is accused at the highest encodable incarnation could
+     * not refute, so half of the encodable range stays free. Milliseconds since 1970 reach this limit in the year
      * 6429.
      */
     private static final long MAX_INCARNATION = (1L << 47) - 1;
@@ -48,41 +49,42 @@
     private static final MemberState[] STATES = MemberState.values();
     private static final Kind[] KINDS = Kind.values();
 
-    /** What a datagram is for. */
+    /** Kind of a datagram. The order of the values is part of the wire format. */
     public enum Kind {
-        /** Asks for an {@link #ANSWER} with its number. */
+        /** Requests an {@link #ACK} with its number. */
         PING,
         ACK,
-        /** Asks the receiver to look at another member, and to answer with the number. */
+        /** Asks the receiver to probe another member and to answer with the number (ping-req in SWIM). */
         PING_REQUEST,
-        /** The member that was looked at answered. */
+        /** The member that was probed indirectly has answered. */
         INDIRECT_ACK,
-        /** It has not answered so far. */
+        /** The member that was probed indirectly has not answered so far. */
         INDIRECT_NACK,
-        /** News alone. */
+        /** Carries gossip only. */
         GOSSIP,
-        /** Asks for all that is known of the members from a place on. */
+        /** Requests the states of all members from an index on. */
         STATE_REQUEST,
-        /** What was asked for. */
+        /** One part of the states that were requested. */
         STATE_REPLY,
         /**
-         * Sums over stretches of the list, for the receiver to answer with what differs; the number is the list's
-         * length.
+         * Checksums over ranges of the member list; the receiver answers with the entries of ranges that differ.
+         * The number is the length of the list.
          */
         CHECKSUMS
     }
 
-    /** Is told what a datagram says; a field at a time, nothing before the whole of it was found sound. */
+    /** Receives the decoded fields of a datagram. Nothing is passed on before the whole datagram was validated. */
     public interface Reader {
         void onHeader(Kind kind, int sender, long incarnation, int digest, int number, int subject);
 
-        /** Each stretch's sum, in order. */
+        /** The checksum of each range of the member list, in order. */
         void onChecksums(short[] checksums);
 
         /**
-         * One member, as the sender sees it.
+         * One member as the sender sees it.
          *
-         * @param silent since when, seconds, and {@code accusers}, their places, of a suspect only
+         * @param accusers indexes of the accusers; empty unless the member is suspect
+         * @param silentSince seconds since 1970 since which a suspect is silent; 0 otherwise
          */
         void onEntry(int index, MemberState state, long incarnation, int[] accusers, double silentSince);
     }
@@ -90,7 +92,7 @@
     private final ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
     private int entries;
 
-    /** Begins a datagram. */
+    /** Starts a new datagram and discards the previous one. */
     Datagram begin(Kind kind, int sender, long incarnation, int digest, int number, int subject) {
         buffer.clear();
         entries = 0;
@@ -100,15 +102,16 @@
         return this;
     }
 
-    /** Whether one more entry fits, be it the longest. */
+    /** Whether one more entry of the maximum length fits. */
     boolean hasRoom() {
         return buffer.remaining() >= MAX_ENTRY_BYTES + CHECKSUM_BYTES && entries < 255;
     }
 
-    /** Adds an entry. Throws IllegalStateException where it does not fit: no datagram is ever longer than allowed. */
+    /** Adds an entry. Throws IllegalStateException if it might not fit, so that no datagram exceeds the limit. */
     void addEntry(int index, MemberState state, long incarnation, int[] accusers, double silentSince) {
         if (!hasRoom()) {
-            throw new IllegalStateException("a datagram of " + buffer.position() + " bytes takes no more");
+            throw new IllegalStateException(
+                    "datagram of " + buffer.position() + " bytes has no room for another entry");
         }
         buffer.putShort((short) (state.ordinal() << 13 | index));
         putIncarnation(incarnation);
@@ -122,18 +125,18 @@
         buffer.put(HEADER_BYTES - 1, (byte) ++entries);
     }
 
-    /** Adds a stretch's sum. */
+    /** Adds the checksum of one range. */
     void addChecksum(short checksum) {
         buffer.putShort(checksum).put(HEADER_BYTES - 1, (byte) ++entries);
     }
 
-    /** Changes the place that it is about. */
+    /** Replaces the index of the member that the datagram is about. */
     Datagram subject(int index) {
         buffer.putShort(HEADER_BYTES - 3, (short) index);
         return this;
     }
 
-    /** The whole datagram. */
+    /** Appends the checksum and returns the complete datagram. */
     byte[] finish() {
         DatagramEnvelope.appendChecksum(buffer);
         byte[] datagram = new byte[buffer.position()];
@@ -147,11 +150,11 @@
     }
 
     /**
-     * Reads one datagram. Returns why it can't be used, or null where it could; then, and only then, the reader was
-     * told.
+     * Decodes one datagram. Returns the reason why it is invalid, or null if it is valid; the reader is called
+     * only for a valid datagram.
      *
-     * @param now the clock that all share, seconds
-     * @param size how many members are known here: entries of places from there on are passed over
+     * @param now seconds since 1970 on the clock that all members share
+     * @param size number of members known here; entries with a higher index are ignored
      */
     public static String read(double now, byte[] datagram, int length, int size, Reader reader) {
         String fault = DatagramEnvelope.findFault(datagram, length, VERSION, HEADER_BYTES);
@@ -167,7 +170,7 @@
         }
     }
 
-    /** Once without a reader, to find fault, and once with. */
+    /** Called first with a null reader to validate, then with the reader. */
     private static String read(double now, ByteBuffer in, int size, Reader reader) {
         in.get();
         int kind = in.get();
@@ -214,7 +217,7 @@
             for (int one = 0; one < accusers.length; one++) {
                 accusers[one] = in.getShort() & 0xFFFF;
             }
-            // While a longer list of mixers is rolled out, some are told of members that they do not know yet.
+            // While a longer member list is rolled out, entries may name members that are not known here yet.
             if (reader != null && index < size) {
                 reader.onEntry(index, STATES[state], entryIncarnation, accusers, silentSince);
             }
@@ -222,13 +225,13 @@
         return in.hasRemaining() ? "form" : null;
     }
 
-    /** The moment nearest to now of which these are the last bits. */
+    /** Returns the time nearest to now whose low bits are the given ones, in seconds. */
     private static double nearestTime(double now, short bits) {
         long steps = Math.round(now * STEPS_PER_SECOND);
         return (steps + (short) (bits - (short) steps)) / STEPS_PER_SECOND;
     }
 
-    /** As many bits of an incarnation as a datagram carries. */
+    /** Returns the bits of an incarnation that fit into a datagram. */
     static long truncateIncarnation(long incarnation) {
         return incarnation & MAX_INCARNATION;
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramEnvelope.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramEnvelope.java
@@ -3,19 +3,25 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
 
-/** What every datagram between mixers has: a version in its first byte, a CRC-32 of all before in its last four. */
+/**
+ * Frame that all datagrams between mixers share: a version in the first byte and, in the last four bytes, a CRC-32
+ * of all preceding bytes.
+ */
 public final class DatagramEnvelope {
-    /** Bytes of the sum. */
+    /** Length of the checksum in bytes. */
     public static final int CHECKSUM_BYTES = 4;
 
     private DatagramEnvelope() {}
 
-    /** Ends what was written so far with its sum. */
+    /** Appends the checksum of all bytes written so far. */
     public static void appendChecksum(ByteBuffer out) {
         out.putInt(checksum(out.array(), out.position()));
     }
 
-    /** Why these bytes are no whole datagram of this version and least length; null where they are one. */
+    /**
+     * Returns the reason why these bytes are not a valid datagram of this version and minimum length; null if they
+     * are.
+     */
     public static String findFault(byte[] datagram, int length, byte version, int minLength) {
         if (length < minLength + CHECKSUM_BYTES || length > Datagram.MAX_BYTES) {
             return "length";
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramSender.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramSender.java
@@ -1,12 +1,12 @@
 package pinewick.fleet;
 
-/** Composes this router's datagrams, each with the gossip that fits, and sends and counts them. */
+/** Composes, sends and counts this router's datagrams, each with as much gossip as fits. */
 final class DatagramSender {
-    /** Datagrams that answer checksums at most. */
+    /** Maximum number of datagrams that answer one set of checksums. */
     private static final int MAX_DIFFERENCE_DATAGRAMS = 2;
-    /** Entries of plain state that ride along where there is no news. */
+    /** Maximum number of entries of known state that fill a datagram without pending gossip. */
     private static final int MAX_FILL_ENTRIES = 4;
-    /** Sends that hearing one's own news from another is worth. */
+    /** Number of sends that an update counts as when another member sends it too. */
     private static final int SENDS_PER_DUPLICATE = 2;
 
     private final MemberTable table;
@@ -25,42 +25,42 @@
         gossipQueue = new GossipQueue(table.size());
     }
 
-    /** Another list of members: all news is forgotten. */
+    /** Discards all pending gossip after a change of the member list. */
     void onMembersReplaced() {
         gossipQueue.resize(table.size());
     }
 
-    /** There is news of this member, to be gossiped. */
+    /** Enqueues an update about this member for gossip. */
     void enqueueGossip(Member member) {
         gossipQueue.add(member.index);
     }
 
-    /** Another member told the same news of this one. */
+    /** Counts an update about this member that another member also sent. */
     void onDuplicateGossip(Member member) {
         gossipQueue.recordDuplicate(member.index, SENDS_PER_DUPLICATE, maxSends());
     }
 
-    /** Of how many members there is news. */
+    /** Number of members with a pending update. */
     int pendingGossip() {
         return gossipQueue.pending();
     }
 
-    /** How often a piece of news is sent. */
+    /** Number of times that each update is sent: grows with the logarithm of the member count. */
     private int maxSends() {
         return settings.retransmitMultiplier() * (int) Math.ceil(Math.log10(table.size() + 1));
     }
 
-    /** Sends a datagram with gossip to a place. */
+    /** Sends a datagram with gossip to a member. */
     void send(int to, Datagram.Kind kind, int number, int subject) {
         transmit(to, compose(to, kind, number, subject));
     }
 
-    /** Sends news alone to a place. */
+    /** Sends a datagram that carries only gossip to a member. */
     void sendGossip(int to) {
         send(to, Datagram.Kind.GOSSIP, 0, table.self());
     }
 
-    /** Sends this router's own state to all members, or to some where there is no way to all. */
+    /** Broadcasts this router's own state; without a broadcast, sends it to some members. */
     void announce() {
         enqueueGossip(table.get(table.self()));
         if (!sendToAll(composeOwnState())) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Tells all members, and some of them once more, of this router's end. */
+    /** Broadcasts this router's shutdown and repeats it to some members. */
     void announceLeave() {
         enqueueGossip(table.get(table.self()));
         byte[] datagram = composeOwnState();
@@ -112,19 +112,22 @@
         return out.begin(kind, table.self(), table.incarnation(), table.shortDigest(), number, subject);
     }
 
-    /** A datagram with what concerns the receiver first, then news, then some plain state. */
+    /**
+     * Composes a datagram: the state of a receiver that is not alive, or else pending gossip, or else some known
+     * state.
+     */
     private byte[] compose(int to, Datagram.Kind kind, int number, int subject) {
         begin(kind, number, subject);
         if (kind == Datagram.Kind.PING_REQUEST
                 || kind == Datagram.Kind.INDIRECT_ACK
                 || kind == Datagram.Kind.INDIRECT_NACK
                 || kind == Datagram.Kind.STATE_REQUEST) {
-            return out.finish(); // These go out in numbers while links are bad; the rest carries the news.
+            return out.finish(); // These kinds are frequent while links are bad; the other kinds carry the gossip.
         }
         Member receiver = table.get(to);
         if (to != table.self() && receiver.state != MemberState.ALIVE) {
             addEntry(receiver);
-            return out.finish(); // It may well be gone; news would be wasted on it.
+            return out.finish(); // The receiver may be gone; gossip would be wasted on it.
         }
         boolean hasGossip = gossipQueue.hasPending();
         gossipQueue.drain(maxSends(), this::addEntryIfRoom);
@@ -134,7 +137,7 @@
         return out.finish();
     }
 
-    /** News that was lost on every way would never be told again; so a little plain state rides along. */
+    /** Adds some known state: an update of which every copy was lost would otherwise never be sent again. */
     private void addFillEntries() {
         int fill = Math.min(MAX_FILL_ENTRIES, table.size());
         for (int each = 0; each < fill && out.hasRoom(); each++) {
@@ -157,7 +160,10 @@
         }
     }
 
-    /** Sends the checksums of all stretches of the list; the other answers with what it holds where its own differ. */
+    /**
+     * Sends the checksums of all ranges of the member list; the receiver answers with its entries where they
+     * differ.
+     */
     void sendChecksums(int to) {
         begin(Datagram.Kind.CHECKSUMS, table.size(), to);
         for (short each : table.checksums()) {
@@ -166,7 +172,7 @@
         transmit(to, out.finish());
     }
 
-    /** Answers another's checksums with what is held of the stretches that differ, as much as a few datagrams take. */
+    /** Answers checksums with the entries of differing ranges, as many as fit into a few datagrams. */
     void sendDifferences(int to, short[] others, int firstRange) {
         int remaining = MAX_DIFFERENCE_DATAGRAMS;
         begin(Datagram.Kind.GOSSIP, 0, table.self());
@@ -189,7 +195,7 @@
         transmit(to, out.finish());
     }
 
-    /** Sends what is known of the members from a place on, as much as fits; the last piece names place 0 as next. */
+    /** Sends the known states from an index on, as many as fit; the last part names 0 as the next index. */
     void sendState(int to, int firstIndex) {
         begin(Datagram.Kind.STATE_REPLY, firstIndex, 0);
         int next = Math.max(0, firstIndex);
@@ -199,7 +205,7 @@
         transmit(to, next < table.size() ? out.subject(next).finish() : out.finish());
     }
 
-    /** Datagrams sent so far. */
+    /** Number of datagrams sent. */
     long sent() {
         return sent;
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/FailureDetector.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/FailureDetector.java
@@ -7,15 +7,18 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Probes members in turn, directly and through others, suspects the silent, and declares suspects dead in time. */
+/**
+ * Failure detector: probes members directly and indirectly, suspects those that do not answer, and declares
+ * suspects dead after a timeout.
+ */
 final class FailureDetector {
-    /** Further probes in a turn after others found members silent. */
+    /** Maximum number of additional probes in a round after failed probes. */
     private static final int MAX_EXTRA_PROBES = 3;
-    /** Suspects that are probed once more shortly before their end, in each gossip interval. */
+    /** Maximum number of suspects that are probed again before their timeout, per gossip interval. */
     private static final int MAX_FINAL_PROBES = 12;
-    /** Members that probe one such suspect in a gossip interval. */
+    /** Expected number of members that probe such a suspect in a gossip interval. */
     private static final int FINAL_PROBERS = 20;
-    /** Gossip intervals before a suspect's end in which that is done. */
+    /** Number of gossip intervals before the timeout of a suspect in which it is probed again. */
     private static final int FINAL_PROBE_INTERVALS = 3;
 
     private final MemberTable table;
@@ -31,7 +34,7 @@
     private final Map<Integer, IndirectProbe> indirectProbes = new TreeMap<>();
 
     private int lastNumber;
-    /** Probes since the last turn that found a member silent. */
+    /** Number of failed probes since the last round. */
     private int failedProbes;
 
     private long lastRound = Long.MIN_VALUE;
@@ -56,21 +59,24 @@
         health = new LocalHealth(settings.probeIntervalSeconds());
     }
 
-    /** Begins to watch the clock. */
+    /** Starts the check for pauses of this router. */
     void start(double now) {
         health.checkForPause(now);
     }
 
-    /** Forgets all probes that are under way. */
+    /** Discards all running probes. */
     void clear() {
         probes.clear();
         indirectProbes.clear();
     }
 
-    /** The regular look: whether this router itself paused, the probe whose turn it is, probes and suspects. */
+    /**
+     * Checks whether this router itself was paused, starts the probe of this round when due, and advances probes
+     * and suspects.
+     */
     void tick(double now) {
         if (health.checkForPause(now) > 0) {
-            clear(); // What was missed during a pause would look like the others' silence.
+            clear(); // Datagrams missed during a pause would look like silence of the others.
         }
         long round = schedule.round(now);
         if (round > lastRound && now >= schedule.probeTime(round, table.self(), table.size())) {
@@ -83,8 +89,9 @@
     }
 
     /**
-     * Where most of a fleet dies at once, those left would probe one member each a turn, and mostly dead ones; so each
-     * silence found brings one probe more. Cost: up to four times the probes for that time.
+     * Starts the probes of a round. If most of a fleet dies at once, each survivor would probe one member per
+     * round, most of them dead; so each failed probe adds one more probe to the next round. Cost: up to four times
+     * the probes during that time.
      */
     private void runProbeRound(double now, long round) {
         int extraProbes = Math.min(MAX_EXTRA_PROBES, failedProbes);
@@ -103,14 +110,14 @@
         }
     }
 
-    /** A ping that nothing follows from. */
+    /** Sends a ping whose answer is not tracked. */
     private void ping(int index) {
         sender.send(index, Datagram.Kind.PING, ++lastNumber, index);
     }
 
     /**
-     * Pings one that does not take part: two parts of a fleet that took each other for dead would otherwise never meet
-     * again. Cost: a datagram a period while anyone is gone.
+     * Pings one member that is dead, left or unheard: two sides of a partition that declared each other dead would
+     * otherwise never find each other again. Cost: one datagram per probe interval while any member is inactive.
      */
     private void pingOneInactive() {
         int inactive = table.randomOtherIndex(false);
@@ -130,7 +137,7 @@
                 }
                 case TIMED_OUT -> onProbeTimeout(now, probe);
                 default -> {
-                    // Not yet.
+                    // Nothing is due.
                 }
             }
         }
@@ -139,8 +146,8 @@
     private void onProbeTimeout(double now, Probe probe) {
         probes.remove(probe.number);
         failedProbes++;
-        // With not a word from anybody meanwhile, the own links are to blame. (Lifeguard counts each helper that said
-        // nothing; where most of a fleet dies at once, the helpers are dead too.)
+        // If no datagram arrived from any member meanwhile, this router's own links are to blame. (Lifeguard
+        // counts each helper without a nack; if most of a fleet dies at once, the helpers are dead too.)
         if (lastHeardAt <= probe.startedAt) {
             health.degrade();
         }
@@ -149,10 +156,10 @@
         }
     }
 
-    /** Suspects a member, on this router's word and on that of those that probed it in vain over other links. */
+    /** Suspects a member, on the evidence of this router and of the helpers that probed it without an answer. */
     private void suspect(double now, Member member, Probe probe) {
         if (member.lastHeardAt > probe.startedAt || !member.state.isActive()) {
-            return; // Heard of meanwhile, or known as gone already.
+            return; // Heard from meanwhile, or known to be inactive.
         }
         MemberState previousState = member.state;
         table.update(now, member, MemberState.SUSPECT, member.incarnation);
@@ -164,10 +171,10 @@
             suspicions++;
             listener.onStateChanged(member.index, previousState, MemberState.SUSPECT);
         }
-        ping(member.index); // It hears of it first, so that it can object in time.
+        ping(member.index); // The ping tells the suspect first, so that it can refute in time.
     }
 
-    /** These members noticed that a suspect has been silent since then. */
+    /** Adds members that noticed the silence of a suspect since a time. */
     void addAccusers(Member suspect, double since, int... accusers) {
         int maxAccusers = suspicion.maxAccusers(table.liveCount());
         boolean added = false;
@@ -180,9 +187,10 @@
     }
 
     /**
-     * Declares those dead whose time is over. Shortly before, some of those that still suspect one probe it: a suspect
-     * that objected in vain, as its word was lost on the way, answers. Accusers probe all the time. Some suspects a
-     * time at most, from another place on each time, so that a mass of dead ones makes no flood.
+     * Declares suspects dead whose timeout has passed. Shortly before, some of the members that still suspect one
+     * probe it: a suspect whose refutation was lost on the way can then answer. Accusers probe it all the time.
+     * The number of suspects probed at a time is limited and starts at a random index, so that many dead members
+     * at once do not cause a flood of probes.
      */
     private void checkSuspects(double now) {
         boolean isDue = now - lastFinalProbesAt >= settings.gossipIntervalSeconds();
@@ -225,7 +233,10 @@
         return false;
     }
 
-    /** Tells those that asked for indirect probes that no answer came so far: so they know their own links are well. */
+    /**
+     * Tells requesters of indirect probes that there was no answer so far, so that they know that their own links
+     * work.
+     */
     private void sendNacks(double now) {
         Iterator<IndirectProbe> all = indirectProbes.values().iterator();
         while (all.hasNext()) {
@@ -238,12 +249,12 @@
         }
     }
 
-    /** A datagram of some member came. */
+    /** Records that a datagram from any member arrived. */
     void onDatagram(double now) {
         lastHeardAt = now;
     }
 
-    /** A member answered a ping. Returns whether that ended a probe of it. */
+    /** Handles the answer to a ping. Returns whether it completed a probe of that member. */
     boolean onAck(int number, Member member) {
         Probe probe = probes.get(number);
         if (probe == null || probe.target != member.index) {
@@ -254,7 +265,7 @@
         return true;
     }
 
-    /** A member answered a ping: who asked for an indirect probe of it is told. */
+    /** Forwards the answer to a ping to the member that requested the indirect probe. */
     void onIndirectProbeAck(int number, Member member) {
         IndirectProbe probe = indirectProbes.remove(number);
         if (probe != null) {
@@ -262,7 +273,7 @@
         }
     }
 
-    /** A member asks for an indirect probe of another one. */
+    /** Handles the request for an indirect probe of another member. */
     void onPingRequest(double now, Member requester, int number, int index) {
         if (index < table.size() && index != table.self()) {
             indirectProbes.put(++lastNumber, new IndirectProbe(requester.index, number, now, settings));
@@ -270,7 +281,7 @@
         }
     }
 
-    /** An indirect probe found that the member lives. */
+    /** Handles the result that an indirect probe was answered. */
     void onIndirectAck(double now, int number) {
         Probe probe = probes.remove(number);
         if (probe != null) {
@@ -279,7 +290,7 @@
         }
     }
 
-    /** An indirect probe got no answer so far. */
+    /** Handles the result that an indirect probe was not answered so far. */
     void onIndirectNack(int number, Member helper) {
         Probe probe = probes.get(number);
         if (probe != null) {
@@ -287,7 +298,7 @@
         }
     }
 
-    /** This router is itself suspected or held for dead. */
+    /** Lowers the local health because this router is itself suspected or declared dead. */
     void onSelfAccused() {
         health.degrade();
     }
@@ -300,7 +311,7 @@
         return suspicions;
     }
 
-    /** Deaths that this router declared itself. */
+    /** Number of deaths that this router declared itself. */
     long deaths() {
         return deaths;
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/GossipQueue.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/GossipQueue.java
@@ -4,22 +4,23 @@
 import java.util.function.IntPredicate;
 
 /**
- * Which members there is news of, and how often each piece was sent. What was sent least goes first (SWIM, section
- * 4.1), so that under much news each piece gets round; what comes back from others counts as sent (rumour mongering
- * with feedback, Demers et al., PODC 1987), so that news everybody has dies at once. Only the place is kept: what is
- * said of it is read when it is written, so an older word never goes out after a newer one.
+ * Queue of the members with pending updates and the number of times that each update was sent. The least-sent
+ * update goes out first (SWIM, section 4.1), so that every update spreads even under load. An update that comes
+ * back from another member counts as sent (rumor mongering with feedback, Demers et al., PODC 1987), so that
+ * updates known to everybody stop quickly. Only the member index is queued; the state is read when a datagram is
+ * written, so that an older update never follows a newer one.
  *
- * <p>A ring for each number of sends, linked through arrays by place: adding, moving and dropping cost the same for ten
- * members and for a thousand.
+ * <p>Members with the same send count form a ring, linked through arrays by index, so that adding, moving and
+ * removing take constant time for any number of members.
  */
 final class GossipQueue {
     private static final int MAX_SEND_COUNT = 64;
 
-    /** Neighbours in the ring; rings' own ends stand behind the places. */
+    /** Next member in the same ring; the rings' sentinels follow the member indexes. */
     private int[] next;
 
     private int[] previous;
-    /** How often each place's news was sent; -1 where there is none. */
+    /** Number of sends by member index; -1 where no update is pending. */
     private int[] sendCounts;
 
     private int size;
@@ -29,7 +30,7 @@
         resize(size);
     }
 
-    /** For another number of members; forgets all news. */
+    /** Changes the number of members and discards all pending updates. */
     void resize(int members) {
         size = members;
         next = new int[size + MAX_SEND_COUNT];
@@ -42,13 +43,13 @@
         pending = 0;
     }
 
-    /** News of this member, to be sent from now on as if for the first time. */
+    /** Enqueues an update about a member with a send count of 0, replacing a pending one. */
     void add(int index) {
         remove(index);
         link(index, 0);
     }
 
-    /** Another told the same: that is worth so many sends. */
+    /** Counts an update that another member also sent as a number of sends; ignored where none is pending. */
     void recordDuplicate(int index, int sends, int maxSends) {
         if (sendCounts[index] >= 0) {
             recordSends(index, sends, maxSends);
@@ -56,9 +57,11 @@
     }
 
     /**
-     * Hands out places, those sent least first, until the taker has no room or each was offered once.
+     * Passes pending members to the consumer, the least-sent first, until it returns false or each was passed
+     * once.
      *
-     * @param most how often each is sent before it is dropped
+     * @param maxSends number of sends after which an update is dropped
+     * @param consumer returns whether it took the member
      */
     void drain(int maxSends, IntPredicate consumer) {
         int[] taken = new int[pending];
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/IndirectProbe.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/IndirectProbe.java
@@ -1,12 +1,15 @@
 package pinewick.fleet;
 
-/** A probe that this router makes of a member for another one that got no answer from it. */
+/** A probe of a member on behalf of another member that got no answer from it. */
 final class IndirectProbe {
-    /** The member that asked for it, and the number of its own probe. */
+    /** Index of the member that requested the probe, and the number of its own probe. */
     final int requester;
 
     final int requesterNumber;
-    /** From when on the requester is told that no answer came so far, and until when it is told anything. */
+    /**
+     * Time from which the requester is told that there was no answer so far, and time after which it is told
+     * nothing.
+     */
     private final double nackAt;
 
     private final double expiresAt;
@@ -23,7 +26,7 @@
         return now >= expiresAt;
     }
 
-    /** Whether the requester is to be told now that there is no answer; true once. */
+    /** Whether the requester is to be told now that there is no answer; returns true only once. */
     boolean takeNackDue(double now) {
         boolean isDue = now >= nackAt && !nackSent;
         nackSent |= isDue;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/LocalHealth.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/LocalHealth.java
@@ -1,12 +1,13 @@
 package pinewick.fleet;
 
 /**
- * How far this mixer itself is to blame when others seem silent (Lifeguard, DSN 2018, section IV-A). Its own probes
- * take longer the worse it stands; nothing else changes, so that a healthy fleet is not slowed. No clock of its own.
+ * Score of this mixer's own slowness, which may be the reason why others seem silent (Lifeguard, DSN 2018, section
+ * IV-A). A worse score lengthens this mixer's own probes and changes nothing else, so that a healthy fleet is not
+ * slowed down. Has no clock of its own.
  */
 final class LocalHealth {
     private static final int MAX_SCORE = 8;
-    /** A gap between two looks of so many periods is this mixer's own standing still. */
+    /** A gap between two checks of at least this many probe intervals means that this mixer itself was paused. */
     private static final double PAUSE_THRESHOLD = 0.75;
 
     private final double probeIntervalSeconds;
@@ -18,7 +19,10 @@
         this.probeIntervalSeconds = probeIntervalSeconds;
     }
 
-    /** A look; returns for how long this mixer stood still before it, 0 where it did not. */
+    /**
+     * Checks for a pause of this mixer since the previous check; returns its length in seconds, 0 if there was
+     * none.
+     */
     double checkForPause(double now) {
         double gap = now - lastCheckedAt;
         lastCheckedAt = now;
@@ -30,7 +34,10 @@
         return 0;
     }
 
-    /** Whether this mixer stood still a moment ago, so that what it missed may be its own fault. */
+    /**
+     * Whether this mixer was paused less than one probe interval ago, so that missed datagrams may be its own
+     * fault.
+     */
     boolean wasRecentlyPaused(double now) {
         return now < recentlyPausedUntil;
     }
@@ -47,7 +54,7 @@
         return score;
     }
 
-    /** What the times of own probes are multiplied by. */
+    /** Factor for the timeouts of this mixer's own probes. */
     double timeoutMultiplier() {
         return 1 + score * 0.25;
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Member.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Member.java
@@ -1,42 +1,46 @@
 package pinewick.fleet;
 
 /**
- * What one mixer holds of one member. {@link #takes} merges what was said of it: the higher of two by incarnation, then
- * by standing, so that the order in which news comes, and whether it comes twice, makes no difference.
+ * State of one member in this mixer's view. {@link #merge} keeps the higher of two states by incarnation, then by
+ * state, so that neither the order nor the repetition of updates matters.
  */
 final class Member {
     final int index;
     MemberState state = MemberState.UNHEARD;
     long incarnation;
     /**
-     * Only while suspected: when the first ping went out that it left unanswered or, if later, when anybody last heard
-     * it. Of two the later prevails, as the sign of life that it is.
+     * Only while suspect: the time at which the first unanswered ping was sent or, if later, at which any member
+     * last heard from it. The later of two values takes precedence, as it is evidence that the member was alive.
+     * Seconds.
      */
     double silentSince = Double.NEGATIVE_INFINITY;
-    /** Who noticed, each once, as many as count. */
+    /** Indexes of the distinct members that noticed the silence, up to the number that counts. */
     int[] accusers = new int[0];
-    /** When a datagram of its own last came. */
+    /** Time of the last datagram received from this member, in seconds. */
     double lastHeardAt = Double.NEGATIVE_INFINITY;
-    /** What it adds to the sums of the view, and whether it counts as live and as a suspect there. */
+    /**
+     * Contribution to the digest and the checksums of the view, and whether the member is counted as live and as
+     * suspect.
+     */
     long digestContribution;
 
     boolean countedAsLive;
     boolean countedAsSuspect;
-    /** Whether its view differed from this mixer's when it last sent something. */
+    /** Whether its view differed from this mixer's in its last datagram. */
     boolean hasDivergentView;
-    /** When it last took part, for one that no longer does. */
+    /** Time at which the member became dead or left, in seconds; infinite while it is active. */
     double inactiveSince = Double.POSITIVE_INFINITY;
 
     Member(int index) {
         this.index = index;
     }
 
-    /** Whether this would tell something new of it. */
+    /** Whether this state and incarnation take precedence over the known ones. */
     boolean supersedes(MemberState newState, long newIncarnation) {
         return newIncarnation > incarnation || (newIncarnation == incarnation && newState.compareTo(state) > 0);
     }
 
-    /** Takes what was said, if it is newer. Returns whether it was. */
+    /** Merges a reported state. Returns whether it took precedence. */
     boolean merge(double now, MemberState newState, long newIncarnation) {
         if (!supersedes(newState, newIncarnation)) {
             return false;
@@ -55,14 +59,17 @@
         return true;
     }
 
-    /** A sign of life of a suspect. Returns whether that is news, by a quarter of a second or more. */
+    /**
+     * Records evidence that a suspect was alive at a time. Returns whether it is later than the known time by at
+     * least 0.25 s.
+     */
     boolean recordSignOfLife(double time) {
         boolean isNewer = time >= silentSince + 0.25;
         silentSince = Math.max(silentSince, time);
         return isNewer;
     }
 
-    /** One more who noticed that a suspect is silent. Returns whether that adds anything, up to so many. */
+    /** Adds an accuser of a suspect. Returns whether it was new and fewer than the maximum were known. */
     boolean addAccuser(double since, int accuser, int maxAccusers) {
         silentSince = accusers.length == 0 ? Math.max(silentSince, since) : silentSince;
         for (int each : accusers) {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MemberCounts.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MemberCounts.java
@@ -1,8 +1,6 @@
 package pinewick.fleet;
 
-/**
- * The two counts of mixers that decisions take from the view, each erring to the side that does less harm.
- */
+/** Counts the mixers for two kinds of decisions; each count errs to the side that does less harm. */
 final class MemberCounts {
     private final MembershipSettings settings;
 
@@ -11,11 +9,11 @@
     }
 
     /**
-     * For spreading work: those that take part, and those not heard yet, as the list is the best that is known of them.
-     * Too high or too low by a little, it only shifts how much others are thought to send. Danger: a mixer that hears
-     * nobody would decide as if it were alone, and with all mixers cut off from each other all would do so at the worst
-     * time; so not fewer than half of those listed count. Harm: after a true loss of more than half, others are thought
-     * to send up to twice and more of what they do.
+     * For load spreading: the active members and those not heard from yet, as the configured list is the best
+     * information about them. A small error only shifts the load that other mixers are assumed to send. Danger: a
+     * mixer that hears from nobody would decide as if it were alone, and if all mixers were partitioned from each
+     * other, all would do so at the worst time; so at least half of the listed members count. Harm: after a real
+     * loss of more than half of the mixers, the others are assumed to send twice their load or more.
      */
     int estimatedSenders(Member[] members, int liveCount) {
         int unheardCount = 0;
@@ -27,12 +25,12 @@
 
     /**
      * For shares of a budget that all mixers keep together (rule 4): an upper bound. Danger: too low a count makes
-     * every share too large, and together they push a cold searcher over; and nobody can tell a dead mixer from one
-     * that is only cut off from the other mixers and still sends. So whoever was not heard yet counts, suspects count,
-     * a death counts only after it has stood for a while, and the count never falls under the least share of those
-     * listed: with that at the part of the budget that is used at all, even a split in which each side takes the other
-     * for dead stays inside. Harm: after a true loss of many mixers the rest use less of a cold searcher than they
-     * might.
+     * every share too large, so that together they overload a cold searcher; and a dead mixer cannot be told from
+     * one that is only partitioned from the other mixers and still sends. So members not heard from yet and
+     * suspects count, a death is deducted only after a delay, and the count never falls below the minimum share of
+     * the listed members: with that share at the part of the budget that is used at all, even a partition in which
+     * each side considers the other dead stays within the budget. Harm: after a real loss of many mixers, the
+     * others use less of a cold searcher than they could.
      */
     int maxSenders(double now, Member[] members, int self) {
         int maxSenders = 0;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MemberState.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MemberState.java
@@ -1,22 +1,23 @@
 package pinewick.fleet;
 
 /**
- * How a member stands in a view. At one incarnation the later one of two prevails; a higher incarnation prevails over
- * any standing at a lower one (SWIM, DSN 2002, section 4.2, with deaths bound to an incarnation, so that a member cut
- * off for a while can come back without a restart).
+ * State of a member in a membership view. At the same incarnation the later enum value takes precedence; a higher
+ * incarnation takes precedence over any state at a lower one (SWIM, DSN 2002, section 4.2). Unlike in SWIM, a
+ * death is bound to an incarnation, so that a member that was partitioned for a while can rejoin without a
+ * restart.
  */
 public enum MemberState {
-    /** Listed, but nothing was heard of it since this mixer started. */
+    /** Listed, but not heard from since this mixer started. */
     UNHEARD,
     ALIVE,
-    /** Does not answer; it is given time to object. */
+    /** Does not answer probes; it has time to refute the suspicion. */
     SUSPECT,
-    /** Declared dead: crashed, cut off, or silent for too long. */
+    /** Declared dead: crashed, partitioned or silent for too long. */
     DEAD,
-    /** Said itself that it stops. */
+    /** Announced its own shutdown. */
     LEFT;
 
-    /** Whether it takes part: it is looked after, and told the news. */
+    /** Whether the member is alive or suspect: it is probed and receives gossip. */
     public boolean isActive() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MemberTable.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MemberTable.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The listed members by place, with running counts and checksums of the view, and random choices among them. */
+/** The listed members by index, with running counts and checksums of the view, and random selection among them. */
 final class MemberTable {
-    /** Stretches of the list with a checksum each, so that differences between two views are found. */
+    /** Maximum number of ranges of the member list that have a checksum each, to find differences between two views. */
     private static final int MAX_RANGES = 64;
-    /** Draws before the choice of a live member looks at all of them. */
+    /** Random attempts to select a live member before all members are scanned. */
     private static final int RANDOM_TRIES = 6;
 
     private static final long DIGEST_SEED = 17;
@@ -25,9 +25,9 @@
     private int suspectCount;
 
     /**
-     * @param size how many routers are listed, this one with them
-     * @param self this one's place
-     * @param incarnation this one's
+     * @param size number of listed routers, including this one
+     * @param self index of this router
+     * @param incarnation incarnation of this router
      */
     MemberTable(int size, int self, long incarnation, SplittableRandom random) {
         this.random = random;
@@ -35,11 +35,14 @@
         replaceMembers(size, self);
     }
 
-    /** Another list: places keep what is known of them, but for this router's own old and new place. */
+    /**
+     * Replaces the member list. Indexes keep the state that is known of them, except this router's old and new
+     * index. Throws IllegalArgumentException if the size or the index is out of range.
+     */
     void replaceMembers(int size, int index) {
         if (size < 1 || size > Datagram.MAX_MEMBERS || index < 0 || index >= size) {
             throw new IllegalArgumentException("peers: 1 to " + Datagram.MAX_MEMBERS + " mixers are expected, this one "
-                    + "among them; there are " + size + " and this one's place is " + index);
+                    + "among them; there are " + size + " and this one's index is " + index);
         }
         Member[] next = new Member[size];
         for (int each = 0; each < size; each++) {
@@ -72,23 +75,26 @@
         return incarnation;
     }
 
-    /** This router is alive, at an incarnation above this one. */
+    /** Marks this router alive at an incarnation above the given one. */
     void refute(double now, long accusedIncarnation) {
         incarnation = Datagram.truncateIncarnation(accusedIncarnation + 1);
         markSelfAlive(now);
     }
 
-    /** This router takes part. */
+    /** Marks this router alive at its incarnation. */
     void markSelfAlive(double now) {
         update(now, members[self], MemberState.ALIVE, incarnation);
     }
 
-    /** This router stops; its own checksums stay, so that others don't take its last datagrams for another view. */
+    /**
+     * Marks this router as left; its checksums stay, so that others do not take its last datagrams for a differing
+     * view.
+     */
     void markSelfLeft(double now) {
         members[self].merge(now, MemberState.LEFT, incarnation);
     }
 
-    /** Merges what was said of a member. Returns whether it was newer than what is held. */
+    /** Merges a reported state of a member. Returns whether it took precedence. */
     boolean update(double now, Member member, MemberState state, long newIncarnation) {
         boolean changed = member.merge(now, state, newIncarnation);
         if (changed) {
@@ -97,7 +103,7 @@
         return changed;
     }
 
-    /** How many members take part, this one with them. */
+    /** Number of active members, including this one. */
     int liveCount() {
         return liveCount;
     }
@@ -106,17 +112,17 @@
         return suspectCount;
     }
 
-    /** Differs, most likely, between two different views. */
+    /** Digest of 32 bits that very likely differs between two different views. */
     int shortDigest() {
         return shortDigest;
     }
 
-    /** The checksum of each stretch of the list. */
+    /** The checksum of each range of the member list. */
     short[] checksums() {
         return checksums;
     }
 
-    /** The first place of a stretch; for the one after the last, how many members there are. */
+    /** First index of a range; the number of members for the range after the last. */
     int rangeStart(int range) {
         return Math.min(members.length, range * rangeLength());
     }
@@ -138,7 +144,7 @@
         }
     }
 
-    /** Counts a member whose standing or incarnation changed. */
+    /** Updates counts and checksums after the state or incarnation of a member changed. */
     private void updateCounts(Member member) {
         long kind = member.state.isActive() ? 1 : member.state == MemberState.UNHEARD ? 0 : 2;
         long digestContribution = new SplittableRandom(member.index * 4L + kind ^ member.incarnation << 16).nextLong();
@@ -154,7 +160,7 @@
         member.countedAsSuspect = countedAsSuspect;
     }
 
-    /** The same for any two routers that hold the same members for taking part, at the same incarnations. */
+    /** Digest that is equal for two routers with the same active members at the same incarnations. */
     long digest() {
         long digest = DIGEST_SEED;
         for (Member each : members) {
@@ -165,7 +171,7 @@
         return digest;
     }
 
-    /** A letter a member, by place. */
+    /** One letter per member, by index. */
     String stateLetters() {
         StringBuilder stateLetters = new StringBuilder(members.length);
         for (Member each : members) {
@@ -174,7 +180,7 @@
         return stateLetters.toString();
     }
 
-    /** The place of any other member that takes part; -1 where there is none. */
+    /** Index of a random other active member, a live one if found quickly; -1 if there is none. */
     int randomActiveIndex() {
         for (int attempt = 0; attempt < RANDOM_TRIES; attempt++) {
             int index = random.nextInt(members.length);
@@ -185,7 +191,7 @@
         return randomOtherIndex(true);
     }
 
-    /** The place of any other member that takes part, or of any that doesn't; -1 where there is none. */
+    /** Index of a random other member that is active or is not, as requested; -1 if there is none. */
     int randomOtherIndex(boolean isActive) {
         int found = -1;
         int seen = 0;
@@ -197,13 +203,13 @@
         return found;
     }
 
-    /** The place of any other listed member; -1 where this one is alone. */
+    /** Index of a random other listed member; -1 if this one is alone. */
     int randomListedIndex() {
         int index = members.length < 2 ? -1 : random.nextInt(members.length - 1);
         return index >= self ? index + 1 : index;
     }
 
-    /** Places of so many members at most that take part, but for one. */
+    /** Indexes of up to a maximum number of random active members, except for one. */
     List<Integer> randomActiveIndexes(int maxCount, int excluded) {
         List<Integer> indexes = new ArrayList<>();
         for (int tries = 0; tries < 4 * maxCount && indexes.size() < maxCount; tries++) {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipSettings.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipSettings.java
@@ -1,20 +1,21 @@
 package pinewick.fleet;
 
 /**
- * The times of a fleet's view, in seconds, and its counts. All mixers of a tier must be given the same.
+ * Settings of the membership view; times are in seconds. All mixers of a tier must have the same settings.
  *
- * @param period between two probes by a member; the fleet's turns are drawn anew in each
- * @param again how long after a ping it is sent once more, and after twice that other members are asked to look
- * @param probe how long a probe may take before its member is suspected
- * @param silence how long a suspect has been silent at least before it is declared dead, counted from the first ping
- *     that it left unanswered; a member that stands still for less never is
- * @param silenceMost the same where nobody else noticed
- * @param confirmations how many further members have to notice for the least silence to do
- * @param helpers how many members are asked to look at one that does not answer
- * @param gossip between two datagrams of news alone, while there is news
- * @param spread how often a rumour is sent: so many times the number of decimal digits of the member count
- * @param lowerAfter how long a death must have stood before it raises this mixer's share of a budget
- * @param leastShare the budget's count never falls below this share of the listed members
+ * @param probeIntervalSeconds time between two probes by a member; each such round has its own probe targets
+ * @param pingRetrySeconds time after which an unanswered ping is sent again; after twice this time other members
+ * are asked to probe
+ * @param probeTimeoutSeconds time after which the target of an unanswered probe is suspected
+ * @param minSilenceSeconds shortest silence after which a suspect is declared dead, counted from the first
+ * unanswered ping; a member that pauses for less never is
+ * @param maxSilenceSeconds the same if no other member noticed the silence
+ * @param confirmations number of further members that have to notice for the shortest silence to apply
+ * @param indirectProbers number of members that are asked to probe a member that does not answer
+ * @param gossipIntervalSeconds time between two datagrams that carry only gossip, while updates are pending
+ * @param retransmitMultiplier an update is sent this many times the number of decimal digits of the member count
+ * @param deadCountedSeconds time for which a dead member still counts towards the shares of a budget
+ * @param minCountedShare share of the listed members below which the count for a budget never falls
  */
 public record MembershipSettings(
         double probeIntervalSeconds,
@@ -29,7 +30,7 @@
         double deadCountedSeconds,
         double minCountedShare) {
 
-    /** What suits a tier on one platform, where datagrams take some milliseconds and a tenth of them is lost. */
+    /** Defaults for a tier on one platform, where datagrams take some milliseconds and a tenth of them is lost. */
     public static MembershipSettings defaults() {
         return new MembershipSettings(0.35, 0.15, 0.8, 2.45, 4.9, 2, 3, 0.2, 4, 30, 0.8);
     }
@@ -40,8 +41,9 @@
                 && probeTimeoutSeconds >= 3 * pingRetrySeconds
                 && minSilenceSeconds > probeTimeoutSeconds
                 && maxSilenceSeconds >= minSilenceSeconds)) {
-            throw new IllegalArgumentException("fleet: period and again above 0, probe at least three times again, "
-                    + "silence above probe and not above silenceMost are expected");
+            throw new IllegalArgumentException(
+                    "fleet: probe interval and ping retry above 0, probe timeout at least three ping retries, "
+                            + "minimum silence above the probe timeout and not above the maximum are expected");
         }
         if (confirmations < 0
                 || indirectProbers < 1
@@ -50,7 +52,8 @@
                 || !(deadCountedSeconds >= 0)
                 || !(minCountedShare >= 0 && minCountedShare <= 1)) {
             throw new IllegalArgumentException(
-                    "fleet: confirmations, helpers, gossip, spread, lowerAfter or leastShare " + "is out of range");
+                    "fleet: confirmations, indirect probers, gossip interval, retransmit multiplier, dead counted "
+                            + "seconds or minimum counted share is out of range");
         }
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipView.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipView.java
@@ -5,34 +5,36 @@
 import java.util.TreeMap;
 
 /**
- * One router's view of all routers: who takes part, kept over datagrams that come late, twice or not at all. No I/O, no
- * clock: datagrams, looks at the clock and changes of the list come in by {@link #heard}, {@link #tick} and
- * {@link #listed}, datagrams go out through {@link Wire}; times are seconds on the clock that all routers share. The
- * same events in the same order give the same datagrams. Start reading at {@link #tick}.
+ * One router's view of the membership of all routers, kept despite datagrams that arrive late, twice or not at
+ * all. Does no I/O and has no clock: datagrams, clock ticks and changes of the member list come in through {@link
+ * #onDatagram}, {@link #tick} and {@link #onMemberListChanged}, and datagrams go out through {@link Transport}.
+ * Times are seconds on the clock that all routers share. The same events in the same order produce the same
+ * datagrams. Start reading at {@link #tick}.
  *
- * <p>From SWIM (DSN 2002): probes, indirect probes, suspicion with incarnations, gossip that rides on probes
- * ({@link FailureDetector}, {@link DatagramSender}). From Lifeguard (DSN 2018): answers to this router's own slowness,
- * suspicion that shortens with confirmations, telling a suspect at once. docs/fleet-view.md says what differs, and why.
+ * <p>From SWIM (DSN 2002): probes, indirect probes, suspicion with incarnations, and gossip piggybacked on probes
+ * ({@link FailureDetector}, {@link DatagramSender}). From Lifeguard (DSN 2018): local health, suspicion timeouts
+ * that shrink with confirmations, and telling a suspect at once. docs/fleet-view.md describes the differences and
+ * their reasons.
  */
 public final class MembershipView implements Datagram.Reader {
-    /** Sends datagrams; they may be lost. */
+    /** Sends datagrams, which may be lost. */
     public interface Transport {
-        /** Sends a datagram to the member at a place. */
+        /** Sends a datagram to the member with this index. */
         void send(int index, byte[] datagram);
 
-        /** To every member at once. Returns false where there is no such way. */
+        /** Sends a datagram to all members at once. Returns false if no broadcast is available. */
         boolean broadcast(byte[] datagram);
     }
 
-    /** Hears of changes. */
+    /** Receives membership changes. */
     public interface Listener {
-        /** A member's standing changed. */
+        /** The state of a member changed. */
         void onStateChanged(int index, MemberState previousState, MemberState newState);
     }
 
-    /** Datagrams asked for at a start, for the largest list thrice over. */
+    /** Maximum number of state requests after a start: enough to transfer the largest member list three times. */
     private static final int MAX_STATE_REQUESTS = 400;
-    /** With more news than this waiting, differences between views are no sign of loss. */
+    /** With more pending updates than this, a differing digest is no sign of lost gossip. */
     private static final int GOSSIP_BACKLOG = 24;
 
     private static final int ANNOUNCEMENTS_AT_START = 3;
@@ -48,13 +50,13 @@
     private final MemberCounts counts;
     private boolean leaving;
     private double now;
-    /** Whose datagram is being read. */
+    /** Index of the sender of the datagram that is being read. */
     private int senderIndex;
 
     private double gossipSentAt = Double.NEGATIVE_INFINITY;
     private double announcedAt = Double.NEGATIVE_INFINITY;
     private int announcementsLeft;
-    /** The place from which on the others' state is still to be asked for. */
+    /** First index of the next state request; {@link #NO_REQUEST} once the other members' states are known. */
     private int nextRequestIndex;
 
     private int stateRequests;
@@ -65,9 +67,9 @@
     private final Map<String, Long> dropped = new TreeMap<>();
 
     /**
-     * @param size how many routers are listed, this one with them
-     * @param self this one's place
-     * @param incarnation above that of any start before; milliseconds since 1970 serve
+     * @param size number of listed routers, including this one
+     * @param self index of this router
+     * @param incarnation higher than that of any previous start; milliseconds since 1970 will do
      */
     public MembershipView(
             int size,
@@ -86,7 +88,7 @@
         counts = new MemberCounts(settings);
     }
 
-    /** Begins: tells everybody that it is here, and asks for what the others know. */
+    /** Announces this router to all members and requests the other members' states. */
     public void start(double nowSeconds) {
         now = nowSeconds;
         table.markSelfAlive(now);
@@ -97,7 +99,10 @@
         requestStateIfDue();
     }
 
-    /** The regular look, several times a period: probes and suspects, then what this router has to tell or to ask. */
+    /**
+     * To be called several times per probe interval: runs the failure detector, then sends due announcements,
+     * requests and gossip.
+     */
     public void tick(double nowSeconds) {
         now = nowSeconds;
         if (leaving) {
@@ -115,7 +120,7 @@
         }
     }
 
-    /** Tells all members of this router's own state, a few times over; once a gossip interval at most. */
+    /** Sends this router's own state to all members a few times, at most once per gossip interval. */
     private void announceIfDue() {
         if (announcementsLeft == 0 || now - announcedAt < settings.gossipIntervalSeconds()) {
             return;
@@ -130,7 +135,7 @@
         stateRequests = 0;
     }
 
-    /** Asks one member after another for the next piece of what is known, until the last piece came. */
+    /** Requests the next part of the states from changing members until the last part has arrived. */
     private void requestStateIfDue() {
         if (nextRequestIndex == NO_REQUEST || now - requestedAt < settings.pingRetrySeconds()) {
             return;
@@ -145,7 +150,7 @@
         sender.send(to, Datagram.Kind.STATE_REQUEST, nextRequestIndex, table.self());
     }
 
-    /** A datagram came from this place's address; what can't be used is counted and dropped. */
+    /** Handles a datagram from the address of the member with this index; an invalid one is counted and dropped. */
     public void onDatagram(double nowSeconds, int index, byte[] datagram, int length) {
         now = nowSeconds;
         if (leaving) {
@@ -164,7 +169,7 @@
         }
     }
 
-    /** One that came from an address not in the list of peers. */
+    /** Counts a datagram from an address that is not in the list of peers. */
     public void onUnknownSender() {
         received++;
         countDropped("stranger");
@@ -181,7 +186,7 @@
         member.lastHeardAt = now;
         detector.onDatagram(now);
         if (index != senderIndex) {
-            countDropped("place"); // It has another list; that it lives is true all the same.
+            countDropped("place"); // The sender has a different member list; that it is alive holds all the same.
         }
         mergeState(member, MemberState.ALIVE, incarnation);
         if (member.state == MemberState.SUSPECT && member.recordSignOfLife(now)) {
@@ -193,15 +198,16 @@
     }
 
     /**
-     * One held for silent or dead that speaks is told so, and can object. Returns whether the rest is to be acted on:
-     * of one that left nothing is, as late datagrams of its end may still come.
+     * Tells a sender that is considered suspect or dead about its state, so that it can refute. Returns whether
+     * the datagram is to be handled: one from a member that left is not, as late datagrams may still arrive after
+     * its announcement.
      */
     private boolean notifyOfItsState(Member member, Datagram.Kind kind) {
         if (member.state == MemberState.LEFT) {
             return false;
         }
         if (member.state != MemberState.ALIVE && kind != Datagram.Kind.PING && kind != Datagram.Kind.STATE_REQUEST) {
-            // An answer to these two carries it anyway.
+            // The answers to these two kinds carry the state anyway.
             sender.send(member.index, Datagram.Kind.GOSSIP, 0, member.index);
         }
         return true;
@@ -217,7 +223,7 @@
             case STATE_REQUEST -> sender.sendState(member.index, number);
             case STATE_REPLY -> onStateReply(number, subject);
             default -> {
-                // News is in the entries.
+                // Gossip is in the entries.
             }
         }
     }
@@ -229,7 +235,7 @@
         detector.onIndirectProbeAck(number, member);
     }
 
-    /** A piece of another's state, from a place on; the next one is asked for at once. */
+    /** Handles one part of another member's states; the next part is requested at once. */
     private void onStateReply(int first, int next) {
         if (nextRequestIndex != NO_REQUEST && first == nextRequestIndex) {
             nextRequestIndex = next > first ? next : NO_REQUEST;
@@ -264,7 +270,7 @@
         }
     }
 
-    /** Objects to being held for silent or dead, and to an incarnation that is not its own. */
+    /** Refutes a suspicion or death of this router, and any incarnation that is not its own. */
     private void onEntryAboutSelf(MemberState state, long incarnation) {
         boolean isAccusation = state != MemberState.ALIVE && incarnation >= table.incarnation();
         if (!isAccusation && incarnation <= table.incarnation()) {
@@ -289,7 +295,10 @@
         }
     }
 
-    /** The list of routers is another now: places keep what is known of them, new ones are unheard. Not a restart. */
+    /**
+     * Handles a new member list: indexes keep the state that is known of them, new ones are unheard. This router
+     * does not restart.
+     */
     public void onMemberListChanged(double nowSeconds, int size, int index) {
         table.replaceMembers(size, index);
         now = nowSeconds;
@@ -300,7 +309,7 @@
         requestState();
     }
 
-    /** This router stops: the others are told, so that nobody need find it out. */
+    /** Announces the shutdown of this router, so that the others need not detect it. */
     public void leave(double nowSeconds) {
         now = nowSeconds;
         if (leaving) {
@@ -311,67 +320,67 @@
         sender.announceLeave();
     }
 
-    /** How many routers are to be thought of as sending beside this one and with it: for spreading work. */
+    /** Estimated number of routers that send load, including this one; for load spreading. */
     public int estimatedSenders() {
         return counts.estimatedSenders(table.all(), table.liveCount());
     }
 
-    /** How many routers take part, this one with them. */
+    /** Number of active routers, including this one. */
     public int liveCount() {
         return table.liveCount();
     }
 
-    /** How many routers may be sending at most: for this one's share of what all may send together. */
+    /** Upper bound for the number of routers that send load; for this router's share of a common budget. */
     public int maxSenders(double nowSeconds) {
         return counts.maxSenders(nowSeconds, table.all(), table.self());
     }
 
-    /** How many routers are listed, this one with them. */
+    /** Number of listed routers, including this one. */
     public int size() {
         return table.size();
     }
 
-    /** This router's place. */
+    /** Index of this router. */
     public int self() {
         return table.self();
     }
 
-    /** How the member at a place stands. */
+    /** State of the member with this index. */
     public MemberState state(int index) {
         return table.get(index).state;
     }
 
-    /** The newest incarnation known of the member at a place. */
+    /** Highest known incarnation of the member with this index. */
     public long incarnation(int index) {
         return table.get(index).incarnation;
     }
 
-    /** A letter a member, by place: A alive, S suspect, D dead, L left, U unheard. */
+    /** One letter per member, by index: A alive, S suspect, D dead, L left, U unheard. */
     public String stateLetters() {
         return table.stateLetters();
     }
 
-    /** The same for any two routers that hold the same members for taking part, at the same incarnations. */
+    /** Digest that is equal for two routers with the same active members at the same incarnations. */
     public long digest() {
         return table.digest();
     }
 
-    /** Datagrams sent so far. */
+    /** Number of datagrams sent. */
     public long sent() {
         return sender.sent();
     }
 
-    /** Bytes sent so far. */
+    /** Number of bytes sent. */
     public long sentBytes() {
         return sender.sentBytes();
     }
 
-    /** Deaths that this router declared itself. */
+    /** Number of deaths that this router declared itself. */
     public long deaths() {
         return detector.deaths();
     }
 
-    /** A line a figure. */
+    /** Metrics as text, one per line. */
     public String metrics() {
         StringBuilder text = new StringBuilder();
         appendMetric(text, "view", stateLetters());
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Probe.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Probe.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * One look at a member, step by step: pinged, pinged again, looked at by others, by others again, and then it counts as
- * silent since the first ping. As the silence counts from there, patience here costs no time: it only keeps lost
- * datagrams from raising suspicion.
+ * A direct probe of a member with its retries: ping, ping again, request indirect probes, ping again, request
+ * indirect probes again, then time out. Silence counts from the first ping, so a long probe timeout does not delay
+ * detection; it only keeps lost datagrams from raising suspicion.
  */
 final class Probe {
-    /** What is due next of a probe. */
+    /** Next step of a probe. */
     enum Action {
         NONE,
         RETRY_PING,
@@ -23,10 +23,10 @@
     private final double retrySeconds;
     private final double timeoutSeconds;
     private int step;
-    /** Members that were asked, looked and saw nothing. */
+    /** Indexes of the members that probed the target indirectly without an answer. */
     final List<Integer> failedHelpers = new ArrayList<>();
 
-    /** @param stretch what the times are multiplied by, from this mixer's own health */
+    /** @param timeoutMultiplier factor for the timeouts, from this mixer's local health */
     Probe(int target, int number, double now, MembershipSettings settings, double timeoutMultiplier) {
         this.target = target;
         this.number = number;
@@ -35,13 +35,14 @@
         timeoutSeconds = settings.probeTimeoutSeconds() * timeoutMultiplier;
     }
 
-    /** What is due now; each step is told once. */
+    /** Returns the step that is due now; each step is returned once. */
     Action nextAction(double now) {
         double elapsed = now - startedAt;
         if (elapsed >= timeoutSeconds) {
             return Action.TIMED_OUT;
         }
-        // Pinged after one and four times the wait, others asked after two and four.
+        // Pings after one and three times the retry interval, indirect probes after two and three and a half
+        // times.
         if (step == 0 && elapsed >= retrySeconds) {
             step = 1;
             return Action.RETRY_PING;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/ProbeSchedule.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/ProbeSchedule.java
@@ -3,11 +3,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Whom a member probes in a period. SWIM draws at random and, to bound the time, goes round in a shuffled order; then a
- * member is probed by none in a third of the periods. Here all members draw the same shift for a period, from the clock
- * they share, and each probes the one so many places on among those that take part: so each of them is probed by
- * exactly one, and a crash is noticed within a period where the prober lives. Where views or clocks differ, the choice
- * is as good as random, since the shift is drawn anew each period.
+ * Chooses the member to probe in each round. SWIM picks targets at random and, to bound the detection time, in a
+ * shuffled order; a member is then not probed by anyone in a third of the rounds. Here all members derive the same
+ * shift for a round from their shared clock, and each probes the active member that many positions after itself.
+ * So each active member is probed by exactly one other, and a crash is noticed within one round if the prober is
+ * alive. Where views or clocks differ, the choice is as good as random, since each round has a new shift.
  */
 final class ProbeSchedule {
     private final double probeIntervalSeconds;
@@ -21,23 +21,26 @@
     }
 
     /**
-     * When in its turn a member probes: spread over the first part of the period by place, so that not all datagrams of
-     * the tier go out at once.
+     * Time at which a member probes within a round. Members are spread over the first half of the round by index,
+     * so that they do not all send at once.
      */
     double probeTime(long round, int index, int size) {
         return (round + 0.5 * index / size) * probeIntervalSeconds;
     }
 
-    /** How many places on, among so many that take part, for a draw; 0 where there is nobody else. */
+    /**
+     * Number of positions to shift among the active members, from a random seed; 0 if there is no other active
+     * member.
+     */
     int shift(long seed, int activeCount) {
         return activeCount < 2 ? 0 : new SplittableRandom(seed).nextInt(1, activeCount);
     }
 
     /**
-     * The member to probe: the one so many on from this one among those that take part.
+     * Returns the member to probe: the one that many positions after this one among the active members.
      *
-     * @param draw the turn's number, or what is made of it for one more look in the same turn
-     * @return its place, or -1 where nobody else takes part
+     * @param seed number of the round, or a value derived from it for further probes in the same round
+     * @return its index, or -1 if no other member is active
      */
     int target(long seed, int self, Member[] members) {
         int activeCount = 0;
@@ -57,6 +60,6 @@
                 return each.index;
             }
         }
-        throw new IllegalStateException("rank " + remaining + " of " + activeCount);
+        throw new IllegalStateException("no active member for remaining rank " + remaining + " of " + activeCount);
     }
 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
@@ -1,9 +1,10 @@
 package pinewick.fleet;
 
 /**
- * How long a suspect may stay silent before it is declared dead (Lifeguard, DSN 2018, section IV-B: the time shrinks
- * with independent confirmations). Unlike there, the time counts from the first ping left unanswered, and rumours carry
- * it: so all members come to the same end at nearly the same moment, and the news of the death need not spread first.
+ * Time that a suspect may stay silent before it is declared dead (Lifeguard, DSN 2018, section IV-B: the timeout
+ * shrinks with independent confirmations). Unlike in Lifeguard, the time counts from the first unanswered ping,
+ * which gossip carries; so all members reach the timeout at nearly the same moment and do not wait for the death
+ * to be gossiped.
  */
 final class Suspicion {
     private final MembershipSettings settings;
@@ -12,17 +13,23 @@
         this.settings = settings;
     }
 
-    /** How many accusers count at most: the first, and the confirmations that so many members can give. */
+    /**
+     * Maximum number of accusers that count: the first one, and the confirmations that so many active members can
+     * give.
+     */
     int maxAccusers(int activeCount) {
         return 1 + requiredConfirmations(activeCount);
     }
 
-    /** Among few members fewer can confirm: not the suspect, not the first accuser. */
+    /** In a small fleet fewer members can confirm: neither the suspect nor the first accuser counts. */
     private int requiredConfirmations(int activeCount) {
         return Math.max(0, Math.min(settings.confirmations(), activeCount - 2));
     }
 
-    /** Seconds of silence until death, by how many accuse it among how many that take part, the suspect with them. */
+    /**
+     * Seconds of silence until a suspect is declared dead, by the number of accusers and of active members, the
+     * suspect included.
+     */
     double timeoutSeconds(int accusers, int activeCount) {
         int requiredConfirmations = requiredConfirmations(activeCount);
         if (requiredConfirmations == 0) {
@@ -36,9 +43,9 @@
     }
 
     /**
-     * Seconds until a suspect is to be declared dead; 0 or less from then on. Danger: a rumour of silence that is older
-     * than a word heard from the member itself must not kill it. Harm: where the members' clocks of rumours differ, a
-     * death comes some milliseconds late.
+     * Seconds until a suspect is to be declared dead; 0 or less once it is due. Danger: gossip about a silence
+     * that is older than the last datagram from the member itself must not declare it dead. Harm: where the
+     * members hold different times, a death is declared some milliseconds late.
      */
     double remainingSeconds(double now, Member suspect, int activeCount) {
         double silentSince = Math.max(suspect.silentSince, suspect.lastHeardAt);
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/Fact.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/Fact.java
@@ -1,26 +1,26 @@
 package pinewick.fleet.state;
 
 /**
- * One register: what one mixer said last of one searcher, in one kind. Of two words of one origin the later prevails,
- * so merging is the same in any order and any number of times.
+ * The latest statement of one mixer about one searcher, of one kind: a last-writer-wins register. Of two facts of
+ * one origin the one with the later stamp takes precedence, so merging is independent of order and repetition.
  *
- * @param key the searcher, as {@link #key} makes it from its id
- * @param origin place of the mixer that saw it
- * @param stamp milliseconds since 1970 on the origin's clock, and above all stamps of its that it was ever told of: it
- *     stands for incarnation and counter in one, as each start begins at the clock
- * @param first the kind's figure; 0 to 10^6
- * @param second the kind's further figure, or 0
+ * @param key the searcher, derived from its id by {@link #key}
+ * @param origin index of the mixer that observed it
+ * @param stamp milliseconds since 1970 on the clock of the origin, and higher than all of its stamps that it ever
+ * received: serves as incarnation and counter in one, as each start begins at the clock
+ * @param value figure of the kind; 0 to 10^6
+ * @param secondValue second figure of the kind, or 0
  */
 public record Fact(int key, FactKind kind, int origin, long stamp, double value, double secondValue) {
     private static final double MIN_VALUE = 1e-6;
-    private static final double STEPS_PER_DOUBLING = 1600; // a doubling; 2 bytes reach from a millionth to a million
+    private static final double STEPS_PER_DOUBLING = 1600; // 2 bytes cover a millionth to a million
 
     /**
-     * A searcher's id as four bytes. Two ids with one key are told apart by nobody; the store's user must leave both
-     * out.
+     * Hashes the id of a searcher to four bytes. Facts of two ids with the same key cannot be told apart; the
+     * caller must exclude both ids.
      */
     public static int key(String id) {
-        // FNV-1a, and the bits mixed once more, since ids often differ in few letters.
+        // FNV-1a with a final mix of the bits, since ids often differ in few letters.
         int hash = 0x811C9DC5;
         for (int each = 0; each < id.length(); each++) {
             hash = (hash ^ id.charAt(each)) * 0x01000193;
@@ -30,12 +30,12 @@
         return hash ^ hash >>> 13;
     }
 
-    /** Seconds since it was seen. */
+    /** Seconds since the observation. */
     public double ageSeconds(double now) {
         return now - stamp / 1e3;
     }
 
-    /** A figure in two bytes, within a part in two thousand; what is under a millionth is 0. */
+    /** Encodes a figure in two bytes with a relative error of at most 1/2000; a figure below a millionth becomes 0. */
     public static short encode(double value) {
         return (short)
                 (value < MIN_VALUE
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactAggregator.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactAggregator.java
@@ -5,16 +5,17 @@
 import java.util.List;
 
 /**
- * What the words of several mixers come to. Each figure is a median over origins, weighted by age, so that one wrong
- * origin, however far off, moves it no further than to the next honest word; a warning needs two origins. Danger:
- * replicated facts are late, wrong or from a mixer that sees another network; so what comes out may only make a mixer
- * more careful than its own observations, never less ({@link #worse}). Harm: with fewer than three origins a single
- * liar can make a searcher look bad to those that never heard it, which costs choice but breaks no rule.
+ * Aggregates the facts of several mixers. Each figure is a median over origins, weighted by age, so that one wrong
+ * origin, however far off, moves it no further than to the next honest value; a warning needs two origins. Danger:
+ * replicated facts may be late, wrong or from a mixer that sees a different network; so the result may only make a
+ * mixer more careful than its own observations, never less ({@link #worseOf}). Harm: with fewer than three origins
+ * one wrong origin can make a searcher look bad to mixers that have no observation of it, which reduces their
+ * choice but breaks no rule.
  */
 public final class FactAggregator {
-    /** Seconds in which a word's weight halves. */
+    /** Seconds in which the weight of a fact halves. */
     private static final double HALF_LIFE_SECONDS = 2;
-    /** Origins that a warning needs. */
+    /** Minimum number of origins for a warning. */
     private static final int MIN_WARNING_ORIGINS = 2;
 
     private final FactStore store;
@@ -23,30 +24,30 @@
         this.store = store;
     }
 
-    /** The latency that other mixers see, seconds; NaN where none is known. */
+    /** Latency that other mixers observe, in seconds; NaN if none is known. */
     public double latencySeconds(int key, int self, double now) {
         return median(key, FactKind.LATENCY, self, now, false);
     }
 
-    /** The queue that was reported to them; NaN where none is known. */
+    /** Queue length that was reported to other mixers; NaN if none is known. */
     public double queueLength(int key, int self, double now) {
         return median(key, FactKind.LATENCY, self, now, true);
     }
 
     /**
-     * What this mixer may take for a searcher's figure: its own, or the others' if that is worse; theirs if it has
-     * none.
+     * Returns the figure to use for a searcher: the worse of this mixer's own and the others', or the only one
+     * that is known.
      */
     public static double worseOf(double own, double others) {
         return Double.isNaN(own) ? others : Double.isNaN(others) ? own : Math.max(own, others);
     }
 
-    /** Whether two others or more saw it fail of late, and after this time. */
+    /** Whether at least two other mixers recently saw the searcher fail, after the given time. */
     public boolean isUnhealthy(int key, int self, double now, double since) {
         return isReported(key, FactKind.UNHEALTHY, self, now, since);
     }
 
-    /** Whether two others or more saw it drain or go, after this time. */
+    /** Whether at least two other mixers saw the searcher drain or disappear, after the given time. */
     public boolean isLeaving(int key, int self, double now, double since) {
         return isReported(key, FactKind.LEAVING, self, now, since);
     }
@@ -64,7 +65,7 @@
         return origins >= MIN_WARNING_ORIGINS;
     }
 
-    /** What others sent to a cold searcher, seconds of work, as far as it is known: a lower bound of the truth. */
+    /** Work in seconds that other mixers sent to a cold searcher, as far as known: a lower bound. */
     public double coldWorkSeconds(int key, int self, double now) {
         double totalSeconds = 0;
         for (Fact each : store.of(key, FactKind.COLD_WORK)) {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactDatagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactDatagram.java
@@ -7,17 +7,17 @@
 import pinewick.fleet.DatagramEnvelope;
 
 /**
- * Datagrams of replicated facts, written and read; never over {@link Datagram#MOST} bytes, numbers most significant
- * first.
+ * Encodes and decodes the datagrams with replicated facts. They never exceed {@link Datagram#MAX_BYTES}; numbers
+ * are big-endian.
  *
  * <pre>
  * byte  version, 0xF2
- * byte  what: 0 facts, 1 sums (asks for what differs), 2 facts, the last piece of an answer to sums, 3 searchers whose
- *       stretch differs, 4 searchers wanted
- * byte  how many
- *   facts, 17 bytes each: kind 1, key 4, origin 2, stamp 6, figures 2 and 2; sums, 4 bytes each; searchers, key 4 and
- *       sum 4; or keys wanted, 4 bytes each
- * 4     CRC-32 of all before
+ * byte  type: 0 facts, 1 checksums (requests what differs), 2 facts, the last part of an answer to checksums,
+ *       3 searchers whose key range differs, 4 searchers requested
+ * byte  number of items
+ *   facts, 17 bytes each: kind 1, key 4, origin 2, stamp 6, values 2 and 2; checksums, 4 bytes each; searchers, key 4
+ *       and checksum 4; or requested keys, 4 bytes each
+ * 4     CRC-32 of all preceding bytes
  * </pre>
  */
 public final class FactDatagram {
@@ -25,29 +25,29 @@
     static final int FACT_BYTES = 17;
     private static final int HEADER_BYTES = 3;
     private static final int CHECKSUM_BYTES = DatagramEnvelope.CHECKSUM_BYTES;
-    /** Facts that one datagram takes. */
+    /** Maximum number of facts in one datagram. */
     public static final int MAX_FACTS = (Datagram.MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / FACT_BYTES;
 
     private static final FactKind[] KINDS = FactKind.values();
 
-    /** Is told what a datagram says, after the whole of it was found sound. */
+    /** Receives the contents of a datagram after the whole datagram was validated. */
     public interface Reader {
         void onFact(Fact fact);
 
-        /** The sender's sums; it wants what differs. */
+        /** Checksums of the sender's key ranges; it requests what differs. */
         void onChecksums(int[] checksums);
 
-        /** Searchers of stretches that differ, with their sums there. */
+        /** Keys of searchers in differing ranges, with their checksums at the sender. */
         void onSearchers(int[] keys, int[] checksums);
 
-        /** The sender wants all that is held of these. */
+        /** The sender requests all facts about these searchers. */
         void onKeysRequested(int[] keys);
 
-        /** All that the other had to say to this mixer's sums has been sent. */
+        /** The sender has completed its answer to this mixer's checksums. */
         void onAnswerComplete();
     }
 
-    /** Searchers that one datagram names with their sums, and without. */
+    /** Maximum number of searchers in one datagram with their checksums, and maximum number of keys alone. */
     static final int MAX_SEARCHERS = (Datagram.MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / 8;
 
     static final int MAX_KEYS = (Datagram.MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / 4;
@@ -55,10 +55,10 @@
 
     private FactDatagram() {}
 
-    /** @param last whether it ends an answer to sums */
+    /** @param last whether the datagram completes an answer to checksums */
     public static byte[] facts(List<Fact> facts, boolean last) {
         if (facts.size() > MAX_FACTS) {
-            throw new IllegalArgumentException(facts.size() + " facts in one datagram, which takes " + MAX_FACTS);
+            throw new IllegalArgumentException(facts.size() + " facts in one datagram, limit is " + MAX_FACTS);
         }
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + facts.size() * FACT_BYTES + CHECKSUM_BYTES);
         out.put(VERSION).put((byte) (last ? 2 : 0)).put((byte) facts.size());
@@ -103,7 +103,7 @@
                 .putShort(Fact.encode(fact.secondValue()));
     }
 
-    /** One fact; null where it can't be one. */
+    /** Reads one fact; null if it is invalid. */
     static Fact readFact(ByteBuffer in) {
         int kind = in.get();
         int key = in.getInt();
@@ -122,8 +122,8 @@
     }
 
     /**
-     * Reads one datagram. Returns why it can't be used, or null where it could; then, and only then, the reader was
-     * told.
+     * Decodes one datagram. Returns the reason why it is invalid, or null if it is valid; the reader is called
+     * only for a valid datagram.
      */
     public static String read(byte[] datagram, int length, Reader reader) {
         String fault = DatagramEnvelope.findFault(datagram, length, VERSION, HEADER_BYTES);
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactKind.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactKind.java
@@ -1,16 +1,26 @@
 package pinewick.fleet.state;
 
-/** What is replicated of a searcher, each with how old it may be and still count. */
+/**
+ * Kinds of facts that are replicated about a searcher, with the age up to which they count. The order of the
+ * values is part of the wire format.
+ */
 public enum FactKind {
     /**
-     * Smoothed latency, seconds, and reported queue, as one mixer saw them: a mixer that returns need not learn anew.
+     * Smoothed latency in seconds and reported queue length as observed by one mixer, so that a restarted mixer
+     * need not measure them again.
      */
     LATENCY(65),
-    /** Failures in a row at one mixer, and 0: each mixer alone would pay to learn the same bad searcher. */
+    /**
+     * Consecutive failures at one mixer, and 0: otherwise each mixer would have to fail to detect the same bad
+     * searcher.
+     */
     UNHEALTHY(3),
-    /** Seen draining (1) or gone (2) by one mixer: an earlier warning only, the own list decides. */
+    /** Observed draining (1) or gone (2) by one mixer: only an early warning, the own list decides. */
     LEAVING(10),
-    /** Work, seconds, sent to a cold searcher by one mixer in the window of rule 4, and the window's length. */
+    /**
+     * Work in seconds that one mixer sent to a cold searcher in the window of rule 4, and the length of the window
+     * in seconds.
+     */
     COLD_WORK(5);
 
     private final double maxAgeSeconds;
@@ -19,7 +29,7 @@
         this.maxAgeSeconds = maxAgeSeconds;
     }
 
-    /** Seconds after which a fact of this kind is forgotten. */
+    /** Seconds after which a fact of this kind expires. */
     public double maxAgeSeconds() {
         return maxAgeSeconds;
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicationSettings.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicationSettings.java
@@ -1,16 +1,20 @@
 package pinewick.fleet.state;
 
 /**
- * The times and rates of replication.
+ * Settings of the replication of facts.
  *
- * @param turn seconds between two turns of sending news; a warning is handed on twice, {@code again} seconds apart
- * @param bytesASecond what a member sends for it at most over any longer time; a burst of {@code burst} bytes besides
- * @param fan members that a piece of news is handed to at each hop
- * @param compare seconds between two comparisons with another member; one that lacks something compares each turn
- * @param again see {@code turn}
- * @param freshest seconds for which a fact is news and handed on; older ones travel by comparison alone
- * @param enough words of other origins, younger than {@code fresh} seconds and alike, that make one's own superfluous
- * @param alike the relative difference below which two words of a pace are alike
+ * @param sendIntervalSeconds time between two rounds of sending pending facts
+ * @param bytesPerSecond maximum rate at which a member sends over any longer time
+ * @param burstBytes bytes that may be sent in addition to the rate
+ * @param fanout number of members that a warning is forwarded to at each hop; other facts go to half as many
+ * @param comparisonIntervalSeconds time between two comparisons with another member; a member that is catching up
+ * compares in each round
+ * @param warningResendSeconds time after which a warning is sent a second time
+ * @param maxGossipAgeSeconds age up to which a fact is forwarded; older facts are replicated by comparison alone
+ * @param sufficientReports number of other origins with similar facts, younger than {@code reportFreshSeconds},
+ * that make an own one superfluous
+ * @param reportFreshSeconds see {@code sufficientReports}
+ * @param similarityTolerance relative difference up to which two latencies are similar
  */
 public record FactReplicationSettings(
         double sendIntervalSeconds,
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
@@ -11,25 +11,24 @@
 import java.util.function.IntPredicate;
 
 /**
- * One mixer's part in replicating facts of searchers among the mixers: what it saw goes out, what comes is merged and
- * handed on, copies are compared by sums over stretches of the keys, and a mixer that returns pulls what it lacks, at a
- * bounded rate. No I/O, no clock; the same events give the same datagrams. Times are seconds on the clock that all
- * share.
+ * Replicates facts about searchers among the mixers. Local observations are gossiped, received facts are merged
+ * and forwarded, copies are compared by checksums over key ranges (anti-entropy), and a restarted mixer pulls what
+ * it lacks at a bounded rate. Does no I/O and has no clock; the same events produce the same datagrams. Times are
+ * seconds on the clock that all mixers share.
  */
 public final class FactReplicator implements FactDatagram.Reader {
-    /** Sends datagrams; they may be lost. */
+    /** Sends datagrams, which may be lost. */
     public interface Transport {
         void send(int index, byte[] datagram);
     }
 
-    private static final double CHANGED_RATE_FACTOR = 8; // times as often where the searcher changed
+    private static final double CHANGED_RATE_FACTOR = 8; // how much more often a changed latency is published
     private static final int UNHEALTHY_FAILURES =
-            2; // failures in a row that are told: one alone is often a lost answer
-    private static final int MAX_CATCH_UP_COMPARISONS =
-            40; // comparisons that a mixer that returns makes at most before it goes on without
-    private static final int MAX_ANSWER_DATAGRAMS = 12; // datagrams that answer one comparison
+            2; // consecutive failures before a warning: a single one is often a lost answer
+    private static final int MAX_CATCH_UP_COMPARISONS = 40; // after which a restarted mixer goes on without an answer
+    private static final int MAX_ANSWER_DATAGRAMS = 12; // per comparison
     private static final int REQUIRED_MATCHES =
-            2; // members that held nothing else, until a mixer says it has caught up
+            2; // comparisons without a difference in a row before a mixer counts as caught up
 
     private final FactStore store = new FactStore();
     private final FactAggregator aggregator = new FactAggregator(store);
@@ -39,21 +38,19 @@
     private final int self;
     private int size;
     private final IntPredicate isActive;
-    /** To be handed on: facts that were news here, each once. */
+    /** Facts to be forwarded: each changed the local store and is forwarded once. */
     private final ArrayDeque<Fact> pendingFacts = new ArrayDeque<>();
 
     private final ArrayDeque<Fact> pendingWarnings = new ArrayDeque<>();
-    /** Warnings handed on once, to be handed on once more. */
+    /** Warnings that were sent once and are to be sent a second time. */
     private final ArrayDeque<Fact> warningsToResend = new ArrayDeque<>();
 
     private final ArrayDeque<Double> resendTimes = new ArrayDeque<>();
-    /** By searcher: when this mixer saw it last, and the smoothed time between. */
+    /** By searcher: time of the last local observation, and smoothed interval between observations. */
     private final Map<Integer, double[]> observations = new HashMap<>();
-    /** Searchers that this mixer warned the others of. */
+    /** Searchers that this mixer reported as unhealthy. */
     private final Set<Integer> reportedUnhealthy = new HashSet<>();
-    /**
-     * Whom this mixer sent sums to last, -1 where no answer is awaited; whether the answer named searchers that differ.
-     */
+    /** Member whose answer to checksums is awaited, -1 if none; and whether that answer named differing searchers. */
     private int awaitedPeer = -1;
 
     private boolean answerDiffered;
@@ -75,7 +72,7 @@
     private long mergedFacts;
     private long droppedFacts;
 
-    /** @param takesPart whether the member at a place takes part, as the fleet's view has it */
+    /** @param isActive whether the member with an index is active in the membership view */
     public FactReplicator(
             int size,
             int self,
@@ -99,7 +96,7 @@
         return aggregator;
     }
 
-    /** Begins: what the others know is pulled first, while the mixer serves. */
+    /** Starts replication; the facts of the other mixers are pulled first, while this mixer already serves. */
     public void start(double nowSeconds) {
         now = nowSeconds;
         startedAt = nowSeconds;
@@ -112,10 +109,10 @@
     }
 
     /**
-     * Something this mixer saw itself. A pace that enough others told alike a moment ago is not told once more, so that
-     * the load of telling stays the same however many mixers there are.
+     * Records a local observation. A latency that enough other mixers recently reported alike is not published, so
+     * that the replication load does not grow with the number of mixers.
      *
-     * @return whether it is told to the others
+     * @return whether the observation is published
      */
     public boolean recordObservation(double nowSeconds, int key, FactKind kind, double value, double secondValue) {
         now = nowSeconds;
@@ -129,7 +126,10 @@
         return true;
     }
 
-    /** What this mixer saw of a searcher at work; some failures in a row are a warning, taken back once it answers. */
+    /**
+     * Records an answer or failure of a searcher; consecutive failures raise a warning, which the next success
+     * withdraws.
+     */
     public void recordWork(double nowSeconds, int key, double latencySeconds, double queueLength, int failures) {
         recordObservation(nowSeconds, key, FactKind.LATENCY, latencySeconds, queueLength);
         if (failures >= UNHEALTHY_FAILURES
@@ -139,7 +139,10 @@
         }
     }
 
-    /** A warning goes out twice: of a hundred mixers handed it at random by four others each, three would miss it. */
+    /**
+     * Enqueues a fact for forwarding. A warning is sent twice: if each of a hundred mixers forwards it once to
+     * four random others, three would miss it.
+     */
     private void enqueue(Fact fact) {
         if (fact.kind() == FactKind.LATENCY) {
             pendingFacts.add(fact);
@@ -151,9 +154,10 @@
     }
 
     /**
-     * Whether a pace is told: where fewer than enough mixers told one like it of late, and then by lot, since all that
-     * see the searcher would tell at once. The lot is such that among all that see it about as many tell as are wanted;
-     * eight times as many where the others' word is another one, as that is news.
+     * Whether a latency is published: only if too few mixers reported a similar one recently, and then at random,
+     * since otherwise all mixers that observe the searcher would publish at once. The probability is chosen so
+     * that about the required number of observers publish; it is eight times as high if the others report a
+     * different latency, as that is new information.
      */
     private boolean shouldPublish(int key, double latencySeconds) {
         double[] observation = observations.computeIfAbsent(
@@ -182,7 +186,7 @@
                 && random.nextDouble() < targetRate * observation[1] / activeCount;
     }
 
-    /** The regular look: news goes out, copies are compared. */
+    /** Sends pending facts and compares copies when due. */
     public void tick(double nowSeconds) {
         now = nowSeconds;
         budgetBytes = Math.min(settings.burstBytes(), budgetBytes + (now - budgetFilledAt) * settings.bytesPerSecond());
@@ -219,7 +223,8 @@
                 send(randomActivePeer(), datagram);
             }
         }
-        // Danger: under a flood news would pile up without end; what waits is told by comparison anyway.
+        // Danger: during a flood of facts the queue would grow without bound. The dropped facts are still
+        // replicated by comparison.
         while (queue.size() > 4 * FactDatagram.MAX_FACTS) {
             queue.poll();
             droppedFacts++;
@@ -233,7 +238,7 @@
         }
         lastComparedAt = now;
         if (Double.isNaN(caughtUpAt) && ++comparisons > MAX_CATCH_UP_COMPARISONS) {
-            caughtUpAt = now; // Nobody answers: there is nobody to catch up with.
+            caughtUpAt = now; // No member answers, so there is nobody to catch up with.
         }
         mergedSinceComparison = 0;
         awaitedPeer = to;
@@ -241,7 +246,7 @@
         send(to, FactDatagram.checksums(store.checksums()));
     }
 
-    /** A datagram came from a member. Returns why it can't be used, or null where it could. */
+    /** Handles a datagram from a member. Returns the reason why it is invalid, or null if it is valid. */
     public String onDatagram(double nowSeconds, int index, byte[] datagram, int length) {
         now = nowSeconds;
         senderIndex = index;
@@ -250,15 +255,15 @@
 
     @Override
     public void onFact(Fact fact) {
-        // Danger: a stamp far ahead would prevail for good, and under this mixer's name would make all its later words
-        // such
-        // that nobody takes them. Harm: where clocks differ by more, facts are not taken.
+        // Danger: a fact with a stamp far in the future would take precedence for good, and under this mixer's own
+        // origin would make all members reject its later facts. Harm: if clocks differ by more than a second,
+        // facts are not accepted.
         if (FactStore.isExpired(fact, now) || fact.ageSeconds(now) < -1) {
             return;
         }
         if (fact.origin() == self) {
-            // A word of this mixer's from before its restart, maybe by a clock that went ahead: later words must be
-            // newer.
+            // A fact of this mixer from before its restart, possibly with a clock that was ahead: later facts need
+            // a newer stamp.
             stamp = Math.max(stamp, fact.stamp());
         }
         if (!store.merge(fact)) {
@@ -272,8 +277,8 @@
     }
 
     /**
-     * Answers a comparison. Where the other holds nothing of a stretch it gets the facts; where it holds others, the
-     * searchers with a sum each, so that only what differs crosses the network.
+     * Answers a comparison. For a key range that is empty at the sender, sends the facts; for any other differing
+     * range, sends the searchers with their checksums, so that only differences are transferred.
      */
     @Override
     public void onChecksums(int[] others) {
@@ -300,7 +305,7 @@
             remaining--;
         }
         remaining = Math.max(1, remaining);
-        // Danger: two that return and hold nothing would tell each other that there is nothing to catch up with.
+        // Danger: two restarted mixers without facts would tell each other that there is nothing to catch up with.
         boolean hasCaughtUp = !Double.isNaN(caughtUpAt);
         for (int at = 0; (at == 0 || at < facts.size()) && remaining > 0 && hasBudget(); at += FactDatagram.MAX_FACTS) {
             int end = Math.min(facts.size(), at + FactDatagram.MAX_FACTS);
@@ -311,7 +316,10 @@
         }
     }
 
-    /** Seventy that return at once share what the others can spare. */
+    /**
+     * Whether the byte budget allows an answer, so that seventy mixers that restart at once share the capacity of
+     * the others.
+     */
     private boolean hasBudget() {
         return budgetBytes > -settings.burstBytes();
     }
@@ -359,7 +367,8 @@
         boolean matched = mergedSinceComparison == 0 && !answerDiffered;
         consecutiveMatches = matched ? consecutiveMatches + 1 : 0;
         if (!matched) {
-            lastComparedAt = Double.NEGATIVE_INFINITY; // There may be more: on with the next member in the next turn.
+            lastComparedAt =
+                    Double.NEGATIVE_INFINITY; // There may be more: compare with the next member in the next round.
         }
         mergedSinceComparison = 0;
         if (consecutiveMatches >= REQUIRED_MATCHES && Double.isNaN(caughtUpAt)) {
@@ -393,7 +402,7 @@
         return found;
     }
 
-    /** Seconds that catching up took; NaN while it goes on. */
+    /** Seconds from the start until this mixer had caught up; NaN before that. */
     public double catchUpSeconds() {
         return caughtUpAt - startedAt;
     }
@@ -402,7 +411,7 @@
         return sentBytes;
     }
 
-    /** A line a figure. */
+    /** Metrics as text, one per line. */
     public String metrics() {
         return "state-facts " + store.size() + "\nstate-digest " + Long.toHexString(store.digest()) + "\nstate-merged "
                 + mergedFacts + "\nstate-sent " + sent + "\nstate-sent-bytes " + sentBytes + "\nstate-left-out "
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactSnapshotFormat.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactSnapshotFormat.java
@@ -6,15 +6,15 @@
 import java.util.zip.CRC32;
 
 /**
- * A snapshot of the facts one mixer holds, as bytes; no I/O. Nothing of it is believed unless all of it is sound: every
- * record has a sum of its own and the whole has one, and it names whose it is and when it was written.
+ * Binary format of a snapshot of the facts of one mixer; does no I/O. A snapshot is used only if all of it is
+ * valid: each record and the whole snapshot have a checksum, and it names its mixer and the time of writing.
  *
  * <pre>
  * 4  "PWF1"
- * 2  place of the mixer, 2 how many are listed
+ * 2  index of the mixer, 2 number of listed mixers
  * 8  milliseconds since 1970
- * 4  how many records; each 17 bytes of a fact as in {@link FactDatagram} and the CRC-32 of these
- * 4  CRC-32 of all before
+ * 4  number of records; each 17 bytes of a fact as in {@link FactDatagram} and their CRC-32
+ * 4  CRC-32 of all preceding bytes
  * </pre>
  */
 public final class FactSnapshotFormat {
@@ -22,7 +22,10 @@
     private static final int HEADER_BYTES = 20;
     private static final int RECORD_BYTES = FactDatagram.FACT_BYTES + 4;
 
-    /** What was read: facts, or why nothing can be believed. */
+    /**
+     * Result of reading: the facts, or the reason for the rejection and no facts; the reason is null for a valid
+     * snapshot.
+     */
     public record Result(List<Fact> facts, String rejection) {}
 
     private FactSnapshotFormat() {}
@@ -43,14 +46,14 @@
         return out.array();
     }
 
-    /** @param most seconds that a snapshot may be old */
+    /** @param maxAgeSeconds maximum age of the snapshot in seconds */
     public static Result read(byte[] snapshot, int self, int size, double now, double maxAgeSeconds) {
         ByteBuffer in = ByteBuffer.wrap(snapshot);
         if (snapshot.length < HEADER_BYTES + 4) {
             return rejected("torn: " + snapshot.length + " bytes");
         }
         if (in.getInt() != MAGIC) {
-            return rejected("no snapshot of this program's");
+            return rejected("not a snapshot of this program");
         }
         int index = in.getShort() & 0xFFFF;
         int listedMembers = in.getShort() & 0xFFFF;
@@ -60,7 +63,7 @@
             return rejected("torn: " + snapshot.length + " bytes for " + records + " records");
         }
         if (in.getInt(snapshot.length - 4) != crc32(snapshot, 0, snapshot.length - 4)) {
-            return rejected("spoilt: the sum over all does not fit");
+            return rejected("spoilt: the checksum of the file does not match");
         }
         if (index != self || listedMembers != size) {
             return rejected("of another mixer: " + index + " of " + listedMembers);
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactStore.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactStore.java
@@ -11,22 +11,23 @@
 import java.util.TreeMap;
 
 /**
- * All facts a mixer holds: for each searcher and kind the newest words of some origins, {@link #ORIGINS} at most. A
- * state-based replicated map: merging keeps the newest word of each origin and of those the newest origins, which is
- * commutative, associative and idempotent, as a word once left out is older than so many others that it never counts
- * again. So memory is bounded by the searchers, however many mixers there are. No I/O, no clock.
+ * All facts that a mixer holds: for each searcher and kind the newest facts of at most {@link #MAX_ORIGINS}
+ * origins. A state-based replicated map (CRDT): a merge keeps the newest fact of each origin, and of those the
+ * newest origins. This is commutative, associative and idempotent, as a fact once evicted is older than so many
+ * others that it never counts again. So memory is bounded by the number of searchers and independent of the number
+ * of mixers. Does no I/O and has no clock.
  */
 public final class FactStore {
-    /** Origins kept of each searcher and kind: enough for a median that one liar can't drag away. */
+    /** Origins kept for each searcher and kind: enough for a median that one wrong origin cannot shift. */
     public static final int MAX_ORIGINS = 3;
-    /** Stretches of the keys that have a sum each. */
+    /** Number of key ranges that have a checksum each. */
     static final int RANGES = 32;
 
     private static final FactKind[] KINDS = FactKind.values();
     private static final Comparator<Fact> NEWEST_FIRST =
             Comparator.comparingLong(Fact::stamp).thenComparing(Fact::origin).reversed();
 
-    /** Of one searcher: a list a kind, the newest first. */
+    /** The facts of one searcher: one list per kind, the newest first. */
     private static final class SearcherFacts {
         final List<List<Fact>> kinds = new ArrayList<>();
         int checksum;
@@ -42,7 +43,7 @@
     private final int[] checksums = new int[RANGES];
     private int size;
 
-    /** Takes a fact. Returns whether it was news. */
+    /** Merges a fact. Returns whether it changed the store. */
     public boolean merge(Fact fact) {
         SearcherFacts searcher = keys.computeIfAbsent(fact.key(), any -> new SearcherFacts());
         List<Fact> kept = searcher.kinds.get(fact.kind().ordinal());
@@ -99,13 +100,13 @@
         return key >>> 27;
     }
 
-    /** What is held of a searcher in a kind, the newest first. */
+    /** Facts about a searcher of a kind, the newest first; empty if there are none. */
     public List<Fact> of(int key, FactKind kind) {
         SearcherFacts kept = keys.get(key);
         return kept == null ? List.of() : kept.kinds.get(kind.ordinal());
     }
 
-    /** The searchers in a stretch of the keys, each with a sum over what is held of it. */
+    /** Keys of the searchers in a key range, each with the checksum of its facts. */
     public SortedMap<Integer, Integer> keyChecksums(int range) {
         SortedMap<Integer, Integer> found = new TreeMap<>();
         keys.forEach((key, kept) -> {
@@ -116,13 +117,13 @@
         return found;
     }
 
-    /** The sum over what is held of a searcher; 0 for nothing. */
+    /** Checksum of the facts about a searcher; 0 if there are none. */
     public int checksum(int key) {
         SearcherFacts kept = keys.get(key);
         return kept == null ? 0 : kept.checksum;
     }
 
-    /** All that is held of a searcher. */
+    /** All facts about a searcher; empty if there are none. */
     public List<Fact> of(int key) {
         List<Fact> all = new ArrayList<>();
         SearcherFacts kept = keys.get(key);
@@ -132,7 +133,7 @@
         return all;
     }
 
-    /** All facts, or those of one stretch of the keys; -1 for all. */
+    /** All facts of one key range, or of all ranges for -1, sorted by key, kind and age. */
     public List<Fact> all(int range) {
         List<Fact> all = new ArrayList<>();
         for (Map.Entry<Integer, SearcherFacts> each : keys.entrySet()) {
@@ -146,20 +147,21 @@
         return all;
     }
 
-    /** A sum a stretch: the same where the same facts are held. */
+    /** One checksum per key range; equal if the same facts are held. */
     public int[] checksums() {
         return checksums.clone();
     }
 
     /**
-     * Whether a fact is too old to count. By whole seconds, so that all members, which share a clock, forget the same
-     * at the same moment; else copies would differ by what one has forgotten and another not yet.
+     * Whether a fact is too old to count. Compares whole seconds, so that all members, which share a clock, expire
+     * the same facts at the same moment; otherwise copies would differ by facts that only one member has expired
+     * yet.
      */
     public static boolean isExpired(Fact fact, double now) {
         return fact.stamp() / 1e3 < Math.floor(now) - fact.kind().maxAgeSeconds();
     }
 
-    /** Forgets what is too old to count. */
+    /** Removes facts that are too old to count. */
     public void removeExpired(double now) {
         keys.values().removeIf(kept -> {
             boolean empty = true;
@@ -179,7 +181,7 @@
         return size;
     }
 
-    /** The same for two stores that hold the same. */
+    /** Digest that is equal for two stores with the same facts. */
     public long digest() {
         return Arrays.hashCode(checksums);
     }
--- a/query-mixer/fleet/src/test/java/pinewick/fleet/FleetPropertyTest.java
+++ b/query-mixer/fleet/src/test/java/pinewick/fleet/FleetPropertyTest.java
@@ -21,7 +21,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What must hold of merges, datagrams, rumours and turns whatever comes. */
+/** Properties of merges, datagrams, the gossip queue and the probe schedule for random input. */
 class FleetPropertyTest {
     record Update(MemberState state, long incarnation) {}
 
@@ -37,7 +37,7 @@
     }
 
     @Property(tries = 500, seed = "20261201")
-    void newsInAnyOrderAndAnyNumberOfTimesGivesTheSameStanding(@ForAll("news") List<Update> news, @ForAll long seed) {
+    void mergesGiveTheSameStateInAnyOrderAndWithRepetition(@ForAll("news") List<Update> news, @ForAll long seed) {
         List<Update> mixed = new ArrayList<>(news);
         mixed.addAll(news.subList(0, news.size() / 2));
         Collections.shuffle(mixed, new Random(seed));
@@ -70,7 +70,7 @@
     }
 
     @Property(tries = 500, seed = "20261201")
-    void whatIsWrittenIsReadAndNeverLongerThanAllowed(
+    void encodedDatagramsDecodeToTheSameEntriesWithinTheSizeLimit(
             @ForAll @IntRange(min = 0, max = 8191) int sender,
             @ForAll long incarnation,
             @ForAll int number,
@@ -100,7 +100,7 @@
     }
 
     @Property(tries = 500, seed = "20261201")
-    void aDatagramThatWasChangedOrCutIsRefusedWholeAndNothingIsThrown(@ForAll long seed) {
+    void aCorruptedOrTruncatedDatagramIsRejectedWithoutException(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Datagram out = new Datagram().begin(Datagram.Kind.GOSSIP, 3, 9, 1, 2, 4);
         for (int each = random.nextInt(10); each > 0; each--) {
@@ -112,11 +112,11 @@
         RecordingReader recorder = new RecordingReader();
         assertTrue(Datagram.read(100, corrupted, corrupted.length, 10, recorder) != null);
         assertTrue(Datagram.read(100, datagram, random.nextInt(datagram.length), 10, recorder) != null);
-        assertTrue(recorder.events.isEmpty(), "nothing of a spoilt datagram is told");
+        assertTrue(recorder.events.isEmpty(), "nothing of a corrupted datagram is passed on");
     }
 
     @Property(tries = 500, seed = "20261201")
-    void noiseUnderARightSumIsRefusedOrReadButNeverThrown(@ForAll @Size(min = 1, max = 240) byte[] noise) {
+    void randomBytesWithAValidChecksumCauseNoException(@ForAll @Size(min = 1, max = 240) byte[] noise) {
         byte[] datagram = Arrays.copyOf(noise, noise.length + 4);
         datagram[0] = Datagram.VERSION;
         java.util.zip.CRC32 sum = new java.util.zip.CRC32();
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aFullDatagramTakesNoMore() {
+    void aFullDatagramRejectsFurtherEntries() {
         Datagram out = new Datagram().begin(Datagram.Kind.GOSSIP, 0, 1, 0, 0, 0);
         while (out.hasRoom()) {
             out.addEntry(1, MemberState.SUSPECT, 1, new int[] {1, 2, 3, 4}, 1);
@@ -156,7 +156,7 @@
     }
 
     @Property(tries = 200, seed = "20261201")
-    void everyPieceOfNewsIsSentSoOftenAndTheLeastSentGoesFirst(
+    void everyUpdateIsSentTheMaximumNumberOfTimesLeastSentFirst(
             @ForAll @IntRange(min = 1, max = 50) int size, @ForAll @IntRange(min = 1, max = 7) int room) {
         GossipQueue gossipQueue = new GossipQueue(size);
         int[] sent = new int[size];
@@ -164,7 +164,7 @@
             gossipQueue.add(index);
         }
         for (int turn = 0; gossipQueue.hasPending(); turn++) {
-            assertTrue(turn <= 5 * size, "news goes out without end");
+            assertTrue(turn <= 5 * size, "updates are sent without end");
             int[] left = {room};
             gossipQueue.drain(4, index -> {
                 if (left[0] == 0) {
@@ -181,7 +181,7 @@
     }
 
     @Property(tries = 200, seed = "20261201")
-    void inATurnEachMemberThatTakesPartIsLookedAtByExactlyOne(
+    void eachActiveMemberIsProbedByExactlyOneOtherPerRound(
             @ForAll @IntRange(min = 2, max = 60) int size, @ForAll long turn, @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Member[] members = new Member[size];
@@ -203,7 +203,7 @@
     }
 
     @Property(tries = 200, seed = "20261201")
-    void moreAccusersNeverLengthenAndAreNeverShorterThanTheLeastSilence(
+    void moreAccusersNeverLengthenTheTimeoutAndItStaysWithinItsBounds(
             @ForAll @IntRange(min = 2, max = 1000) int members, @ForAll @IntRange(min = 1, max = 6) int accusers) {
         MembershipSettings settings = MembershipSettings.defaults();
         Suspicion suspicion = new Suspicion(settings);
@@ -213,7 +213,7 @@
     }
 
     @Test
-    void anIncarnationThatLeavesNoRoomToObjectIsRefused() {
+    void anIncarnationThatCannotBeRefutedIsRejected() {
         Datagram out = new Datagram().begin(Datagram.Kind.GOSSIP, 1, 5, 0, 0, 0);
         out.addEntry(2, MemberState.DEAD, (1L << 48) - 1, new int[0], 0);
         byte[] datagram = out.finish();
--- a/query-mixer/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
+++ b/query-mixer/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
@@ -23,7 +23,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What must hold of replicated facts in any order, however often they come and whatever is lost or spoilt. */
+/** Properties of replicated facts for any order, repetition, loss and corruption. */
 class StatePropertyTest {
     @Provide
     Arbitrary<List<Fact>> facts() {
@@ -34,7 +34,7 @@
                         Arbitraries.longs().between(1_000, 1_020),
                         Arbitraries.integers().between(1, 9))
                 .as((key, kind, origin, stamp, figure) ->
-                        // One origin says one thing with one stamp.
+                        // One origin reports a single value with one stamp.
                         new Fact(key << 28, kind, origin, stamp, Fact.decode(Fact.encode(origin * 7 + stamp)), 0))
                 .list()
                 .ofMinSize(1)
@@ -48,7 +48,7 @@
     }
 
     @Property(tries = 500, seed = "20261201")
-    void anyOrderAndAnyRepetitionGivesTheSameCopies(@ForAll("facts") List<Fact> facts, @ForAll long seed) {
+    void mergesGiveTheSameStoreInAnyOrderAndWithRepetition(@ForAll("facts") List<Fact> facts, @ForAll long seed) {
         List<Fact> mixed = new ArrayList<>(facts);
         mixed.addAll(facts.subList(0, facts.size() / 2));
         Collections.shuffle(mixed, new Random(seed));
@@ -60,7 +60,7 @@
     }
 
     @Property(tries = 500, seed = "20261201")
-    void mergingCopiesIsTheSameHoweverTheyAreGrouped(
+    void mergingStoresIsAssociative(
             @ForAll("facts") List<Fact> facts, @ForAll("facts") List<Fact> more, @ForAll("facts") List<Fact> most) {
         FactStore left = store(store(facts).all(-1));
         store(more).all(-1).forEach(left::merge);
@@ -74,7 +74,7 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void sumsDifferWhereCopiesDo(@ForAll("facts") List<Fact> facts, @ForAll("facts") List<Fact> others) {
+    void checksumsDifferExactlyWhereFactsDiffer(@ForAll("facts") List<Fact> facts, @ForAll("facts") List<Fact> others) {
         FactStore one = store(facts);
         FactStore other = store(others);
         for (int range = 0; range < FactStore.RANGES; range++) {
@@ -83,7 +83,7 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void oneLiarMovesAMedianOfThreeNoFurtherThanToAnHonestWord(
+    void oneWrongOriginMovesAMedianOfThreeNoFurtherThanAnHonestValue(
             @ForAll @DoubleRange(min = 0.01, max = 1) double honest,
             @ForAll @DoubleRange(min = 0.01, max = 1) double second,
             @ForAll @DoubleRange(min = 1e-6, max = 1e6) @Scale(6) double lie) {
@@ -96,7 +96,7 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void othersNeverMakeAMixerLessCarefulThanItsOwnEyes(@ForAll double own, @ForAll double others) {
+    void otherMixersNeverImproveAnOwnFigure(@ForAll double own, @ForAll double others) {
         assertTrue(Double.isNaN(own) || FactAggregator.worseOf(own, others) >= own);
     }
 
@@ -135,7 +135,8 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void whatIsWrittenIsReadAndNeverLongerThanAllowed(@ForAll("facts") List<Fact> facts, @ForAll boolean last) {
+    void encodedDatagramsDecodeToTheSameContentsWithinTheSizeLimit(
+            @ForAll("facts") List<Fact> facts, @ForAll boolean last) {
         List<Fact> some = facts.subList(0, Math.min(facts.size(), FactDatagram.MAX_FACTS));
         byte[] datagram = FactDatagram.facts(some, last);
         assertTrue(datagram.length <= 256);
@@ -162,7 +163,7 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void aSpoiltDatagramTellsNothing(@ForAll("facts") List<Fact> facts, @ForAll long seed) {
+    void aCorruptedDatagramIsRejectedCompletely(@ForAll("facts") List<Fact> facts, @ForAll long seed) {
         byte[] datagram = FactDatagram.facts(facts.subList(0, Math.min(facts.size(), FactDatagram.MAX_FACTS)), false);
         Random random = new Random(seed);
         byte[] corrupted = datagram.clone();
@@ -174,7 +175,7 @@
     }
 
     @Property(tries = 500, seed = "20261201")
-    void noiseUnderARightSumIsNeverThrownIntoTheLoop(@ForAll @Size(min = 1, max = 240) byte[] noise) {
+    void randomBytesWithAValidChecksumCauseNoException(@ForAll @Size(min = 1, max = 240) byte[] noise) {
         byte[] datagram = Arrays.copyOf(noise, noise.length + 4);
         datagram[0] = FactDatagram.VERSION;
         java.util.zip.CRC32 sum = new java.util.zip.CRC32();
@@ -193,13 +194,13 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void aFigureInTwoBytesIsWithinAPartInTwoThousand(
+    void aFigureInTwoBytesHasARelativeErrorOfAtMostOneInTwoThousand(
             @ForAll @DoubleRange(min = 1e-6, max = 9e5) @Scale(6) double figure) {
         assertEquals(figure, Fact.decode(Fact.encode(figure)), figure / 2000);
     }
 
     @Property(tries = 100, seed = "20261201")
-    void aWarningNeedsTwoOthers(@ForAll @IntRange(min = 0, max = 4) int origins) {
+    void aWarningNeedsTwoOtherOrigins(@ForAll @IntRange(min = 0, max = 4) int origins) {
         FactStore store = new FactStore();
         for (int origin = 0; origin < origins; origin++) {
             store.merge(new Fact(1, FactKind.UNHEALTHY, origin, 100_000 + origin, 3, 0));
@@ -209,12 +210,12 @@
         assertEquals(
                 Math.min(origins, FactStore.MAX_ORIGINS) - (origins >= 1 && origins <= 3 ? 1 : 0) >= 2,
                 aggregator.isUnhealthy(1, 0, 100.5, 0),
-                "its own word is none of the others'");
-        assertFalse(aggregator.isUnhealthy(1, 9, 110, 0), "an old warning is none");
+                "its own fact does not count");
+        assertFalse(aggregator.isUnhealthy(1, 9, 110, 0), "an old warning has expired");
     }
 
     @Test
-    void aSnapshotSpoiltAtAnyByteOrTornAnywhereIsRefused() {
+    void aSnapshotCorruptedAtAnyBitOrTruncatedAnywhereIsRejected() {
         List<Fact> facts = new ArrayList<>();
         for (int each = 0; each < 40; each++) {
             facts.add(new Fact(
