--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
@@ -75,6 +75,7 @@
 
     /** Receives the decoded fields of a datagram. Nothing is passed on before the whole datagram was validated. */
     public interface Reader {
+        /** The header of the datagram; called first. */
         void onHeader(Kind kind, int sender, long incarnation, int digest, int number, int subject);
 
         /** The checksum of each range of the member list, in order. */
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipSettings.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipSettings.java
@@ -5,10 +5,10 @@
  *
  * @param probeIntervalSeconds time between two probes by a member; each such round has its own probe targets
  * @param pingRetrySeconds time after which an unanswered ping is sent again; after twice this time other members
- * are asked to probe
+ *     are asked to probe
  * @param probeTimeoutSeconds time after which the target of an unanswered probe is suspected
  * @param minSilenceSeconds shortest silence after which a suspect is declared dead, counted from the first
- * unanswered ping; a member that pauses for less never is
+ *     unanswered ping; a member that pauses for less never is
  * @param maxSilenceSeconds the same if no other member noticed the silence
  * @param confirmations number of further members that have to notice for the shortest silence to apply
  * @param indirectProbers number of members that are asked to probe a member that does not answer
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/Fact.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/Fact.java
@@ -7,7 +7,7 @@
  * @param key the searcher, derived from its id by {@link #key}
  * @param origin index of the mixer that observed it
  * @param stamp milliseconds since 1970 on the clock of the origin, and higher than all of its stamps that it ever
- * received: serves as incarnation and counter in one, as each start begins at the clock
+ *     received: serves as incarnation and counter in one, as each start begins at the clock
  * @param value figure of the kind; 0 to 10^6
  * @param secondValue second figure of the kind, or 0
  */
@@ -44,6 +44,7 @@
                                 65535, 1 + Math.round(Math.log(value / MIN_VALUE) / Math.log(2) * STEPS_PER_DOUBLING)));
     }
 
+    /** Decodes a figure that {@link #encode} has encoded. */
     public static double decode(short code) {
         int steps = code & 0xFFFF;
         return steps == 0 ? 0 : MIN_VALUE * Math.pow(2, (steps - 1) / STEPS_PER_DOUBLING);
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactDatagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactDatagram.java
@@ -21,7 +21,9 @@
  * </pre>
  */
 public final class FactDatagram {
+    /** First byte of these datagrams, which tells them from {@link Datagram}. */
     public static final byte VERSION = (byte) 0xF2;
+
     static final int FACT_BYTES = 17;
     private static final int HEADER_BYTES = 3;
     private static final int CHECKSUM_BYTES = DatagramEnvelope.CHECKSUM_BYTES;
@@ -32,6 +34,7 @@
 
     /** Receives the contents of a datagram after the whole datagram was validated. */
     public interface Reader {
+        /** One fact of the sender, own or forwarded. */
         void onFact(Fact fact);
 
         /** Checksums of the sender's key ranges; it requests what differs. */
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicationSettings.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicationSettings.java
@@ -8,11 +8,11 @@
  * @param burstBytes bytes that may be sent in addition to the rate
  * @param fanout number of members that a warning is forwarded to at each hop; other facts go to half as many
  * @param comparisonIntervalSeconds time between two comparisons with another member; a member that is catching up
- * compares in each round
+ *     compares in each round
  * @param warningResendSeconds time after which a warning is sent a second time
  * @param maxGossipAgeSeconds age up to which a fact is forwarded; older facts are replicated by comparison alone
  * @param sufficientReports number of other origins with similar facts, younger than {@code reportFreshSeconds},
- * that make an own one superfluous
+ *     that make an own one superfluous
  * @param reportFreshSeconds see {@code sufficientReports}
  * @param similarityTolerance relative difference up to which two latencies are similar
  */
@@ -27,6 +27,7 @@
         int sufficientReports,
         double reportFreshSeconds,
         double similarityTolerance) {
+    /** Defaults; the same for all mixers. */
     public static FactReplicationSettings defaults() {
         return new FactReplicationSettings(0.1, 1500, 16_000, 4, 1, 0.3, 1.5, 3, 30, 0.25);
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
@@ -19,6 +19,7 @@
 public final class FactReplicator implements FactDatagram.Reader {
     /** Sends datagrams, which may be lost. */
     public interface Transport {
+        /** Sends a datagram to the member with this index. */
         void send(int index, byte[] datagram);
     }
 
@@ -64,7 +65,7 @@
     private double lastExpiryAt = Double.NEGATIVE_INFINITY;
     private double startedAt = Double.NaN;
     private double caughtUpAt = Double.NaN;
-    private int comparisons;
+    private int catchUpComparisons;
     private int consecutiveMatches;
     private int mergedSinceComparison;
     private long sent;
@@ -88,10 +89,12 @@
         this.isActive = isActive;
     }
 
+    /** All facts that this mixer holds. */
     public FactStore store() {
         return store;
     }
 
+    /** Figures of searchers as other mixers report them. */
     public FactAggregator aggregator() {
         return aggregator;
     }
@@ -104,6 +107,7 @@
         budgetBytes = settings.burstBytes();
     }
 
+    /** Handles a new number of listed members. */
     public void onMemberListChanged(int members) {
         size = members;
     }
@@ -237,7 +241,7 @@
             return;
         }
         lastComparedAt = now;
-        if (Double.isNaN(caughtUpAt) && ++comparisons > MAX_CATCH_UP_COMPARISONS) {
+        if (Double.isNaN(caughtUpAt) && ++catchUpComparisons > MAX_CATCH_UP_COMPARISONS) {
             caughtUpAt = now; // No member answers, so there is nobody to catch up with.
         }
         mergedSinceComparison = 0;
@@ -407,6 +411,7 @@
         return caughtUpAt - startedAt;
     }
 
+    /** Number of bytes sent. */
     public long sentBytes() {
         return sentBytes;
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactSnapshotFormat.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactSnapshotFormat.java
@@ -30,6 +30,7 @@
 
     private FactSnapshotFormat() {}
 
+    /** Encodes the facts of a mixer; {@code now} is seconds since 1970. */
     public static byte[] write(int self, int size, double now, List<Fact> facts) {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + facts.size() * RECORD_BYTES + 4);
         out.putInt(MAGIC)
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactStore.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactStore.java
@@ -177,6 +177,7 @@
         });
     }
 
+    /** Number of facts. */
     public int size() {
         return size;
     }
