--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
@@ -1,45 +1,54 @@
 package pinewick.fleet;
 
 /**
- * How long a suspect may stay silent before it is declared dead (Lifeguard, DSN 2018, section IV-B: the time shrinks
- * with independent confirmations). Unlike there, the time counts from the first ping left unanswered, and rumours carry
- * it: so all members come to the same end at nearly the same moment, and the news of the death need not spread first.
+ * Time that a suspect may stay silent before it is declared dead (Lifeguard, DSN 2018, section IV-B: the timeout
+ * shrinks with independent confirmations). Unlike in Lifeguard, the time counts from the first unanswered ping,
+ * which gossip carries; so all members reach the timeout at nearly the same moment and do not wait for the death
+ * to be gossiped.
  */
 final class Suspicion {
-    private final FleetTerms terms;
+    private final MembershipSettings settings;
 
-    Suspicion(FleetTerms terms) {
-        this.terms = terms;
+    Suspicion(MembershipSettings settings) {
+        this.settings = settings;
     }
 
-    /** How many accusers count at most: the first, and the confirmations that so many members can give. */
-    int accusersMost(int takingPart) {
-        return 1 + needed(takingPart);
+    /**
+     * Maximum number of accusers that count: the first one, and the confirmations that so many active members can
+     * give.
+     */
+    int maxAccusers(int activeCount) {
+        return 1 + requiredConfirmations(activeCount);
     }
 
-    /** Among few members fewer can confirm: not the suspect, not the first accuser. */
-    private int needed(int takingPart) {
-        return Math.max(0, Math.min(terms.confirmations(), takingPart - 2));
+    /** In a small fleet fewer members can confirm: neither the suspect nor the first accuser counts. */
+    private int requiredConfirmations(int activeCount) {
+        return Math.max(0, Math.min(settings.confirmations(), activeCount - 2));
     }
 
-    /** Seconds of silence until death, by how many accuse it among how many that take part, the suspect with them. */
-    double allowed(int accusers, int takingPart) {
-        int needed = needed(takingPart);
-        if (needed == 0) {
-            return terms.silence();
+    /**
+     * Seconds of silence until a suspect is declared dead, by the number of accusers and of active members, the
+     * suspect included.
+     */
+    double timeoutSeconds(int accusers, int activeCount) {
+        int requiredConfirmations = requiredConfirmations(activeCount);
+        if (requiredConfirmations == 0) {
+            return settings.minSilenceSeconds();
         }
-        double confirmed = Math.max(0, Math.min(needed, accusers - 1));
-        return terms.silenceMost()
-                - (terms.silenceMost() - terms.silence()) * Math.log(confirmed + 1) / Math.log(needed + 1);
+        double confirmed = Math.max(0, Math.min(requiredConfirmations, accusers - 1));
+        return settings.maxSilenceSeconds()
+                - (settings.maxSilenceSeconds() - settings.minSilenceSeconds())
+                        * Math.log(confirmed + 1)
+                        / Math.log(requiredConfirmations + 1);
     }
 
     /**
-     * Seconds until a suspect is to be declared dead; 0 or less from then on. Danger: a rumour of silence that is older
-     * than a word heard from the member itself must not kill it. Harm: where the members' clocks of rumours differ, a
-     * death comes some milliseconds late.
+     * Seconds until a suspect is to be declared dead; 0 or less once it is due. Danger: gossip about a silence
+     * that is older than the last datagram from the member itself must not declare it dead. Harm: where the
+     * members hold different times, a death is declared some milliseconds late.
      */
-    double left(double now, Member suspect, int takingPart) {
-        double silent = Math.max(suspect.silentSince, suspect.heardAt);
-        return silent + allowed(suspect.accusers.length, takingPart) - now;
+    double remainingSeconds(double now, Member suspect, int activeCount) {
+        double silentSince = Math.max(suspect.silentSince, suspect.lastHeardAt);
+        return silentSince + timeoutSeconds(suspect.accusers.length, activeCount) - now;
     }
 }
