--- a/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
@@ -125,7 +125,11 @@
             int key = key(each.replicaId());
             if (each.state() != SchedulerHost.LifecycleState.READY && !mixedUp.contains(key)) {
                 state.recordObservation(
-                        loop.now(), key, FactKind.LEAVING, each.state() == SchedulerHost.LifecycleState.GONE ? 2 : 1, 0);
+                        loop.now(),
+                        key,
+                        FactKind.LEAVING,
+                        each.state() == SchedulerHost.LifecycleState.GONE ? 2 : 1,
+                        0);
             }
         }
     }
