--- a/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
@@ -10,14 +10,14 @@
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.registry.KeptCodec;
-import pinewick.registry.KeptFiles;
 import pinewick.registry.LeaseKeeper;
 import pinewick.registry.MixerCount;
-import pinewick.registry.RegistrySession;
+import pinewick.registry.PrefixWatcher;
 import pinewick.registry.RegistryView;
-import pinewick.registry.Step;
-import pinewick.registry.Store;
+import pinewick.registry.SearcherRecord;
+import pinewick.registry.SnapshotCodec;
+import pinewick.registry.SnapshotFiles;
+import pinewick.registry.ViewUpdate;
 import pinewick.wire.LeaseWire;
 import pinewick.wire.ListText;
 import pinewick.wire.RegistryCalls;
@@ -32,9 +32,9 @@
     private final OperatorFile.Registry given;
     private final BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> news;
     private final RegistryView view;
-    private final RegistrySession session;
+    private final PrefixWatcher session;
     private final RegistryWire wire;
-    private final KeptFiles files;
+    private final SnapshotFiles files;
     private final double startedAt;
     private final Members members;
 
@@ -59,9 +59,8 @@
                 given.prefix(),
                 this::taken,
                 text -> log.say(Log.Level.WARNING, "registry", text, "revision", Long.toString(view.revision())));
-        RegistrySession.Terms usual =
-                RegistrySession.Terms.usual(given.endpoints().size());
-        RegistrySession.Terms terms = new RegistrySession.Terms(
+        PrefixWatcher.Terms usual = PrefixWatcher.Terms.usual(given.endpoints().size());
+        PrefixWatcher.Terms terms = new PrefixWatcher.Terms(
                 usual.endpoints(),
                 given.pageKeys(),
                 given.answer(),
@@ -71,19 +70,19 @@
                 usual.waitLeast(),
                 usual.waitMost(),
                 given.believe());
-        session = new RegistrySession(given.prefix(), view, terms, wire, chance.split());
+        session = new PrefixWatcher(given.prefix(), view, terms, wire, chance.split());
         members = given.mixersPrefix() == null ? null : new Members(calls, terms, orders, chance, mixers);
         files = given.kept() == null
                 ? null
-                : new KeptFiles(given.kept(), text -> log.say(Log.Level.WARNING, "registry", text));
+                : new SnapshotFiles(given.kept(), text -> log.say(Log.Level.WARNING, "registry", text));
         startedAt = loop.now();
     }
 
     /** Serves from the kept copy, marked old, until the registry tells more. */
     void start() {
-        KeptCodec.Kept kept = files == null ? null : files.read();
+        SnapshotCodec.Kept kept = files == null ? null : files.read();
         if (kept != null) {
-            KeptCodec.into(kept, view);
+            SnapshotCodec.into(kept, view);
             log.say(
                     Log.Level.INFO,
                     "registry",
@@ -128,7 +127,7 @@
     /** This mixer's own key, and the count of all. */
     private final class Members {
         private final RegistryView shown = new RegistryView(given.mixersPrefix());
-        private final RegistrySession follower;
+        private final PrefixWatcher follower;
         private final RegistryWire followerWire;
         private final LeaseKeeper keeper;
         private final LeaseWire keeperWire;
@@ -138,7 +137,7 @@
 
         Members(
                 RegistryCalls calls,
-                RegistrySession.Terms terms,
+                PrefixWatcher.Terms terms,
                 StartOrders orders,
                 SplittableRandom chance,
                 IntConsumer tell) {
@@ -149,7 +148,7 @@
                     given.mixersPrefix(),
                     step -> {},
                     text -> log.say(Log.Level.WARNING, "registry", "mixers' " + text));
-            follower = new RegistrySession(given.mixersPrefix(), shown, terms, followerWire, chance.split());
+            follower = new PrefixWatcher(given.mixersPrefix(), shown, terms, followerWire, chance.split());
             String address =
                     orders.listen().getHostString() + ':' + orders.listen().getPort();
             keeperWire = new LeaseWire(
@@ -192,7 +191,7 @@
         }
     }
 
-    private void taken(Step step) {
+    private void taken(ViewUpdate step) {
         step.wrong()
                 .forEach(each -> log.say(
                         Log.Level.WARNING,
@@ -200,7 +199,7 @@
                         "registry: " + each + "; its last good state holds",
                         "revision",
                         Long.toString(step.revision())));
-        Collection<Store> told = step.whole() ? view.stores() : step.changed();
+        Collection<SearcherRecord> told = step.whole() ? view.stores() : step.changed();
         if (step.whole() || !step.changed().isEmpty()) {
             news.accept(
                     piece(told, step.whole()),
@@ -221,17 +220,17 @@
             if (step.whole() || files.wantsWhole()) {
                 long revision = step.revision();
                 var entries = view.entries();
-                files.whole(() -> KeptCodec.whole(revision, entries));
+                files.whole(() -> SnapshotCodec.whole(revision, entries));
             } else {
-                files.changes(KeptCodec.changes(step.revision(), step.events()));
+                files.changes(SnapshotCodec.changes(step.revision(), step.events()));
             }
         }
     }
 
-    private ListText.Piece piece(Collection<Store> stores, boolean whole) {
+    private ListText.Piece piece(Collection<SearcherRecord> stores, boolean whole) {
         List<SchedulerHost.ReplicaEntry> listings = new ArrayList<>(stores.size());
         List<InetSocketAddress> addresses = new ArrayList<>(stores.size());
-        for (Store each : stores) {
+        for (SearcherRecord each : stores) {
             try {
                 addresses.add(ListText.address(each.addresses().get(0)));
                 listings.add(each.listing());
--- a/query-mixer/daemon/src/main/java/pinewick/wire/LeaseWire.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/LeaseWire.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import pinewick.loop.Loop;
-import pinewick.registry.EtcdText;
+import pinewick.registry.EtcdJson;
 import pinewick.registry.LeaseKeeper;
 
 /** Puts a lease keeper's questions to the registry and brings it the answers. */
@@ -30,17 +30,17 @@
 
     @Override
     public void grant(long question, int endpoint, double seconds) {
-        ask(question, endpoint, EtcdText.GRANT, EtcdText.grant(seconds));
+        ask(question, endpoint, EtcdJson.GRANT, EtcdJson.grant(seconds));
     }
 
     @Override
     public void put(long question, int endpoint, long lease) {
-        ask(question, endpoint, EtcdText.PUT, EtcdText.put(key, value, lease));
+        ask(question, endpoint, EtcdJson.PUT, EtcdJson.put(key, value, lease));
     }
 
     @Override
     public void renew(long question, int endpoint, long lease) {
-        ask(question, endpoint, EtcdText.RENEW, EtcdText.renew(lease));
+        ask(question, endpoint, EtcdJson.RENEW, EtcdJson.renew(lease));
     }
 
     @Override
@@ -56,7 +56,7 @@
             @Override
             public void line(String text) {
                 open.remove(question);
-                EtcdText.Lease lease = EtcdText.lease(text);
+                EtcdJson.Lease lease = EtcdJson.lease(text);
                 keeper.answered(loop.now(), question, lease.id(), lease.left());
             }
 
--- a/query-mixer/daemon/src/main/java/pinewick/wire/RegistryCalls.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/RegistryCalls.java
@@ -13,7 +13,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import pinewick.loop.Loop;
-import pinewick.registry.HttpAnswer;
+import pinewick.registry.HttpResponseParser;
 
 /**
  * Questions to the members of a registry, each on a connection of its own or on one that stands unused; answers come as
@@ -62,7 +62,7 @@
         private final int endpoint;
         private final boolean stream;
         private final ByteBuffer request;
-        private HttpAnswer answer = new HttpAnswer(longestLine);
+        private HttpResponseParser answer = new HttpResponseParser(longestLine);
         private StreamConnection connection;
         private boolean reused;
         private boolean heard;
@@ -156,7 +156,7 @@
                 }
             } catch (IOException broken) {
                 broke("broke: " + broken.getMessage());
-            } catch (HttpAnswer.TooLong large) {
+            } catch (HttpResponseParser.TooLong large) {
                 if (!over) {
                     end();
                     asker.tooLong();
@@ -198,7 +198,7 @@
                 reused = false;
                 IoUtils.safeClose(connection);
                 request.rewind();
-                answer = new HttpAnswer(longestLine);
+                answer = new HttpResponseParser(longestLine);
                 dial();
             } else {
                 failed(why);
--- a/query-mixer/daemon/src/main/java/pinewick/wire/RegistryWire.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/RegistryWire.java
@@ -4,21 +4,22 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import pinewick.loop.Loop;
-import pinewick.registry.EtcdText;
-import pinewick.registry.RegistrySession;
-import pinewick.registry.Step;
+import pinewick.registry.EtcdJson;
+import pinewick.registry.PrefixWatcher;
+import pinewick.registry.ViewUpdate;
 
 /** Puts a session's questions to the registry and brings it the answers. */
-public final class RegistryWire implements RegistrySession.Wire {
+public final class RegistryWire implements PrefixWatcher.Wire {
     private final Loop loop;
     private final RegistryCalls calls;
     private final String prefix;
-    private final Consumer<Step> steps;
+    private final Consumer<ViewUpdate> steps;
     private final Consumer<String> log;
     private final Map<Long, Runnable> open = new LinkedHashMap<>();
-    private RegistrySession session;
+    private PrefixWatcher session;
 
-    public RegistryWire(Loop loop, RegistryCalls calls, String prefix, Consumer<Step> steps, Consumer<String> log) {
+    public RegistryWire(
+            Loop loop, RegistryCalls calls, String prefix, Consumer<ViewUpdate> steps, Consumer<String> log) {
         this.loop = loop;
         this.calls = calls;
         this.prefix = prefix;
@@ -26,25 +27,25 @@
         this.log = log;
     }
 
-    /** Starts to follow; {@link RegistrySession#tick} stays the caller's. */
-    public void follow(RegistrySession by) {
+    /** Starts to follow; {@link PrefixWatcher#tick} stays the caller's. */
+    public void follow(PrefixWatcher by) {
         session = by;
         session.start(loop.now());
     }
 
     @Override
     public void read(long question, int endpoint, String from, long atRevision, int limit, boolean keysOnly) {
-        ask(question, endpoint, EtcdText.RANGE, EtcdText.read(from, prefix, atRevision, limit, keysOnly), false);
+        ask(question, endpoint, EtcdJson.RANGE, EtcdJson.read(from, prefix, atRevision, limit, keysOnly), false);
     }
 
     @Override
     public void probe(long question, int endpoint) {
-        ask(question, endpoint, EtcdText.RANGE, EtcdText.probe(prefix), false);
+        ask(question, endpoint, EtcdJson.RANGE, EtcdJson.probe(prefix), false);
     }
 
     @Override
     public void watch(long question, int endpoint, long fromRevision) {
-        ask(question, endpoint, EtcdText.WATCH, EtcdText.watch(prefix, fromRevision), true);
+        ask(question, endpoint, EtcdJson.WATCH, EtcdJson.watch(prefix, fromRevision), true);
     }
 
     @Override
@@ -56,7 +57,7 @@
     }
 
     @Override
-    public void step(Step step) {
+    public void step(ViewUpdate step) {
         steps.accept(step);
     }
 
@@ -72,7 +73,7 @@
                 if (!stream) {
                     open.remove(question);
                 }
-                session.answered(loop.now(), question, EtcdText.answer(text));
+                session.answered(loop.now(), question, EtcdJson.answer(text));
             }
 
             @Override
--- a/query-mixer/dial/src/main/java/pinewick/dial/AddressBook.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/AddressHistory.java
@@ -11,7 +11,7 @@
  * The order is that of RFC 8305 (families interleaved, the preferred one first) with each address's own history before
  * it: a Unix socket that works comes first, what fails or stalls rests and comes last.
  */
-public final class AddressBook {
+public final class AddressHistory {
     /** The newest connect time's weight in the smoothed one, and in its spread. */
     private static final double NEWEST = 0.25;
 
@@ -175,8 +175,8 @@
                 (row.address.kind() == lastGood ? first : second).add(row);
             }
         }
-        first.sort(AddressBook::better);
-        second.sort(AddressBook::better);
+        first.sort(AddressHistory::better);
+        second.sort(AddressHistory::better);
         // A family whose addresses have failed since they last served does not come first.
         if (!first.isEmpty() && !second.isEmpty() && first.get(0).failures > 0 && second.get(0).failures == 0) {
             List<Row> swapped = first;
@@ -191,7 +191,7 @@
                 order.add(second.get(each).address);
             }
         }
-        slow.sort(AddressBook::better);
+        slow.sort(AddressHistory::better);
         slow.forEach(row -> order.add(row.address));
         resting.sort((one, other) -> Double.compare(one.restUntil, other.restUntil));
         resting.forEach(row -> order.add(row.address));
--- a/query-mixer/dial/src/main/java/pinewick/dial/OpenGate.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/ConnectionLimiter.java
@@ -5,7 +5,7 @@
  * returns, a thousand waiting launches would open a thousand connections. Harm: a searcher that returns is filled over
  * some connects, doubling with each that comes up.
  */
-public final class OpenGate {
+public final class ConnectionLimiter {
     private final int most;
     private final int callsAConnection;
     private int open;
@@ -13,7 +13,7 @@
     private int allowed = 1;
 
     /** @param most connections to the searcher over all its addresses, spares included */
-    public OpenGate(int most, int callsAConnection) {
+    public ConnectionLimiter(int most, int callsAConnection) {
         if (most < 1 || callsAConnection < 1) {
             throw new IllegalArgumentException("connections and calls a connection: at least one each is expected");
         }
--- a/query-mixer/dial/src/main/java/pinewick/dial/Race.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/ConnectionRace.java
@@ -9,7 +9,7 @@
  * Connects race for one connection to a searcher; the first that comes up wins, and nothing is ever written to another.
  * No I/O; times in seconds. The race ends once: won, or lost when every address has failed or its time is over.
  */
-public final class Race {
+public final class ConnectionRace {
     /** What the race asks for. */
     public interface Wire {
         void open(Address address);
@@ -35,7 +35,7 @@
         }
     }
 
-    private final AddressBook book;
+    private final AddressHistory book;
     private final Wire wire;
     private final double until;
     private final double most;
@@ -45,7 +45,7 @@
     private boolean over;
 
     /** @param most seconds for the whole race, and for any one connect */
-    public Race(AddressBook book, double now, double most, Wire wire) {
+    public ConnectionRace(AddressHistory book, double now, double most, Wire wire) {
         this.book = book;
         this.wire = wire;
         this.most = most;
--- a/query-mixer/dial/src/main/java/pinewick/dial/PathWatch.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/PathMonitor.java
@@ -11,7 +11,7 @@
  * nothing new and rests; if it is silent as well, it is the searcher, and nothing is decided here: the mixer's
  * decisions see silence as they always did. What was written on a silent path may have run: it is never moved.
  */
-public final class PathWatch {
+public final class PathMonitor {
     /** What the watch asks for. */
     public interface Wire {
         void probe(Address address);
@@ -30,7 +30,7 @@
 
     private final double silence;
     private final double probeWait;
-    private final AddressBook book;
+    private final AddressHistory book;
     private final Wire wire;
     private final Map<Address, Path> paths = new LinkedHashMap<>();
 
@@ -38,7 +38,7 @@
      * @param silence seconds with something owed and nothing heard that make a path suspect
      * @param probeWait seconds within which another path's probe must be answered
      */
-    public PathWatch(double silence, double probeWait, AddressBook book, Wire wire) {
+    public PathMonitor(double silence, double probeWait, AddressHistory book, Wire wire) {
         this.silence = silence;
         this.probeWait = probeWait;
         this.book = book;
--- a/query-mixer/dial/src/test/java/pinewick/dial/DialPropertyTest.java
+++ b/query-mixer/dial/src/test/java/pinewick/dial/DialPropertyTest.java
@@ -15,7 +15,7 @@
     @Property(tries = 2000, seed = "20261201", shrinking = ShrinkingMode.OFF)
     void everyRaceEndsOnceAndLeavesNoConnectUnderWay(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        AddressBook book = new AddressBook();
+        AddressHistory book = new AddressHistory();
         List<Address> addresses = new ArrayList<>();
         int count = 1 + chance.nextInt(5);
         for (int each = 0; each < count; each++) {
@@ -32,7 +32,7 @@
             List<Address> under = new ArrayList<>();
             List<String> ends = new ArrayList<>();
             double from = now;
-            Race race = new Race(book, now, 0.5, new Race.Wire() {
+            ConnectionRace race = new ConnectionRace(book, now, 0.5, new ConnectionRace.Wire() {
                 @Override
                 public void open(Address address) {
                     assertTrue(!under.contains(address), "opened twice");
--- a/query-mixer/dial/src/test/java/pinewick/dial/DialTest.java
+++ b/query-mixer/dial/src/test/java/pinewick/dial/DialTest.java
@@ -18,17 +18,17 @@
     private static final String UNIX = "unix:/run/indice3.sock";
     private static final double HANGS = Double.NaN;
 
-    private static DialWorld world(Object... pairs) {
+    private static SimulatedDialer world(Object... pairs) {
         Map<String, Double> addresses = new LinkedHashMap<>();
         for (int each = 0; each < pairs.length; each += 2) {
             addresses.put((String) pairs[each], (Double) pairs[each + 1]);
         }
-        return new DialWorld(addresses);
+        return new SimulatedDialer(addresses);
     }
 
     @Test
     void aSocketOfTheOwnMachineComesFirstThenFamiliesByTurns() {
-        DialWorld world = world("192.0.2.1:1", 0.01, "192.0.2.2:1", 0.01, "[::2]:1", 0.01, UNIX, 0.001);
+        SimulatedDialer world = world("192.0.2.1:1", 0.01, "192.0.2.2:1", 0.01, "[::2]:1", 0.01, UNIX, 0.001);
         assertEquals(
                 List.of(UNIX, "[::2]:1", "192.0.2.1:1", "192.0.2.2:1"),
                 world.book.order(0).stream().map(Address::toString).toList());
@@ -36,7 +36,7 @@
 
     @Test
     void aHungFirstAddressCostsItsStaggerOnceAndThenNothing() {
-        DialWorld world = world(SIX, HANGS, FOUR, 0.004);
+        SimulatedDialer world = world(SIX, HANGS, FOUR, 0.004);
         double first = world.race(0.5);
         assertTrue(first < 0.3, "first " + first);
         double worst = 0;
@@ -51,7 +51,7 @@
 
     @Test
     void aHungAddressThatIsOutrunIsNotWaitedForAgain() {
-        DialWorld world = world(UNIX, HANGS, SIX, 0.002, FOUR, 0.004);
+        SimulatedDialer world = world(UNIX, HANGS, SIX, 0.002, FOUR, 0.004);
         assertEquals(0.102, world.race(0.5), 0.006);
         world.now += 1;
         assertEquals(0.002, world.race(0.5), 0.001);
@@ -61,7 +61,7 @@
 
     @Test
     void aSlowAddressThatWinsDoesNotHideAQuickOne() {
-        DialWorld world = world(SIX, 0.16, FOUR, 0.002);
+        SimulatedDialer world = world(SIX, 0.16, FOUR, 0.002);
         assertEquals(0.102, world.race(0.5), 0.006);
         world.now += 1;
         assertEquals(0.002, world.race(0.5), 0.001);
@@ -69,19 +69,19 @@
 
     @Test
     void twoHungAddressesCostUnderThreeTenthsOfASecond() {
-        DialWorld world = world(UNIX, HANGS, SIX, HANGS, FOUR, 0.002);
+        SimulatedDialer world = world(UNIX, HANGS, SIX, HANGS, FOUR, 0.002);
         assertTrue(world.race(0.5) < 0.3);
     }
 
     @Test
     void aRefusalMovesOnAtOnce() {
-        DialWorld world = world(SIX, -0.002, FOUR, 0.004);
+        SimulatedDialer world = world(SIX, -0.002, FOUR, 0.004);
         assertEquals(0.006, world.race(0.5), 0.006);
     }
 
     @Test
     void allHungIsLostWithinItsTimeAndEverythingIsAbandoned() {
-        DialWorld world = world(SIX, HANGS, FOUR, HANGS, UNIX, HANGS);
+        SimulatedDialer world = world(SIX, HANGS, FOUR, HANGS, UNIX, HANGS);
         assertTrue(Double.isNaN(world.race(0.6)));
         assertTrue(world.lost);
         assertEquals(3, world.abandoned);
@@ -90,12 +90,12 @@
 
     @Test
     void aLateSecondIsNoWinner() {
-        AddressBook book = new AddressBook();
+        AddressHistory book = new AddressHistory();
         Address one = Address.read(SIX);
         Address two = Address.read(FOUR);
         book.set(List.of(one, two));
         List<String> heard = new ArrayList<>();
-        Race race = new Race(book, 0, 1, new Race.Wire() {
+        ConnectionRace race = new ConnectionRace(book, 0, 1, new ConnectionRace.Wire() {
             @Override
             public void open(Address address) {
                 heard.add("open " + address.kind());
@@ -125,7 +125,7 @@
 
     @Test
     void aFlappingAddressLosesItsPlaceAndGetsItBackLater() {
-        DialWorld world = world(SIX, 0.002, FOUR, 0.004);
+        SimulatedDialer world = world(SIX, 0.002, FOUR, 0.004);
         world.race(0.5);
         Address six = Address.read(SIX);
         for (int each = 0; each < 6; each++) {
@@ -142,7 +142,7 @@
 
     @Test
     void aSlowAddressIsNotADeadOne() {
-        DialWorld world = world(FOUR, 0.4);
+        SimulatedDialer world = world(FOUR, 0.4);
         assertEquals(0.4, world.race(1), 0.01);
         for (int each = 0; each < 5; each++) {
             assertFalse(Double.isNaN(world.race(1)), "its own time is the measure");
@@ -151,7 +151,7 @@
 
     @Test
     void whatAnotherSearcherAnswersOnIsNotUsed() {
-        DialWorld world = world(SIX, 0.002, FOUR, 0.004);
+        SimulatedDialer world = world(SIX, 0.002, FOUR, 0.004);
         world.book.stranger(Address.read(SIX));
         assertEquals(
                 List.of(FOUR),
@@ -175,7 +175,7 @@
 
     @Test
     void aThousandWaitingLaunchesOpenFewConnections() {
-        OpenGate gate = new OpenGate(8, 100);
+        ConnectionLimiter gate = new ConnectionLimiter(8, 100);
         List<Integer> rounds = new ArrayList<>();
         while (gate.open() < 8 && rounds.size() < 20) {
             int begun = 0;
@@ -199,12 +199,12 @@
 
     @Test
     void aPathThatStallsIsToldFromASearcherThatStalls() {
-        AddressBook book = new AddressBook();
+        AddressHistory book = new AddressHistory();
         Address unix = Address.read(UNIX);
         Address six = Address.read(SIX);
         book.set(List.of(unix, six));
         List<String> heard = new ArrayList<>();
-        PathWatch watch = new PathWatch(0.2, 0.1, book, new PathWatch.Wire() {
+        PathMonitor watch = new PathMonitor(0.2, 0.1, book, new PathMonitor.Wire() {
             @Override
             public void probe(Address address) {
                 heard.add("probe " + address.kind());
--- a/query-mixer/dial/src/test/java/pinewick/dial/DialWorld.java
+++ b/query-mixer/dial/src/test/java/pinewick/dial/SimulatedDialer.java
@@ -7,11 +7,11 @@
 import java.util.PriorityQueue;
 
 /** Addresses that open, refuse or hang, in virtual time, and one race at a time over them. */
-final class DialWorld {
+final class SimulatedDialer {
     /** NaN hangs; negative refuses after that many seconds; else opens after so many. */
     final Map<Address, Double> behaviour = new LinkedHashMap<>();
 
-    final AddressBook book = new AddressBook();
+    final AddressHistory book = new AddressHistory();
     final List<String> events = new ArrayList<>();
     double now;
     Address winner;
@@ -22,7 +22,7 @@
 
     private final PriorityQueue<Due> queue = new PriorityQueue<>((one, other) -> Double.compare(one.at, other.at));
 
-    DialWorld(Map<String, Double> addresses) {
+    SimulatedDialer(Map<String, Double> addresses) {
         addresses.forEach((text, does) -> behaviour.put(Address.read(text), does));
         book.set(behaviour.keySet());
     }
@@ -34,8 +34,8 @@
         queue.clear();
         events.clear();
         double from = now;
-        Race[] race = new Race[1];
-        race[0] = new Race(book, now, most, new Race.Wire() {
+        ConnectionRace[] race = new ConnectionRace[1];
+        race[0] = new ConnectionRace(book, now, most, new ConnectionRace.Wire() {
             @Override
             public void open(Address address) {
                 events.add("open " + address);
--- a/query-mixer/registry/src/main/java/pinewick/registry/EtcdText.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/EtcdJson.java
@@ -13,14 +13,14 @@
  * The JSON form of etcd's v3 API as published: keys and values in base64, 64-bit numbers as texts, fields of value
  * zero left out. Questions as bodies of POST, answers from one JSON object each. No I/O.
  */
-public final class EtcdText {
+public final class EtcdJson {
     public static final String RANGE = "/v3/kv/range";
     public static final String WATCH = "/v3/watch";
     public static final String PUT = "/v3/kv/put";
     public static final String GRANT = "/v3/lease/grant";
     public static final String RENEW = "/v3/lease/keepalive";
 
-    private EtcdText() {}
+    private EtcdJson() {}
 
     /** The first key after all that begin with this prefix. */
     public static byte[] rangeEnd(String prefix) {
@@ -114,7 +114,7 @@
     }
 
     /** Reads one object of an answer; what is not in the form brings an IllegalArgumentException. */
-    public static Answer answer(String text) {
+    public static RegistryResponse answer(String text) {
         try {
             JsonObject all = JsonParser.parseString(text).getAsJsonObject();
             if (all.has("error")) {
@@ -122,11 +122,11 @@
                 String words = error.isJsonObject()
                         ? text(error.getAsJsonObject(), "message", "an error")
                         : error.getAsString();
-                return new Answer("", "", 0, List.of(), false, 0, false, false, 0, false, words);
+                return new RegistryResponse("", "", 0, List.of(), false, 0, false, false, 0, false, words);
             }
             JsonObject body = all.has("result") ? all.getAsJsonObject("result") : all;
             JsonObject header = body.getAsJsonObject("header");
-            List<Entry> entries = new ArrayList<>();
+            List<KeyValue> entries = new ArrayList<>();
             if (body.has("events")) {
                 for (JsonElement each : body.getAsJsonArray("events")) {
                     JsonObject event = each.getAsJsonObject();
@@ -139,7 +139,7 @@
             for (JsonElement each : pairs) {
                 entries.add(entry(each.getAsJsonObject(), false));
             }
-            return new Answer(
+            return new RegistryResponse(
                     text(header, "cluster_id", ""),
                     text(header, "member_id", ""),
                     number(header, "revision"),
@@ -156,10 +156,10 @@
         }
     }
 
-    private static Entry entry(JsonObject pair, boolean removed) {
+    private static KeyValue entry(JsonObject pair, boolean removed) {
         byte[] value = removed ? null : Base64.getDecoder().decode(text(pair, "value", ""));
         String key = new String(Base64.getDecoder().decode(text(pair, "key", "")), StandardCharsets.UTF_8);
-        return new Entry(key, value, number(pair, "mod_revision"), number(pair, "lease"));
+        return new KeyValue(key, value, number(pair, "mod_revision"), number(pair, "lease"));
     }
 
     private static String text(JsonObject from, String field, String absent) {
--- a/query-mixer/registry/src/main/java/pinewick/registry/HttpAnswer.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/HttpResponseParser.java
@@ -10,7 +10,7 @@
  * Cuts an HTTP/1.1 answer into its body's lines, however the bytes are split. No I/O. A line is kept until it is
  * whole, up to a stated length; what a connection's end leaves unfinished is never handed on.
  */
-public final class HttpAnswer {
+public final class HttpResponseParser {
     /** A line, or a head, was longer than is taken. */
     public static final class TooLong extends RuntimeException {
         TooLong(String what) {
@@ -42,7 +42,7 @@
     private int head;
 
     /** @param longest bytes of a line of the body at most */
-    public HttpAnswer(int longest) {
+    public HttpResponseParser(int longest) {
         this.longest = longest;
     }
 
--- a/query-mixer/registry/src/main/java/pinewick/registry/RegistrySession.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/PrefixWatcher.java
@@ -12,7 +12,7 @@
  * <p>Three questions may be out at a time, each with a number of its own: a read (pages of a whole view), the watch,
  * and a probe (what is the newest change, how many keys are there). An answer to an earlier number is dropped.
  */
-public final class RegistrySession {
+public final class PrefixWatcher {
     /** What the session asks for. */
     public interface Wire {
         /**
@@ -32,7 +32,7 @@
         void drop(long question);
 
         /** News to be taken in one step. */
-        void step(Step step);
+        void step(ViewUpdate step);
 
         /** For the operators' log. */
         void say(String text);
@@ -77,7 +77,7 @@
     private final Wire wire;
     private final SplittableRandom chance;
     private final String prefix;
-    private final List<Entry> pieces = new ArrayList<>();
+    private final List<KeyValue> pieces = new ArrayList<>();
     private State state = State.OFF;
     private long lastQuestion;
     private long reading;
@@ -109,7 +109,7 @@
     private int rebuilds;
     private int left;
 
-    public RegistrySession(String prefix, RegistryView view, Terms terms, Wire wire, SplittableRandom chance) {
+    public PrefixWatcher(String prefix, RegistryView view, Terms terms, Wire wire, SplittableRandom chance) {
         if (terms.endpoints() < 1) {
             throw new IllegalArgumentException("endpoints: at least one is expected");
         }
@@ -297,7 +297,7 @@
         }
     }
 
-    public void answered(double now, long question, Answer answer) {
+    public void answered(double now, long question, RegistryResponse answer) {
         if (question == 0 || (question != reading && question != watching && question != probing)) {
             return;
         }
@@ -326,7 +326,7 @@
         }
     }
 
-    private String strange(Answer answer) {
+    private String strange(RegistryResponse answer) {
         return cluster != null && !answer.cluster().equals(cluster)
                 ? "it belongs to cluster " + answer.cluster() + ", not " + cluster
                 : "its revision " + answer.revision() + " is behind " + view.revision();
@@ -337,7 +337,7 @@
      * every member has said so, and none anything else, for a stated time: then the registry was restored, or
      * replaced, and is read whole. Danger: while the known members are down a wrong one would empty the view.
      */
-    private boolean believed(double now, long question, Answer answer) {
+    private boolean believed(double now, long question, RegistryResponse answer) {
         boolean same = cluster == null || answer.cluster().equals(cluster);
         if (same && answer.revision() >= (question == probing ? probedFrom : view.revision())) {
             strangeSince = Double.NaN;
@@ -359,7 +359,7 @@
         return false;
     }
 
-    private void probed(double now, Answer answer) {
+    private void probed(double now, RegistryResponse answer) {
         probing = 0;
         if (answer.revision() < view.revision()) {
             return; // the watch was quicker, so this tells nothing
@@ -377,8 +377,8 @@
         }
     }
 
-    private void pageRead(double now, Answer answer) {
-        List<Entry> entries = answer.entries();
+    private void pageRead(double now, RegistryResponse answer) {
+        List<KeyValue> entries = answer.entries();
         if (keysOnly) {
             keysOnly = false;
             if (!entries.isEmpty()) {
@@ -412,7 +412,7 @@
             strangeSince = Double.NaN;
             Arrays.fill(strangeAt, false);
         }
-        Step step = view.commit(restored);
+        ViewUpdate step = view.commit(restored);
         firstLimit = terms.pageKeys();
         readAgain = false;
         rebuilds++;
@@ -421,7 +421,7 @@
         watch(now);
     }
 
-    private void watched(double now, Answer answer) {
+    private void watched(double now, RegistryResponse answer) {
         if (answer.created()) {
             watchOpen = true;
             failedInTurn = 0;
@@ -441,7 +441,7 @@
             }
             return;
         }
-        Step step = view.apply(List.copyOf(pieces));
+        ViewUpdate step = view.apply(List.copyOf(pieces));
         pieces.clear();
         owedSince = Double.NaN;
         if (!step.events().isEmpty()) {
--- a/query-mixer/registry/src/main/java/pinewick/registry/Answer.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/RegistryResponse.java
@@ -13,11 +13,11 @@
  * @param fragment further pieces of the same news follow
  * @param fault words of the registry where it failed, else null
  */
-public record Answer(
+public record RegistryResponse(
         String cluster,
         String member,
         long revision,
-        List<Entry> entries,
+        List<KeyValue> entries,
         boolean more,
         long count,
         boolean created,
--- a/query-mixer/registry/src/main/java/pinewick/registry/RegistryView.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/RegistryView.java
@@ -25,7 +25,7 @@
         byte[] value;
         long lease;
         /** The last good state; null where the value never could be read. */
-        Store store;
+        SearcherRecord store;
         /** Held draining after the registry was restored from an old copy; ends with the key's next change. */
         boolean distrusted;
     }
@@ -55,8 +55,8 @@
         return rows.size();
     }
 
-    public Collection<Store> stores() {
-        List<Store> all = new ArrayList<>();
+    public Collection<SearcherRecord> stores() {
+        List<SearcherRecord> all = new ArrayList<>();
         rows.values().forEach(row -> {
             if (row.store != null) {
                 all.add(row.store);
@@ -66,9 +66,9 @@
     }
 
     /** All keys, for the kept copy. */
-    public List<Entry> entries() {
-        List<Entry> all = new ArrayList<>(rows.size());
-        rows.forEach((key, row) -> all.add(new Entry(key, row.value, row.modRevision, row.lease)));
+    public List<KeyValue> entries() {
+        List<KeyValue> all = new ArrayList<>(rows.size());
+        rows.forEach((key, row) -> all.add(new KeyValue(key, row.value, row.modRevision, row.lease)));
         return all;
     }
 
@@ -83,7 +83,7 @@
      * A page of the view that is read anew. Throws IllegalStateException where its revision is not that of the pages
      * before it: what they hold together was never true at one time.
      */
-    public void page(long atRevision, List<Entry> entries) {
+    public void page(long atRevision, List<KeyValue> entries) {
         if (next == null || (nextRevision != 0 && nextRevision != atRevision)) {
             throw new IllegalStateException("a page of revision " + atRevision + " after one of " + nextRevision);
         }
@@ -107,9 +107,9 @@
      * searcher that was draining here and is ready there, not started anew, stays draining until its key changes.
      * Danger: the older state may not know of the drain, and rule 3 would be broken by believing it.
      */
-    public Step commit(boolean restored) {
+    public ViewUpdate commit(boolean restored) {
         Map<String, Row> before = rows;
-        List<Store> changed = new ArrayList<>();
+        List<SearcherRecord> changed = new ArrayList<>();
         int vanished = 0;
         for (Map.Entry<String, Row> each : before.entrySet()) {
             if (each.getValue().store != null && !next.containsKey(each.getKey())) {
@@ -138,20 +138,20 @@
         rows = next;
         next = null;
         revision = nextRevision;
-        return new Step(revision, true, changed, nextWrong, vanished, mass, List.of());
+        return new ViewUpdate(revision, true, changed, nextWrong, vanished, mass, List.of());
     }
 
     /** Events of a watch, whole revisions in rising order. The step may be empty. */
-    public Step apply(List<Entry> events) {
+    public ViewUpdate apply(List<KeyValue> events) {
         // Of several changes to one key the last one counts; what differs is told once.
-        Map<String, Store> stood = new HashMap<>();
-        Map<String, Store> left = new LinkedHashMap<>();
+        Map<String, SearcherRecord> stood = new HashMap<>();
+        Map<String, SearcherRecord> left = new LinkedHashMap<>();
         List<String> order = new ArrayList<>();
         List<String> wrong = new ArrayList<>();
-        List<Entry> taken = new ArrayList<>();
+        List<KeyValue> taken = new ArrayList<>();
         int size = rows.size();
         long upTo = revision;
-        for (Entry each : events) {
+        for (KeyValue each : events) {
             if (each.modRevision() <= revision || !each.key().startsWith(prefix)) {
                 continue;
             }
@@ -175,12 +175,12 @@
             upTo = Math.max(upTo, each.modRevision());
         }
         revision = upTo;
-        List<Store> changed = new ArrayList<>();
+        List<SearcherRecord> changed = new ArrayList<>();
         int vanished = 0;
         for (String key : order) {
             Row row = rows.get(key);
-            Store now = row == null ? null : row.store;
-            Store then = stood.get(key);
+            SearcherRecord now = row == null ? null : row.store;
+            SearcherRecord then = stood.get(key);
             if (now == null && (then != null || left.containsKey(key))) {
                 changed.add((then != null ? then : left.get(key)).at(SchedulerHost.LifecycleState.GONE));
                 vanished++;
@@ -188,7 +188,7 @@
                 changed.add(now);
             }
         }
-        return new Step(revision, false, changed, wrong, vanished, mass(vanished, size), taken);
+        return new ViewUpdate(revision, false, changed, wrong, vanished, mass(vanished, size), taken);
     }
 
     /** All changes up to this revision have been told. */
@@ -200,7 +200,7 @@
         return vanished >= MASS_LEAST && vanished > MASS_SHARE * of;
     }
 
-    private void put(Map<String, Row> into, Entry entry, Row known, List<String> wrong) {
+    private void put(Map<String, Row> into, KeyValue entry, Row known, List<String> wrong) {
         if (!entry.key().startsWith(prefix)) {
             return;
         }
@@ -214,7 +214,7 @@
             return;
         }
         try {
-            row.store = Store.read(entry.key().substring(prefix.length()), entry.value());
+            row.store = SearcherRecord.read(entry.key().substring(prefix.length()), entry.value());
         } catch (IllegalArgumentException odd) {
             // Danger: one bad value would take its searcher, or the whole view, away. Harm: an old address is kept.
             row.store = known == null ? null : known.store;
--- a/query-mixer/registry/src/main/java/pinewick/registry/Store.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/SearcherRecord.java
@@ -15,7 +15,7 @@
  *
  * @param startedAt seconds since 1970, 0 means long ago
  */
-public record Store(
+public record SearcherRecord(
         String id,
         List<String> addresses,
         String zone,
@@ -29,12 +29,12 @@
         return new SchedulerHost.ReplicaEntry(id, cell, zone, stage, startedAt);
     }
 
-    Store at(SchedulerHost.LifecycleState other) {
-        return new Store(id, addresses, zone, cell, other, size, startedAt);
+    SearcherRecord at(SchedulerHost.LifecycleState other) {
+        return new SearcherRecord(id, addresses, zone, cell, other, size, startedAt);
     }
 
     /** Throws IllegalArgumentException that names the field at fault. */
-    static Store read(String id, byte[] value) {
+    static SearcherRecord read(String id, byte[] value) {
         JsonObject all;
         try {
             all = JsonParser.parseString(new String(value, StandardCharsets.UTF_8))
@@ -67,7 +67,7 @@
         if (cell != Math.rint(cell) || cell < 0 || cell > Integer.MAX_VALUE) {
             throw new IllegalArgumentException("cell: a whole number from 0 is expected");
         }
-        return new Store(
+        return new SearcherRecord(
                 id,
                 List.copyOf(addresses),
                 text(all, "zone", ""),
--- a/query-mixer/registry/src/main/java/pinewick/registry/KeptCodec.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/SnapshotCodec.java
@@ -16,14 +16,14 @@
  * record is its length, a CRC-32C over the rest, and its content. No I/O. What is torn or spoilt ends the reading
  * there: everything before it was whole at one time.
  */
-public final class KeptCodec {
+public final class SnapshotCodec {
     private static final int WHOLE = 1;
     private static final int CHANGES = 2;
     private static final int FORM = 1;
     private static final int LONGEST = 256 << 20;
 
     /** A view read back, what changed since, and how many bytes of the file were sound. */
-    public record Kept(long wholeRevision, List<Entry> entries, List<Changes> changes, int sound) {
+    public record Kept(long wholeRevision, List<KeyValue> entries, List<Changes> changes, int sound) {
         public long revision() {
             return changes.isEmpty()
                     ? wholeRevision
@@ -32,19 +32,19 @@
     }
 
     /** Events that took a view to a revision. */
-    public record Changes(long revision, List<Entry> events) {}
+    public record Changes(long revision, List<KeyValue> events) {}
 
-    private KeptCodec() {}
+    private SnapshotCodec() {}
 
-    public static byte[] whole(long revision, List<Entry> entries) {
+    public static byte[] whole(long revision, List<KeyValue> entries) {
         return record(WHOLE, revision, entries);
     }
 
-    public static byte[] changes(long revision, List<Entry> events) {
+    public static byte[] changes(long revision, List<KeyValue> events) {
         return record(CHANGES, revision, events);
     }
 
-    private static byte[] record(int kind, long revision, List<Entry> entries) {
+    private static byte[] record(int kind, long revision, List<KeyValue> entries) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 + 128 * entries.size());
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeLong(0);
@@ -52,7 +52,7 @@
             out.writeByte(kind);
             out.writeLong(revision);
             out.writeInt(entries.size());
-            for (Entry each : entries) {
+            for (KeyValue each : entries) {
                 out.writeUTF(each.key());
                 out.writeLong(each.modRevision());
                 out.writeLong(each.lease());
@@ -104,13 +104,13 @@
             }
             long revision = in.readLong();
             int count = in.readInt();
-            List<Entry> entries = new ArrayList<>();
+            List<KeyValue> entries = new ArrayList<>();
             for (int each = 0; each < count; each++) {
                 String key = in.readUTF();
                 long modRevision = in.readLong();
                 long lease = in.readLong();
                 int size = in.readInt();
-                entries.add(new Entry(key, size < 0 ? null : in.readNBytes(size), modRevision, lease));
+                entries.add(new KeyValue(key, size < 0 ? null : in.readNBytes(size), modRevision, lease));
             }
             if (kind == WHOLE) {
                 return new Kept(revision, entries, List.of(), 0);
--- a/query-mixer/registry/src/main/java/pinewick/registry/KeptFiles.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/SnapshotFiles.java
@@ -24,7 +24,7 @@
  * All writing is done by a thread of its own, in order; a disk that is full or read-only is a line in the log, and the
  * copy rests until the next whole view.
  */
-public final class KeptFiles implements AutoCloseable {
+public final class SnapshotFiles implements AutoCloseable {
     /** Changes in one file before a whole view is asked for again. */
     private static final int CHANGES_MOST = 2000;
 
@@ -36,7 +36,7 @@
     private int changes;
     private volatile boolean resting = true;
 
-    public KeptFiles(Path folder, Consumer<String> log) {
+    public SnapshotFiles(Path folder, Consumer<String> log) {
         this.folder = folder;
         this.log = log;
         writer = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), work -> {
@@ -47,15 +47,15 @@
     }
 
     /** The newest copy that can be read; null where there is none. To be called before anything is written. */
-    public KeptCodec.Kept read() {
+    public SnapshotCodec.Kept read() {
         List<Path> files = files();
-        KeptCodec.Kept newest = null;
+        SnapshotCodec.Kept newest = null;
         for (Path file : files) {
             number = Math.max(number, number(file));
             if (newest == null) {
                 try {
                     byte[] bytes = Files.readAllBytes(file);
-                    newest = KeptCodec.read(bytes);
+                    newest = SnapshotCodec.read(bytes);
                     if (newest == null || newest.sound() < bytes.length) {
                         log.accept("kept copy " + file.getFileName() + ": " + (newest == null ? 0 : newest.sound())
                                 + " of " + bytes.length + " bytes are sound");
@@ -144,7 +144,7 @@
             return files;
         }
         files.removeIf(each -> number(each) < 0);
-        files.sort(Comparator.comparingLong(KeptFiles::number).reversed());
+        files.sort(Comparator.comparingLong(SnapshotFiles::number).reversed());
         return files;
     }
 
--- a/query-mixer/registry/src/main/java/pinewick/registry/Step.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/ViewUpdate.java
@@ -11,11 +11,11 @@
  * @param events the keys' changes behind it, as they came; of a whole view none
  * @param mass so many left at once that the registry itself may be at fault
  */
-public record Step(
+public record ViewUpdate(
         long revision,
         boolean whole,
-        List<Store> changed,
+        List<SearcherRecord> changed,
         List<String> wrong,
         int vanished,
         boolean mass,
-        List<Entry> events) {}
+        List<KeyValue> events) {}
--- a/query-mixer/registry/src/test/java/pinewick/registry/HttpAnswerTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/HttpResponseParserTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class HttpAnswerTest {
+class HttpResponseParserTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
@@ -23,7 +23,7 @@
                         + "3\r\n\n\nz\r\n0\r\nTrailer: 1\r\n\r\n");
         for (int split = 0; split <= all.length; split++) {
             List<String> lines = new ArrayList<>();
-            HttpAnswer answer = new HttpAnswer(100);
+            HttpResponseParser answer = new HttpResponseParser(100);
             answer.feed(ByteBuffer.wrap(all, 0, split), lines::add);
             answer.feed(ByteBuffer.wrap(all, split, all.length - split), lines::add);
             assertEquals(List.of("{\"a\":1}", "{\"b\"", "}", "z"), lines, "split at " + split);
@@ -34,7 +34,7 @@
     @Test
     void whatAnEndLeavesUnfinishedIsNotHandedOn() {
         List<String> lines = new ArrayList<>();
-        HttpAnswer answer = new HttpAnswer(100);
+        HttpResponseParser answer = new HttpResponseParser(100);
         answer.feed(
                 ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"whole\":1}\n{\"hal")),
                 lines::add);
@@ -44,19 +44,19 @@
 
     @Test
     void aLineTooLongIsTold() {
-        HttpAnswer answer = new HttpAnswer(10);
+        HttpResponseParser answer = new HttpResponseParser(10);
         assertThrows(
-                HttpAnswer.TooLong.class,
+                HttpResponseParser.TooLong.class,
                 () -> answer.feed(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\n01234567890123")), any -> {}));
     }
 
     @Test
     void aConnectionIsUsedAgainOnlyWhereBothSaySo() {
-        HttpAnswer kept = new HttpAnswer(100);
+        HttpResponseParser kept = new HttpResponseParser(100);
         List<String> lines = new ArrayList<>();
         kept.feed(ByteBuffer.wrap(bytes("HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\n{}")), lines::add);
         assertTrue(kept.done() && kept.keepsConnection() && kept.status() == 400);
-        HttpAnswer closed = new HttpAnswer(100);
+        HttpResponseParser closed = new HttpResponseParser(100);
         closed.feed(
                 ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")),
                 lines::add);
@@ -65,9 +65,9 @@
 
     @Test
     void whatIsNoHttpEndsAtOnce() {
-        assertThrows(IllegalArgumentException.class, () -> new HttpAnswer(100)
+        assertThrows(IllegalArgumentException.class, () -> new HttpResponseParser(100)
                 .feed(ByteBuffer.wrap(bytes("SSH-2.0\r\n")), any -> {}));
-        assertThrows(IllegalArgumentException.class, () -> new HttpAnswer(100)
+        assertThrows(IllegalArgumentException.class, () -> new HttpResponseParser(100)
                 .feed(
                         ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")),
                         any -> {}));
--- a/query-mixer/registry/src/test/java/pinewick/registry/RegistryPropertyTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/PrefixWatcherPropertyTest.java
@@ -12,14 +12,14 @@
  * Any sequence of changes, compactions, breaks, cut-offs and restarts: the view in force is always the registry's state
  * at one revision, never a mixed one, and it ends as the registry does, within a bound.
  */
-class RegistryPropertyTest {
+class PrefixWatcherPropertyTest {
     @Property(tries = 300, seed = "20261201", shrinking = ShrinkingMode.OFF)
     void theViewIsAlwaysOneStateAndEndsAsTheRegistry(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        World world = new World(1 + chance.nextInt(3), seed);
+        SimulatedRegistry world = new SimulatedRegistry(1 + chance.nextInt(3), seed);
         world.fragments = chance.nextBoolean();
         for (int each = 0; each < 3 + chance.nextInt(1200); each++) {
-            world.registry.put("s/s-" + each, World.value(each, "ready"));
+            world.registry.put("s/s-" + each, SimulatedRegistry.value(each, "ready"));
         }
         world.afterStep = () -> {
             List<String> then = world.truth(world.view.revision());
@@ -32,7 +32,8 @@
             int member = chance.nextInt(world.members.size());
             switch (chance.nextInt(13)) {
                 case 0, 1, 2, 3 -> world.registry.put(
-                        "s/s-" + chance.nextInt(20), World.value(each, chance.nextBoolean() ? "draining" : "ready"));
+                        "s/s-" + chance.nextInt(20),
+                        SimulatedRegistry.value(each, chance.nextBoolean() ? "draining" : "ready"));
                 case 4 -> world.registry.remove(List.of("s/s-" + chance.nextInt(20), "s/s-" + chance.nextInt(20)));
                 case 5 -> world.registry.compact(world.registry.revision() - chance.nextInt(4));
                 case 6 -> world.drop(member);
@@ -46,7 +47,7 @@
             }
             world.run(chance.nextDouble() * 0.3);
         }
-        for (World.Member each : world.members) {
+        for (SimulatedRegistry.Member each : world.members) {
             each.down = each.silent = each.watchMute = false;
             each.old = null;
         }
--- a/query-mixer/registry/src/test/java/pinewick/registry/RegistrySessionTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/PrefixWatcherTest.java
@@ -11,17 +11,17 @@
 import pinewick.core.SchedulerHost;
 
 /** Stories of a session and a registry that breaks, in virtual time. */
-class RegistrySessionTest {
-    private static World world(int members, int stores) {
-        World world = new World(members, 5);
+class PrefixWatcherTest {
+    private static SimulatedRegistry world(int members, int stores) {
+        SimulatedRegistry world = new SimulatedRegistry(members, 5);
         for (int each = 0; each < stores; each++) {
-            world.registry.put("s/s-" + each, World.value(each, "ready"));
+            world.registry.put("s/s-" + each, SimulatedRegistry.value(each, "ready"));
         }
         return world;
     }
 
-    private static World following(int members, int stores) {
-        World world = world(members, stores);
+    private static SimulatedRegistry following(int members, int stores) {
+        SimulatedRegistry world = world(members, stores);
         world.session.start(world.now);
         world.run(0.5);
         assertEquals(world.truth(0), world.seen());
@@ -30,7 +30,7 @@
     }
 
     /** Runs until the searcher drains in the view; the seconds that took, at most so many. */
-    private static double untilDrained(World world, String id, double most) {
+    private static double untilDrained(SimulatedRegistry world, String id, double most) {
         double from = world.now;
         while (world.now < from + most && !world.seen().contains(id + " DRAINING")) {
             world.run(0.02);
@@ -40,10 +40,10 @@
 
     @Test
     void aDrainIsTakenAtOnce() {
-        World world = following(1, 5);
-        world.registry.put("s/s-3", World.value(3, "draining"));
+        SimulatedRegistry world = following(1, 5);
+        world.registry.put("s/s-3", SimulatedRegistry.value(3, "draining"));
         assertTrue(untilDrained(world, "s-3", 1) <= 0.06);
-        Step last = world.steps.get(world.steps.size() - 1);
+        ViewUpdate last = world.steps.get(world.steps.size() - 1);
         assertEquals(1, last.changed().size());
         assertEquals(
                 SchedulerHost.LifecycleState.DRAINING, last.changed().get(0).stage());
@@ -51,14 +51,14 @@
 
     @Test
     void aDrainInACompactedRangeComesWithTheWholeViewInOneStep() {
-        World world = following(3, 8);
+        SimulatedRegistry world = following(3, 8);
         world.members.forEach(each -> each.down = true);
         for (int each = 0; each < 3; each++) {
             world.drop(each);
         }
-        world.registry.put("s/s-2", World.value(2, "draining"));
+        world.registry.put("s/s-2", SimulatedRegistry.value(2, "draining"));
         world.registry.remove(List.of("s/s-5"));
-        world.registry.put("s/s-9", World.value(9, "ready"));
+        world.registry.put("s/s-9", SimulatedRegistry.value(9, "ready"));
         world.registry.compact(world.registry.revision());
         world.run(1);
         int before = world.steps.size();
@@ -67,22 +67,22 @@
         world.run(3);
         assertEquals(world.truth(0), world.seen());
         assertEquals(before + 1, world.steps.size());
-        Step step = world.steps.get(before);
+        ViewUpdate step = world.steps.get(before);
         assertTrue(step.whole() && step.changed().size() == 3);
     }
 
     @Test
     void aWatchThatSaysNothingIsFoundOut() {
-        World world = following(2, 5);
+        SimulatedRegistry world = following(2, 5);
         world.members.forEach(each -> each.watchMute = true);
-        world.registry.put("s/s-1", World.value(1, "draining"));
+        world.registry.put("s/s-1", SimulatedRegistry.value(1, "draining"));
         assertTrue(untilDrained(world, "s-1", 2) < 0.45);
     }
 
     @Test
     void aMemberThatHangsIsLeftForAnother() {
-        World world = following(3, 5);
-        world.registry.put("s/s-1", World.value(1, "draining"));
+        SimulatedRegistry world = following(3, 5);
+        world.registry.put("s/s-1", SimulatedRegistry.value(1, "draining"));
         world.members.forEach(each -> each.silent = true);
         world.run(0.05);
         for (int each = 0; each < 3; each++) {
@@ -94,9 +94,9 @@
 
     @Test
     void aMemberCutOffAndOldIsNotBelieved() {
-        World world = following(2, 5);
+        SimulatedRegistry world = following(2, 5);
         world.members.get(0).old = world.registry.copy();
-        world.registry.put("s/s-4", World.value(4, "draining"));
+        world.registry.put("s/s-4", SimulatedRegistry.value(4, "draining"));
         assertTrue(untilDrained(world, "s-4", 3) < 1);
         world.drop(1);
         world.run(4);
@@ -105,12 +105,12 @@
 
     @Test
     void compactionDuringARebuildBeginsItAnew() {
-        World world = world(1, 2000);
+        SimulatedRegistry world = world(1, 2000);
         world.session.start(world.now);
         List<Integer> sizes = new ArrayList<>();
         world.afterStep = () -> sizes.add(world.seen().size());
         world.run(0.003);
-        world.registry.put("s/s-0", World.value(0, "draining"));
+        world.registry.put("s/s-0", SimulatedRegistry.value(0, "draining"));
         world.registry.compact(world.registry.revision());
         world.run(1);
         assertEquals(2000, sizes.get(0), "no half view went into force");
@@ -119,7 +119,7 @@
 
     @Test
     void dropsAfterEveryPageOfARebuildLeaveNoHalfView() {
-        World world = world(2, 3000);
+        SimulatedRegistry world = world(2, 3000);
         List<Integer> sizes = new ArrayList<>();
         world.afterStep = () -> sizes.add(world.seen().size());
         world.session.start(world.now);
@@ -136,7 +136,7 @@
 
     @Test
     void allMembersDownForHalfAMinuteAreAskedWithGrowingWaits() {
-        World world = following(3, 5);
+        SimulatedRegistry world = following(3, 5);
         world.members.forEach(each -> each.down = true);
         for (int each = 0; each < 3; each++) {
             world.drop(each);
@@ -147,15 +147,15 @@
         assertTrue(asked > 20 && asked < 120, "asked " + asked);
         assertEquals(5, world.seen().size());
         world.members.forEach(each -> each.down = false);
-        world.registry.put("s/s-0", World.value(0, "draining"));
+        world.registry.put("s/s-0", SimulatedRegistry.value(0, "draining"));
         assertTrue(untilDrained(world, "s-0", 5) < 3.5);
     }
 
     @Test
     void aHugeValueTakesNothingElseAway() {
-        World world = following(1, 5);
+        SimulatedRegistry world = following(1, 5);
         world.registry.put("s/s-2", "x".repeat(100_000));
-        world.registry.put("s/s-3", World.value(3, "draining"));
+        world.registry.put("s/s-3", SimulatedRegistry.value(3, "draining"));
         world.members.get(0).watchMute = true;
         world.drop(0);
         world.run(3);
@@ -170,7 +170,7 @@
 
     @Test
     void aValueThatCannotBeReadKeepsTheLastGoodState() {
-        World world = following(1, 5);
+        SimulatedRegistry world = following(1, 5);
         world.registry.put("s/s-2", "{\"addresses\":[\"127.0.0.1:2\"],\"phase\":\"resting\"}");
         world.registry.put("s/s-9", "no json");
         world.run(1);
@@ -187,25 +187,26 @@
 
     @Test
     void leasesThatRunOutInBulkCountAtOnceAndAreReadAgain() {
-        World world = following(1, 0);
+        SimulatedRegistry world = following(1, 0);
         for (int each = 0; each < 20; each++) {
-            world.registry.put("s/b-" + each, World.value(each, "ready").getBytes(UTF_8), 77);
+            world.registry.put(
+                    "s/b-" + each, SimulatedRegistry.value(each, "ready").getBytes(UTF_8), 77);
         }
         world.run(0.5);
         world.registry.expire(77);
         world.run(0.1);
         assertEquals(0, world.seen().size());
-        assertTrue(world.steps.stream().anyMatch(Step::mass));
+        assertTrue(world.steps.stream().anyMatch(ViewUpdate::mass));
         assertTrue(world.steps.get(world.steps.size() - 1).whole(), "a whole view was read at once");
     }
 
     @Test
     void idsThatComeBackAreKnownByTheirStart() {
-        World world = following(1, 3);
+        SimulatedRegistry world = following(1, 3);
         world.registry.remove(List.of("s/s-1"));
         world.registry.put("s/s-1", "{\"addresses\":[\"127.0.0.1:9\"],\"started_at_ms\":5000}");
         world.run(0.2);
-        Store back = world.view.stores().stream()
+        SearcherRecord back = world.view.stores().stream()
                 .filter(each -> each.id().equals("s-1"))
                 .findFirst()
                 .orElseThrow();
@@ -215,25 +216,25 @@
 
     @Test
     void anotherClusterByMistakeIsNeverTaken() {
-        World world = following(2, 5);
+        SimulatedRegistry world = following(2, 5);
         world.members.get(0).cluster = "wrong";
-        world.members.get(0).old = new World(1, 1).registry;
+        world.members.get(0).old = new SimulatedRegistry(1, 1).registry;
         world.members.get(1).down = true;
         world.drop(0);
         world.drop(1);
         world.run(30);
         assertEquals(5, world.seen().size(), "the known cluster is only down");
         world.members.get(1).down = false;
-        world.registry.put("s/s-0", World.value(0, "draining"));
+        world.registry.put("s/s-0", SimulatedRegistry.value(0, "draining"));
         assertTrue(untilDrained(world, "s-0", 6) < 6);
     }
 
     @Test
     void aRestoredRegistryIsTakenAfterAWhileAndItsOldDrainsHold() {
-        World world = following(2, 5);
+        SimulatedRegistry world = following(2, 5);
         var backup = world.registry.copy();
-        world.registry.put("s/s-1", World.value(1, "draining"));
-        world.registry.put("s/s-8", World.value(8, "ready"));
+        world.registry.put("s/s-1", SimulatedRegistry.value(1, "draining"));
+        world.registry.put("s/s-8", SimulatedRegistry.value(8, "ready"));
         world.run(0.5);
         world.members.forEach(each -> each.old = backup);
         world.drop(0);
@@ -246,16 +247,16 @@
         for (int each = 0; each < 10; each++) {
             backup.put("other/" + each, "x");
         }
-        backup.put("s/s-1", World.value(1, "ready"));
+        backup.put("s/s-1", SimulatedRegistry.value(1, "ready"));
         world.run(2);
         assertTrue(world.seen().contains("s-1 READY"), "its key was written anew");
     }
 
     @Test
     void aRestartServesFromTheKeptCopyAndCatchesUp() {
-        World world = following(2, 5);
+        SimulatedRegistry world = following(2, 5);
         world.members.forEach(each -> each.down = true);
-        world.registry.put("s/s-0", World.value(0, "draining"));
+        world.registry.put("s/s-0", SimulatedRegistry.value(0, "draining"));
         world.registry.compact(world.registry.revision());
         world.restart(true);
         assertEquals(5, world.seen().size());
@@ -268,10 +269,10 @@
 
     @Test
     void twoPrefixesInOneRegistryDoNotMix() {
-        World world = following(1, 3);
-        world.registry.put("s", World.value(1, "ready"));
-        world.registry.put("t/x", World.value(1, "ready"));
-        world.registry.put("r/x", World.value(1, "ready"));
+        SimulatedRegistry world = following(1, 3);
+        world.registry.put("s", SimulatedRegistry.value(1, "ready"));
+        world.registry.put("t/x", SimulatedRegistry.value(1, "ready"));
+        world.registry.put("r/x", SimulatedRegistry.value(1, "ready"));
         world.run(1);
         assertEquals(3, world.seen().size());
         assertTrue(world.session.caughtUp());
@@ -279,7 +280,7 @@
 
     @Test
     void pagesTooLargeForAMembersTimeShrinkUntilTheyAreRead() {
-        World world = world(2, 600);
+        SimulatedRegistry world = world(2, 600);
         // Each key of a page takes a member 4 ms, so that 500 are too many for one second.
         world.delayAKey = 0.004;
         world.session.start(world.now);
--- a/query-mixer/registry/src/test/java/pinewick/registry/World.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/SimulatedRegistry.java
@@ -9,7 +9,7 @@
 import pinewick.standins.RegistryState;
 
 /** A registry of some members and one session that follows it, in virtual time; faults are switched on a member. */
-final class World implements RegistrySession.Wire {
+final class SimulatedRegistry implements PrefixWatcher.Wire {
     static final String PREFIX = "s/";
     static final String END = "s0";
 
@@ -29,11 +29,11 @@
 
     final RegistryState registry = new RegistryState();
     final List<Member> members = new ArrayList<>();
-    final List<Step> steps = new ArrayList<>();
+    final List<ViewUpdate> steps = new ArrayList<>();
     final List<String> said = new ArrayList<>();
     final SplittableRandom chance;
     RegistryView view = new RegistryView(PREFIX);
-    RegistrySession session;
+    PrefixWatcher session;
     double now;
     int valueLimit = 4096;
     boolean fragments;
@@ -48,12 +48,12 @@
     private long order;
     private long life;
 
-    World(int count, long seed) {
+    SimulatedRegistry(int count, long seed) {
         chance = new SplittableRandom(seed);
         for (int each = 0; each < count; each++) {
             members.add(new Member());
         }
-        session = new RegistrySession(PREFIX, view, RegistrySession.Terms.usual(count), this, chance.split());
+        session = new PrefixWatcher(PREFIX, view, PrefixWatcher.Terms.usual(count), this, chance.split());
     }
 
     static String value(int port, String phase) {
@@ -93,9 +93,9 @@
         RegistryView old = view;
         view = new RegistryView(PREFIX);
         if (kept && old.revision() > 0) {
-            KeptCodec.into(KeptCodec.read(KeptCodec.whole(old.revision(), old.entries())), view);
+            SnapshotCodec.into(SnapshotCodec.read(SnapshotCodec.whole(old.revision(), old.entries())), view);
         }
-        session = new RegistrySession(PREFIX, view, RegistrySession.Terms.usual(members.size()), this, chance.split());
+        session = new PrefixWatcher(PREFIX, view, PrefixWatcher.Terms.usual(members.size()), this, chance.split());
         session.start(now);
     }
 
@@ -109,18 +109,18 @@
         }
     }
 
-    private void answer(int endpoint, long question, java.util.function.Supplier<Answer> answer) {
+    private void answer(int endpoint, long question, java.util.function.Supplier<RegistryResponse> answer) {
         answer(endpoint, question, 0, answer);
     }
 
-    private void answer(int endpoint, long question, int keys, java.util.function.Supplier<Answer> answer) {
+    private void answer(int endpoint, long question, int keys, java.util.function.Supplier<RegistryResponse> answer) {
         Member member = members.get(endpoint);
         if (member.down) {
             in(member.delay, () -> session.failed(now, question, "refused"));
         } else if (!member.silent) {
             in(member.delay * (0.5 + chance.nextDouble()) + keys * delayAKey, () -> {
                 if (!member.silent) {
-                    Answer given = answer.get();
+                    RegistryResponse given = answer.get();
                     if (given == null) {
                         session.tooLong(now, question);
                     } else {
@@ -131,15 +131,15 @@
         }
     }
 
-    private Answer reply(
+    private RegistryResponse reply(
             int endpoint,
-            List<Entry> entries,
+            List<KeyValue> entries,
             boolean more,
             long count,
             boolean created,
             long compacted,
             boolean fragment) {
-        return new Answer(
+        return new RegistryResponse(
                 members.get(endpoint).cluster,
                 "m" + endpoint,
                 state(endpoint).revision(),
@@ -153,9 +153,9 @@
                 null);
     }
 
-    private static List<Entry> entries(List<RegistryState.Version> versions) {
+    private static List<KeyValue> entries(List<RegistryState.Version> versions) {
         return versions.stream()
-                .map(each -> new Entry(each.key(), each.value(), each.revision(), each.lease()))
+                .map(each -> new KeyValue(each.key(), each.value(), each.revision(), each.lease()))
                 .toList();
     }
 
@@ -172,7 +172,7 @@
                         ? null
                         : reply(endpoint, entries(page.keys()), page.more(), page.count(), false, 0, false);
             } catch (RegistryState.Compacted old) {
-                return new Answer("", "", 0, List.of(), false, 0, false, false, 0, false, old.getMessage());
+                return new RegistryResponse("", "", 0, List.of(), false, 0, false, false, 0, false, old.getMessage());
             }
         });
     }
@@ -207,13 +207,13 @@
                 continue;
             }
             try {
-                List<Entry> events = entries(state(watch.endpoint).changes(PREFIX, END, watch.next[0]));
+                List<KeyValue> events = entries(state(watch.endpoint).changes(PREFIX, END, watch.next[0]));
                 if (!events.isEmpty()) {
                     watch.next[0] = state(watch.endpoint).revision() + 1;
                     long mine = life;
                     int cut = fragments ? chance.nextInt(events.size() + 1) : 0;
-                    List<Entry> first = events.subList(0, cut);
-                    List<Entry> second = events.subList(cut, events.size());
+                    List<KeyValue> first = events.subList(0, cut);
+                    List<KeyValue> second = events.subList(cut, events.size());
                     in(0.001, () -> {
                         if (mine == life && cut > 0) {
                             session.answered(now, question, reply(watch.endpoint, first, false, 0, false, 0, true));
@@ -239,7 +239,7 @@
     }
 
     @Override
-    public void step(Step step) {
+    public void step(ViewUpdate step) {
         steps.add(step);
         afterStep.run();
     }
@@ -254,7 +254,7 @@
         try {
             return registry.range(PREFIX, END, atRevision, 0).keys().stream()
                     .map(each -> each.key().substring(PREFIX.length()) + " "
-                            + Store.read(each.key().substring(PREFIX.length()), each.value())
+                            + SearcherRecord.read(each.key().substring(PREFIX.length()), each.value())
                                     .stage())
                     .toList();
         } catch (RegistryState.Compacted old) {
--- a/query-mixer/registry/src/test/java/pinewick/registry/KeptCopyTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/SnapshotTest.java
@@ -17,7 +17,7 @@
 import pinewick.core.SchedulerHost;
 
 /** Stories of the kept copy: crashes at every byte, spoilt bytes, disks that fail. */
-class KeptCopyTest {
+class SnapshotTest {
     static byte[] value(String phase) {
         return ("{\"addresses\":[\"127.0.0.1:1\"],\"phase\":\"" + phase + "\"}").getBytes(StandardCharsets.UTF_8);
     }
@@ -25,7 +25,7 @@
     private static RegistryView after(int changes) {
         RegistryView view = new RegistryView("s/");
         view.begin();
-        view.page(10, List.of(new Entry("s/a", value("ready"), 3, 1), new Entry("s/b", value("ready"), 9, 2)));
+        view.page(10, List.of(new KeyValue("s/a", value("ready"), 3, 1), new KeyValue("s/b", value("ready"), 9, 2)));
         view.commit(false);
         for (int each = 1; each <= changes; each++) {
             view.apply(change(each));
@@ -33,20 +33,20 @@
         return view;
     }
 
-    private static List<Entry> change(int number) {
+    private static List<KeyValue> change(int number) {
         return number % 3 == 0
-                ? List.of(new Entry("s/a", null, 10 + number, 0))
-                : List.of(new Entry("s/a", value(number % 2 == 0 ? "draining" : "ready"), 10 + number, 1));
+                ? List.of(new KeyValue("s/a", null, 10 + number, 0))
+                : List.of(new KeyValue("s/a", value(number % 2 == 0 ? "draining" : "ready"), 10 + number, 1));
     }
 
     @Test
     void aCrashAtEveryByteLeavesTheLastWholeState() {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
         List<Integer> ends = new ArrayList<>();
-        file.writeBytes(KeptCodec.whole(10, after(0).entries()));
+        file.writeBytes(SnapshotCodec.whole(10, after(0).entries()));
         ends.add(file.size());
         for (int each = 1; each <= 7; each++) {
-            file.writeBytes(KeptCodec.changes(10 + each, change(each)));
+            file.writeBytes(SnapshotCodec.changes(10 + each, change(each)));
             ends.add(file.size());
         }
         byte[] bytes = file.toByteArray();
@@ -55,13 +55,13 @@
             for (int end : ends) {
                 whole += end <= cut ? 1 : 0;
             }
-            KeptCodec.Kept kept = KeptCodec.read(Arrays.copyOf(bytes, cut));
+            SnapshotCodec.Kept kept = SnapshotCodec.read(Arrays.copyOf(bytes, cut));
             if (whole < 0) {
                 assertNull(kept, "cut at " + cut);
                 continue;
             }
             RegistryView view = new RegistryView("s/");
-            KeptCodec.into(kept, view);
+            SnapshotCodec.into(kept, view);
             assertEquals(10 + whole, view.revision(), "cut at " + cut);
             assertEquals(after(whole).stores(), view.stores(), "cut at " + cut);
         }
@@ -69,14 +69,14 @@
 
     @Test
     void aSpoiltByteAnywhereIsNeverBelieved() {
-        byte[] good = KeptCodec.whole(10, after(0).entries());
-        byte[] more = KeptCodec.changes(11, change(1));
+        byte[] good = SnapshotCodec.whole(10, after(0).entries());
+        byte[] more = SnapshotCodec.changes(11, change(1));
         byte[] file = Arrays.copyOf(good, good.length + more.length);
         System.arraycopy(more, 0, file, good.length, more.length);
         for (int at = 0; at < file.length; at++) {
             byte[] spoilt = file.clone();
             spoilt[at] ^= 0x20;
-            KeptCodec.Kept kept = KeptCodec.read(spoilt);
+            SnapshotCodec.Kept kept = SnapshotCodec.read(spoilt);
             assertTrue(
                     at < good.length ? kept == null : kept.revision() == 10 && kept.sound() == good.length, "at " + at);
         }
@@ -85,21 +85,21 @@
     @Test
     void theNewestFileCountsAndOlderOnesLeave(@TempDir Path folder) throws Exception {
         List<String> log = new ArrayList<>();
-        try (KeptFiles files = new KeptFiles(folder, log::add)) {
+        try (SnapshotFiles files = new SnapshotFiles(folder, log::add)) {
             assertNull(files.read());
             assertTrue(files.wantsWhole());
-            files.whole(() -> KeptCodec.whole(10, after(0).entries()));
-            files.changes(KeptCodec.changes(11, change(1)));
-            files.whole(() -> KeptCodec.whole(12, after(2).entries()));
-            files.changes(KeptCodec.changes(13, change(3)));
+            files.whole(() -> SnapshotCodec.whole(10, after(0).entries()));
+            files.changes(SnapshotCodec.changes(11, change(1)));
+            files.whole(() -> SnapshotCodec.whole(12, after(2).entries()));
+            files.changes(SnapshotCodec.changes(13, change(3)));
         }
         try (var left = Files.list(folder)) {
             assertEquals(1, left.count());
         }
-        try (KeptFiles files = new KeptFiles(folder, log::add)) {
-            KeptCodec.Kept kept = files.read();
+        try (SnapshotFiles files = new SnapshotFiles(folder, log::add)) {
+            SnapshotCodec.Kept kept = files.read();
             RegistryView view = new RegistryView("s/");
-            KeptCodec.into(kept, view);
+            SnapshotCodec.into(kept, view);
             assertEquals(13, view.revision());
             assertEquals(after(3).stores(), view.stores());
         }
@@ -108,14 +108,14 @@
 
     @Test
     void aTornNewestFileFallsBackToTheOneBefore(@TempDir Path folder) throws Exception {
-        byte[] older = KeptCodec.whole(10, after(0).entries());
+        byte[] older = SnapshotCodec.whole(10, after(0).entries());
         Files.write(folder.resolve("view-4.kept"), older);
         Files.write(folder.resolve("view-5.kept"), Arrays.copyOf(older, older.length / 2));
         List<String> log = new ArrayList<>();
-        try (KeptFiles files = new KeptFiles(folder, log::add)) {
+        try (SnapshotFiles files = new SnapshotFiles(folder, log::add)) {
             assertNotNull(files.read());
             assertEquals(1, log.size());
-            files.whole(() -> KeptCodec.whole(20, after(0).entries()));
+            files.whole(() -> SnapshotCodec.whole(20, after(0).entries()));
         }
         assertTrue(Files.exists(folder.resolve("view-6.kept")));
     }
@@ -124,11 +124,11 @@
     void aFolderThatCannotBeWrittenIsALineAndNoEnd(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("taken"), "no folder");
         List<String> log = new ArrayList<>();
-        try (KeptFiles files = new KeptFiles(file, log::add)) {
+        try (SnapshotFiles files = new SnapshotFiles(file, log::add)) {
             assertNull(files.read());
-            files.whole(() -> KeptCodec.whole(10, after(0).entries()));
-            files.changes(KeptCodec.changes(11, change(1)));
-            files.changes(KeptCodec.changes(12, change(2)));
+            files.whole(() -> SnapshotCodec.whole(10, after(0).entries()));
+            files.changes(SnapshotCodec.changes(11, change(1)));
+            files.changes(SnapshotCodec.changes(12, change(2)));
         }
         assertEquals(1, log.size());
         assertTrue(log.get(0).startsWith("the kept copy rests"), log.get(0));
@@ -137,7 +137,7 @@
     @Test
     void aKeptDrainStaysADrain() {
         RegistryView view = new RegistryView("s/");
-        KeptCodec.into(KeptCodec.read(KeptCodec.whole(12, after(2).entries())), view);
+        SnapshotCodec.into(SnapshotCodec.read(SnapshotCodec.whole(12, after(2).entries())), view);
         assertEquals(
                 SchedulerHost.LifecycleState.DRAINING,
                 view.stores().iterator().next().stage());
--- a/testing/lab/src/main/java/pinewick/lab/AddressLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/AddressLab.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import pinewick.dial.Address;
-import pinewick.dial.AddressBook;
-import pinewick.dial.Race;
+import pinewick.dial.AddressHistory;
+import pinewick.dial.ConnectionRace;
 
 /**
  * In the simulator (virtual time, the very classes that decide): how long it takes to get a connection to a searcher of
@@ -58,7 +58,7 @@
         for (Case one : cases(chance)) {
             Histogram[] times = {new Histogram(3), new Histogram(3), new Histogram(3), new Histogram(3)};
             double[] first = new double[4];
-            AddressBook book = book(one);
+            AddressHistory book = book(one);
             int lost = 0;
             for (int each = 0; each < connects; each++) {
                 double now = each;
@@ -147,8 +147,8 @@
         return new Case(name, good, does);
     }
 
-    private static AddressBook book(Case one) {
-        AddressBook book = new AddressBook();
+    private static AddressHistory book(Case one) {
+        AddressHistory book = new AddressHistory();
         book.set(one.does.keySet().stream().map(Address::read).toList());
         return book;
     }
@@ -169,12 +169,12 @@
     private record Due(double at, Runnable what) {}
 
     /** One race in virtual time; the seconds until its winner came up, NaN where it was lost. */
-    private static double race(Case one, AddressBook book, double began) {
+    private static double race(Case one, AddressHistory book, double began) {
         double[] now = {began};
         Address[] winner = new Address[1];
         PriorityQueue<Due> queue = new PriorityQueue<>((left, right) -> Double.compare(left.at, right.at));
-        Race[] race = new Race[1];
-        race[0] = new Race(book, began, MOST, new Race.Wire() {
+        ConnectionRace[] race = new ConnectionRace[1];
+        race[0] = new ConnectionRace(book, began, MOST, new ConnectionRace.Wire() {
             @Override
             public void open(Address address) {
                 double does = one.does.get(address.toString()).applyAsDouble(began);
--- a/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
@@ -21,9 +21,9 @@
 import org.knowm.xchart.XYChartBuilder;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import pinewick.registry.Answer;
-import pinewick.registry.Entry;
-import pinewick.registry.EtcdText;
+import pinewick.registry.EtcdJson;
+import pinewick.registry.KeyValue;
+import pinewick.registry.RegistryResponse;
 import pinewick.registry.RegistryView;
 import pinewick.rules.RuleChecker;
 import pinewick.rules.Trace;
@@ -421,7 +421,7 @@
         long early = 0;
         double began = StandinSearchers.clock();
         for (int each = 1; each <= changes; each++) {
-            view.apply(List.of(new Entry(PREFIX + "s-" + each % 1_000, value, view.revision() + 1, 0)));
+            view.apply(List.of(new KeyValue(PREFIX + "s-" + each % 1_000, value, view.revision() + 1, 0)));
             if (each == changes / 10) {
                 early = used();
             }
@@ -465,7 +465,7 @@
             }
             String news = events + "]}}";
             double began = StandinSearchers.clock();
-            view.apply(EtcdText.answer(news).entries());
+            view.apply(EtcdJson.answer(news).entries());
             double resumed = StandinSearchers.clock() - began;
             double anew = rebuild(view, pages);
             double naiveKb = pages.stream().mapToInt(String::length).sum() / 1e3;
@@ -521,7 +521,7 @@
         double began = StandinSearchers.clock();
         view.begin();
         for (String page : pages) {
-            Answer answer = EtcdText.answer(page);
+            RegistryResponse answer = EtcdJson.answer(page);
             view.page(answer.revision(), answer.entries());
         }
         view.commit(false);
