--- a/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
@@ -59,16 +59,17 @@
                 given.prefix(),
                 this::taken,
                 text -> log.say(Log.Level.WARNING, "registry", text, "revision", Long.toString(view.revision())));
-        PrefixWatcher.Terms usual = PrefixWatcher.Terms.usual(given.endpoints().size());
-        PrefixWatcher.Terms terms = new PrefixWatcher.Terms(
-                usual.endpoints(),
+        PrefixWatcher.Settings usual =
+                PrefixWatcher.Settings.defaults(given.endpoints().size());
+        PrefixWatcher.Settings terms = new PrefixWatcher.Settings(
+                usual.endpointCount(),
                 given.pageKeys(),
                 given.answer(),
                 given.probeEvery(),
-                usual.probeAnswer(),
-                usual.owed(),
-                usual.waitLeast(),
-                usual.waitMost(),
+                usual.probeTimeoutSeconds(),
+                usual.maxWatchLagSeconds(),
+                usual.minBackoffSeconds(),
+                usual.maxBackoffSeconds(),
                 given.believe());
         session = new PrefixWatcher(given.prefix(), view, terms, wire, chance.split());
         members = given.mixersPrefix() == null ? null : new Members(calls, terms, orders, chance, mixers);
@@ -80,19 +81,19 @@
 
     /** Serves from the kept copy, marked old, until the registry tells more. */
     void start() {
-        SnapshotCodec.Kept kept = files == null ? null : files.read();
+        SnapshotCodec.Snapshot kept = files == null ? null : files.readLatest();
         if (kept != null) {
-            SnapshotCodec.into(kept, view);
+            SnapshotCodec.restore(kept, view);
             log.say(
                     Log.Level.INFO,
                     "registry",
-                    "registry: " + view.stores().size() + " searchers from the kept copy at " + "revision "
+                    "registry: " + view.searchers().size() + " searchers from the kept copy at " + "revision "
                             + view.revision(),
                     "searchers",
-                    Integer.toString(view.stores().size()),
+                    Integer.toString(view.searchers().size()),
                     "revision",
                     Long.toString(view.revision()));
-            news.accept(piece(view.stores(), true), SchedulerHost.ListUpdateKind.CACHED);
+            news.accept(piece(view.searchers(), true), SchedulerHost.ListUpdateKind.CACHED);
         }
         wire.follow(session);
         if (members != null) {
@@ -116,12 +117,12 @@
      * for the registry's newest. Harm: with the registry down a restart takes that much longer.
      */
     boolean mayServe() {
-        return view.revision() > 0 && (session.caughtUp() || loop.now() - startedAt >= given.firstContact());
+        return view.revision() > 0 && (session.isCaughtUp() || loop.now() - startedAt >= given.firstContact());
     }
 
     String figures() {
         return (members == null ? "" : members.figures())
-                + session.figures().replaceAll("(?m)^", "registry-").replaceAll("registry-$", "");
+                + session.metrics().replaceAll("(?m)^", "registry-").replaceAll("registry-$", "");
     }
 
     /** This mixer's own key, and the count of all. */
@@ -137,7 +138,7 @@
 
         Members(
                 RegistryCalls calls,
-                PrefixWatcher.Terms terms,
+                PrefixWatcher.Settings terms,
                 StartOrders orders,
                 SplittableRandom chance,
                 IntConsumer tell) {
@@ -156,7 +157,7 @@
                     calls,
                     given.mixersPrefix() + orders.name() + '@' + address,
                     "{\"addresses\":[\"" + address + "\"]}");
-            keeper = new LeaseKeeper(terms.endpoints(), given.lease(), given.answer(), keeperWire, chance.split());
+            keeper = new LeaseKeeper(terms.endpointCount(), given.lease(), given.answer(), keeperWire, chance.split());
             told = orders.deployment().routers();
             count = new MixerCount(told, loop.now(), given.lowerAfter());
         }
@@ -169,8 +170,8 @@
         void tick() {
             follower.tick(loop.now());
             keeper.tick(loop.now());
-            if (follower.caughtUp()) {
-                count.shown(loop.now(), shown.size());
+            if (follower.isCaughtUp()) {
+                count.observe(loop.now(), shown.size());
             }
             int now = count.count(loop.now());
             if (now != told) {
@@ -187,42 +188,42 @@
 
         String figures() {
             return "mixers-counted " + told + "\nmixers-shown " + shown.size() + "\nown-key-held "
-                    + (keeper.held(loop.now()) ? 1 : 0) + "\n";
+                    + (keeper.isHeld(loop.now()) ? 1 : 0) + "\n";
         }
     }
 
     private void taken(ViewUpdate step) {
-        step.wrong()
+        step.invalidValues()
                 .forEach(each -> log.say(
                         Log.Level.WARNING,
                         "registry",
                         "registry: " + each + "; its last good state holds",
                         "revision",
                         Long.toString(step.revision())));
-        Collection<SearcherRecord> told = step.whole() ? view.stores() : step.changed();
-        if (step.whole() || !step.changed().isEmpty()) {
+        Collection<SearcherRecord> told = step.full() ? view.searchers() : step.changed();
+        if (step.full() || !step.changed().isEmpty()) {
             news.accept(
-                    piece(told, step.whole()),
-                    step.whole() ? SchedulerHost.ListUpdateKind.FULL : SchedulerHost.ListUpdateKind.INCREMENTAL);
+                    piece(told, step.full()),
+                    step.full() ? SchedulerHost.ListUpdateKind.FULL : SchedulerHost.ListUpdateKind.INCREMENTAL);
         }
-        if (step.whole()) {
+        if (step.full()) {
             log.say(
                     Log.Level.INFO,
                     "registry",
                     "registry: whole view at revision " + step.revision() + ", " + told.size() + " searchers, "
-                            + step.vanished() + " gone",
+                            + step.removedCount() + " gone",
                     "revision",
                     Long.toString(step.revision()),
                     "searchers",
                     Integer.toString(told.size()));
         }
         if (files != null) {
-            if (step.whole() || files.wantsWhole()) {
+            if (step.full() || files.needsSnapshot()) {
                 long revision = step.revision();
-                var entries = view.entries();
-                files.whole(() -> SnapshotCodec.whole(revision, entries));
+                var entries = view.keyValues();
+                files.writeSnapshot(() -> SnapshotCodec.encodeSnapshot(revision, entries));
             } else {
-                files.changes(SnapshotCodec.changes(step.revision(), step.events()));
+                files.appendChanges(SnapshotCodec.encodeChanges(step.revision(), step.events()));
             }
         }
     }
@@ -233,7 +234,7 @@
         for (SearcherRecord each : stores) {
             try {
                 addresses.add(ListText.address(each.addresses().get(0)));
-                listings.add(each.listing());
+                listings.add(each.toReplicaEntry());
             } catch (IllegalArgumentException odd) {
                 // Danger: passing it over would also pass over its drain, and new parts would go to the old address.
                 addresses.add(null);
@@ -241,10 +242,10 @@
                         each.id(),
                         each.cell(),
                         each.zone(),
-                        each.stage() == SchedulerHost.LifecycleState.READY
+                        each.state() == SchedulerHost.LifecycleState.READY
                                 ? SchedulerHost.LifecycleState.GONE
-                                : each.stage(),
-                        each.startedAt()));
+                                : each.state(),
+                        each.startedAtSeconds()));
                 log.say(
                         Log.Level.WARNING,
                         "registry",
--- a/query-mixer/daemon/src/main/java/pinewick/wire/LeaseWire.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/LeaseWire.java
@@ -7,7 +7,7 @@
 import pinewick.registry.LeaseKeeper;
 
 /** Puts a lease keeper's questions to the registry and brings it the answers. */
-public final class LeaseWire implements LeaseKeeper.Wire {
+public final class LeaseWire implements LeaseKeeper.Transport {
     private final Loop loop;
     private final RegistryCalls calls;
     private final String key;
@@ -30,21 +30,21 @@
 
     @Override
     public void grant(long question, int endpoint, double seconds) {
-        ask(question, endpoint, EtcdJson.GRANT, EtcdJson.grant(seconds));
+        ask(question, endpoint, EtcdJson.GRANT_PATH, EtcdJson.leaseGrantRequest(seconds));
     }
 
     @Override
     public void put(long question, int endpoint, long lease) {
-        ask(question, endpoint, EtcdJson.PUT, EtcdJson.put(key, value, lease));
+        ask(question, endpoint, EtcdJson.PUT_PATH, EtcdJson.putRequest(key, value, lease));
     }
 
     @Override
-    public void renew(long question, int endpoint, long lease) {
-        ask(question, endpoint, EtcdJson.RENEW, EtcdJson.renew(lease));
+    public void keepAlive(long question, int endpoint, long lease) {
+        ask(question, endpoint, EtcdJson.KEEP_ALIVE_PATH, EtcdJson.keepAliveRequest(lease));
     }
 
     @Override
-    public void drop(long question) {
+    public void cancel(long question) {
         Runnable dropped = open.remove(question);
         if (dropped != null) {
             dropped.run();
@@ -56,14 +56,14 @@
             @Override
             public void line(String text) {
                 open.remove(question);
-                EtcdJson.Lease lease = EtcdJson.lease(text);
-                keeper.answered(loop.now(), question, lease.id(), lease.left());
+                EtcdJson.Lease lease = EtcdJson.parseLease(text);
+                keeper.onResponse(loop.now(), question, lease.id(), lease.ttlSeconds());
             }
 
             @Override
             public void failed(String why) {
                 open.remove(question);
-                keeper.failed(loop.now(), question);
+                keeper.onFailure(loop.now(), question);
             }
 
             @Override
--- a/query-mixer/daemon/src/main/java/pinewick/wire/RegistryCalls.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/RegistryCalls.java
@@ -150,13 +150,13 @@
                     // What a line leads to may use the loop's buffer.
                     ByteBuffer mine = ByteBuffer.allocate(count).put(in.flip()).flip();
                     answer.feed(mine, this::line);
-                    if (answer.done() && !over) {
+                    if (answer.isDone() && !over) {
                         failed(stream ? "the watch ended" : "an empty answer");
                     }
                 }
             } catch (IOException broken) {
                 broke("broke: " + broken.getMessage());
-            } catch (HttpResponseParser.TooLong large) {
+            } catch (HttpResponseParser.TooLargeException large) {
                 if (!over) {
                     end();
                     asker.tooLong();
@@ -183,7 +183,7 @@
         private void finished() {
             over = true;
             loop.later("keeping a connection", () -> {
-                if (answer.done() && answer.keepsConnection() && connection.isOpen() && !unused.containsKey(endpoint)) {
+                if (answer.isDone() && answer.isKeepAlive() && connection.isOpen() && !unused.containsKey(endpoint)) {
                     connection.getSourceChannel().suspendReads();
                     unused.put(endpoint, connection);
                 } else {
--- a/query-mixer/daemon/src/main/java/pinewick/wire/RegistryWire.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/RegistryWire.java
@@ -9,7 +9,7 @@
 import pinewick.registry.ViewUpdate;
 
 /** Puts a session's questions to the registry and brings it the answers. */
-public final class RegistryWire implements PrefixWatcher.Wire {
+public final class RegistryWire implements PrefixWatcher.Transport {
     private final Loop loop;
     private final RegistryCalls calls;
     private final String prefix;
@@ -34,22 +34,27 @@
     }
 
     @Override
-    public void read(long question, int endpoint, String from, long atRevision, int limit, boolean keysOnly) {
-        ask(question, endpoint, EtcdJson.RANGE, EtcdJson.read(from, prefix, atRevision, limit, keysOnly), false);
+    public void range(long question, int endpoint, String from, long atRevision, int limit, boolean keysOnly) {
+        ask(
+                question,
+                endpoint,
+                EtcdJson.RANGE_PATH,
+                EtcdJson.rangeRequest(from, prefix, atRevision, limit, keysOnly),
+                false);
     }
 
     @Override
     public void probe(long question, int endpoint) {
-        ask(question, endpoint, EtcdJson.RANGE, EtcdJson.probe(prefix), false);
+        ask(question, endpoint, EtcdJson.RANGE_PATH, EtcdJson.probeRequest(prefix), false);
     }
 
     @Override
     public void watch(long question, int endpoint, long fromRevision) {
-        ask(question, endpoint, EtcdJson.WATCH, EtcdJson.watch(prefix, fromRevision), true);
+        ask(question, endpoint, EtcdJson.WATCH_PATH, EtcdJson.watchRequest(prefix, fromRevision), true);
     }
 
     @Override
-    public void drop(long question) {
+    public void cancel(long question) {
         Runnable dropped = open.remove(question);
         if (dropped != null) {
             dropped.run();
@@ -57,12 +62,12 @@
     }
 
     @Override
-    public void step(ViewUpdate step) {
+    public void onUpdate(ViewUpdate step) {
         steps.accept(step);
     }
 
     @Override
-    public void say(String text) {
+    public void log(String text) {
         log.accept("registry: " + text);
     }
 
@@ -73,19 +78,19 @@
                 if (!stream) {
                     open.remove(question);
                 }
-                session.answered(loop.now(), question, EtcdJson.answer(text));
+                session.onResponse(loop.now(), question, EtcdJson.parseResponse(text));
             }
 
             @Override
             public void failed(String why) {
                 open.remove(question);
-                session.failed(loop.now(), question, why);
+                session.onFailure(loop.now(), question, why);
             }
 
             @Override
             public void tooLong() {
                 open.remove(question);
-                session.tooLong(loop.now(), question);
+                session.onResponseTooLarge(loop.now(), question);
             }
         }));
     }
--- a/query-mixer/dial/src/main/java/pinewick/dial/AddressClaims.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/AddressClaims.java
@@ -9,46 +9,49 @@
 import java.util.Set;
 
 /**
- * Which searcher each address belongs to. An address that two searchers claim is used for neither. Danger: a part
- * meant for one would reach the other, be counted there, and its repeat would reach the same process twice.
+ * Tracks which back end each address belongs to. An address that two back ends claim is used for neither: a request
+ * meant for one would reach the other and be counted there, and its retry would reach the same process twice.
  */
 public final class AddressClaims {
-    private final Map<Address, Set<String>> claims = new LinkedHashMap<>();
-    private final Map<String, List<Address>> given = new LinkedHashMap<>();
+    private final Map<Address, Set<String>> backendsByAddress = new LinkedHashMap<>();
+    private final Map<String, List<Address>> addressesByBackend = new LinkedHashMap<>();
 
-    /** The searcher's addresses from now on; none takes it out. */
-    public void claim(String searcher, Collection<Address> addresses) {
-        for (Address old : given.getOrDefault(searcher, List.of())) {
-            claims.get(old).remove(searcher);
-            if (claims.get(old).isEmpty()) {
-                claims.remove(old);
+    /** Replaces the back end's addresses; an empty collection removes the back end. */
+    public void claim(String backend, Collection<Address> addresses) {
+        for (Address old : addressesByBackend.getOrDefault(backend, List.of())) {
+            backendsByAddress.get(old).remove(backend);
+            if (backendsByAddress.get(old).isEmpty()) {
+                backendsByAddress.remove(old);
             }
         }
-        given.remove(searcher);
+        addressesByBackend.remove(backend);
         if (!addresses.isEmpty()) {
-            given.put(searcher, List.copyOf(new LinkedHashSet<>(addresses)));
-            given.get(searcher).forEach(each -> claims.computeIfAbsent(each, any -> new LinkedHashSet<>())
-                    .add(searcher));
+            addressesByBackend.put(backend, List.copyOf(new LinkedHashSet<>(addresses)));
+            addressesByBackend.get(backend).forEach(each -> backendsByAddress
+                    .computeIfAbsent(each, key -> new LinkedHashSet<>())
+                    .add(backend));
         }
     }
 
-    /** Those of its addresses that nobody else claims, in the order given. */
-    public List<Address> usable(String searcher) {
+    /**
+     * The addresses of the back end that no other back end claims, in the order given; empty for an unknown back end.
+     */
+    public List<Address> usable(String backend) {
         List<Address> usable = new ArrayList<>();
-        for (Address each : given.getOrDefault(searcher, List.of())) {
-            if (claims.get(each).size() == 1) {
+        for (Address each : addressesByBackend.getOrDefault(backend, List.of())) {
+            if (backendsByAddress.get(each).size() == 1) {
                 usable.add(each);
             }
         }
         return usable;
     }
 
-    /** A line for each address claimed twice, naming all who do. */
+    /** One line for each address with several claims, naming all claimants; empty if there is no conflict. */
     public List<String> conflicts() {
         List<String> lines = new ArrayList<>();
-        claims.forEach((address, searchers) -> {
-            if (searchers.size() > 1) {
-                lines.add(address + " is listed under " + String.join(" and ", searchers) + " and is used for none");
+        backendsByAddress.forEach((address, backends) -> {
+            if (backends.size() > 1) {
+                lines.add(address + " is listed under " + String.join(" and ", backends) + " and is used for none");
             }
         });
         return lines;
--- a/query-mixer/dial/src/main/java/pinewick/dial/AddressHistory.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/AddressHistory.java
@@ -7,223 +7,258 @@
 import java.util.Map;
 
 /**
- * What one searcher's addresses have been seen to do, and the order in which they are tried. No I/O; times in seconds.
- * The order is that of RFC 8305 (families interleaved, the preferred one first) with each address's own history before
- * it: a Unix socket that works comes first, what fails or stalls rests and comes last.
+ * The connection history of one back end's addresses, and the order of connection attempts that follows from it. No
+ * I/O; times are in seconds. The order is that of RFC 8305 (address families interleaved, the preferred one first),
+ * adjusted by each address's own history: a Unix socket that works comes first, an address that fails or stalls backs
+ * off and comes last.
  */
 public final class AddressHistory {
-    /** The newest connect time's weight in the smoothed one, and in its spread. */
-    private static final double NEWEST = 0.25;
-
-    private static final double REST_LEAST = 0.25;
-    private static final double REST_MOST = 30;
-    /** Without failures for this long the count of failures in a row is halved. */
-    private static final double FORGIVES = 60;
-
-    private static final double FIRST_GUESS = 0.05;
-    private static final double STAGGER_LEAST = 0.01;
-    /** RFC 8305's least recommended; its 250 ms would take two hung addresses past 300 ms. */
-    private static final double STAGGER_MOST = 0.1;
-    /** An address this many times slower than the best one, and by this much, comes after the others. */
+    /** Weight of the newest connect time in the exponentially weighted mean and deviation. */
+    private static final double SMOOTHING_FACTOR = 0.25;
+
+    private static final double MIN_BACKOFF_SECONDS = 0.25;
+    private static final double MAX_BACKOFF_SECONDS = 30;
+    /** After this long without a failure the count of consecutive failures is halved. */
+    private static final double FAILURE_DECAY_SECONDS = 60;
+
+    private static final double DEFAULT_CONNECT_SECONDS = 0.05;
+    private static final double MIN_ATTEMPT_DELAY_SECONDS = 0.01;
+    /**
+     * The lowest Connection Attempt Delay that RFC 8305 recommends; with its default of 250 ms two hung addresses would
+     * take longer than 300 ms.
+     */
+    private static final double MAX_ATTEMPT_DELAY_SECONDS = 0.1;
+    /**
+     * An address is slow, and tried after the others, if its connect time exceeds this multiple of the best one's plus
+     * the margin.
+     */
     private static final double SLOW_FACTOR = 2;
 
-    private static final double SLOW_LEAST = 0.01;
-    private static final double TRY_AGAIN = 30;
-    private static final double CONNECT_LEAST = 0.05;
+    private static final double SLOW_MARGIN_SECONDS = 0.01;
+    private static final double OUTPACED_RETRY_SECONDS = 30;
+    private static final double MIN_CONNECT_TIMEOUT_SECONDS = 0.05;
 
-    private static final class Row {
+    private static final class Stats {
         final Address address;
-        double smoothed = Double.NaN;
-        double spread;
-        int failures;
-        double failedAt = Double.NEGATIVE_INFINITY;
-        double restUntil = Double.NEGATIVE_INFINITY;
-        double goodAt = Double.NEGATIVE_INFINITY;
-        double outrunAt = Double.NEGATIVE_INFINITY;
-        boolean stranger;
-
-        Row(Address address) {
+        double smoothedSeconds = Double.NaN;
+        double deviationSeconds;
+        int consecutiveFailures;
+        double lastFailureAt = Double.NEGATIVE_INFINITY;
+        double backoffUntil = Double.NEGATIVE_INFINITY;
+        double lastDataAt = Double.NEGATIVE_INFINITY;
+        double outpacedAt = Double.NEGATIVE_INFINITY;
+        boolean reachesWrongBackend;
+
+        Stats(Address address) {
             this.address = address;
         }
     }
 
-    private final Map<Address, Row> rows = new LinkedHashMap<>();
-    private Address.Kind lastGood = Address.Kind.IPV6;
+    private final Map<Address, Stats> statsByAddress = new LinkedHashMap<>();
+    private Address.Family preferredFamily = Address.Family.IPV6;
 
     /**
-     * The addresses from now on, in the order listed; what is known of those that stay is kept. Tells those that left.
+     * Replaces the addresses, in the order listed; the history of those that stay is kept. Returns the removed
+     * addresses.
      */
-    public List<Address> set(Collection<Address> addresses) {
-        List<Address> left = new ArrayList<>(rows.keySet());
-        left.removeAll(addresses);
-        Map<Address, Row> kept = new LinkedHashMap<>(rows);
-        rows.clear();
+    public List<Address> setAddresses(Collection<Address> addresses) {
+        List<Address> removed = new ArrayList<>(statsByAddress.keySet());
+        removed.removeAll(addresses);
+        Map<Address, Stats> previous = new LinkedHashMap<>(statsByAddress);
+        statsByAddress.clear();
         for (Address each : addresses) {
-            rows.put(each, kept.containsKey(each) ? kept.get(each) : new Row(each));
+            statsByAddress.put(each, previous.containsKey(each) ? previous.get(each) : new Stats(each));
         }
-        return left;
+        return removed;
     }
 
-    /** A connection came up there after so long. */
-    public void opened(Address address, double now, double took) {
-        Row row = rows.get(address);
-        if (row == null) {
+    /** Records an established connection and the time it took. */
+    public void onConnected(Address address, double now, double connectSeconds) {
+        Stats stats = statsByAddress.get(address);
+        if (stats == null) {
             return;
         }
-        if (Double.isNaN(row.smoothed)) {
-            row.smoothed = took;
-            row.spread = took / 2;
+        if (Double.isNaN(stats.smoothedSeconds)) {
+            stats.smoothedSeconds = connectSeconds;
+            stats.deviationSeconds = connectSeconds / 2;
         } else {
-            row.spread += NEWEST * (Math.abs(took - row.smoothed) - row.spread);
-            row.smoothed += NEWEST * (took - row.smoothed);
+            stats.deviationSeconds +=
+                    SMOOTHING_FACTOR * (Math.abs(connectSeconds - stats.smoothedSeconds) - stats.deviationSeconds);
+            stats.smoothedSeconds += SMOOTHING_FACTOR * (connectSeconds - stats.smoothedSeconds);
         }
     }
 
     /**
-     * Another address came up while this one was under way for so long, longer than it was given before the other was
-     * started: its connects take at least that. Danger: one that hangs would never be told, since each race ends
-     * before its time-out, and it would cost its stagger each time.
+     * Records that another address connected while the attempt here had been pending for {@code elapsedSeconds}, longer
+     * than its attempt delay: connecting here takes at least that long. Without this an address that hangs would never
+     * be detected, since each race ends before its time-out, and it would cost its attempt delay in every race.
      */
-    public void outrun(Address address, double now, double under) {
-        Row row = rows.get(address);
-        if (row != null) {
-            row.outrunAt = now;
-            row.smoothed = Double.isNaN(row.smoothed) ? under : Math.max(row.smoothed, under);
+    public void onOutpaced(Address address, double now, double elapsedSeconds) {
+        Stats stats = statsByAddress.get(address);
+        if (stats != null) {
+            stats.outpacedAt = now;
+            stats.smoothedSeconds = Double.isNaN(stats.smoothedSeconds)
+                    ? elapsedSeconds
+                    : Math.max(stats.smoothedSeconds, elapsedSeconds);
         }
     }
 
-    /** Bytes came back over it: the path works both ways. A connect alone proves little, a stalled one opens too. */
-    public void served(Address address, double now) {
-        Row row = rows.get(address);
-        if (row != null) {
-            row.goodAt = now;
-            row.failures = 0;
-            row.restUntil = Double.NEGATIVE_INFINITY;
-            if (address.kind() != Address.Kind.UNIX) {
-                lastGood = address.kind();
+    /**
+     * Records received data: the path works in both directions. A successful connect alone proves little, since a
+     * stalled path accepts connections too.
+     */
+    public void onDataReceived(Address address, double now) {
+        Stats stats = statsByAddress.get(address);
+        if (stats != null) {
+            stats.lastDataAt = now;
+            stats.consecutiveFailures = 0;
+            stats.backoffUntil = Double.NEGATIVE_INFINITY;
+            if (address.family() != Address.Family.UNIX) {
+                preferredFamily = address.family();
             }
         }
     }
 
-    /** It refused, hung, broke or stalled: it rests, twice as long with each time in a row. */
-    public void failed(Address address, double now) {
-        Row row = rows.get(address);
-        if (row == null) {
+    /**
+     * Records a refused, hung, broken or stalled connection. The address backs off, twice as long with each consecutive
+     * failure.
+     */
+    public void onFailure(Address address, double now) {
+        Stats stats = statsByAddress.get(address);
+        if (stats == null) {
             return;
         }
-        if (now - row.failedAt > FORGIVES) {
-            row.failures /= 2;
+        if (now - stats.lastFailureAt > FAILURE_DECAY_SECONDS) {
+            stats.consecutiveFailures /= 2;
         }
-        row.failedAt = now;
-        row.restUntil = now + Math.min(REST_MOST, REST_LEAST * (1 << Math.min(row.failures, 10)));
-        row.failures++;
+        stats.lastFailureAt = now;
+        stats.backoffUntil = now
+                + Math.min(MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS * (1 << Math.min(stats.consecutiveFailures, 10)));
+        stats.consecutiveFailures++;
     }
 
-    /** Another searcher answered there: it is not used until the list names it anew. */
-    public void stranger(Address address) {
-        if (rows.containsKey(address)) {
-            rows.get(address).stranger = true;
+    /** Records that another back end answered at this address; it is not used until the address list names it anew. */
+    public void onWrongBackend(Address address) {
+        if (statsByAddress.containsKey(address)) {
+            statsByAddress.get(address).reachesWrongBackend = true;
         }
     }
 
-    public boolean resting(Address address, double now) {
-        Row row = rows.get(address);
-        return row != null && now < row.restUntil;
+    public boolean isBackingOff(Address address, double now) {
+        Stats stats = statsByAddress.get(address);
+        return stats != null && now < stats.backoffUntil;
     }
 
     /**
-     * Addresses that rest no more after failures, or were outrun a while ago, and may be tried in the background, none
-     * of them needed.
+     * Addresses whose backoff after failures is over, or that were outpaced {@code OUTPACED_RETRY_SECONDS} ago or
+     * longer, and that may be tried in the background; no call depends on them.
      */
-    public List<Address> returning(double now) {
-        List<Address> due = new ArrayList<>();
-        rows.values().forEach(row -> {
-            boolean outrun = row.outrunAt > row.goodAt && now - row.outrunAt >= TRY_AGAIN;
-            if (!row.stranger && now >= row.restUntil && (row.failures > 0 || outrun)) {
-                due.add(row.address);
+    public List<Address> retryCandidates(double now) {
+        List<Address> candidates = new ArrayList<>();
+        statsByAddress.values().forEach(stats -> {
+            boolean outpaced = stats.outpacedAt > stats.lastDataAt && now - stats.outpacedAt >= OUTPACED_RETRY_SECONDS;
+            if (!stats.reachesWrongBackend
+                    && now >= stats.backoffUntil
+                    && (stats.consecutiveFailures > 0 || outpaced)) {
+                candidates.add(stats.address);
             }
         });
-        return due;
+        return candidates;
     }
 
     /**
-     * The order to try, resting ones last (the soonest back first): with all at rest the searcher itself may be at
-     * fault, and a try tells.
+     * The order of connection attempts. Addresses in backoff come last, the one whose backoff ends soonest first: with
+     * all of them in backoff the back end itself may be at fault, and an attempt tells.
      */
-    public List<Address> order(double now) {
-        List<Row> fit = new ArrayList<>();
-        List<Row> resting = new ArrayList<>();
-        rows.values().forEach(row -> {
-            if (!row.stranger) {
-                (now < row.restUntil ? resting : fit).add(row);
+    public List<Address> attemptOrder(double now) {
+        List<Stats> available = new ArrayList<>();
+        List<Stats> backingOff = new ArrayList<>();
+        statsByAddress.values().forEach(stats -> {
+            if (!stats.reachesWrongBackend) {
+                (now < stats.backoffUntil ? backingOff : available).add(stats);
             }
         });
         List<Address> order = new ArrayList<>();
-        List<Row> first = new ArrayList<>();
-        List<Row> second = new ArrayList<>();
-        List<Row> slow = new ArrayList<>();
-        double best = Double.POSITIVE_INFINITY;
-        for (Row row : fit) {
-            best = row.failures == 0 && !Double.isNaN(row.smoothed) ? Math.min(best, row.smoothed) : best;
-        }
-        for (Row row : fit) {
-            if (!Double.isNaN(row.smoothed) && row.smoothed > SLOW_FACTOR * best + SLOW_LEAST) {
-                slow.add(row);
-            } else if (row.address.kind() == Address.Kind.UNIX) {
-                order.add(row.address);
+        List<Stats> preferred = new ArrayList<>();
+        List<Stats> others = new ArrayList<>();
+        List<Stats> slow = new ArrayList<>();
+        double bestSeconds = Double.POSITIVE_INFINITY;
+        for (Stats stats : available) {
+            bestSeconds = stats.consecutiveFailures == 0 && !Double.isNaN(stats.smoothedSeconds)
+                    ? Math.min(bestSeconds, stats.smoothedSeconds)
+                    : bestSeconds;
+        }
+        for (Stats stats : available) {
+            if (!Double.isNaN(stats.smoothedSeconds)
+                    && stats.smoothedSeconds > SLOW_FACTOR * bestSeconds + SLOW_MARGIN_SECONDS) {
+                slow.add(stats);
+            } else if (stats.address.family() == Address.Family.UNIX) {
+                order.add(stats.address);
             } else {
-                (row.address.kind() == lastGood ? first : second).add(row);
+                (stats.address.family() == preferredFamily ? preferred : others).add(stats);
             }
         }
-        first.sort(AddressHistory::better);
-        second.sort(AddressHistory::better);
-        // A family whose addresses have failed since they last served does not come first.
-        if (!first.isEmpty() && !second.isEmpty() && first.get(0).failures > 0 && second.get(0).failures == 0) {
-            List<Row> swapped = first;
-            first = second;
-            second = swapped;
-        }
-        for (int each = 0; each < Math.max(first.size(), second.size()); each++) {
-            if (each < first.size()) {
-                order.add(first.get(each).address);
+        preferred.sort(AddressHistory::compare);
+        others.sort(AddressHistory::compare);
+        // A family whose addresses have failed since they last delivered data does not come first.
+        if (!preferred.isEmpty()
+                && !others.isEmpty()
+                && preferred.get(0).consecutiveFailures > 0
+                && others.get(0).consecutiveFailures == 0) {
+            List<Stats> previouslyPreferred = preferred;
+            preferred = others;
+            others = previouslyPreferred;
+        }
+        for (int each = 0; each < Math.max(preferred.size(), others.size()); each++) {
+            if (each < preferred.size()) {
+                order.add(preferred.get(each).address);
             }
-            if (each < second.size()) {
-                order.add(second.get(each).address);
+            if (each < others.size()) {
+                order.add(others.get(each).address);
             }
         }
-        slow.sort(AddressHistory::better);
-        slow.forEach(row -> order.add(row.address));
-        resting.sort((one, other) -> Double.compare(one.restUntil, other.restUntil));
-        resting.forEach(row -> order.add(row.address));
+        slow.sort(AddressHistory::compare);
+        slow.forEach(stats -> order.add(stats.address));
+        backingOff.sort((one, other) -> Double.compare(one.backoffUntil, other.backoffUntil));
+        backingOff.forEach(stats -> order.add(stats.address));
         return order;
     }
 
-    private static int better(Row one, Row other) {
-        if (one.failures != other.failures) {
-            return Integer.compare(one.failures, other.failures);
+    private static int compare(Stats one, Stats other) {
+        if (one.consecutiveFailures != other.consecutiveFailures) {
+            return Integer.compare(one.consecutiveFailures, other.consecutiveFailures);
         }
-        return Double.compare(guess(one), guess(other));
+        return Double.compare(expectedConnectSeconds(one), expectedConnectSeconds(other));
     }
 
-    private static double guess(Row row) {
-        return Double.isNaN(row.smoothed) ? FIRST_GUESS : row.smoothed;
+    private static double expectedConnectSeconds(Stats stats) {
+        return Double.isNaN(stats.smoothedSeconds) ? DEFAULT_CONNECT_SECONDS : stats.smoothedSeconds;
     }
 
-    /** Seconds after which the next address is tried beside this one: longer than its connects take, as seen. */
-    public double stagger(Address address) {
-        Row row = rows.get(address);
-        if (row == null || Double.isNaN(row.smoothed)) {
-            return STAGGER_MOST;
+    /**
+     * The Connection Attempt Delay of RFC 8305: seconds after which the next address is tried beside this one, longer
+     * than its usual connect time.
+     */
+    public double attemptDelaySeconds(Address address) {
+        Stats stats = statsByAddress.get(address);
+        if (stats == null || Double.isNaN(stats.smoothedSeconds)) {
+            return MAX_ATTEMPT_DELAY_SECONDS;
         }
-        return Math.max(STAGGER_LEAST, Math.min(STAGGER_MOST, row.smoothed + 4 * row.spread));
+        return Math.max(
+                MIN_ATTEMPT_DELAY_SECONDS,
+                Math.min(MAX_ATTEMPT_DELAY_SECONDS, stats.smoothedSeconds + 4 * stats.deviationSeconds));
     }
 
-    /** The longest a connect there may take before it counts as hung; {@code most} where nothing is known yet. */
-    public double connectTime(Address address, double most) {
-        Row row = rows.get(address);
-        if (row == null || Double.isNaN(row.smoothed)) {
-            return most;
+    /**
+     * Seconds after which a connection attempt counts as hung; {@code maxSeconds} where no connect time is known yet.
+     */
+    public double connectTimeoutSeconds(Address address, double maxSeconds) {
+        Stats stats = statsByAddress.get(address);
+        if (stats == null || Double.isNaN(stats.smoothedSeconds)) {
+            return maxSeconds;
         }
-        return Math.min(most, Math.max(CONNECT_LEAST, 2 * (row.smoothed + 4 * row.spread)));
+        return Math.min(
+                maxSeconds,
+                Math.max(MIN_CONNECT_TIMEOUT_SECONDS, 2 * (stats.smoothedSeconds + 4 * stats.deviationSeconds)));
     }
 }
--- a/query-mixer/dial/src/main/java/pinewick/dial/ConnectionLimiter.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/ConnectionLimiter.java
@@ -1,68 +1,77 @@
 package pinewick.dial;
 
 /**
- * How many connections to one searcher may be opened at once, over all its addresses. No I/O. Danger: when an address
- * returns, a thousand waiting launches would open a thousand connections. Harm: a searcher that returns is filled over
- * some connects, doubling with each that comes up.
+ * Limits how many connections to one back end are opened at the same time, over all its addresses. No I/O. Without the
+ * limit a thousand waiting calls would open a thousand connections when an address recovers. The limit starts at one
+ * and doubles with each connection that is established, so the load on a recovering back end ramps up over several
+ * connection attempts.
  */
 public final class ConnectionLimiter {
-    private final int most;
-    private final int callsAConnection;
-    private int open;
-    private int racing;
-    private int allowed = 1;
+    private final int maxConnections;
+    private final int callsPerConnection;
+    private int openCount;
+    private int attemptCount;
+    private int allowedAttempts = 1;
 
-    /** @param most connections to the searcher over all its addresses, spares included */
-    public ConnectionLimiter(int most, int callsAConnection) {
-        if (most < 1 || callsAConnection < 1) {
-            throw new IllegalArgumentException("connections and calls a connection: at least one each is expected");
+    /**
+     * @param maxConnections upper bound on connections to the back end over all its addresses, spares included
+     * @param callsPerConnection calls that share one connection
+     */
+    public ConnectionLimiter(int maxConnections, int callsPerConnection) {
+        if (maxConnections < 1 || callsPerConnection < 1) {
+            throw new IllegalArgumentException("connections and calls per connection: at least 1 of each required");
         }
-        this.most = most;
-        this.callsAConnection = callsAConnection;
+        this.maxConnections = maxConnections;
+        this.callsPerConnection = callsPerConnection;
     }
 
-    /** Whether another race may begin for so many calls that wait and find no place. */
-    public boolean mayOpen(int waiting) {
-        int needed = (waiting + callsAConnection - 1) / callsAConnection;
-        return racing < allowed && racing < needed && open + racing < most;
+    /** Whether another connection race may start, given the number of calls that wait without a connection. */
+    public boolean canStartAttempt(int waitingCalls) {
+        int neededConnections = (waitingCalls + callsPerConnection - 1) / callsPerConnection;
+        return attemptCount < allowedAttempts
+                && attemptCount < neededConnections
+                && openCount + attemptCount < maxConnections;
     }
 
-    public void began() {
-        racing++;
+    public void onAttemptStarted() {
+        attemptCount++;
     }
 
-    public void won() {
-        racing--;
-        open++;
-        allowed = Math.min(most, allowed * 2);
+    public void onAttemptSucceeded() {
+        attemptCount--;
+        openCount++;
+        allowedAttempts = Math.min(maxConnections, allowedAttempts * 2);
     }
 
-    public void lost() {
-        racing--;
-        allowed = 1;
+    public void onAttemptFailed() {
+        attemptCount--;
+        allowedAttempts = 1;
     }
 
-    /** A spare came up outside any race, or a race's late second; false where it must be closed. */
-    public boolean keepsSpare() {
-        if (open + racing >= most) {
+    /**
+     * Registers a connection established outside any race, or as a late second one of a race; false if it must be
+     * closed because the limit is reached.
+     */
+    public boolean acceptSpare() {
+        if (openCount + attemptCount >= maxConnections) {
             return false;
         }
-        open++;
+        openCount++;
         return true;
     }
 
-    public void closed() {
-        open--;
-        if (open == 0) {
-            allowed = 1;
+    public void onClosed() {
+        openCount--;
+        if (openCount == 0) {
+            allowedAttempts = 1;
         }
     }
 
-    public int open() {
-        return open;
+    public int openCount() {
+        return openCount;
     }
 
-    public int racing() {
-        return racing;
+    public int attemptCount() {
+        return attemptCount;
     }
 }
--- a/query-mixer/dial/src/main/java/pinewick/dial/ConnectionRace.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/ConnectionRace.java
@@ -6,138 +6,150 @@
 import java.util.Map;
 
 /**
- * Connects race for one connection to a searcher; the first that comes up wins, and nothing is ever written to another.
- * No I/O; times in seconds. The race ends once: won, or lost when every address has failed or its time is over.
+ * Races connection attempts over the addresses of one back end, as in RFC 8305 (Happy Eyeballs). The first attempt that
+ * connects wins, and nothing is ever written to another connection. No I/O; times are in seconds. The race ends exactly
+ * once: won, or lost when every attempt has failed or the time-out has passed; it can also be cancelled.
  */
 public final class ConnectionRace {
-    /** What the race asks for. */
-    public interface Wire {
-        void open(Address address);
+    /** Carries out the connection attempts and receives the outcome of the race. */
+    public interface Transport {
+        void connect(Address address);
 
-        /** A connect that is under way is of no use any more. */
-        void abandon(Address address);
+        /** Cancels a connection attempt in progress. */
+        void cancel(Address address);
 
-        /** This address's connection is the one; the race is over. */
-        void won(Address address);
+        /** This address's connection has won; the race is finished. */
+        void onWon(Address address);
 
-        /** None came up; the race is over. */
-        void lost();
+        /** No attempt connected; the race is finished. */
+        void onLost();
     }
 
     private static final class Attempt {
         final double startedAt;
-        final double until;
-        boolean over;
+        final double deadline;
+        boolean finished;
 
-        Attempt(double startedAt, double until) {
+        Attempt(double startedAt, double deadline) {
             this.startedAt = startedAt;
-            this.until = until;
+            this.deadline = deadline;
         }
     }
 
-    private final AddressHistory book;
-    private final Wire wire;
-    private final double until;
-    private final double most;
-    private final List<Address> left;
+    private final AddressHistory history;
+    private final Transport transport;
+    private final double deadline;
+    private final double timeoutSeconds;
+    private final List<Address> remaining;
     private final Map<Address, Attempt> attempts = new LinkedHashMap<>();
-    private double nextAt;
-    private boolean over;
-
-    /** @param most seconds for the whole race, and for any one connect */
-    public ConnectionRace(AddressHistory book, double now, double most, Wire wire) {
-        this.book = book;
-        this.wire = wire;
-        this.most = most;
-        until = now + most;
-        left = new ArrayList<>(book.order(now));
-        nextAt = now;
+    private double nextAttemptAt;
+    private boolean finished;
+
+    /** @param timeoutSeconds time limit for the whole race, and for any one attempt */
+    public ConnectionRace(AddressHistory history, double now, double timeoutSeconds, Transport transport) {
+        this.history = history;
+        this.transport = transport;
+        this.timeoutSeconds = timeoutSeconds;
+        deadline = now + timeoutSeconds;
+        remaining = new ArrayList<>(history.attemptOrder(now));
+        nextAttemptAt = now;
     }
 
-    public boolean over() {
-        return over;
+    public boolean isFinished() {
+        return finished;
     }
 
-    /** Starts what is due, ends what hangs; to be called at once, then every hundredth of a second or so. */
+    /**
+     * Starts the attempts that are due and cancels those past their deadline; to be called once at the start, then
+     * about every 10 ms.
+     */
     public void tick(double now) {
         for (Map.Entry<Address, Attempt> each : List.copyOf(attempts.entrySet())) {
-            if (!over && !each.getValue().over && now >= each.getValue().until) {
-                wire.abandon(each.getKey());
-                failed(now, each.getKey());
+            if (!finished && !each.getValue().finished && now >= each.getValue().deadline) {
+                transport.cancel(each.getKey());
+                onConnectFailed(now, each.getKey());
             }
         }
-        if (over) {
+        if (finished) {
             return;
         }
-        if (now >= until) {
-            end();
-            wire.lost();
+        if (now >= deadline) {
+            finish();
+            transport.onLost();
             return;
         }
-        while (!over && !left.isEmpty() && now >= nextAt) {
-            start(now);
+        while (!finished && !remaining.isEmpty() && now >= nextAttemptAt) {
+            startNextAttempt(now);
         }
-        if (!over && left.isEmpty() && attempts.values().stream().allMatch(each -> each.over)) {
-            over = true;
-            wire.lost();
+        if (!finished && remaining.isEmpty() && attempts.values().stream().allMatch(each -> each.finished)) {
+            finished = true;
+            transport.onLost();
         }
     }
 
-    private void start(double now) {
-        Address address = left.remove(0);
-        attempts.put(address, new Attempt(now, Math.min(until, now + book.connectTime(address, most))));
-        nextAt = now + book.stagger(address);
-        wire.open(address);
+    private void startNextAttempt(double now) {
+        Address address = remaining.remove(0);
+        attempts.put(
+                address,
+                new Attempt(now, Math.min(deadline, now + history.connectTimeoutSeconds(address, timeoutSeconds))));
+        nextAttemptAt = now + history.attemptDelaySeconds(address);
+        transport.connect(address);
     }
 
-    /** True where this connection is the winner; a later one is the caller's, as a spare or to be closed. */
-    public boolean opened(double now, Address address) {
+    /**
+     * Reports an established connection. True if it wins the race; otherwise the caller owns the connection and keeps
+     * it as a spare or closes it.
+     */
+    public boolean onConnected(double now, Address address) {
         Attempt attempt = attempts.get(address);
-        if (attempt == null || attempt.over) {
+        if (attempt == null || attempt.finished) {
             return false;
         }
-        attempt.over = true;
-        book.opened(address, now, now - attempt.startedAt);
-        if (over) {
+        attempt.finished = true;
+        history.onConnected(address, now, now - attempt.startedAt);
+        if (finished) {
             return false;
         }
-        over = true;
-        attempts.forEach((other, under) -> {
-            if (!under.over && now - under.startedAt >= book.stagger(other)) {
-                book.outrun(other, now, now - under.startedAt);
+        finished = true;
+        attempts.forEach((other, pending) -> {
+            if (!pending.finished && now - pending.startedAt >= history.attemptDelaySeconds(other)) {
+                history.onOutpaced(other, now, now - pending.startedAt);
             }
         });
-        wire.won(address);
+        transport.onWon(address);
         return true;
     }
 
-    /** A connect failed; the next address is tried at once. */
-    public void failed(double now, Address address) {
+    /** Reports a failed attempt; the next address is tried at once. */
+    public void onConnectFailed(double now, Address address) {
         Attempt attempt = attempts.get(address);
-        if (attempt == null || attempt.over) {
+        if (attempt == null || attempt.finished) {
             return;
         }
-        attempt.over = true;
-        book.failed(address, now);
-        if (!over) {
-            nextAt = now;
+        attempt.finished = true;
+        history.onFailure(address, now);
+        if (!finished) {
+            nextAttemptAt = now;
             tick(now);
         }
     }
 
-    /** Nobody waits for this connection any more, or the searcher takes nothing new. */
+    /**
+     * Ends the race without an outcome: no call waits for the connection any more, or the back end accepts no new
+     * calls.
+     */
     public void cancel() {
-        if (!over) {
-            end();
+        if (!finished) {
+            finish();
         }
     }
 
-    private void end() {
-        over = true;
+    private void finish() {
+        finished = true;
         attempts.forEach((address, attempt) -> {
-            if (!attempt.over) {
-                attempt.over = true;
-                wire.abandon(address);
+            if (!attempt.finished) {
+                attempt.finished = true;
+                transport.cancel(address);
             }
         });
     }
--- a/query-mixer/dial/src/main/java/pinewick/dial/PathMonitor.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/PathMonitor.java
@@ -6,107 +6,109 @@
 import java.util.Map;
 
 /**
- * Tells a hung path from a hung searcher, for one searcher. No I/O; times in seconds. A path with something owed and
- * nothing heard for a while is suspect; then another address is probed. If that one answers, the path is at fault, gets
- * nothing new and rests; if it is silent as well, it is the searcher, and nothing is decided here: the mixer's
- * decisions see silence as they always did. What was written on a silent path may have run: it is never moved.
+ * Distinguishes a hung network path from a hung back end, for one back end. No I/O; times are in seconds. A path that
+ * has responses outstanding and has received nothing for a while is suspect; then another address is probed. If that
+ * one answers, the path is at fault: it is ejected, gets no new requests and backs off. If it is silent as well, the
+ * back end is at fault and nothing is decided here; the mixer's scheduler handles the silence as for any back end. A
+ * request written to a silent path may have been executed, so it is never moved.
  */
 public final class PathMonitor {
-    /** What the watch asks for. */
-    public interface Wire {
+    /** Carries out what the monitor decides. */
+    public interface Transport {
         void probe(Address address);
 
-        /** The path is at fault: it gets nothing new, its unwritten launches go elsewhere as never sent. */
-        void aside(Address address);
+        /** Ejects the path: it gets no new requests, and its calls not yet written go to another path as never sent. */
+        void eject(Address address);
     }
 
     private static final class Path {
-        int owed;
-        double oldestOwed;
-        double heardAt = Double.NEGATIVE_INFINITY;
+        int pendingResponses;
+        double waitingSince;
+        double receivedAt = Double.NEGATIVE_INFINITY;
         double probedAt = Double.NaN;
-        boolean aside;
+        boolean ejected;
     }
 
-    private final double silence;
-    private final double probeWait;
-    private final AddressHistory book;
-    private final Wire wire;
+    private final double silenceTimeoutSeconds;
+    private final double probeTimeoutSeconds;
+    private final AddressHistory history;
+    private final Transport transport;
     private final Map<Address, Path> paths = new LinkedHashMap<>();
 
     /**
-     * @param silence seconds with something owed and nothing heard that make a path suspect
-     * @param probeWait seconds within which another path's probe must be answered
+     * @param silenceTimeoutSeconds time with responses outstanding and nothing received after which a path is suspect
+     * @param probeTimeoutSeconds time after which an unanswered probe of another path is repeated
      */
-    public PathMonitor(double silence, double probeWait, AddressHistory book, Wire wire) {
-        this.silence = silence;
-        this.probeWait = probeWait;
-        this.book = book;
-        this.wire = wire;
+    public PathMonitor(
+            double silenceTimeoutSeconds, double probeTimeoutSeconds, AddressHistory history, Transport transport) {
+        this.silenceTimeoutSeconds = silenceTimeoutSeconds;
+        this.probeTimeoutSeconds = probeTimeoutSeconds;
+        this.history = history;
+        this.transport = transport;
     }
 
     private Path path(Address address) {
-        return paths.computeIfAbsent(address, any -> new Path());
+        return paths.computeIfAbsent(address, key -> new Path());
     }
 
-    /** Something was written there that is to be answered. */
-    public void owed(Address address, double now) {
+    /** A request that expects a response was written to the path. */
+    public void onRequestSent(Address address, double now) {
         Path path = path(address);
-        if (path.owed++ == 0) {
-            path.oldestOwed = now;
+        if (path.pendingResponses++ == 0) {
+            path.waitingSince = now;
         }
     }
 
-    /** Something owed there was settled without being heard: given up, timed out, or its connection is gone. */
-    public void dropped(Address address) {
+    /** An outstanding request ended without a response: cancelled, timed out, or its connection was closed. */
+    public void onRequestAbandoned(Address address) {
         Path path = path(address);
-        path.owed = Math.max(0, path.owed - 1);
+        path.pendingResponses = Math.max(0, path.pendingResponses - 1);
     }
 
-    /** Bytes came; {@code answers} of what was owed are settled by them. */
-    public void heard(Address address, double now, int answers) {
+    /** Data was received on the path; it completes {@code responses} of the outstanding requests. */
+    public void onDataReceived(Address address, double now, int responses) {
         Path path = path(address);
-        path.heardAt = now;
+        path.receivedAt = now;
         path.probedAt = Double.NaN;
-        path.owed = Math.max(0, path.owed - answers);
-        path.oldestOwed = now;
-        path.aside = false;
-        book.served(address, now);
+        path.pendingResponses = Math.max(0, path.pendingResponses - responses);
+        path.waitingSince = now;
+        path.ejected = false;
+        history.onDataReceived(address, now);
         for (Map.Entry<Address, Path> each : List.copyOf(paths.entrySet())) {
-            if (suspect(each.getValue(), now)
-                    && !each.getValue().aside
+            if (isSuspect(each.getValue(), now)
+                    && !each.getValue().ejected
                     && !each.getKey().equals(address)) {
-                // Both are of one searcher, and this one speaks since the other fell silent.
-                each.getValue().aside = true;
-                book.failed(each.getKey(), now);
-                wire.aside(each.getKey());
+                // Both paths lead to the same back end, and this one has delivered data since the other fell silent.
+                each.getValue().ejected = true;
+                history.onFailure(each.getKey(), now);
+                transport.eject(each.getKey());
             }
         }
     }
 
-    private boolean suspect(Path path, double now) {
-        return path.owed > 0 && now - Math.max(path.heardAt, path.oldestOwed) >= silence;
+    private boolean isSuspect(Path path, double now) {
+        return path.pendingResponses > 0 && now - Math.max(path.receivedAt, path.waitingSince) >= silenceTimeoutSeconds;
     }
 
-    public boolean aside(Address address) {
-        return paths.containsKey(address) && paths.get(address).aside;
+    public boolean isEjected(Address address) {
+        return paths.containsKey(address) && paths.get(address).ejected;
     }
 
-    /** Looks for suspects and asks another path; to be called now and then. */
+    /** Checks for suspect paths and probes another path; to be called periodically. */
     public void tick(double now) {
-        boolean suspects = false;
+        boolean hasSuspect = false;
         for (Path each : paths.values()) {
-            suspects |= suspect(each, now) && !each.aside;
+            hasSuspect |= isSuspect(each, now) && !each.ejected;
         }
-        if (!suspects) {
+        if (!hasSuspect) {
             return;
         }
-        for (Address each : new ArrayList<>(book.order(now))) {
+        for (Address each : new ArrayList<>(history.attemptOrder(now))) {
             Path other = path(each);
-            if (!suspect(other, now) && !other.aside) {
-                if (Double.isNaN(other.probedAt) || now - other.probedAt >= probeWait) {
+            if (!isSuspect(other, now) && !other.ejected) {
+                if (Double.isNaN(other.probedAt) || now - other.probedAt >= probeTimeoutSeconds) {
                     other.probedAt = now;
-                    wire.probe(each);
+                    transport.probe(each);
                 }
                 return;
             }
--- a/query-mixer/dial/src/test/java/pinewick/dial/DialPropertyTest.java
+++ b/query-mixer/dial/src/test/java/pinewick/dial/DialPropertyTest.java
@@ -10,65 +10,68 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** Any interleaving of opens, refusals, hangs, cancels and time: races end once, connects are all accounted for. */
+/**
+ * Under any interleaving of connects, refusals, hangs, cancellations and time, each race ends once and accounts for all
+ * its attempts.
+ */
 class DialPropertyTest {
     @Property(tries = 2000, seed = "20261201", shrinking = ShrinkingMode.OFF)
-    void everyRaceEndsOnceAndLeavesNoConnectUnderWay(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        AddressHistory book = new AddressHistory();
+    void everyRaceEndsOnceAndAccountsForAllAttempts(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        AddressHistory history = new AddressHistory();
         List<Address> addresses = new ArrayList<>();
-        int count = 1 + chance.nextInt(5);
+        int count = 1 + random.nextInt(5);
         for (int each = 0; each < count; each++) {
-            addresses.add(Address.read(
-                    switch (chance.nextInt(3)) {
+            addresses.add(Address.parse(
+                    switch (random.nextInt(3)) {
                         case 0 -> "unix:/s" + each;
                         case 1 -> "[::" + (each + 1) + "]:1";
                         default -> "10.0.0." + each + ":1";
                     }));
         }
-        book.set(addresses);
+        history.setAddresses(addresses);
         double now = 0;
         for (int races = 0; races < 4; races++) {
-            List<Address> under = new ArrayList<>();
-            List<String> ends = new ArrayList<>();
-            double from = now;
-            ConnectionRace race = new ConnectionRace(book, now, 0.5, new ConnectionRace.Wire() {
+            List<Address> pending = new ArrayList<>();
+            List<String> outcomes = new ArrayList<>();
+            double startedAt = now;
+            ConnectionRace race = new ConnectionRace(history, now, 0.5, new ConnectionRace.Transport() {
                 @Override
-                public void open(Address address) {
-                    assertTrue(!under.contains(address), "opened twice");
-                    under.add(address);
+                public void connect(Address address) {
+                    assertTrue(!pending.contains(address), "connected twice");
+                    pending.add(address);
                 }
 
                 @Override
-                public void abandon(Address address) {
-                    assertTrue(under.remove(address), "abandoned what was not under way");
+                public void cancel(Address address) {
+                    assertTrue(pending.remove(address), "cancelled an attempt that was not pending");
                 }
 
                 @Override
-                public void won(Address address) {
-                    assertTrue(under.remove(address));
-                    ends.add("won");
+                public void onWon(Address address) {
+                    assertTrue(pending.remove(address));
+                    outcomes.add("won");
                 }
 
                 @Override
-                public void lost() {
-                    ends.add("lost");
+                public void onLost() {
+                    outcomes.add("lost");
                 }
             });
             boolean cancelled = false;
-            while (!race.over()) {
+            while (!race.isFinished()) {
                 race.tick(now);
-                now += chance.nextDouble() * 0.03;
-                if (!under.isEmpty() && !race.over()) {
-                    Address one = under.get(chance.nextInt(under.size()));
-                    switch (chance.nextInt(12)) {
-                        case 0 -> race.opened(now, one);
+                now += random.nextDouble() * 0.03;
+                if (!pending.isEmpty() && !race.isFinished()) {
+                    Address one = pending.get(random.nextInt(pending.size()));
+                    switch (random.nextInt(12)) {
+                        case 0 -> race.onConnected(now, one);
                         case 1, 2 -> {
-                            under.remove(one);
-                            race.failed(now, one);
+                            pending.remove(one);
+                            race.onConnectFailed(now, one);
                         }
                         case 3 -> {
-                            if (chance.nextInt(4) == 0) {
+                            if (random.nextInt(4) == 0) {
                                 race.cancel();
                                 cancelled = true;
                             }
@@ -76,17 +79,17 @@
                         default -> {}
                     }
                 }
-                assertTrue(now - from < 0.6, "a race that does not end");
+                assertTrue(now - startedAt < 0.6, "the race does not end");
             }
-            assertEquals(cancelled ? 0 : 1, ends.size());
-            // Those still under way after a win may open late: they are no winners.
-            for (Address late : List.copyOf(under)) {
-                assertTrue(!race.opened(now, late));
+            assertEquals(cancelled ? 0 : 1, outcomes.size());
+            // Attempts still pending after a win may connect late; they do not win.
+            for (Address lateAddress : List.copyOf(pending)) {
+                assertTrue(!race.onConnected(now, lateAddress));
             }
-            assertEquals(cancelled ? 0 : 1, ends.size());
+            assertEquals(cancelled ? 0 : 1, outcomes.size());
             race.tick(now + 1);
-            assertEquals(cancelled ? 0 : 1, ends.size());
-            now += chance.nextDouble() * 2;
+            assertEquals(cancelled ? 0 : 1, outcomes.size());
+            now += random.nextDouble() * 2;
         }
     }
 }
--- a/query-mixer/dial/src/test/java/pinewick/dial/SimulatedDialer.java
+++ b/query-mixer/dial/src/test/java/pinewick/dial/SimulatedDialer.java
@@ -6,55 +6,56 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** Addresses that open, refuse or hang, in virtual time, and one race at a time over them. */
+/** Addresses that accept, refuse or hang, in virtual time, and one connection race at a time over them. */
 final class SimulatedDialer {
-    /** NaN hangs; negative refuses after that many seconds; else opens after so many. */
-    final Map<Address, Double> behaviour = new LinkedHashMap<>();
+    /** Seconds until the address accepts the connection; negative: it refuses after that time; NaN: it hangs. */
+    final Map<Address, Double> outcomes = new LinkedHashMap<>();
 
-    final AddressHistory book = new AddressHistory();
+    final AddressHistory history = new AddressHistory();
     final List<String> events = new ArrayList<>();
     double now;
     Address winner;
     boolean lost;
-    int abandoned;
+    int cancelledCount;
 
-    private record Due(double at, Runnable what) {}
+    private record ScheduledEvent(double at, Runnable action) {}
 
-    private final PriorityQueue<Due> queue = new PriorityQueue<>((one, other) -> Double.compare(one.at, other.at));
+    private final PriorityQueue<ScheduledEvent> queue =
+            new PriorityQueue<>((one, other) -> Double.compare(one.at, other.at));
 
     SimulatedDialer(Map<String, Double> addresses) {
-        addresses.forEach((text, does) -> behaviour.put(Address.read(text), does));
-        book.set(behaviour.keySet());
+        addresses.forEach((text, outcome) -> outcomes.put(Address.parse(text), outcome));
+        history.setAddresses(outcomes.keySet());
     }
 
-    /** Runs one race to its end; the seconds until its winner came up, NaN where there was none. */
-    double race(double most) {
+    /** Runs one race to its end. Returns the seconds until the winner connected, NaN if the race was lost. */
+    double race(double timeoutSeconds) {
         winner = null;
         lost = false;
         queue.clear();
         events.clear();
-        double from = now;
+        double startedAt = now;
         ConnectionRace[] race = new ConnectionRace[1];
-        race[0] = new ConnectionRace(book, now, most, new ConnectionRace.Wire() {
+        race[0] = new ConnectionRace(history, now, timeoutSeconds, new ConnectionRace.Transport() {
             @Override
-            public void open(Address address) {
-                events.add("open " + address);
-                double does = behaviour.get(address);
-                if (does >= 0) {
-                    queue.add(new Due(now + does, () -> race[0].opened(now, address)));
-                } else if (does < 0) {
-                    queue.add(new Due(now - does, () -> race[0].failed(now, address)));
+            public void connect(Address address) {
+                events.add("connect " + address);
+                double outcome = outcomes.get(address);
+                if (outcome >= 0) {
+                    queue.add(new ScheduledEvent(now + outcome, () -> race[0].onConnected(now, address)));
+                } else if (outcome < 0) {
+                    queue.add(new ScheduledEvent(now - outcome, () -> race[0].onConnectFailed(now, address)));
                 }
             }
 
             @Override
-            public void abandon(Address address) {
-                abandoned++;
-                events.add("abandon " + address);
+            public void cancel(Address address) {
+                cancelledCount++;
+                events.add("cancel " + address);
             }
 
             @Override
-            public void won(Address address) {
+            public void onWon(Address address) {
                 if (winner != null) {
                     throw new IllegalStateException("two winners");
                 }
@@ -62,27 +63,27 @@
             }
 
             @Override
-            public void lost() {
+            public void onLost() {
                 lost = true;
             }
         });
         race[0].tick(now);
-        while (!race[0].over()) {
-            double tick = now + 0.005;
-            while (!queue.isEmpty() && queue.peek().at <= tick && !race[0].over()) {
-                Due due = queue.poll();
-                now = due.at;
-                due.what.run();
+        while (!race[0].isFinished()) {
+            double nextTick = now + 0.005;
+            while (!queue.isEmpty() && queue.peek().at <= nextTick && !race[0].isFinished()) {
+                ScheduledEvent event = queue.poll();
+                now = event.at;
+                event.action.run();
             }
-            if (!race[0].over()) {
-                now = tick;
+            if (!race[0].isFinished()) {
+                now = nextTick;
                 race[0].tick(now);
             }
         }
-        double took = winner == null ? Double.NaN : now - from;
+        double elapsedSeconds = winner == null ? Double.NaN : now - startedAt;
         if (winner != null) {
-            book.served(winner, now);
+            history.onDataReceived(winner, now);
         }
-        return took;
+        return elapsedSeconds;
     }
 }
--- a/query-mixer/registry/src/main/java/pinewick/registry/EtcdJson.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/EtcdJson.java
@@ -10,19 +10,19 @@
 import java.util.List;
 
 /**
- * The JSON form of etcd's v3 API as published: keys and values in base64, 64-bit numbers as texts, fields of value
- * zero left out. Questions as bodies of POST, answers from one JSON object each. No I/O.
+ * The JSON form of etcd's v3 API as published: keys and values in base64, 64-bit numbers as strings, fields with a zero
+ * value omitted. Encodes request bodies for POST and decodes responses from one JSON object each. No I/O.
  */
 public final class EtcdJson {
-    public static final String RANGE = "/v3/kv/range";
-    public static final String WATCH = "/v3/watch";
-    public static final String PUT = "/v3/kv/put";
-    public static final String GRANT = "/v3/lease/grant";
-    public static final String RENEW = "/v3/lease/keepalive";
+    public static final String RANGE_PATH = "/v3/kv/range";
+    public static final String WATCH_PATH = "/v3/watch";
+    public static final String PUT_PATH = "/v3/kv/put";
+    public static final String GRANT_PATH = "/v3/lease/grant";
+    public static final String KEEP_ALIVE_PATH = "/v3/lease/keepalive";
 
     private EtcdJson() {}
 
-    /** The first key after all that begin with this prefix. */
+    /** The first key after all keys with this prefix: etcd's {@code range_end}. */
     public static byte[] rangeEnd(String prefix) {
         byte[] end = prefix.getBytes(StandardCharsets.UTF_8);
         for (int at = end.length - 1; at >= 0; at--) {
@@ -38,9 +38,9 @@
         return Base64.getEncoder().encodeToString(bytes);
     }
 
-    public static String read(String from, String prefix, long revision, int limit, boolean keysOnly) {
+    public static String rangeRequest(String fromKey, String prefix, long revision, int limit, boolean keysOnly) {
         JsonObject body = new JsonObject();
-        body.addProperty("key", base64(from.getBytes(StandardCharsets.UTF_8)));
+        body.addProperty("key", base64(fromKey.getBytes(StandardCharsets.UTF_8)));
         body.addProperty("range_end", base64(rangeEnd(prefix)));
         body.addProperty("limit", Integer.toString(limit));
         if (revision > 0) {
@@ -52,8 +52,11 @@
         return body.toString();
     }
 
-    /** The key changed last, and how many there are; never from a member that can't reach the others. */
-    public static String probe(String prefix) {
+    /**
+     * Requests the last modified key, without its value, and the number of keys; the read is linearizable, so a member
+     * cut off from its quorum cannot answer it.
+     */
+    public static String probeRequest(String prefix) {
         JsonObject body = new JsonObject();
         body.addProperty("key", base64(prefix.getBytes(StandardCharsets.UTF_8)));
         body.addProperty("range_end", base64(rangeEnd(prefix)));
@@ -64,7 +67,7 @@
         return body.toString();
     }
 
-    public static String watch(String prefix, long fromRevision) {
+    public static String watchRequest(String prefix, long fromRevision) {
         JsonObject create = new JsonObject();
         create.addProperty("key", base64(prefix.getBytes(StandardCharsets.UTF_8)));
         create.addProperty("range_end", base64(rangeEnd(prefix)));
@@ -76,13 +79,13 @@
         return body.toString();
     }
 
-    public static String grant(double seconds) {
+    public static String leaseGrantRequest(double ttlSeconds) {
         JsonObject body = new JsonObject();
-        body.addProperty("TTL", Long.toString(Math.max(1, Math.round(seconds))));
+        body.addProperty("TTL", Long.toString(Math.max(1, Math.round(ttlSeconds))));
         return body.toString();
     }
 
-    public static String put(String key, String value, long lease) {
+    public static String putRequest(String key, String value, long lease) {
         JsonObject body = new JsonObject();
         body.addProperty("key", base64(key.getBytes(StandardCharsets.UTF_8)));
         body.addProperty("value", base64(value.getBytes(StandardCharsets.UTF_8)));
@@ -90,60 +93,69 @@
         return body.toString();
     }
 
-    public static String renew(long lease) {
+    public static String keepAliveRequest(long lease) {
         JsonObject body = new JsonObject();
         body.addProperty("ID", Long.toString(lease));
         return body.toString();
     }
 
-    /** A lease as an answer tells it: its id and the seconds left, 0 where the registry does not know it. */
-    public record Lease(long id, double left) {}
-
-    /** Reads an answer to a grant, a put or a renewal; a fault brings an IllegalArgumentException with its words. */
-    public static Lease lease(String text) {
+    /**
+     * A lease as returned by the registry: its id and remaining time to live, 0 if the registry does not know the
+     * lease.
+     */
+    public record Lease(long id, double ttlSeconds) {}
+
+    /**
+     * Parses the response to a lease grant, a put or a keep-alive; throws IllegalArgumentException with the error
+     * message if it reports an error or is malformed.
+     */
+    public static Lease parseLease(String json) {
         try {
-            JsonObject all = JsonParser.parseString(text).getAsJsonObject();
-            if (all.has("error")) {
-                throw new IllegalArgumentException(all.get("error").toString());
+            JsonObject object = JsonParser.parseString(json).getAsJsonObject();
+            if (object.has("error")) {
+                throw new IllegalArgumentException(object.get("error").toString());
             }
-            JsonObject body = all.has("result") ? all.getAsJsonObject("result") : all;
+            JsonObject body = object.has("result") ? object.getAsJsonObject("result") : object;
             return new Lease(number(body, "ID"), number(body, "TTL"));
-        } catch (IllegalStateException | UnsupportedOperationException | com.google.gson.JsonParseException odd) {
-            throw new IllegalArgumentException("not in the registry's form: " + odd.getMessage());
+        } catch (IllegalStateException | UnsupportedOperationException | com.google.gson.JsonParseException e) {
+            throw new IllegalArgumentException("malformed registry response: " + e.getMessage());
         }
     }
 
-    /** Reads one object of an answer; what is not in the form brings an IllegalArgumentException. */
-    public static RegistryResponse answer(String text) {
+    /**
+     * Parses one JSON object of a response; throws IllegalArgumentException if it is malformed. An error reported by
+     * the registry is returned in the response's {@code error}.
+     */
+    public static RegistryResponse parseResponse(String json) {
         try {
-            JsonObject all = JsonParser.parseString(text).getAsJsonObject();
-            if (all.has("error")) {
-                JsonElement error = all.get("error");
-                String words = error.isJsonObject()
+            JsonObject object = JsonParser.parseString(json).getAsJsonObject();
+            if (object.has("error")) {
+                JsonElement error = object.get("error");
+                String message = error.isJsonObject()
                         ? text(error.getAsJsonObject(), "message", "an error")
                         : error.getAsString();
-                return new RegistryResponse("", "", 0, List.of(), false, 0, false, false, 0, false, words);
+                return new RegistryResponse("", "", 0, List.of(), false, 0, false, false, 0, false, message);
             }
-            JsonObject body = all.has("result") ? all.getAsJsonObject("result") : all;
+            JsonObject body = object.has("result") ? object.getAsJsonObject("result") : object;
             JsonObject header = body.getAsJsonObject("header");
-            List<KeyValue> entries = new ArrayList<>();
+            List<KeyValue> keyValues = new ArrayList<>();
             if (body.has("events")) {
                 for (JsonElement each : body.getAsJsonArray("events")) {
                     JsonObject event = each.getAsJsonObject();
-                    entries.add(entry(
+                    keyValues.add(keyValue(
                             event.getAsJsonObject("kv"),
                             text(event, "type", "PUT").equals("DELETE")));
                 }
             }
-            JsonArray pairs = body.has("kvs") ? body.getAsJsonArray("kvs") : new JsonArray();
-            for (JsonElement each : pairs) {
-                entries.add(entry(each.getAsJsonObject(), false));
+            JsonArray kvs = body.has("kvs") ? body.getAsJsonArray("kvs") : new JsonArray();
+            for (JsonElement each : kvs) {
+                keyValues.add(keyValue(each.getAsJsonObject(), false));
             }
             return new RegistryResponse(
                     text(header, "cluster_id", ""),
                     text(header, "member_id", ""),
                     number(header, "revision"),
-                    entries,
+                    keyValues,
                     flag(body, "more"),
                     number(body, "count"),
                     flag(body, "created"),
@@ -151,26 +163,26 @@
                     number(body, "compact_revision"),
                     flag(body, "fragment"),
                     null);
-        } catch (RuntimeException odd) {
-            throw new IllegalArgumentException("not in the registry's form: " + odd.getMessage());
+        } catch (RuntimeException e) {
+            throw new IllegalArgumentException("malformed registry response: " + e.getMessage());
         }
     }
 
-    private static KeyValue entry(JsonObject pair, boolean removed) {
-        byte[] value = removed ? null : Base64.getDecoder().decode(text(pair, "value", ""));
-        String key = new String(Base64.getDecoder().decode(text(pair, "key", "")), StandardCharsets.UTF_8);
-        return new KeyValue(key, value, number(pair, "mod_revision"), number(pair, "lease"));
+    private static KeyValue keyValue(JsonObject kv, boolean deleted) {
+        byte[] value = deleted ? null : Base64.getDecoder().decode(text(kv, "value", ""));
+        String key = new String(Base64.getDecoder().decode(text(kv, "key", "")), StandardCharsets.UTF_8);
+        return new KeyValue(key, value, number(kv, "mod_revision"), number(kv, "lease"));
     }
 
-    private static String text(JsonObject from, String field, String absent) {
-        return from.has(field) ? from.get(field).getAsString() : absent;
+    private static String text(JsonObject object, String field, String defaultValue) {
+        return object.has(field) ? object.get(field).getAsString() : defaultValue;
     }
 
-    private static long number(JsonObject from, String field) {
-        return from.has(field) ? from.get(field).getAsLong() : 0;
+    private static long number(JsonObject object, String field) {
+        return object.has(field) ? object.get(field).getAsLong() : 0;
     }
 
-    private static boolean flag(JsonObject from, String field) {
-        return from.has(field) && from.get(field).getAsBoolean();
+    private static boolean flag(JsonObject object, String field) {
+        return object.has(field) && object.get(field).getAsBoolean();
     }
 }
--- a/query-mixer/registry/src/main/java/pinewick/registry/HttpResponseParser.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/HttpResponseParser.java
@@ -7,13 +7,14 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts an HTTP/1.1 answer into its body's lines, however the bytes are split. No I/O. A line is kept until it is
- * whole, up to a stated length; what a connection's end leaves unfinished is never handed on.
+ * An incremental HTTP/1.1 response parser that emits the lines of the body, however the bytes are split. No I/O. A line
+ * is buffered until it is complete, up to a maximum length; a line left incomplete at the end of the connection is
+ * never emitted.
  */
 public final class HttpResponseParser {
-    /** A line, or a head, was longer than is taken. */
-    public static final class TooLong extends RuntimeException {
-        TooLong(String what) {
+    /** A body line or the response head exceeded its size limit. */
+    public static final class TooLargeException extends RuntimeException {
+        TooLargeException(String what) {
             super(what);
         }
     }
@@ -29,81 +30,84 @@
         DONE
     }
 
-    private static final int HEAD_MOST = 16 << 10;
+    private static final int MAX_HEAD_BYTES = 16 << 10;
 
-    private final int longest;
-    private final ByteArrayOutputStream words = new ByteArrayOutputStream(128);
+    private final int maxLineBytes;
+    private final ByteArrayOutputStream headLine = new ByteArrayOutputStream(128);
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(512);
     private Stage stage = Stage.STATUS;
     private int status;
-    private long left = -1;
+    private long remainingBytes = -1;
     private boolean chunked;
-    private boolean keeps = true;
-    private int head;
+    private boolean keepAlive = true;
+    private int headBytes;
 
-    /** @param longest bytes of a line of the body at most */
-    public HttpResponseParser(int longest) {
-        this.longest = longest;
+    /** @param maxLineBytes maximum length of a body line */
+    public HttpResponseParser(int maxLineBytes) {
+        this.maxLineBytes = maxLineBytes;
     }
 
     public int status() {
         return status;
     }
 
-    /** The answer has come whole. */
-    public boolean done() {
+    /** Whether the response is complete. */
+    public boolean isDone() {
         return stage == Stage.DONE;
     }
 
-    /** Whether the connection may be used again once the answer is done. */
-    public boolean keepsConnection() {
-        return keeps;
+    /** Whether the connection may be reused once the response is complete. */
+    public boolean isKeepAlive() {
+        return keepAlive;
     }
 
-    /** Takes bytes; hands on each whole line of the body that is not empty. Throws on what is not HTTP/1.1. */
+    /**
+     * Parses bytes and passes each complete, non-empty line of the body to the consumer. Throws
+     * IllegalArgumentException for input that is not HTTP/1.1 and TooLargeException beyond a size limit.
+     */
     public void feed(ByteBuffer bytes, Consumer<String> lines) {
         while (bytes.hasRemaining() && stage != Stage.DONE) {
             switch (stage) {
                 case STATUS, HEAD, SIZE, CHUNK_END, TRAILER -> {
-                    byte one = bytes.get();
-                    if (++head > HEAD_MOST) {
-                        throw new TooLong("a head of more than " + HEAD_MOST + " bytes");
+                    byte next = bytes.get();
+                    if (++headBytes > MAX_HEAD_BYTES) {
+                        throw new TooLargeException("response head exceeds " + MAX_HEAD_BYTES + " bytes");
                     }
-                    if (one == '\n') {
+                    if (next == '\n') {
                         String text =
-                                words.toString(StandardCharsets.ISO_8859_1).strip();
-                        words.reset();
-                        headLine(text, lines);
+                                headLine.toString(StandardCharsets.ISO_8859_1).strip();
+                        headLine.reset();
+                        onHeadLine(text, lines);
                     } else {
-                        words.write(one);
+                        headLine.write(next);
                     }
                 }
-                case BODY, CHUNK -> body(bytes, lines);
+                case BODY, CHUNK -> readBody(bytes, lines);
                 default -> {}
             }
         }
     }
 
-    private void headLine(String text, Consumer<String> lines) {
+    private void onHeadLine(String text, Consumer<String> lines) {
         switch (stage) {
             case STATUS -> {
                 if (!text.matches("HTTP/1\\.[01] [0-9]{3}.*")) {
-                    throw new IllegalArgumentException("no HTTP answer");
+                    throw new IllegalArgumentException("not an HTTP response");
                 }
                 status = Integer.parseInt(text.substring(9, 12));
-                keeps = text.startsWith("HTTP/1.1");
+                keepAlive = text.startsWith("HTTP/1.1");
                 stage = Stage.HEAD;
             }
             case HEAD -> {
                 if (!text.isEmpty()) {
-                    field(text);
+                    onHeaderField(text);
                 } else if (status / 100 == 1) {
                     stage = Stage.STATUS;
                 } else {
-                    head = 0;
+                    headBytes = 0;
                     stage = chunked ? Stage.SIZE : Stage.BODY;
-                    if (!chunked && left == 0) {
-                        end(lines);
+                    if (!chunked && remainingBytes == 0) {
+                        finish(lines);
                     }
                 }
             }
@@ -111,66 +115,66 @@
                 int semicolon = text.indexOf(';');
                 String size = (semicolon < 0 ? text : text.substring(0, semicolon)).strip();
                 if (!size.matches("[0-9a-fA-F]{1,12}")) {
-                    throw new IllegalArgumentException("a chunk of size " + size);
+                    throw new IllegalArgumentException("invalid chunk size " + size);
                 }
-                left = Long.parseLong(size, 16);
-                head = 0;
-                stage = left == 0 ? Stage.TRAILER : Stage.CHUNK;
+                remainingBytes = Long.parseLong(size, 16);
+                headBytes = 0;
+                stage = remainingBytes == 0 ? Stage.TRAILER : Stage.CHUNK;
             }
             case CHUNK_END -> {
-                head = 0;
+                headBytes = 0;
                 stage = Stage.SIZE;
             }
             default -> {
                 if (text.isEmpty()) {
-                    end(lines);
+                    finish(lines);
                 }
             }
         }
     }
 
-    private void field(String text) {
+    private void onHeaderField(String text) {
         int colon = text.indexOf(':');
         String name = colon < 0 ? "" : text.substring(0, colon).strip().toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).strip();
         switch (name) {
             case "content-length" -> {
                 if (!value.matches("[0-9]{1,15}")) {
-                    throw new IllegalArgumentException("a length of " + value);
+                    throw new IllegalArgumentException("invalid Content-Length " + value);
                 }
-                left = Long.parseLong(value);
+                remainingBytes = Long.parseLong(value);
             }
             case "transfer-encoding" -> chunked = value.toLowerCase(Locale.ROOT).endsWith("chunked");
-            case "connection" -> keeps &= !value.equalsIgnoreCase("close");
+            case "connection" -> keepAlive &= !value.equalsIgnoreCase("close");
             default -> {}
         }
     }
 
-    private void body(ByteBuffer bytes, Consumer<String> lines) {
-        while (bytes.hasRemaining() && left != 0) {
-            byte one = bytes.get();
-            if (left > 0) {
-                left--;
+    private void readBody(ByteBuffer bytes, Consumer<String> lines) {
+        while (bytes.hasRemaining() && remainingBytes != 0) {
+            byte next = bytes.get();
+            if (remainingBytes > 0) {
+                remainingBytes--;
             }
-            if (one == '\n') {
-                lineDone(lines);
+            if (next == '\n') {
+                emitLine(lines);
             } else {
-                if (line.size() >= longest) {
-                    throw new TooLong("a line of more than " + longest + " bytes");
+                if (line.size() >= maxLineBytes) {
+                    throw new TooLargeException("body line exceeds " + maxLineBytes + " bytes");
                 }
-                line.write(one);
+                line.write(next);
             }
         }
-        if (left == 0) {
+        if (remainingBytes == 0) {
             if (stage == Stage.CHUNK) {
                 stage = Stage.CHUNK_END;
             } else {
-                end(lines);
+                finish(lines);
             }
         }
     }
 
-    private void lineDone(Consumer<String> lines) {
+    private void emitLine(Consumer<String> lines) {
         String text = line.toString(StandardCharsets.UTF_8);
         line.reset();
         if (!text.isBlank()) {
@@ -178,8 +182,8 @@
         }
     }
 
-    private void end(Consumer<String> lines) {
+    private void finish(Consumer<String> lines) {
         stage = Stage.DONE;
-        lineDone(lines);
+        emitLine(lines);
     }
 }
--- a/query-mixer/registry/src/main/java/pinewick/registry/KeyValue.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/KeyValue.java
@@ -1,4 +1,4 @@
 package pinewick.registry;
 
-/** A key with its value as it stands in the registry; a null value in an event says that the key was removed. */
+/** A key-value pair as stored in the registry; in a watch event a null value means that the key was deleted. */
 public record KeyValue(String key, byte[] value, long modRevision, long lease) {}
--- a/query-mixer/registry/src/main/java/pinewick/registry/LeaseKeeper.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/LeaseKeeper.java
@@ -3,85 +3,87 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps one key in the registry for as long as this process lives: a lease, the key under it, and renewals in time. No
- * I/O; times are handed in, chance comes from a seed. A lease that the registry no longer knows is asked for anew.
+ * Keeps one key in the registry for as long as this process lives: grants a lease, puts the key under it and sends
+ * keep-alives in time. No I/O; the caller passes the time, and randomness comes from a seeded generator. If the
+ * registry no longer knows the lease, a new one is granted.
  */
 public final class LeaseKeeper {
-    /** What the keeper asks for; each answer names the question. */
-    public interface Wire {
-        void grant(long question, int endpoint, double seconds);
+    /** Sends the requests; each response refers to its request id. */
+    public interface Transport {
+        void grant(long requestId, int endpoint, double ttlSeconds);
 
-        void put(long question, int endpoint, long lease);
+        void put(long requestId, int endpoint, long lease);
 
-        void renew(long question, int endpoint, long lease);
+        void keepAlive(long requestId, int endpoint, long lease);
 
-        void drop(long question);
+        void cancel(long requestId);
     }
 
     private enum Stage {
         GRANT,
         PUT,
         HELD,
-        RENEW,
-        WAIT,
-        OFF
+        KEEP_ALIVE,
+        BACKOFF,
+        STOPPED
     }
 
-    private static final double RENEW_SHARE = 1.0 / 3;
+    private static final double KEEP_ALIVE_FRACTION = 1.0 / 3;
 
-    private final int endpoints;
-    private final double seconds;
-    private final double answer;
-    private final Wire wire;
-    private final SplittableRandom chance;
-    private Stage stage = Stage.OFF;
-    private Stage next;
+    private final int endpointCount;
+    private final double ttlSeconds;
+    private final double timeoutSeconds;
+    private final Transport transport;
+    private final SplittableRandom random;
+    private Stage stage = Stage.STOPPED;
+    private Stage retryStage;
     private int endpoint;
-    private int failedInTurn;
-    private long question;
+    private int consecutiveFailures;
+    private long requestId;
     private long lease;
-    private double askedAt;
+    private double sentAt;
     private double dueAt;
     private double heldUntil = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param seconds that a lease lasts without a renewal
-     * @param answer the longest a member may take
+     * @param ttlSeconds time to live of the lease without a keep-alive
+     * @param timeoutSeconds time limit for each request
      */
-    public LeaseKeeper(int endpoints, double seconds, double answer, Wire wire, SplittableRandom chance) {
-        this.endpoints = endpoints;
-        this.seconds = seconds;
-        this.answer = answer;
-        this.wire = wire;
-        this.chance = chance;
-        endpoint = chance.nextInt(endpoints);
+    public LeaseKeeper(
+            int endpointCount, double ttlSeconds, double timeoutSeconds, Transport transport, SplittableRandom random) {
+        this.endpointCount = endpointCount;
+        this.ttlSeconds = ttlSeconds;
+        this.timeoutSeconds = timeoutSeconds;
+        this.transport = transport;
+        this.random = random;
+        endpoint = random.nextInt(endpointCount);
     }
 
     public void start(double now) {
-        ask(now, Stage.GRANT);
+        send(now, Stage.GRANT);
     }
 
     public void stop() {
-        if (question != 0) {
-            wire.drop(question);
+        if (requestId != 0) {
+            transport.cancel(requestId);
         }
-        question = 0;
-        stage = Stage.OFF;
+        requestId = 0;
+        stage = Stage.STOPPED;
     }
 
-    /** Whether, as far as is known here, others can see this mixer's key. */
-    public boolean held(double now) {
+    /** Whether, as far as this process knows, the lease is valid and other mixers can see its key. */
+    public boolean isHeld(double now) {
         return now < heldUntil;
     }
 
-    private void ask(double now, Stage what) {
-        stage = what;
-        askedAt = now;
-        question++;
-        switch (what) {
-            case GRANT -> wire.grant(question, endpoint, seconds);
-            case PUT -> wire.put(question, endpoint, lease);
-            default -> wire.renew(question, endpoint, lease);
+    private void send(double now, Stage newStage) {
+        stage = newStage;
+        sentAt = now;
+        requestId++;
+        switch (newStage) {
+            case GRANT -> transport.grant(requestId, endpoint, ttlSeconds);
+            case PUT -> transport.put(requestId, endpoint, lease);
+            default -> transport.keepAlive(requestId, endpoint, lease);
         }
     }
 
@@ -89,67 +91,71 @@
         switch (stage) {
             case HELD -> {
                 if (now >= dueAt) {
-                    ask(now, Stage.RENEW);
+                    send(now, Stage.KEEP_ALIVE);
                 }
             }
-            case WAIT -> {
+            case BACKOFF -> {
                 if (now >= dueAt) {
-                    ask(now, next);
+                    send(now, retryStage);
                 }
             }
-            case GRANT, PUT, RENEW -> {
-                if (now - askedAt > answer) {
-                    wire.drop(question);
-                    failed(now, question);
+            case GRANT, PUT, KEEP_ALIVE -> {
+                if (now - sentAt > timeoutSeconds) {
+                    transport.cancel(requestId);
+                    onFailure(now, requestId);
                 }
             }
             default -> {}
         }
     }
 
-    /** The lease, or what is left of it; a time of 0 or less says that the registry does not know it. */
-    public void answered(double now, long asked, long id, double left) {
-        if (asked != question || stage == Stage.WAIT || stage == Stage.HELD || stage == Stage.OFF) {
+    /**
+     * Handles a response with the lease and its remaining time to live; a time of 0 or less means that the registry
+     * does not know the lease.
+     */
+    public void onResponse(double now, long responseTo, long leaseId, double remainingSeconds) {
+        if (responseTo != requestId || stage == Stage.BACKOFF || stage == Stage.HELD || stage == Stage.STOPPED) {
             return;
         }
-        failedInTurn = 0;
+        consecutiveFailures = 0;
         switch (stage) {
             case GRANT -> {
-                lease = id;
-                ask(now, Stage.PUT);
+                lease = leaseId;
+                send(now, Stage.PUT);
             }
-            case PUT -> hold(now, seconds);
+            case PUT -> onLeaseHeld(now, ttlSeconds);
             default -> {
-                if (left <= 0) {
-                    // Danger: renewing a lease that ran out keeps nothing alive, and this mixer would stay unseen.
+                if (remainingSeconds <= 0) {
+                    // Keep-alives for an expired lease have no effect, and this mixer would stay invisible to the
+                    // others.
                     heldUntil = Double.NEGATIVE_INFINITY;
-                    ask(now, Stage.GRANT);
+                    send(now, Stage.GRANT);
                 } else {
-                    hold(now, left);
+                    onLeaseHeld(now, remainingSeconds);
                 }
             }
         }
     }
 
-    private void hold(double now, double left) {
+    private void onLeaseHeld(double now, double remainingSeconds) {
         stage = Stage.HELD;
-        heldUntil = askedAt + left;
-        dueAt = now + left * RENEW_SHARE * (0.8 + 0.4 * chance.nextDouble());
+        heldUntil = sentAt + remainingSeconds;
+        dueAt = now + remainingSeconds * KEEP_ALIVE_FRACTION * (0.8 + 0.4 * random.nextDouble());
     }
 
-    /** The member did not answer as it should; the same is asked of the next, with spread growing waits. */
-    public void failed(double now, long asked) {
-        if (asked != question || stage == Stage.WAIT || stage == Stage.HELD || stage == Stage.OFF) {
+    /** Handles a failed request: it is sent to the next member after a growing, randomised backoff. */
+    public void onFailure(double now, long responseTo) {
+        if (responseTo != requestId || stage == Stage.BACKOFF || stage == Stage.HELD || stage == Stage.STOPPED) {
             return;
         }
-        // A put that may have happened is done again: the same key and value under the same lease.
-        next = stage;
-        endpoint = (endpoint + 1) % endpoints;
-        double wait = Math.min(seconds / 6, 0.05 * (1 << Math.min(failedInTurn++, 8)));
-        dueAt = now + wait * (0.5 + chance.nextDouble());
-        stage = Stage.WAIT;
-        if (now >= heldUntil && next == Stage.RENEW) {
-            next = Stage.GRANT;
+        // A put whose outcome is unknown is safe to repeat: it writes the same key and value under the same lease.
+        retryStage = stage;
+        endpoint = (endpoint + 1) % endpointCount;
+        double backoffSeconds = Math.min(ttlSeconds / 6, 0.05 * (1 << Math.min(consecutiveFailures++, 8)));
+        dueAt = now + backoffSeconds * (0.5 + random.nextDouble());
+        stage = Stage.BACKOFF;
+        if (now >= heldUntil && retryStage == Stage.KEEP_ALIVE) {
+            retryStage = Stage.GRANT;
         }
     }
 }
--- a/query-mixer/registry/src/main/java/pinewick/registry/MixerCount.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/MixerCount.java
@@ -3,45 +3,46 @@
 import java.util.ArrayDeque;
 
 /**
- * How many mixers share the searchers, from what a registry shows. No I/O; times in seconds. A higher count holds at
- * once, a lower one only after it has stood for a stated time. Danger: a registry that forgets mixers (leases lost in
- * bulk, an old copy) would raise each one's share of a cold searcher's budget, and together they would push it over.
- * Harm: after a real loss of mixers the others use their old, smaller share for that time.
+ * Estimates how many mixers share the searchers, from the keys in a registry. No I/O; times are in seconds. A higher
+ * count takes effect at once, a lower one only after it has persisted for the configured delay. A registry that loses
+ * mixers' keys (leases lost in bulk, a restored backup) would otherwise raise each mixer's share of a cold searcher's
+ * warm-up budget, and together the mixers would overload it. The cost: after a real loss of mixers the others keep
+ * their smaller share for the length of the delay.
  */
 public final class MixerCount {
-    private final double lowerAfter;
-    /** Times and counts, falling from the first on: the highest that still counts stands first. */
-    private final ArrayDeque<double[]> seen = new ArrayDeque<>();
+    private final double decreaseDelaySeconds;
+    /** Pairs of time and count in decreasing order of count; the first one is the highest that still applies. */
+    private final ArrayDeque<double[]> candidates = new ArrayDeque<>();
 
     /**
-     * @param first the count the deployment states, believed like one seen at the start
-     * @param lowerAfter seconds for which a lower count must have stood
+     * @param initialCount the count that the deployment states, taken as observed at {@code now}
+     * @param decreaseDelaySeconds how long a lower count must have persisted
      */
-    public MixerCount(int first, double now, double lowerAfter) {
-        if (first < 1) {
+    public MixerCount(int initialCount, double now, double decreaseDelaySeconds) {
+        if (initialCount < 1) {
             throw new IllegalArgumentException("mixers: at least one is expected");
         }
-        this.lowerAfter = lowerAfter;
-        seen.add(new double[] {now, first});
+        this.decreaseDelaySeconds = decreaseDelaySeconds;
+        candidates.add(new double[] {now, initialCount});
     }
 
-    /** So many are shown now; this mixer counts though it should be missing. */
-    public void shown(double now, int count) {
-        double counted = Math.max(1, count);
-        // A count stood until this one came, so what is lower than the one before begins now.
-        double[] last = seen.peekLast();
-        last[0] = Math.max(last[0], now);
-        while (!seen.isEmpty() && seen.peekLast()[1] <= counted) {
-            seen.pollLast();
+    /** Records an observed number of mixers; a count of 0 is taken as 1, since this mixer exists. */
+    public void observe(double now, int count) {
+        double observed = Math.max(1, count);
+        // The previous count applied until now, so any lower count starts at this time.
+        double[] newest = candidates.peekLast();
+        newest[0] = Math.max(newest[0], now);
+        while (!candidates.isEmpty() && candidates.peekLast()[1] <= observed) {
+            candidates.pollLast();
         }
-        seen.addLast(new double[] {now, counted});
+        candidates.addLast(new double[] {now, observed});
     }
 
-    /** The count to decide by. */
+    /** The number of mixers to assume. */
     public int count(double now) {
-        while (seen.size() > 1 && now - seen.peekFirst()[0] >= lowerAfter) {
-            seen.pollFirst();
+        while (candidates.size() > 1 && now - candidates.peekFirst()[0] >= decreaseDelaySeconds) {
+            candidates.pollFirst();
         }
-        return (int) seen.peekFirst()[1];
+        return (int) candidates.peekFirst()[1];
     }
 }
--- a/query-mixer/registry/src/main/java/pinewick/registry/PrefixWatcher.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/PrefixWatcher.java
@@ -6,453 +6,466 @@
 import java.util.SplittableRandom;
 
 /**
- * Follows one prefix through the registry's members: what to read, what to watch, when to leave a member, when to
- * believe what. No I/O; times are seconds and handed in, chance comes from a seed. docs/registry.md has its states.
+ * Watches one key prefix through the members of the registry: it decides what to read and watch, when to fail over to
+ * another member, and which responses to trust. No I/O; the caller passes the time in seconds, and randomness comes
+ * from a seeded generator. docs/registry.md describes the states.
  *
- * <p>Three questions may be out at a time, each with a number of its own: a read (pages of a whole view), the watch,
- * and a probe (what is the newest change, how many keys are there). An answer to an earlier number is dropped.
+ * <p>Up to three requests are pending at a time, each with its own id: a range (a page of a full view), the watch, and
+ * a probe (the newest change and the number of keys). A response to an earlier request is ignored.
  */
 public final class PrefixWatcher {
-    /** What the session asks for. */
-    public interface Wire {
+    /** Sends the requests and receives the results. */
+    public interface Transport {
         /**
-         * Reads keys from {@code from} on to the prefix's end.
+         * Reads keys from {@code fromKey} to the end of the prefix.
          *
-         * @param atRevision 0 for the newest
-         * @param keysOnly without values
+         * @param revision the revision to read at, 0 for the newest
+         * @param keysOnly whether to omit the values
          */
-        void read(long question, int endpoint, String from, long atRevision, int limit, boolean keysOnly);
+        void range(long requestId, int endpoint, String fromKey, long revision, int limit, boolean keysOnly);
 
-        /** Asks for the key changed last, without its value, and for the number of keys. */
-        void probe(long question, int endpoint);
+        /** Requests the last modified key, without its value, and the number of keys. */
+        void probe(long requestId, int endpoint);
 
-        void watch(long question, int endpoint, long fromRevision);
+        void watch(long requestId, int endpoint, long fromRevision);
 
-        /** The question is of no interest any more; its connection may be closed. */
-        void drop(long question);
+        /** Cancels a request; its connection may be closed. */
+        void cancel(long requestId);
 
-        /** News to be taken in one step. */
-        void step(ViewUpdate step);
+        /** An update of the view, to be applied as a unit. */
+        void onUpdate(ViewUpdate update);
 
-        /** For the operators' log. */
-        void say(String text);
+        /** Writes a message to the operators' log. */
+        void log(String message);
     }
 
-    /** Progress of the session. */
+    /** The state of the watcher. */
     public enum State {
-        OFF,
+        STOPPED,
         READING,
         WATCHING,
-        WAITING
+        BACKOFF
     }
 
     /**
-     * What an operator may set, in seconds but for the first two.
+     * Configuration; durations are in seconds.
      *
-     * @param endpoints how many members there are
-     * @param pageKeys keys a page at most
-     * @param answer the longest a member may take to answer a read or to open a watch
-     * @param probeEvery time between two probes of a watch; probeAnswer: the longest one may take
-     * @param owed how long a watch may owe a change that a probe found
-     * @param waitLeast and waitMost: bounds of the growing waits after all members failed in turn
-     * @param believe how long the registry must say nothing but a lower revision, or another cluster, before it counts
+     * @param endpointCount number of registry members
+     * @param pageSize maximum number of keys per page
+     * @param requestTimeoutSeconds time limit for a range response and for opening a watch
+     * @param probeIntervalSeconds time between two probes while a watch is open
+     * @param probeTimeoutSeconds time limit for a probe response
+     * @param maxWatchLagSeconds how long a watch may fail to deliver a change that a probe has found
+     * @param minBackoffSeconds lower bound of the exponential backoff after all members have failed in turn
+     * @param maxBackoffSeconds upper bound of that backoff
+     * @param resetConfirmationSeconds how long all members must report nothing but a lower revision, or another
+     *     cluster, before the watcher accepts it
      */
-    public record Terms(
-            int endpoints,
-            int pageKeys,
-            double answer,
-            double probeEvery,
-            double probeAnswer,
-            double owed,
-            double waitLeast,
-            double waitMost,
-            double believe) {
-        public static Terms usual(int endpoints) {
-            return new Terms(endpoints, 500, 1, 0.15, 0.25, 0.1, 0.05, 2, 10);
+    public record Settings(
+            int endpointCount,
+            int pageSize,
+            double requestTimeoutSeconds,
+            double probeIntervalSeconds,
+            double probeTimeoutSeconds,
+            double maxWatchLagSeconds,
+            double minBackoffSeconds,
+            double maxBackoffSeconds,
+            double resetConfirmationSeconds) {
+        public static Settings defaults(int endpointCount) {
+            return new Settings(endpointCount, 500, 1, 0.15, 0.25, 0.1, 0.05, 2, 10);
         }
     }
 
     private final RegistryView view;
-    private final Terms terms;
-    private final Wire wire;
-    private final SplittableRandom chance;
+    private final Settings settings;
+    private final Transport transport;
+    private final SplittableRandom random;
     private final String prefix;
-    private final List<KeyValue> pieces = new ArrayList<>();
-    private State state = State.OFF;
-    private long lastQuestion;
-    private long reading;
-    private long watching;
-    private long probing;
+    private final List<KeyValue> fragments = new ArrayList<>();
+    private State state = State.STOPPED;
+    private long lastRequestId;
+    private long rangeRequestId;
+    private long watchRequestId;
+    private long probeRequestId;
     private int endpoint;
-    private int failedInTurn;
+    private int consecutiveFailures;
     private int limit;
-    private int firstLimit;
-    private double askedAt;
-    private double probedAt;
-    private double resumeAt;
-    private double owedSince = Double.NaN;
-    private String from;
-    private String cluster;
-    private long readRevision;
-    private long probedFrom;
-    private final boolean[] strangeAt;
+    private int initialLimit;
+    private double requestSentAt;
+    private double probeSentAt;
+    private double retryAt;
+    private double watchLagsSince = Double.NaN;
+    private String nextKey;
+    private String clusterId;
+    private long rebuildRevision;
+    private long revisionAtProbe;
+    private final boolean[] distrustedEndpoints;
     private boolean watchOpen;
     private boolean caughtUp;
-    private boolean accepting;
+    private boolean acceptsReset;
     private boolean keysOnly;
-    private boolean readAgain;
-    private boolean probedAway;
-    /** Since when nothing but a lower revision, or another cluster, answers; NaN while the known one does. */
-    private double strangeSince = Double.NaN;
-
-    private int steps;
-    private int rebuilds;
-    private int left;
-
-    public PrefixWatcher(String prefix, RegistryView view, Terms terms, Wire wire, SplittableRandom chance) {
-        if (terms.endpoints() < 1) {
-            throw new IllegalArgumentException("endpoints: at least one is expected");
+    private boolean needsRebuild;
+    private boolean probesOtherMember;
+    /** Since when only a lower revision, or another cluster, is reported; NaN while the known cluster answers. */
+    private double distrustedSince = Double.NaN;
+
+    private int updateCount;
+    private int rebuildCount;
+    private int failoverCount;
+
+    public PrefixWatcher(
+            String prefix, RegistryView view, Settings settings, Transport transport, SplittableRandom random) {
+        if (settings.endpointCount() < 1) {
+            throw new IllegalArgumentException("endpoints: at least one is required");
         }
         this.prefix = prefix;
         this.view = view;
-        this.terms = terms;
-        this.wire = wire;
-        this.chance = chance;
-        firstLimit = terms.pageKeys();
-        strangeAt = new boolean[terms.endpoints()];
-        endpoint = chance.nextInt(terms.endpoints());
+        this.settings = settings;
+        this.transport = transport;
+        this.random = random;
+        initialLimit = settings.pageSize();
+        distrustedEndpoints = new boolean[settings.endpointCount()];
+        endpoint = random.nextInt(settings.endpointCount());
     }
 
     public State state() {
         return state;
     }
 
-    /** Whether the view in force was seen to be the registry's newest since the last break. */
-    public boolean caughtUp() {
+    /** Whether the view in force has been confirmed as the registry's newest since the last failover. */
+    public boolean isCaughtUp() {
         return caughtUp;
     }
 
-    /** Steps taken, views read whole, members left; for the operators. */
-    public String figures() {
-        return "steps " + steps + "\nviews-read-whole " + rebuilds + "\nmembers-left " + left + "\nrevision "
-                + view.revision() + "\nkeys " + view.size() + "\n";
+    /** Counters for operators: updates applied, full rebuilds, failovers, and the revision and size of the view. */
+    public String metrics() {
+        return "steps " + updateCount + "\nviews-read-whole " + rebuildCount + "\nmembers-left " + failoverCount
+                + "\nrevision " + view.revision() + "\nkeys " + view.size() + "\n";
     }
 
-    /** Starts from what the view holds: a kept one is watched onward, an empty one is read. */
+    /** Starts from the current view: one restored from disk is watched onward, an empty one is rebuilt. */
     public void start(double now) {
         if (view.revision() > 0) {
-            watch(now);
+            startWatch(now);
         } else {
-            read(now);
+            startRebuild(now);
         }
     }
 
     public void stop() {
-        dropAll();
-        state = State.OFF;
+        cancelAll();
+        state = State.STOPPED;
     }
 
-    private void dropAll() {
-        for (long each : new long[] {reading, watching, probing}) {
+    private void cancelAll() {
+        for (long each : new long[] {rangeRequestId, watchRequestId, probeRequestId}) {
             if (each != 0) {
-                wire.drop(each);
+                transport.cancel(each);
             }
         }
-        reading = watching = probing = 0;
+        rangeRequestId = watchRequestId = probeRequestId = 0;
         watchOpen = false;
-        pieces.clear();
+        fragments.clear();
     }
 
-    private void watch(double now) {
+    private void startWatch(double now) {
         state = State.WATCHING;
-        askedAt = probedAt = now;
-        owedSince = Double.NaN;
+        requestSentAt = probeSentAt = now;
+        watchLagsSince = Double.NaN;
         watchOpen = false;
-        watching = ++lastQuestion;
-        wire.watch(watching, endpoint, view.revision() + 1);
+        watchRequestId = ++lastRequestId;
+        transport.watch(watchRequestId, endpoint, view.revision() + 1);
     }
 
-    /** Reads the whole view anew; the one in force serves on meanwhile. */
-    private void read(double now) {
-        if (watching != 0 || probing != 0) {
-            dropAll();
+    /** Reads the entire view again; the current one stays in force meanwhile. */
+    private void startRebuild(double now) {
+        if (watchRequestId != 0 || probeRequestId != 0) {
+            cancelAll();
         }
         state = State.READING;
-        view.begin();
-        from = prefix;
-        readRevision = 0;
-        limit = firstLimit;
+        view.beginRebuild();
+        nextKey = prefix;
+        rebuildRevision = 0;
+        limit = initialLimit;
         keysOnly = false;
-        page(now);
+        requestPage(now);
     }
 
-    private void page(double now) {
-        askedAt = now;
-        reading = ++lastQuestion;
-        wire.read(reading, endpoint, from, readRevision, keysOnly ? 1 : limit, keysOnly);
+    private void requestPage(double now) {
+        requestSentAt = now;
+        rangeRequestId = ++lastRequestId;
+        transport.range(rangeRequestId, endpoint, nextKey, rebuildRevision, keysOnly ? 1 : limit, keysOnly);
     }
 
     /**
-     * This member did not serve: the next one is asked, at once while there are some not yet tried. Danger: when all
-     * are down every mixer would ask without a pause, and all of them together when one is back; so the waits grow and
-     * are spread.
+     * Fails over to the next member, at once while some have not been tried. When all are down, backoff grows and is
+     * randomised, so that the mixers neither retry without a pause nor all reconnect at the same moment when a member
+     * is back.
      */
-    private void leave(double now, String why) {
-        dropAll();
-        left++;
+    private void failOver(double now, String reason) {
+        cancelAll();
+        failoverCount++;
         caughtUp = false;
-        endpoint = (endpoint + 1) % terms.endpoints();
-        failedInTurn++;
-        boolean more = failedInTurn % terms.endpoints() != 0;
-        int rounds = Math.min(10, failedInTurn / terms.endpoints());
-        double wait =
-                more ? 0 : Math.min(terms.waitMost(), terms.waitLeast() * (1 << rounds)) * (0.5 + chance.nextDouble());
-        resumeAt = now + wait;
-        state = State.WAITING;
-        wire.say("left a member, " + why + (wait > 0 ? "; next in " + Math.round(wait * 1e3) + " ms" : ""));
+        endpoint = (endpoint + 1) % settings.endpointCount();
+        consecutiveFailures++;
+        boolean hasUntriedMember = consecutiveFailures % settings.endpointCount() != 0;
+        int rounds = Math.min(10, consecutiveFailures / settings.endpointCount());
+        double backoffSeconds = hasUntriedMember
+                ? 0
+                : Math.min(settings.maxBackoffSeconds(), settings.minBackoffSeconds() * (1 << rounds))
+                        * (0.5 + random.nextDouble());
+        retryAt = now + backoffSeconds;
+        state = State.BACKOFF;
+        transport.log("left a member, " + reason
+                + (backoffSeconds > 0 ? "; next in " + Math.round(backoffSeconds * 1e3) + " ms" : ""));
     }
 
-    /** To be called every few hundredths of a second. */
+    /** To be called every few tens of milliseconds. */
     public void tick(double now) {
         switch (state) {
-            case WAITING -> {
-                if (now >= resumeAt) {
-                    if (readAgain || view.revision() == 0 || accepting) {
-                        read(now);
+            case BACKOFF -> {
+                if (now >= retryAt) {
+                    if (needsRebuild || view.revision() == 0 || acceptsReset) {
+                        startRebuild(now);
                     } else {
-                        watch(now);
+                        startWatch(now);
                     }
                 }
             }
             case READING -> {
-                if (now - askedAt > terms.answer()) {
-                    // Danger: pages that take a member longer than it is given would never be read.
-                    firstLimit = Math.max(1, limit / 8);
-                    readAgain = true;
-                    leave(now, "no answer to a read");
+                if (now - requestSentAt > settings.requestTimeoutSeconds()) {
+                    // Without smaller pages, a page that takes a member longer than the time-out could never be read.
+                    initialLimit = Math.max(1, limit / 8);
+                    needsRebuild = true;
+                    failOver(now, "no response to a range request");
                 }
             }
             case WATCHING -> {
-                if (!watchOpen && now - askedAt > terms.answer()) {
-                    leave(now, "the watch did not open");
-                } else if (probing != 0 && now - probedAt > terms.probeAnswer()) {
-                    probeLost(now, "no answer to a probe");
-                } else if (!Double.isNaN(owedSince) && now - owedSince > terms.owed()) {
-                    // Danger: a watch that is open and says nothing hides a drain. The view is read at once.
-                    readAgain = true;
-                    leave(now, "the watch owes a change");
+                if (!watchOpen && now - requestSentAt > settings.requestTimeoutSeconds()) {
+                    failOver(now, "the watch did not open");
+                } else if (probeRequestId != 0 && now - probeSentAt > settings.probeTimeoutSeconds()) {
+                    onProbeFailure(now, "no response to a probe");
+                } else if (!Double.isNaN(watchLagsSince) && now - watchLagsSince > settings.maxWatchLagSeconds()) {
+                    // An open watch that delivers nothing would hide a drain, so the view is rebuilt at once.
+                    needsRebuild = true;
+                    failOver(now, "the watch owes a change");
                     tick(now);
-                } else if (watchOpen && probing == 0 && now - probedAt >= terms.probeEvery()) {
-                    probedAt = now;
-                    probing = ++lastQuestion;
-                    probedFrom = view.revision();
-                    // Danger: a member that lies by lagging answers its own probes well; so each second one asks
-                    // another member, whose failure says nothing of this one.
-                    probedAway = !probedAway && terms.endpoints() > 1;
-                    int away = probedAway ? 1 + chance.nextInt(terms.endpoints() - 1) : 0;
-                    wire.probe(probing, (endpoint + away) % terms.endpoints());
+                } else if (watchOpen && probeRequestId == 0 && now - probeSentAt >= settings.probeIntervalSeconds()) {
+                    probeSentAt = now;
+                    probeRequestId = ++lastRequestId;
+                    revisionAtProbe = view.revision();
+                    // A lagging member answers its own probes without fault, so every second probe goes to another
+                    // member, whose failure says nothing about this one.
+                    probesOtherMember = !probesOtherMember && settings.endpointCount() > 1;
+                    int offset = probesOtherMember ? 1 + random.nextInt(settings.endpointCount() - 1) : 0;
+                    transport.probe(probeRequestId, (endpoint + offset) % settings.endpointCount());
                 }
             }
             default -> {}
         }
     }
 
-    private void probeLost(double now, String why) {
-        if (probedAway) {
-            wire.drop(probing);
-            probing = 0;
+    private void onProbeFailure(double now, String reason) {
+        if (probesOtherMember) {
+            transport.cancel(probeRequestId);
+            probeRequestId = 0;
         } else {
-            leave(now, why);
+            failOver(now, reason);
         }
     }
 
-    /** A question ended without an answer. */
-    public void failed(double now, long question, String why) {
-        if (question != 0 && question == probing) {
-            probeLost(now, why);
-        } else if (question != 0 && (question == reading || question == watching)) {
-            readAgain |= question == reading;
-            leave(now, why);
+    /** A request ended without a response. */
+    public void onFailure(double now, long requestId, String reason) {
+        if (requestId != 0 && requestId == probeRequestId) {
+            onProbeFailure(now, reason);
+        } else if (requestId != 0 && (requestId == rangeRequestId || requestId == watchRequestId)) {
+            needsRebuild |= requestId == rangeRequestId;
+            failOver(now, reason);
         }
     }
 
     /**
-     * An answer was longer than can be taken. Pages shrink down to one key; a key that is too long by itself is passed
-     * over by its name. Danger: one huge value would keep the whole view from ever being read.
+     * Handles a response that exceeds the size limit. Pages shrink down to one key; a single key with too large a value
+     * is read by name only. Otherwise one huge value would keep the entire view from ever being read.
      */
-    public void tooLong(double now, long question) {
-        if (question == watching && question != 0) {
-            readAgain = true;
-            dropAll();
-            read(now);
-        } else if (question == reading && question != 0) {
+    public void onResponseTooLarge(double now, long requestId) {
+        if (requestId == watchRequestId && requestId != 0) {
+            needsRebuild = true;
+            cancelAll();
+            startRebuild(now);
+        } else if (requestId == rangeRequestId && requestId != 0) {
             if (limit > 1) {
                 limit = Math.max(1, limit / 8);
             } else {
                 keysOnly = true;
             }
-            page(now);
+            requestPage(now);
         } else {
-            failed(now, question, "an answer too long");
+            onFailure(now, requestId, "response too large");
         }
     }
 
-    public void answered(double now, long question, RegistryResponse answer) {
-        if (question == 0 || (question != reading && question != watching && question != probing)) {
+    public void onResponse(double now, long requestId, RegistryResponse response) {
+        if (requestId == 0
+                || (requestId != rangeRequestId && requestId != watchRequestId && requestId != probeRequestId)) {
             return;
         }
-        if (question == probing
-                && probedAway
-                && (answer.fault() != null || !answer.cluster().equals(cluster))) {
-            probing = 0;
-        } else if (answer.tooOld()) {
-            // What lies between is not known any more: only a whole view can tell it.
-            wire.say("revision " + (question == reading ? readRevision : view.revision() + 1) + " is compacted");
-            readAgain = true;
-            dropAll();
-            read(now);
-        } else if (answer.fault() != null) {
-            failed(now, question, answer.fault());
-        } else if (question == probing && probedAway) {
-            probed(now, answer);
-        } else if (!believed(now, question, answer)) {
-            leave(now, strange(answer));
-        } else if (question == probing) {
-            probed(now, answer);
-        } else if (question == reading) {
-            pageRead(now, answer);
+        if (requestId == probeRequestId
+                && probesOtherMember
+                && (response.error() != null || !response.clusterId().equals(clusterId))) {
+            probeRequestId = 0;
+        } else if (response.isCompacted()) {
+            // The changes in between are no longer known; only a full rebuild restores a complete view.
+            transport.log("revision " + (requestId == rangeRequestId ? rebuildRevision : view.revision() + 1)
+                    + " is compacted");
+            needsRebuild = true;
+            cancelAll();
+            startRebuild(now);
+        } else if (response.error() != null) {
+            onFailure(now, requestId, response.error());
+        } else if (requestId == probeRequestId && probesOtherMember) {
+            onProbeResponse(now, response);
+        } else if (!isTrusted(now, requestId, response)) {
+            failOver(now, describeMismatch(response));
+        } else if (requestId == probeRequestId) {
+            onProbeResponse(now, response);
+        } else if (requestId == rangeRequestId) {
+            onPage(now, response);
         } else {
-            watched(now, answer);
+            onWatchResponse(now, response);
         }
     }
 
-    private String strange(RegistryResponse answer) {
-        return cluster != null && !answer.cluster().equals(cluster)
-                ? "it belongs to cluster " + answer.cluster() + ", not " + cluster
-                : "its revision " + answer.revision() + " is behind " + view.revision();
+    private String describeMismatch(RegistryResponse response) {
+        return clusterId != null && !response.clusterId().equals(clusterId)
+                ? "it belongs to cluster " + response.clusterId() + ", not " + clusterId
+                : "its revision " + response.revision() + " is behind " + view.revision();
     }
 
     /**
-     * A member behind us lags or was cut off; one of another cluster was given by mistake. Neither is believed, unless
-     * every member has said so, and none anything else, for a stated time: then the registry was restored, or
-     * replaced, and is read whole. Danger: while the known members are down a wrong one would empty the view.
+     * Decides whether to trust a response. A member with an older revision lags or is partitioned; one of another
+     * cluster is misconfigured. Neither is trusted until every member has reported such a state, and none anything
+     * else, for the configured time: then the registry was restored or replaced, and is read in full. Otherwise a wrong
+     * member could empty the view while the known members are down.
      */
-    private boolean believed(double now, long question, RegistryResponse answer) {
-        boolean same = cluster == null || answer.cluster().equals(cluster);
-        if (same && answer.revision() >= (question == probing ? probedFrom : view.revision())) {
-            strangeSince = Double.NaN;
-            Arrays.fill(strangeAt, false);
-            accepting = false;
-            cluster = answer.cluster();
+    private boolean isTrusted(double now, long requestId, RegistryResponse response) {
+        boolean sameCluster = clusterId == null || response.clusterId().equals(clusterId);
+        if (sameCluster && response.revision() >= (requestId == probeRequestId ? revisionAtProbe : view.revision())) {
+            distrustedSince = Double.NaN;
+            Arrays.fill(distrustedEndpoints, false);
+            acceptsReset = false;
+            clusterId = response.clusterId();
             return true;
         }
-        if (accepting && question == reading) {
+        if (acceptsReset && requestId == rangeRequestId) {
             return true;
         }
-        strangeSince = Double.isNaN(strangeSince) ? now : strangeSince;
-        strangeAt[endpoint] = true;
-        boolean all = true;
-        for (boolean each : strangeAt) {
-            all &= each;
+        distrustedSince = Double.isNaN(distrustedSince) ? now : distrustedSince;
+        distrustedEndpoints[endpoint] = true;
+        boolean allDistrusted = true;
+        for (boolean each : distrustedEndpoints) {
+            allDistrusted &= each;
         }
-        accepting |= all && now - strangeSince >= terms.believe();
+        acceptsReset |= allDistrusted && now - distrustedSince >= settings.resetConfirmationSeconds();
         return false;
     }
 
-    private void probed(double now, RegistryResponse answer) {
-        probing = 0;
-        if (answer.revision() < view.revision()) {
-            return; // the watch was quicker, so this tells nothing
+    private void onProbeResponse(double now, RegistryResponse response) {
+        probeRequestId = 0;
+        if (response.revision() < view.revision()) {
+            return; // the watch delivered newer changes first, so this response carries no information
         }
-        long newest = answer.entries().isEmpty() ? 0 : answer.entries().get(0).modRevision();
-        boolean behind = newest > view.revision() || answer.count() != view.size();
-        if (!behind && probedAway) {
-            owedSince = Double.NaN;
-        } else if (!behind) {
-            owedSince = Double.NaN;
+        long newest =
+                response.keyValues().isEmpty() ? 0 : response.keyValues().get(0).modRevision();
+        boolean lags = newest > view.revision() || response.count() != view.size();
+        if (!lags && probesOtherMember) {
+            watchLagsSince = Double.NaN;
+        } else if (!lags) {
+            watchLagsSince = Double.NaN;
             caughtUp = true;
-            failedInTurn = 0;
-        } else if (Double.isNaN(owedSince)) {
-            owedSince = now;
+            consecutiveFailures = 0;
+        } else if (Double.isNaN(watchLagsSince)) {
+            watchLagsSince = now;
         }
     }
 
-    private void pageRead(double now, RegistryResponse answer) {
-        List<KeyValue> entries = answer.entries();
+    private void onPage(double now, RegistryResponse response) {
+        List<KeyValue> keyValues = response.keyValues();
         if (keysOnly) {
             keysOnly = false;
-            if (!entries.isEmpty()) {
-                view.keep(entries.get(0).key(), entries.get(0).modRevision());
-                from = entries.get(0).key() + '\0';
+            if (!keyValues.isEmpty()) {
+                view.keepLastGood(keyValues.get(0).key(), keyValues.get(0).modRevision());
+                nextKey = keyValues.get(0).key() + '\0';
             }
-            limit = terms.pageKeys();
+            limit = settings.pageSize();
         } else {
-            if (readRevision == 0) {
-                readRevision = answer.revision();
+            if (rebuildRevision == 0) {
+                rebuildRevision = response.revision();
             }
-            view.page(readRevision, entries);
-            if (!entries.isEmpty()) {
-                from = entries.get(entries.size() - 1).key() + '\0';
+            view.addPage(rebuildRevision, keyValues);
+            if (!keyValues.isEmpty()) {
+                nextKey = keyValues.get(keyValues.size() - 1).key() + '\0';
             }
         }
-        if (answer.more()) {
-            page(now);
+        if (response.more()) {
+            requestPage(now);
             return;
         }
-        reading = 0;
-        if (readRevision == 0) {
-            view.page(answer.revision(), List.of());
+        rangeRequestId = 0;
+        if (rebuildRevision == 0) {
+            view.addPage(response.revision(), List.of());
         }
-        boolean restored = accepting;
+        boolean restored = acceptsReset;
         if (restored) {
-            wire.say("the registry is believed again, cluster " + answer.cluster() + " at revision "
-                    + answer.revision());
-            cluster = answer.cluster();
-            accepting = false;
-            strangeSince = Double.NaN;
-            Arrays.fill(strangeAt, false);
+            transport.log("the registry is believed again, cluster " + response.clusterId() + " at revision "
+                    + response.revision());
+            clusterId = response.clusterId();
+            acceptsReset = false;
+            distrustedSince = Double.NaN;
+            Arrays.fill(distrustedEndpoints, false);
         }
-        ViewUpdate step = view.commit(restored);
-        firstLimit = terms.pageKeys();
-        readAgain = false;
-        rebuilds++;
-        steps++;
-        wire.step(step);
-        watch(now);
+        ViewUpdate update = view.commit(restored);
+        initialLimit = settings.pageSize();
+        needsRebuild = false;
+        rebuildCount++;
+        updateCount++;
+        transport.onUpdate(update);
+        startWatch(now);
     }
 
-    private void watched(double now, RegistryResponse answer) {
-        if (answer.created()) {
+    private void onWatchResponse(double now, RegistryResponse response) {
+        if (response.created()) {
             watchOpen = true;
-            failedInTurn = 0;
-            askedAt = now;
+            consecutiveFailures = 0;
+            requestSentAt = now;
         }
-        if (answer.cancelled()) {
-            leave(now, "the watch was cancelled");
+        if (response.cancelled()) {
+            failOver(now, "the watch was cancelled");
             return;
         }
-        pieces.addAll(answer.entries());
-        if (answer.fragment()) {
+        fragments.addAll(response.keyValues());
+        if (response.fragment()) {
             return;
         }
-        if (pieces.isEmpty()) {
-            if (!answer.created()) {
-                view.progressed(answer.revision());
+        if (fragments.isEmpty()) {
+            if (!response.created()) {
+                view.advanceTo(response.revision());
             }
             return;
         }
-        ViewUpdate step = view.apply(List.copyOf(pieces));
-        pieces.clear();
-        owedSince = Double.NaN;
-        if (!step.events().isEmpty()) {
-            steps++;
-            wire.step(step);
+        ViewUpdate update = view.apply(List.copyOf(fragments));
+        fragments.clear();
+        watchLagsSince = Double.NaN;
+        if (!update.events().isEmpty()) {
+            updateCount++;
+            transport.onUpdate(update);
         }
-        if (step.mass()) {
-            // Rule 3 holds for those that left, whoever is at fault; a whole read tells at once if they are back.
-            wire.say(step.vanished() + " searchers left in one step; reading the whole view");
-            dropAll();
-            read(now);
+        if (update.massRemoval()) {
+            // Rule 3 holds for removed searchers whatever the cause; a full rebuild shows at once whether they are
+            // back.
+            transport.log(update.removedCount() + " searchers left in one step; reading the whole view");
+            cancelAll();
+            startRebuild(now);
         }
     }
 }
--- a/query-mixer/registry/src/main/java/pinewick/registry/RegistryResponse.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/RegistryResponse.java
@@ -3,31 +3,35 @@
 import java.util.List;
 
 /**
- * What a member of the registry answered, on a read or in a watch.
+ * A response of a registry member, to a range request or on a watch.
  *
- * @param cluster and {@code member}: ids of who answered; revision: how far that member was
- * @param entries of a read its page; of a watch its events, a null value for a removed key
- * @param more a read that stopped at its limit
- * @param count keys under the prefix, of a read
- * @param created the watch is open; cancelled: it ended; compacted: from which revision on changes are still known
- * @param fragment further pieces of the same news follow
- * @param fault words of the registry where it failed, else null
+ * @param clusterId the id of the responding member's cluster
+ * @param memberId the id of the responding member
+ * @param revision the member's current revision
+ * @param keyValues the page of a range; the events of a watch, with a null value for a deleted key
+ * @param more whether a range stopped at its limit
+ * @param count number of keys in the range
+ * @param created whether the watch is now open
+ * @param cancelled whether the watch has ended
+ * @param compactRevision the oldest revision from which changes are still known, 0 if not given
+ * @param fragment whether further fragments of the same watch response follow
+ * @param error the registry's error message, null on success
  */
 public record RegistryResponse(
-        String cluster,
-        String member,
+        String clusterId,
+        String memberId,
         long revision,
-        List<KeyValue> entries,
+        List<KeyValue> keyValues,
         boolean more,
         long count,
         boolean created,
         boolean cancelled,
-        long compacted,
+        long compactRevision,
         boolean fragment,
-        String fault) {
+        String error) {
 
-    /** Whether the registry no longer knows the revision that was asked for. */
-    public boolean tooOld() {
-        return compacted > 0 || (fault != null && fault.contains("compacted"));
+    /** Whether the requested revision has been compacted away. */
+    public boolean isCompacted() {
+        return compactRevision > 0 || (error != null && error.contains("compacted"));
     }
 }
--- a/query-mixer/registry/src/main/java/pinewick/registry/RegistryView.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/RegistryView.java
@@ -10,34 +10,37 @@
 import pinewick.core.SchedulerHost;
 
 /**
- * The searchers under one prefix at one revision. No I/O. A view that is read anew goes into force only when whole, in
- * one step; until then the last whole one holds. News is taken in the order of revisions: what is not newer than the
- * view changes nothing, however often and in whatever order it comes.
+ * The searchers under one key prefix at one revision. No I/O. A rebuilt view takes effect only when it is complete, in
+ * one step; until then the last complete one stays in force. Changes are applied in revision order: a change that is
+ * not newer than the view has no effect, however often and in whatever order it arrives.
  */
 public final class RegistryView {
-    /** More than this share gone in one step, and at least {@link #MASS_LEAST} of them, is a loss in mass. */
-    private static final double MASS_SHARE = 0.5;
+    /**
+     * A removal of more than this share of the keys in one update, and of at least {@link #MASS_REMOVAL_MIN}, is a mass
+     * removal.
+     */
+    private static final double MASS_REMOVAL_SHARE = 0.5;
 
-    private static final int MASS_LEAST = 3;
+    private static final int MASS_REMOVAL_MIN = 3;
 
     private static final class Row {
         long modRevision;
         byte[] value;
         long lease;
-        /** The last good state; null where the value never could be read. */
-        SearcherRecord store;
-        /** Held draining after the registry was restored from an old copy; ends with the key's next change. */
-        boolean distrusted;
+        /** The last valid state; null if the value could never be parsed. */
+        SearcherRecord searcher;
+        /** Held in draining state after the registry was restored from a backup, until the key's next change. */
+        boolean heldDraining;
     }
 
     private final String prefix;
     private Map<String, Row> rows = new LinkedHashMap<>();
     private long revision;
-    private Map<String, Row> next;
-    private long nextRevision;
-    private List<String> nextWrong = new ArrayList<>();
+    private Map<String, Row> pending;
+    private long pendingRevision;
+    private List<String> pendingInvalidValues = new ArrayList<>();
 
-    /** @param prefix of the keys; what follows it in a key is the searcher's id */
+    /** @param prefix of the keys; the rest of a key is the searcher's id */
     public RegistryView(String prefix) {
         if (prefix.isEmpty()) {
             throw new IllegalArgumentException("prefix: must not be empty");
@@ -45,112 +48,113 @@
         this.prefix = prefix;
     }
 
-    /** The revision up to which all changes are in. */
+    /** The revision up to which all changes are applied. */
     public long revision() {
         return revision;
     }
 
-    /** Keys, those with values that can't be read included. */
+    /** Number of keys, including those with invalid values. */
     public int size() {
         return rows.size();
     }
 
-    public Collection<SearcherRecord> stores() {
-        List<SearcherRecord> all = new ArrayList<>();
+    public Collection<SearcherRecord> searchers() {
+        List<SearcherRecord> result = new ArrayList<>();
         rows.values().forEach(row -> {
-            if (row.store != null) {
-                all.add(row.store);
+            if (row.searcher != null) {
+                result.add(row.searcher);
             }
         });
-        return all;
+        return result;
     }
 
-    /** All keys, for the kept copy. */
-    public List<KeyValue> entries() {
-        List<KeyValue> all = new ArrayList<>(rows.size());
-        rows.forEach((key, row) -> all.add(new KeyValue(key, row.value, row.modRevision, row.lease)));
-        return all;
+    /** All key-value pairs, for the on-disk snapshot. */
+    public List<KeyValue> keyValues() {
+        List<KeyValue> result = new ArrayList<>(rows.size());
+        rows.forEach((key, row) -> result.add(new KeyValue(key, row.value, row.modRevision, row.lease)));
+        return result;
     }
 
-    /** Drops what was read of a view that did not become whole. */
-    public void begin() {
-        next = new LinkedHashMap<>();
-        nextRevision = 0;
-        nextWrong = new ArrayList<>();
+    /** Starts a rebuild and discards the pages of an incomplete one. */
+    public void beginRebuild() {
+        pending = new LinkedHashMap<>();
+        pendingRevision = 0;
+        pendingInvalidValues = new ArrayList<>();
     }
 
     /**
-     * A page of the view that is read anew. Throws IllegalStateException where its revision is not that of the pages
-     * before it: what they hold together was never true at one time.
+     * Adds a page to the rebuild. Throws IllegalStateException if its revision differs from that of the earlier pages,
+     * since together they would not be a state that the registry ever had.
      */
-    public void page(long atRevision, List<KeyValue> entries) {
-        if (next == null || (nextRevision != 0 && nextRevision != atRevision)) {
-            throw new IllegalStateException("a page of revision " + atRevision + " after one of " + nextRevision);
+    public void addPage(long pageRevision, List<KeyValue> keyValues) {
+        if (pending == null || (pendingRevision != 0 && pendingRevision != pageRevision)) {
+            throw new IllegalStateException("a page of revision " + pageRevision + " after one of " + pendingRevision);
         }
-        nextRevision = atRevision;
-        entries.forEach(each -> put(next, each, rows.get(each.key()), nextWrong));
+        pendingRevision = pageRevision;
+        keyValues.forEach(each -> put(pending, each, rows.get(each.key()), pendingInvalidValues));
     }
 
-    /** A key whose value could not be taken keeps its last good state in the view that is read, if it has one. */
-    public void keep(String key, long modRevision) {
+    /** Adds a key whose value exceeds the size limit to the rebuild, with the last valid state if there is one. */
+    public void keepLastGood(String key, long modRevision) {
         Row row = new Row();
-        Row known = rows.get(key);
+        Row previousRow = rows.get(key);
         row.modRevision = modRevision;
-        row.value = known == null ? new byte[0] : known.value;
-        row.store = known == null ? null : known.store;
-        next.put(key, row);
-        nextWrong.add(key + ": the value is larger than can be taken");
+        row.value = previousRow == null ? new byte[0] : previousRow.value;
+        row.searcher = previousRow == null ? null : previousRow.searcher;
+        pending.put(key, row);
+        pendingInvalidValues.add(key + ": the value exceeds the size limit");
     }
 
     /**
-     * The view that was read goes into force. With {@code restored} the registry went back to an older state: a
-     * searcher that was draining here and is ready there, not started anew, stays draining until its key changes.
-     * Danger: the older state may not know of the drain, and rule 3 would be broken by believing it.
+     * Puts the rebuilt view into force. With {@code restored} the registry went back to an older state: a searcher that
+     * was draining here, is ready there and was not restarted stays in draining state until its key changes. The older
+     * state may predate the drain, and trusting it would break rule 3.
      */
     public ViewUpdate commit(boolean restored) {
-        Map<String, Row> before = rows;
+        Map<String, Row> previous = rows;
         List<SearcherRecord> changed = new ArrayList<>();
-        int vanished = 0;
-        for (Map.Entry<String, Row> each : before.entrySet()) {
-            if (each.getValue().store != null && !next.containsKey(each.getKey())) {
-                changed.add(each.getValue().store.at(SchedulerHost.LifecycleState.GONE));
-                vanished++;
+        int removedCount = 0;
+        for (Map.Entry<String, Row> each : previous.entrySet()) {
+            if (each.getValue().searcher != null && !pending.containsKey(each.getKey())) {
+                changed.add(each.getValue().searcher.withState(SchedulerHost.LifecycleState.GONE));
+                removedCount++;
             }
         }
-        for (Map.Entry<String, Row> each : next.entrySet()) {
+        for (Map.Entry<String, Row> each : pending.entrySet()) {
             Row row = each.getValue();
-            Row old = before.get(each.getKey());
-            boolean drained =
-                    old != null && old.store != null && old.store.stage() == SchedulerHost.LifecycleState.DRAINING;
-            if (row.store != null
-                    && row.store.stage() == SchedulerHost.LifecycleState.READY
-                    && drained
-                    && row.store.startedAt() <= old.store.startedAt()
-                    && (restored || (old.distrusted && row.modRevision == old.modRevision))) {
-                row.distrusted = true;
-                row.store = row.store.at(SchedulerHost.LifecycleState.DRAINING);
+            Row previousRow = previous.get(each.getKey());
+            boolean wasDraining = previousRow != null
+                    && previousRow.searcher != null
+                    && previousRow.searcher.state() == SchedulerHost.LifecycleState.DRAINING;
+            if (row.searcher != null
+                    && row.searcher.state() == SchedulerHost.LifecycleState.READY
+                    && wasDraining
+                    && row.searcher.startedAtSeconds() <= previousRow.searcher.startedAtSeconds()
+                    && (restored || (previousRow.heldDraining && row.modRevision == previousRow.modRevision))) {
+                row.heldDraining = true;
+                row.searcher = row.searcher.withState(SchedulerHost.LifecycleState.DRAINING);
             }
-            if (row.store != null && (old == null || !row.store.equals(old.store))) {
-                changed.add(row.store);
+            if (row.searcher != null && (previousRow == null || !row.searcher.equals(previousRow.searcher))) {
+                changed.add(row.searcher);
             }
         }
-        boolean mass = mass(vanished, before.size());
-        rows = next;
-        next = null;
-        revision = nextRevision;
-        return new ViewUpdate(revision, true, changed, nextWrong, vanished, mass, List.of());
+        boolean massRemoval = isMassRemoval(removedCount, previous.size());
+        rows = pending;
+        pending = null;
+        revision = pendingRevision;
+        return new ViewUpdate(revision, true, changed, pendingInvalidValues, removedCount, massRemoval, List.of());
     }
 
-    /** Events of a watch, whole revisions in rising order. The step may be empty. */
+    /** Applies watch events: complete revisions in increasing order. The update may be empty. */
     public ViewUpdate apply(List<KeyValue> events) {
-        // Of several changes to one key the last one counts; what differs is told once.
-        Map<String, SearcherRecord> stood = new HashMap<>();
-        Map<String, SearcherRecord> left = new LinkedHashMap<>();
-        List<String> order = new ArrayList<>();
-        List<String> wrong = new ArrayList<>();
-        List<KeyValue> taken = new ArrayList<>();
-        int size = rows.size();
-        long upTo = revision;
+        // Of several changes to one key the last one counts; a difference is reported once.
+        Map<String, SearcherRecord> original = new HashMap<>();
+        Map<String, SearcherRecord> removed = new LinkedHashMap<>();
+        List<String> changedKeys = new ArrayList<>();
+        List<String> invalidValues = new ArrayList<>();
+        List<KeyValue> applied = new ArrayList<>();
+        int keyCountBefore = rows.size();
+        long newRevision = revision;
         for (KeyValue each : events) {
             if (each.modRevision() <= revision || !each.key().startsWith(prefix)) {
                 continue;
@@ -159,67 +163,80 @@
             if (row != null && row.modRevision >= each.modRevision()) {
                 continue;
             }
-            taken.add(each);
-            if (!stood.containsKey(each.key())) {
-                stood.put(each.key(), row == null ? null : row.store);
-                order.add(each.key());
+            applied.add(each);
+            if (!original.containsKey(each.key())) {
+                original.put(each.key(), row == null ? null : row.searcher);
+                changedKeys.add(each.key());
             }
             if (each.value() == null) {
-                if (row != null && row.store != null) {
-                    left.put(each.key(), row.store);
+                if (row != null && row.searcher != null) {
+                    removed.put(each.key(), row.searcher);
                 }
                 rows.remove(each.key());
             } else {
-                put(rows, each, row, wrong);
+                put(rows, each, row, invalidValues);
             }
-            upTo = Math.max(upTo, each.modRevision());
+            newRevision = Math.max(newRevision, each.modRevision());
         }
-        revision = upTo;
+        revision = newRevision;
         List<SearcherRecord> changed = new ArrayList<>();
-        int vanished = 0;
-        for (String key : order) {
+        int removedCount = 0;
+        for (String key : changedKeys) {
             Row row = rows.get(key);
-            SearcherRecord now = row == null ? null : row.store;
-            SearcherRecord then = stood.get(key);
-            if (now == null && (then != null || left.containsKey(key))) {
-                changed.add((then != null ? then : left.get(key)).at(SchedulerHost.LifecycleState.GONE));
-                vanished++;
-            } else if (now != null && !now.equals(then)) {
-                changed.add(now);
+            SearcherRecord current = row == null ? null : row.searcher;
+            SearcherRecord previous = original.get(key);
+            if (current == null && (previous != null || removed.containsKey(key))) {
+                changed.add(
+                        (previous != null ? previous : removed.get(key)).withState(SchedulerHost.LifecycleState.GONE));
+                removedCount++;
+            } else if (current != null && !current.equals(previous)) {
+                changed.add(current);
             }
         }
-        return new ViewUpdate(revision, false, changed, wrong, vanished, mass(vanished, size), taken);
+        return new ViewUpdate(
+                revision,
+                false,
+                changed,
+                invalidValues,
+                removedCount,
+                isMassRemoval(removedCount, keyCountBefore),
+                applied);
     }
 
-    /** All changes up to this revision have been told. */
-    public void progressed(long upTo) {
-        revision = Math.max(revision, upTo);
+    /** All changes up to this revision have been received. */
+    public void advanceTo(long newRevision) {
+        revision = Math.max(revision, newRevision);
     }
 
-    private static boolean mass(int vanished, int of) {
-        return vanished >= MASS_LEAST && vanished > MASS_SHARE * of;
+    private static boolean isMassRemoval(int removedCount, int total) {
+        return removedCount >= MASS_REMOVAL_MIN && removedCount > MASS_REMOVAL_SHARE * total;
     }
 
-    private void put(Map<String, Row> into, KeyValue entry, Row known, List<String> wrong) {
-        if (!entry.key().startsWith(prefix)) {
+    private void put(Map<String, Row> target, KeyValue keyValue, Row previousRow, List<String> invalidValues) {
+        if (!keyValue.key().startsWith(prefix)) {
             return;
         }
         Row row = new Row();
-        row.modRevision = entry.modRevision();
-        row.value = entry.value();
-        row.lease = entry.lease();
-        if (known != null && known.modRevision == entry.modRevision() && Arrays.equals(known.value, entry.value())) {
-            row.store = known.distrusted ? known.store.at(SchedulerHost.LifecycleState.READY) : known.store;
-            into.put(entry.key(), row);
+        row.modRevision = keyValue.modRevision();
+        row.value = keyValue.value();
+        row.lease = keyValue.lease();
+        if (previousRow != null
+                && previousRow.modRevision == keyValue.modRevision()
+                && Arrays.equals(previousRow.value, keyValue.value())) {
+            row.searcher = previousRow.heldDraining
+                    ? previousRow.searcher.withState(SchedulerHost.LifecycleState.READY)
+                    : previousRow.searcher;
+            target.put(keyValue.key(), row);
             return;
         }
         try {
-            row.store = SearcherRecord.read(entry.key().substring(prefix.length()), entry.value());
-        } catch (IllegalArgumentException odd) {
-            // Danger: one bad value would take its searcher, or the whole view, away. Harm: an old address is kept.
-            row.store = known == null ? null : known.store;
-            wrong.add(entry.key() + ": " + odd.getMessage());
+            row.searcher = SearcherRecord.parse(keyValue.key().substring(prefix.length()), keyValue.value());
+        } catch (IllegalArgumentException e) {
+            // One invalid value must not remove its searcher or the entire view. The cost: an outdated address stays in
+            // use.
+            row.searcher = previousRow == null ? null : previousRow.searcher;
+            invalidValues.add(keyValue.key() + ": " + e.getMessage());
         }
-        into.put(entry.key(), row);
+        target.put(keyValue.key(), row);
     }
 }
--- a/query-mixer/registry/src/main/java/pinewick/registry/SearcherRecord.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/SearcherRecord.java
@@ -9,89 +9,89 @@
 import pinewick.core.SchedulerHost;
 
 /**
- * One searcher as its key's value in the registry tells it: JSON with {@code addresses} (texts of host and port, the
- * first is used), {@code phase} (ready or draining) and, if given, {@code zone}, {@code cell}, {@code size} and
- * {@code started_at_ms} (Unix time, 0 or absent: long ago).
+ * A searcher as registered: the JSON value of its key, with {@code addresses} (strings of host and port, the first is
+ * used), {@code phase} (ready or draining) and, optionally, {@code zone}, {@code cell}, {@code size} and {@code
+ * started_at_ms} (Unix time; 0 or absent means long ago).
  *
- * @param startedAt seconds since 1970, 0 means long ago
+ * @param startedAtSeconds seconds since 1970; 0 means long ago
  */
 public record SearcherRecord(
         String id,
         List<String> addresses,
         String zone,
         int cell,
-        SchedulerHost.LifecycleState stage,
+        SchedulerHost.LifecycleState state,
         double size,
-        double startedAt) {
+        double startedAtSeconds) {
 
-    /** What the decisions are told of it. */
-    public SchedulerHost.ReplicaEntry listing() {
-        return new SchedulerHost.ReplicaEntry(id, cell, zone, stage, startedAt);
+    /** The entry that the scheduler is given. */
+    public SchedulerHost.ReplicaEntry toReplicaEntry() {
+        return new SchedulerHost.ReplicaEntry(id, cell, zone, state, startedAtSeconds);
     }
 
-    SearcherRecord at(SchedulerHost.LifecycleState other) {
-        return new SearcherRecord(id, addresses, zone, cell, other, size, startedAt);
+    SearcherRecord withState(SchedulerHost.LifecycleState newState) {
+        return new SearcherRecord(id, addresses, zone, cell, newState, size, startedAtSeconds);
     }
 
-    /** Throws IllegalArgumentException that names the field at fault. */
-    static SearcherRecord read(String id, byte[] value) {
-        JsonObject all;
+    /** Throws IllegalArgumentException with a message that names the invalid field. */
+    static SearcherRecord parse(String id, byte[] value) {
+        JsonObject object;
         try {
-            all = JsonParser.parseString(new String(value, StandardCharsets.UTF_8))
+            object = JsonParser.parseString(new String(value, StandardCharsets.UTF_8))
                     .getAsJsonObject();
-        } catch (RuntimeException odd) {
-            throw new IllegalArgumentException("the value is no JSON object");
+        } catch (RuntimeException e) {
+            throw new IllegalArgumentException("the value is not a JSON object");
         }
         List<String> addresses = new ArrayList<>();
         try {
-            for (JsonElement each : all.getAsJsonArray("addresses")) {
+            for (JsonElement each : object.getAsJsonArray("addresses")) {
                 addresses.add(each.getAsString());
             }
-        } catch (RuntimeException odd) {
-            throw new IllegalArgumentException("addresses: a list of texts is expected");
+        } catch (RuntimeException e) {
+            throw new IllegalArgumentException("addresses: a list of strings is expected");
         }
         if (addresses.isEmpty()) {
             throw new IllegalArgumentException("addresses: at least one is expected");
         }
-        String phase = text(all, "phase", "ready");
-        SchedulerHost.LifecycleState stage =
+        String phase = text(object, "phase", "ready");
+        SchedulerHost.LifecycleState state =
                 switch (phase) {
                     case "ready" -> SchedulerHost.LifecycleState.READY;
                     case "draining" -> SchedulerHost.LifecycleState.DRAINING;
                     default -> throw new IllegalArgumentException("phase: ready or draining is expected, not " + phase);
                 };
-        if (!text(all, "id", id).equals(id)) {
+        if (!text(object, "id", id).equals(id)) {
             throw new IllegalArgumentException("id: differs from the key's");
         }
-        double cell = number(all, "cell", 0);
+        double cell = number(object, "cell", 0);
         if (cell != Math.rint(cell) || cell < 0 || cell > Integer.MAX_VALUE) {
-            throw new IllegalArgumentException("cell: a whole number from 0 is expected");
+            throw new IllegalArgumentException("cell: a non-negative integer is expected");
         }
         return new SearcherRecord(
                 id,
                 List.copyOf(addresses),
-                text(all, "zone", ""),
+                text(object, "zone", ""),
                 (int) cell,
-                stage,
-                number(all, "size", 1),
-                number(all, "started_at_ms", 0) / 1e3);
+                state,
+                number(object, "size", 1),
+                number(object, "started_at_ms", 0) / 1e3);
     }
 
-    private static String text(JsonObject all, String field, String absent) {
-        JsonElement value = all.get(field);
+    private static String text(JsonObject object, String field, String defaultValue) {
+        JsonElement value = object.get(field);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!value.isJsonPrimitive() || !value.getAsJsonPrimitive().isString()) {
-            throw new IllegalArgumentException(field + ": a text is expected");
+            throw new IllegalArgumentException(field + ": a string is expected");
         }
         return value.getAsString();
     }
 
-    private static double number(JsonObject all, String field, double absent) {
-        JsonElement value = all.get(field);
+    private static double number(JsonObject object, String field, double defaultValue) {
+        JsonElement value = object.get(field);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!value.isJsonPrimitive() || !value.getAsJsonPrimitive().isNumber()) {
             throw new IllegalArgumentException(field + ": a number is expected");
--- a/query-mixer/registry/src/main/java/pinewick/registry/SnapshotCodec.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/SnapshotCodec.java
@@ -12,47 +12,47 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of the kept copy: a file begins with one record that holds a whole view, records of changes follow. Each
- * record is its length, a CRC-32C over the rest, and its content. No I/O. What is torn or spoilt ends the reading
- * there: everything before it was whole at one time.
+ * The file format of the on-disk snapshot: a file begins with a record that holds a full view, and records of changes
+ * follow. Each record consists of its length, a CRC-32C over its content, and the content. No I/O. Decoding stops at
+ * the first torn or corrupted record: everything before it was a consistent state.
  */
 public final class SnapshotCodec {
-    private static final int WHOLE = 1;
+    private static final int SNAPSHOT = 1;
     private static final int CHANGES = 2;
-    private static final int FORM = 1;
-    private static final int LONGEST = 256 << 20;
+    private static final int FORMAT_VERSION = 1;
+    private static final int MAX_RECORD_BYTES = 256 << 20;
 
-    /** A view read back, what changed since, and how many bytes of the file were sound. */
-    public record Kept(long wholeRevision, List<KeyValue> entries, List<Changes> changes, int sound) {
+    /** A decoded view, the changes since, and the number of valid bytes in the file. */
+    public record Snapshot(long baseRevision, List<KeyValue> keyValues, List<ChangeSet> changes, int validBytes) {
         public long revision() {
             return changes.isEmpty()
-                    ? wholeRevision
+                    ? baseRevision
                     : changes.get(changes.size() - 1).revision();
         }
     }
 
-    /** Events that took a view to a revision. */
-    public record Changes(long revision, List<KeyValue> events) {}
+    /** The watch events that took a view to a revision. */
+    public record ChangeSet(long revision, List<KeyValue> events) {}
 
     private SnapshotCodec() {}
 
-    public static byte[] whole(long revision, List<KeyValue> entries) {
-        return record(WHOLE, revision, entries);
+    public static byte[] encodeSnapshot(long revision, List<KeyValue> keyValues) {
+        return encodeRecord(SNAPSHOT, revision, keyValues);
     }
 
-    public static byte[] changes(long revision, List<KeyValue> events) {
-        return record(CHANGES, revision, events);
+    public static byte[] encodeChanges(long revision, List<KeyValue> events) {
+        return encodeRecord(CHANGES, revision, events);
     }
 
-    private static byte[] record(int kind, long revision, List<KeyValue> entries) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 + 128 * entries.size());
+    private static byte[] encodeRecord(int kind, long revision, List<KeyValue> keyValues) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 + 128 * keyValues.size());
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeLong(0);
-            out.writeByte(FORM);
+            out.writeByte(FORMAT_VERSION);
             out.writeByte(kind);
             out.writeLong(revision);
-            out.writeInt(entries.size());
-            for (KeyValue each : entries) {
+            out.writeInt(keyValues.size());
+            for (KeyValue each : keyValues) {
                 out.writeUTF(each.key());
                 out.writeLong(each.modRevision());
                 out.writeLong(each.lease());
@@ -61,76 +61,77 @@
                     out.write(each.value());
                 }
             }
-        } catch (IOException never) {
-            throw new UncheckedIOException(never);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
         ByteBuffer record = ByteBuffer.wrap(bytes.toByteArray());
-        CRC32C sum = new CRC32C();
-        sum.update(record.array(), 8, record.capacity() - 8);
-        record.putInt(0, record.capacity() - 8).putInt(4, (int) sum.getValue());
+        CRC32C checksum = new CRC32C();
+        checksum.update(record.array(), 8, record.capacity() - 8);
+        record.putInt(0, record.capacity() - 8).putInt(4, (int) checksum.getValue());
         return record.array();
     }
 
-    /** Null where not even the whole view at the beginning is sound. */
-    public static Kept read(byte[] file) {
+    /** Null if not even the initial snapshot record is valid. */
+    public static Snapshot decode(byte[] file) {
         ByteBuffer in = ByteBuffer.wrap(file);
-        Kept kept = null;
+        Snapshot snapshot = null;
         while (in.remaining() >= 8) {
             int length = in.getInt(in.position());
-            if (length < 14 || length > LONGEST || length > in.remaining() - 8) {
+            if (length < 14 || length > MAX_RECORD_BYTES || length > in.remaining() - 8) {
                 break;
             }
-            CRC32C sum = new CRC32C();
-            sum.update(file, in.position() + 8, length);
-            if ((int) sum.getValue() != in.getInt(in.position() + 4)) {
+            CRC32C checksum = new CRC32C();
+            checksum.update(file, in.position() + 8, length);
+            if ((int) checksum.getValue() != in.getInt(in.position() + 4)) {
                 break;
             }
-            Kept next = content(file, in.position() + 8, length, kept);
+            Snapshot next = decodeRecord(file, in.position() + 8, length, snapshot);
             if (next == null) {
                 break;
             }
             in.position(in.position() + 8 + length);
-            kept = new Kept(next.wholeRevision(), next.entries(), next.changes(), in.position());
+            snapshot = new Snapshot(next.baseRevision(), next.keyValues(), next.changes(), in.position());
         }
-        return kept;
+        return snapshot;
     }
 
-    private static Kept content(byte[] file, int from, int length, Kept before) {
+    private static Snapshot decodeRecord(byte[] file, int from, int length, Snapshot previous) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(file, from, length))) {
-            int form = in.readByte();
+            int formatVersion = in.readByte();
             int kind = in.readByte();
-            if (form != FORM || (kind == WHOLE) != (before == null)) {
+            if (formatVersion != FORMAT_VERSION || (kind == SNAPSHOT) != (previous == null)) {
                 return null;
             }
             long revision = in.readLong();
             int count = in.readInt();
-            List<KeyValue> entries = new ArrayList<>();
+            List<KeyValue> keyValues = new ArrayList<>();
             for (int each = 0; each < count; each++) {
                 String key = in.readUTF();
                 long modRevision = in.readLong();
                 long lease = in.readLong();
-                int size = in.readInt();
-                entries.add(new KeyValue(key, size < 0 ? null : in.readNBytes(size), modRevision, lease));
+                int valueLength = in.readInt();
+                keyValues.add(
+                        new KeyValue(key, valueLength < 0 ? null : in.readNBytes(valueLength), modRevision, lease));
             }
-            if (kind == WHOLE) {
-                return new Kept(revision, entries, List.of(), 0);
+            if (kind == SNAPSHOT) {
+                return new Snapshot(revision, keyValues, List.of(), 0);
             }
-            List<Changes> changes = new ArrayList<>(before.changes());
-            changes.add(new Changes(revision, entries));
-            return new Kept(before.wholeRevision(), before.entries(), changes, 0);
-        } catch (IOException | RuntimeException odd) {
+            List<ChangeSet> changes = new ArrayList<>(previous.changes());
+            changes.add(new ChangeSet(revision, keyValues));
+            return new Snapshot(previous.baseRevision(), previous.keyValues(), changes, 0);
+        } catch (IOException | RuntimeException e) {
             return null;
         }
     }
 
-    /** Puts a kept copy into a view that holds nothing yet. */
-    public static void into(Kept kept, RegistryView view) {
-        view.begin();
-        view.page(kept.wholeRevision(), kept.entries());
+    /** Loads a snapshot into a view that is still empty. */
+    public static void restore(Snapshot snapshot, RegistryView view) {
+        view.beginRebuild();
+        view.addPage(snapshot.baseRevision(), snapshot.keyValues());
         view.commit(false);
-        for (Changes each : kept.changes()) {
+        for (ChangeSet each : snapshot.changes()) {
             view.apply(each.events());
-            view.progressed(each.revision());
+            view.advanceTo(each.revision());
         }
     }
 }
--- a/query-mixer/registry/src/main/java/pinewick/registry/SnapshotFiles.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/SnapshotFiles.java
@@ -19,73 +19,76 @@
 import java.util.function.Supplier;
 
 /**
- * The kept copy on disk: files {@code view-NUMBER.kept}, of which the highest number that can be read counts. A new
- * one is written beside the old, forced to the disk and only then given its name; changes are added to it and forced.
- * All writing is done by a thread of its own, in order; a disk that is full or read-only is a line in the log, and the
- * copy rests until the next whole view.
+ * The snapshot on disk: files {@code view-NUMBER.kept}, of which the readable one with the highest number is valid. A
+ * new snapshot is written to a temporary file, forced to disk and only then renamed; changes are appended to it and
+ * forced. A single thread does all the writing, in order. A disk that is full or read-only leads to a log line, and
+ * writing is suspended until the next full snapshot.
  */
 public final class SnapshotFiles implements AutoCloseable {
-    /** Changes in one file before a whole view is asked for again. */
-    private static final int CHANGES_MOST = 2000;
+    /** Number of change records in a file after which a new snapshot is requested. */
+    private static final int MAX_CHANGE_RECORDS = 2000;
 
     private final Path folder;
     private final Consumer<String> log;
     private final ExecutorService writer;
     private FileChannel channel;
     private long number;
-    private int changes;
-    private volatile boolean resting = true;
+    private int changeRecords;
+    private volatile boolean suspended = true;
 
     public SnapshotFiles(Path folder, Consumer<String> log) {
         this.folder = folder;
         this.log = log;
-        writer = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), work -> {
-            Thread thread = new Thread(work, "kept-copy");
+        writer = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> {
+            Thread thread = new Thread(task, "kept-copy");
             thread.setDaemon(true);
             return thread;
         });
     }
 
-    /** The newest copy that can be read; null where there is none. To be called before anything is written. */
-    public SnapshotCodec.Kept read() {
+    /** Reads the newest valid snapshot; null if there is none. To be called before anything is written. */
+    public SnapshotCodec.Snapshot readLatest() {
         List<Path> files = files();
-        SnapshotCodec.Kept newest = null;
+        SnapshotCodec.Snapshot newest = null;
         for (Path file : files) {
-            number = Math.max(number, number(file));
+            number = Math.max(number, fileNumber(file));
             if (newest == null) {
                 try {
                     byte[] bytes = Files.readAllBytes(file);
-                    newest = SnapshotCodec.read(bytes);
-                    if (newest == null || newest.sound() < bytes.length) {
-                        log.accept("kept copy " + file.getFileName() + ": " + (newest == null ? 0 : newest.sound())
+                    newest = SnapshotCodec.decode(bytes);
+                    if (newest == null || newest.validBytes() < bytes.length) {
+                        log.accept("kept copy " + file.getFileName() + ": " + (newest == null ? 0 : newest.validBytes())
                                 + " of " + bytes.length + " bytes are sound");
                     }
-                } catch (IOException odd) {
-                    log.accept("kept copy " + file.getFileName() + " can't be read: " + odd.getMessage());
+                } catch (IOException e) {
+                    log.accept("kept copy " + file.getFileName() + " can't be read: " + e.getMessage());
                 }
             }
         }
         return newest;
     }
 
-    /** Whether a whole view should be written next: at first, after a fault, or once many changes have come. */
-    public boolean wantsWhole() {
-        return resting || changes >= CHANGES_MOST;
+    /** Whether a full snapshot should be written next: at the start, after a write error, or after many changes. */
+    public boolean needsSnapshot() {
+        return suspended || changeRecords >= MAX_CHANGE_RECORDS;
     }
 
-    /** The record is made by the writing thread. */
-    public void whole(Supplier<byte[]> record) {
-        resting = false;
-        changes = 0;
-        long mine = ++number;
+    /** Writes a new snapshot; the record is created on the writer thread. */
+    public void writeSnapshot(Supplier<byte[]> record) {
+        suspended = false;
+        changeRecords = 0;
+        long newNumber = ++number;
         submit(() -> {
             Files.createDirectories(folder);
-            Path made = folder.resolve("view-" + mine + ".new");
+            Path temporary = folder.resolve("view-" + newNumber + ".new");
             FileChannel next = FileChannel.open(
-                    made, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
+                    temporary,
+                    StandardOpenOption.CREATE,
+                    StandardOpenOption.TRUNCATE_EXISTING,
+                    StandardOpenOption.WRITE);
             writeAll(next, record.get());
-            Path named = folder.resolve("view-" + mine + ".kept");
-            Files.move(made, named, StandardCopyOption.ATOMIC_MOVE);
+            Path target = folder.resolve("view-" + newNumber + ".kept");
+            Files.move(temporary, target, StandardCopyOption.ATOMIC_MOVE);
             try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
                 directory.force(true);
             }
@@ -94,15 +97,15 @@
             }
             channel = next;
             for (Path old : files()) {
-                if (!old.equals(named)) {
+                if (!old.equals(target)) {
                     Files.deleteIfExists(old);
                 }
             }
         });
     }
 
-    public void changes(byte[] record) {
-        changes++;
+    public void appendChanges(byte[] record) {
+        changeRecords++;
         submit(() -> {
             if (channel != null) {
                 writeAll(channel, record);
@@ -110,57 +113,57 @@
         });
     }
 
-    private static void writeAll(FileChannel to, byte[] record) throws IOException {
+    private static void writeAll(FileChannel file, byte[] record) throws IOException {
         ByteBuffer bytes = ByteBuffer.wrap(record);
         while (bytes.hasRemaining()) {
-            to.write(bytes);
+            file.write(bytes);
         }
-        to.force(false);
+        file.force(false);
     }
 
-    private interface Work {
+    private interface WriteTask {
         void run() throws IOException;
     }
 
-    private void submit(Work work) {
+    private void submit(WriteTask task) {
         writer.execute(() -> {
-            if (resting) {
+            if (suspended) {
                 return;
             }
             try {
-                work.run();
-            } catch (IOException | RuntimeException wrong) {
-                resting = true;
-                log.accept("the kept copy rests: " + wrong);
+                task.run();
+            } catch (IOException | RuntimeException e) {
+                suspended = true;
+                log.accept("the kept copy rests: " + e);
             }
         });
     }
 
     private List<Path> files() {
         List<Path> files = new ArrayList<>();
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(folder, "view-*.kept")) {
-            all.forEach(files::add);
-        } catch (IOException none) {
+        try (DirectoryStream<Path> stream = Files.newDirectoryStream(folder, "view-*.kept")) {
+            stream.forEach(files::add);
+        } catch (IOException e) {
             return files;
         }
-        files.removeIf(each -> number(each) < 0);
-        files.sort(Comparator.comparingLong(SnapshotFiles::number).reversed());
+        files.removeIf(each -> fileNumber(each) < 0);
+        files.sort(Comparator.comparingLong(SnapshotFiles::fileNumber).reversed());
         return files;
     }
 
-    private static long number(Path file) {
+    private static long fileNumber(Path file) {
         String name = file.getFileName().toString();
         String digits = name.substring("view-".length(), name.length() - ".kept".length());
         return digits.matches("[0-9]{1,15}") ? Long.parseLong(digits) : -1;
     }
 
-    /** Waits until all that was handed in is written, a few seconds at most. */
+    /** Waits up to 3 s until all submitted records are written. */
     @Override
     public void close() {
         writer.shutdown();
         try {
             writer.awaitTermination(3, TimeUnit.SECONDS);
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
--- a/query-mixer/registry/src/main/java/pinewick/registry/ViewUpdate.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/ViewUpdate.java
@@ -3,19 +3,21 @@
 import java.util.List;
 
 /**
- * What one piece of news changes, to be taken as a whole: the searchers that differ (those that left are
- * {@code GONE}), and the values that can't be read.
+ * The changes of one update of the view, to be applied as a unit.
  *
- * @param whole the view was read anew from one revision; searchers that it lacks are among the changed
- * @param vanished how many searchers left
- * @param events the keys' changes behind it, as they came; of a whole view none
- * @param mass so many left at once that the registry itself may be at fault
+ * @param revision the view's revision after the update
+ * @param full whether the view was rebuilt from one revision; searchers missing from it are among the changed
+ * @param changed the searchers that differ; removed ones have the state {@code GONE}
+ * @param invalidValues a message for each value that cannot be parsed
+ * @param removedCount number of removed searchers
+ * @param massRemoval whether so many searchers were removed at once that the registry itself may be at fault
+ * @param events the key changes of the update in the order received; empty for a full one
  */
 public record ViewUpdate(
         long revision,
-        boolean whole,
+        boolean full,
         List<SearcherRecord> changed,
-        List<String> wrong,
-        int vanished,
-        boolean mass,
+        List<String> invalidValues,
+        int removedCount,
+        boolean massRemoval,
         List<KeyValue> events) {}
--- a/query-mixer/registry/src/test/java/pinewick/registry/HttpResponseParserTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/HttpResponseParserTest.java
@@ -17,54 +17,54 @@
     }
 
     @Test
-    void linesAreTheSameWhereverTheBytesAreSplit() {
+    void linesDoNotDependOnWhereBytesAreSplit() {
         byte[] all =
                 bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\":\r\n9;x=1\r\n1}\n{\"b\"\n}\r\n"
                         + "3\r\n\n\nz\r\n0\r\nTrailer: 1\r\n\r\n");
         for (int split = 0; split <= all.length; split++) {
             List<String> lines = new ArrayList<>();
-            HttpResponseParser answer = new HttpResponseParser(100);
-            answer.feed(ByteBuffer.wrap(all, 0, split), lines::add);
-            answer.feed(ByteBuffer.wrap(all, split, all.length - split), lines::add);
+            HttpResponseParser parser = new HttpResponseParser(100);
+            parser.feed(ByteBuffer.wrap(all, 0, split), lines::add);
+            parser.feed(ByteBuffer.wrap(all, split, all.length - split), lines::add);
             assertEquals(List.of("{\"a\":1}", "{\"b\"", "}", "z"), lines, "split at " + split);
-            assertTrue(answer.done());
+            assertTrue(parser.isDone());
         }
     }
 
     @Test
-    void whatAnEndLeavesUnfinishedIsNotHandedOn() {
+    void incompleteLineIsNotEmitted() {
         List<String> lines = new ArrayList<>();
-        HttpResponseParser answer = new HttpResponseParser(100);
-        answer.feed(
+        HttpResponseParser parser = new HttpResponseParser(100);
+        parser.feed(
                 ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"whole\":1}\n{\"hal")),
                 lines::add);
         assertEquals(List.of("{\"whole\":1}"), lines);
-        assertFalse(answer.done());
+        assertFalse(parser.isDone());
     }
 
     @Test
-    void aLineTooLongIsTold() {
-        HttpResponseParser answer = new HttpResponseParser(10);
+    void oversizedLineIsRejected() {
+        HttpResponseParser parser = new HttpResponseParser(10);
         assertThrows(
-                HttpResponseParser.TooLong.class,
-                () -> answer.feed(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\n01234567890123")), any -> {}));
+                HttpResponseParser.TooLargeException.class,
+                () -> parser.feed(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\n01234567890123")), any -> {}));
     }
 
     @Test
-    void aConnectionIsUsedAgainOnlyWhereBothSaySo() {
-        HttpResponseParser kept = new HttpResponseParser(100);
+    void connectionIsReusableOnlyIfResponseAllowsIt() {
+        HttpResponseParser reusable = new HttpResponseParser(100);
         List<String> lines = new ArrayList<>();
-        kept.feed(ByteBuffer.wrap(bytes("HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\n{}")), lines::add);
-        assertTrue(kept.done() && kept.keepsConnection() && kept.status() == 400);
+        reusable.feed(ByteBuffer.wrap(bytes("HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\n{}")), lines::add);
+        assertTrue(reusable.isDone() && reusable.isKeepAlive() && reusable.status() == 400);
         HttpResponseParser closed = new HttpResponseParser(100);
         closed.feed(
                 ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")),
                 lines::add);
-        assertTrue(closed.done() && !closed.keepsConnection());
+        assertTrue(closed.isDone() && !closed.isKeepAlive());
     }
 
     @Test
-    void whatIsNoHttpEndsAtOnce() {
+    void invalidHttpIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> new HttpResponseParser(100)
                 .feed(ByteBuffer.wrap(bytes("SSH-2.0\r\n")), any -> {}));
         assertThrows(IllegalArgumentException.class, () -> new HttpResponseParser(100)
--- a/query-mixer/registry/src/test/java/pinewick/registry/MembershipTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/MembershipTest.java
@@ -9,85 +9,85 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Stories of mixers that register themselves and are counted. */
+/** Registration of mixers by lease, and the estimate of their number. */
 class MembershipTest {
     @Test
-    void moreMixersCountAtOnceFewerAfterAWhile() {
+    void higherCountAppliesAtOnceLowerCountAfterDelay() {
         MixerCount count = new MixerCount(2, 0, 30);
-        count.shown(1, 5);
+        count.observe(1, 5);
         assertEquals(5, count.count(1));
-        count.shown(10, 3);
+        count.observe(10, 3);
         assertEquals(5, count.count(39.9));
         assertEquals(3, count.count(40));
     }
 
     @Test
-    void aRegistryThatForgetsForAMomentRaisesNoShare() {
+    void briefLossOfKeysDoesNotLowerTheCount() {
         MixerCount count = new MixerCount(4, 0, 30);
         for (double now = 1; now < 200; now += 25) {
-            count.shown(now, 0);
+            count.observe(now, 0);
             assertEquals(4, count.count(now + 20));
-            count.shown(now + 20, 4);
+            count.observe(now + 20, 4);
         }
     }
 
     @Test
-    void aFallInStepsGoesDownInSteps() {
+    void stepwiseDecreaseIsFollowedStepwise() {
         MixerCount count = new MixerCount(6, 0, 30);
-        count.shown(5, 4);
-        count.shown(20, 2);
+        count.observe(5, 4);
+        count.observe(20, 2);
         assertEquals(6, count.count(34));
         assertEquals(4, count.count(36));
         assertEquals(2, count.count(50));
-        count.shown(51, 3);
+        count.observe(51, 3);
         assertEquals(3, count.count(51));
     }
 
     @Test
-    void theCountNeverFallsUnderOne() {
+    void countNeverFallsBelowOne() {
         MixerCount count = new MixerCount(1, 0, 1);
-        count.shown(1, 0);
+        count.observe(1, 0);
         assertEquals(1, count.count(100));
     }
 
-    /** Asked things by name; a registry that answers them at once unless told not to. */
-    private static final class Registry implements LeaseKeeper.Wire {
-        final List<String> asked = new ArrayList<>();
+    /** Records the requests by name and answers them at once unless {@code responds} is false. */
+    private static final class Registry implements LeaseKeeper.Transport {
+        final List<String> requests = new ArrayList<>();
         final LeaseKeeper keeper = new LeaseKeeper(3, 9, 1, this, new SplittableRandom(3));
-        boolean answers = true;
+        boolean responds = true;
         double now;
-        double left = 9;
+        double remainingSeconds = 9;
 
         @Override
-        public void grant(long question, int endpoint, double seconds) {
-            asked.add("grant");
-            reply(question, 42);
+        public void grant(long requestId, int endpoint, double ttlSeconds) {
+            requests.add("grant");
+            respond(requestId, 42);
         }
 
         @Override
-        public void put(long question, int endpoint, long lease) {
-            asked.add("put " + lease);
-            reply(question, lease);
+        public void put(long requestId, int endpoint, long lease) {
+            requests.add("put " + lease);
+            respond(requestId, lease);
         }
 
         @Override
-        public void renew(long question, int endpoint, long lease) {
-            asked.add("renew " + lease);
-            reply(question, lease);
+        public void keepAlive(long requestId, int endpoint, long lease) {
+            requests.add("renew " + lease);
+            respond(requestId, lease);
         }
 
         @Override
-        public void drop(long question) {
-            asked.add("drop");
+        public void cancel(long requestId) {
+            requests.add("drop");
         }
 
-        private void reply(long question, long lease) {
-            if (answers) {
-                keeper.answered(now, question, lease, left);
+        private void respond(long requestId, long lease) {
+            if (responds) {
+                keeper.onResponse(now, requestId, lease, remainingSeconds);
             }
         }
 
-        void run(double seconds) {
+        void advance(double seconds) {
             for (double until = now + seconds; now < until; now += 0.05) {
                 keeper.tick(now);
             }
@@ -95,41 +95,43 @@
     }
 
     @Test
-    void aLeaseIsRenewedWellInTime() {
+    void leaseIsKeptAliveInTime() {
         Registry registry = new Registry();
         registry.keeper.start(0);
-        assertEquals(List.of("grant", "put 42"), registry.asked);
-        registry.run(30);
-        long renewals =
-                registry.asked.stream().filter(each -> each.equals("renew 42")).count();
-        assertTrue(renewals >= 8 && renewals <= 14, "renewals " + renewals);
-        assertTrue(registry.keeper.held(registry.now));
+        assertEquals(List.of("grant", "put 42"), registry.requests);
+        registry.advance(30);
+        long keepAlives = registry.requests.stream()
+                .filter(each -> each.equals("renew 42"))
+                .count();
+        assertTrue(keepAlives >= 8 && keepAlives <= 14, "keep-alives " + keepAlives);
+        assertTrue(registry.keeper.isHeld(registry.now));
     }
 
     @Test
-    void aLeaseThatRanOutIsAskedForAnew() {
+    void expiredLeaseIsGrantedAnew() {
         Registry registry = new Registry();
         registry.keeper.start(0);
-        registry.left = 0;
-        registry.run(4);
-        registry.left = 9;
-        assertTrue(registry.asked.stream().filter(each -> each.equals("grant")).count() >= 2);
-        registry.run(4);
-        assertTrue(registry.keeper.held(registry.now));
+        registry.remainingSeconds = 0;
+        registry.advance(4);
+        registry.remainingSeconds = 9;
+        assertTrue(
+                registry.requests.stream().filter(each -> each.equals("grant")).count() >= 2);
+        registry.advance(4);
+        assertTrue(registry.keeper.isHeld(registry.now));
     }
 
     @Test
-    void membersThatDoNotAnswerAreAskedWithGrowingWaits() {
+    void unresponsiveMembersAreRetriedWithBackoff() {
         Registry registry = new Registry();
         registry.keeper.start(0);
-        registry.answers = false;
-        registry.run(60);
-        assertFalse(registry.keeper.held(registry.now));
-        long tries =
-                registry.asked.stream().filter(each -> !each.equals("drop")).count();
-        assertTrue(tries > 15 && tries < 60, "tries " + tries);
-        registry.answers = true;
-        registry.run(4);
-        assertTrue(registry.keeper.held(registry.now));
+        registry.responds = false;
+        registry.advance(60);
+        assertFalse(registry.keeper.isHeld(registry.now));
+        long attempts =
+                registry.requests.stream().filter(each -> !each.equals("drop")).count();
+        assertTrue(attempts > 15 && attempts < 60, "attempts " + attempts);
+        registry.responds = true;
+        registry.advance(4);
+        assertTrue(registry.keeper.isHeld(registry.now));
     }
 }
