--- a/query-mixer/registry/src/test/java/pinewick/registry/PrefixWatcherPropertyTest.java
+++ b/query-mixer/registry/src/test/java/pinewick/registry/PrefixWatcherPropertyTest.java
@@ -9,49 +9,52 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Any sequence of changes, compactions, breaks, cut-offs and restarts: the view in force is always the registry's state
- * at one revision, never a mixed one, and it ends as the registry does, within a bound.
+ * Under any sequence of changes, compactions, connection losses, partitions and restarts, the view in force is always
+ * the registry's state at one revision, never a mixture, and it converges to the registry's state within a bound.
  */
 class PrefixWatcherPropertyTest {
     @Property(tries = 300, seed = "20261201", shrinking = ShrinkingMode.OFF)
-    void theViewIsAlwaysOneStateAndEndsAsTheRegistry(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        SimulatedRegistry world = new SimulatedRegistry(1 + chance.nextInt(3), seed);
-        world.fragments = chance.nextBoolean();
-        for (int each = 0; each < 3 + chance.nextInt(1200); each++) {
-            world.registry.put("s/s-" + each, SimulatedRegistry.value(each, "ready"));
+    void viewIsAlwaysConsistentAndConvergesToTheRegistry(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        RegistrySimulation simulation = new RegistrySimulation(1 + random.nextInt(3), seed);
+        simulation.fragmentWatch = random.nextBoolean();
+        for (int each = 0; each < 3 + random.nextInt(1200); each++) {
+            simulation.registry.put("s/s-" + each, RegistrySimulation.value(each, "ready"));
         }
-        world.afterStep = () -> {
-            List<String> then = world.truth(world.view.revision());
-            if (then != null) {
-                assertEquals(then.stream().sorted().toList(), world.seen(), "at revision " + world.view.revision());
+        simulation.afterUpdate = () -> {
+            List<String> expected = simulation.registryStates(simulation.view.revision());
+            if (expected != null) {
+                assertEquals(
+                        expected.stream().sorted().toList(),
+                        simulation.searcherStates(),
+                        "at revision " + simulation.view.revision());
             }
         };
-        world.session.start(world.now);
+        simulation.watcher.start(simulation.now);
         for (int each = 0; each < 40; each++) {
-            int member = chance.nextInt(world.members.size());
-            switch (chance.nextInt(13)) {
-                case 0, 1, 2, 3 -> world.registry.put(
-                        "s/s-" + chance.nextInt(20),
-                        SimulatedRegistry.value(each, chance.nextBoolean() ? "draining" : "ready"));
-                case 4 -> world.registry.remove(List.of("s/s-" + chance.nextInt(20), "s/s-" + chance.nextInt(20)));
-                case 5 -> world.registry.compact(world.registry.revision() - chance.nextInt(4));
-                case 6 -> world.drop(member);
-                case 7 -> world.members.get(member).down ^= true;
-                case 8 -> world.members.get(member).silent ^= true;
-                case 9 -> world.members.get(member).watchMute ^= true;
-                case 10 -> world.members.get(member).old =
-                        world.members.get(member).old == null ? world.registry.copy() : null;
-                case 11 -> world.restart(chance.nextBoolean());
-                default -> world.registry.put("else/" + each, "x");
+            int member = random.nextInt(simulation.members.size());
+            switch (random.nextInt(13)) {
+                case 0, 1, 2, 3 -> simulation.registry.put(
+                        "s/s-" + random.nextInt(20),
+                        RegistrySimulation.value(each, random.nextBoolean() ? "draining" : "ready"));
+                case 4 -> simulation.registry.remove(List.of("s/s-" + random.nextInt(20), "s/s-" + random.nextInt(20)));
+                case 5 -> simulation.registry.compact(simulation.registry.revision() - random.nextInt(4));
+                case 6 -> simulation.breakConnections(member);
+                case 7 -> simulation.members.get(member).down ^= true;
+                case 8 -> simulation.members.get(member).silent ^= true;
+                case 9 -> simulation.members.get(member).watchSilent ^= true;
+                case 10 -> simulation.members.get(member).staleState =
+                        simulation.members.get(member).staleState == null ? simulation.registry.copy() : null;
+                case 11 -> simulation.restart(random.nextBoolean());
+                default -> simulation.registry.put("else/" + each, "x");
             }
-            world.run(chance.nextDouble() * 0.3);
+            simulation.advance(random.nextDouble() * 0.3);
         }
-        for (SimulatedRegistry.Member each : world.members) {
-            each.down = each.silent = each.watchMute = false;
-            each.old = null;
+        for (RegistrySimulation.Member each : simulation.members) {
+            each.down = each.silent = each.watchSilent = false;
+            each.staleState = null;
         }
-        world.run(8);
-        assertEquals(world.truth(0).stream().sorted().toList(), world.seen());
+        simulation.advance(8);
+        assertEquals(simulation.registryStates(0).stream().sorted().toList(), simulation.searcherStates());
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/AddressLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/AddressLab.java
@@ -149,7 +149,7 @@
 
     private static AddressHistory book(Case one) {
         AddressHistory book = new AddressHistory();
-        book.set(one.does.keySet().stream().map(Address::read).toList());
+        book.setAddresses(one.does.keySet().stream().map(Address::parse).toList());
         return book;
     }
 
@@ -174,41 +174,41 @@
         Address[] winner = new Address[1];
         PriorityQueue<Due> queue = new PriorityQueue<>((left, right) -> Double.compare(left.at, right.at));
         ConnectionRace[] race = new ConnectionRace[1];
-        race[0] = new ConnectionRace(book, began, MOST, new ConnectionRace.Wire() {
+        race[0] = new ConnectionRace(book, began, MOST, new ConnectionRace.Transport() {
             @Override
-            public void open(Address address) {
+            public void connect(Address address) {
                 double does = one.does.get(address.toString()).applyAsDouble(began);
                 if (does >= 0) {
-                    queue.add(new Due(now[0] + does, () -> race[0].opened(now[0], address)));
+                    queue.add(new Due(now[0] + does, () -> race[0].onConnected(now[0], address)));
                 } else if (does < 0) {
-                    queue.add(new Due(now[0] - does, () -> race[0].failed(now[0], address)));
+                    queue.add(new Due(now[0] - does, () -> race[0].onConnectFailed(now[0], address)));
                 }
             }
 
             @Override
-            public void abandon(Address address) {
+            public void cancel(Address address) {
                 // Nothing is kept of it here.
             }
 
             @Override
-            public void won(Address address) {
+            public void onWon(Address address) {
                 winner[0] = address;
             }
 
             @Override
-            public void lost() {
+            public void onLost() {
                 // The winner stays unset.
             }
         });
         race[0].tick(began);
-        while (!race[0].over()) {
+        while (!race[0].isFinished()) {
             double tick = now[0] + 0.005;
-            while (!queue.isEmpty() && queue.peek().at <= tick && !race[0].over()) {
+            while (!queue.isEmpty() && queue.peek().at <= tick && !race[0].isFinished()) {
                 Due due = queue.poll();
                 now[0] = due.at;
                 due.what.run();
             }
-            if (!race[0].over()) {
+            if (!race[0].isFinished()) {
                 now[0] = tick;
                 race[0].tick(tick);
             }
@@ -216,7 +216,7 @@
         if (winner[0] == null) {
             return Double.NaN;
         }
-        book.served(winner[0], now[0]);
+        book.onDataReceived(winner[0], now[0]);
         return now[0] - began;
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
@@ -465,7 +465,7 @@
             }
             String news = events + "]}}";
             double began = StandinSearchers.clock();
-            view.apply(EtcdJson.answer(news).entries());
+            view.apply(EtcdJson.parseResponse(news).keyValues());
             double resumed = StandinSearchers.clock() - began;
             double anew = rebuild(view, pages);
             double naiveKb = pages.stream().mapToInt(String::length).sum() / 1e3;
@@ -519,10 +519,10 @@
 
     private static double rebuild(RegistryView view, List<String> pages) {
         double began = StandinSearchers.clock();
-        view.begin();
+        view.beginRebuild();
         for (String page : pages) {
-            RegistryResponse answer = EtcdJson.answer(page);
-            view.page(answer.revision(), answer.entries());
+            RegistryResponse answer = EtcdJson.parseResponse(page);
+            view.addPage(answer.revision(), answer.keyValues());
         }
         view.commit(false);
         return StandinSearchers.clock() - began;
