--- a/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
@@ -10,14 +10,14 @@
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.registry.KeptCodec;
-import pinewick.registry.KeptFiles;
 import pinewick.registry.LeaseKeeper;
 import pinewick.registry.MixerCount;
-import pinewick.registry.RegistrySession;
+import pinewick.registry.PrefixWatcher;
 import pinewick.registry.RegistryView;
-import pinewick.registry.Step;
-import pinewick.registry.Store;
+import pinewick.registry.SearcherRecord;
+import pinewick.registry.SnapshotCodec;
+import pinewick.registry.SnapshotFiles;
+import pinewick.registry.ViewUpdate;
 import pinewick.wire.LeaseWire;
 import pinewick.wire.ListText;
 import pinewick.wire.RegistryCalls;
@@ -32,9 +32,9 @@
     private final OperatorFile.Registry given;
     private final BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> news;
     private final RegistryView view;
-    private final RegistrySession session;
+    private final PrefixWatcher session;
     private final RegistryWire wire;
-    private final KeptFiles files;
+    private final SnapshotFiles files;
     private final double startedAt;
     private final Members members;
 
@@ -59,41 +59,41 @@
                 given.prefix(),
                 this::taken,
                 text -> log.say(Log.Level.WARNING, "registry", text, "revision", Long.toString(view.revision())));
-        RegistrySession.Terms usual =
-                RegistrySession.Terms.usual(given.endpoints().size());
-        RegistrySession.Terms terms = new RegistrySession.Terms(
-                usual.endpoints(),
+        PrefixWatcher.Settings usual =
+                PrefixWatcher.Settings.defaults(given.endpoints().size());
+        PrefixWatcher.Settings terms = new PrefixWatcher.Settings(
+                usual.endpointCount(),
                 given.pageKeys(),
                 given.answer(),
                 given.probeEvery(),
-                usual.probeAnswer(),
-                usual.owed(),
-                usual.waitLeast(),
-                usual.waitMost(),
+                usual.probeTimeoutSeconds(),
+                usual.maxWatchLagSeconds(),
+                usual.minBackoffSeconds(),
+                usual.maxBackoffSeconds(),
                 given.believe());
-        session = new RegistrySession(given.prefix(), view, terms, wire, chance.split());
+        session = new PrefixWatcher(given.prefix(), view, terms, wire, chance.split());
         members = given.mixersPrefix() == null ? null : new Members(calls, terms, orders, chance, mixers);
         files = given.kept() == null
                 ? null
-                : new KeptFiles(given.kept(), text -> log.say(Log.Level.WARNING, "registry", text));
+                : new SnapshotFiles(given.kept(), text -> log.say(Log.Level.WARNING, "registry", text));
         startedAt = loop.now();
     }
 
     /** Serves from the kept copy, marked old, until the registry tells more. */
     void start() {
-        KeptCodec.Kept kept = files == null ? null : files.read();
+        SnapshotCodec.Snapshot kept = files == null ? null : files.readLatest();
         if (kept != null) {
-            KeptCodec.into(kept, view);
+            SnapshotCodec.restore(kept, view);
             log.say(
                     Log.Level.INFO,
                     "registry",
-                    "registry: " + view.stores().size() + " searchers from the kept copy at " + "revision "
+                    "registry: " + view.searchers().size() + " searchers from the kept copy at " + "revision "
                             + view.revision(),
                     "searchers",
-                    Integer.toString(view.stores().size()),
+                    Integer.toString(view.searchers().size()),
                     "revision",
                     Long.toString(view.revision()));
-            news.accept(piece(view.stores(), true), SchedulerHost.ListUpdateKind.CACHED);
+            news.accept(piece(view.searchers(), true), SchedulerHost.ListUpdateKind.CACHED);
         }
         wire.follow(session);
         if (members != null) {
@@ -117,18 +117,18 @@
      * for the registry's newest. Harm: with the registry down a restart takes that much longer.
      */
     boolean mayServe() {
-        return view.revision() > 0 && (session.caughtUp() || loop.now() - startedAt >= given.firstContact());
+        return view.revision() > 0 && (session.isCaughtUp() || loop.now() - startedAt >= given.firstContact());
     }
 
     String figures() {
         return (members == null ? "" : members.figures())
-                + session.figures().replaceAll("(?m)^", "registry-").replaceAll("registry-$", "");
+                + session.metrics().replaceAll("(?m)^", "registry-").replaceAll("registry-$", "");
     }
 
     /** This mixer's own key, and the count of all. */
     private final class Members {
         private final RegistryView shown = new RegistryView(given.mixersPrefix());
-        private final RegistrySession follower;
+        private final PrefixWatcher follower;
         private final RegistryWire followerWire;
         private final LeaseKeeper keeper;
         private final LeaseWire keeperWire;
@@ -138,7 +138,7 @@
 
         Members(
                 RegistryCalls calls,
-                RegistrySession.Terms terms,
+                PrefixWatcher.Settings terms,
                 StartOrders orders,
                 SplittableRandom chance,
                 IntConsumer tell) {
@@ -149,7 +149,7 @@
                     given.mixersPrefix(),
                     step -> {},
                     text -> log.say(Log.Level.WARNING, "registry", "mixers' " + text));
-            follower = new RegistrySession(given.mixersPrefix(), shown, terms, followerWire, chance.split());
+            follower = new PrefixWatcher(given.mixersPrefix(), shown, terms, followerWire, chance.split());
             String address =
                     orders.listen().getHostString() + ':' + orders.listen().getPort();
             keeperWire = new LeaseWire(
@@ -157,7 +157,7 @@
                     calls,
                     given.mixersPrefix() + orders.name() + '@' + address,
                     "{\"addresses\":[\"" + address + "\"]}");
-            keeper = new LeaseKeeper(terms.endpoints(), given.lease(), given.answer(), keeperWire, chance.split());
+            keeper = new LeaseKeeper(terms.endpointCount(), given.lease(), given.answer(), keeperWire, chance.split());
             told = orders.deployment().routers();
             count = new MixerCount(told, loop.now(), given.lowerAfter());
         }
@@ -170,8 +170,8 @@
         void tick() {
             follower.tick(loop.now());
             keeper.tick(loop.now());
-            if (follower.caughtUp()) {
-                count.shown(loop.now(), shown.size());
+            if (follower.isCaughtUp()) {
+                count.observe(loop.now(), shown.size());
             }
             int now = count.count(loop.now());
             if (now != told) {
@@ -188,53 +188,53 @@
 
         String figures() {
             return "mixers-counted " + told + "\nmixers-shown " + shown.size() + "\nown-key-held "
-                    + (keeper.held(loop.now()) ? 1 : 0) + "\n";
+                    + (keeper.isHeld(loop.now()) ? 1 : 0) + "\n";
         }
     }
 
-    private void taken(Step step) {
-        step.wrong()
+    private void taken(ViewUpdate step) {
+        step.invalidValues()
                 .forEach(each -> log.say(
                         Log.Level.WARNING,
                         "registry",
                         "registry: " + each + "; its last good state holds",
                         "revision",
                         Long.toString(step.revision())));
-        Collection<Store> told = step.whole() ? view.stores() : step.changed();
-        if (step.whole() || !step.changed().isEmpty()) {
+        Collection<SearcherRecord> told = step.full() ? view.searchers() : step.changed();
+        if (step.full() || !step.changed().isEmpty()) {
             news.accept(
-                    piece(told, step.whole()),
-                    step.whole() ? SchedulerHost.ListUpdateKind.FULL : SchedulerHost.ListUpdateKind.INCREMENTAL);
+                    piece(told, step.full()),
+                    step.full() ? SchedulerHost.ListUpdateKind.FULL : SchedulerHost.ListUpdateKind.INCREMENTAL);
         }
-        if (step.whole()) {
+        if (step.full()) {
             log.say(
                     Log.Level.INFO,
                     "registry",
                     "registry: whole view at revision " + step.revision() + ", " + told.size() + " searchers, "
-                            + step.vanished() + " gone",
+                            + step.removedCount() + " gone",
                     "revision",
                     Long.toString(step.revision()),
                     "searchers",
                     Integer.toString(told.size()));
         }
         if (files != null) {
-            if (step.whole() || files.wantsWhole()) {
+            if (step.full() || files.needsSnapshot()) {
                 long revision = step.revision();
-                var entries = view.entries();
-                files.whole(() -> KeptCodec.whole(revision, entries));
+                var entries = view.keyValues();
+                files.writeSnapshot(() -> SnapshotCodec.encodeSnapshot(revision, entries));
             } else {
-                files.changes(KeptCodec.changes(step.revision(), step.events()));
+                files.appendChanges(SnapshotCodec.encodeChanges(step.revision(), step.events()));
             }
         }
     }
 
-    private ListText.Piece piece(Collection<Store> stores, boolean whole) {
+    private ListText.Piece piece(Collection<SearcherRecord> stores, boolean whole) {
         List<SchedulerHost.ReplicaEntry> listings = new ArrayList<>(stores.size());
         List<InetSocketAddress> addresses = new ArrayList<>(stores.size());
-        for (Store each : stores) {
+        for (SearcherRecord each : stores) {
             try {
                 addresses.add(ListText.address(each.addresses().get(0)));
-                listings.add(each.listing());
+                listings.add(each.toReplicaEntry());
             } catch (IllegalArgumentException odd) {
                 // Danger: passing it over would also pass over its drain, and new parts would go to the old address.
                 addresses.add(null);
@@ -242,10 +242,10 @@
                         each.id(),
                         each.cell(),
                         each.zone(),
-                        each.stage() == SchedulerHost.LifecycleState.READY
+                        each.state() == SchedulerHost.LifecycleState.READY
                                 ? SchedulerHost.LifecycleState.GONE
-                                : each.stage(),
-                        each.startedAt()));
+                                : each.state(),
+                        each.startedAtSeconds()));
                 log.say(
                         Log.Level.WARNING,
                         "registry",
--- a/query-mixer/daemon/src/main/java/pinewick/wire/RegistryCalls.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/RegistryCalls.java
@@ -13,7 +13,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import pinewick.loop.Loop;
-import pinewick.registry.HttpAnswer;
+import pinewick.registry.HttpResponseParser;
 
 /**
  * Questions to the members of a registry, each on a connection of its own or on one that stands unused; answers come as
@@ -62,7 +62,7 @@
         private final int endpoint;
         private final boolean stream;
         private final ByteBuffer request;
-        private HttpAnswer answer = new HttpAnswer(longestLine);
+        private HttpResponseParser answer = new HttpResponseParser(longestLine);
         private StreamConnection connection;
         private boolean reused;
         private boolean heard;
@@ -150,13 +150,13 @@
                     // What a line leads to may use the loop's buffer.
                     ByteBuffer mine = ByteBuffer.allocate(count).put(in.flip()).flip();
                     answer.feed(mine, this::line);
-                    if (answer.done() && !over) {
+                    if (answer.isDone() && !over) {
                         failed(stream ? "the watch ended" : "an empty answer");
                     }
                 }
             } catch (IOException broken) {
                 broke("broke: " + broken.getMessage());
-            } catch (HttpAnswer.TooLong large) {
+            } catch (HttpResponseParser.TooLargeException large) {
                 if (!over) {
                     end();
                     asker.tooLong();
@@ -183,7 +183,7 @@
         private void finished() {
             over = true;
             loop.later("keeping a connection", () -> {
-                if (answer.done() && answer.keepsConnection() && connection.isOpen() && !unused.containsKey(endpoint)) {
+                if (answer.isDone() && answer.isKeepAlive() && connection.isOpen() && !unused.containsKey(endpoint)) {
                     connection.getSourceChannel().suspendReads();
                     unused.put(endpoint, connection);
                 } else {
@@ -198,7 +198,7 @@
                 reused = false;
                 IoUtils.safeClose(connection);
                 request.rewind();
-                answer = new HttpAnswer(longestLine);
+                answer = new HttpResponseParser(longestLine);
                 dial();
             } else {
                 failed(why);
--- a/query-mixer/daemon/src/main/java/pinewick/wire/RegistryWire.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/RegistryWire.java
@@ -4,21 +4,22 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import pinewick.loop.Loop;
-import pinewick.registry.EtcdText;
-import pinewick.registry.RegistrySession;
-import pinewick.registry.Step;
+import pinewick.registry.EtcdJson;
+import pinewick.registry.PrefixWatcher;
+import pinewick.registry.ViewUpdate;
 
 /** Puts a session's questions to the registry and brings it the answers. */
-public final class RegistryWire implements RegistrySession.Wire {
+public final class RegistryWire implements PrefixWatcher.Transport {
     private final Loop loop;
     private final RegistryCalls calls;
     private final String prefix;
-    private final Consumer<Step> steps;
+    private final Consumer<ViewUpdate> steps;
     private final Consumer<String> log;
     private final Map<Long, Runnable> open = new LinkedHashMap<>();
-    private RegistrySession session;
+    private PrefixWatcher session;
 
-    public RegistryWire(Loop loop, RegistryCalls calls, String prefix, Consumer<Step> steps, Consumer<String> log) {
+    public RegistryWire(
+            Loop loop, RegistryCalls calls, String prefix, Consumer<ViewUpdate> steps, Consumer<String> log) {
         this.loop = loop;
         this.calls = calls;
         this.prefix = prefix;
@@ -26,29 +27,34 @@
         this.log = log;
     }
 
-    /** Starts to follow; {@link RegistrySession#tick} stays the caller's. */
-    public void follow(RegistrySession by) {
+    /** Starts to follow; {@link PrefixWatcher#tick} stays the caller's. */
+    public void follow(PrefixWatcher by) {
         session = by;
         session.start(loop.now());
     }
 
     @Override
-    public void read(long question, int endpoint, String from, long atRevision, int limit, boolean keysOnly) {
-        ask(question, endpoint, EtcdText.RANGE, EtcdText.read(from, prefix, atRevision, limit, keysOnly), false);
+    public void range(long question, int endpoint, String from, long atRevision, int limit, boolean keysOnly) {
+        ask(
+                question,
+                endpoint,
+                EtcdJson.RANGE_PATH,
+                EtcdJson.rangeRequest(from, prefix, atRevision, limit, keysOnly),
+                false);
     }
 
     @Override
     public void probe(long question, int endpoint) {
-        ask(question, endpoint, EtcdText.RANGE, EtcdText.probe(prefix), false);
+        ask(question, endpoint, EtcdJson.RANGE_PATH, EtcdJson.probeRequest(prefix), false);
     }
 
     @Override
     public void watch(long question, int endpoint, long fromRevision) {
-        ask(question, endpoint, EtcdText.WATCH, EtcdText.watch(prefix, fromRevision), true);
+        ask(question, endpoint, EtcdJson.WATCH_PATH, EtcdJson.watchRequest(prefix, fromRevision), true);
     }
 
     @Override
-    public void drop(long question) {
+    public void cancel(long question) {
         Runnable dropped = open.remove(question);
         if (dropped != null) {
             dropped.run();
@@ -56,12 +62,12 @@
     }
 
     @Override
-    public void step(Step step) {
+    public void onUpdate(ViewUpdate step) {
         steps.accept(step);
     }
 
     @Override
-    public void say(String text) {
+    public void log(String text) {
         log.accept("registry: " + text);
     }
 
@@ -72,19 +78,19 @@
                 if (!stream) {
                     open.remove(question);
                 }
-                session.answered(loop.now(), question, EtcdText.answer(text));
+                session.onResponse(loop.now(), question, EtcdJson.parseResponse(text));
             }
 
             @Override
             public void failed(String why) {
                 open.remove(question);
-                session.failed(loop.now(), question, why);
+                session.onFailure(loop.now(), question, why);
             }
 
             @Override
             public void tooLong() {
                 open.remove(question);
-                session.tooLong(loop.now(), question);
+                session.onResponseTooLarge(loop.now(), question);
             }
         }));
     }
--- a/testing/lab/src/main/java/pinewick/lab/AddressLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/AddressLab.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import pinewick.dial.Address;
-import pinewick.dial.AddressBook;
-import pinewick.dial.Race;
+import pinewick.dial.AddressHistory;
+import pinewick.dial.ConnectionRace;
 
 /**
  * In the simulator (virtual time, the very classes that decide): how long it takes to get a connection to a searcher of
@@ -58,7 +58,7 @@
         for (Case one : cases(chance)) {
             Histogram[] times = {new Histogram(3), new Histogram(3), new Histogram(3), new Histogram(3)};
             double[] first = new double[4];
-            AddressBook book = book(one);
+            AddressHistory book = book(one);
             int lost = 0;
             for (int each = 0; each < connects; each++) {
                 double now = each;
@@ -147,9 +147,9 @@
         return new Case(name, good, does);
     }
 
-    private static AddressBook book(Case one) {
-        AddressBook book = new AddressBook();
-        book.set(one.does.keySet().stream().map(Address::read).toList());
+    private static AddressHistory book(Case one) {
+        AddressHistory book = new AddressHistory();
+        book.setAddresses(one.does.keySet().stream().map(Address::parse).toList());
         return book;
     }
 
@@ -169,46 +169,46 @@
     private record Due(double at, Runnable what) {}
 
     /** One race in virtual time; the seconds until its winner came up, NaN where it was lost. */
-    private static double race(Case one, AddressBook book, double began) {
+    private static double race(Case one, AddressHistory book, double began) {
         double[] now = {began};
         Address[] winner = new Address[1];
         PriorityQueue<Due> queue = new PriorityQueue<>((left, right) -> Double.compare(left.at, right.at));
-        Race[] race = new Race[1];
-        race[0] = new Race(book, began, MOST, new Race.Wire() {
+        ConnectionRace[] race = new ConnectionRace[1];
+        race[0] = new ConnectionRace(book, began, MOST, new ConnectionRace.Transport() {
             @Override
-            public void open(Address address) {
+            public void connect(Address address) {
                 double does = one.does.get(address.toString()).applyAsDouble(began);
                 if (does >= 0) {
-                    queue.add(new Due(now[0] + does, () -> race[0].opened(now[0], address)));
+                    queue.add(new Due(now[0] + does, () -> race[0].onConnected(now[0], address)));
                 } else if (does < 0) {
-                    queue.add(new Due(now[0] - does, () -> race[0].failed(now[0], address)));
+                    queue.add(new Due(now[0] - does, () -> race[0].onConnectFailed(now[0], address)));
                 }
             }
 
             @Override
-            public void abandon(Address address) {
+            public void cancel(Address address) {
                 // Nothing is kept of it here.
             }
 
             @Override
-            public void won(Address address) {
+            public void onWon(Address address) {
                 winner[0] = address;
             }
 
             @Override
-            public void lost() {
+            public void onLost() {
                 // The winner stays unset.
             }
         });
         race[0].tick(began);
-        while (!race[0].over()) {
+        while (!race[0].isFinished()) {
             double tick = now[0] + 0.005;
-            while (!queue.isEmpty() && queue.peek().at <= tick && !race[0].over()) {
+            while (!queue.isEmpty() && queue.peek().at <= tick && !race[0].isFinished()) {
                 Due due = queue.poll();
                 now[0] = due.at;
                 due.what.run();
             }
-            if (!race[0].over()) {
+            if (!race[0].isFinished()) {
                 now[0] = tick;
                 race[0].tick(tick);
             }
@@ -216,7 +216,7 @@
         if (winner[0] == null) {
             return Double.NaN;
         }
-        book.served(winner[0], now[0]);
+        book.onDataReceived(winner[0], now[0]);
         return now[0] - began;
     }
 }
