--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Datagram.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 
 /**
- * Encodes and decodes the membership datagrams between mixers. A datagram never exceeds {@link #MAX_BYTES}, the
+ * Encodes and decodes the membership datagrams between routers. A datagram never exceeds {@link #MAX_BYTES}, the
  * platform's limit; numbers are big-endian.
  *
  * <pre>
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramEnvelope.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/DatagramEnvelope.java
@@ -4,7 +4,7 @@
 import java.util.zip.CRC32;
 
 /**
- * Frame that all datagrams between mixers share: a version in the first byte and, in the last four bytes, a CRC-32
+ * Frame that all datagrams between routers share: a version in the first byte and, in the last four bytes, a CRC-32
  * of all preceding bytes.
  */
 public final class DatagramEnvelope {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/LocalHealth.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/LocalHealth.java
@@ -1,13 +1,13 @@
 package pinewick.fleet;
 
 /**
- * Score of this mixer's own slowness, which may be the reason why others seem silent (Lifeguard, DSN 2018, section
- * IV-A). A worse score lengthens this mixer's own probes and changes nothing else, so that a healthy fleet is not
+ * Score of this router's own slowness, which may be the reason why others seem silent (Lifeguard, DSN 2018, section
+ * IV-A). A worse score lengthens this router's own probes and changes nothing else, so that a healthy fleet is not
  * slowed down. Has no clock of its own.
  */
 final class LocalHealth {
     private static final int MAX_SCORE = 8;
-    /** A gap between two checks of at least this many probe intervals means that this mixer itself was paused. */
+    /** A gap between two checks of at least this many probe intervals means that this router itself was paused. */
     private static final double PAUSE_THRESHOLD = 0.75;
 
     private final double probeIntervalSeconds;
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Checks for a pause of this mixer since the previous check; returns its length in seconds, 0 if there was
+     * Checks for a pause of this router since the previous check; returns its length in seconds, 0 if there was
      * none.
      */
     double checkForPause(double now) {
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Whether this mixer was paused less than one probe interval ago, so that missed datagrams may be its own
+     * Whether this router was paused less than one probe interval ago, so that missed datagrams may be its own
      * fault.
      */
     boolean wasRecentlyPaused(double now) {
@@ -54,7 +54,7 @@
         return score;
     }
 
-    /** Factor for the timeouts of this mixer's own probes. */
+    /** Factor for the timeouts of this router's own probes. */
     double timeoutMultiplier() {
         return 1 + score * 0.25;
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Member.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Member.java
@@ -1,7 +1,7 @@
 package pinewick.fleet;
 
 /**
- * State of one member in this mixer's view. {@link #merge} keeps the higher of two states by incarnation, then by
+ * State of one member in this router's view. {@link #merge} keeps the higher of two states by incarnation, then by
  * state, so that neither the order nor the repetition of updates matters.
  */
 final class Member {
@@ -26,7 +26,7 @@
 
     boolean countedAsLive;
     boolean countedAsSuspect;
-    /** Whether its view differed from this mixer's in its last datagram. */
+    /** Whether its view differed from this router's in its last datagram. */
     boolean hasDivergentView;
     /** Time at which the member became dead or left, in seconds; infinite while it is active. */
     double inactiveSince = Double.POSITIVE_INFINITY;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MemberState.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MemberState.java
@@ -7,7 +7,7 @@
  * restart.
  */
 public enum MemberState {
-    /** Listed, but not heard from since this mixer started. */
+    /** Listed, but not heard from since this router started. */
     UNHEARD,
     ALIVE,
     /** Does not answer probes; it has time to refute the suspicion. */
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipSettings.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipSettings.java
@@ -1,7 +1,7 @@
 package pinewick.fleet;
 
 /**
- * Settings of the membership view; times are in seconds. All mixers of a tier must have the same settings.
+ * Settings of the membership view; times are in seconds. All routers of a tier must have the same settings.
  *
  * @param probeIntervalSeconds time between two probes by a member; each such round has its own probe targets
  * @param pingRetrySeconds time after which an unanswered ping is sent again; after twice this time other members
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipView.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/MembershipView.java
@@ -15,6 +15,8 @@
  * ({@link FailureDetector}, {@link DatagramSender}). From Lifeguard (DSN 2018): local health, suspicion timeouts
  * that shrink with confirmations, and telling a suspect at once. docs/fleet-view.md describes the differences and
  * their reasons.
+ *
+ * <p>Settings and log lines call a router a mixer.
  */
 public final class MembershipView implements Datagram.Reader {
     /** Sends datagrams, which may be lost. */
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Probe.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Probe.java
@@ -26,7 +26,7 @@
     /** Indexes of the members that probed the target indirectly without an answer. */
     final List<Integer> failedHelpers = new ArrayList<>();
 
-    /** @param timeoutMultiplier factor for the timeouts, from this mixer's local health */
+    /** @param timeoutMultiplier factor for the timeouts, from this router's local health */
     Probe(int target, int number, double now, MembershipSettings settings, double timeoutMultiplier) {
         this.target = target;
         this.number = number;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/Suspicion.java
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Seconds until a suspect is to be declared dead; 0 or less once it is due. Danger: gossip about a silence
-     * that is older than the last datagram from the member itself must not declare it dead. Harm: where the
-     * members hold different times, a death is declared some milliseconds late.
+     * Seconds until a suspect is to be declared dead; 0 or less once it is due. The silence starts no earlier than
+     * the last datagram from the member itself. Without this, gossip about an older silence could declare it dead;
+     * the cost is that a death is declared some milliseconds late where the members hold different times.
      */
     double remainingSeconds(double now, Member suspect, int activeCount) {
         double silentSince = Math.max(suspect.silentSince, suspect.lastHeardAt);
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/Fact.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/Fact.java
@@ -1,11 +1,11 @@
 package pinewick.fleet.state;
 
 /**
- * The latest statement of one mixer about one searcher, of one kind: a last-writer-wins register. Of two facts of
+ * The latest statement of one router about one replica, of one kind: a last-writer-wins register. Of two facts of
  * one origin the one with the later stamp takes precedence, so merging is independent of order and repetition.
  *
- * @param key the searcher, derived from its id by {@link #key}
- * @param origin index of the mixer that observed it
+ * @param key the replica, derived from its id by {@link #key}
+ * @param origin index of the router that observed it
  * @param stamp milliseconds since 1970 on the clock of the origin, and higher than all of its stamps that it ever
  *     received: serves as incarnation and counter in one, as each start begins at the clock
  * @param value figure of the kind; 0 to 10^6
@@ -16,7 +16,7 @@
     private static final double STEPS_PER_DOUBLING = 1600; // 2 bytes cover a millionth to a million
 
     /**
-     * Hashes the id of a searcher to four bytes. Facts of two ids with the same key cannot be told apart; the
+     * Hashes the id of a replica to four bytes. Facts of two ids with the same key cannot be told apart; the
      * caller must exclude both ids.
      */
     public static int key(String id) {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactAggregator.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactAggregator.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * Aggregates the facts of several mixers. Each figure is a median over origins, weighted by age, so that one wrong
- * origin, however far off, moves it no further than to the next honest value; a warning needs two origins. Danger:
- * replicated facts may be late, wrong or from a mixer that sees a different network; so the result may only make a
- * mixer more careful than its own observations, never less ({@link #worseOf}). Harm: with fewer than three origins
- * one wrong origin can make a searcher look bad to mixers that have no observation of it, which reduces their
- * choice but breaks no rule.
+ * Aggregates the facts of several routers. Each figure is a median over origins, weighted by age, so that one wrong
+ * origin, however far off, moves it no further than to the next honest value; a warning needs two origins.
+ * Replicated facts may be late, wrong or from a router that sees a different network; so the result may only make a
+ * router more careful than its own observations, never less ({@link #worseOf}). The cost is that with fewer than
+ * three origins one wrong origin can make a replica look bad to routers that have no observation of it, which
+ * reduces their choice but breaks no rule.
  */
 public final class FactAggregator {
     /** Seconds in which the weight of a fact halves. */
@@ -24,30 +24,30 @@
         this.store = store;
     }
 
-    /** Latency that other mixers observe, in seconds; NaN if none is known. */
+    /** Latency that other routers observe, in seconds; NaN if none is known. */
     public double latencySeconds(int key, int self, double now) {
         return median(key, FactKind.LATENCY, self, now, false);
     }
 
-    /** Queue length that was reported to other mixers; NaN if none is known. */
+    /** Queue length that was reported to other routers; NaN if none is known. */
     public double queueLength(int key, int self, double now) {
         return median(key, FactKind.LATENCY, self, now, true);
     }
 
     /**
-     * Returns the figure to use for a searcher: the worse of this mixer's own and the others', or the only one
+     * Returns the figure to use for a replica: the worse of this router's own and the others', or the only one
      * that is known.
      */
     public static double worseOf(double own, double others) {
         return Double.isNaN(own) ? others : Double.isNaN(others) ? own : Math.max(own, others);
     }
 
-    /** Whether at least two other mixers recently saw the searcher fail, after the given time. */
+    /** Whether at least two other routers recently saw the replica fail, after the given time. */
     public boolean isUnhealthy(int key, int self, double now, double since) {
         return isReported(key, FactKind.UNHEALTHY, self, now, since);
     }
 
-    /** Whether at least two other mixers saw the searcher drain or disappear, after the given time. */
+    /** Whether at least two other routers saw the replica drain or disappear, after the given time. */
     public boolean isLeaving(int key, int self, double now, double since) {
         return isReported(key, FactKind.LEAVING, self, now, since);
     }
@@ -65,7 +65,7 @@
         return origins >= MIN_WARNING_ORIGINS;
     }
 
-    /** Work in seconds that other mixers sent to a cold searcher, as far as known: a lower bound. */
+    /** Work in seconds that other routers sent to a cold replica, as far as known: a lower bound. */
     public double coldWorkSeconds(int key, int self, double now) {
         double totalSeconds = 0;
         for (Fact each : store.of(key, FactKind.COLD_WORK)) {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactDatagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactDatagram.java
@@ -13,9 +13,9 @@
  * <pre>
  * byte  version, 0xF2
  * byte  type: 0 facts, 1 checksums (requests what differs), 2 facts, the last part of an answer to checksums,
- *       3 searchers whose key range differs, 4 searchers requested
+ *       3 replicas whose key range differs, 4 replicas requested
  * byte  number of items
- *   facts, 17 bytes each: kind 1, key 4, origin 2, stamp 6, values 2 and 2; checksums, 4 bytes each; searchers, key 4
+ *   facts, 17 bytes each: kind 1, key 4, origin 2, stamp 6, values 2 and 2; checksums, 4 bytes each; replicas, key 4
  *       and checksum 4; or requested keys, 4 bytes each
  * 4     CRC-32 of all preceding bytes
  * </pre>
@@ -40,17 +40,17 @@
         /** Checksums of the sender's key ranges; it requests what differs. */
         void onChecksums(int[] checksums);
 
-        /** Keys of searchers in differing ranges, with their checksums at the sender. */
+        /** Keys of replicas in differing ranges, with their checksums at the sender. */
         void onSearchers(int[] keys, int[] checksums);
 
-        /** The sender requests all facts about these searchers. */
+        /** The sender requests all facts about these replicas. */
         void onKeysRequested(int[] keys);
 
-        /** The sender has completed its answer to this mixer's checksums. */
+        /** The sender has completed its answer to this router's checksums. */
         void onAnswerComplete();
     }
 
-    /** Maximum number of searchers in one datagram with their checksums, and maximum number of keys alone. */
+    /** Maximum number of replicas in one datagram with their checksums, and maximum number of keys alone. */
     static final int MAX_SEARCHERS = (Datagram.MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / 8;
 
     static final int MAX_KEYS = (Datagram.MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / 4;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicationSettings.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicationSettings.java
@@ -27,7 +27,7 @@
         int sufficientReports,
         double reportFreshSeconds,
         double similarityTolerance) {
-    /** Defaults; the same for all mixers. */
+    /** Defaults; the same for all routers. */
     public static FactReplicationSettings defaults() {
         return new FactReplicationSettings(0.1, 1500, 16_000, 4, 1, 0.3, 1.5, 3, 30, 0.25);
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
@@ -11,10 +11,13 @@
 import java.util.function.IntPredicate;
 
 /**
- * Replicates facts about searchers among the mixers. Local observations are gossiped, received facts are merged
- * and forwarded, copies are compared by checksums over key ranges (anti-entropy), and a restarted mixer pulls what
+ * Replicates facts about replicas among the routers. Local observations are gossiped, received facts are merged
+ * and forwarded, copies are compared by checksums over key ranges (anti-entropy), and a restarted router pulls what
  * it lacks at a bounded rate. Does no I/O and has no clock; the same events produce the same datagrams. Times are
- * seconds on the clock that all mixers share.
+ * seconds on the clock that all routers share.
+ *
+ * <p>A replica is a back end that answers queries; it holds no facts. Settings and log lines call a router a
+ * mixer and a replica a searcher; some names in this package say searcher as well.
  */
 public final class FactReplicator implements FactDatagram.Reader {
     /** Sends datagrams, which may be lost. */
@@ -26,10 +29,10 @@
     private static final double CHANGED_RATE_FACTOR = 8; // how much more often a changed latency is published
     private static final int UNHEALTHY_FAILURES =
             2; // consecutive failures before a warning: a single one is often a lost answer
-    private static final int MAX_CATCH_UP_COMPARISONS = 40; // after which a restarted mixer goes on without an answer
+    private static final int MAX_CATCH_UP_COMPARISONS = 40; // after which a restarted router goes on without an answer
     private static final int MAX_ANSWER_DATAGRAMS = 12; // per comparison
     private static final int REQUIRED_MATCHES =
-            2; // comparisons without a difference in a row before a mixer counts as caught up
+            2; // comparisons without a difference in a row before a router counts as caught up
 
     private final FactStore store = new FactStore();
     private final FactAggregator aggregator = new FactAggregator(store);
@@ -47,11 +50,11 @@
     private final ArrayDeque<Fact> warningsToResend = new ArrayDeque<>();
 
     private final ArrayDeque<Double> resendTimes = new ArrayDeque<>();
-    /** By searcher: time of the last local observation, and smoothed interval between observations. */
+    /** By replica: time of the last local observation, and smoothed interval between observations. */
     private final Map<Integer, double[]> observations = new HashMap<>();
-    /** Searchers that this mixer reported as unhealthy. */
+    /** Replicas that this router reported as unhealthy. */
     private final Set<Integer> reportedUnhealthy = new HashSet<>();
-    /** Member whose answer to checksums is awaited, -1 if none; and whether that answer named differing searchers. */
+    /** Member whose answer to checksums is awaited, -1 if none; and whether that answer named differing replicas. */
     private int awaitedPeer = -1;
 
     private boolean answerDiffered;
@@ -89,17 +92,17 @@
         this.isActive = isActive;
     }
 
-    /** All facts that this mixer holds. */
+    /** All facts that this router holds. */
     public FactStore store() {
         return store;
     }
 
-    /** Figures of searchers as other mixers report them. */
+    /** Figures of replicas as other routers report them. */
     public FactAggregator aggregator() {
         return aggregator;
     }
 
-    /** Starts replication; the facts of the other mixers are pulled first, while this mixer already serves. */
+    /** Starts replication; the facts of the other routers are pulled first, while this router already serves. */
     public void start(double nowSeconds) {
         now = nowSeconds;
         startedAt = nowSeconds;
@@ -113,8 +116,8 @@
     }
 
     /**
-     * Records a local observation. A latency that enough other mixers recently reported alike is not published, so
-     * that the replication load does not grow with the number of mixers.
+     * Records a local observation. A latency that enough other routers recently reported alike is not published, so
+     * that the replication load does not grow with the number of routers.
      *
      * @return whether the observation is published
      */
@@ -131,7 +134,7 @@
     }
 
     /**
-     * Records an answer or failure of a searcher; consecutive failures raise a warning, which the next success
+     * Records an answer or failure of a replica; consecutive failures raise a warning, which the next success
      * withdraws.
      */
     public void recordWork(double nowSeconds, int key, double latencySeconds, double queueLength, int failures) {
@@ -144,7 +147,7 @@
     }
 
     /**
-     * Enqueues a fact for forwarding. A warning is sent twice: if each of a hundred mixers forwards it once to
+     * Enqueues a fact for forwarding. A warning is sent twice: if each of a hundred routers forwards it once to
      * four random others, three would miss it.
      */
     private void enqueue(Fact fact) {
@@ -158,8 +161,8 @@
     }
 
     /**
-     * Whether a latency is published: only if too few mixers reported a similar one recently, and then at random,
-     * since otherwise all mixers that observe the searcher would publish at once. The probability is chosen so
+     * Whether a latency is published: only if too few routers reported a similar one recently, and then at random,
+     * since otherwise all routers that observe the replica would publish at once. The probability is chosen so
      * that about the required number of observers publish; it is eight times as high if the others report a
      * different latency, as that is new information.
      */
@@ -227,8 +230,8 @@
                 send(randomActivePeer(), datagram);
             }
         }
-        // Danger: during a flood of facts the queue would grow without bound. The dropped facts are still
-        // replicated by comparison.
+        // Without this limit, the queue would grow without bound during a flood of facts. The dropped facts are
+        // still replicated by comparison.
         while (queue.size() > 4 * FactDatagram.MAX_FACTS) {
             queue.poll();
             droppedFacts++;
@@ -259,14 +262,14 @@
 
     @Override
     public void onFact(Fact fact) {
-        // Danger: a fact with a stamp far in the future would take precedence for good, and under this mixer's own
-        // origin would make all members reject its later facts. Harm: if clocks differ by more than a second,
-        // facts are not accepted.
+        // Without this check, a fact with a stamp far in the future would take precedence for good, and under this
+        // router's own origin would make all members reject its later facts; the cost is that facts are not
+        // accepted if clocks differ by more than a second.
         if (FactStore.isExpired(fact, now) || fact.ageSeconds(now) < -1) {
             return;
         }
         if (fact.origin() == self) {
-            // A fact of this mixer from before its restart, possibly with a clock that was ahead: later facts need
+            // A fact of this router from before its restart, possibly with a clock that was ahead: later facts need
             // a newer stamp.
             stamp = Math.max(stamp, fact.stamp());
         }
@@ -282,7 +285,7 @@
 
     /**
      * Answers a comparison. For a key range that is empty at the sender, sends the facts; for any other differing
-     * range, sends the searchers with their checksums, so that only differences are transferred.
+     * range, sends the replicas with their checksums, so that only differences are transferred.
      */
     @Override
     public void onChecksums(int[] others) {
@@ -309,7 +312,8 @@
             remaining--;
         }
         remaining = Math.max(1, remaining);
-        // Danger: two restarted mixers without facts would tell each other that there is nothing to catch up with.
+        // Without this condition, two restarted routers without facts would tell each other that there is nothing
+        // to catch up with.
         boolean hasCaughtUp = !Double.isNaN(caughtUpAt);
         for (int at = 0; (at == 0 || at < facts.size()) && remaining > 0 && hasBudget(); at += FactDatagram.MAX_FACTS) {
             int end = Math.min(facts.size(), at + FactDatagram.MAX_FACTS);
@@ -321,7 +325,7 @@
     }
 
     /**
-     * Whether the byte budget allows an answer, so that seventy mixers that restart at once share the capacity of
+     * Whether the byte budget allows an answer, so that seventy routers that restart at once share the capacity of
      * the others.
      */
     private boolean hasBudget() {
@@ -406,7 +410,7 @@
         return found;
     }
 
-    /** Seconds from the start until this mixer had caught up; NaN before that. */
+    /** Seconds from the start until this router had caught up; NaN before that. */
     public double catchUpSeconds() {
         return caughtUpAt - startedAt;
     }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactSnapshotFormat.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactSnapshotFormat.java
@@ -6,12 +6,12 @@
 import java.util.zip.CRC32;
 
 /**
- * Binary format of a snapshot of the facts of one mixer; does no I/O. A snapshot is used only if all of it is
- * valid: each record and the whole snapshot have a checksum, and it names its mixer and the time of writing.
+ * Binary format of a snapshot of the facts of one router; does no I/O. A snapshot is used only if all of it is
+ * valid: each record and the whole snapshot have a checksum, and it names its router and the time of writing.
  *
  * <pre>
  * 4  "PWF1"
- * 2  index of the mixer, 2 number of listed mixers
+ * 2  index of the router, 2 number of listed routers
  * 8  milliseconds since 1970
  * 4  number of records; each 17 bytes of a fact as in {@link FactDatagram} and their CRC-32
  * 4  CRC-32 of all preceding bytes
@@ -30,7 +30,7 @@
 
     private FactSnapshotFormat() {}
 
-    /** Encodes the facts of a mixer; {@code now} is seconds since 1970. */
+    /** Encodes the facts of a router; {@code now} is seconds since 1970. */
     public static byte[] write(int self, int size, double now, List<Fact> facts) {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + facts.size() * RECORD_BYTES + 4);
         out.putInt(MAGIC)
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactStore.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactStore.java
@@ -11,14 +11,14 @@
 import java.util.TreeMap;
 
 /**
- * All facts that a mixer holds: for each searcher and kind the newest facts of at most {@link #MAX_ORIGINS}
+ * All facts that a router holds: for each replica and kind the newest facts of at most {@link #MAX_ORIGINS}
  * origins. A state-based replicated map (CRDT): a merge keeps the newest fact of each origin, and of those the
  * newest origins. This is commutative, associative and idempotent, as a fact once evicted is older than so many
- * others that it never counts again. So memory is bounded by the number of searchers and independent of the number
- * of mixers. Does no I/O and has no clock.
+ * others that it never counts again. So memory is bounded by the number of replicas and independent of the number
+ * of routers. Does no I/O and has no clock.
  */
 public final class FactStore {
-    /** Origins kept for each searcher and kind: enough for a median that one wrong origin cannot shift. */
+    /** Origins kept for each replica and kind: enough for a median that one wrong origin cannot shift. */
     public static final int MAX_ORIGINS = 3;
     /** Number of key ranges that have a checksum each. */
     static final int RANGES = 32;
@@ -27,7 +27,7 @@
     private static final Comparator<Fact> NEWEST_FIRST =
             Comparator.comparingLong(Fact::stamp).thenComparing(Fact::origin).reversed();
 
-    /** The facts of one searcher: one list per kind, the newest first. */
+    /** The facts of one replica: one list per kind, the newest first. */
     private static final class SearcherFacts {
         final List<List<Fact>> kinds = new ArrayList<>();
         int checksum;
@@ -100,13 +100,13 @@
         return key >>> 27;
     }
 
-    /** Facts about a searcher of a kind, the newest first; empty if there are none. */
+    /** Facts about a replica of a kind, the newest first; empty if there are none. */
     public List<Fact> of(int key, FactKind kind) {
         SearcherFacts kept = keys.get(key);
         return kept == null ? List.of() : kept.kinds.get(kind.ordinal());
     }
 
-    /** Keys of the searchers in a key range, each with the checksum of its facts. */
+    /** Keys of the replicas in a key range, each with the checksum of its facts. */
     public SortedMap<Integer, Integer> keyChecksums(int range) {
         SortedMap<Integer, Integer> found = new TreeMap<>();
         keys.forEach((key, kept) -> {
@@ -117,13 +117,13 @@
         return found;
     }
 
-    /** Checksum of the facts about a searcher; 0 if there are none. */
+    /** Checksum of the facts about a replica; 0 if there are none. */
     public int checksum(int key) {
         SearcherFacts kept = keys.get(key);
         return kept == null ? 0 : kept.checksum;
     }
 
-    /** All facts about a searcher; empty if there are none. */
+    /** All facts about a replica; empty if there are none. */
     public List<Fact> of(int key) {
         List<Fact> all = new ArrayList<>();
         SearcherFacts kept = keys.get(key);
