--- a/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
@@ -14,15 +14,15 @@
 import pinewick.memory.Counters;
 import pinewick.memory.OpenQueries;
 import pinewick.memory.Searchers;
+import pinewick.protocol.ClientDoor;
+import pinewick.protocol.ListText;
+import pinewick.protocol.SearcherLink;
 import pinewick.stages.Admit;
 import pinewick.stages.Book;
 import pinewick.stages.Relay;
 import pinewick.stages.Route;
 import pinewick.stages.Send;
 import pinewick.stages.TakeIn;
-import pinewick.wire.ClientDoor;
-import pinewick.wire.ListText;
-import pinewick.wire.SearcherLink;
 
 /** The stages of one mixer, put together, with what they keep. */
 final class Chain {
--- a/query-mixer/daemon/src/main/java/pinewick/life/FleetLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/FleetLife.java
@@ -10,7 +10,7 @@
 import pinewick.fleet.state.FactDatagram;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.wire.PeerSocket;
+import pinewick.protocol.PeerSocket;
 
 /** The view of the other mixers, put together with its socket and the loop's clock for one mixer. */
 final class FleetLife {
--- a/query-mixer/daemon/src/main/java/pinewick/life/OperatorFile.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/OperatorFile.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import pinewick.fleet.MembershipSettings;
 import pinewick.loop.Log;
-import pinewick.wire.ListText;
+import pinewick.protocol.ListText;
 
 /**
  * The operator's own file: what the platform's configuration does not tell. JSON, described by
--- a/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
@@ -10,6 +10,10 @@
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
+import pinewick.protocol.LeaseWire;
+import pinewick.protocol.ListText;
+import pinewick.protocol.RegistryCalls;
+import pinewick.protocol.RegistryWire;
 import pinewick.registry.KeptCodec;
 import pinewick.registry.KeptFiles;
 import pinewick.registry.LeaseKeeper;
@@ -18,10 +22,6 @@
 import pinewick.registry.RegistryView;
 import pinewick.registry.Step;
 import pinewick.registry.Store;
-import pinewick.wire.LeaseWire;
-import pinewick.wire.ListText;
-import pinewick.wire.RegistryCalls;
-import pinewick.wire.RegistryWire;
 
 /** The list of searchers from a registry: view, session, wire and kept copy put together for one mixer. */
 final class RegistryList {
--- a/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
@@ -14,9 +14,9 @@
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.wire.ListText;
-import pinewick.wire.PretendSearcher;
-import pinewick.wire.SearcherLink;
+import pinewick.protocol.ListText;
+import pinewick.protocol.PretendSearcher;
+import pinewick.protocol.SearcherLink;
 
 /**
  * Queries played through a chain of their own before the mixer is ready, so that the first real ones find all
--- a/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
@@ -17,8 +17,8 @@
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.wire.ListWatch;
-import pinewick.wire.SearcherLink;
+import pinewick.protocol.ListWatch;
+import pinewick.protocol.SearcherLink;
 
 /** One mixer from its start to its end: rehearses, opens the door, follows the list, leaves in order. */
 final class Serve {
--- a/query-mixer/daemon/src/main/java/pinewick/life/Serving.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Serving.java
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
-import pinewick.benchlink.Benchlink;
 import pinewick.loop.Log;
+import pinewick.simulator.Benchlink;
 import sun.misc.Signal;
 
 /** What the sub-commands do. */
--- a/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
@@ -14,7 +14,7 @@
 import pinewick.core.DeploymentParser;
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
-import pinewick.wire.ListText;
+import pinewick.protocol.ListText;
 
 /** What a mixer is told before it starts: the environment and the file that it names. */
 record StartOrders(
--- a/query-mixer/daemon/src/main/java/pinewick/wire/AnswerFrame.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/AnswerFrame.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ClientDoor.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ListFreshness.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ListFreshness.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 /**
  * Decides when the list in hand is doubted, and what is asked of the agent next. No I/O and no clock: events and times
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ListText.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ListText.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ListWatch.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ListWatch.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 import io.undertow.client.ClientCallback;
 import io.undertow.client.ClientConnection;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/OwedAnswers.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/OwedAnswers.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/PeerSocket.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/PeerSocket.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/QueryText.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/QueryText.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 import com.google.gson.stream.JsonReader;
 import com.google.gson.stream.JsonToken;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/RegistryWire.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryWire.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/query-mixer/daemon/src/main/java/pinewick/benchlink/Benchlink.java
+++ b/query-mixer/daemon/src/main/java/pinewick/simulator/Benchlink.java
@@ -1,4 +1,4 @@
-package pinewick.benchlink;
+package pinewick.simulator;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
--- a/query-mixer/daemon/src/main/java/pinewick/benchlink/Fields.java
+++ b/query-mixer/daemon/src/main/java/pinewick/simulator/Fields.java
@@ -1,4 +1,4 @@
-package pinewick.benchlink;
+package pinewick.simulator;
 
 /** One line of the wire: its verb and its name=value pairs, found in place. */
 final class Fields {
--- a/query-mixer/daemon/src/main/java/pinewick/benchlink/Mixer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/simulator/Mixer.java
@@ -1,4 +1,4 @@
-package pinewick.benchlink;
+package pinewick.simulator;
 
 import java.io.IOException;
 import java.io.Writer;
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
@@ -10,7 +10,7 @@
 import pinewick.memory.OpenQueries;
 import pinewick.memory.OpenQuery;
 import pinewick.memory.Searchers;
-import pinewick.wire.SearcherLink;
+import pinewick.protocol.SearcherLink;
 
 /** Last stage: books how launches, probes and queries ended, and tells the decisions. */
 public final class Book implements SearcherLink.Events {
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
@@ -7,7 +7,7 @@
 import pinewick.memory.LiveLaunch;
 import pinewick.memory.OpenQueries;
 import pinewick.memory.OpenQuery;
-import pinewick.wire.QueryText;
+import pinewick.protocol.QueryText;
 
 /** Fifth stage: the one final answer to a client, and nothing sent for the query after it. */
 public final class Relay {
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
@@ -15,7 +15,7 @@
 import pinewick.memory.LiveLaunch;
 import pinewick.memory.OpenQuery;
 import pinewick.memory.Searchers;
-import pinewick.wire.SearcherLink;
+import pinewick.protocol.SearcherLink;
 
 /** Fourth stage: what one batch launches to a searcher goes out together, over a connection with a place. */
 public final class Send {
--- a/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
@@ -11,8 +11,8 @@
 import pinewick.loop.Pressure;
 import pinewick.memory.Counters;
 import pinewick.memory.OpenQuery;
-import pinewick.wire.ClientDoor;
-import pinewick.wire.QueryText;
+import pinewick.protocol.ClientDoor;
+import pinewick.protocol.QueryText;
 
 /** First stage: makes an open query of a client's request, or says what is wrong with that. */
 public final class TakeIn implements ClientDoor.Taker {
--- a/query-mixer/daemon/src/test/java/pinewick/life/LaunchCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/life/LaunchCrossingTest.java
@@ -36,8 +36,8 @@
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.wire.ListText;
-import pinewick.wire.SearcherLink;
+import pinewick.protocol.ListText;
+import pinewick.protocol.SearcherLink;
 
 /** The stages of one mixer between real sockets, with a gate at the end of each batch, before its launches go out. */
 @Timeout(30)
--- a/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/SearcherLinkTest.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
