--- a/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Chain.java
@@ -6,17 +6,17 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import pinewick.core.SchedulerHost;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
+import pinewick.loop.LoadShedder;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
-import pinewick.loop.Pressure;
 import pinewick.memory.Carrier;
 import pinewick.memory.Counters;
 import pinewick.memory.OpenQueries;
 import pinewick.memory.Searchers;
-import pinewick.protocol.ClientDoor;
-import pinewick.protocol.ListText;
-import pinewick.protocol.SearcherLink;
+import pinewick.protocol.ClientListener;
+import pinewick.protocol.ReplicaListJson;
+import pinewick.protocol.TcpReplicaConnection;
 import pinewick.stages.Admit;
 import pinewick.stages.Book;
 import pinewick.stages.Relay;
@@ -29,9 +29,9 @@
     final Counters counters = new Counters();
     final OpenQueries queries = new OpenQueries();
     final Searchers searchers = new Searchers();
-    final ClientDoor door;
+    final ClientListener door;
     final Route route;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Send send;
     private Supplier<String> others = () -> "";
     private Consumer<List<SchedulerHost.ReplicaEntry>> alsoListed = any -> {};
@@ -40,12 +40,12 @@
             SchedulerHost.Deployment given,
             Limits limits,
             long seed,
-            Loop loop,
+            EventLoop loop,
             Log log,
             ByteBufferPool buffers,
-            Consumer<SearcherLink> dialer) {
+            Consumer<TcpReplicaConnection> dialer) {
         this.loop = loop;
-        door = new ClientDoor(loop, limits, buffers, this::figures);
+        door = new ClientListener(loop, limits, buffers, this::figures);
         send = new Send(given, loop, limits, counters, searchers, dialer);
         Relay relay = new Relay(loop, queries, counters, send);
         Book book = new Book(loop, log, queries, counters, searchers, send, relay);
@@ -61,30 +61,32 @@
                 .mapToDouble(SchedulerHost.ServiceClassConfig::value)
                 .max()
                 .orElse(1);
-        Pressure pressure = new Pressure(
-                limits.lagShare() * goal,
-                limits.lagMemory(),
-                given.allowsRetryAfter() ? Math.min(given.maxRetryAfterSeconds() / 1.5, limits.lagAdvice() * goal) : 0,
+        LoadShedder pressure = new LoadShedder(
+                limits.tolerableLagShare() * goal,
+                limits.lagDecaySeconds(),
+                given.allowsRetryAfter()
+                        ? Math.min(given.maxRetryAfterSeconds() / 1.5, limits.retryAfterShare() * goal)
+                        : 0,
                 value,
                 new SplittableRandom(seed));
-        loop.watches(pressure);
-        door.opens(new TakeIn(given, limits, counters, admit, book, pressure, loop));
-        loop.atEndOfBatch(route::endOfBatch);
+        loop.setLoadShedder(pressure);
+        door.setRequestHandler(new TakeIn(given, limits, counters, admit, book, pressure, loop));
+        loop.onBatchEnd(route::endOfBatch);
     }
 
     /** News of the list: the decisions are told, and what waits for a searcher that takes nothing new goes back. */
-    void list(ListText.Piece piece, SchedulerHost.ListUpdateKind form) {
+    void list(ReplicaListJson.Update piece, SchedulerHost.ListUpdateKind form) {
         if (form != SchedulerHost.ListUpdateKind.INCREMENTAL) {
             searchers.allGone();
         }
-        for (int each = 0; each < piece.listings().size(); each++) {
-            SchedulerHost.ReplicaEntry entry = piece.listings().get(each);
+        for (int each = 0; each < piece.entries().size(); each++) {
+            SchedulerHost.ReplicaEntry entry = piece.entries().get(each);
             if (searchers.listed(entry, piece.addresses().get(each))) {
                 send.leaves(entry.replicaId(), "address changed");
             }
         }
-        route.list(form, piece.listings());
-        alsoListed.accept(piece.listings());
+        route.list(form, piece.entries());
+        alsoListed.accept(piece.entries());
         for (Carrier link : searchers.allLinks()) {
             if (!searchers.takesNew(link.searcher())) {
                 send.leaves(link.searcher(), "draining or gone");
@@ -97,8 +99,8 @@
     /** Looks after connections; to be called now and then. */
     void housekeeping() {
         searchers.allLinks().forEach(Carrier::look);
-        door.look();
-        counters.peak("peak-client-connections", door.connections());
+        door.enforceTimeouts();
+        counters.peak("peak-client-connections", door.connectionCount());
     }
 
     /** Ends a chain that was only tried out. */
@@ -125,6 +127,6 @@
         return others.get() + counters.text() + "awaiting " + queries.awaiting() + "\nkept " + queries.kept()
                 + "\nheld " + queries.held() + "\nout "
                 + queries.out() + "\nsearcher-connections " + searchers.open() + "\nclient-connections "
-                + door.connections() + "\nfaults " + loop.faults() + "\n";
+                + door.connectionCount() + "\nfaults " + loop.faults() + "\n";
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/life/FleetLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/FleetLife.java
@@ -8,8 +8,8 @@
 import pinewick.fleet.MembershipSettings;
 import pinewick.fleet.MembershipView;
 import pinewick.fleet.state.FactDatagram;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
 import pinewick.protocol.PeerSocket;
 
 /** The view of the other mixers, put together with its socket and the loop's clock for one mixer. */
@@ -28,7 +28,7 @@
 
     private final StartOrders.Peers first;
     private final double tick;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Log log;
     private final Counts counts;
     private final MembershipView view;
@@ -47,7 +47,7 @@
             OperatorFile.Replicated replicated,
             long seed,
             XnioWorker worker,
-            Loop loop,
+            EventLoop loop,
             Log log,
             Counts counts)
             throws IOException {
@@ -57,7 +57,7 @@
         this.counts = counts;
         tick = terms.probeIntervalSeconds() / LOOKS;
         socket = new PeerSocket(peers.listen(), Datagram.MAX_BYTES, worker, loop, this::took);
-        socket.listed(peers.peers(), peers.all());
+        socket.setPeers(peers.peers(), peers.all());
         view = new MembershipView(
                 peers.peers().size(),
                 peers.self(),
@@ -165,7 +165,7 @@
 
     /** The configuration was read anew; the mixers in it are the ones from now on. */
     void listed(StartOrders.Peers peers) {
-        socket.listed(peers.peers(), peers.all());
+        socket.setPeers(peers.peers(), peers.all());
         if (peers.peers().size() != view.size() || peers.self() != view.self()) {
             log.say(
                     Log.Level.INFO,
@@ -188,6 +188,6 @@
     }
 
     String figures() {
-        return view.metrics() + "fleet-unsent " + socket.unsent() + "\n" + (state == null ? "" : state.figures());
+        return view.metrics() + "fleet-unsent " + socket.unsentCount() + "\n" + (state == null ? "" : state.figures());
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/life/OperatorFile.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/OperatorFile.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import pinewick.fleet.MembershipSettings;
 import pinewick.loop.Log;
-import pinewick.protocol.ListText;
+import pinewick.protocol.ReplicaListJson;
 
 /**
  * The operator's own file: what the platform's configuration does not tell. JSON, described by
@@ -248,7 +248,7 @@
                 if (!one.isJsonPrimitive() || !one.getAsJsonPrimitive().isString()) {
                     throw new IllegalArgumentException("no text");
                 }
-                endpoints.add(ListText.address(one.getAsString()));
+                endpoints.add(ReplicaListJson.address(one.getAsString()));
             } catch (IllegalArgumentException odd) {
                 wrong.add("/registry/endpoints/" + each + ": an address and port such as 127.0.0.1:2379 is expected");
             }
--- a/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
@@ -8,12 +8,12 @@
 import java.util.function.BiConsumer;
 import java.util.function.IntConsumer;
 import pinewick.core.SchedulerHost;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
-import pinewick.protocol.LeaseWire;
-import pinewick.protocol.ListText;
-import pinewick.protocol.RegistryCalls;
-import pinewick.protocol.RegistryWire;
+import pinewick.protocol.RegistryHttpClient;
+import pinewick.protocol.RegistryLeaseTransport;
+import pinewick.protocol.RegistrySessionTransport;
+import pinewick.protocol.ReplicaListJson;
 import pinewick.registry.KeptCodec;
 import pinewick.registry.KeptFiles;
 import pinewick.registry.LeaseKeeper;
@@ -27,13 +27,13 @@
 final class RegistryList {
     private static final double TICK = 0.02;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Log log;
     private final OperatorFile.Registry given;
-    private final BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> news;
+    private final BiConsumer<ReplicaListJson.Update, SchedulerHost.ListUpdateKind> news;
     private final RegistryView view;
     private final RegistrySession session;
-    private final RegistryWire wire;
+    private final RegistrySessionTransport wire;
     private final KeptFiles files;
     private final double startedAt;
     private final Members members;
@@ -42,9 +42,9 @@
     RegistryList(
             OperatorFile.Registry given,
             StartOrders orders,
-            Loop loop,
+            EventLoop loop,
             Log log,
-            BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> news,
+            BiConsumer<ReplicaListJson.Update, SchedulerHost.ListUpdateKind> news,
             IntConsumer mixers) {
         this.given = given;
         this.loop = loop;
@@ -52,8 +52,8 @@
         this.news = news;
         view = new RegistryView(given.prefix());
         SplittableRandom chance = new SplittableRandom(orders.seed());
-        RegistryCalls calls = new RegistryCalls(loop, given.endpoints(), given.lineBytes());
-        wire = new RegistryWire(
+        RegistryHttpClient calls = new RegistryHttpClient(loop, given.endpoints(), given.lineBytes());
+        wire = new RegistrySessionTransport(
                 loop,
                 calls,
                 given.prefix(),
@@ -95,7 +95,7 @@
                     Long.toString(view.revision()));
             news.accept(piece(view.stores(), true), SchedulerHost.ListUpdateKind.CACHED);
         }
-        wire.follow(session);
+        wire.start(session);
         if (members != null) {
             members.start();
         }
@@ -129,21 +129,21 @@
     private final class Members {
         private final RegistryView shown = new RegistryView(given.mixersPrefix());
         private final RegistrySession follower;
-        private final RegistryWire followerWire;
+        private final RegistrySessionTransport followerWire;
         private final LeaseKeeper keeper;
-        private final LeaseWire keeperWire;
+        private final RegistryLeaseTransport keeperWire;
         private final MixerCount count;
         private final IntConsumer tell;
         private int told;
 
         Members(
-                RegistryCalls calls,
+                RegistryHttpClient calls,
                 RegistrySession.Terms terms,
                 StartOrders orders,
                 SplittableRandom chance,
                 IntConsumer tell) {
             this.tell = tell;
-            followerWire = new RegistryWire(
+            followerWire = new RegistrySessionTransport(
                     loop,
                     calls,
                     given.mixersPrefix(),
@@ -152,7 +152,7 @@
             follower = new RegistrySession(given.mixersPrefix(), shown, terms, followerWire, chance.split());
             String address =
                     orders.listen().getHostString() + ':' + orders.listen().getPort();
-            keeperWire = new LeaseWire(
+            keeperWire = new RegistryLeaseTransport(
                     loop,
                     calls,
                     given.mixersPrefix() + orders.name() + '@' + address,
@@ -163,8 +163,8 @@
         }
 
         void start() {
-            followerWire.follow(follower);
-            keeperWire.keeps(keeper);
+            followerWire.start(follower);
+            keeperWire.start(keeper);
         }
 
         void tick() {
@@ -228,12 +228,12 @@
         }
     }
 
-    private ListText.Piece piece(Collection<Store> stores, boolean whole) {
+    private ReplicaListJson.Update piece(Collection<Store> stores, boolean whole) {
         List<SchedulerHost.ReplicaEntry> listings = new ArrayList<>(stores.size());
         List<InetSocketAddress> addresses = new ArrayList<>(stores.size());
         for (Store each : stores) {
             try {
-                addresses.add(ListText.address(each.addresses().get(0)));
+                addresses.add(ReplicaListJson.address(each.addresses().get(0)));
                 listings.add(each.listing());
             } catch (IllegalArgumentException odd) {
                 // Danger: passing it over would also pass over its drain, and new parts would go to the old address.
@@ -254,6 +254,6 @@
                         each.id());
             }
         }
-        return new ListText.Piece(view.revision(), whole, listings, addresses);
+        return new ReplicaListJson.Update(view.revision(), whole, listings, addresses);
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
@@ -11,12 +11,12 @@
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
 import pinewick.core.SchedulerHost;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
-import pinewick.protocol.ListText;
-import pinewick.protocol.PretendSearcher;
-import pinewick.protocol.SearcherLink;
+import pinewick.protocol.LoopbackReplica;
+import pinewick.protocol.ReplicaListJson;
+import pinewick.protocol.TcpReplicaConnection;
 
 /**
  * Queries played through a chain of their own before the mixer is ready, so that the first real ones find all
@@ -29,7 +29,7 @@
 
     private final SchedulerHost.Deployment given;
     private final Limits limits;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Log log;
     private final Runnable then;
     private final Chain chain;
@@ -39,7 +39,7 @@
     private int asked;
     private boolean over;
 
-    Rehearsal(StartOrders orders, Loop loop, ByteBufferPool buffers, Runnable then) {
+    Rehearsal(StartOrders orders, EventLoop loop, ByteBufferPool buffers, Runnable then) {
         this.given = orders.deployment();
         this.limits = orders.limits();
         this.loop = loop;
@@ -57,7 +57,7 @@
                     "r-" + cell, cell, given.zone(), SchedulerHost.LifecycleState.READY, 0));
             addresses.add(InetSocketAddress.createUnresolved("pipe", 1 + cell));
         }
-        chain.list(new ListText.Piece(1, true, listings, addresses), SchedulerHost.ListUpdateKind.CACHED);
+        chain.list(new ReplicaListJson.Update(1, true, listings, addresses), SchedulerHost.ListUpdateKind.CACHED);
         try {
             client = pipe(chain.door::handleEvent);
         } catch (IOException none) {
@@ -66,7 +66,7 @@
         }
         client.getSourceChannel().setReadListener(any -> loop.event("rehearsing", this::answered));
         client.getSourceChannel().resumeReads();
-        loop.after(limits.rehearsal() * 3, "ending the rehearsal", this::end);
+        loop.after(limits.warmUpSeconds() * 3, "ending the rehearsal", this::end);
         ask();
     }
 
@@ -79,10 +79,10 @@
         return pipe.getLeftSide();
     }
 
-    private void dial(SearcherLink link) {
+    private void dial(TcpReplicaConnection link) {
         loop.later("rehearsing a connection", () -> {
             try {
-                link.up(pipe(far -> new PretendSearcher(far, loop, limits)));
+                link.attach(pipe(far -> new LoopbackReplica(far, loop, limits)));
             } catch (IOException none) {
                 link.close(none.getMessage());
             }
@@ -93,7 +93,7 @@
         SchedulerHost.ServiceClassConfig grade =
                 given.serviceClasses().get(asked++ % given.serviceClasses().size());
         StringBuilder body = new StringBuilder("{\"slices\":[");
-        int parts = Math.min(Math.min(CELLS, given.cells()), limits.shards());
+        int parts = Math.min(Math.min(CELLS, given.cells()), limits.shardCount());
         for (int part = 0; part < parts; part++) {
             body.append(part == 0 ? "" : ",")
                     .append("{\"slice\":")
@@ -105,7 +105,7 @@
         body.append("],\"filter\":\"rehearsal\"}");
         String request = "POST /api HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: rehearsal-" + asked + "\r\nReq-Kind: "
                 + grade.name() + "\r\nReq-Deadline: "
-                + Math.min(limits.longestWait(), Math.max(1, grade.hardDeadlineSeconds()))
+                + Math.min(limits.maxQueryTimeoutSeconds(), Math.max(1, grade.hardDeadlineSeconds()))
                 + "\r\nIdempotency-Key: rehearsal-" + asked + "\r\nContent-Length: " + body.length() + "\r\n\r\n"
                 + body;
         try {
@@ -123,7 +123,7 @@
             if (count < 0) {
                 end();
             } else if (count > 0 && !over) {
-                if (loop.clock() - startedAt < limits.rehearsal()) {
+                if (loop.clock() - startedAt < limits.warmUpSeconds()) {
                     ask();
                 } else {
                     end();
--- a/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Serve.java
@@ -14,23 +14,23 @@
 import org.xnio.channels.AcceptingChannel;
 import pinewick.core.SchedulerHost;
 import pinewick.fleet.MembershipSettings;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
-import pinewick.protocol.ListWatch;
-import pinewick.protocol.SearcherLink;
+import pinewick.protocol.ReplicaListWatch;
+import pinewick.protocol.TcpReplicaConnection;
 
 /** One mixer from its start to its end: rehearses, opens the door, follows the list, leaves in order. */
 final class Serve {
     private StartOrders orders;
-    private ListWatch watch;
+    private ReplicaListWatch watch;
     private final OperatorFile operator;
     private RegistryList registry;
     private FleetLife fleet;
     private long newest;
     private final Limits limits;
     private final Log log;
-    private final Loop loop;
+    private final EventLoop loop;
     private final ByteBufferPool buffers;
     private final XnioWorker worker;
     private Chain chain;
@@ -53,14 +53,15 @@
                         .set(Options.THREAD_DAEMON, false)
                         .set(Options.WORKER_NAME, "pinewick")
                         .getMap());
-        loop = new Loop(worker.getIoThread(), log);
-        buffers = new DefaultByteBufferPool(true, limits.bufferBytes(), limits.buffersKept(), 4);
+        loop = new EventLoop(worker.getIoThread(), log);
+        buffers = new DefaultByteBufferPool(true, limits.bufferBytes(), limits.maxPooledBuffers(), 4);
         loop.later("rehearsing", () -> new Rehearsal(orders, loop, buffers, () -> loop.later("starting", this::start))
                 .start());
     }
 
     private void start() {
-        chain = new Chain(orders.deployment(), limits, orders.seed(), loop, log, buffers, SearcherLink::dial);
+        chain = new Chain(
+                orders.deployment(), limits, orders.seed(), loop, log, buffers, TcpReplicaConnection::connect);
         if (operator != null && operator.registry() != null) {
             registry = new RegistryList(
                     operator.registry(), orders, loop, log, chain::list, count -> chain.route.mixers(count, count));
@@ -98,7 +99,7 @@
             fleet.start();
             if (fleet.state() != null) {
                 chain.route.hears(fleet.state());
-                fleet.state().knows(orders.known().listings());
+                fleet.state().knows(orders.known().entries());
                 chain.listener(fleet.state()::list);
             }
         } catch (IOException wrong) {
@@ -128,7 +129,7 @@
             listen();
             ready();
         } else {
-            loop.after(limits.housekeeping() / 10, "waiting for the registry", this::awaitRegistry);
+            loop.after(limits.housekeepingIntervalSeconds() / 10, "waiting for the registry", this::awaitRegistry);
         }
     }
 
@@ -139,7 +140,7 @@
      */
     private void followPlatform() {
         chain.list(orders.known(), SchedulerHost.ListUpdateKind.CACHED);
-        watch = new ListWatch(
+        watch = new ReplicaListWatch(
                 orders.discovery(),
                 loop,
                 limits,
@@ -149,7 +150,7 @@
                 piece -> {
                     chain.list(
                             piece,
-                            piece.whole()
+                            piece.isFull()
                                     ? SchedulerHost.ListUpdateKind.FULL
                                     : SchedulerHost.ListUpdateKind.INCREMENTAL);
                     serveByList();
@@ -158,12 +159,12 @@
                     if (orders.deployment().mustSubscribe()) {
                         chain.route.list(SchedulerHost.ListUpdateKind.FAILED, List.of());
                     }
-                    if (watch.mayServeUnproven() && !orders.known().listings().isEmpty()) {
+                    if (watch.canServeUnconfirmed() && !orders.known().entries().isEmpty()) {
                         serveByList();
                     }
                 });
-        chain.looksAtList(watch::look);
-        watch.open();
+        chain.looksAtList(watch::readAvailable);
+        watch.start();
     }
 
     private void serveByList() {
@@ -183,13 +184,13 @@
                             .set(Options.TCP_NODELAY, true)
                             .set(Options.REUSE_ADDRESSES, true)
                             .set(Options.BACKLOG, limits.backlog())
-                            .set(Options.CONNECTION_HIGH_WATER, limits.clientSockets())
-                            .set(Options.CONNECTION_LOW_WATER, limits.clientSockets() - 1)
+                            .set(Options.CONNECTION_HIGH_WATER, limits.maxClientConnections())
+                            .set(Options.CONNECTION_LOW_WATER, limits.maxClientConnections() - 1)
                             .getMap());
             listener.resumeAccepts();
         } catch (IOException wrong) {
             log.say("EDGE_LISTEN: can't listen at " + orders.listen() + ": " + wrong.getMessage());
-            log.drain(limits.lastLines());
+            log.drain(limits.logDrainSeconds());
             Runtime.getRuntime().halt(2);
         }
     }
@@ -198,7 +199,7 @@
     private void ready() {
         if (listKnown && !ready && !leaving && listener != null) {
             ready = true;
-            chain.door.ready(true);
+            chain.door.setReady(true);
             log.say(
                     Log.Level.INFO,
                     "mixer",
@@ -209,7 +210,7 @@
     }
 
     private void housekeeping() {
-        loop.after(limits.housekeeping(), "housekeeping", () -> {
+        loop.after(limits.housekeepingIntervalSeconds(), "housekeeping", () -> {
             chain.housekeeping();
             housekeeping();
         });
@@ -257,12 +258,12 @@
 
     private void leave() {
         log.say("stopping");
-        double latest = loop.now() + limits.stopMost();
-        chain.door.leaves(latest - limits.lastAnswer());
+        double latest = loop.now() + limits.maxShutdownSeconds();
+        chain.door.startDraining(latest - limits.lastResponseSeconds());
         if (fleet != null) {
             fleet.leave();
         }
-        loop.after(limits.frontNotice(), "closing the door", () -> closeDoor(latest, -1));
+        loop.after(limits.drainNoticeSeconds(), "closing the door", () -> closeDoor(latest, -1));
     }
 
     /**
@@ -272,8 +273,8 @@
      */
     private void closeDoor(double latest, long accepted) {
         loop.timeOut(0, "closing the door", () -> {
-            long now = chain.door.accepted();
-            if (now != accepted && loop.now() < latest - limits.stopMost() / 2) {
+            long now = chain.door.acceptedCount();
+            if (now != accepted && loop.now() < latest - limits.maxShutdownSeconds() / 2) {
                 closeDoor(latest, now);
                 return;
             }
@@ -298,12 +299,12 @@
 
     /** Ends once nobody waits for an answer and every connection is closed, which its last bytes come before. */
     private void finish(double latest) {
-        chain.door.closeIdle();
-        if ((chain.queries.awaiting() == 0 && chain.door.connections() == 0) || loop.now() >= latest) {
+        chain.door.closeIdleConnections();
+        if ((chain.queries.awaiting() == 0 && chain.door.connectionCount() == 0) || loop.now() >= latest) {
             log.say("stopped; " + chain.figures().replace('\n', ';'));
-            log.drain(limits.lastLines());
+            log.drain(limits.logDrainSeconds());
             Runtime.getRuntime().exit(0);
         }
-        loop.after(limits.housekeeping() / 10, "ending", () -> finish(latest));
+        loop.after(limits.housekeepingIntervalSeconds() / 10, "ending", () -> finish(latest));
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/life/Serving.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/Serving.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 import pinewick.loop.Log;
-import pinewick.simulator.Benchlink;
+import pinewick.simulator.SimulatorAdapter;
 import sun.misc.Signal;
 
 /** What the sub-commands do. */
@@ -54,7 +54,7 @@
             System.out.println(orders.name() + " listens at " + orders.listen() + ", discovery at "
                     + orders.discovery() + ", "
                     + orders.deployment().serviceClasses().size() + " service grades, "
-                    + orders.known().listings().size() + " searchers known at revision "
+                    + orders.known().entries().size() + " searchers known at revision "
                     + orders.known().revision()
                     + "\n" + orders.limits());
             return 0;
@@ -66,9 +66,9 @@
 
     private static Serve start(StartOrders orders, OperatorFile operator) throws Exception {
         Log log = operator != null && operator.logs() != null
-                ? new StructuredLog(operator.logs(), orders.limits().logLines())
-                : new Log(System.err, orders.limits().logLines());
-        log.takesOver();
+                ? new StructuredLog(operator.logs(), orders.limits().maxLogLinesPerSecond())
+                : new Log(System.err, orders.limits().maxLogLinesPerSecond());
+        log.captureLibraryLogs();
         Serve serve = new Serve(orders, operator, log);
         AtomicLong asked = new AtomicLong();
         // Each signal has a thread of its own, so the file is read beside the loop, and may be read out of turn.
@@ -86,7 +86,7 @@
     }
 
     static int benchlink() throws Exception {
-        Benchlink.run(System.in, System.out);
+        SimulatorAdapter.run(System.in, System.out);
         return 0;
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
@@ -14,7 +14,7 @@
 import pinewick.core.DeploymentParser;
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
-import pinewick.protocol.ListText;
+import pinewick.protocol.ReplicaListJson;
 
 /** What a mixer is told before it starts: the environment and the file that it names. */
 record StartOrders(
@@ -24,7 +24,7 @@
         long seed,
         Limits limits,
         SchedulerHost.Deployment deployment,
-        ListText.Piece known,
+        ReplicaListJson.Update known,
         Peers peers) {
 
     /**
@@ -111,10 +111,10 @@
         } catch (RuntimeException odd) {
             throw new IllegalArgumentException("EDGE_CONFIG: field seed: " + odd.getMessage());
         }
-        ListText.Piece known = new ListText.Piece(0, true, java.util.List.of());
+        ReplicaListJson.Update known = new ReplicaListJson.Update(0, true, java.util.List.of());
         try {
             if (all.has("known") && all.get("known").isJsonObject()) {
-                known = ListText.read(all.getAsJsonObject("known"));
+                known = ReplicaListJson.read(all.getAsJsonObject("known"));
             }
         } catch (RuntimeException odd) {
             throw new IllegalArgumentException("EDGE_CONFIG: field known: " + odd.getMessage());
@@ -182,7 +182,7 @@
 
     private static InetSocketAddress address(String what, String text) {
         try {
-            return ListText.address(text);
+            return ReplicaListJson.address(text);
         } catch (IllegalArgumentException odd) {
             throw new IllegalArgumentException(what + ": " + odd.getMessage());
         }
--- a/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
@@ -14,13 +14,13 @@
 import pinewick.fleet.state.FactReplicationSettings;
 import pinewick.fleet.state.FactReplicator;
 import pinewick.fleet.state.FactSnapshotFormat;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
 import pinewick.stages.Route;
 
 /** What this mixer and the others see of the searchers, put together with the decisions, the wire and the snapshot. */
 final class StateLife implements Route.Others {
-    private final Loop loop;
+    private final EventLoop loop;
     private final Log log;
     private final FactReplicator state;
     private final SnapshotFile file;
@@ -43,7 +43,7 @@
             long seed,
             SnapshotFile file,
             double every,
-            Loop loop,
+            EventLoop loop,
             Log log,
             FactReplicator.Transport wire,
             IntPredicate takesPart) {
--- a/query-mixer/daemon/src/main/java/pinewick/loop/Loop.java
+++ b/query-mixer/daemon/src/main/java/pinewick/loop/EventLoop.java
@@ -9,7 +9,7 @@
  * The one thread that owns the decisions and all state. The events of one wake-up are a batch with one clock;
  * XNIO runs what is put to the thread after all that were ready, so the batch ends there.
  */
-public final class Loop {
+public final class EventLoop {
     /** Long enough that the sockets are looked at in between, short beside any time-out. */
     private static final double NEWS = 0.01;
 
@@ -18,26 +18,26 @@
     private final double startedAt = System.currentTimeMillis() / 1e3;
     private final long startedNanos = System.nanoTime();
     private Runnable endOfBatch = () -> {};
-    private Pressure pressure;
+    private LoadShedder loadShedder;
     private final Runnable closing = this::close;
     private boolean inBatch;
     private double now = startedAt;
-    private double lookedBefore = startedAt;
+    private double lastPolledAt = startedAt;
     private long faults;
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(16 << 10);
 
-    public Loop(XnioIoThread thread, Log log) {
+    public EventLoop(XnioIoThread thread, Log log) {
         this.thread = thread;
         this.log = log;
     }
 
-    public void atEndOfBatch(Runnable end) {
+    public void onBatchEnd(Runnable end) {
         endOfBatch = end;
     }
 
     /** Tells how long each batch took. */
-    public void watches(Pressure by) {
-        pressure = by;
+    public void setLoadShedder(LoadShedder by) {
+        loadShedder = by;
     }
 
     public XnioIoThread thread() {
@@ -50,8 +50,8 @@
     }
 
     /** What is read in this batch came after this time, when the sockets had been looked at before. */
-    public double lookedBefore() {
-        return lookedBefore;
+    public double lastPolledAt() {
+        return lastPolledAt;
     }
 
     /** The clock itself, for what is written late in a batch. */
@@ -76,7 +76,7 @@
         }
         if (!inBatch) {
             inBatch = true;
-            lookedBefore = now;
+            lastPolledAt = now;
             now = clock();
             thread.execute(closing);
         }
@@ -87,8 +87,8 @@
         try {
             guarded("ending a batch", endOfBatch);
         } finally {
-            if (pressure != null) {
-                pressure.batch(now, clock());
+            if (loadShedder != null) {
+                loadShedder.recordBatch(now, clock());
             }
             inBatch = false;
         }
--- a/query-mixer/daemon/src/main/java/pinewick/loop/Pressure.java
+++ b/query-mixer/daemon/src/main/java/pinewick/loop/LoadShedder.java
@@ -12,7 +12,7 @@
  * method being compiled) hardly moves it; batches that are long one after another do, also where the system gives
  * this process its core in slices.
  */
-public final class Pressure {
+public final class LoadShedder {
     /** At this many times the wait borne, all but {@link #KEPT} of the newcomers are turned away. */
     private static final double STEEP = 4;
     /** Danger: with all turned away no batch would show that the load is over. */
@@ -33,7 +33,7 @@
      * @param advice seconds after which those turned away should ask again, on the mean; 0 where none may be told
      * @param highestValue the value of the most valuable service grade, which is turned away half as often
      */
-    public Pressure(double borne, double memory, double advice, double highestValue, SplittableRandom chance) {
+    public LoadShedder(double borne, double memory, double advice, double highestValue, SplittableRandom chance) {
         this.borne = borne;
         this.memory = memory;
         this.advice = advice;
@@ -42,7 +42,7 @@
     }
 
     /** A batch of events was handled between these times. */
-    void batch(double began, double ended) {
+    void recordBatch(double began, double ended) {
         double since = Double.isNaN(lastEnd) ? ended - began : Math.max(0, ended - lastEnd);
         double kept = Math.exp(-since / memory);
         double length = Math.max(0, ended - began);
@@ -67,7 +67,7 @@
      * time, and clients come again. Also catches floods by bad clients. Harm: a query is declined that could just
      * have been served; not while the wait is borne.
      */
-    public boolean turnsAway(double now, double value) {
+    public boolean shouldReject(double now, double value) {
         double over = expectedWait(now) / borne - 1;
         if (over <= 0) {
             return false;
@@ -77,7 +77,7 @@
     }
 
     /** Seconds after which one that was turned away should ask again, spread so that they do not return together. */
-    public double comeBack() {
+    public double retryAfterSeconds() {
         return advice * (0.5 + chance.nextDouble());
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/loop/Log.java
+++ b/query-mixer/daemon/src/main/java/pinewick/loop/Log.java
@@ -104,7 +104,7 @@
     }
 
     /** What the libraries log goes here too: warnings and worse, a line each without its trace. */
-    public void takesOver() {
+    public void captureLibraryLogs() {
         Logger root = Logger.getLogger("");
         for (Handler each : root.getHandlers()) {
             root.removeHandler(each);
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ClientDoor.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ClientListener.java
@@ -29,87 +29,88 @@
 import org.xnio.OptionMap;
 import org.xnio.StreamConnection;
 import org.xnio.channels.StreamSourceChannel;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
-import pinewick.loop.Loop;
 import pinewick.memory.OpenQuery;
 
 /** Where clients come in: HTTP/1.1 by Undertow, all of it on the loop's thread. */
-public final class ClientDoor implements ChannelListener<StreamConnection>, HttpHandler {
+public final class ClientListener implements ChannelListener<StreamConnection>, HttpHandler {
     /** Takes a request whose body is in; throws IllegalArgumentException for one that is not in the form. */
-    public interface Taker {
-        OpenQuery take(HttpServerExchange request, byte[] body, OpenQuery.Asker asker);
+    public interface RequestHandler {
+        OpenQuery onRequest(HttpServerExchange request, byte[] body, OpenQuery.Asker asker);
 
         /** Takes nothing from now on that could end after this time. */
-        void leavesBy(double time);
+        void onDrain(double time);
 
-        void withdrawn(OpenQuery query);
+        void onCancelled(OpenQuery query);
 
         /** Counts it; the kind of what is wrong stands before the colon. */
-        void turnedAway(String why);
+        void onRejected(String why);
 
         /** A connection in that stage was closed because its place was needed. */
-        void madeRoom(String stage);
+        void onEvicted(String stage);
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private final HttpOpenListener undertow;
-    private final Map<StreamConnection, Guest> guests = new LinkedHashMap<>();
+    private final Map<StreamConnection, InboundConnection> connections = new LinkedHashMap<>();
     private final Set<Body> reading = new LinkedHashSet<>();
     private final Supplier<String> counters;
-    private Taker taker;
+    private RequestHandler requestHandler;
     private boolean ready;
     private boolean leaving;
     private long accepted;
 
-    public ClientDoor(Loop loop, Limits limits, ByteBufferPool buffers, Supplier<String> counters) {
+    public ClientListener(EventLoop loop, Limits limits, ByteBufferPool buffers, Supplier<String> counters) {
         this.loop = loop;
         this.limits = limits;
         this.counters = counters;
         undertow = new HttpOpenListener(
                 buffers,
                 OptionMap.builder()
-                        .set(UndertowOptions.MAX_HEADER_SIZE, limits.headerBytes())
+                        .set(UndertowOptions.MAX_HEADER_SIZE, limits.maxHeaderBytes())
                         .set(UndertowOptions.ALWAYS_SET_DATE, false)
                         .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                         .getMap());
         undertow.setRootHandler(new HttpContinueReadHandler(this));
     }
 
-    public void opens(Taker to) {
-        taker = to;
+    public void setRequestHandler(RequestHandler to) {
+        requestHandler = to;
     }
 
-    public void ready(boolean now) {
+    public void setReady(boolean now) {
         ready = now;
     }
 
     /** Connections accepted so far. */
-    public long accepted() {
+    public long acceptedCount() {
         return accepted;
     }
 
-    public int connections() {
-        return guests.size();
+    public int connectionCount() {
+        return connections.size();
     }
 
     /** From now on every answer is the last on its connection, and all have to be given by this time. */
-    public void leaves(double by) {
+    public void startDraining(double by) {
         ready = false;
         leaving = true;
-        if (taker != null) {
-            taker.leavesBy(by);
+        if (requestHandler != null) {
+            requestHandler.onDrain(by);
         }
     }
 
     /** Ends the connections that stand between two requests; new ones get a moment for their first. */
-    public void closeIdle() {
-        for (Guest guest : List.copyOf(guests.values())) {
-            if (!guest.connection.isOpen()) {
-                guests.remove(guest.connection);
-            } else if (guest.stage() == Guest.Stage.BETWEEN
-                    || (guest.stage() == Guest.Stage.SILENT && guest.age() > limits.lastWords())) {
-                closeIfEmpty(guest);
+    public void closeIdleConnections() {
+        for (InboundConnection client : List.copyOf(connections.values())) {
+            if (!client.connection.isOpen()) {
+                connections.remove(client.connection);
+            } else if (client.state() == InboundConnection.State.BETWEEN
+                    || (client.state() == InboundConnection.State.SILENT
+                            && client.stateAgeSeconds() > limits.lingerSeconds())) {
+                closeIfEmpty(client);
             }
         }
     }
@@ -118,15 +119,15 @@
     public void handleEvent(StreamConnection connection) {
         loop.event("accepting a client", () -> {
             // Danger: clients would wait at the limit while others hold connections that they do not use.
-            int most = limits.clientSockets() - limits.clientSockets() / 16;
-            if (guests.size() >= most) {
-                look();
+            int most = limits.maxClientConnections() - limits.maxClientConnections() / 16;
+            if (connections.size() >= most) {
+                enforceTimeouts();
             }
-            for (int each = 0; each < 4 && guests.size() >= most; each++) {
+            for (int each = 0; each < 4 && connections.size() >= most; each++) {
                 makeRoom();
             }
             accepted++;
-            guests.put(connection, new Guest(connection, loop));
+            connections.put(connection, new InboundConnection(connection, loop));
             undertow.handleEvent(connection);
         });
     }
@@ -137,25 +138,27 @@
      * oldest. Danger: clients that connect some time before they ask would be turned out by a crowd.
      */
     private void makeRoom() {
-        Guest first = null;
+        InboundConnection first = null;
         int best = Integer.MAX_VALUE;
-        for (Guest guest : guests.values()) {
+        for (InboundConnection client : connections.values()) {
             int rank =
-                    switch (guest.stage()) {
-                        case SILENT -> guest.age() > limits.silentLeast() ? 1 : 3;
-                        case BETWEEN -> guest.age() > limits.clientIdleLeast() ? 0 : 4;
-                        case ARRIVING -> guest.age() > limits.requestLeast() ? 2 : Integer.MAX_VALUE;
+                    switch (client.state()) {
+                        case SILENT -> client.stateAgeSeconds() > limits.noRequestMinSeconds() ? 1 : 3;
+                        case BETWEEN -> client.stateAgeSeconds() > limits.clientIdleMinSeconds() ? 0 : 4;
+                        case ARRIVING -> client.stateAgeSeconds() > limits.requestReadMinSeconds()
+                                ? 2
+                                : Integer.MAX_VALUE;
                         default -> Integer.MAX_VALUE;
                     };
-            if (rank < best || (rank == best && first != null && guest.age() > first.age())) {
+            if (rank < best || (rank == best && first != null && client.stateAgeSeconds() > first.stateAgeSeconds())) {
                 best = rank;
-                first = guest;
+                first = client;
             }
         }
-        if (first != null && taker != null) {
-            taker.madeRoom(first.stage().name().toLowerCase(Locale.ROOT));
+        if (first != null && requestHandler != null) {
+            requestHandler.onEvicted(first.state().name().toLowerCase(Locale.ROOT));
         }
-        if (first != null && first.stage() == Guest.Stage.ARRIVING) {
+        if (first != null && first.state() == InboundConnection.State.ARRIVING) {
             turnOut(first, "408 Request Timeout", "late: the place is needed");
         } else if (first != null) {
             closeIfEmpty(first);
@@ -167,54 +170,61 @@
      * and others find no connection while this mixer idles. Also catches crowds. Harm: a connect more for each request.
      */
     private boolean crowded() {
-        return guests.size() > limits.clientSockets() / limits.crowdedPart();
+        return connections.size() > limits.maxClientConnections() / limits.crowdedDivisor();
     }
 
     /**
      * What comes between this look and the close is read and thrown away: its client asks again, as it got no answer.
      */
-    private void closeIfEmpty(Guest guest) {
-        if (guest.empty()) {
-            end(guest, "");
+    private void closeIfEmpty(InboundConnection client) {
+        if (client.isEmpty()) {
+            end(client, "");
         }
     }
 
-    private void end(Guest guest, String lastWords) {
-        guest.end(lastWords, limits.lastWords(), limits.discardBytes(), () -> guests.remove(guest.connection));
+    private void end(InboundConnection client, String finalResponse) {
+        client.closeGracefully(
+                finalResponse,
+                limits.lingerSeconds(),
+                limits.maxDiscardBytes(),
+                () -> connections.remove(client.connection));
     }
 
     /** Forgets connections that are closed and ends those that wait for nothing; to be called now and then. */
-    public void look() {
-        for (Guest guest : List.copyOf(guests.values())) {
-            if (!guest.connection.isOpen()) {
-                if (guest.stage() == Guest.Stage.ARRIVING && !guest.asked) {
+    public void enforceTimeouts() {
+        for (InboundConnection client : List.copyOf(connections.values())) {
+            if (!client.connection.isOpen()) {
+                if (client.state() == InboundConnection.State.ARRIVING && !client.requestSeen) {
                     said("head: not HTTP");
                 }
-                guests.remove(guest.connection);
-            } else if (guest.stage() == Guest.Stage.SILENT && guest.age() > limits.silent()) {
+                connections.remove(client.connection);
+            } else if (client.state() == InboundConnection.State.SILENT
+                    && client.stateAgeSeconds() > limits.noRequestTimeoutSeconds()) {
                 said("silent: no request");
-                closeIfEmpty(guest);
-            } else if (guest.stage() == Guest.Stage.BETWEEN && guest.age() > limits.clientIdle()) {
-                closeIfEmpty(guest);
-            } else if (guest.stage() == Guest.Stage.ARRIVING && guest.age() > limits.requestRead()) {
-                turnOut(guest, "408 Request Timeout", "late: the request did not come whole");
+                closeIfEmpty(client);
+            } else if (client.state() == InboundConnection.State.BETWEEN
+                    && client.stateAgeSeconds() > limits.clientIdleTimeoutSeconds()) {
+                closeIfEmpty(client);
+            } else if (client.state() == InboundConnection.State.ARRIVING
+                    && client.stateAgeSeconds() > limits.requestReadTimeoutSeconds()) {
+                turnOut(client, "408 Request Timeout", "late: the request did not come whole");
             }
         }
-        reading.removeIf(each -> !each.guest.connection.isOpen());
+        reading.removeIf(each -> !each.client.connection.isOpen());
     }
 
     /** The last answer on a connection that nothing more is taken from. */
-    private void turnOut(Guest guest, String status, String why) {
-        if (guest.stage() == Guest.Stage.LEAVING) {
+    private void turnOut(InboundConnection client, String status, String why) {
+        if (client.state() == InboundConnection.State.LEAVING) {
             return;
         }
         said(why);
-        end(guest, "HTTP/1.1 " + status + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        end(client, "HTTP/1.1 " + status + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     }
 
     private void said(String why) {
-        if (taker != null) {
-            taker.turnedAway(why);
+        if (requestHandler != null) {
+            requestHandler.onRejected(why);
         }
     }
 
@@ -232,25 +242,26 @@
 
     private void begin(HttpServerExchange exchange) {
         StreamConnection connection = ((HttpServerConnection) exchange.getConnection()).getChannel();
-        Guest guest = guests.get(connection);
-        guest.asked = true;
-        guest.becomes(Guest.Stage.ARRIVING);
+        InboundConnection client = connections.get(connection);
+        client.requestSeen = true;
+        client.transitionTo(InboundConnection.State.ARRIVING);
         exchange.addExchangeCompleteListener((done, next) -> {
-            guest.becomes(done.isPersistent() ? Guest.Stage.BETWEEN : Guest.Stage.LEAVING);
+            client.transitionTo(
+                    done.isPersistent() ? InboundConnection.State.BETWEEN : InboundConnection.State.LEAVING);
             if (!connection.isOpen()) {
-                guests.remove(connection);
+                connections.remove(connection);
             } else if (!done.isPersistent()) {
                 // Undertow shuts the output and reads on for the client's close, but for ten seconds.
-                loop.after(limits.lastWords(), "closing after the last answer", () -> {
+                loop.after(limits.lingerSeconds(), "closing after the last answer", () -> {
                     IoUtils.safeClose(connection);
-                    guests.remove(connection);
+                    connections.remove(connection);
                 });
             }
             next.proceed();
         });
         String odd = framing(exchange.getRequestHeaders());
         if (odd != null) {
-            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> turnOut(guest, "400 Bad Request", odd));
+            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> turnOut(client, "400 Bad Request", odd));
             return;
         }
         if (leaving) {
@@ -259,13 +270,13 @@
         boolean post = exchange.getRequestMethod().equals(Methods.POST);
         if (post && exchange.getRequestPath().equals("/api")) {
             exchange.dispatch(
-                    SameThreadExecutor.INSTANCE, () -> loop.event("reading a body", new Body(exchange, guest)::start));
+                    SameThreadExecutor.INSTANCE, () -> loop.event("reading a body", new Body(exchange, client)::start));
             return;
         }
         if (exchange.getRequestContentLength() > 0
                 || exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)) {
             // Undertow would read such a body to its end, however long.
-            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> turnOut(guest, "404 Not Found", "path: with a body"));
+            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> turnOut(client, "404 Not Found", "path: with a body"));
             return;
         }
         switch (exchange.getRequestPath()) {
@@ -309,19 +320,19 @@
     /** A request's body on its way in. Undertow's own reader ends the connection of one too long unanswered. */
     private final class Body {
         private final HttpServerExchange exchange;
-        private final Guest guest;
+        private final InboundConnection client;
         private final StreamSourceChannel channel;
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(512);
 
-        Body(HttpServerExchange exchange, Guest guest) {
+        Body(HttpServerExchange exchange, InboundConnection client) {
             this.exchange = exchange;
-            this.guest = guest;
+            this.client = client;
             channel = exchange.getRequestChannel();
         }
 
         void start() {
-            if (exchange.getRequestContentLength() > limits.bodyBytes()) {
-                turnOut(guest, "413 Payload Too Large", "length: body too long");
+            if (exchange.getRequestContentLength() > limits.maxBodyBytes()) {
+                turnOut(client, "413 Payload Too Large", "length: body too long");
                 return;
             }
             channel.getReadSetter().set(any -> loop.event("reading a body", this::read));
@@ -331,7 +342,7 @@
         private void read() {
             ByteBuffer in = loop.readBuffer();
             try {
-                while (guest.stage() == Guest.Stage.ARRIVING) {
+                while (client.state() == InboundConnection.State.ARRIVING) {
                     in.clear();
                     int count = channel.read(in);
                     if (count == 0) {
@@ -341,13 +352,13 @@
                     if (count < 0) {
                         channel.suspendReads();
                         reading.remove(this);
-                        guest.becomes(Guest.Stage.ASKED);
-                        take(exchange, guest, bytes.toByteArray());
+                        client.transitionTo(InboundConnection.State.ASKED);
+                        take(exchange, client, bytes.toByteArray());
                         return;
                     }
-                    if (bytes.size() + count > limits.bodyBytes()) {
+                    if (bytes.size() + count > limits.maxBodyBytes()) {
                         reading.remove(this);
-                        turnOut(guest, "413 Payload Too Large", "length: body too long");
+                        turnOut(client, "413 Payload Too Large", "length: body too long");
                         return;
                     }
                     byte[] more = new byte[count];
@@ -356,7 +367,7 @@
                 }
             } catch (IOException unreadable) {
                 reading.remove(this);
-                turnOut(guest, "400 Bad Request", "body: can't be read");
+                turnOut(client, "400 Bad Request", "body: can't be read");
             }
         }
 
@@ -364,22 +375,22 @@
         private void waitForMore() {
             channel.resumeReads();
             reading.add(this);
-            if (reading.size() > limits.bodiesAtOnce()) {
+            if (reading.size() > limits.maxConcurrentBodies()) {
                 Body oldest = reading.iterator().next();
                 reading.remove(oldest);
-                turnOut(oldest.guest, "408 Request Timeout", "late: too many bodies at once");
+                turnOut(oldest.client, "408 Request Timeout", "late: too many bodies at once");
             }
         }
     }
 
-    private void take(HttpServerExchange exchange, Guest guest, byte[] body) {
-        if (taker == null) {
+    private void take(HttpServerExchange exchange, InboundConnection client, byte[] body) {
+        if (requestHandler == null) {
             refuse(exchange, 500, "early: not serving yet");
             return;
         }
-        Waiting waiting = new Waiting(exchange, guest);
+        Waiting waiting = new Waiting(exchange, client);
         try {
-            OpenQuery query = taker.take(exchange, body, waiting);
+            OpenQuery query = requestHandler.onRequest(exchange, body, waiting);
             if (!waiting.answered) {
                 waiting.watch(query);
             }
@@ -411,13 +422,13 @@
     private final class Waiting implements OpenQuery.Asker {
         private final HttpServerExchange exchange;
         private final HttpServerConnection connection;
-        private final Guest guest;
+        private final InboundConnection client;
         private OpenQuery query;
         private boolean answered;
 
-        Waiting(HttpServerExchange exchange, Guest guest) {
+        Waiting(HttpServerExchange exchange, InboundConnection client) {
             this.exchange = exchange;
-            this.guest = guest;
+            this.client = client;
             connection = (HttpServerConnection) exchange.getConnection();
         }
 
@@ -428,7 +439,7 @@
                     .getChannel()
                     .getSourceChannel()
                     .setReadListener(any -> loop.event("a client's connection", this::stillThere));
-            guest.listen();
+            client.enableReads();
         }
 
         @Override
@@ -436,12 +447,12 @@
             if (answered) {
                 return true;
             }
-            switch (guest.look(limits.headerBytes())) {
+            switch (client.readAhead(limits.maxHeaderBytes())) {
                 case GONE -> gone();
                 case FLOOD -> {
                     answered = true;
-                    turnOut(guest, "413 Payload Too Large", "flood: much sent ahead of an answer");
-                    taker.withdrawn(query);
+                    turnOut(client, "413 Payload Too Large", "flood: much sent ahead of an answer");
+                    requestHandler.onCancelled(query);
                 }
                 default -> {}
             }
@@ -450,10 +461,10 @@
 
         private void gone() {
             answered = true;
-            guest.suspendReads();
+            client.suspendReads();
             IoUtils.safeClose(connection);
-            guests.remove(connection.getChannel());
-            taker.withdrawn(query);
+            connections.remove(connection.getChannel());
+            requestHandler.onCancelled(query);
         }
 
         @Override
@@ -462,7 +473,7 @@
                 return;
             }
             answered = true;
-            guest.suspendReads();
+            client.suspendReads();
             if (leaving || crowded()) {
                 exchange.setPersistent(false);
             }
@@ -474,7 +485,7 @@
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, status == 200 ? "application/json" : "text/plain");
             exchange.getResponseSender().send(ByteBuffer.wrap(body));
             if (!exchange.isResponseComplete()) {
-                loop.after(limits.answerWrite(), "a slow reader", () -> {
+                loop.after(limits.responseWriteTimeoutSeconds(), "a slow reader", () -> {
                     if (!exchange.isResponseComplete()) {
                         IoUtils.safeClose(connection);
                     }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/Frames.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/FrameCodec.java
@@ -10,7 +10,7 @@
 import pinewick.memory.OpenQuery;
 
 /** The frames spoken with searchers: a length (least significant byte first), a letter, the rest. */
-public final class Frames {
+public final class FrameCodec {
     static final char CALL = '1';
     static final char CANCEL = '2';
     static final char PROBE = '3';
@@ -18,7 +18,7 @@
     static final char ANSWER = '5';
     static final char UNUSABLE = 'X';
 
-    private Frames() {}
+    private FrameCodec() {}
 
     static ByteBuffer frame(char letter, byte[] rest) {
         ByteBuffer frame = ByteBuffer.allocate(5 + rest.length).order(ByteOrder.LITTLE_ENDIAN);
@@ -45,13 +45,13 @@
     }
 
     /** Cuts what comes in into frames; what is not whole yet is kept, up to one frame of the longest. */
-    static final class Cutter {
+    static final class Decoder {
         private static final int USUAL = 1 << 10;
         private final int longest;
         private long count;
         private ByteBuffer kept = ByteBuffer.allocate(USUAL).order(ByteOrder.LITTLE_ENDIAN);
 
-        Cutter(int longest) {
+        Decoder(int longest) {
             this.longest = longest;
         }
 
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/Guest.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/InboundConnection.java
@@ -7,12 +7,12 @@
 import org.xnio.conduits.AbstractStreamSourceConduit;
 import org.xnio.conduits.StreamSinkConduit;
 import org.xnio.conduits.StreamSourceConduit;
-import pinewick.loop.Loop;
+import pinewick.loop.EventLoop;
 
 /** A client's connection: how far its present request has come, as the raw bytes tell, beneath the reader of HTTP. */
-final class Guest extends AbstractStreamSourceConduit<StreamSourceConduit> {
+final class InboundConnection extends AbstractStreamSourceConduit<StreamSourceConduit> {
     /** SILENT: no byte ever; BETWEEN: none since an answer; LEAVING: nothing more is taken from it or said to it. */
-    enum Stage {
+    enum State {
         SILENT,
         ARRIVING,
         ASKED,
@@ -21,15 +21,15 @@
     }
 
     /** What a look at a connection whose client waits for its answer found. */
-    enum Look {
+    enum ClientStatus {
         THERE,
         GONE,
         FLOOD
     }
 
     final StreamConnection connection;
-    private final Loop loop;
-    private Stage stage = Stage.SILENT;
+    private final EventLoop loop;
+    private State state = State.SILENT;
     private double since;
     /** Bytes that came before their reader wants them, ready to be read; null where there are none. */
     private ByteBuffer ahead;
@@ -37,9 +37,9 @@
     private final StreamSinkConduit sink;
     private long discarded;
     /** Whether the head of a request was ever read. */
-    boolean asked;
+    boolean requestSeen;
 
-    Guest(StreamConnection connection, Loop loop) {
+    InboundConnection(StreamConnection connection, EventLoop loop) {
         super(connection.getSourceChannel().getConduit());
         this.connection = connection;
         this.loop = loop;
@@ -48,19 +48,19 @@
         connection.getSourceChannel().setConduit(this);
     }
 
-    Stage stage() {
-        return stage;
+    State state() {
+        return state;
     }
 
-    void becomes(Stage next) {
-        if (stage != next && stage != Stage.LEAVING) {
-            stage = next;
+    void transitionTo(State next) {
+        if (state != next && state != State.LEAVING) {
+            state = next;
             since = loop.now();
         }
     }
 
-    /** How long it has been in its stage. */
-    double age() {
+    /** How long it has been in its state. */
+    double stateAgeSeconds() {
         return loop.now() - since;
     }
 
@@ -68,13 +68,13 @@
      * Whether nothing of a request is there. Danger: a request that came in but was not read would be lost by a close.
      * What is found is kept for the reader, who is called.
      */
-    boolean empty() {
+    boolean isEmpty() {
         if (ahead == null && connection.isOpen()) {
             ByteBuffer found = ByteBuffer.allocate(64);
             try {
                 if (next.read(found) > 0) {
                     ahead = found.flip();
-                    becomes(Stage.ARRIVING);
+                    transitionTo(State.ARRIVING);
                     next.wakeupReads();
                 }
             } catch (IOException broken) {
@@ -88,19 +88,19 @@
      * Reads what a client sends while it waits, so that its end or reset is seen behind it; the reader of HTTP gets the
      * bytes after the answer. Danger: a client that sent its next request ahead and then left would not be noticed.
      */
-    Look look(int most) {
+    ClientStatus readAhead(int most) {
         ByteBuffer in = loop.readBuffer();
         try {
             while (true) {
                 in.clear();
                 int count = next.read(in);
                 if (count <= 0) {
-                    return count < 0 ? Look.GONE : Look.THERE;
+                    return count < 0 ? ClientStatus.GONE : ClientStatus.THERE;
                 }
                 in.flip();
                 int kept = ahead == null ? 0 : ahead.remaining();
                 if (kept + count > most) {
-                    return Look.FLOOD;
+                    return ClientStatus.FLOOD;
                 }
                 ByteBuffer all = ByteBuffer.allocate(kept + count);
                 if (ahead != null) {
@@ -109,12 +109,12 @@
                 ahead = all.put(in).flip();
             }
         } catch (IOException broken) {
-            return Look.GONE;
+            return ClientStatus.GONE;
         }
     }
 
     /** Wakes its reader for what comes from now on. */
-    void listen() {
+    void enableReads() {
         next.resumeReads();
     }
 
@@ -133,15 +133,15 @@
      * closed, and then closes. Danger: a close over unread bytes resets the connection, and an answer on its way goes
      * with it. Harm: a client that never closes, or sends without end, keeps its place until time or bytes are up.
      */
-    void end(String lastWords, double mostTime, long mostBytes, Runnable closed) {
-        becomes(Stage.LEAVING);
+    void closeGracefully(String finalResponse, double mostTime, long mostBytes, Runnable closed) {
+        transitionTo(State.LEAVING);
         Runnable close = () -> {
             IoUtils.safeClose(connection);
             closed.run();
         };
         try {
-            if (!lastWords.isEmpty()) {
-                sink.write(ByteBuffer.wrap(lastWords.getBytes(java.nio.charset.StandardCharsets.US_ASCII)));
+            if (!finalResponse.isEmpty()) {
+                sink.write(ByteBuffer.wrap(finalResponse.getBytes(java.nio.charset.StandardCharsets.US_ASCII)));
             }
             sink.terminateWrites();
             sink.flush();
@@ -194,12 +194,12 @@
         }
         int count = next.read(into);
         if (count > 0
-                && stage == Stage.LEAVING
+                && state == State.LEAVING
                 && (discarded += count) > loop.readBuffer().capacity()) {
             return -1; // A flood after the last answer; Undertow, which reads on for it, takes this for the end.
         }
-        if (count > 0 && (stage == Stage.SILENT || stage == Stage.BETWEEN)) {
-            becomes(Stage.ARRIVING);
+        if (count > 0 && (state == State.SILENT || state == State.BETWEEN)) {
+            transitionTo(State.ARRIVING);
         }
         return count;
     }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ObjectCutter.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/JsonObjectSplitter.java
@@ -9,7 +9,7 @@
  * character. It only finds where an object ends; the JSON library reads it. (That library's own reader waits for its
  * input, which this program's one loop may not.)
  */
-final class ObjectCutter {
+final class JsonObjectSplitter {
     private final int longest;
     private final Consumer<String> object;
     private final Runnable emptyLine;
@@ -18,7 +18,7 @@
     private boolean inString;
     private boolean escaped;
 
-    ObjectCutter(int longest, Consumer<String> object, Runnable emptyLine) {
+    JsonObjectSplitter(int longest, Consumer<String> object, Runnable emptyLine) {
         this.longest = longest;
         this.object = object;
         this.emptyLine = emptyLine;
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/PretendSearcher.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/LoopbackReplica.java
@@ -5,19 +5,19 @@
 import java.nio.charset.StandardCharsets;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
-import pinewick.loop.Loop;
 
 /** The far end of a pipe in the rehearsal: answers each part at once. */
-public final class PretendSearcher {
+public final class LoopbackReplica {
     private final StreamConnection connection;
-    private final Loop loop;
-    private final Frames.Cutter cutter;
+    private final EventLoop loop;
+    private final FrameCodec.Decoder cutter;
 
-    public PretendSearcher(StreamConnection connection, Loop loop, Limits limits) {
+    public LoopbackReplica(StreamConnection connection, EventLoop loop, Limits limits) {
         this.connection = connection;
         this.loop = loop;
-        cutter = new Frames.Cutter(limits.frameBytes());
+        cutter = new FrameCodec.Decoder(limits.maxFrameBytes());
         connection.getSourceChannel().setReadListener(any -> loop.event("rehearsing a searcher", this::read));
         connection.getSourceChannel().resumeReads();
     }
@@ -36,7 +36,7 @@
     }
 
     private void frame(ByteBuffer frame) {
-        if (frame.get() == Frames.CALL) {
+        if (frame.get() == FrameCodec.CALL) {
             String left = StandardCharsets.UTF_8.decode(frame).toString();
             while (!left.isEmpty()) {
                 int end = left.indexOf('\n');
@@ -49,7 +49,9 @@
 
     private void answer(String text) {
         try {
-            connection.getSinkChannel().write(Frames.frame(Frames.ANSWER, text.getBytes(StandardCharsets.UTF_8)));
+            connection
+                    .getSinkChannel()
+                    .write(FrameCodec.frame(FrameCodec.ANSWER, text.getBytes(StandardCharsets.UTF_8)));
         } catch (IOException broken) {
             IoUtils.safeClose(connection);
         }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/PeerSocket.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/PeerSocket.java
@@ -13,7 +13,7 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.MulticastMessageChannel;
 import org.xnio.channels.SocketAddressBuffer;
-import pinewick.loop.Loop;
+import pinewick.loop.EventLoop;
 
 /**
  * The one datagram channel to the other mixers, on the loop. It knows addresses and places and nothing of what
@@ -21,17 +21,17 @@
  */
 public final class PeerSocket {
     /** Is handed what came. */
-    public interface Taker {
+    public interface DatagramHandler {
         /** @param place of the mixer at the sender's address, -1 where it is in no list */
-        void took(int place, byte[] datagram, int length);
+        void onDatagram(int place, byte[] datagram, int length);
     }
 
     /** One wake-up takes so many datagrams at most, so that a flood does not hold up the rest; the next one goes on. */
     private static final int AT_ONCE = 64;
 
     private final MulticastMessageChannel channel;
-    private final Loop loop;
-    private final Taker taker;
+    private final EventLoop loop;
+    private final DatagramHandler handler;
     private final Map<SocketAddress, Integer> places = new HashMap<>();
     private final byte[] bytes;
     private final ByteBuffer buffer;
@@ -44,10 +44,10 @@
      * @param most the longest datagram that is sent or read, bytes
      * @throws IOException where it can't listen there
      */
-    public PeerSocket(InetSocketAddress listen, int most, XnioWorker worker, Loop loop, Taker taker)
+    public PeerSocket(InetSocketAddress listen, int most, XnioWorker worker, EventLoop loop, DatagramHandler handler)
             throws IOException {
         this.loop = loop;
-        this.taker = taker;
+        this.handler = handler;
         // One byte more shows a datagram that is longer than any may be; the rest of it is cut off by the system.
         bytes = new byte[most + 1];
         buffer = ByteBuffer.wrap(bytes);
@@ -57,7 +57,7 @@
     }
 
     /** Who is where from now on. */
-    public void listed(List<InetSocketAddress> addresses, InetSocketAddress toAll) {
+    public void setPeers(List<InetSocketAddress> addresses, InetSocketAddress toAll) {
         peers = addresses;
         all = toAll;
         places.clear();
@@ -81,7 +81,8 @@
                     return;
                 }
                 int taken = length;
-                loop.guarded("taking a datagram", () -> taker.took(places.getOrDefault(from, -1), bytes, taken));
+                loop.guarded(
+                        "taking a datagram", () -> handler.onDatagram(places.getOrDefault(from, -1), bytes, taken));
             }
         } catch (IOException odd) {
             // An answer of the system to an earlier datagram (nobody listens there); the channel stays good.
@@ -114,7 +115,7 @@
     }
 
     /** Datagrams that the system did not take. */
-    public long unsent() {
+    public long unsentCount() {
         return unsent;
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/OwedAnswers.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/PendingResponses.java
@@ -7,7 +7,7 @@
 import pinewick.memory.LiveLaunch;
 
 /** The answers that a searcher still owes on one connection, by part, and those that it has given of late. */
-final class OwedAnswers {
+final class PendingResponses {
     private static final class Owed {
         LiveLaunch latest;
         int answers;
@@ -18,7 +18,7 @@
     private final ArrayDeque<String> given = new ArrayDeque<>();
     private boolean forgot;
 
-    OwedAnswers(Limits limits) {
+    PendingResponses(Limits limits) {
         this.limits = limits;
     }
 
@@ -29,7 +29,7 @@
             owed.latest = launch;
             owed.answers++;
         }
-        if (owedByPart.size() > limits.answersOwed()) {
+        if (owedByPart.size() > limits.maxPendingResponses()) {
             // What was given up may never be answered; its memory must not grow with that.
             forgot |= owedByPart.values().removeIf(each -> each.latest == null);
         }
@@ -66,7 +66,7 @@
         if (--owed.answers == 0) {
             owedByPart.remove(part);
             given.add(part);
-            if (given.size() > limits.answersRemembered()) {
+            if (given.size() > limits.maxRememberedResponses()) {
                 given.poll();
             }
         }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/QueryText.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/QueryJson.java
@@ -12,11 +12,11 @@
 import pinewick.memory.OpenQuery;
 
 /** The text of a query and of its answer; of a query only what decisions and searchers need is taken out. */
-public final class QueryText {
+public final class QueryJson {
     /** How far one weight may be off through rounding. */
     private static final double ROUNDING = 1e-3;
 
-    private QueryText() {}
+    private QueryJson() {}
 
     /** Reads a query's parts and text into it; anything that is not in the form brings an exception. */
     public static void read(byte[] body, OpenQuery into, int shards) {
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryCalls.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryHttpClient.java
@@ -12,40 +12,40 @@
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
-import pinewick.loop.Loop;
+import pinewick.loop.EventLoop;
 import pinewick.registry.HttpAnswer;
 
 /**
  * Questions to the members of a registry, each on a connection of its own or on one that stands unused; answers come as
  * lines, on the loop. It decides nothing.
  */
-public final class RegistryCalls {
+public final class RegistryHttpClient {
     /** Who asked; one of the ends comes once, a dropped question hears nothing more. */
-    public interface Asker {
+    public interface ResponseHandler {
         /** One JSON object; throws IllegalArgumentException for what is not in the form. */
-        void line(String text);
+        void onLine(String text);
 
-        void failed(String why);
+        void onFailure(String reason);
 
         /** A line longer than can be taken. */
-        void tooLong();
+        void onTooLong();
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final List<InetSocketAddress> members;
     private final int longestLine;
     private final Map<Integer, StreamConnection> unused = new LinkedHashMap<>();
 
     /** @param longestLine bytes of one line of an answer at most */
-    public RegistryCalls(Loop loop, List<InetSocketAddress> members, int longestLine) {
+    public RegistryHttpClient(EventLoop loop, List<InetSocketAddress> members, int longestLine) {
         this.loop = loop;
         this.members = List.copyOf(members);
         this.longestLine = longestLine;
     }
 
     /** Posts a body; with {@code stream} lines come until the connection ends, else one. The handle drops it. */
-    public Runnable ask(int endpoint, String path, String body, boolean stream, Asker asker) {
-        Exchange exchange = new Exchange(endpoint, path, body, stream, asker);
+    public Runnable post(int endpoint, String path, String body, boolean stream, ResponseHandler handler) {
+        Exchange exchange = new Exchange(endpoint, path, body, stream, handler);
         StreamConnection kept = stream ? null : unused.remove(endpoint);
         if (kept != null && kept.isOpen()) {
             exchange.reused = true;
@@ -58,7 +58,7 @@
 
     /** One question on one connection. */
     private final class Exchange {
-        private final Asker asker;
+        private final ResponseHandler handler;
         private final int endpoint;
         private final boolean stream;
         private final ByteBuffer request;
@@ -68,8 +68,8 @@
         private boolean heard;
         private boolean over;
 
-        Exchange(int endpoint, String path, String body, boolean stream, Asker asker) {
-            this.asker = asker;
+        Exchange(int endpoint, String path, String body, boolean stream, ResponseHandler handler) {
+            this.handler = handler;
             this.endpoint = endpoint;
             this.stream = stream;
             InetSocketAddress member = members.get(endpoint);
@@ -159,13 +159,13 @@
             } catch (HttpAnswer.TooLong large) {
                 if (!over) {
                     end();
-                    asker.tooLong();
+                    handler.onTooLong();
                 }
             } catch (IllegalArgumentException odd) {
                 boolean told = over;
                 end();
                 if (!told || !stream) {
-                    asker.failed("unusable: " + odd.getMessage());
+                    handler.onFailure("unusable: " + odd.getMessage());
                 }
             }
         }
@@ -175,7 +175,7 @@
                 if (!stream) {
                     finished();
                 }
-                asker.line(text);
+                handler.onLine(text);
             }
         }
 
@@ -208,7 +208,7 @@
         private void failed(String why) {
             if (!over) {
                 end();
-                asker.failed(why);
+                handler.onFailure(why);
             }
         }
 
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/LeaseWire.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryLeaseTransport.java
@@ -2,28 +2,28 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import pinewick.loop.Loop;
+import pinewick.loop.EventLoop;
 import pinewick.registry.EtcdText;
 import pinewick.registry.LeaseKeeper;
 
 /** Puts a lease keeper's questions to the registry and brings it the answers. */
-public final class LeaseWire implements LeaseKeeper.Wire {
-    private final Loop loop;
-    private final RegistryCalls calls;
+public final class RegistryLeaseTransport implements LeaseKeeper.Wire {
+    private final EventLoop loop;
+    private final RegistryHttpClient client;
     private final String key;
     private final String value;
     private final Map<Long, Runnable> open = new LinkedHashMap<>();
     private LeaseKeeper keeper;
 
     /** @param key and its {@code value}, kept under the lease */
-    public LeaseWire(Loop loop, RegistryCalls calls, String key, String value) {
+    public RegistryLeaseTransport(EventLoop loop, RegistryHttpClient client, String key, String value) {
         this.loop = loop;
-        this.calls = calls;
+        this.client = client;
         this.key = key;
         this.value = value;
     }
 
-    public void keeps(LeaseKeeper by) {
+    public void start(LeaseKeeper by) {
         keeper = by;
         keeper.start(loop.now());
     }
@@ -52,23 +52,23 @@
     }
 
     private void ask(long question, int endpoint, String path, String body) {
-        open.put(question, calls.ask(endpoint, path, body, false, new RegistryCalls.Asker() {
+        open.put(question, client.post(endpoint, path, body, false, new RegistryHttpClient.ResponseHandler() {
             @Override
-            public void line(String text) {
+            public void onLine(String text) {
                 open.remove(question);
                 EtcdText.Lease lease = EtcdText.lease(text);
                 keeper.answered(loop.now(), question, lease.id(), lease.left());
             }
 
             @Override
-            public void failed(String why) {
+            public void onFailure(String why) {
                 open.remove(question);
                 keeper.failed(loop.now(), question);
             }
 
             @Override
-            public void tooLong() {
-                failed("too long");
+            public void onTooLong() {
+                onFailure("too long");
             }
         }));
     }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryWire.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/RegistrySessionTransport.java
@@ -3,31 +3,32 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import pinewick.loop.Loop;
+import pinewick.loop.EventLoop;
 import pinewick.registry.EtcdText;
 import pinewick.registry.RegistrySession;
 import pinewick.registry.Step;
 
 /** Puts a session's questions to the registry and brings it the answers. */
-public final class RegistryWire implements RegistrySession.Wire {
-    private final Loop loop;
-    private final RegistryCalls calls;
+public final class RegistrySessionTransport implements RegistrySession.Wire {
+    private final EventLoop loop;
+    private final RegistryHttpClient client;
     private final String prefix;
     private final Consumer<Step> steps;
     private final Consumer<String> log;
     private final Map<Long, Runnable> open = new LinkedHashMap<>();
     private RegistrySession session;
 
-    public RegistryWire(Loop loop, RegistryCalls calls, String prefix, Consumer<Step> steps, Consumer<String> log) {
+    public RegistrySessionTransport(
+            EventLoop loop, RegistryHttpClient client, String prefix, Consumer<Step> steps, Consumer<String> log) {
         this.loop = loop;
-        this.calls = calls;
+        this.client = client;
         this.prefix = prefix;
         this.steps = steps;
         this.log = log;
     }
 
     /** Starts to follow; {@link RegistrySession#tick} stays the caller's. */
-    public void follow(RegistrySession by) {
+    public void start(RegistrySession by) {
         session = by;
         session.start(loop.now());
     }
@@ -66,9 +67,9 @@
     }
 
     private void ask(long question, int endpoint, String path, String body, boolean stream) {
-        open.put(question, calls.ask(endpoint, path, body, stream, new RegistryCalls.Asker() {
+        open.put(question, client.post(endpoint, path, body, stream, new RegistryHttpClient.ResponseHandler() {
             @Override
-            public void line(String text) {
+            public void onLine(String text) {
                 if (!stream) {
                     open.remove(question);
                 }
@@ -76,13 +77,13 @@
             }
 
             @Override
-            public void failed(String why) {
+            public void onFailure(String why) {
                 open.remove(question);
                 session.failed(loop.now(), question, why);
             }
 
             @Override
-            public void tooLong() {
+            public void onTooLong() {
                 open.remove(question);
                 session.tooLong(loop.now(), question);
             }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ListFreshness.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListFreshness.java
@@ -12,18 +12,18 @@
  * <p>While no try succeeds the list in hand stays in force: what discovery has to tell counts as told only from when it
  * can be reached, and to stop serving would turn an outage of discovery into one of the service.
  */
-public final class ListFreshness {
+public final class ReplicaListFreshness {
     /** What to ask of the agent. */
-    public enum Ask {
+    public enum RequestKind {
         WATCH,
-        WHOLE
+        FULL
     }
 
     /** What is due now: nothing, to begin a try, or to leave the connection of the present one. */
-    public enum Due {
-        NOTHING,
-        TRY,
-        LEAVE
+    public enum Action {
+        NONE,
+        CONNECT,
+        DISCONNECT
     }
 
     /* The page's figures: a line this often on a watch where nothing changes, and when a change counts as told. */
@@ -51,7 +51,7 @@
     }
 
     private State state = State.PAUSED;
-    private Ask next;
+    private RequestKind next;
     private boolean wholeNeeded;
     private double since;
     private double until;
@@ -62,13 +62,13 @@
     private int failedTries;
 
     /** A new process holds a list that may be old, so it reads a whole one first. */
-    public ListFreshness(double now) {
-        next = Ask.WHOLE;
+    public ReplicaListFreshness(double now) {
+        next = RequestKind.FULL;
         wholeNeeded = true;
         until = now;
     }
 
-    public Ask next() {
+    public RequestKind next() {
         return next;
     }
 
@@ -85,28 +85,28 @@
         return provenAt + LINE_EVERY + LINE_SLACK;
     }
 
-    public Due due(double now) {
+    public Action due(double now) {
         if (now < dueAt()) {
-            return Due.NOTHING;
+            return Action.NONE;
         }
         if (state == State.PAUSED) {
             state = State.TRYING;
             since = now;
-            return Due.TRY;
+            return Action.CONNECT;
         }
         boolean doubted = state == State.FOLLOWING;
         over(now, false);
         if (doubted) {
             // It may be the watch alone that is broken; the whole list is answered at once and proves itself.
-            next = Ask.WHOLE;
+            next = RequestKind.FULL;
             until = now;
         }
-        return Due.LEAVE;
+        return Action.DISCONNECT;
     }
 
     /** The head of a watch's answer has come: the agent is there, but its list is not proven by that. */
     public void head() {
-        if (state == State.TRYING && next == Ask.WATCH) {
+        if (state == State.TRYING && next == RequestKind.WATCH) {
             state = State.FOLLOWING;
         }
     }
@@ -123,7 +123,7 @@
     public void whole(double now) {
         proven(since);
         wholeNeeded = false;
-        next = Ask.WATCH;
+        next = RequestKind.WATCH;
         state = State.PAUSED;
         until = now + spoiltPause;
     }
@@ -132,7 +132,7 @@
     public void older(double now) {
         over(now, false);
         wholeNeeded = false;
-        next = Ask.WATCH;
+        next = RequestKind.WATCH;
     }
 
     private void proven(double at) {
@@ -154,11 +154,11 @@
         if (spoilt) {
             // Danger: an agent whose watch can't be read would have the whole list read ten times a second for ever.
             spoiltPause = Math.max(PAUSE_LEAST, Math.min(SPOILT_PAUSE_MOST, 2 * spoiltPause));
-            until = next == Ask.WHOLE ? now + Math.max(pause, spoiltPause) : until;
+            until = next == RequestKind.FULL ? now + Math.max(pause, spoiltPause) : until;
             wholeNeeded = true;
         }
         // In doubt the two ways take turns: an agent may answer one of them only.
-        next = wholeNeeded || (now >= doubtAt() && next == Ask.WATCH) ? Ask.WHOLE : Ask.WATCH;
+        next = wholeNeeded || (now >= doubtAt() && next == RequestKind.WATCH) ? RequestKind.FULL : RequestKind.WATCH;
     }
 
     /**
@@ -171,7 +171,7 @@
     }
 
     /** Whether the list in hand may be served by although it was never proven: the agent says nothing. */
-    public boolean mayServeUnproven() {
+    public boolean canServeUnconfirmed() {
         return failedTries >= TRIES_BEFORE_OLD;
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ListText.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListJson.java
@@ -11,27 +11,27 @@
 import pinewick.core.SchedulerHost;
 
 /** Discovery's form of the list of searchers. */
-public final class ListText {
+public final class ReplicaListJson {
     /** A piece of the list; each entry's address stands at the same place as its listing. */
-    public record Piece(
+    public record Update(
             long revision,
-            boolean whole,
-            List<SchedulerHost.ReplicaEntry> listings,
+            boolean isFull,
+            List<SchedulerHost.ReplicaEntry> entries,
             List<InetSocketAddress> addresses) {
-        public Piece(long revision, boolean whole, List<SchedulerHost.ReplicaEntry> none) {
-            this(revision, whole, none, List.of());
+        public Update(long revision, boolean isFull, List<SchedulerHost.ReplicaEntry> none) {
+            this(revision, isFull, none, List.of());
         }
     }
 
-    private ListText() {}
+    private ReplicaListJson() {}
 
     /** Anything that is not in this form brings an exception. */
-    public static Piece read(String text) {
+    public static Update read(String text) {
         return read(JsonParser.parseString(text).getAsJsonObject());
     }
 
-    public static Piece read(JsonObject piece) {
-        List<SchedulerHost.ReplicaEntry> listings = new ArrayList<>();
+    public static Update read(JsonObject piece) {
+        List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (JsonElement each : piece.getAsJsonArray("members")) {
             JsonObject member = each.getAsJsonObject();
@@ -51,15 +51,15 @@
                 throw new IllegalArgumentException("host_port is missing");
             }
             addresses.add(placed ? address(member.get("host_port").getAsString()) : null);
-            listings.add(new SchedulerHost.ReplicaEntry(
+            entries.add(new SchedulerHost.ReplicaEntry(
                     member.get("id").getAsString(),
                     member.has("cell") ? member.get("cell").getAsInt() : 0,
                     zone,
                     stage,
                     startedAt));
         }
-        return new Piece(
-                piece.get("revision").getAsLong(), piece.get("complete").getAsBoolean(), listings, addresses);
+        return new Update(
+                piece.get("revision").getAsLong(), piece.get("complete").getAsBoolean(), entries, addresses);
     }
 
     /** A host given by number and a port; names are not looked up, there is no service for that. */
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ListWatch.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListWatch.java
@@ -16,20 +16,20 @@
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
 import org.xnio.channels.StreamSourceChannel;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
 
 /** Follows the list of searchers: a watch from the version in hand, opened again whenever it ends. */
-public final class ListWatch {
+public final class ReplicaListWatch {
     private URI discovery;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Log log;
     private final ByteBufferPool buffers;
-    private final Consumer<ListText.Piece> news;
+    private final Consumer<ReplicaListJson.Update> news;
     private final Runnable failed;
-    private final ObjectCutter cutter;
-    private final ListFreshness freshness;
+    private final JsonObjectSplitter cutter;
+    private final ReplicaListFreshness freshness;
     private long revision;
     private long round;
     /** Reads what there is of the present answer; null before its head. */
@@ -45,14 +45,14 @@
      * @param news is handed each piece that is accepted
      * @param failed runs after each try or watch that ended otherwise than by its whole list
      */
-    public ListWatch(
+    public ReplicaListWatch(
             InetSocketAddress discovery,
-            Loop loop,
+            EventLoop loop,
             Limits limits,
             Log log,
             ByteBufferPool buffers,
             long revision,
-            Consumer<ListText.Piece> news,
+            Consumer<ReplicaListJson.Update> news,
             Runnable failed) {
         this.discovery = uri(discovery);
         this.loop = loop;
@@ -61,8 +61,9 @@
         this.revision = revision;
         this.news = news;
         this.failed = failed;
-        freshness = new ListFreshness(loop.now());
-        cutter = new ObjectCutter(limits.lineBytes(), this::object, () -> freshness.line(loop.lookedBefore(), false));
+        freshness = new ReplicaListFreshness(loop.now());
+        cutter = new JsonObjectSplitter(
+                limits.maxListObjectBytes(), this::object, () -> freshness.line(loop.lastPolledAt(), false));
     }
 
     private static URI uri(InetSocketAddress at) {
@@ -84,12 +85,12 @@
     }
 
     /** Whether a list that was never proven current may be served by, since the agent can't be had. */
-    public boolean mayServeUnproven() {
-        return freshness.mayServeUnproven();
+    public boolean canServeUnconfirmed() {
+        return freshness.canServeUnconfirmed();
     }
 
     /** Reads at once what the agent has sent, if anything, without waiting for the loop's next look at the sockets. */
-    public void look() {
+    public void readAvailable() {
         if (look != null) {
             loop.guarded("reading the list", look);
         }
@@ -115,15 +116,15 @@
     }
 
     /** Begins to follow the list. */
-    public void open() {
+    public void start() {
         attend();
     }
 
     /** Does what is due, and comes back when the next thing is. */
     private void attend() {
         switch (freshness.due(loop.now())) {
-            case TRY -> connect();
-            case LEAVE -> {
+            case CONNECT -> connect();
+            case DISCONNECT -> {
                 leave();
                 told("silent");
                 attend();
@@ -154,7 +155,7 @@
                                     connection = made;
                                     ask(mine, made);
                                 },
-                                ListWatch::leave),
+                                ReplicaListWatch::leave),
                         discovery,
                         loop.thread(),
                         buffers,
@@ -162,7 +163,7 @@
     }
 
     private void ask(long mine, ClientConnection over) {
-        boolean whole = freshness.next() == ListFreshness.Ask.WHOLE;
+        boolean whole = freshness.next() == ReplicaListFreshness.RequestKind.FULL;
         ClientRequest request = new ClientRequest()
                 .setMethod(Methods.GET)
                 .setPath(whole ? "/registry/instances" : "/registry/instances?stream=1&index=" + revision);
@@ -206,7 +207,7 @@
                 }
                 if (count < 0) {
                     if (whole && wholeList != null) {
-                        whole(ListText.read(wholeList));
+                        whole(ReplicaListJson.read(wholeList));
                     } else {
                         ended(mine, whole ? "the whole list was cut short" : "ended", false);
                     }
@@ -234,20 +235,20 @@
     }
 
     private void object(String text) {
-        if (freshness.next() == ListFreshness.Ask.WHOLE) {
+        if (freshness.next() == ReplicaListFreshness.RequestKind.FULL) {
             // Danger: an answer that is reset or cut is no whole list; so it counts only once its end was read.
             wholeList = text;
             return;
         }
-        ListText.Piece piece = ListText.read(text);
-        freshness.line(loop.lookedBefore(), true);
+        ReplicaListJson.Update piece = ReplicaListJson.read(text);
+        freshness.line(loop.lastPolledAt(), true);
         if (!older(piece)) {
             accept(piece);
         }
     }
 
-    private void whole(ListText.Piece piece) {
-        if (!piece.whole()) {
+    private void whole(ReplicaListJson.Update piece) {
+        if (!piece.isFull()) {
             throw new IllegalArgumentException("changes where the whole list was asked for");
         }
         if (older(piece)) {
@@ -263,7 +264,7 @@
         attend();
     }
 
-    private void accept(ListText.Piece piece) {
+    private void accept(ReplicaListJson.Update piece) {
         revision = piece.revision();
         news.accept(piece);
     }
@@ -272,7 +273,7 @@
      * Danger: an agent that is behind would undo a drain that was told (rule 3). Harm: a registry that was made anew
      * and counts from the start is followed only after this mixer has started again; the log says so.
      */
-    private boolean older(ListText.Piece piece) {
+    private boolean older(ReplicaListJson.Update piece) {
         if (piece.revision() < revision) {
             log.say(
                     Log.Level.WARNING,
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/AnswerFrame.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ResponseFrame.java
@@ -13,7 +13,7 @@
  * @param end the letter that says how it ended
  * @param report the searcher's load; null where it can't be read
  */
-record AnswerFrame(String part, boolean wellFormed, char end, SchedulerHost.LoadReport report, byte[] value) {
+record ResponseFrame(String part, boolean wellFormed, char end, SchedulerHost.LoadReport report, byte[] value) {
     private static final int WORDS = 4;
     private static final int MOST_WORDS = 5;
     private static final String ENDS = "SEB";
@@ -21,7 +21,7 @@
     private static final String NUMBER = "[-+0-9.eE]+";
 
     /** Reads what follows the frame's letter. */
-    static AnswerFrame read(byte[] rest) {
+    static ResponseFrame read(byte[] rest) {
         int lineEnd = lineEnd(rest);
         String[] words = words(rest, lineEnd);
         boolean formed = lineEnd < rest.length
@@ -34,14 +34,14 @@
         }
         char end = words[1].charAt(0);
         byte[] value = Arrays.copyOfRange(rest, lineEnd + 1, rest.length);
-        if (end == SUCCESS && !QueryText.fitsAnAnswer(value)) {
+        if (end == SUCCESS && !QueryJson.fitsAnAnswer(value)) {
             return malformed(words[0]);
         }
-        return new AnswerFrame(words[0], true, end, report(words[3]), value);
+        return new ResponseFrame(words[0], true, end, report(words[3]), value);
     }
 
-    private static AnswerFrame malformed(String part) {
-        return new AnswerFrame(part, false, ' ', null, new byte[0]);
+    private static ResponseFrame malformed(String part) {
+        return new ResponseFrame(part, false, ' ', null, new byte[0]);
     }
 
     /** The first word of a frame, which in most names a part. */
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/SearcherLink.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
@@ -15,48 +15,48 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
 import pinewick.core.SchedulerHost;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
-import pinewick.loop.Loop;
 import pinewick.memory.Call;
 import pinewick.memory.Carrier;
 import pinewick.memory.LiveLaunch;
 
 /** One connection to a searcher, from when it is asked for until it is closed. */
-public final class SearcherLink implements Carrier {
+public final class TcpReplicaConnection implements Carrier {
     /** What a link tells; every call is an event of its own on the loop. */
-    public interface Events {
-        void answered(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value);
+    public interface Listener {
+        void onResponse(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value);
 
-        void probed(String searcher, long probe, boolean good, SchedulerHost.LoadReport report);
+        void onProbeResult(String searcher, long probe, boolean good, SchedulerHost.LoadReport report);
 
         /** Something came that is no answer; the launch that it ends, null where there is none to be told. */
-        void spoilt(SearcherLink link, String why, LiveLaunch launch);
+        void onInvalidFrame(TcpReplicaConnection link, String why, LiveLaunch launch);
 
         /** Whether the first byte of that launch may be written now; one that may not has been taken back. */
-        boolean mayBegin(LiveLaunch launch);
+        boolean canStartWrite(LiveLaunch launch);
 
         /** These were never written whole and will not be, for no fault of the searcher. */
-        void unsent(List<LiveLaunch> launches);
+        void onUnsent(List<LiveLaunch> launches);
 
         /** The link is not up in time for these; it may still come up for others. */
-        void notUp(SearcherLink link, List<LiveLaunch> launches);
+        void onConnectTimeout(TcpReplicaConnection link, List<LiveLaunch> launches);
 
         /** The link is closed; {@code never} were not written whole, {@code perhaps} were. */
-        void closed(SearcherLink link, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps);
+        void onClosed(TcpReplicaConnection link, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps);
     }
 
     private final String searcher;
     private final InetSocketAddress address;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
-    private final Events events;
-    private final Frames.Cutter cutter;
+    private final Listener listener;
+    private final FrameCodec.Decoder cutter;
     private final Consumer<ByteBuffer> cut = this::frame;
     private final ArrayDeque<Call> waiting = new ArrayDeque<>();
     private final ArrayDeque<ByteBuffer> control = new ArrayDeque<>();
     private final ArrayDeque<Long> probes = new ArrayDeque<>();
     private final List<Call> calls = new ArrayList<>();
-    private final OwedAnswers owed;
+    private final PendingResponses owed;
     private IoFuture<StreamConnection> dialing;
     private XnioExecutor.Key dialTimer;
     private StreamConnection connection;
@@ -71,14 +71,15 @@
     private double usedAt;
     private double heardAt = Double.NEGATIVE_INFINITY;
 
-    public SearcherLink(String searcher, InetSocketAddress address, Loop loop, Limits limits, Events events) {
+    public TcpReplicaConnection(
+            String searcher, InetSocketAddress address, EventLoop loop, Limits limits, Listener listener) {
         this.searcher = searcher;
         this.address = address;
         this.loop = loop;
         this.limits = limits;
-        this.events = events;
-        this.cutter = new Frames.Cutter(limits.frameBytes());
-        this.owed = new OwedAnswers(limits);
+        this.listener = listener;
+        this.cutter = new FrameCodec.Decoder(limits.maxFrameBytes());
+        this.owed = new PendingResponses(limits);
         usedAt = loop.now();
     }
 
@@ -88,14 +89,14 @@
     }
 
     /** Starts to connect; the answer is an event. */
-    public void dial() {
-        dialTimer = loop.timeOut(limits.dial(), "dialing", this::late);
+    public void connect() {
+        dialTimer = loop.timeOut(limits.connectTimeoutSeconds(), "dialing", this::late);
         dialing = loop.thread().openStreamConnection(address, null, null, OptionMap.create(Options.TCP_NODELAY, true));
         dialing.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Object>() {
                     @Override
                     public void handleDone(StreamConnection made, Object none) {
-                        loop.later("connected", () -> up(made));
+                        loop.later("connected", () -> attach(made));
                     }
 
                     @Override
@@ -121,7 +122,7 @@
             return;
         }
         late = true;
-        dialTimer = loop.timeOut(limits.dialMost() - limits.dial(), "dialing", () -> {
+        dialTimer = loop.timeOut(limits.maxConnectSeconds() - limits.connectTimeoutSeconds(), "dialing", () -> {
             if (connection == null) {
                 close("never up");
             }
@@ -129,12 +130,12 @@
         control.clear();
         List<Long> unasked = List.copyOf(probes);
         probes.clear();
-        events.notUp(this, waiting());
-        unasked.forEach(number -> events.probed(searcher, number, false, null));
+        listener.onConnectTimeout(this, waiting());
+        unasked.forEach(number -> listener.onProbeResult(searcher, number, false, null));
     }
 
     /** A link over a connection that is there already. */
-    public void up(StreamConnection made) {
+    public void attach(StreamConnection made) {
         if (closed) {
             IoUtils.safeClose(made);
             return;
@@ -160,8 +161,8 @@
                 && !retired
                 && !doomed
                 && (connection != null || !late)
-                && calls.size() < limits.callsAConnection()
-                && (connection == null || !calls.isEmpty() || loop.now() - usedAt < limits.linkIdle());
+                && calls.size() < limits.maxCallsPerConnection()
+                && (connection == null || !calls.isEmpty() || loop.now() - usedAt < limits.connectionIdleSeconds());
     }
 
     /** Reads what may tell that an unused link has been closed at the far end, before a call would be lost on it. */
@@ -195,7 +196,10 @@
     /** To be called now and then: closes the link before the far side would. */
     @Override
     public void look() {
-        if (connection != null && calls.isEmpty() && probes.isEmpty() && loop.now() - usedAt >= limits.linkIdle()) {
+        if (connection != null
+                && calls.isEmpty()
+                && probes.isEmpty()
+                && loop.now() - usedAt >= limits.connectionIdleSeconds()) {
             close("idle");
         }
     }
@@ -211,7 +215,7 @@
     @Override
     public void probe(long number, boolean load) {
         probes.add(number);
-        control.add(Frames.frame(load ? Frames.LOAD : Frames.PROBE, new byte[0]));
+        control.add(FrameCodec.frame(load ? FrameCodec.LOAD : FrameCodec.PROBE, new byte[0]));
         write();
     }
 
@@ -227,9 +231,9 @@
             doomed = true;
             loop.later("dropping a frame", this::dropFrame);
         } else if (tell) {
-            control.add(Frames.cancel(launch.piece.id));
+            control.add(FrameCodec.cancel(launch.piece.id));
             write();
-            if (control.size() > limits.controlFrames()) {
+            if (control.size() > limits.maxQueuedControlFrames()) {
                 loop.later("too many frames unread", () -> close("reads nothing"));
             }
         }
@@ -241,7 +245,7 @@
                 .filter(each -> !each.over)
                 .forEach(unsent::add));
         if (!closed) {
-            events.unsent(unsent);
+            listener.onUnsent(unsent);
             retire("a frame begun was no longer wanted");
         }
     }
@@ -305,14 +309,14 @@
         while (!waiting.isEmpty()) {
             Call call = waiting.poll();
             List.copyOf(call.launches).stream()
-                    .filter(each -> !events.mayBegin(each))
+                    .filter(each -> !listener.canStartWrite(each))
                     .forEach(call.launches::remove);
             if (doomed || closed) {
                 return false;
             }
             if (!call.launches.isEmpty()) {
                 currentCall = call;
-                current = Frames.call(call, loop.clock());
+                current = FrameCodec.call(call, loop.clock());
                 return true;
             }
         }
@@ -368,8 +372,8 @@
         byte[] rest = new byte[frame.remaining()];
         frame.get(rest);
         switch (letter) {
-            case Frames.ANSWER -> answer(rest);
-            case Frames.PROBE, Frames.LOAD -> {
+            case FrameCodec.ANSWER -> answer(rest);
+            case FrameCodec.PROBE, FrameCodec.LOAD -> {
                 String text = new String(rest, StandardCharsets.UTF_8).trim();
                 Long number = probes.poll();
                 if (number == null) {
@@ -377,16 +381,17 @@
                     return;
                 }
                 boolean good = !text.startsWith("E");
-                events.probed(searcher, number, good, good && letter == Frames.LOAD ? AnswerFrame.report(text) : null);
+                listener.onProbeResult(
+                        searcher, number, good, good && letter == FrameCodec.LOAD ? ResponseFrame.report(text) : null);
             }
-            case Frames.UNUSABLE -> throw new IllegalArgumentException(
+            case FrameCodec.UNUSABLE -> throw new IllegalArgumentException(
                     "X " + new String(rest, 0, Math.min(80, rest.length), StandardCharsets.UTF_8));
-            default -> spoilt(AnswerFrame.firstWord(rest), "a frame of letter " + (int) letter);
+            default -> spoilt(ResponseFrame.firstWord(rest), "a frame of letter " + (int) letter);
         }
     }
 
     private void answer(byte[] rest) {
-        AnswerFrame answer = AnswerFrame.read(rest);
+        ResponseFrame answer = ResponseFrame.read(rest);
         if (!owed.owes(answer.part())) {
             // A second copy of an answer costs nothing: its part has its value.
             if (!owed.mayHaveOwed(answer.part())) {
@@ -400,7 +405,7 @@
         }
         LiveLaunch launch = owed.answered(answer.part());
         if (launch != null) {
-            events.answered(launch, answer.end(), answer.report(), answer.value());
+            listener.onResponse(launch, answer.end(), answer.report(), answer.value());
         }
     }
 
@@ -420,7 +425,7 @@
             meant = out.size() == 1 ? out.get(0) : null;
         }
         retired = true;
-        events.spoilt(this, why, meant == null || meant.over ? null : meant);
+        listener.onInvalidFrame(this, why, meant == null || meant.over ? null : meant);
         if (calls.isEmpty()) {
             loop.later("closing a spoilt link", () -> close("spoilt"));
         }
@@ -431,7 +436,7 @@
         long had = cutter.count();
         if (cutter.partial() && had != stuckAt) {
             stuckAt = had;
-            loop.timeOut(limits.frameWhole(), "a frame's rest", () -> {
+            loop.timeOut(limits.frameCompletionTimeoutSeconds(), "a frame's rest", () -> {
                 if (!closed && cutter.partial() && cutter.count() == had) {
                     close("unusable: a frame that stops short");
                 }
@@ -467,7 +472,7 @@
                 }
             }
         }
-        events.closed(this, why, never, perhaps);
-        probes.forEach(number -> events.probed(searcher, number, false, null));
+        listener.onClosed(this, why, never, perhaps);
+        probes.forEach(number -> listener.onProbeResult(searcher, number, false, null));
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/simulator/Fields.java
+++ b/query-mixer/daemon/src/main/java/pinewick/simulator/ProtocolLine.java
@@ -1,11 +1,11 @@
 package pinewick.simulator;
 
 /** One line of the wire: its verb and its name=value pairs, found in place. */
-final class Fields {
+final class ProtocolLine {
     private final String line;
     private final String verb;
 
-    Fields(String line) {
+    ProtocolLine(String line) {
         this.line = line;
         int end = line.indexOf(' ');
         verb = end < 0 ? line : line.substring(0, end);
--- a/query-mixer/daemon/src/main/java/pinewick/simulator/Mixer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/simulator/SimulatedMixer.java
@@ -13,9 +13,9 @@
 import pinewick.core.SchedulerHost;
 
 /** One mixer on the wire: hands events to its own {@link QueryScheduler} and writes down what that asks for. */
-final class Mixer implements SchedulerHost {
+final class SimulatedMixer implements SchedulerHost {
     private final int number;
-    private final QueryScheduler logic;
+    private final QueryScheduler scheduler;
     private final SchedulerHost.Deployment deployment;
     private final Map<String, Integer> gradeRows = new HashMap<>();
     private final Map<Long, Query> byJob = new HashMap<>();
@@ -29,17 +29,17 @@
     /** Under what a query goes on the wire: its number, and the ids of itself and its parts. */
     private record Wired(long job, List<String> ids) {}
 
-    Mixer(int number, long clock, Fields opening) {
+    SimulatedMixer(int number, long clock, ProtocolLine opening) {
         this.number = number;
         this.clock = clock;
         deployment = DeploymentParser.parse(opening.text("config"));
         for (SchedulerHost.ServiceClassConfig grade : deployment.serviceClasses()) {
             gradeRows.put(grade.name(), gradeRows.size());
         }
-        logic = new QueryScheduler(this, deployment, new SplittableRandom(opening.whole("rng-seed", 0)));
+        scheduler = new QueryScheduler(this, deployment, new SplittableRandom(opening.whole("rng-seed", 0)));
     }
 
-    void event(Fields event, long batchClock, List<ReplicaEntry> entries) {
+    void event(ProtocolLine event, long batchClock, List<ReplicaEntry> entries) {
         clock = batchClock;
         if (broken) {
             return;
@@ -58,7 +58,7 @@
             return;
         }
         try {
-            logic.onBatchEnd();
+            scheduler.onBatchEnd();
             ended.forEach(id -> {
                 if (byId.containsKey(id)) {
                     forget(byId.get(id));
@@ -85,9 +85,9 @@
         reply.setLength(0);
     }
 
-    private void dispatch(Fields event, List<ReplicaEntry> entries) {
+    private void dispatch(ProtocolLine event, List<ReplicaEntry> entries) {
         switch (event.verb()) {
-            case "discovery" -> logic.onReplicaListUpdate(
+            case "discovery" -> scheduler.onReplicaListUpdate(
                     switch ((int) event.whole("form")) {
                         case 0 -> ListUpdateKind.INCREMENTAL;
                         case 1 -> ListUpdateKind.FULL;
@@ -115,15 +115,15 @@
                     forget(query);
                 }
             }
-            case "probe_done" -> logic.onProbeResult(event.text("searcher"), ending(event), report(event));
-            case "ring" -> logic.onTimer(event.whole("name"));
+            case "probe_done" -> scheduler.onProbeResult(event.text("searcher"), ending(event), report(event));
+            case "ring" -> scheduler.onTimer(event.whole("name"));
             default -> {
                 // Nothing that a mixer acts on: messages from peers, streams (no grade has them).
             }
         }
     }
 
-    private void request(Fields event) {
+    private void request(ProtocolLine event) {
         String id = event.text("call");
         long job = event.whole("job-no", 0);
         if (event.whole("segment-no", -1) < 0) {
@@ -131,7 +131,7 @@
             if (row == null) {
                 throw new IllegalArgumentException("unknown priority " + event.text("priority"));
             }
-            Query query = logic.submit(
+            Query query = scheduler.submit(
                     id,
                     row,
                     event.seconds("ttl-ns", 0),
@@ -160,7 +160,7 @@
         }
     }
 
-    private static Outcome ending(Fields event) {
+    private static Outcome ending(ProtocolLine event) {
         return switch ((int) event.whole("outcome")) {
             case 0 -> Outcome.FULFILLED;
             case 8 -> Outcome.REJECTED;
@@ -173,7 +173,7 @@
         };
     }
 
-    private static LoadReport report(Fields event) {
+    private static LoadReport report(ProtocolLine event) {
         return DeploymentParser.parseLoadReport(event.text("metrics", ""), ':');
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/simulator/Benchlink.java
+++ b/query-mixer/daemon/src/main/java/pinewick/simulator/SimulatorAdapter.java
@@ -16,26 +16,26 @@
 import pinewick.core.SchedulerHost;
 
 /** Speaks the bench's wire: reads batches, turns each line into calls on its mixer, writes the reply. */
-public final class Benchlink {
+public final class SimulatorAdapter {
     private final BufferedReader in;
     private final BufferedWriter out;
-    private final Map<Integer, Mixer> mixers = new HashMap<>();
+    private final Map<Integer, SimulatedMixer> mixers = new HashMap<>();
     private final Map<Integer, List<SchedulerHost.ReplicaEntry>> pools = new HashMap<>();
-    private final Map<Integer, Mixer> touched = new LinkedHashMap<>();
+    private final Map<Integer, SimulatedMixer> touched = new LinkedHashMap<>();
     private long lines;
 
-    private Benchlink(InputStream in, OutputStream out) {
+    private SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8), 1 << 16);
     }
 
     /** Serves until the input ends; malformed input ends the process with a message and exit code 1. */
     public static void run(InputStream in, OutputStream out) throws IOException {
-        Benchlink link = new Benchlink(in, out);
+        SimulatorAdapter link = new SimulatorAdapter(in, out);
         String line = "";
         try {
             while ((line = link.next()) != null) {
-                link.batch(new Fields(line));
+                link.batch(new ProtocolLine(line));
             }
         } catch (IllegalArgumentException wrong) {
             System.err.println("benchlink: line " + link.lines + ": " + wrong.getMessage());
@@ -49,7 +49,7 @@
         return line;
     }
 
-    private void batch(Fields begin) throws IOException {
+    private void batch(ProtocolLine begin) throws IOException {
         if (!begin.verb().equals("begin_batch")) {
             throw new IllegalArgumentException("begin_batch expected, not '" + begin.verb() + "'");
         }
@@ -63,14 +63,14 @@
             if (line.equals("flush")) {
                 break;
             }
-            Fields event = new Fields(line);
+            ProtocolLine event = new ProtocolLine(line);
             if (event.verb().equals("pool")) {
                 pool(event);
             } else {
                 event(event, clock);
             }
         }
-        for (Mixer mixer : touched.values()) {
+        for (SimulatedMixer mixer : touched.values()) {
             mixer.endOfBatch();
             mixer.drainTo(out);
         }
@@ -78,14 +78,14 @@
         out.flush();
     }
 
-    private void pool(Fields head) throws IOException {
+    private void pool(ProtocolLine head) throws IOException {
         List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>();
         for (long left = head.whole("items"); left > 0; left--) {
             String line = next();
             if (line == null || !line.startsWith("m ")) {
                 throw new IllegalArgumentException("an entry of the pool expected");
             }
-            Fields m = new Fields(line);
+            ProtocolLine m = new ProtocolLine(line);
             SchedulerHost.LifecycleState stage =
                     switch ((int) m.whole("stage-state", 1)) {
                         case 0 -> SchedulerHost.LifecycleState.GONE;
@@ -102,7 +102,7 @@
         pools.put((int) head.whole("slot"), entries);
     }
 
-    private void event(Fields event, long clock) {
+    private void event(ProtocolLine event, long clock) {
         int number = (int) event.whole("mixer");
         if (event.verb().equals("halt")) {
             mixers.remove(number);
@@ -110,12 +110,12 @@
             return;
         }
         if (event.verb().equals("open_instance")) {
-            Mixer opened = new Mixer(number, clock, event);
+            SimulatedMixer opened = new SimulatedMixer(number, clock, event);
             mixers.put(number, opened);
             touched.put(number, opened);
             return;
         }
-        Mixer mixer = mixers.get(number);
+        SimulatedMixer mixer = mixers.get(number);
         if (mixer == null) {
             throw new IllegalArgumentException("mixer " + number + " was never opened");
         }
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Admit.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Admit.java
@@ -1,7 +1,7 @@
 package pinewick.stages;
 
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
-import pinewick.loop.Loop;
 import pinewick.memory.Counters;
 import pinewick.memory.OpenQueries;
 import pinewick.memory.OpenQuery;
@@ -9,13 +9,13 @@
 /** Second stage: what the mixer can't hold is turned away before any decision, as the settings say. */
 public final class Admit {
     private final Limits limits;
-    private final Loop loop;
+    private final EventLoop loop;
     private final OpenQueries queries;
     private final Counters counters;
     private final Route route;
     private final Relay relay;
 
-    public Admit(Limits limits, Loop loop, OpenQueries queries, Counters counters, Route route, Relay relay) {
+    public Admit(Limits limits, EventLoop loop, OpenQueries queries, Counters counters, Route route, Relay relay) {
         this.limits = limits;
         this.loop = loop;
         this.queries = queries;
@@ -35,7 +35,7 @@
             throw new IllegalArgumentException("id: Req-Id is that of an open request");
         }
         counters.add("taken");
-        if (queries.held() + 1 + query.pieces.size() > limits.open()) {
+        if (queries.held() + 1 + query.pieces.size() > limits.maxOpenItems()) {
             counters.add("turned-away-full");
             relay.turnAway(query, 0);
             return;
@@ -44,7 +44,7 @@
         counters.peak("peak-held", queries.held());
         // Danger: a fault in the decisions must not cost a query its answer. Also catches a lost timer. Harm: where it
         // came before the decisions' own end, a query that could be declined would be given up; so it comes after.
-        query.net = loop.after(query.ttl + limits.netAfter(), "the end of a client's time", () -> {
+        query.net = loop.after(query.ttl + limits.backstopDelaySeconds(), "the end of a client's time", () -> {
             counters.add("ended-by-the-net");
             relay.giveUp(query);
         });
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import java.util.Locale;
 import pinewick.core.SchedulerHost;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
 import pinewick.memory.Counters;
 import pinewick.memory.LiveLaunch;
 import pinewick.memory.OpenQueries;
 import pinewick.memory.OpenQuery;
 import pinewick.memory.Searchers;
-import pinewick.protocol.SearcherLink;
+import pinewick.protocol.TcpReplicaConnection;
 
 /** Last stage: books how launches, probes and queries ended, and tells the decisions. */
-public final class Book implements SearcherLink.Events {
-    private final Loop loop;
+public final class Book implements TcpReplicaConnection.Listener {
+    private final EventLoop loop;
     private final Log log;
     private final OpenQueries queries;
     private final Counters counters;
@@ -24,7 +24,13 @@
     private Route route;
 
     public Book(
-            Loop loop, Log log, OpenQueries queries, Counters counters, Searchers searchers, Send send, Relay relay) {
+            EventLoop loop,
+            Log log,
+            OpenQueries queries,
+            Counters counters,
+            Searchers searchers,
+            Send send,
+            Relay relay) {
         this.loop = loop;
         this.log = log;
         this.queries = queries;
@@ -85,7 +91,7 @@
     }
 
     @Override
-    public void answered(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value) {
+    public void onResponse(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value) {
         if (end == 'S' && launch.piece.value == null) {
             launch.piece.value = value;
         }
@@ -100,12 +106,12 @@
     }
 
     @Override
-    public void probed(String searcher, long probe, boolean good, SchedulerHost.LoadReport report) {
+    public void onProbeResult(String searcher, long probe, boolean good, SchedulerHost.LoadReport report) {
         send.probeEnds(probe, good ? SchedulerHost.Outcome.FULFILLED : SchedulerHost.Outcome.ERROR, report);
     }
 
     @Override
-    public void spoilt(SearcherLink link, String why, LiveLaunch launch) {
+    public void onInvalidFrame(TcpReplicaConnection link, String why, LiveLaunch launch) {
         counters.add("spoilt-answers");
         link.waiting().forEach(each -> send.takeBack(each, SchedulerHost.Outcome.MOOT));
         log.say(
@@ -120,17 +126,17 @@
     }
 
     @Override
-    public boolean mayBegin(LiveLaunch launch) {
+    public boolean canStartWrite(LiveLaunch launch) {
         return send.mayBegin(launch);
     }
 
     @Override
-    public void unsent(List<LiveLaunch> launches) {
+    public void onUnsent(List<LiveLaunch> launches) {
         launches.forEach(each -> loop.guarded("a launch unsent", () -> ended(each, SchedulerHost.Outcome.MOOT, null)));
     }
 
     @Override
-    public void notUp(SearcherLink link, List<LiveLaunch> launches) {
+    public void onConnectTimeout(TcpReplicaConnection link, List<LiveLaunch> launches) {
         counters.add("connections-late");
         if (!launches.isEmpty()) {
             log.say(
@@ -145,7 +151,7 @@
     }
 
     @Override
-    public void closed(SearcherLink link, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps) {
+    public void onClosed(TcpReplicaConnection link, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps) {
         searchers.remove(link);
         counters.add("connections-closed");
         if (!never.isEmpty() || !perhaps.isEmpty()) {
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
@@ -2,12 +2,12 @@
 
 import java.nio.charset.StandardCharsets;
 import pinewick.core.SchedulerHost;
-import pinewick.loop.Loop;
+import pinewick.loop.EventLoop;
 import pinewick.memory.Counters;
 import pinewick.memory.LiveLaunch;
 import pinewick.memory.OpenQueries;
 import pinewick.memory.OpenQuery;
-import pinewick.protocol.QueryText;
+import pinewick.protocol.QueryJson;
 
 /** Fifth stage: the one final answer to a client, and nothing sent for the query after it. */
 public final class Relay {
@@ -15,12 +15,12 @@
     private static final int DECLINED = 503;
     private static final int GIVEN_UP = 500;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final OpenQueries queries;
     private final Counters counters;
     private final Send send;
 
-    public Relay(Loop loop, OpenQueries queries, Counters counters, Send send) {
+    public Relay(EventLoop loop, OpenQueries queries, Counters counters, Send send) {
         this.loop = loop;
         this.queries = queries;
         this.counters = counters;
@@ -29,7 +29,7 @@
 
     public void fulfil(OpenQuery query, boolean whole) {
         if (ends(query, whole ? "fulfilled-whole" : "fulfilled-part")) {
-            answer(query, FULFILLED, 0, QueryText.answer(query, whole));
+            answer(query, FULFILLED, 0, QueryJson.answer(query, whole));
         }
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Route.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Route.java
@@ -4,8 +4,8 @@
 import java.util.SplittableRandom;
 import pinewick.core.QueryScheduler;
 import pinewick.core.SchedulerHost;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
 import pinewick.memory.Counters;
 import pinewick.memory.LiveLaunch;
 import pinewick.memory.OpenQueries;
@@ -13,7 +13,7 @@
 
 /** Third stage: hands events to the decisions and passes on what they ask for. It decides nothing itself. */
 public final class Route implements SchedulerHost {
-    private final Loop loop;
+    private final EventLoop loop;
     private final Log log;
     private final OpenQueries queries;
     private final Counters counters;
@@ -26,7 +26,7 @@
     public Route(
             SchedulerHost.Deployment given,
             long seed,
-            Loop loop,
+            EventLoop loop,
             Log log,
             OpenQueries queries,
             Counters counters,
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
@@ -7,26 +7,26 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import pinewick.core.SchedulerHost;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
-import pinewick.loop.Loop;
 import pinewick.memory.Call;
 import pinewick.memory.Carrier;
 import pinewick.memory.Counters;
 import pinewick.memory.LiveLaunch;
 import pinewick.memory.OpenQuery;
 import pinewick.memory.Searchers;
-import pinewick.protocol.SearcherLink;
+import pinewick.protocol.TcpReplicaConnection;
 
 /** Fourth stage: what one batch launches to a searcher goes out together, over a connection with a place. */
 public final class Send {
     private final SchedulerHost.Deployment given;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private final Counters counters;
     private final Searchers searchers;
     private final Map<String, List<LiveLaunch>> batch = new LinkedHashMap<>();
     private final Map<Long, String> probes = new LinkedHashMap<>();
-    private final Consumer<SearcherLink> dialer;
+    private final Consumer<TcpReplicaConnection> dialer;
     private Runnable lookAtList = () -> {};
     private double lookedAt;
     private long lastProbe;
@@ -34,11 +34,11 @@
 
     public Send(
             SchedulerHost.Deployment given,
-            Loop loop,
+            EventLoop loop,
             Limits limits,
             Counters counters,
             Searchers searchers,
-            Consumer<SearcherLink> dialer) {
+            Consumer<TcpReplicaConnection> dialer) {
         this.given = given;
         this.loop = loop;
         this.limits = limits;
@@ -75,8 +75,8 @@
     private void send(String searcher, List<LiveLaunch> launches) {
         // What was taken back within its own batch, by its query's end, has ended already.
         launches.removeIf(each -> each.over || each.piece.query.ended);
-        for (int from = 0; from < launches.size(); from += limits.callParts()) {
-            List<LiveLaunch> call = launches.subList(from, Math.min(launches.size(), from + limits.callParts()));
+        for (int from = 0; from < launches.size(); from += limits.maxPartsPerCall()) {
+            List<LiveLaunch> call = launches.subList(from, Math.min(launches.size(), from + limits.maxPartsPerCall()));
             boolean told = !searchers.takesNew(searcher);
             Carrier link = told ? null : link(searcher);
             if (link == null) {
@@ -123,10 +123,13 @@
     boolean mayBegin(LiveLaunch launch) {
         OpenQuery query = launch.piece.query;
         double now = loop.clock();
-        if (!launch.over && !query.ended && now - query.seenAt > limits.unseen() && query.asker.stillThere()) {
+        if (!launch.over
+                && !query.ended
+                && now - query.seenAt > limits.livenessCheckSeconds()
+                && query.asker.stillThere()) {
             query.seenAt = now;
         }
-        if (now - Math.max(lookedAt, loop.lookedBefore()) > limits.unseen()) {
+        if (now - Math.max(lookedAt, loop.lastPolledAt()) > limits.livenessCheckSeconds()) {
             lookedAt = now;
             lookAtList.run();
         }
@@ -149,18 +152,18 @@
         if (best != null || address == null) {
             return best;
         }
-        if (searchers.open() >= limits.searcherSockets()) {
+        if (searchers.open() >= limits.maxReplicaConnections()) {
             searchers.allLinks().stream()
                     .filter(each -> each.calls() == 0)
                     .findFirst()
                     .ifPresent(idle -> idle.close("its place is needed"));
         }
-        if (searchers.links(searcher).size() >= limits.connectionsASearcher()
-                || searchers.open() >= limits.searcherSockets()) {
+        if (searchers.links(searcher).size() >= limits.maxConnectionsPerReplica()
+                || searchers.open() >= limits.maxReplicaConnections()) {
             counters.add("connections-at-limit");
             return null;
         }
-        SearcherLink link = new SearcherLink(searcher, address, loop, limits, book);
+        TcpReplicaConnection link = new TcpReplicaConnection(searcher, address, loop, limits, book);
         searchers.add(link);
         counters.add("connections-opened");
         counters.peak("peak-searcher-connections", searchers.open());
@@ -235,7 +238,7 @@
                 return;
             }
             loop.timeOut(
-                    limits.probeWait(),
+                    limits.probeTimeoutSeconds(),
                     "a probe's time-out",
                     () -> probeEnds(number, SchedulerHost.Outcome.TIMED_OUT, null));
             link.probe(number, true);
--- a/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
@@ -6,16 +6,16 @@
 import java.util.HashMap;
 import java.util.Map;
 import pinewick.core.SchedulerHost;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
-import pinewick.loop.Loop;
-import pinewick.loop.Pressure;
+import pinewick.loop.LoadShedder;
 import pinewick.memory.Counters;
 import pinewick.memory.OpenQuery;
-import pinewick.protocol.ClientDoor;
-import pinewick.protocol.QueryText;
+import pinewick.protocol.ClientListener;
+import pinewick.protocol.QueryJson;
 
 /** First stage: makes an open query of a client's request, or says what is wrong with that. */
-public final class TakeIn implements ClientDoor.Taker {
+public final class TakeIn implements ClientListener.RequestHandler {
     private static final HttpString ID = new HttpString("Req-Id");
     private static final HttpString KIND = new HttpString("Req-Kind");
     private static final HttpString DEADLINE = new HttpString("Req-Deadline");
@@ -27,8 +27,8 @@
     private final Counters counters;
     private final Admit admit;
     private final Book book;
-    private final Pressure pressure;
-    private final Loop loop;
+    private final LoadShedder pressure;
+    private final EventLoop loop;
     private double lastEnd = Double.POSITIVE_INFINITY;
     private final Map<String, Integer> gradeRows = new HashMap<>();
 
@@ -38,8 +38,8 @@
             Counters counters,
             Admit admit,
             Book book,
-            Pressure pressure,
-            Loop loop) {
+            LoadShedder pressure,
+            EventLoop loop) {
         this.given = given;
         this.limits = limits;
         this.counters = counters;
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public OpenQuery take(HttpServerExchange request, byte[] body, OpenQuery.Asker asker) {
+    public OpenQuery onRequest(HttpServerExchange request, byte[] body, OpenQuery.Asker asker) {
         HeaderMap headers = request.getRequestHeaders();
         String id = header(headers, ID);
         Integer grade = gradeRows.get(header(headers, KIND));
@@ -59,7 +59,7 @@
         String wait = header(headers, DEADLINE);
         wrongIf(!wait.matches("[0-9]+(\\.[0-9]*)?|\\.[0-9]+"), "time: Req-Deadline is no number");
         double ttl = Double.parseDouble(wait);
-        wrongIf(!(ttl > 0 && ttl <= limits.longestWait()), "time: Req-Deadline out of bounds");
+        wrongIf(!(ttl > 0 && ttl <= limits.maxQueryTimeoutSeconds()), "time: Req-Deadline out of bounds");
         boolean keyed = given.serviceClasses().get(grade).retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED;
         String key = keyed ? header(headers, KEY) : null;
         OpenQuery query = new OpenQuery(id, grade, ttl, key, asker);
@@ -67,16 +67,16 @@
         if (loop.now() + ttl > lastEnd) {
             // Danger: a request taken while leaving that can't end before the exit would be lost with its effects.
             counters.add("turned-away-leaving");
-            admit.turnAway(query, given.allowsRetryAfter() ? pressure.comeBack() : 0);
+            admit.turnAway(query, given.allowsRetryAfter() ? pressure.retryAfterSeconds() : 0);
             return query;
         }
-        if (pressure.turnsAway(loop.now(), given.serviceClasses().get(grade).value())) {
+        if (pressure.shouldReject(loop.now(), given.serviceClasses().get(grade).value())) {
             // Before the body is parsed: what can't be served in time should cost as little as it can.
             counters.add("turned-away-behind");
-            admit.turnAway(query, pressure.comeBack());
+            admit.turnAway(query, pressure.retryAfterSeconds());
             return query;
         }
-        QueryText.read(body, query, limits.shards());
+        QueryJson.read(body, query, limits.shardCount());
         query.again = "1".equals(headers.getFirst(RETRY));
         if (query.again) {
             counters.add("taken-marked-retry");
@@ -86,22 +86,22 @@
     }
 
     @Override
-    public void leavesBy(double time) {
+    public void onDrain(double time) {
         lastEnd = time;
     }
 
     @Override
-    public void withdrawn(OpenQuery query) {
+    public void onCancelled(OpenQuery query) {
         book.withdrawn(query);
     }
 
     @Override
-    public void madeRoom(String stage) {
+    public void onEvicted(String stage) {
         counters.add("places-made-" + stage);
     }
 
     @Override
-    public void turnedAway(String why) {
+    public void onRejected(String why) {
         counters.add("bad-requests");
         counters.add("bad-" + why.substring(0, Math.max(0, why.indexOf(':'))));
     }
--- a/query-mixer/daemon/src/test/java/pinewick/life/LaunchCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/life/LaunchCrossingTest.java
@@ -33,11 +33,11 @@
 import org.xnio.channels.AcceptingChannel;
 import pinewick.core.DeploymentParser;
 import pinewick.core.SchedulerHost;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
-import pinewick.protocol.ListText;
-import pinewick.protocol.SearcherLink;
+import pinewick.protocol.ReplicaListJson;
+import pinewick.protocol.TcpReplicaConnection;
 
 /** The stages of one mixer between real sockets, with a gate at the end of each batch, before its launches go out. */
 @Timeout(30)
@@ -51,7 +51,7 @@
     private ServerSocket searcher;
     private XnioWorker worker;
     private AcceptingChannel<StreamConnection> door;
-    private Loop loop;
+    private EventLoop loop;
     private Chain chain;
 
     @BeforeEach
@@ -83,7 +83,7 @@
         reads.start();
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         Log log = new Log(System.err, 10);
-        loop = new Loop(worker.getIoThread(), log);
+        loop = new EventLoop(worker.getIoThread(), log);
         JsonObject settings = JsonParser.parseString(SETTINGS).getAsJsonObject();
         onLoop(() -> {
             chain = new Chain(
@@ -93,7 +93,7 @@
                     loop,
                     log,
                     new DefaultByteBufferPool(true, 8 << 10, 16, 4),
-                    SearcherLink::dial);
+                    TcpReplicaConnection::connect);
             chain.list(list(SchedulerHost.LifecycleState.READY), SchedulerHost.ListUpdateKind.FULL);
             door = worker.createStreamConnectionServer(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -110,8 +110,8 @@
         worker.shutdownNow();
     }
 
-    private ListText.Piece list(SchedulerHost.LifecycleState stage) {
-        return new ListText.Piece(
+    private ReplicaListJson.Update list(SchedulerHost.LifecycleState stage) {
+        return new ReplicaListJson.Update(
                 1,
                 true,
                 List.of(new SchedulerHost.ReplicaEntry("a", 0, "", stage, 0)),
@@ -156,9 +156,9 @@
     private void beforeLaunches(Work work) throws Exception {
         onLoop(() -> {
             String before = figure();
-            loop.atEndOfBatch(() -> {
+            loop.onBatchEnd(() -> {
                 if (!figure().equals(before)) {
-                    loop.atEndOfBatch(chain.route::endOfBatch);
+                    loop.onBatchEnd(chain.route::endOfBatch);
                     try {
                         work.run();
                     } catch (Exception wrong) {
--- a/query-mixer/daemon/src/test/java/pinewick/loop/PressureTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/loop/LoadShedderTest.java
@@ -8,43 +8,43 @@
 import org.junit.jupiter.api.Test;
 
 /** Stories of a process that falls behind, in virtual time. */
-class PressureTest {
+class LoadShedderTest {
     private static final double GOAL = 0.4;
 
-    private static Pressure pressure() {
-        return new Pressure(0.05 * GOAL, 0.5, 0.5 * GOAL, 3, new SplittableRandom(7));
+    private static LoadShedder pressure() {
+        return new LoadShedder(0.05 * GOAL, 0.5, 0.5 * GOAL, 3, new SplittableRandom(7));
     }
 
-    private static double turnedAway(Pressure pressure, double now, double value) {
+    private static double turnedAway(LoadShedder pressure, double now, double value) {
         int away = 0;
         for (int each = 0; each < 2000; each++) {
-            away += pressure.turnsAway(now, value) ? 1 : 0;
+            away += pressure.shouldReject(now, value) ? 1 : 0;
         }
         return away / 2000.0;
     }
 
     @Test
     void onePauseTurnsNobodyAway() {
-        Pressure pressure = pressure();
+        LoadShedder pressure = pressure();
         for (int each = 0; each < 1000; each++) {
-            pressure.batch(each * 0.01, each * 0.01 + 0.0005);
+            pressure.recordBatch(each * 0.01, each * 0.01 + 0.0005);
         }
-        pressure.batch(10, 10.09);
+        pressure.recordBatch(10, 10.09);
         assertEquals(0, turnedAway(pressure, 10.09, 1));
     }
 
     @Test
     void theVeryFirstBatchIsNoJam() {
-        Pressure pressure = pressure();
-        pressure.batch(5, 5.1);
+        LoadShedder pressure = pressure();
+        pressure.recordBatch(5, 5.1);
         assertEquals(0, turnedAway(pressure, 5.1, 1));
     }
 
     @Test
     void batchesThatAreLongOneAfterAnotherTurnMostAwayButNeverAll() {
-        Pressure pressure = pressure();
+        LoadShedder pressure = pressure();
         for (int each = 0; each < 40; each++) {
-            pressure.batch(each * 0.2, each * 0.2 + 0.2);
+            pressure.recordBatch(each * 0.2, each * 0.2 + 0.2);
         }
         assertEquals(0.1, pressure.expectedWait(8), 0.03);
         double away = turnedAway(pressure, 8, 0);
@@ -55,35 +55,35 @@
     @Test
     void aCoreThatComesInSlicesCountsAsBehind() {
         // Batches of 2 ms of work that the system interrupts for 50 ms each time.
-        Pressure pressure = pressure();
+        LoadShedder pressure = pressure();
         for (int each = 0; each < 100; each++) {
-            pressure.batch(each * 0.1, each * 0.1 + 0.098);
+            pressure.recordBatch(each * 0.1, each * 0.1 + 0.098);
         }
         assertTrue(turnedAway(pressure, 10, 0) > 0.3);
     }
 
     @Test
     void itEndsByItselfWithTheLoad() {
-        Pressure pressure = pressure();
+        LoadShedder pressure = pressure();
         for (int each = 0; each < 40; each++) {
-            pressure.batch(each * 0.2, each * 0.2 + 0.2);
+            pressure.recordBatch(each * 0.2, each * 0.2 + 0.2);
         }
         for (int each = 0; each < 150; each++) {
-            pressure.batch(8 + each * 0.01, 8 + each * 0.01 + 0.001);
+            pressure.recordBatch(8 + each * 0.01, 8 + each * 0.01 + 0.001);
         }
         assertEquals(0, turnedAway(pressure, 9.5, 0));
-        Pressure silent = pressure();
-        silent.batch(0, 2);
+        LoadShedder silent = pressure();
+        silent.recordBatch(0, 2);
         assertEquals(0, turnedAway(silent, 4, 0));
     }
 
     @Test
     void thoseTurnedAwayReturnSpread() {
-        Pressure pressure = pressure();
+        LoadShedder pressure = pressure();
         double least = 9;
         double most = 0;
         for (int each = 0; each < 1000; each++) {
-            double wait = pressure.comeBack();
+            double wait = pressure.retryAfterSeconds();
             least = Math.min(least, wait);
             most = Math.max(most, wait);
         }
@@ -95,7 +95,7 @@
      * A query counts when it was begun within its goal; one that was not still costs its work.
      */
     private static double servedASecond(double offered, boolean guarded) {
-        Pressure pressure = pressure();
+        LoadShedder pressure = pressure();
         SplittableRandom chance = new SplittableRandom(11);
         ArrayDeque<Double> came = new ArrayDeque<>();
         double next = 0;
@@ -113,14 +113,14 @@
             double began = now;
             for (int left = came.size(); left > 0; left--) {
                 double at = came.poll();
-                if (guarded && pressure.turnsAway(began, 1)) {
+                if (guarded && pressure.shouldReject(began, 1)) {
                     now += 0.0001;
                 } else {
                     now += 0.002;
                     served += now - at <= GOAL ? 1 : 0;
                 }
             }
-            pressure.batch(began, now);
+            pressure.recordBatch(began, now);
         }
         return served / 20.0;
     }
--- a/query-mixer/daemon/src/test/java/pinewick/protocol/ListFreshnessTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/ReplicaListFreshnessTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When the list is doubted and asked for again, in times handed in, against agents that fail by seed. */
-class ListFreshnessTest {
+class ReplicaListFreshnessTest {
     /** What the agent does with one try. */
     private enum Way {
         REFUSES,
@@ -24,7 +24,7 @@
 
     /** An agent that fails by chance until {@code goodFrom}, then gives whole lists, but watches that say nothing. */
     private static final class Run {
-        final ListFreshness freshness;
+        final ReplicaListFreshness freshness;
         final SplittableRandom chance;
         final double goodFrom;
         double now;
@@ -37,14 +37,14 @@
             this.goodFrom = goodFrom;
             now = 100;
             proofAt = now;
-            freshness = new ListFreshness(now);
+            freshness = new ReplicaListFreshness(now);
         }
 
         void until(double end) {
             while (now < end) {
                 now = Math.max(now, freshness.dueAt());
                 longestUnproven = Math.max(longestUnproven, now - Math.max(proofAt, goodFrom));
-                if (freshness.due(now) == ListFreshness.Due.TRY) {
+                if (freshness.due(now) == ReplicaListFreshness.Action.CONNECT) {
                     answer(now >= goodFrom ? Way.GOOD : Way.values()[chance.nextInt(Way.values().length)]);
                 }
             }
@@ -52,7 +52,7 @@
 
         private void answer(Way way) {
             double asked = now;
-            boolean whole = freshness.next() == ListFreshness.Ask.WHOLE;
+            boolean whole = freshness.next() == ReplicaListFreshness.RequestKind.FULL;
             double late = now + chance.nextDouble() * 0.3;
             switch (way) {
                 case REFUSES -> freshness.over(late, false);
@@ -78,7 +78,7 @@
         for (long seed = 0; seed < 500; seed++) {
             Run run = new Run(seed, 100);
             run.until(200);
-            assertTrue(run.longestUnproven < ListFreshness.TOLD_AFTER, seed + ": " + run.longestUnproven);
+            assertTrue(run.longestUnproven < ReplicaListFreshness.TOLD_AFTER, seed + ": " + run.longestUnproven);
             assertTrue(run.wholes < 100 / 2, "and the whole list is not asked for all the time: " + run.wholes);
         }
     }
@@ -88,24 +88,25 @@
         for (long seed = 0; seed < 2000; seed++) {
             Run run = new Run(seed, 100 + seed % 40 + (seed % 7) / 7.0);
             run.until(200);
-            assertTrue(run.longestUnproven < ListFreshness.TOLD_AFTER, seed + ": " + run.longestUnproven);
+            assertTrue(run.longestUnproven < ReplicaListFreshness.TOLD_AFTER, seed + ": " + run.longestUnproven);
         }
     }
 
     @Test
     void twoWholeTriesFitBetweenTheLastLineAndSixSecondsAfterIt() {
-        ListFreshness freshness = new ListFreshness(0);
-        assertEquals(ListFreshness.Due.TRY, freshness.due(0));
+        ReplicaListFreshness freshness = new ReplicaListFreshness(0);
+        assertEquals(ReplicaListFreshness.Action.CONNECT, freshness.due(0));
         freshness.whole(0.1);
-        assertEquals(ListFreshness.Due.TRY, freshness.due(0.1));
+        assertEquals(ReplicaListFreshness.Action.CONNECT, freshness.due(0.1));
         freshness.head();
         freshness.line(2, true);
         int tries = 0;
         double now = 2;
-        while (now < 2 + ListFreshness.TOLD_AFTER) {
+        while (now < 2 + ReplicaListFreshness.TOLD_AFTER) {
             now = freshness.dueAt();
             switch (freshness.due(now)) {
-                case LEAVE -> tries += freshness.dueAt() <= 2 + ListFreshness.TOLD_AFTER && now > 5.5 ? 1 : 0;
+                case DISCONNECT -> tries +=
+                        freshness.dueAt() <= 2 + ReplicaListFreshness.TOLD_AFTER && now > 5.5 ? 1 : 0;
                 default -> {}
             }
         }
@@ -114,29 +115,29 @@
 
     @Test
     void aMovedAddressIsProvenOrDoubtedWithinATry() {
-        ListFreshness freshness = new ListFreshness(0);
+        ReplicaListFreshness freshness = new ReplicaListFreshness(0);
         freshness.due(0);
         freshness.whole(0.1);
         freshness.due(0.1);
         freshness.head();
         freshness.line(1, false);
         freshness.moved(1.5);
-        assertEquals(ListFreshness.Due.TRY, freshness.due(1.5));
+        assertEquals(ReplicaListFreshness.Action.CONNECT, freshness.due(1.5));
         freshness.head();
         assertTrue(freshness.dueAt() < 2.5, "a head proves nothing: " + freshness.dueAt());
-        assertEquals(ListFreshness.Due.LEAVE, freshness.due(freshness.dueAt()));
-        assertEquals(ListFreshness.Ask.WHOLE, freshness.next());
+        assertEquals(ReplicaListFreshness.Action.DISCONNECT, freshness.due(freshness.dueAt()));
+        assertEquals(ReplicaListFreshness.RequestKind.FULL, freshness.next());
     }
 
     @Test
     void anOldListServesANewProcessOnlyAfterTwoTriesThatBroughtNothing() {
-        ListFreshness freshness = new ListFreshness(0);
+        ReplicaListFreshness freshness = new ReplicaListFreshness(0);
         freshness.due(0);
         freshness.over(0, false);
-        assertFalse(freshness.mayServeUnproven());
+        assertFalse(freshness.canServeUnconfirmed());
         freshness.due(freshness.dueAt());
         freshness.over(0.2, false);
-        assertTrue(freshness.mayServeUnproven());
+        assertTrue(freshness.canServeUnconfirmed());
     }
 
     @Test
@@ -144,14 +145,14 @@
         String odd = "{\"a\":\"}]\\\"{\\\\\",\n \"b\":[{\"c\":{}},[]]}";
         List<String> cut = new ArrayList<>();
         int[] lines = new int[1];
-        ObjectCutter cutter = new ObjectCutter(1000, cut::add, () -> lines[0]++);
+        JsonObjectSplitter cutter = new JsonObjectSplitter(1000, cut::add, () -> lines[0]++);
         for (byte one : (odd + "\r\n\n" + odd + odd + "\n").getBytes(StandardCharsets.UTF_8)) {
             cutter.feed(one);
         }
         assertEquals(List.of(odd, odd, odd), cut);
         assertEquals(3, lines[0]);
         assertThrows(IllegalArgumentException.class, () -> cutter.feed((byte) '}'));
-        ObjectCutter small = new ObjectCutter(4, cut::add, () -> {});
+        JsonObjectSplitter small = new JsonObjectSplitter(4, cut::add, () -> {});
         assertThrows(IllegalArgumentException.class, () -> {
             for (byte one : odd.getBytes(StandardCharsets.UTF_8)) {
                 small.feed(one);
--- a/query-mixer/daemon/src/test/java/pinewick/protocol/AnswerFrameTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/ResponseFrameTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class AnswerFrameTest {
-    private static AnswerFrame read(String text) {
-        return AnswerFrame.read(text.getBytes(StandardCharsets.UTF_8));
+class ResponseFrameTest {
+    private static ResponseFrame read(String text) {
+        return ResponseFrame.read(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void anAnswerIsReadInItsParts() {
-        AnswerFrame answer = read("q1.0 S 1 queue=3,qps=1.5\nvalue of the part");
+        ResponseFrame answer = read("q1.0 S 1 queue=3,qps=1.5\nvalue of the part");
 
         assertTrue(answer.wellFormed());
         assertEquals("q1.0", answer.part());
@@ -30,7 +30,7 @@
 
     @Test
     void aReportThatCannotBeReadCostsNoAnswer() {
-        AnswerFrame answer = read("q1.0 S 1 queue=%%%\nvalue");
+        ResponseFrame answer = read("q1.0 S 1 queue=%%%\nvalue");
 
         assertTrue(answer.wellFormed());
         assertNull(answer.report());
@@ -48,7 +48,7 @@
                 "q1.0 S 1 -\n\u0001\u0002"
             })
     void whatCannotBeReadStillNamesItsPart(String text) {
-        AnswerFrame answer = read(text);
+        ResponseFrame answer = read(text);
 
         assertFalse(answer.wellFormed());
         assertEquals("q1.0", answer.part());
--- a/query-mixer/daemon/src/test/java/pinewick/protocol/SearcherLinkTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/TcpReplicaConnectionTest.java
@@ -30,58 +30,58 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import pinewick.core.SchedulerHost;
+import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
-import pinewick.loop.Loop;
 import pinewick.memory.Call;
 import pinewick.memory.LiveLaunch;
 import pinewick.memory.OpenQuery;
 
-/** One connection to a searcher over a real socket; a gate on the loop forces which of two events comes first. */
+/** One connection to a searcher over a real socket; a gate on the loop forces which of two listener comes first. */
 @Timeout(30)
-class SearcherLinkTest {
+class TcpReplicaConnectionTest {
     private static final int WAIT = 20;
 
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     private ServerSocket server;
     private Socket searcher;
     private XnioWorker worker;
-    private Loop loop;
-    private SearcherLink link;
+    private EventLoop loop;
+    private TcpReplicaConnection link;
     private Limits limits;
 
     /** Writes down what the link tells, and books a launch's end as the last stage would. */
-    private final class Told implements SearcherLink.Events {
+    private final class Told implements TcpReplicaConnection.Listener {
         @Override
-        public void answered(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value) {
+        public void onResponse(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value) {
             ends(launch, "answered " + launch.piece.id);
         }
 
         @Override
-        public void probed(String from, long probe, boolean good, SchedulerHost.LoadReport report) {}
+        public void onProbeResult(String from, long probe, boolean good, SchedulerHost.LoadReport report) {}
 
         @Override
-        public void spoilt(SearcherLink from, String why, LiveLaunch launch) {
+        public void onInvalidFrame(TcpReplicaConnection from, String why, LiveLaunch launch) {
             told.add("spoilt " + why);
         }
 
         @Override
-        public void closed(SearcherLink from, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps) {
+        public void onClosed(TcpReplicaConnection from, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps) {
             told.add("closed, never " + never.size() + ", perhaps " + perhaps.size());
         }
 
         @Override
-        public boolean mayBegin(LiveLaunch launch) {
+        public boolean canStartWrite(LiveLaunch launch) {
             return true;
         }
 
         @Override
-        public void unsent(List<LiveLaunch> launches) {
+        public void onUnsent(List<LiveLaunch> launches) {
             launches.forEach(each -> ends(each, "unsent " + each.piece.id));
         }
 
         @Override
-        public void notUp(SearcherLink from, List<LiveLaunch> launches) {
+        public void onConnectTimeout(TcpReplicaConnection from, List<LiveLaunch> launches) {
             launches.forEach(each -> ends(each, "not up " + each.piece.id));
         }
 
@@ -95,19 +95,19 @@
     @BeforeEach
     void connects() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        loop = new Loop(worker.getIoThread(), new Log(System.err, 10));
+        loop = new EventLoop(worker.getIoThread(), new Log(System.err, 10));
         server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         limits = Limits.of(JsonParser.parseString(
                         "{\"settings\":{\"categories\":[],\"bounds\":" + "{\"multiplex\":10,\"dial-timeout-ns\":1e9}}}")
                 .getAsJsonObject());
         onLoop(() -> {
-            link = new SearcherLink(
+            link = new TcpReplicaConnection(
                     "a",
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
                     loop,
                     limits,
                     new Told());
-            link.dial();
+            link.connect();
         });
         searcher = server.accept();
         onLoop(() -> {});
@@ -213,15 +213,15 @@
             // They fill the queue of connections, so that the next one does not come up yet.
             fill.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
         }
-        SearcherLink[] second = new SearcherLink[1];
+        TcpReplicaConnection[] second = new TcpReplicaConnection[1];
         onLoop(() -> {
-            second[0] = new SearcherLink(
+            second[0] = new TcpReplicaConnection(
                     "a",
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
                     loop,
                     limits,
                     new Told());
-            second[0].dial();
+            second[0].connect();
             second[0].send(List.of(launch("q1", 3)));
         });
         assertEquals("not up q1.0", next());
