--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ClientListener.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ClientListener.java
@@ -33,21 +33,21 @@
 import pinewick.loop.Limits;
 import pinewick.memory.OpenQuery;
 
-/** Where clients come in: HTTP/1.1 by Undertow, all of it on the loop's thread. */
+/** Accepts client connections and serves HTTP/1.1 with Undertow, entirely on the event loop thread. */
 public final class ClientListener implements ChannelListener<StreamConnection>, HttpHandler {
-    /** Takes a request whose body is in; throws IllegalArgumentException for one that is not in the form. */
+    /** Processes a request whose body was read completely; throws IllegalArgumentException if it is malformed. */
     public interface RequestHandler {
         OpenQuery onRequest(HttpServerExchange request, byte[] body, OpenQuery.Asker asker);
 
-        /** Takes nothing from now on that could end after this time. */
-        void onDrain(double time);
+        /** Rejects from now on every query that could end after this time, in seconds on the event loop's clock. */
+        void onDrain(double deadline);
 
         void onCancelled(OpenQuery query);
 
-        /** Counts it; the kind of what is wrong stands before the colon. */
-        void onRejected(String why);
+        /** Counts a rejected request; the part of the reason before the colon names its kind. */
+        void onRejected(String reason);
 
-        /** A connection in that stage was closed because its place was needed. */
+        /** A connection in this state was closed to make room for another. */
         void onEvicted(String stage);
     }
 
@@ -55,12 +55,12 @@
     private final Limits limits;
     private final HttpOpenListener undertow;
     private final Map<StreamConnection, InboundConnection> connections = new LinkedHashMap<>();
-    private final Set<Body> reading = new LinkedHashSet<>();
+    private final Set<BodyReader> pendingBodies = new LinkedHashSet<>();
     private final Supplier<String> counters;
     private RequestHandler requestHandler;
     private boolean ready;
-    private boolean leaving;
-    private long accepted;
+    private boolean draining;
+    private long acceptedCount;
 
     public ClientListener(EventLoop loop, Limits limits, ByteBufferPool buffers, Supplier<String> counters) {
         this.loop = loop;
@@ -76,33 +76,33 @@
         undertow.setRootHandler(new HttpContinueReadHandler(this));
     }
 
-    public void setRequestHandler(RequestHandler to) {
-        requestHandler = to;
+    public void setRequestHandler(RequestHandler handler) {
+        requestHandler = handler;
     }
 
-    public void setReady(boolean now) {
-        ready = now;
+    public void setReady(boolean isReady) {
+        ready = isReady;
     }
 
-    /** Connections accepted so far. */
+    /** Number of connections accepted so far. */
     public long acceptedCount() {
-        return accepted;
+        return acceptedCount;
     }
 
     public int connectionCount() {
         return connections.size();
     }
 
-    /** From now on every answer is the last on its connection, and all have to be given by this time. */
-    public void startDraining(double by) {
+    /** Starts draining: every response closes its connection, and all responses are due by this time in seconds. */
+    public void startDraining(double deadline) {
         ready = false;
-        leaving = true;
+        draining = true;
         if (requestHandler != null) {
-            requestHandler.onDrain(by);
+            requestHandler.onDrain(deadline);
         }
     }
 
-    /** Ends the connections that stand between two requests; new ones get a moment for their first. */
+    /** Closes idle connections; a new connection gets a short time to send its first request. */
     public void closeIdleConnections() {
         for (InboundConnection client : List.copyOf(connections.values())) {
             if (!client.connection.isOpen()) {
@@ -118,28 +118,30 @@
     @Override
     public void handleEvent(StreamConnection connection) {
         loop.event("accepting a client", () -> {
-            // Danger: clients would wait at the limit while others hold connections that they do not use.
-            int most = limits.maxClientConnections() - limits.maxClientConnections() / 16;
-            if (connections.size() >= most) {
+            // At the connection limit, new clients would have to wait while others hold connections that they do not
+            // use.
+            int evictionThreshold = limits.maxClientConnections() - limits.maxClientConnections() / 16;
+            if (connections.size() >= evictionThreshold) {
                 enforceTimeouts();
             }
-            for (int each = 0; each < 4 && connections.size() >= most; each++) {
-                makeRoom();
+            for (int attempt = 0; attempt < 4 && connections.size() >= evictionThreshold; attempt++) {
+                evictOne();
             }
-            accepted++;
+            acceptedCount++;
             connections.put(connection, new InboundConnection(connection, loop));
             undertow.handleEvent(connection);
         });
     }
 
     /**
-     * Closes one connection that is not in use: of those kept between two requests for long first, then of those
-     * silent for long, then of requests that have long been on their way in, then of any silent and any kept; the
-     * oldest. Danger: clients that connect some time before they ask would be turned out by a crowd.
+     * Evicts one connection that has no query in progress. Order: keep-alive connections idle for long, then
+     * connections without any request for long, then requests that have been arriving for long, then any other
+     * connection without a request, then any other idle one; the oldest first. The age thresholds protect clients that
+     * connect some time before they send a request from being evicted by a burst of new connections.
      */
-    private void makeRoom() {
-        InboundConnection first = null;
-        int best = Integer.MAX_VALUE;
+    private void evictOne() {
+        InboundConnection victim = null;
+        int bestRank = Integer.MAX_VALUE;
         for (InboundConnection client : connections.values()) {
             int rank =
                     switch (client.state()) {
@@ -150,39 +152,41 @@
                                 : Integer.MAX_VALUE;
                         default -> Integer.MAX_VALUE;
                     };
-            if (rank < best || (rank == best && first != null && client.stateAgeSeconds() > first.stateAgeSeconds())) {
-                best = rank;
-                first = client;
+            if (rank < bestRank
+                    || (rank == bestRank && victim != null && client.stateAgeSeconds() > victim.stateAgeSeconds())) {
+                bestRank = rank;
+                victim = client;
             }
         }
-        if (first != null && requestHandler != null) {
-            requestHandler.onEvicted(first.state().name().toLowerCase(Locale.ROOT));
+        if (victim != null && requestHandler != null) {
+            requestHandler.onEvicted(victim.state().name().toLowerCase(Locale.ROOT));
         }
-        if (first != null && first.state() == InboundConnection.State.ARRIVING) {
-            turnOut(first, "408 Request Timeout", "late: the place is needed");
-        } else if (first != null) {
-            closeIfEmpty(first);
+        if (victim != null && victim.state() == InboundConnection.State.ARRIVING) {
+            rejectAndClose(victim, "408 Request Timeout", "late: the place is needed");
+        } else if (victim != null) {
+            closeIfEmpty(victim);
         }
     }
 
     /**
-     * Danger: clients that ask once and keep their connection for good use up what clients have for all their requests,
-     * and others find no connection while this mixer idles. Also catches crowds. Harm: a connect more for each request.
+     * Whether responses should close their connection. Clients that send one request and keep their connection open
+     * would use up the connection limit, and other clients could not connect while this mixer is idle; the same
+     * protects against bursts of connections. Cost: one extra connect per request.
      */
-    private boolean crowded() {
+    private boolean isCrowded() {
         return connections.size() > limits.maxClientConnections() / limits.crowdedDivisor();
     }
 
     /**
-     * What comes between this look and the close is read and thrown away: its client asks again, as it got no answer.
+     * A request that arrives between the check and the close is discarded: the client receives no response and retries.
      */
     private void closeIfEmpty(InboundConnection client) {
         if (client.isEmpty()) {
-            end(client, "");
+            close(client, "");
         }
     }
 
-    private void end(InboundConnection client, String finalResponse) {
+    private void close(InboundConnection client, String finalResponse) {
         client.closeGracefully(
                 finalResponse,
                 limits.lingerSeconds(),
@@ -190,41 +194,41 @@
                 () -> connections.remove(client.connection));
     }
 
-    /** Forgets connections that are closed and ends those that wait for nothing; to be called now and then. */
+    /** Removes closed connections and closes those that exceeded a timeout; to be called periodically. */
     public void enforceTimeouts() {
         for (InboundConnection client : List.copyOf(connections.values())) {
             if (!client.connection.isOpen()) {
                 if (client.state() == InboundConnection.State.ARRIVING && !client.requestSeen) {
-                    said("head: not HTTP");
+                    reportRejected("head: not HTTP");
                 }
                 connections.remove(client.connection);
             } else if (client.state() == InboundConnection.State.SILENT
                     && client.stateAgeSeconds() > limits.noRequestTimeoutSeconds()) {
-                said("silent: no request");
+                reportRejected("silent: no request");
                 closeIfEmpty(client);
             } else if (client.state() == InboundConnection.State.BETWEEN
                     && client.stateAgeSeconds() > limits.clientIdleTimeoutSeconds()) {
                 closeIfEmpty(client);
             } else if (client.state() == InboundConnection.State.ARRIVING
                     && client.stateAgeSeconds() > limits.requestReadTimeoutSeconds()) {
-                turnOut(client, "408 Request Timeout", "late: the request did not come whole");
+                rejectAndClose(client, "408 Request Timeout", "late: the request did not come whole");
             }
         }
-        reading.removeIf(each -> !each.client.connection.isOpen());
+        pendingBodies.removeIf(each -> !each.client.connection.isOpen());
     }
 
-    /** The last answer on a connection that nothing more is taken from. */
-    private void turnOut(InboundConnection client, String status, String why) {
+    /** Sends an error response and closes the connection without reading any more requests from it. */
+    private void rejectAndClose(InboundConnection client, String status, String reason) {
         if (client.state() == InboundConnection.State.LEAVING) {
             return;
         }
-        said(why);
-        end(client, "HTTP/1.1 " + status + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        reportRejected(reason);
+        close(client, "HTTP/1.1 " + status + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     }
 
-    private void said(String why) {
+    private void reportRejected(String reason) {
         if (requestHandler != null) {
-            requestHandler.onRejected(why);
+            requestHandler.onRejected(reason);
         }
     }
 
@@ -232,15 +236,15 @@
     public void handleRequest(HttpServerExchange exchange) {
         loop.event("handling a request", () -> {
             try {
-                begin(exchange);
+                dispatch(exchange);
             } catch (RuntimeException fault) {
-                plain(exchange, 500, "fault");
+                sendText(exchange, 500, "fault");
                 throw fault;
             }
         });
     }
 
-    private void begin(HttpServerExchange exchange) {
+    private void dispatch(HttpServerExchange exchange) {
         StreamConnection connection = ((HttpServerConnection) exchange.getConnection()).getChannel();
         InboundConnection client = connections.get(connection);
         client.requestSeen = true;
@@ -251,7 +255,8 @@
             if (!connection.isOpen()) {
                 connections.remove(connection);
             } else if (!done.isPersistent()) {
-                // Undertow shuts the output and reads on for the client's close, but for ten seconds.
+                // Undertow shuts down the output and then drains the input until the client closes, but for up to ten
+                // seconds.
                 loop.after(limits.lingerSeconds(), "closing after the last answer", () -> {
                     IoUtils.safeClose(connection);
                     connections.remove(connection);
@@ -259,43 +264,47 @@
             }
             next.proceed();
         });
-        String odd = framing(exchange.getRequestHeaders());
-        if (odd != null) {
-            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> turnOut(client, "400 Bad Request", odd));
+        String framingError = findFramingError(exchange.getRequestHeaders());
+        if (framingError != null) {
+            exchange.dispatch(
+                    SameThreadExecutor.INSTANCE, () -> rejectAndClose(client, "400 Bad Request", framingError));
             return;
         }
-        if (leaving) {
+        if (draining) {
             exchange.setPersistent(false);
         }
         boolean post = exchange.getRequestMethod().equals(Methods.POST);
         if (post && exchange.getRequestPath().equals("/api")) {
             exchange.dispatch(
-                    SameThreadExecutor.INSTANCE, () -> loop.event("reading a body", new Body(exchange, client)::start));
+                    SameThreadExecutor.INSTANCE,
+                    () -> loop.event("reading a body", new BodyReader(exchange, client)::start));
             return;
         }
         if (exchange.getRequestContentLength() > 0
                 || exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)) {
-            // Undertow would read such a body to its end, however long.
-            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> turnOut(client, "404 Not Found", "path: with a body"));
+            // Undertow would read the body to its end, whatever its length.
+            exchange.dispatch(
+                    SameThreadExecutor.INSTANCE, () -> rejectAndClose(client, "404 Not Found", "path: with a body"));
             return;
         }
         switch (exchange.getRequestPath()) {
             case "/api" -> {
                 exchange.getResponseHeaders().put(Headers.ALLOW, "POST");
-                refuse(exchange, 405, "method: only POST here");
+                reject(exchange, 405, "method: only POST here");
             }
-            case "/health/ready" -> plain(exchange, ready ? 200 : 500, ready ? "ready" : "not ready");
-            case "/health/live" -> plain(exchange, 200, "live");
-            case "/counters" -> plain(exchange, 200, counters.get());
-            default -> refuse(exchange, 404, "path: no such path");
+            case "/health/ready" -> sendText(exchange, ready ? 200 : 500, ready ? "ready" : "not ready");
+            case "/health/live" -> sendText(exchange, 200, "live");
+            case "/counters" -> sendText(exchange, 200, counters.get());
+            default -> reject(exchange, 404, "path: no such path");
         }
     }
 
     /**
-     * What is wrong with how a request says where it ends; null where nothing is. Danger: a body that two readers end
-     * at different places may hide another request, which would then be run. So nothing more is read from there.
+     * Checks the headers that delimit the request body. Returns the error, or null if they are valid. Guards against
+     * request smuggling: if two parsers see the end of a body at different places, it may hide another request, which
+     * would then be executed. So nothing more is read from such a connection.
      */
-    private static String framing(HeaderMap headers) {
+    private static String findFramingError(HeaderMap headers) {
         HeaderValues lengths = headers.get(Headers.CONTENT_LENGTH);
         HeaderValues encodings = headers.get(Headers.TRANSFER_ENCODING);
         if (lengths != null && encodings != null) {
@@ -317,14 +326,14 @@
         return null;
     }
 
-    /** A request's body on its way in. Undertow's own reader ends the connection of one too long unanswered. */
-    private final class Body {
+    /** Reads a request body. Undertow's own reader closes the connection without a response if the body is too long. */
+    private final class BodyReader {
         private final HttpServerExchange exchange;
         private final InboundConnection client;
         private final StreamSourceChannel channel;
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(512);
 
-        Body(HttpServerExchange exchange, InboundConnection client) {
+        BodyReader(HttpServerExchange exchange, InboundConnection client) {
             this.exchange = exchange;
             this.client = client;
             channel = exchange.getRequestChannel();
@@ -332,7 +341,7 @@
 
         void start() {
             if (exchange.getRequestContentLength() > limits.maxBodyBytes()) {
-                turnOut(client, "413 Payload Too Large", "length: body too long");
+                rejectAndClose(client, "413 Payload Too Large", "length: body too long");
                 return;
             }
             channel.getReadSetter().set(any -> loop.event("reading a body", this::read));
@@ -340,77 +349,80 @@
         }
 
         private void read() {
-            ByteBuffer in = loop.readBuffer();
+            ByteBuffer buffer = loop.readBuffer();
             try {
                 while (client.state() == InboundConnection.State.ARRIVING) {
-                    in.clear();
-                    int count = channel.read(in);
-                    if (count == 0) {
+                    buffer.clear();
+                    int byteCount = channel.read(buffer);
+                    if (byteCount == 0) {
                         waitForMore();
                         return;
                     }
-                    if (count < 0) {
+                    if (byteCount < 0) {
                         channel.suspendReads();
-                        reading.remove(this);
+                        pendingBodies.remove(this);
                         client.transitionTo(InboundConnection.State.ASKED);
-                        take(exchange, client, bytes.toByteArray());
+                        handleBody(exchange, client, bytes.toByteArray());
                         return;
                     }
-                    if (bytes.size() + count > limits.maxBodyBytes()) {
-                        reading.remove(this);
-                        turnOut(client, "413 Payload Too Large", "length: body too long");
+                    if (bytes.size() + byteCount > limits.maxBodyBytes()) {
+                        pendingBodies.remove(this);
+                        rejectAndClose(client, "413 Payload Too Large", "length: body too long");
                         return;
                     }
-                    byte[] more = new byte[count];
-                    in.flip().get(more);
-                    bytes.writeBytes(more);
+                    byte[] chunk = new byte[byteCount];
+                    buffer.flip().get(chunk);
+                    bytes.writeBytes(chunk);
                 }
             } catch (IOException unreadable) {
-                reading.remove(this);
-                turnOut(client, "400 Bad Request", "body: can't be read");
+                pendingBodies.remove(this);
+                rejectAndClose(client, "400 Bad Request", "body: can't be read");
             }
         }
 
-        /** Danger: bodies that come slowly on all connections at once would fill the heap; the oldest one leaves. */
+        /**
+         * Limits the bodies read concurrently: slow bodies on all connections would fill the heap. The oldest one is
+         * rejected.
+         */
         private void waitForMore() {
             channel.resumeReads();
-            reading.add(this);
-            if (reading.size() > limits.maxConcurrentBodies()) {
-                Body oldest = reading.iterator().next();
-                reading.remove(oldest);
-                turnOut(oldest.client, "408 Request Timeout", "late: too many bodies at once");
+            pendingBodies.add(this);
+            if (pendingBodies.size() > limits.maxConcurrentBodies()) {
+                BodyReader oldest = pendingBodies.iterator().next();
+                pendingBodies.remove(oldest);
+                rejectAndClose(oldest.client, "408 Request Timeout", "late: too many bodies at once");
             }
         }
     }
 
-    private void take(HttpServerExchange exchange, InboundConnection client, byte[] body) {
+    private void handleBody(HttpServerExchange exchange, InboundConnection client, byte[] body) {
         if (requestHandler == null) {
-            refuse(exchange, 500, "early: not serving yet");
+            reject(exchange, 500, "early: not serving yet");
             return;
         }
-        Waiting waiting = new Waiting(exchange, client);
+        PendingResponse pending = new PendingResponse(exchange, client);
         try {
-            OpenQuery query = requestHandler.onRequest(exchange, body, waiting);
-            if (!waiting.answered) {
-                waiting.watch(query);
+            OpenQuery query = requestHandler.onRequest(exchange, body, pending);
+            if (!pending.answered) {
+                pending.watchForDisconnect(query);
             }
-        } catch (IllegalArgumentException wrong) {
-            refuse(exchange, 400, wrong.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            reject(exchange, 400, malformed.getMessage());
         } catch (RuntimeException fault) {
-            waiting.answer(500, 0, "fault".getBytes(StandardCharsets.US_ASCII));
+            pending.answer(500, 0, "fault".getBytes(StandardCharsets.US_ASCII));
             throw fault;
         }
     }
 
-    private void refuse(HttpServerExchange exchange, int status, String why) {
-        said(why);
-        if (crowded()) {
+    private void reject(HttpServerExchange exchange, int status, String reason) {
+        reportRejected(reason);
+        if (isCrowded()) {
             exchange.setPersistent(false);
         }
-        plain(exchange, status, why);
+        sendText(exchange, status, reason);
     }
 
-    private void plain(HttpServerExchange exchange, int status, String text) {
+    private void sendText(HttpServerExchange exchange, int status, String text) {
         if (!exchange.isResponseStarted()) {
             exchange.setStatusCode(status);
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
@@ -418,23 +430,26 @@
         }
     }
 
-    /** A client that waits for the answer to its query. */
-    private final class Waiting implements OpenQuery.Asker {
+    /** A client that waits for the response to its query. */
+    private final class PendingResponse implements OpenQuery.Asker {
         private final HttpServerExchange exchange;
         private final HttpServerConnection connection;
         private final InboundConnection client;
         private OpenQuery query;
         private boolean answered;
 
-        Waiting(HttpServerExchange exchange, InboundConnection client) {
+        PendingResponse(HttpServerExchange exchange, InboundConnection client) {
             this.exchange = exchange;
             this.client = client;
             connection = (HttpServerConnection) exchange.getConnection();
         }
 
-        /** Undertow reads nothing between a request and its answer; a client that leaves shows only there. */
-        void watch(OpenQuery asked) {
-            query = asked;
+        /**
+         * Watches for a disconnect: Undertow reads nothing between a request and its response, so a client that
+         * disconnects shows only on the raw channel.
+         */
+        void watchForDisconnect(OpenQuery submitted) {
+            query = submitted;
             connection
                     .getChannel()
                     .getSourceChannel()
@@ -448,10 +463,10 @@
                 return true;
             }
             switch (client.readAhead(limits.maxHeaderBytes())) {
-                case GONE -> gone();
+                case GONE -> onDisconnect();
                 case FLOOD -> {
                     answered = true;
-                    turnOut(client, "413 Payload Too Large", "flood: much sent ahead of an answer");
+                    rejectAndClose(client, "413 Payload Too Large", "flood: much sent ahead of an answer");
                     requestHandler.onCancelled(query);
                 }
                 default -> {}
@@ -459,7 +474,7 @@
             return !answered;
         }
 
-        private void gone() {
+        private void onDisconnect() {
             answered = true;
             client.suspendReads();
             IoUtils.safeClose(connection);
@@ -474,7 +489,7 @@
             }
             answered = true;
             client.suspendReads();
-            if (leaving || crowded()) {
+            if (draining || isCrowded()) {
                 exchange.setPersistent(false);
             }
             exchange.setStatusCode(status);
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/FrameCodec.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/FrameCodec.java
@@ -9,20 +9,20 @@
 import pinewick.memory.LiveLaunch;
 import pinewick.memory.OpenQuery;
 
-/** The frames spoken with searchers: a length (least significant byte first), a letter, the rest. */
+/** The frame protocol with replicas: a 32-bit little-endian length, a type byte, the payload. */
 public final class FrameCodec {
     static final char CALL = '1';
     static final char CANCEL = '2';
     static final char PROBE = '3';
     static final char LOAD = '4';
-    static final char ANSWER = '5';
-    static final char UNUSABLE = 'X';
+    static final char RESPONSE = '5';
+    static final char PROTOCOL_ERROR = 'X';
 
     private FrameCodec() {}
 
-    static ByteBuffer frame(char letter, byte[] rest) {
-        ByteBuffer frame = ByteBuffer.allocate(5 + rest.length).order(ByteOrder.LITTLE_ENDIAN);
-        frame.putInt(1 + rest.length).put((byte) letter).put(rest).flip();
+    static ByteBuffer frame(char type, byte[] payload) {
+        ByteBuffer frame = ByteBuffer.allocate(5 + payload.length).order(ByteOrder.LITTLE_ENDIAN);
+        frame.putInt(1 + payload.length).put((byte) type).put(payload).flip();
         return frame;
     }
 
@@ -30,64 +30,65 @@
         return frame(CANCEL, part.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** One call; the wait is told in whole milliseconds, never more than is left. */
+    /** Encodes a call; the time left is sent in whole milliseconds, rounded down, at least 1. */
     static ByteBuffer call(Call call, double now) {
-        ByteArrayOutputStream rest = new ByteArrayOutputStream(256);
-        for (LiveLaunch launch : call.launches) {
-            OpenQuery query = launch.piece.query;
-            long wait = Math.max(1, (long) Math.floor((launch.until - now) * 1000));
-            String line = launch.piece.id + ' ' + launch.piece.shard + " d=" + wait
+        ByteArrayOutputStream payload = new ByteArrayOutputStream(256);
+        for (LiveLaunch attempt : call.launches) {
+            OpenQuery query = attempt.piece.query;
+            long timeoutMs = Math.max(1, (long) Math.floor((attempt.until - now) * 1000));
+            String line = attempt.piece.id + ' ' + attempt.piece.shard + " d=" + timeoutMs
                     + (query.key == null ? "" : ",k=" + query.key) + ' ' + query.text.length + '\n';
-            rest.writeBytes(line.getBytes(StandardCharsets.UTF_8));
-            rest.writeBytes(query.text);
+            payload.writeBytes(line.getBytes(StandardCharsets.UTF_8));
+            payload.writeBytes(query.text);
         }
-        return frame(CALL, rest.toByteArray());
+        return frame(CALL, payload.toByteArray());
     }
 
-    /** Cuts what comes in into frames; what is not whole yet is kept, up to one frame of the longest. */
+    /** Splits received bytes into frames; an incomplete frame is buffered, up to the maximum frame length. */
     static final class Decoder {
-        private static final int USUAL = 1 << 10;
-        private final int longest;
-        private long count;
-        private ByteBuffer kept = ByteBuffer.allocate(USUAL).order(ByteOrder.LITTLE_ENDIAN);
+        private static final int INITIAL_BUFFER_BYTES = 1 << 10;
+        private final int maxFrameBytes;
+        private long frameCount;
+        private ByteBuffer buffered = ByteBuffer.allocate(INITIAL_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
 
-        Decoder(int longest) {
-            this.longest = longest;
+        Decoder(int maxFrameBytes) {
+            this.maxFrameBytes = maxFrameBytes;
         }
 
-        /** How many frames were whole so far. */
-        long count() {
-            return count;
+        /** Number of complete frames so far. */
+        long frameCount() {
+            return frameCount;
         }
 
-        /** Whether a frame has begun that is not whole. */
-        boolean partial() {
-            return kept.position() > 0;
+        /** Whether a frame has begun but is not complete. */
+        boolean isPartial() {
+            return buffered.position() > 0;
         }
 
-        /** Hands on each whole frame's letter and rest, in a view that holds for that call alone. */
-        void feed(ByteBuffer bytes, Consumer<ByteBuffer> whole) {
-            if (kept.remaining() < bytes.remaining()) {
-                int size = Integer.highestOneBit(kept.position() + bytes.remaining()) * 2;
-                kept = ByteBuffer.allocate(size).order(ByteOrder.LITTLE_ENDIAN).put(kept.flip());
+        /** Passes on the type and payload of each complete frame, in a view that is valid only during that call. */
+        void feed(ByteBuffer bytes, Consumer<ByteBuffer> onFrame) {
+            if (buffered.remaining() < bytes.remaining()) {
+                int size = Integer.highestOneBit(buffered.position() + bytes.remaining()) * 2;
+                buffered =
+                        ByteBuffer.allocate(size).order(ByteOrder.LITTLE_ENDIAN).put(buffered.flip());
             }
-            kept.put(bytes).flip();
-            while (kept.remaining() >= 4) {
-                int length = kept.getInt(kept.position());
-                if (length < 1 || length > longest) {
+            buffered.put(bytes).flip();
+            while (buffered.remaining() >= 4) {
+                int length = buffered.getInt(buffered.position());
+                if (length < 1 || length > maxFrameBytes) {
                     throw new IllegalArgumentException("a frame of " + length + " bytes");
                 }
-                if (kept.remaining() < 4 + length) {
+                if (buffered.remaining() < 4 + length) {
                     break;
                 }
-                ByteBuffer one = kept.slice(kept.position() + 4, length);
-                kept.position(kept.position() + 4 + length);
-                count++;
-                whole.accept(one);
+                ByteBuffer frame = buffered.slice(buffered.position() + 4, length);
+                buffered.position(buffered.position() + 4 + length);
+                frameCount++;
+                onFrame.accept(frame);
             }
-            kept.compact();
-            if (kept.position() == 0 && kept.capacity() > 16 * USUAL) {
-                kept = ByteBuffer.allocate(USUAL).order(ByteOrder.LITTLE_ENDIAN);
+            buffered.compact();
+            if (buffered.position() == 0 && buffered.capacity() > 16 * INITIAL_BUFFER_BYTES) {
+                buffered = ByteBuffer.allocate(INITIAL_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
             }
         }
     }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/InboundConnection.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/InboundConnection.java
@@ -9,9 +9,12 @@
 import org.xnio.conduits.StreamSourceConduit;
 import pinewick.loop.EventLoop;
 
-/** A client's connection: how far its present request has come, as the raw bytes tell, beneath the reader of HTTP. */
+/** A client connection: tracks, from the raw bytes beneath the HTTP parser, how far the current request has come. */
 final class InboundConnection extends AbstractStreamSourceConduit<StreamSourceConduit> {
-    /** SILENT: no byte ever; BETWEEN: none since an answer; LEAVING: nothing more is taken from it or said to it. */
+    /**
+     * SILENT: nothing received yet; ARRIVING: a request is being received; ASKED: it was received and awaits its
+     * response; BETWEEN: idle since the last response; LEAVING: nothing more is read from it or sent on it.
+     */
     enum State {
         SILENT,
         ARRIVING,
@@ -20,7 +23,10 @@
         LEAVING
     }
 
-    /** What a look at a connection whose client waits for its answer found. */
+    /**
+     * State of a client that awaits its response: THERE: connected; GONE: disconnected; FLOOD: it sent more ahead than
+     * is buffered.
+     */
     enum ClientStatus {
         THERE,
         GONE,
@@ -30,20 +36,20 @@
     final StreamConnection connection;
     private final EventLoop loop;
     private State state = State.SILENT;
-    private double since;
-    /** Bytes that came before their reader wants them, ready to be read; null where there are none. */
-    private ByteBuffer ahead;
+    private double stateSince;
+    /** Bytes received before the HTTP parser wants them, ready to be read; null if there are none. */
+    private ByteBuffer readAheadBytes;
 
     private final StreamSinkConduit sink;
-    private long discarded;
-    /** Whether the head of a request was ever read. */
+    private long discardedBytes;
+    /** Whether a request head was ever parsed. */
     boolean requestSeen;
 
     InboundConnection(StreamConnection connection, EventLoop loop) {
         super(connection.getSourceChannel().getConduit());
         this.connection = connection;
         this.loop = loop;
-        since = loop.now();
+        stateSince = loop.now();
         sink = connection.getSinkChannel().getConduit();
         connection.getSourceChannel().setConduit(this);
     }
@@ -52,28 +58,28 @@
         return state;
     }
 
-    void transitionTo(State next) {
-        if (state != next && state != State.LEAVING) {
-            state = next;
-            since = loop.now();
+    void transitionTo(State newState) {
+        if (state != newState && state != State.LEAVING) {
+            state = newState;
+            stateSince = loop.now();
         }
     }
 
-    /** How long it has been in its state. */
+    /** Seconds since the last change of state. */
     double stateAgeSeconds() {
-        return loop.now() - since;
+        return loop.now() - stateSince;
     }
 
     /**
-     * Whether nothing of a request is there. Danger: a request that came in but was not read would be lost by a close.
-     * What is found is kept for the reader, who is called.
+     * Whether no byte of a request has been received. Guards against closing a connection over a request that has
+     * arrived but was not read: bytes that are found are buffered, and the parser is woken up.
      */
     boolean isEmpty() {
-        if (ahead == null && connection.isOpen()) {
-            ByteBuffer found = ByteBuffer.allocate(64);
+        if (readAheadBytes == null && connection.isOpen()) {
+            ByteBuffer peeked = ByteBuffer.allocate(64);
             try {
-                if (next.read(found) > 0) {
-                    ahead = found.flip();
+                if (next.read(peeked) > 0) {
+                    readAheadBytes = peeked.flip();
                     transitionTo(State.ARRIVING);
                     next.wakeupReads();
                 }
@@ -81,47 +87,50 @@
                 return true;
             }
         }
-        return ahead == null;
+        return readAheadBytes == null;
     }
 
     /**
-     * Reads what a client sends while it waits, so that its end or reset is seen behind it; the reader of HTTP gets the
-     * bytes after the answer. Danger: a client that sent its next request ahead and then left would not be noticed.
+     * Reads what a client sends while it awaits its response, so that an end of stream or a reset behind these bytes is
+     * noticed; the HTTP parser gets them after the response. Otherwise a client that pipelined its next request and
+     * then disconnected would not be noticed.
      */
-    ClientStatus readAhead(int most) {
-        ByteBuffer in = loop.readBuffer();
+    ClientStatus readAhead(int maxBytes) {
+        ByteBuffer buffer = loop.readBuffer();
         try {
             while (true) {
-                in.clear();
-                int count = next.read(in);
-                if (count <= 0) {
-                    return count < 0 ? ClientStatus.GONE : ClientStatus.THERE;
+                buffer.clear();
+                int byteCount = next.read(buffer);
+                if (byteCount <= 0) {
+                    return byteCount < 0 ? ClientStatus.GONE : ClientStatus.THERE;
                 }
-                in.flip();
-                int kept = ahead == null ? 0 : ahead.remaining();
-                if (kept + count > most) {
+                buffer.flip();
+                int buffered = readAheadBytes == null ? 0 : readAheadBytes.remaining();
+                if (buffered + byteCount > maxBytes) {
                     return ClientStatus.FLOOD;
                 }
-                ByteBuffer all = ByteBuffer.allocate(kept + count);
-                if (ahead != null) {
-                    all.put(ahead);
+                ByteBuffer combined = ByteBuffer.allocate(buffered + byteCount);
+                if (readAheadBytes != null) {
+                    combined.put(readAheadBytes);
                 }
-                ahead = all.put(in).flip();
+                readAheadBytes = combined.put(buffer).flip();
             }
         } catch (IOException broken) {
             return ClientStatus.GONE;
         }
     }
 
-    /** Wakes its reader for what comes from now on. */
+    /** Enables read events for bytes that arrive from now on. */
     void enableReads() {
         next.resumeReads();
     }
 
-    /** Danger: what was read ahead makes no socket readable, so its reader would wait for more. */
+    /**
+     * Bytes that were read ahead do not make the socket readable, so without a wake-up the parser would wait for more.
+     */
     @Override
     public void resumeReads() {
-        if (ahead != null) {
+        if (readAheadBytes != null) {
             next.wakeupReads();
         } else {
             next.resumeReads();
@@ -129,15 +138,15 @@
     }
 
     /**
-     * Ends a connection after its last words, if any: shuts the output, reads on and throws away until the client has
-     * closed, and then closes. Danger: a close over unread bytes resets the connection, and an answer on its way goes
-     * with it. Harm: a client that never closes, or sends without end, keeps its place until time or bytes are up.
+     * Closes the connection after an optional final response: shuts down the output, discards input until the client
+     * has closed, then closes. A close with unread input resets the connection, and a response in transit would be
+     * lost. A client that never closes or sends without end is cut off after the given seconds or bytes.
      */
-    void closeGracefully(String finalResponse, double mostTime, long mostBytes, Runnable closed) {
+    void closeGracefully(String finalResponse, double timeoutSeconds, long maxDiscardBytes, Runnable onClosed) {
         transitionTo(State.LEAVING);
         Runnable close = () -> {
             IoUtils.safeClose(connection);
-            closed.run();
+            onClosed.run();
         };
         try {
             if (!finalResponse.isEmpty()) {
@@ -152,30 +161,30 @@
         connection
                 .getSourceChannel()
                 .setReadListener(any -> loop.event("closing a client's connection", () -> {
-                    if (!discard(mostBytes)) {
+                    if (!discard(maxDiscardBytes)) {
                         close.run();
                     }
                 }));
         next.resumeReads();
-        loop.after(mostTime, "closing after the last words", () -> {
+        loop.after(timeoutSeconds, "closing after the last words", () -> {
             if (connection.isOpen()) {
-                discard(mostBytes);
+                discard(maxDiscardBytes);
                 close.run();
             }
         });
     }
 
-    /** False once the client has closed, or has sent so much. */
-    private boolean discard(long most) {
-        ByteBuffer in = loop.readBuffer();
+    /** Discards input; false once the client has closed or has sent more than that many bytes. */
+    private boolean discard(long maxBytes) {
+        ByteBuffer buffer = loop.readBuffer();
         try {
-            while (discarded <= most) {
-                in.clear();
-                int count = next.read(in);
-                if (count <= 0) {
-                    return count == 0;
+            while (discardedBytes <= maxBytes) {
+                buffer.clear();
+                int byteCount = next.read(buffer);
+                if (byteCount <= 0) {
+                    return byteCount == 0;
                 }
-                discarded += count;
+                discardedBytes += byteCount;
             }
         } catch (IOException broken) {
             return false;
@@ -184,31 +193,32 @@
     }
 
     @Override
-    public int read(ByteBuffer into) throws IOException {
-        if (ahead != null) {
-            int count = Math.min(ahead.remaining(), into.remaining());
-            into.put(ahead.slice(ahead.position(), count));
-            ahead.position(ahead.position() + count);
-            ahead = ahead.hasRemaining() ? ahead : null;
-            return count;
+    public int read(ByteBuffer target) throws IOException {
+        if (readAheadBytes != null) {
+            int byteCount = Math.min(readAheadBytes.remaining(), target.remaining());
+            target.put(readAheadBytes.slice(readAheadBytes.position(), byteCount));
+            readAheadBytes.position(readAheadBytes.position() + byteCount);
+            readAheadBytes = readAheadBytes.hasRemaining() ? readAheadBytes : null;
+            return byteCount;
         }
-        int count = next.read(into);
-        if (count > 0
+        int byteCount = next.read(target);
+        if (byteCount > 0
                 && state == State.LEAVING
-                && (discarded += count) > loop.readBuffer().capacity()) {
-            return -1; // A flood after the last answer; Undertow, which reads on for it, takes this for the end.
+                && (discardedBytes += byteCount) > loop.readBuffer().capacity()) {
+            // Undertow drains the input after the last response; a client that sends too much counts as ended.
+            return -1;
         }
-        if (count > 0 && (state == State.SILENT || state == State.BETWEEN)) {
+        if (byteCount > 0 && (state == State.SILENT || state == State.BETWEEN)) {
             transitionTo(State.ARRIVING);
         }
-        return count;
+        return byteCount;
     }
 
     @Override
-    public long read(ByteBuffer[] into, int from, int count) throws IOException {
-        for (int each = from; each < from + count; each++) {
-            if (into[each].hasRemaining()) {
-                return read(into[each]);
+    public long read(ByteBuffer[] target, int offset, int length) throws IOException {
+        for (int each = offset; each < offset + length; each++) {
+            if (target[each].hasRemaining()) {
+                return read(target[each]);
             }
         }
         return 0;
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/JsonObjectSplitter.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/JsonObjectSplitter.java
@@ -5,67 +5,70 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts JSON objects out of a stream of bytes that may be parted anywhere: over several lines, within a string, within a
- * character. It only finds where an object ends; the JSON library reads it. (That library's own reader waits for its
- * input, which this program's one loop may not.)
+ * Splits a byte stream into JSON objects; the stream may be fragmented anywhere: across lines, within a string, within
+ * a character. It finds only where an object ends; the JSON library parses it. (The reader of that library blocks for
+ * input, which the event loop must not do.)
  */
 final class JsonObjectSplitter {
-    private final int longest;
-    private final Consumer<String> object;
-    private final Runnable emptyLine;
-    private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
+    private final int maxObjectBytes;
+    private final Consumer<String> onObject;
+    private final Runnable onEmptyLine;
+    private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
     private int depth;
     private boolean inString;
     private boolean escaped;
 
-    JsonObjectSplitter(int longest, Consumer<String> object, Runnable emptyLine) {
-        this.longest = longest;
-        this.object = object;
-        this.emptyLine = emptyLine;
+    JsonObjectSplitter(int maxObjectBytes, Consumer<String> onObject, Runnable onEmptyLine) {
+        this.maxObjectBytes = maxObjectBytes;
+        this.onObject = onObject;
+        this.onEmptyLine = onEmptyLine;
     }
 
     void reset() {
-        kept.reset();
+        buffered.reset();
         depth = 0;
         inString = false;
         escaped = false;
     }
 
-    /** Whether an object has begun that has not ended. */
-    boolean partial() {
+    /** Whether an object has begun but not ended. */
+    boolean isPartial() {
         return depth > 0;
     }
 
-    /** Anything between objects but blanks and line ends brings an exception. */
-    void feed(byte one) {
-        if (depth == 0 && one != '{') {
-            if (one == '\n') {
-                emptyLine.run();
-            } else if (one != ' ' && one != '\t' && one != '\r') {
-                throw new IllegalArgumentException("no object begins with byte " + (one & 0xff));
+    /**
+     * Consumes one byte; throws IllegalArgumentException for anything but white space between objects and for an object
+     * that is too long.
+     */
+    void feed(byte next) {
+        if (depth == 0 && next != '{') {
+            if (next == '\n') {
+                onEmptyLine.run();
+            } else if (next != ' ' && next != '\t' && next != '\r') {
+                throw new IllegalArgumentException("no object begins with byte " + (next & 0xff));
             }
             return;
         }
-        kept.write(one);
-        if (kept.size() > longest) {
-            throw new IllegalArgumentException("an object of more than " + longest + " bytes");
+        buffered.write(next);
+        if (buffered.size() > maxObjectBytes) {
+            throw new IllegalArgumentException("an object of more than " + maxObjectBytes + " bytes");
         }
         if (inString) {
             if (escaped) {
                 escaped = false;
-            } else if (one == '\\') {
+            } else if (next == '\\') {
                 escaped = true;
-            } else if (one == '"') {
+            } else if (next == '"') {
                 inString = false;
             }
-        } else if (one == '"') {
+        } else if (next == '"') {
             inString = true;
-        } else if (one == '{' || one == '[') {
+        } else if (next == '{' || next == '[') {
             depth++;
-        } else if ((one == '}' || one == ']') && --depth == 0) {
-            String text = kept.toString(StandardCharsets.UTF_8);
-            kept.reset();
-            object.accept(text);
+        } else if ((next == '}' || next == ']') && --depth == 0) {
+            String text = buffered.toString(StandardCharsets.UTF_8);
+            buffered.reset();
+            onObject.accept(text);
         }
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/LoopbackReplica.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/LoopbackReplica.java
@@ -8,50 +8,50 @@
 import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
 
-/** The far end of a pipe in the rehearsal: answers each part at once. */
+/** The replica end of an in-process pipe, for the warm-up run: answers each part at once. */
 public final class LoopbackReplica {
     private final StreamConnection connection;
     private final EventLoop loop;
-    private final FrameCodec.Decoder cutter;
+    private final FrameCodec.Decoder decoder;
 
     public LoopbackReplica(StreamConnection connection, EventLoop loop, Limits limits) {
         this.connection = connection;
         this.loop = loop;
-        cutter = new FrameCodec.Decoder(limits.maxFrameBytes());
+        decoder = new FrameCodec.Decoder(limits.maxFrameBytes());
         connection.getSourceChannel().setReadListener(any -> loop.event("rehearsing a searcher", this::read));
         connection.getSourceChannel().resumeReads();
     }
 
     private void read() {
-        ByteBuffer in = loop.readBuffer().clear();
+        ByteBuffer buffer = loop.readBuffer().clear();
         try {
-            if (connection.getSourceChannel().read(in) < 0) {
+            if (connection.getSourceChannel().read(buffer) < 0) {
                 IoUtils.safeClose(connection);
                 return;
             }
-            cutter.feed(in.flip(), this::frame);
+            decoder.feed(buffer.flip(), this::handleFrame);
         } catch (IOException broken) {
             IoUtils.safeClose(connection);
         }
     }
 
-    private void frame(ByteBuffer frame) {
+    private void handleFrame(ByteBuffer frame) {
         if (frame.get() == FrameCodec.CALL) {
-            String left = StandardCharsets.UTF_8.decode(frame).toString();
-            while (!left.isEmpty()) {
-                int end = left.indexOf('\n');
-                String[] words = left.substring(0, end).split(" ");
-                answer(words[0] + " S 1 inflight=1,queue=0\n0123456789abcdef");
-                left = left.substring(end + 1 + Integer.parseInt(words[3]));
+            String remaining = StandardCharsets.UTF_8.decode(frame).toString();
+            while (!remaining.isEmpty()) {
+                int end = remaining.indexOf('\n');
+                String[] words = remaining.substring(0, end).split(" ");
+                respond(words[0] + " S 1 inflight=1,queue=0\n0123456789abcdef");
+                remaining = remaining.substring(end + 1 + Integer.parseInt(words[3]));
             }
         }
     }
 
-    private void answer(String text) {
+    private void respond(String text) {
         try {
             connection
                     .getSinkChannel()
-                    .write(FrameCodec.frame(FrameCodec.ANSWER, text.getBytes(StandardCharsets.UTF_8)));
+                    .write(FrameCodec.frame(FrameCodec.RESPONSE, text.getBytes(StandardCharsets.UTF_8)));
         } catch (IOException broken) {
             IoUtils.safeClose(connection);
         }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/PeerSocket.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/PeerSocket.java
@@ -16,59 +16,60 @@
 import pinewick.loop.EventLoop;
 
 /**
- * The one datagram channel to the other mixers, on the loop. It knows addresses and places and nothing of what
- * datagrams say. A datagram that the system does not take at once is lost, as datagrams may be.
+ * The datagram channel to the other mixers, on the event loop. It maps addresses to peer indexes and does not interpret
+ * datagrams. A datagram that the operating system does not accept at once is dropped.
  */
 public final class PeerSocket {
-    /** Is handed what came. */
+    /** Receives datagrams. */
     public interface DatagramHandler {
-        /** @param place of the mixer at the sender's address, -1 where it is in no list */
-        void onDatagram(int place, byte[] datagram, int length);
+        /** @param peerIndex of the mixer at the sender's address, -1 if the address is not in the list */
+        void onDatagram(int peerIndex, byte[] datagram, int length);
     }
 
-    /** One wake-up takes so many datagrams at most, so that a flood does not hold up the rest; the next one goes on. */
-    private static final int AT_ONCE = 64;
+    /** Datagrams read per wake-up at most, so that a flood does not delay other events; the next wake-up continues. */
+    private static final int MAX_DATAGRAMS_PER_WAKEUP = 64;
 
     private final MulticastMessageChannel channel;
     private final EventLoop loop;
     private final DatagramHandler handler;
-    private final Map<SocketAddress, Integer> places = new HashMap<>();
+    private final Map<SocketAddress, Integer> indexByAddress = new HashMap<>();
     private final byte[] bytes;
     private final ByteBuffer buffer;
     private final SocketAddressBuffer source = new SocketAddressBuffer();
     private List<InetSocketAddress> peers = List.of();
-    private InetSocketAddress all;
-    private long unsent;
+    private InetSocketAddress broadcastAddress;
+    private long unsentCount;
 
     /**
-     * @param most the longest datagram that is sent or read, bytes
-     * @throws IOException where it can't listen there
+     * @param maxBytes the longest datagram that is sent or read
+     * @throws IOException if the listen address cannot be bound
      */
-    public PeerSocket(InetSocketAddress listen, int most, XnioWorker worker, EventLoop loop, DatagramHandler handler)
+    public PeerSocket(
+            InetSocketAddress listen, int maxBytes, XnioWorker worker, EventLoop loop, DatagramHandler handler)
             throws IOException {
         this.loop = loop;
         this.handler = handler;
-        // One byte more shows a datagram that is longer than any may be; the rest of it is cut off by the system.
-        bytes = new byte[most + 1];
+        // One extra byte detects a datagram that exceeds the maximum; the operating system truncates the rest.
+        bytes = new byte[maxBytes + 1];
         buffer = ByteBuffer.wrap(bytes);
         channel = worker.createUdpServer(listen, OptionMap.create(Options.MULTICAST, false));
         channel.getReadSetter().set(any -> loop.event("reading datagrams", this::read));
         channel.resumeReads();
     }
 
-    /** Who is where from now on. */
-    public void setPeers(List<InetSocketAddress> addresses, InetSocketAddress toAll) {
+    /** Replaces the peer addresses; the position in the list is the peer index. The broadcast address may be null. */
+    public void setPeers(List<InetSocketAddress> addresses, InetSocketAddress broadcast) {
         peers = addresses;
-        all = toAll;
-        places.clear();
-        for (int place = 0; place < addresses.size(); place++) {
-            places.put(addresses.get(place), place);
+        broadcastAddress = broadcast;
+        indexByAddress.clear();
+        for (int peerIndex = 0; peerIndex < addresses.size(); peerIndex++) {
+            indexByAddress.put(addresses.get(peerIndex), peerIndex);
         }
     }
 
     private void read() {
         try {
-            for (int each = 0; each < AT_ONCE; each++) {
+            for (int each = 0; each < MAX_DATAGRAMS_PER_WAKEUP; each++) {
                 buffer.clear();
                 source.clear();
                 int length = channel.receiveFrom(source, buffer);
@@ -76,47 +77,48 @@
                     close();
                     return;
                 }
-                SocketAddress from = source.getSourceAddress();
-                if (from == null) {
+                SocketAddress sender = source.getSourceAddress();
+                if (sender == null) {
                     return;
                 }
-                int taken = length;
+                int receivedBytes = length;
                 loop.guarded(
-                        "taking a datagram", () -> handler.onDatagram(places.getOrDefault(from, -1), bytes, taken));
+                        "taking a datagram",
+                        () -> handler.onDatagram(indexByAddress.getOrDefault(sender, -1), bytes, receivedBytes));
             }
-        } catch (IOException odd) {
-            // An answer of the system to an earlier datagram (nobody listens there); the channel stays good.
-            unsent++;
+        } catch (IOException icmpError) {
+            // An ICMP error for an earlier datagram (nobody listens there); the channel stays usable.
+            unsentCount++;
         }
     }
 
-    public void send(int place, byte[] datagram) {
-        if (place < peers.size()) {
-            send(peers.get(place), datagram);
+    public void send(int peerIndex, byte[] datagram) {
+        if (peerIndex < peers.size()) {
+            send(peers.get(peerIndex), datagram);
         }
     }
 
-    /** To every mixer; false where there is no address for all. */
+    /** Sends to every mixer; false if there is no broadcast address. */
     public boolean sendAll(byte[] datagram) {
-        if (all != null) {
-            send(all, datagram);
+        if (broadcastAddress != null) {
+            send(broadcastAddress, datagram);
         }
-        return all != null;
+        return broadcastAddress != null;
     }
 
     private void send(SocketAddress to, byte[] datagram) {
         try {
             if (!channel.sendTo(to, ByteBuffer.wrap(datagram))) {
-                unsent++;
+                unsentCount++;
             }
-        } catch (IOException odd) {
-            unsent++; // Nobody listens there, or the way is down: the same to the sender as a lost datagram.
+        } catch (IOException icmpError) {
+            unsentCount++; // Nobody listens there or there is no route: to the sender the same as a lost datagram.
         }
     }
 
-    /** Datagrams that the system did not take. */
+    /** Number of datagrams that the operating system did not accept. */
     public long unsentCount() {
-        return unsent;
+        return unsentCount;
     }
 
     public void close() {
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/PendingResponses.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/PendingResponses.java
@@ -6,70 +6,75 @@
 import pinewick.loop.Limits;
 import pinewick.memory.LiveLaunch;
 
-/** The answers that a searcher still owes on one connection, by part, and those that it has given of late. */
+/** The responses that a replica still has to send on one connection, by part, and the parts answered recently. */
 final class PendingResponses {
-    private static final class Owed {
+    private static final class Expected {
         LiveLaunch latest;
-        int answers;
+        int responseCount;
     }
 
     private final Limits limits;
-    private final Map<String, Owed> owedByPart = new LinkedHashMap<>();
-    private final ArrayDeque<String> given = new ArrayDeque<>();
-    private boolean forgot;
+    private final Map<String, Expected> expectedByPart = new LinkedHashMap<>();
+    private final ArrayDeque<String> recentlyAnswered = new ArrayDeque<>();
+    private boolean hasForgotten;
 
     PendingResponses(Limits limits) {
         this.limits = limits;
     }
 
-    /** These were written whole: each is owed an answer. */
-    void written(Iterable<LiveLaunch> launches) {
+    /** These attempts were written completely: a response is expected for each. */
+    void onWritten(Iterable<LiveLaunch> launches) {
         for (LiveLaunch launch : launches) {
-            Owed owed = owedByPart.computeIfAbsent(launch.piece.id, any -> new Owed());
-            owed.latest = launch;
-            owed.answers++;
+            Expected expected = expectedByPart.computeIfAbsent(launch.piece.id, any -> new Expected());
+            expected.latest = launch;
+            expected.responseCount++;
         }
-        if (owedByPart.size() > limits.maxPendingResponses()) {
-            // What was given up may never be answered; its memory must not grow with that.
-            forgot |= owedByPart.values().removeIf(each -> each.latest == null);
+        if (expectedByPart.size() > limits.maxPendingResponses()) {
+            // An attempt that ended locally may never be answered; the memory kept for it must not grow without bound.
+            hasForgotten |= expectedByPart.values().removeIf(each -> each.latest == null);
         }
     }
 
-    /** A launch is over, for whatever reason. */
-    void over(LiveLaunch launch) {
-        Owed owed = owedByPart.get(launch.piece.id);
-        if (owed != null && owed.latest == launch) {
-            // Danger: an answer that never comes would keep its query, and with that its client, as long as the link.
-            owed.latest = null;
+    /** The attempt has ended, for whatever reason. */
+    void onAttemptEnd(LiveLaunch launch) {
+        Expected expected = expectedByPart.get(launch.piece.id);
+        if (expected != null && expected.latest == launch) {
+            // A response that never arrives would otherwise keep the query, and with it its client, in memory for as
+            // long as the connection lives.
+            expected.latest = null;
         }
     }
 
-    /** Whether an answer for that part is owed, to a launch that waits for it or to one that is over. */
-    boolean owes(String part) {
-        return owedByPart.containsKey(part);
+    /**
+     * Whether a response for that part is expected, for an attempt that still waits for it or for one that has ended.
+     */
+    boolean isExpected(String part) {
+        return expectedByPart.containsKey(part);
     }
 
-    /** Whether an answer for that part, which is not owed, may have been owed before. */
-    boolean mayHaveOwed(String part) {
-        return forgot || given.contains(part);
+    /** Whether a response for that part, which is not expected now, may have been expected before. */
+    boolean mayHaveBeenExpected(String part) {
+        return hasForgotten || recentlyAnswered.contains(part);
     }
 
-    /** The launch that waits for that part's answer; null if none does. */
-    LiveLaunch launch(String part) {
-        Owed owed = owedByPart.get(part);
-        return owed == null ? null : owed.latest;
+    /** The attempt that waits for that part's response; null if none does. */
+    LiveLaunch waitingAttempt(String part) {
+        Expected expected = expectedByPart.get(part);
+        return expected == null ? null : expected.latest;
     }
 
-    /** Takes an answer for a part that is owed one; returns the launch that it ends, null if that is over. */
-    LiveLaunch answered(String part) {
-        Owed owed = owedByPart.get(part);
-        if (--owed.answers == 0) {
-            owedByPart.remove(part);
-            given.add(part);
-            if (given.size() > limits.maxRememberedResponses()) {
-                given.poll();
+    /**
+     * Records a response for a part that expects one; returns the attempt that it ends, null if that has ended already.
+     */
+    LiveLaunch onResponse(String part) {
+        Expected expected = expectedByPart.get(part);
+        if (--expected.responseCount == 0) {
+            expectedByPart.remove(part);
+            recentlyAnswered.add(part);
+            if (recentlyAnswered.size() > limits.maxRememberedResponses()) {
+                recentlyAnswered.poll();
             }
         }
-        return owed.latest;
+        return expected.latest;
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/QueryJson.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/QueryJson.java
@@ -11,17 +11,23 @@
 import java.nio.charset.StandardCharsets;
 import pinewick.memory.OpenQuery;
 
-/** The text of a query and of its answer; of a query only what decisions and searchers need is taken out. */
+/**
+ * The JSON of queries and their responses; of a query only the fields that the scheduler and the replicas need are
+ * read.
+ */
 public final class QueryJson {
-    /** How far one weight may be off through rounding. */
-    private static final double ROUNDING = 1e-3;
+    /** Rounding error allowed per weight. */
+    private static final double WEIGHT_TOLERANCE = 1e-3;
 
     private QueryJson() {}
 
-    /** Reads a query's parts and text into it; anything that is not in the form brings an exception. */
+    /**
+     * Reads the parts and the text of a query into {@code into}; throws IllegalArgumentException if the body is
+     * malformed.
+     */
     public static void read(byte[] body, OpenQuery into, int shards) {
-        boolean parts = false;
-        boolean text = false;
+        boolean hasParts = false;
+        boolean hasText = false;
         try (JsonReader in = new JsonReader(new InputStreamReader(
                 new ByteArrayInputStream(body),
                 StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT)))) {
@@ -29,54 +35,54 @@
             while (in.hasNext()) {
                 switch (in.nextName()) {
                     case "slices" -> {
-                        wrongIf(parts, "json: slices twice");
-                        parts = true;
+                        rejectIf(hasParts, "json: slices twice");
+                        hasParts = true;
                         in.beginArray();
                         while (in.hasNext()) {
-                            part(in, into, shards);
+                            readPart(in, into, shards);
                         }
                         in.endArray();
                     }
                     case "filter" -> {
-                        wrongIf(text || in.peek() != JsonToken.STRING, "json: filter twice or no string");
-                        text = true;
+                        rejectIf(hasText || in.peek() != JsonToken.STRING, "json: filter twice or no string");
+                        hasText = true;
                         into.text = in.nextString().getBytes(StandardCharsets.UTF_8);
                     }
                     default -> in.skipValue();
                 }
             }
             in.endObject();
-            wrongIf(in.peek() != JsonToken.END_DOCUMENT, "json: text after the object");
-        } catch (CharacterCodingException odd) {
+            rejectIf(in.peek() != JsonToken.END_DOCUMENT, "json: text after the object");
+        } catch (CharacterCodingException malformed) {
             throw new IllegalArgumentException("json: not UTF-8");
-        } catch (IOException | IllegalStateException odd) {
-            throw new IllegalArgumentException("json: not in the form: " + odd.getMessage());
+        } catch (IOException | IllegalStateException malformed) {
+            throw new IllegalArgumentException("json: not in the form: " + malformed.getMessage());
         }
-        wrongIf(into.pieces.isEmpty(), "json: no slices");
-        wrongIf(!text, "json: no filter");
+        rejectIf(into.pieces.isEmpty(), "json: no slices");
+        rejectIf(!hasText, "json: no filter");
         double sum =
                 into.pieces.values().stream().mapToDouble(piece -> piece.mass).sum();
-        // Each weight is a decimal fraction, rounded; few digits are to be expected of some clients.
-        wrongIf(Math.abs(sum - 1) > ROUNDING * Math.max(4, into.pieces.size()), "weight: the sum is " + sum);
+        // Each weight is a rounded decimal fraction; some clients send few digits.
+        rejectIf(Math.abs(sum - 1) > WEIGHT_TOLERANCE * Math.max(4, into.pieces.size()), "weight: the sum is " + sum);
     }
 
-    private static void part(JsonReader in, OpenQuery into, int shards) throws IOException {
+    private static void readPart(JsonReader in, OpenQuery into, int shards) throws IOException {
         int shard = -1;
         double mass = Double.NaN;
-        int fields = 0;
+        int fieldsSeen = 0;
         in.beginObject();
         while (in.hasNext()) {
             switch (in.nextName()) {
                 case "slice" -> {
-                    wrongIf(in.peek() != JsonToken.NUMBER || (fields & 1) > 0, "shard: no number, or twice");
-                    fields |= 1;
+                    rejectIf(in.peek() != JsonToken.NUMBER || (fieldsSeen & 1) > 0, "shard: no number, or twice");
+                    fieldsSeen |= 1;
                     String number = in.nextString();
-                    wrongIf(!number.matches("[0-9]{1,9}"), "shard: " + number);
+                    rejectIf(!number.matches("[0-9]{1,9}"), "shard: " + number);
                     shard = Integer.parseInt(number);
                 }
                 case "mass" -> {
-                    wrongIf(in.peek() != JsonToken.NUMBER || (fields & 2) > 0, "weight: no number, or twice");
-                    fields |= 2;
+                    rejectIf(in.peek() != JsonToken.NUMBER || (fieldsSeen & 2) > 0, "weight: no number, or twice");
+                    fieldsSeen |= 2;
                     mass = in.nextDouble();
                 }
                 case "micros" -> into.workHint += in.nextDouble() / 1e6;
@@ -84,19 +90,22 @@
             }
         }
         in.endObject();
-        wrongIf(shard < 0 || shard >= shards, "shard: unknown " + shard);
-        wrongIf(!(mass > 0 && mass <= 1), "weight: of slice " + shard + " is missing or not within 0 and 1");
-        wrongIf(!into.piece(shard, mass), "shard: " + shard + " twice");
+        rejectIf(shard < 0 || shard >= shards, "shard: unknown " + shard);
+        rejectIf(!(mass > 0 && mass <= 1), "weight: of slice " + shard + " is missing or not within 0 and 1");
+        rejectIf(!into.piece(shard, mass), "shard: " + shard + " twice");
     }
 
-    private static void wrongIf(boolean wrong, String what) {
-        if (wrong) {
-            throw new IllegalArgumentException(what);
+    private static void rejectIf(boolean invalid, String message) {
+        if (invalid) {
+            throw new IllegalArgumentException(message);
         }
     }
 
-    /** Whether a searcher's value can stand in an answer: text, not empty, that no client would fail to read. */
-    static boolean fitsAnAnswer(byte[] value) {
+    /**
+     * Whether the value of a replica can be put into a response: not empty, valid UTF-8 and without control characters,
+     * so that every client can parse it.
+     */
+    static boolean isValidValue(byte[] value) {
         for (byte one : value) {
             if (one >= 0 && one < 0x20) {
                 return false;
@@ -108,36 +117,38 @@
                             .newDecoder()
                             .decode(ByteBuffer.wrap(value))
                             .hasRemaining();
-        } catch (CharacterCodingException odd) {
+        } catch (CharacterCodingException malformed) {
             return false;
         }
     }
 
-    /** The answer's body: each value that is in, as the bytes that came. */
-    public static byte[] answer(OpenQuery query, boolean whole) {
-        Bytes out = new Bytes(64 + 48 * query.pieces.size());
-        out.ascii("{\"entire\":").ascii(whole ? "true" : "false").ascii(",\"items\":[");
+    /** Encodes the response body: each value that was received, byte for byte. */
+    public static byte[] encodeResponse(OpenQuery query, boolean isComplete) {
+        ByteBuilder out = new ByteBuilder(64 + 48 * query.pieces.size());
+        out.appendAscii("{\"entire\":")
+                .appendAscii(isComplete ? "true" : "false")
+                .appendAscii(",\"items\":[");
         boolean first = true;
         for (OpenQuery.Piece piece : query.pieces.values()) {
             if (piece.value != null) {
-                out.ascii(first ? "{\"slice\":" : ",{\"slice\":")
-                        .ascii(Integer.toString(piece.shard))
-                        .ascii(",\"body\":\"")
-                        .quoted(piece.value)
-                        .ascii("\"}");
+                out.appendAscii(first ? "{\"slice\":" : ",{\"slice\":")
+                        .appendAscii(Integer.toString(piece.shard))
+                        .appendAscii(",\"body\":\"")
+                        .appendEscaped(piece.value)
+                        .appendAscii("\"}");
                 first = false;
             }
         }
-        return out.ascii("]}").done();
+        return out.appendAscii("]}").toByteArray();
     }
 
-    /** A growing array of bytes. */
-    private static final class Bytes {
+    /** A growable byte array. */
+    private static final class ByteBuilder {
         private byte[] bytes;
         private int size;
 
-        Bytes(int first) {
-            bytes = new byte[first];
+        ByteBuilder(int initialCapacity) {
+            bytes = new byte[initialCapacity];
         }
 
         private void add(int one) {
@@ -147,21 +158,21 @@
             bytes[size++] = (byte) one;
         }
 
-        Bytes ascii(String text) {
+        ByteBuilder appendAscii(String text) {
             for (int at = 0; at < text.length(); at++) {
                 add(text.charAt(at));
             }
             return this;
         }
 
-        /** Bytes within a JSON string: all but what JSON forbids there goes on as it came. */
-        Bytes quoted(byte[] value) {
+        /** Appends bytes within a JSON string, escaping only what JSON does not allow there. */
+        ByteBuilder appendEscaped(byte[] value) {
             for (byte one : value) {
                 if (one == '"' || one == '\\') {
                     add('\\');
                     add(one);
                 } else if (one >= 0 && one < 0x20) {
-                    ascii(String.format("\\u%04x", (int) one));
+                    appendAscii(String.format("\\u%04x", (int) one));
                 } else {
                     add(one);
                 }
@@ -169,7 +180,7 @@
             return this;
         }
 
-        byte[] done() {
+        byte[] toByteArray() {
             return java.util.Arrays.copyOf(bytes, size);
         }
     }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryHttpClient.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryHttpClient.java
@@ -16,57 +16,60 @@
 import pinewick.registry.HttpAnswer;
 
 /**
- * Questions to the members of a registry, each on a connection of its own or on one that stands unused; answers come as
- * lines, on the loop. It decides nothing.
+ * HTTP requests to the members of a registry, each on its own connection or on an idle kept one; responses arrive line
+ * by line on the event loop. It makes no decisions.
  */
 public final class RegistryHttpClient {
-    /** Who asked; one of the ends comes once, a dropped question hears nothing more. */
+    /** Receives a response. At most one of the failures is reported, and nothing after the request was cancelled. */
     public interface ResponseHandler {
-        /** One JSON object; throws IllegalArgumentException for what is not in the form. */
+        /** One JSON object; throws IllegalArgumentException if it is malformed. */
         void onLine(String text);
 
         void onFailure(String reason);
 
-        /** A line longer than can be taken. */
+        /** A line exceeded the maximum length. */
         void onTooLong();
     }
 
     private final EventLoop loop;
     private final List<InetSocketAddress> members;
-    private final int longestLine;
-    private final Map<Integer, StreamConnection> unused = new LinkedHashMap<>();
+    private final int maxLineBytes;
+    private final Map<Integer, StreamConnection> idleConnections = new LinkedHashMap<>();
 
-    /** @param longestLine bytes of one line of an answer at most */
-    public RegistryHttpClient(EventLoop loop, List<InetSocketAddress> members, int longestLine) {
+    /** @param maxLineBytes longest line of a response */
+    public RegistryHttpClient(EventLoop loop, List<InetSocketAddress> members, int maxLineBytes) {
         this.loop = loop;
         this.members = List.copyOf(members);
-        this.longestLine = longestLine;
+        this.maxLineBytes = maxLineBytes;
     }
 
-    /** Posts a body; with {@code stream} lines come until the connection ends, else one. The handle drops it. */
+    /**
+     * Posts a body. With {@code stream} lines arrive until the connection ends, otherwise one. The returned handle
+     * cancels the request.
+     */
     public Runnable post(int endpoint, String path, String body, boolean stream, ResponseHandler handler) {
         Exchange exchange = new Exchange(endpoint, path, body, stream, handler);
-        StreamConnection kept = stream ? null : unused.remove(endpoint);
-        if (kept != null && kept.isOpen()) {
+        StreamConnection idle = stream ? null : idleConnections.remove(endpoint);
+        if (idle != null && idle.isOpen()) {
             exchange.reused = true;
-            exchange.up(kept);
+            exchange.onConnected(idle);
         } else {
-            exchange.dial();
+            exchange.connect();
         }
-        return exchange::end;
+        return exchange::close;
     }
 
-    /** One question on one connection. */
+    /** One request on one connection. */
     private final class Exchange {
         private final ResponseHandler handler;
         private final int endpoint;
         private final boolean stream;
         private final ByteBuffer request;
-        private HttpAnswer answer = new HttpAnswer(longestLine);
+        private HttpAnswer response = new HttpAnswer(maxLineBytes);
         private StreamConnection connection;
         private boolean reused;
-        private boolean heard;
-        private boolean over;
+        private boolean receivedAny;
+        private boolean isDone;
 
         Exchange(int endpoint, String path, String body, boolean stream, ResponseHandler handler) {
             this.handler = handler;
@@ -83,41 +86,41 @@
                     .flip();
         }
 
-        void dial() {
+        void connect() {
             loop.thread()
                     .openStreamConnection(
                             members.get(endpoint), null, null, OptionMap.create(Options.TCP_NODELAY, true))
                     .addNotifier(
                             new IoFuture.HandlingNotifier<StreamConnection, Object>() {
                                 @Override
-                                public void handleDone(StreamConnection made, Object none) {
-                                    loop.later("a member of the registry", () -> up(made));
+                                public void handleDone(StreamConnection channel, Object none) {
+                                    loop.later("a member of the registry", () -> onConnected(channel));
                                 }
 
                                 @Override
                                 public void handleFailed(IOException failed, Object none) {
                                     loop.later(
                                             "a member of the registry",
-                                            () -> failed("not connected: " + failed.getMessage()));
+                                            () -> fail("not connected: " + failed.getMessage()));
                                 }
                             },
                             null);
         }
 
-        void up(StreamConnection made) {
-            connection = made;
-            if (over) {
-                IoUtils.safeClose(made);
+        void onConnected(StreamConnection channel) {
+            connection = channel;
+            if (isDone) {
+                IoUtils.safeClose(channel);
                 return;
             }
-            made.getSourceChannel().setReadListener(any -> loop.event("reading from the registry", this::read));
-            made.getSinkChannel().setWriteListener(any -> loop.event("asking the registry", this::write));
-            made.getSourceChannel().resumeReads();
+            channel.getSourceChannel().setReadListener(any -> loop.event("reading from the registry", this::read));
+            channel.getSinkChannel().setWriteListener(any -> loop.event("asking the registry", this::write));
+            channel.getSourceChannel().resumeReads();
             write();
         }
 
         private void write() {
-            if (over) {
+            if (isDone) {
                 return;
             }
             try {
@@ -129,91 +132,98 @@
                 }
                 connection.getSinkChannel().suspendWrites();
             } catch (IOException broken) {
-                loop.later("a member of the registry", () -> broke("broke: " + broken.getMessage()));
+                loop.later("a member of the registry", () -> onConnectionError("broke: " + broken.getMessage()));
             }
         }
 
         private void read() {
-            ByteBuffer in = loop.readBuffer();
+            ByteBuffer buffer = loop.readBuffer();
             try {
-                while (!over) {
-                    in.clear();
-                    int count = connection.getSourceChannel().read(in);
-                    if (count < 0) {
-                        broke("ended by the member");
+                while (!isDone) {
+                    buffer.clear();
+                    int byteCount = connection.getSourceChannel().read(buffer);
+                    if (byteCount < 0) {
+                        onConnectionError("ended by the member");
                         return;
                     }
-                    if (count == 0) {
+                    if (byteCount == 0) {
                         return;
                     }
-                    heard = true;
-                    // What a line leads to may use the loop's buffer.
-                    ByteBuffer mine = ByteBuffer.allocate(count).put(in.flip()).flip();
-                    answer.feed(mine, this::line);
-                    if (answer.done() && !over) {
-                        failed(stream ? "the watch ended" : "an empty answer");
+                    receivedAny = true;
+                    // The handler of a line may use the event loop's shared buffer, so it is copied.
+                    ByteBuffer copy =
+                            ByteBuffer.allocate(byteCount).put(buffer.flip()).flip();
+                    response.feed(copy, this::handleLine);
+                    if (response.done() && !isDone) {
+                        fail(stream ? "the watch ended" : "an empty answer");
                     }
                 }
             } catch (IOException broken) {
-                broke("broke: " + broken.getMessage());
-            } catch (HttpAnswer.TooLong large) {
-                if (!over) {
-                    end();
+                onConnectionError("broke: " + broken.getMessage());
+            } catch (HttpAnswer.TooLong oversized) {
+                if (!isDone) {
+                    close();
                     handler.onTooLong();
                 }
-            } catch (IllegalArgumentException odd) {
-                boolean told = over;
-                end();
-                if (!told || !stream) {
-                    handler.onFailure("unusable: " + odd.getMessage());
+            } catch (IllegalArgumentException malformed) {
+                boolean wasDone = isDone;
+                close();
+                if (!wasDone || !stream) {
+                    handler.onFailure("unusable: " + malformed.getMessage());
                 }
             }
         }
 
-        private void line(String text) {
-            if (!over) {
+        private void handleLine(String text) {
+            if (!isDone) {
                 if (!stream) {
-                    finished();
+                    onComplete();
                 }
                 handler.onLine(text);
             }
         }
 
-        /** The answer is in; the connection may serve the next question. */
-        private void finished() {
-            over = true;
+        /** The response is complete; the connection may be reused for the next request. */
+        private void onComplete() {
+            isDone = true;
             loop.later("keeping a connection", () -> {
-                if (answer.done() && answer.keepsConnection() && connection.isOpen() && !unused.containsKey(endpoint)) {
+                if (response.done()
+                        && response.keepsConnection()
+                        && connection.isOpen()
+                        && !idleConnections.containsKey(endpoint)) {
                     connection.getSourceChannel().suspendReads();
-                    unused.put(endpoint, connection);
+                    idleConnections.put(endpoint, connection);
                 } else {
                     IoUtils.safeClose(connection);
                 }
             });
         }
 
-        /** A connection that stood unused may have been closed meanwhile; that says nothing of the member. */
-        private void broke(String why) {
-            if (reused && !heard && !over) {
+        /**
+         * A kept connection may have been closed by the member meanwhile; this says nothing about the member, so the
+         * request is sent again on a new connection.
+         */
+        private void onConnectionError(String reason) {
+            if (reused && !receivedAny && !isDone) {
                 reused = false;
                 IoUtils.safeClose(connection);
                 request.rewind();
-                answer = new HttpAnswer(longestLine);
-                dial();
+                response = new HttpAnswer(maxLineBytes);
+                connect();
             } else {
-                failed(why);
+                fail(reason);
             }
         }
 
-        private void failed(String why) {
-            if (!over) {
-                end();
-                handler.onFailure(why);
+        private void fail(String reason) {
+            if (!isDone) {
+                close();
+                handler.onFailure(reason);
             }
         }
 
-        private void end() {
-            over = true;
+        private void close() {
+            isDone = true;
             if (connection != null) {
                 IoUtils.safeClose(connection);
             }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/RegistrySessionTransport.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/RegistrySessionTransport.java
@@ -8,14 +8,14 @@
 import pinewick.registry.RegistrySession;
 import pinewick.registry.Step;
 
-/** Puts a session's questions to the registry and brings it the answers. */
+/** Sends the requests of a registry session and delivers the responses to it. */
 public final class RegistrySessionTransport implements RegistrySession.Wire {
     private final EventLoop loop;
     private final RegistryHttpClient client;
     private final String prefix;
     private final Consumer<Step> steps;
     private final Consumer<String> log;
-    private final Map<Long, Runnable> open = new LinkedHashMap<>();
+    private final Map<Long, Runnable> pendingRequests = new LinkedHashMap<>();
     private RegistrySession session;
 
     public RegistrySessionTransport(
@@ -27,32 +27,32 @@
         this.log = log;
     }
 
-    /** Starts to follow; {@link RegistrySession#tick} stays the caller's. */
-    public void start(RegistrySession by) {
-        session = by;
+    /** Starts the session; calling {@link RegistrySession#tick} remains up to the caller. */
+    public void start(RegistrySession registrySession) {
+        session = registrySession;
         session.start(loop.now());
     }
 
     @Override
     public void read(long question, int endpoint, String from, long atRevision, int limit, boolean keysOnly) {
-        ask(question, endpoint, EtcdText.RANGE, EtcdText.read(from, prefix, atRevision, limit, keysOnly), false);
+        send(question, endpoint, EtcdText.RANGE, EtcdText.read(from, prefix, atRevision, limit, keysOnly), false);
     }
 
     @Override
     public void probe(long question, int endpoint) {
-        ask(question, endpoint, EtcdText.RANGE, EtcdText.probe(prefix), false);
+        send(question, endpoint, EtcdText.RANGE, EtcdText.probe(prefix), false);
     }
 
     @Override
     public void watch(long question, int endpoint, long fromRevision) {
-        ask(question, endpoint, EtcdText.WATCH, EtcdText.watch(prefix, fromRevision), true);
+        send(question, endpoint, EtcdText.WATCH, EtcdText.watch(prefix, fromRevision), true);
     }
 
     @Override
     public void drop(long question) {
-        Runnable dropped = open.remove(question);
-        if (dropped != null) {
-            dropped.run();
+        Runnable cancel = pendingRequests.remove(question);
+        if (cancel != null) {
+            cancel.run();
         }
     }
 
@@ -66,27 +66,28 @@
         log.accept("registry: " + text);
     }
 
-    private void ask(long question, int endpoint, String path, String body, boolean stream) {
-        open.put(question, client.post(endpoint, path, body, stream, new RegistryHttpClient.ResponseHandler() {
-            @Override
-            public void onLine(String text) {
-                if (!stream) {
-                    open.remove(question);
-                }
-                session.answered(loop.now(), question, EtcdText.answer(text));
-            }
+    private void send(long question, int endpoint, String path, String body, boolean stream) {
+        pendingRequests.put(
+                question, client.post(endpoint, path, body, stream, new RegistryHttpClient.ResponseHandler() {
+                    @Override
+                    public void onLine(String text) {
+                        if (!stream) {
+                            pendingRequests.remove(question);
+                        }
+                        session.answered(loop.now(), question, EtcdText.answer(text));
+                    }
 
-            @Override
-            public void onFailure(String why) {
-                open.remove(question);
-                session.failed(loop.now(), question, why);
-            }
+                    @Override
+                    public void onFailure(String reason) {
+                        pendingRequests.remove(question);
+                        session.failed(loop.now(), question, reason);
+                    }
 
-            @Override
-            public void onTooLong() {
-                open.remove(question);
-                session.tooLong(loop.now(), question);
-            }
-        }));
+                    @Override
+                    public void onTooLong() {
+                        pendingRequests.remove(question);
+                        session.tooLong(loop.now(), question);
+                    }
+                }));
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListJson.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListJson.java
@@ -10,32 +10,35 @@
 import java.util.List;
 import pinewick.core.SchedulerHost;
 
-/** Discovery's form of the list of searchers. */
+/** The JSON form in which the discovery service lists replicas (searchers). */
 public final class ReplicaListJson {
-    /** A piece of the list; each entry's address stands at the same place as its listing. */
+    /**
+     * The whole list, or a change to it; {@code addresses} has the address of each entry at the same index, null if it
+     * has none.
+     */
     public record Update(
             long revision,
             boolean isFull,
             List<SchedulerHost.ReplicaEntry> entries,
             List<InetSocketAddress> addresses) {
-        public Update(long revision, boolean isFull, List<SchedulerHost.ReplicaEntry> none) {
-            this(revision, isFull, none, List.of());
+        public Update(long revision, boolean isFull, List<SchedulerHost.ReplicaEntry> entries) {
+            this(revision, isFull, entries, List.of());
         }
     }
 
     private ReplicaListJson() {}
 
-    /** Anything that is not in this form brings an exception. */
+    /** Parses an update; throws a RuntimeException if it is malformed. */
     public static Update read(String text) {
         return read(JsonParser.parseString(text).getAsJsonObject());
     }
 
-    public static Update read(JsonObject piece) {
+    public static Update read(JsonObject update) {
         List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (JsonElement each : piece.getAsJsonArray("members")) {
+        for (JsonElement each : update.getAsJsonArray("members")) {
             JsonObject member = each.getAsJsonObject();
-            SchedulerHost.LifecycleState stage =
+            SchedulerHost.LifecycleState state =
                     switch (member.get("phase").getAsString()) {
                         case "ready" -> SchedulerHost.LifecycleState.READY;
                         case "draining" -> SchedulerHost.LifecycleState.DRAINING;
@@ -45,24 +48,24 @@
             double startedAt =
                     member.has("up_since_ms") ? member.get("up_since_ms").getAsDouble() / 1e3 : 0;
             String zone = member.has("locality") ? member.get("locality").getAsString() : "";
-            boolean placed = member.has("host_port")
+            boolean hasAddress = member.has("host_port")
                     && !member.get("host_port").getAsString().isEmpty();
-            if (!placed && stage != SchedulerHost.LifecycleState.GONE) {
+            if (!hasAddress && state != SchedulerHost.LifecycleState.GONE) {
                 throw new IllegalArgumentException("host_port is missing");
             }
-            addresses.add(placed ? address(member.get("host_port").getAsString()) : null);
+            addresses.add(hasAddress ? address(member.get("host_port").getAsString()) : null);
             entries.add(new SchedulerHost.ReplicaEntry(
                     member.get("id").getAsString(),
                     member.has("cell") ? member.get("cell").getAsInt() : 0,
                     zone,
-                    stage,
+                    state,
                     startedAt));
         }
         return new Update(
-                piece.get("revision").getAsLong(), piece.get("complete").getAsBoolean(), entries, addresses);
+                update.get("revision").getAsLong(), update.get("complete").getAsBoolean(), entries, addresses);
     }
 
-    /** A host given by number and a port; names are not looked up, there is no service for that. */
+    /** Parses a numeric host and a port; host names are not resolved, since there is no name service. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
@@ -71,7 +74,7 @@
                 throw new IllegalArgumentException("'" + text + "' is no address and port");
             }
             return new InetSocketAddress(InetAddress.getByName(host), Integer.parseInt(text.substring(colon + 1)));
-        } catch (UnknownHostException | NumberFormatException odd) {
+        } catch (UnknownHostException | NumberFormatException malformed) {
             throw new IllegalArgumentException("'" + text + "' is no address and port");
         }
     }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ResponseFrame.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ResponseFrame.java
@@ -6,35 +6,35 @@
 import pinewick.core.SchedulerHost;
 
 /**
- * An answer as a searcher sends it: a line with the part, how it ended, a number and a load report, and then the value.
+ * A response as a replica sends it: a line with part id, outcome, a number and a load report, followed by the value.
  *
- * @param part the part's id
- * @param wellFormed whether the rest can be used; else {@code end} is blank
- * @param end the letter that says how it ended
- * @param report the searcher's load; null where it can't be read
+ * @param part id of the part
+ * @param wellFormed whether the other fields are usable; if not, {@code end} is blank
+ * @param end the letter that denotes the outcome
+ * @param report load of the replica; null if it cannot be parsed
  */
 record ResponseFrame(String part, boolean wellFormed, char end, SchedulerHost.LoadReport report, byte[] value) {
-    private static final int WORDS = 4;
-    private static final int MOST_WORDS = 5;
-    private static final String ENDS = "SEB";
+    private static final int FIELD_COUNT = 4;
+    private static final int SPLIT_LIMIT = 5;
+    private static final String OUTCOME_LETTERS = "SEB";
     private static final char SUCCESS = 'S';
     private static final String NUMBER = "[-+0-9.eE]+";
 
-    /** Reads what follows the frame's letter. */
-    static ResponseFrame read(byte[] rest) {
-        int lineEnd = lineEnd(rest);
-        String[] words = words(rest, lineEnd);
-        boolean formed = lineEnd < rest.length
-                && words.length == WORDS
+    /** Parses the payload of a frame, the bytes after its type. */
+    static ResponseFrame read(byte[] payload) {
+        int lineEnd = lineEnd(payload);
+        String[] words = words(payload, lineEnd);
+        boolean isWellFormed = lineEnd < payload.length
+                && words.length == FIELD_COUNT
                 && words[1].length() == 1
-                && ENDS.indexOf(words[1].charAt(0)) >= 0
+                && OUTCOME_LETTERS.indexOf(words[1].charAt(0)) >= 0
                 && words[2].matches(NUMBER);
-        if (!formed) {
+        if (!isWellFormed) {
             return malformed(words[0]);
         }
         char end = words[1].charAt(0);
-        byte[] value = Arrays.copyOfRange(rest, lineEnd + 1, rest.length);
-        if (end == SUCCESS && !QueryJson.fitsAnAnswer(value)) {
+        byte[] value = Arrays.copyOfRange(payload, lineEnd + 1, payload.length);
+        if (end == SUCCESS && !QueryJson.isValidValue(value)) {
             return malformed(words[0]);
         }
         return new ResponseFrame(words[0], true, end, report(words[3]), value);
@@ -44,29 +44,29 @@
         return new ResponseFrame(part, false, ' ', null, new byte[0]);
     }
 
-    /** The first word of a frame, which in most names a part. */
-    static String firstWord(byte[] rest) {
-        return words(rest, lineEnd(rest))[0];
+    /** The first word of a payload, which in most frame types is a part id. */
+    static String firstWord(byte[] payload) {
+        return words(payload, lineEnd(payload))[0];
     }
 
-    /** Danger: an answer would be lost for a report that can't be read. It counts as none. */
+    /** Parses a load report; null if it is invalid, so that an invalid report does not cost the response. */
     static SchedulerHost.LoadReport report(String text) {
         try {
             return DeploymentParser.parseLoadReport(text, '=');
-        } catch (RuntimeException unreadable) {
+        } catch (RuntimeException invalid) {
             return null;
         }
     }
 
-    private static int lineEnd(byte[] rest) {
+    private static int lineEnd(byte[] payload) {
         int end = 0;
-        while (end < rest.length && rest[end] != '\n') {
+        while (end < payload.length && payload[end] != '\n') {
             end++;
         }
         return end;
     }
 
-    private static String[] words(byte[] rest, int lineEnd) {
-        return new String(rest, 0, lineEnd, StandardCharsets.UTF_8).split(" ", MOST_WORDS);
+    private static String[] words(byte[] payload, int lineEnd) {
+        return new String(payload, 0, lineEnd, StandardCharsets.UTF_8).split(" ", SPLIT_LIMIT);
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
@@ -21,82 +21,93 @@
 import pinewick.memory.Carrier;
 import pinewick.memory.LiveLaunch;
 
-/** One connection to a searcher, from when it is asked for until it is closed. */
+/** A TCP connection to one replica (searcher), from the connect request until it is closed. */
 public final class TcpReplicaConnection implements Carrier {
-    /** What a link tells; every call is an event of its own on the loop. */
+    /** Events of a connection; each one is a separate event on the event loop. */
     public interface Listener {
-        void onResponse(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value);
+        void onResponse(LiveLaunch attempt, char end, SchedulerHost.LoadReport report, byte[] value);
 
-        void onProbeResult(String searcher, long probe, boolean good, SchedulerHost.LoadReport report);
+        void onProbeResult(String replicaId, long probe, boolean succeeded, SchedulerHost.LoadReport report);
 
-        /** Something came that is no answer; the launch that it ends, null where there is none to be told. */
-        void onInvalidFrame(TcpReplicaConnection link, String why, LiveLaunch launch);
+        /**
+         * A frame arrived that is not a valid response; {@code launch} is the attempt that it ends, null if it cannot
+         * be told.
+         */
+        void onInvalidFrame(TcpReplicaConnection link, String reason, LiveLaunch attempt);
 
-        /** Whether the first byte of that launch may be written now; one that may not has been taken back. */
-        boolean canStartWrite(LiveLaunch launch);
+        /**
+         * Whether the first byte of that attempt may be written now; if not, the listener has withdrawn the attempt.
+         */
+        boolean canStartWrite(LiveLaunch attempt);
 
-        /** These were never written whole and will not be, for no fault of the searcher. */
+        /** These attempts were not written completely and will not be, through no fault of the replica. */
         void onUnsent(List<LiveLaunch> launches);
 
-        /** The link is not up in time for these; it may still come up for others. */
+        /**
+         * The connection was not established in time for these attempts; it may still be established for later ones.
+         */
         void onConnectTimeout(TcpReplicaConnection link, List<LiveLaunch> launches);
 
-        /** The link is closed; {@code never} were not written whole, {@code perhaps} were. */
-        void onClosed(TcpReplicaConnection link, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps);
+        /**
+         * The connection is closed; the attempts in {@code never} were not written completely, those in {@code perhaps}
+         * were and may have run.
+         */
+        void onClosed(TcpReplicaConnection link, String reason, List<LiveLaunch> never, List<LiveLaunch> perhaps);
     }
 
-    private final String searcher;
+    private final String replicaId;
     private final InetSocketAddress address;
     private final EventLoop loop;
     private final Limits limits;
     private final Listener listener;
-    private final FrameCodec.Decoder cutter;
-    private final Consumer<ByteBuffer> cut = this::frame;
+    private final FrameCodec.Decoder decoder;
+    private final Consumer<ByteBuffer> onFrame = this::handleFrame;
     private final ArrayDeque<Call> waiting = new ArrayDeque<>();
-    private final ArrayDeque<ByteBuffer> control = new ArrayDeque<>();
+    private final ArrayDeque<ByteBuffer> controlFrames = new ArrayDeque<>();
     private final ArrayDeque<Long> probes = new ArrayDeque<>();
     private final List<Call> calls = new ArrayList<>();
-    private final PendingResponses owed;
-    private IoFuture<StreamConnection> dialing;
-    private XnioExecutor.Key dialTimer;
+    private final PendingResponses pending;
+    private IoFuture<StreamConnection> connectFuture;
+    private XnioExecutor.Key connectTimer;
     private StreamConnection connection;
-    private ByteBuffer current;
-    private Call currentCall;
+    private ByteBuffer frameBeingWritten;
+    private Call callBeingWritten;
     private boolean closed;
     private boolean retired;
-    private boolean doomed;
+    private boolean writesStopped;
     private boolean reading;
-    private boolean late;
-    private long stuckAt = -1;
-    private double usedAt;
-    private double heardAt = Double.NEGATIVE_INFINITY;
+    private boolean connectTimedOut;
+    private long incompleteAtFrameCount = -1;
+    private double lastUsedAt;
+    private double lastReceivedAt = Double.NEGATIVE_INFINITY;
 
     public TcpReplicaConnection(
-            String searcher, InetSocketAddress address, EventLoop loop, Limits limits, Listener listener) {
-        this.searcher = searcher;
+            String replicaId, InetSocketAddress address, EventLoop loop, Limits limits, Listener listener) {
+        this.replicaId = replicaId;
         this.address = address;
         this.loop = loop;
         this.limits = limits;
         this.listener = listener;
-        this.cutter = new FrameCodec.Decoder(limits.maxFrameBytes());
-        this.owed = new PendingResponses(limits);
-        usedAt = loop.now();
+        this.decoder = new FrameCodec.Decoder(limits.maxFrameBytes());
+        this.pending = new PendingResponses(limits);
+        lastUsedAt = loop.now();
     }
 
     @Override
     public String searcher() {
-        return searcher;
+        return replicaId;
     }
 
-    /** Starts to connect; the answer is an event. */
+    /** Starts to connect; the outcome is reported as an event. */
     public void connect() {
-        dialTimer = loop.timeOut(limits.connectTimeoutSeconds(), "dialing", this::late);
-        dialing = loop.thread().openStreamConnection(address, null, null, OptionMap.create(Options.TCP_NODELAY, true));
-        dialing.addNotifier(
+        connectTimer = loop.timeOut(limits.connectTimeoutSeconds(), "dialing", this::onConnectTimeout);
+        connectFuture =
+                loop.thread().openStreamConnection(address, null, null, OptionMap.create(Options.TCP_NODELAY, true));
+        connectFuture.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Object>() {
                     @Override
-                    public void handleDone(StreamConnection made, Object none) {
-                        loop.later("connected", () -> attach(made));
+                    public void handleDone(StreamConnection channel, Object none) {
+                        loop.later("connected", () -> attach(channel));
                     }
 
                     @Override
@@ -113,59 +124,61 @@
     }
 
     /**
-     * Danger: where connections come up late, one given up at its time-out is dialled anew, as late, and its searcher
-     * stays out of reach. So what waits goes elsewhere, nothing new is put on it, and the connection may still come up.
-     * Also catches a searcher that stood still. Harm: one that never comes up holds a descriptor so much longer.
+     * Handles a connect that exceeded its timeout. Where connections are established late, closing each one at the
+     * timeout and connecting again, as late, would keep the replica unreachable. So waiting attempts fail over, no new
+     * attempt is queued, and the connection may still be established. The same covers a replica that was paused. Cost:
+     * a connection that is never established holds its descriptor for longer.
      */
-    private void late() {
+    private void onConnectTimeout() {
         if (connection != null || closed) {
             return;
         }
-        late = true;
-        dialTimer = loop.timeOut(limits.maxConnectSeconds() - limits.connectTimeoutSeconds(), "dialing", () -> {
+        connectTimedOut = true;
+        connectTimer = loop.timeOut(limits.maxConnectSeconds() - limits.connectTimeoutSeconds(), "dialing", () -> {
             if (connection == null) {
                 close("never up");
             }
         });
-        control.clear();
-        List<Long> unasked = List.copyOf(probes);
+        controlFrames.clear();
+        List<Long> unsentProbes = List.copyOf(probes);
         probes.clear();
         listener.onConnectTimeout(this, waiting());
-        unasked.forEach(number -> listener.onProbeResult(searcher, number, false, null));
+        unsentProbes.forEach(number -> listener.onProbeResult(replicaId, number, false, null));
     }
 
-    /** A link over a connection that is there already. */
-    public void attach(StreamConnection made) {
+    /** Uses a channel that is already connected. */
+    public void attach(StreamConnection channel) {
         if (closed) {
-            IoUtils.safeClose(made);
+            IoUtils.safeClose(channel);
             return;
         }
-        connection = made;
-        usedAt = loop.now();
-        if (dialTimer != null) {
-            dialTimer.remove();
+        connection = channel;
+        lastUsedAt = loop.now();
+        if (connectTimer != null) {
+            connectTimer.remove();
         }
-        // Made once: each one made costs a call out of Java, with the quick compiler, and these run for every answer.
-        Runnable reading = this::read;
-        Runnable writing = this::write;
-        made.getSourceChannel().setReadListener(any -> loop.event("reading from a searcher", reading));
-        made.getSinkChannel().setWriteListener(any -> loop.event("writing to a searcher", writing));
-        made.getSourceChannel().resumeReads();
+        // Created once: with the C1 compiler each new lambda costs a call out of Java, and these run for every
+        // response.
+        Runnable readTask = this::read;
+        Runnable writeTask = this::write;
+        channel.getSourceChannel().setReadListener(any -> loop.event("reading from a searcher", readTask));
+        channel.getSinkChannel().setWriteListener(any -> loop.event("writing to a searcher", writeTask));
+        channel.getSourceChannel().resumeReads();
         write();
     }
 
-    /** Whether another call may be put on it now. */
+    /** Whether another call may be sent or queued on this connection now. */
     @Override
     public boolean hasPlace() {
         return !closed
                 && !retired
-                && !doomed
-                && (connection != null || !late)
+                && !writesStopped
+                && (connection != null || !connectTimedOut)
                 && calls.size() < limits.maxCallsPerConnection()
-                && (connection == null || !calls.isEmpty() || loop.now() - usedAt < limits.connectionIdleSeconds());
+                && (connection == null || !calls.isEmpty() || loop.now() - lastUsedAt < limits.connectionIdleSeconds());
     }
 
-    /** Reads what may tell that an unused link has been closed at the far end, before a call would be lost on it. */
+    /** Reads from an unused connection, to notice that the replica has closed it before a call would be lost on it. */
     @Override
     public boolean stillThere() {
         if (connection != null && calls.isEmpty()) {
@@ -184,22 +197,22 @@
         return calls.size();
     }
 
-    /** No new calls; it closes once those that are out have ended. */
+    /** Accepts no new calls and closes once the outstanding ones have ended. */
     @Override
-    public void retire(String why) {
+    public void retire(String reason) {
         retired = true;
         if (calls.isEmpty()) {
-            close(why);
+            close(reason);
         }
     }
 
-    /** To be called now and then: closes the link before the far side would. */
+    /** Closes an idle connection before the replica would; to be called periodically. */
     @Override
     public void look() {
         if (connection != null
                 && calls.isEmpty()
                 && probes.isEmpty()
-                && loop.now() - usedAt >= limits.connectionIdleSeconds()) {
+                && loop.now() - lastUsedAt >= limits.connectionIdleSeconds()) {
             close("idle");
         }
     }
@@ -215,54 +228,55 @@
     @Override
     public void probe(long number, boolean load) {
         probes.add(number);
-        control.add(FrameCodec.frame(load ? FrameCodec.LOAD : FrameCodec.PROBE, new byte[0]));
+        controlFrames.add(FrameCodec.frame(load ? FrameCodec.LOAD : FrameCodec.PROBE, new byte[0]));
         write();
     }
 
-    /** Takes a launch back that has not been written, or tells the searcher that it is given up. */
+    /** Withdraws an attempt that has not been written, or tells the replica that it is cancelled. */
     @Override
-    public void drop(LiveLaunch launch, boolean tell) {
-        Call call = launch.call;
+    public void drop(LiveLaunch attempt, boolean tell) {
+        Call call = attempt.call;
         if (call.stage == Call.Stage.WAITING) {
-            call.launches.remove(launch);
+            call.launches.remove(attempt);
         } else if (call.stage == Call.Stage.BEGUN) {
-            // Danger: the rest of the frame would still go out after the query's answer. So nothing more is written;
-            // what is out on the link may still be answered, or it would be lost with the frame.
-            doomed = true;
-            loop.later("dropping a frame", this::dropFrame);
+            // The rest of the frame would otherwise be sent after the query has its response. So nothing more is
+            // written, while calls outstanding on this connection may still be answered; closing at once would lose
+            // their responses.
+            writesStopped = true;
+            loop.later("dropping a frame", this::abandonFrame);
         } else if (tell) {
-            control.add(FrameCodec.cancel(launch.piece.id));
+            controlFrames.add(FrameCodec.cancel(attempt.piece.id));
             write();
-            if (control.size() > limits.maxQueuedControlFrames()) {
+            if (controlFrames.size() > limits.maxQueuedControlFrames()) {
                 loop.later("too many frames unread", () -> close("reads nothing"));
             }
         }
     }
 
-    private void dropFrame() {
-        List<LiveLaunch> unsent = new ArrayList<>();
+    private void abandonFrame() {
+        List<LiveLaunch> unwritten = new ArrayList<>();
         calls.stream().filter(call -> call.stage != Call.Stage.WRITTEN).forEach(call -> call.launches.stream()
                 .filter(each -> !each.over)
-                .forEach(unsent::add));
+                .forEach(unwritten::add));
         if (!closed) {
-            listener.onUnsent(unsent);
+            listener.onUnsent(unwritten);
             retire("a frame begun was no longer wanted");
         }
     }
 
-    /** The launches of which no byte has been written. */
+    /** The attempts of which no byte has been written. */
     @Override
     public List<LiveLaunch> waiting() {
-        List<LiveLaunch> none = new ArrayList<>();
-        waiting.forEach(call -> none.addAll(call.launches));
-        return none;
+        List<LiveLaunch> unwritten = new ArrayList<>();
+        waiting.forEach(call -> unwritten.addAll(call.launches));
+        return unwritten;
     }
 
-    /** A launch on this link is over, for whatever reason. */
+    /** An attempt on this connection has ended, for whatever reason. */
     @Override
-    public void over(LiveLaunch launch) {
-        Call call = launch.call;
-        owed.over(launch);
+    public void over(LiveLaunch attempt) {
+        Call call = attempt.call;
+        pending.onAttemptEnd(attempt);
         if (--call.out == 0) {
             calls.remove(call);
             waiting.remove(call);
@@ -272,27 +286,27 @@
         }
     }
 
-    /** Whether nothing has come since that call was written. */
+    /** Whether nothing has been received since that call was written. */
     @Override
     public boolean silentSince(Call call) {
-        return call.stage == Call.Stage.WRITTEN && heardAt < call.writtenAt;
+        return call.stage == Call.Stage.WRITTEN && lastReceivedAt < call.writtenAt;
     }
 
     private void write() {
-        if (connection == null || closed || doomed) {
+        if (connection == null || closed || writesStopped) {
             return;
         }
         try {
-            while (current != null || next()) {
-                if (connection.getSinkChannel().write(current) == 0 && current.hasRemaining()) {
+            while (frameBeingWritten != null || prepareNextFrame()) {
+                if (connection.getSinkChannel().write(frameBeingWritten) == 0 && frameBeingWritten.hasRemaining()) {
                     connection.getSinkChannel().resumeWrites();
                     return;
                 }
-                if (currentCall != null && currentCall.stage == Call.Stage.WAITING) {
-                    currentCall.stage = Call.Stage.BEGUN;
+                if (callBeingWritten != null && callBeingWritten.stage == Call.Stage.WAITING) {
+                    callBeingWritten.stage = Call.Stage.BEGUN;
                 }
-                if (!current.hasRemaining()) {
-                    written();
+                if (!frameBeingWritten.hasRemaining()) {
+                    onFrameWritten();
                 }
             }
             connection.getSinkChannel().suspendWrites();
@@ -301,9 +315,9 @@
         }
     }
 
-    private boolean next() {
-        if (!control.isEmpty()) {
-            current = control.poll();
+    private boolean prepareNextFrame() {
+        if (!controlFrames.isEmpty()) {
+            frameBeingWritten = controlFrames.poll();
             return true;
         }
         while (!waiting.isEmpty()) {
@@ -311,26 +325,26 @@
             List.copyOf(call.launches).stream()
                     .filter(each -> !listener.canStartWrite(each))
                     .forEach(call.launches::remove);
-            if (doomed || closed) {
+            if (writesStopped || closed) {
                 return false;
             }
             if (!call.launches.isEmpty()) {
-                currentCall = call;
-                current = FrameCodec.call(call, loop.clock());
+                callBeingWritten = call;
+                frameBeingWritten = FrameCodec.call(call, loop.clock());
                 return true;
             }
         }
         return false;
     }
 
-    private void written() {
-        current = null;
-        usedAt = loop.now();
-        if (currentCall != null) {
-            currentCall.stage = Call.Stage.WRITTEN;
-            currentCall.writtenAt = usedAt;
-            owed.written(currentCall.launches);
-            currentCall = null;
+    private void onFrameWritten() {
+        frameBeingWritten = null;
+        lastUsedAt = loop.now();
+        if (callBeingWritten != null) {
+            callBeingWritten.stage = Call.Stage.WRITTEN;
+            callBeingWritten.writtenAt = lastUsedAt;
+            pending.onWritten(callBeingWritten.launches);
+            callBeingWritten = null;
         }
     }
 
@@ -338,22 +352,22 @@
         if (closed || reading) {
             return;
         }
-        ByteBuffer in = loop.readBuffer();
+        ByteBuffer buffer = loop.readBuffer();
         reading = true;
         try {
             while (!closed) {
-                in.clear();
-                int count = connection.getSourceChannel().read(in);
-                if (count < 0) {
+                buffer.clear();
+                int byteCount = connection.getSourceChannel().read(buffer);
+                if (byteCount < 0) {
                     close("ended by the searcher");
                     return;
                 }
-                if (count == 0) {
-                    expectTheRest();
+                if (byteCount == 0) {
+                    startFrameTimeout();
                     return;
                 }
-                heardAt = usedAt = loop.now();
-                cutter.feed(in.flip(), cut);
+                lastReceivedAt = lastUsedAt = loop.now();
+                decoder.feed(buffer.flip(), onFrame);
             }
         } catch (IOException broken) {
             close("broke: " + broken.getMessage());
@@ -364,91 +378,94 @@
         }
     }
 
-    private void frame(ByteBuffer frame) {
+    private void handleFrame(ByteBuffer frame) {
         if (closed) {
             return;
         }
-        char letter = (char) (frame.get() & 0xff);
+        char type = (char) (frame.get() & 0xff);
         byte[] rest = new byte[frame.remaining()];
         frame.get(rest);
-        switch (letter) {
-            case FrameCodec.ANSWER -> answer(rest);
+        switch (type) {
+            case FrameCodec.RESPONSE -> handleResponse(rest);
             case FrameCodec.PROBE, FrameCodec.LOAD -> {
                 String text = new String(rest, StandardCharsets.UTF_8).trim();
                 Long number = probes.poll();
                 if (number == null) {
-                    spoilt(null, "an answer to no probe");
+                    onInvalidFrame(null, "an answer to no probe");
                     return;
                 }
-                boolean good = !text.startsWith("E");
+                boolean succeeded = !text.startsWith("E");
                 listener.onProbeResult(
-                        searcher, number, good, good && letter == FrameCodec.LOAD ? ResponseFrame.report(text) : null);
+                        replicaId,
+                        number,
+                        succeeded,
+                        succeeded && type == FrameCodec.LOAD ? ResponseFrame.report(text) : null);
             }
-            case FrameCodec.UNUSABLE -> throw new IllegalArgumentException(
+            case FrameCodec.PROTOCOL_ERROR -> throw new IllegalArgumentException(
                     "X " + new String(rest, 0, Math.min(80, rest.length), StandardCharsets.UTF_8));
-            default -> spoilt(ResponseFrame.firstWord(rest), "a frame of letter " + (int) letter);
+            default -> onInvalidFrame(ResponseFrame.firstWord(rest), "a frame of letter " + (int) type);
         }
     }
 
-    private void answer(byte[] rest) {
-        ResponseFrame answer = ResponseFrame.read(rest);
-        if (!owed.owes(answer.part())) {
-            // A second copy of an answer costs nothing: its part has its value.
-            if (!owed.mayHaveOwed(answer.part())) {
-                spoilt(null, "an answer for a part that is not out here");
+    private void handleResponse(byte[] rest) {
+        ResponseFrame response = ResponseFrame.read(rest);
+        if (!pending.isExpected(response.part())) {
+            // A duplicate response is harmless: its part has a value already.
+            if (!pending.mayHaveBeenExpected(response.part())) {
+                onInvalidFrame(null, "an answer for a part that is not out here");
             }
             return;
         }
-        if (!answer.wellFormed()) {
-            spoilt(answer.part(), "an answer that can't be read");
+        if (!response.wellFormed()) {
+            onInvalidFrame(response.part(), "an answer that can't be read");
             return;
         }
-        LiveLaunch launch = owed.answered(answer.part());
-        if (launch != null) {
-            listener.onResponse(launch, answer.end(), answer.report(), answer.value());
+        LiveLaunch attempt = pending.onResponse(response.part());
+        if (attempt != null) {
+            listener.onResponse(attempt, response.end(), response.report(), response.value());
         }
     }
 
     /**
-     * What came can be cut into frames, but this one is nothing that a searcher may say. Its part may have run and has
-     * no other answer; where it can't be told which part that is, the only one out is meant. Others that are out may
-     * still be answered, but the link takes nothing new.
+     * Handles a well-delimited frame with invalid content. Its part may have run and gets no other response; if the
+     * frame does not name its part, the only outstanding attempt is meant. Other outstanding attempts may still be
+     * answered, but the connection takes no new calls.
      */
-    private void spoilt(String part, String why) {
-        boolean named = part != null && owed.owes(part);
-        LiveLaunch meant = named ? owed.launch(part) : null;
-        if (!named) {
-            List<LiveLaunch> out = new ArrayList<>();
+    private void onInvalidFrame(String part, String reason) {
+        boolean namesPart = part != null && pending.isExpected(part);
+        LiveLaunch endedAttempt = namesPart ? pending.waitingAttempt(part) : null;
+        if (!namesPart) {
+            List<LiveLaunch> outstanding = new ArrayList<>();
             calls.forEach(call -> call.launches.stream()
                     .filter(each -> !each.over && call.stage == Call.Stage.WRITTEN)
-                    .forEach(out::add));
-            meant = out.size() == 1 ? out.get(0) : null;
+                    .forEach(outstanding::add));
+            endedAttempt = outstanding.size() == 1 ? outstanding.get(0) : null;
         }
         retired = true;
-        listener.onInvalidFrame(this, why, meant == null || meant.over ? null : meant);
+        listener.onInvalidFrame(this, reason, endedAttempt == null || endedAttempt.over ? null : endedAttempt);
         if (calls.isEmpty()) {
             loop.later("closing a spoilt link", () -> close("spoilt"));
         }
     }
 
-    /** Danger: a frame that stops short would keep its part, and all behind it, out until their time-outs. */
-    private void expectTheRest() {
-        long had = cutter.count();
-        if (cutter.partial() && had != stuckAt) {
-            stuckAt = had;
+    /** A truncated frame would keep its part, and all those behind it, outstanding until their timeouts. */
+    private void startFrameTimeout() {
+        long frameCount = decoder.frameCount();
+        if (decoder.isPartial() && frameCount != incompleteAtFrameCount) {
+            incompleteAtFrameCount = frameCount;
             loop.timeOut(limits.frameCompletionTimeoutSeconds(), "a frame's rest", () -> {
-                if (!closed && cutter.partial() && cutter.count() == had) {
+                if (!closed && decoder.isPartial() && decoder.frameCount() == frameCount) {
                     close("unusable: a frame that stops short");
                 }
             });
         }
     }
 
-    /** Closes the link; what was out on it ends as the protocol says. */
+    /** Closes the connection; outstanding attempts end as the protocol specifies. */
     @Override
-    public void close(String why) {
+    public void close(String reason) {
         if (connection != null && !calls.isEmpty()) {
-            // Danger: answers that have come and wait to be read would be lost with a connection that a write found
+            // Responses that have arrived but are not read yet would be lost with a connection that a write found
             // broken.
             read();
         }
@@ -456,23 +473,23 @@
             return;
         }
         closed = true;
-        if (dialTimer != null) {
-            dialTimer.remove();
+        if (connectTimer != null) {
+            connectTimer.remove();
         }
-        if (connection == null && dialing != null) {
-            dialing.cancel();
+        if (connection == null && connectFuture != null) {
+            connectFuture.cancel();
         }
         IoUtils.safeClose(connection);
         List<LiveLaunch> never = new ArrayList<>();
         List<LiveLaunch> perhaps = new ArrayList<>();
         for (Call call : calls) {
-            for (LiveLaunch launch : call.launches) {
-                if (!launch.over) {
-                    (call.stage == Call.Stage.WRITTEN ? perhaps : never).add(launch);
+            for (LiveLaunch attempt : call.launches) {
+                if (!attempt.over) {
+                    (call.stage == Call.Stage.WRITTEN ? perhaps : never).add(attempt);
                 }
             }
         }
-        listener.onClosed(this, why, never, perhaps);
-        probes.forEach(number -> listener.onProbeResult(searcher, number, false, null));
+        listener.onClosed(this, reason, never, perhaps);
+        probes.forEach(number -> listener.onProbeResult(replicaId, number, false, null));
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
+++ b/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
@@ -29,7 +29,7 @@
 
     public void fulfil(OpenQuery query, boolean whole) {
         if (ends(query, whole ? "fulfilled-whole" : "fulfilled-part")) {
-            answer(query, FULFILLED, 0, QueryJson.answer(query, whole));
+            answer(query, FULFILLED, 0, QueryJson.encodeResponse(query, whole));
         }
     }
 
