--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ClientListener.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ClientListener.java
@@ -257,7 +257,7 @@
             } else if (!done.isPersistent()) {
                 // Undertow shuts down the output and then drains the input until the client closes, but for up to ten
                 // seconds.
-                loop.after(limits.lingerSeconds(), "closing after the last answer", () -> {
+                loop.after(limits.lingerSeconds(), "closing after the last response", () -> {
                     IoUtils.safeClose(connection);
                     connections.remove(connection);
                 });
@@ -453,7 +453,7 @@
             connection
                     .getChannel()
                     .getSourceChannel()
-                    .setReadListener(any -> loop.event("a client's connection", this::stillThere));
+                    .setReadListener(any -> loop.event("checking a client connection", this::stillThere));
             client.enableReads();
         }
 
@@ -500,11 +500,14 @@
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, status == 200 ? "application/json" : "text/plain");
             exchange.getResponseSender().send(ByteBuffer.wrap(body));
             if (!exchange.isResponseComplete()) {
-                loop.after(limits.responseWriteTimeoutSeconds(), "a slow reader", () -> {
-                    if (!exchange.isResponseComplete()) {
-                        IoUtils.safeClose(connection);
-                    }
-                });
+                loop.after(
+                        limits.responseWriteTimeoutSeconds(),
+                        "closing a connection that reads its response too slowly",
+                        () -> {
+                            if (!exchange.isResponseComplete()) {
+                                IoUtils.safeClose(connection);
+                            }
+                        });
             }
         }
     }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/FrameCodec.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/FrameCodec.java
@@ -30,7 +30,10 @@
         return frame(CANCEL, part.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Encodes a call; the time left is sent in whole milliseconds, rounded down, at least 1. */
+    /**
+     * Encodes a call; the time left is sent in whole milliseconds, rounded down so that it is never more than is left,
+     * and at least 1.
+     */
     static ByteBuffer call(Call call, double now) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream(256);
         for (LiveLaunch attempt : call.launches) {
@@ -76,7 +79,7 @@
             while (buffered.remaining() >= 4) {
                 int length = buffered.getInt(buffered.position());
                 if (length < 1 || length > maxFrameBytes) {
-                    throw new IllegalArgumentException("a frame of " + length + " bytes");
+                    throw new IllegalArgumentException("invalid frame length: " + length + " bytes");
                 }
                 if (buffered.remaining() < 4 + length) {
                     break;
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/InboundConnection.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/InboundConnection.java
@@ -166,7 +166,7 @@
                     }
                 }));
         next.resumeReads();
-        loop.after(timeoutSeconds, "closing after the last words", () -> {
+        loop.after(timeoutSeconds, "closing after the final response", () -> {
             if (connection.isOpen()) {
                 discard(maxDiscardBytes);
                 close.run();
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/JsonObjectSplitter.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/JsonObjectSplitter.java
@@ -45,13 +45,13 @@
             if (next == '\n') {
                 onEmptyLine.run();
             } else if (next != ' ' && next != '\t' && next != '\r') {
-                throw new IllegalArgumentException("no object begins with byte " + (next & 0xff));
+                throw new IllegalArgumentException("JSON object expected, got byte " + (next & 0xff));
             }
             return;
         }
         buffered.write(next);
         if (buffered.size() > maxObjectBytes) {
-            throw new IllegalArgumentException("an object of more than " + maxObjectBytes + " bytes");
+            throw new IllegalArgumentException("JSON object exceeds " + maxObjectBytes + " bytes");
         }
         if (inString) {
             if (escaped) {
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/LoopbackReplica.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/LoopbackReplica.java
@@ -18,7 +18,7 @@
         this.connection = connection;
         this.loop = loop;
         decoder = new FrameCodec.Decoder(limits.maxFrameBytes());
-        connection.getSourceChannel().setReadListener(any -> loop.event("rehearsing a searcher", this::read));
+        connection.getSourceChannel().setReadListener(any -> loop.event("answering as a loopback replica", this::read));
         connection.getSourceChannel().resumeReads();
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryHttpClient.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryHttpClient.java
@@ -94,13 +94,13 @@
                             new IoFuture.HandlingNotifier<StreamConnection, Object>() {
                                 @Override
                                 public void handleDone(StreamConnection channel, Object none) {
-                                    loop.later("a member of the registry", () -> onConnected(channel));
+                                    loop.later("connecting to a registry member", () -> onConnected(channel));
                                 }
 
                                 @Override
                                 public void handleFailed(IOException failed, Object none) {
                                     loop.later(
-                                            "a member of the registry",
+                                            "connecting to a registry member",
                                             () -> fail("not connected: " + failed.getMessage()));
                                 }
                             },
@@ -114,7 +114,7 @@
                 return;
             }
             channel.getSourceChannel().setReadListener(any -> loop.event("reading from the registry", this::read));
-            channel.getSinkChannel().setWriteListener(any -> loop.event("asking the registry", this::write));
+            channel.getSinkChannel().setWriteListener(any -> loop.event("writing to the registry", this::write));
             channel.getSourceChannel().resumeReads();
             write();
         }
@@ -132,7 +132,9 @@
                 }
                 connection.getSinkChannel().suspendWrites();
             } catch (IOException broken) {
-                loop.later("a member of the registry", () -> onConnectionError("broke: " + broken.getMessage()));
+                loop.later(
+                        "connecting to a registry member",
+                        () -> onConnectionError("I/O error: " + broken.getMessage()));
             }
         }
 
@@ -143,7 +145,7 @@
                     buffer.clear();
                     int byteCount = connection.getSourceChannel().read(buffer);
                     if (byteCount < 0) {
-                        onConnectionError("ended by the member");
+                        onConnectionError("closed by the registry member");
                         return;
                     }
                     if (byteCount == 0) {
@@ -155,11 +157,11 @@
                             ByteBuffer.allocate(byteCount).put(buffer.flip()).flip();
                     response.feed(copy, this::handleLine);
                     if (response.done() && !isDone) {
-                        fail(stream ? "the watch ended" : "an empty answer");
+                        fail(stream ? "end of the watch stream" : "empty response");
                     }
                 }
             } catch (IOException broken) {
-                onConnectionError("broke: " + broken.getMessage());
+                onConnectionError("I/O error: " + broken.getMessage());
             } catch (HttpAnswer.TooLong oversized) {
                 if (!isDone) {
                     close();
@@ -186,7 +188,7 @@
         /** The response is complete; the connection may be reused for the next request. */
         private void onComplete() {
             isDone = true;
-            loop.later("keeping a connection", () -> {
+            loop.later("keeping a registry connection", () -> {
                 if (response.done()
                         && response.keepsConnection()
                         && connection.isOpen()
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListWatch.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListWatch.java
@@ -20,30 +20,30 @@
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 
-/** Follows the list of searchers: a watch from the version in hand, opened again whenever it ends. */
+/** Follows the replica list of the discovery service: a watch from the current revision, reopened whenever it ends. */
 public final class ReplicaListWatch {
     private URI discovery;
     private final EventLoop loop;
     private final Log log;
     private final ByteBufferPool buffers;
-    private final Consumer<ReplicaListJson.Update> news;
-    private final Runnable failed;
-    private final JsonObjectSplitter cutter;
+    private final Consumer<ReplicaListJson.Update> onUpdate;
+    private final Runnable onWatchFailure;
+    private final JsonObjectSplitter splitter;
     private final ReplicaListFreshness freshness;
     private long revision;
-    private long round;
-    /** Reads what there is of the present answer; null before its head. */
-    private Runnable look;
+    private long generation;
+    /** Reads what is available of the current response; null before its head has arrived. */
+    private Runnable readTask;
 
     private boolean reading;
     private ClientConnection connection;
-    private String wholeList;
-    private String lastCause = "";
-    private long sameCause;
+    private String fullList;
+    private String lastReason = "";
+    private long sameReasonCount;
 
     /**
-     * @param news is handed each piece that is accepted
-     * @param failed runs after each try or watch that ended otherwise than by its whole list
+     * @param onUpdate receives each accepted update
+     * @param onWatchFailure runs after each request or watch that ended other than by a complete list
      */
     public ReplicaListWatch(
             InetSocketAddress discovery,
@@ -52,284 +52,296 @@
             Log log,
             ByteBufferPool buffers,
             long revision,
-            Consumer<ReplicaListJson.Update> news,
-            Runnable failed) {
+            Consumer<ReplicaListJson.Update> onUpdate,
+            Runnable onWatchFailure) {
         this.discovery = uri(discovery);
         this.loop = loop;
         this.log = log;
         this.buffers = buffers;
         this.revision = revision;
-        this.news = news;
-        this.failed = failed;
+        this.onUpdate = onUpdate;
+        this.onWatchFailure = onWatchFailure;
         freshness = new ReplicaListFreshness(loop.now());
-        cutter = new JsonObjectSplitter(
-                limits.maxListObjectBytes(), this::object, () -> freshness.line(loop.lastPolledAt(), false));
+        splitter = new JsonObjectSplitter(
+                limits.maxListObjectBytes(), this::handleObject, () -> freshness.line(loop.lastPolledAt(), false));
     }
 
-    private static URI uri(InetSocketAddress at) {
-        return URI.create("http://" + at.getAddress().getHostAddress() + ":" + at.getPort());
+    private static URI uri(InetSocketAddress address) {
+        return URI.create("http://" + address.getAddress().getHostAddress() + ":" + address.getPort());
     }
 
     /**
-     * From now on the list comes from there, from the revision in hand on; the address before is left for good. What
-     * was read in part is dropped: the new watch brings it whole. Where the address is the same only a pause is cut.
+     * Switches to another discovery address, continuing from the current revision. A partly read object is dropped: the
+     * new watch delivers it completely. With an unchanged address only a pause between attempts is cut short.
      */
     public void moveTo(InetSocketAddress address) {
         if (uri(address).equals(discovery) && connection != null) {
             return;
         }
         discovery = uri(address);
-        leave();
+        disconnect();
         freshness.moved(loop.now());
-        attend();
+        performDueAction();
     }
 
-    /** Whether a list that was never proven current may be served by, since the agent can't be had. */
+    /** Whether a list that was never confirmed as current may be served, because the discovery agent is unreachable. */
     public boolean canServeUnconfirmed() {
         return freshness.canServeUnconfirmed();
     }
 
-    /** Reads at once what the agent has sent, if anything, without waiting for the loop's next look at the sockets. */
+    /** Reads at once what the agent has sent, if anything, without waiting for the event loop to poll the sockets. */
     public void readAvailable() {
-        if (look != null) {
-            loop.guarded("reading the list", look);
+        if (readTask != null) {
+            loop.guarded("reading the replica list", readTask);
         }
     }
 
-    private void leave() {
-        round++;
-        look = null;
-        leave(connection);
+    private void disconnect() {
+        generation++;
+        readTask = null;
+        disconnect(connection);
         connection = null;
     }
 
     /**
-     * Danger: Undertow's client closes by reading on for 10 s, and the agent left would tell into nothing and keep its
-     * connection. So the connection under it is taken back and closed at once. Harm: none, nothing more is wanted.
+     * Undertow's client closes a connection by draining it for up to 10 s, during which the abandoned agent would keep
+     * sending and hold its connection. So the underlying connection is taken over and closed at once; nothing more is
+     * wanted from it.
      */
-    private static void leave(ClientConnection left) {
+    private static void disconnect(ClientConnection connection) {
         try {
-            IoUtils.safeClose(left == null ? null : left.performUpgrade());
+            IoUtils.safeClose(connection == null ? null : connection.performUpgrade());
         } catch (IOException closedBefore) {
-            IoUtils.safeClose(left);
+            IoUtils.safeClose(connection);
         }
     }
 
-    /** Begins to follow the list. */
+    /** Starts to follow the list. */
     public void start() {
-        attend();
+        performDueAction();
     }
 
-    /** Does what is due, and comes back when the next thing is. */
-    private void attend() {
+    /** Performs the action that is due and schedules the next check. */
+    private void performDueAction() {
         switch (freshness.due(loop.now())) {
             case CONNECT -> connect();
             case DISCONNECT -> {
-                leave();
-                told("silent");
-                attend();
+                disconnect();
+                onWatchEnded("silent");
+                performDueAction();
                 return;
             }
             default -> {}
         }
-        long mine = round;
-        double at = freshness.dueAt();
-        // A time-out, which looks at the sockets first: after this program stood still, lines may be there to be read.
-        loop.timeOut(at - loop.now(), "the list's time", () -> {
-            if (mine == round) {
-                attend();
+        long ownGeneration = generation;
+        double dueAt = freshness.dueAt();
+        // A timeout, which polls the sockets first: after this process was paused, lines may be waiting to be read.
+        loop.timeOut(dueAt - loop.now(), "checking the replica list", () -> {
+            if (ownGeneration == generation) {
+                performDueAction();
             }
         });
     }
 
     private void connect() {
-        long mine = ++round;
-        look = null;
-        cutter.reset();
-        wholeList = null;
+        long ownGeneration = ++generation;
+        readTask = null;
+        splitter.reset();
+        fullList = null;
         UndertowClient.getInstance()
                 .connect(
-                        new OnLoop<ClientConnection>(
-                                mine,
-                                made -> {
-                                    connection = made;
-                                    ask(mine, made);
+                        new EventLoopCallback<ClientConnection>(
+                                ownGeneration,
+                                newConnection -> {
+                                    connection = newConnection;
+                                    sendRequest(ownGeneration, newConnection);
                                 },
-                                ReplicaListWatch::leave),
+                                ReplicaListWatch::disconnect),
                         discovery,
                         loop.thread(),
                         buffers,
                         OptionMap.EMPTY);
     }
 
-    private void ask(long mine, ClientConnection over) {
-        boolean whole = freshness.next() == ReplicaListFreshness.RequestKind.FULL;
+    private void sendRequest(long ownGeneration, ClientConnection target) {
+        boolean isFull = freshness.next() == ReplicaListFreshness.RequestKind.FULL;
         ClientRequest request = new ClientRequest()
                 .setMethod(Methods.GET)
-                .setPath(whole ? "/registry/instances" : "/registry/instances?stream=1&index=" + revision);
+                .setPath(isFull ? "/registry/instances" : "/registry/instances?stream=1&index=" + revision);
         request.getRequestHeaders().put(Headers.HOST, discovery.getAuthority());
-        over.sendRequest(
+        target.sendRequest(
                 request,
-                new OnLoop<ClientExchange>(
-                        mine,
-                        sent -> sent.setResponseListener(new OnLoop<ClientExchange>(
-                                mine,
-                                back -> {
-                                    int status = back.getResponse().getResponseCode();
+                new EventLoopCallback<ClientExchange>(
+                        ownGeneration,
+                        sent -> sent.setResponseListener(new EventLoopCallback<ClientExchange>(
+                                ownGeneration,
+                                response -> {
+                                    int status = response.getResponse().getResponseCode();
                                     if (status != 200) {
-                                        ended(mine, "status " + status, false);
+                                        onStreamEnded(ownGeneration, "status " + status, false);
                                         return;
                                     }
                                     freshness.head();
-                                    StreamSourceChannel body = back.getResponseChannel();
-                                    look = () -> read(mine, whole, body);
+                                    StreamSourceChannel body = response.getResponseChannel();
+                                    readTask = () -> read(ownGeneration, isFull, body);
                                     body.getReadSetter()
-                                            .set(any -> loop.event("reading the list", () -> read(mine, whole, body)));
+                                            .set(any -> loop.event(
+                                                    "reading the replica list",
+                                                    () -> read(ownGeneration, isFull, body)));
                                     body.resumeReads();
-                                    read(mine, whole, body);
+                                    read(ownGeneration, isFull, body);
                                 },
                                 any -> {})),
                         any -> {}));
     }
 
-    private void read(long mine, boolean whole, StreamSourceChannel body) {
-        if (mine != round || reading) {
+    private void read(long ownGeneration, boolean isFull, StreamSourceChannel body) {
+        if (ownGeneration != generation || reading) {
             return;
         }
-        ByteBuffer in = loop.readBuffer();
+        ByteBuffer buffer = loop.readBuffer();
         reading = true;
         try {
-            while (mine == round) {
-                in.clear();
-                int count = body.read(in);
-                if (count == 0) {
+            while (ownGeneration == generation) {
+                buffer.clear();
+                int byteCount = body.read(buffer);
+                if (byteCount == 0) {
                     return;
                 }
-                if (count < 0) {
-                    if (whole && wholeList != null) {
-                        whole(ReplicaListJson.read(wholeList));
+                if (byteCount < 0) {
+                    if (isFull && fullList != null) {
+                        handleFullList(ReplicaListJson.read(fullList));
                     } else {
-                        ended(mine, whole ? "the whole list was cut short" : "ended", false);
+                        onStreamEnded(ownGeneration, isFull ? "the full list was truncated" : "ended", false);
                     }
                     return;
                 }
-                // A copy: what an object brings about may read from other connections into the same buffer.
-                byte[] chunk = new byte[count];
-                in.flip().get(chunk);
-                for (int at = 0; at < count && mine == round; at++) {
-                    byte one = chunk[at];
-                    if (wholeList != null && one > ' ') {
-                        throw new IllegalArgumentException("more than one list in an answer");
+                // Copied, because handling an object may read from other connections into the same buffer.
+                byte[] chunk = new byte[byteCount];
+                buffer.flip().get(chunk);
+                for (int at = 0; at < byteCount && ownGeneration == generation; at++) {
+                    byte next = chunk[at];
+                    if (fullList != null && next > ' ') {
+                        throw new IllegalArgumentException("more than one list in a response");
                     }
-                    cutter.feed(one);
+                    splitter.feed(next);
                 }
             }
         } catch (IOException broken) {
-            ended(mine, "broke: " + broken.getMessage(), false);
+            onStreamEnded(ownGeneration, "I/O error: " + broken.getMessage(), false);
         } catch (RuntimeException malformed) {
-            // The list in hand stays; what was in the malformed object comes with the whole one.
-            ended(mine, "malformed: " + malformed, true);
+            // The current list stays in force; the content of the malformed object arrives with the complete list.
+            onStreamEnded(ownGeneration, "malformed: " + malformed, true);
         } finally {
             reading = false;
         }
     }
 
-    private void object(String text) {
+    private void handleObject(String text) {
         if (freshness.next() == ReplicaListFreshness.RequestKind.FULL) {
-            // Danger: an answer that is reset or cut is no whole list; so it counts only once its end was read.
-            wholeList = text;
+            // A response that is reset or truncated is not a complete list, so it counts only once its end was read.
+            fullList = text;
             return;
         }
-        ReplicaListJson.Update piece = ReplicaListJson.read(text);
+        ReplicaListJson.Update update = ReplicaListJson.read(text);
         freshness.line(loop.lastPolledAt(), true);
-        if (!older(piece)) {
-            accept(piece);
+        if (!isOlder(update)) {
+            accept(update);
         }
     }
 
-    private void whole(ReplicaListJson.Update piece) {
-        if (!piece.isFull()) {
-            throw new IllegalArgumentException("changes where the whole list was asked for");
+    private void handleFullList(ReplicaListJson.Update update) {
+        if (!update.isFull()) {
+            throw new IllegalArgumentException("a change where the full list was requested");
         }
-        if (older(piece)) {
-            leave();
+        if (isOlder(update)) {
+            disconnect();
             freshness.older(loop.now());
-            told("the whole list is an old one");
-            attend();
+            onWatchEnded("the full list is older than the current one");
+            performDueAction();
             return;
         }
-        leave();
+        disconnect();
         freshness.whole(loop.now());
-        accept(piece);
-        attend();
+        accept(update);
+        performDueAction();
     }
 
-    private void accept(ReplicaListJson.Update piece) {
-        revision = piece.revision();
-        news.accept(piece);
+    private void accept(ReplicaListJson.Update update) {
+        revision = update.revision();
+        onUpdate.accept(update);
     }
 
     /**
-     * Danger: an agent that is behind would undo a drain that was told (rule 3). Harm: a registry that was made anew
-     * and counts from the start is followed only after this mixer has started again; the log says so.
+     * Whether an update is older than the current list; it is then ignored, because an agent that lags behind would
+     * revert a drain that was announced (rule 3). Cost: a registry that was created anew and counts revisions from the
+     * start is followed only after a restart of this mixer; the log says so.
      */
-    private boolean older(ReplicaListJson.Update piece) {
-        if (piece.revision() < revision) {
+    private boolean isOlder(ReplicaListJson.Update update) {
+        if (update.revision() < revision) {
             log.say(
                     Log.Level.WARNING,
                     "discovery",
-                    "discovery: revision " + piece.revision() + " is older than " + revision
+                    "discovery: revision " + update.revision() + " is older than " + revision
                             + " in hand and is passed over");
         }
-        return piece.revision() < revision;
+        return update.revision() < revision;
     }
 
-    private void ended(long mine, String why, boolean spoilt) {
-        if (mine != round) {
+    private void onStreamEnded(long ownGeneration, String reason, boolean isMalformed) {
+        if (ownGeneration != generation) {
             return;
         }
-        leave();
-        freshness.over(loop.now(), spoilt);
-        told(why);
-        attend();
+        disconnect();
+        freshness.over(loop.now(), isMalformed);
+        onWatchEnded(reason);
+        performDueAction();
     }
 
-    /** Danger: an agent that is down would fill the log. So each cause is told once, and later how often it came. */
-    private void told(String why) {
-        if (why.equals(lastCause)) {
-            sameCause++;
+    /**
+     * Logs the end of a watch. An unreachable agent must not fill the log, so each cause is logged once, and later how
+     * often it occurred.
+     */
+    private void onWatchEnded(String reason) {
+        if (reason.equals(lastReason)) {
+            sameReasonCount++;
         } else {
             log.say(
                     Log.Level.WARNING,
                     "discovery",
-                    "discovery: the watch is over, " + why
-                            + (sameCause > 0 ? "; before that " + sameCause + " times more: " + lastCause : ""));
-            lastCause = why;
-            sameCause = 0;
+                    "discovery: the watch is over, " + reason
+                            + (sameReasonCount > 0
+                                    ? "; before that " + sameReasonCount + " times more: " + lastReason
+                                    : ""));
+            lastReason = reason;
+            sameReasonCount = 0;
         }
-        loop.guarded("telling of a failed watch", failed);
+        loop.guarded("handling a failed watch", onWatchFailure);
     }
 
-    /** A callback of Undertow's client, brought to the loop; what comes for an earlier round is dropped. */
-    private final class OnLoop<T> implements ClientCallback<T> {
-        private final long mine;
-        private final Consumer<T> then;
-        private final Consumer<T> late;
+    /**
+     * Transfers a callback of Undertow's client to the event loop; results of an earlier connection are handed to the
+     * stale handler.
+     */
+    private final class EventLoopCallback<T> implements ClientCallback<T> {
+        private final long ownGeneration;
+        private final Consumer<T> onCurrent;
+        private final Consumer<T> onStale;
 
-        OnLoop(long mine, Consumer<T> then, Consumer<T> late) {
-            this.mine = mine;
-            this.then = then;
-            this.late = late;
+        EventLoopCallback(long ownGeneration, Consumer<T> onCurrent, Consumer<T> onStale) {
+            this.ownGeneration = ownGeneration;
+            this.onCurrent = onCurrent;
+            this.onStale = onStale;
         }
 
         @Override
         public void completed(T result) {
-            loop.event("discovery", () -> (mine == round ? then : late).accept(result));
+            loop.event("discovery", () -> (ownGeneration == generation ? onCurrent : onStale).accept(result));
         }
 
         @Override
-        public void failed(IOException wrong) {
-            loop.event("discovery", () -> ended(mine, "failed: " + wrong.getMessage(), false));
+        public void failed(IOException failure) {
+            loop.event("discovery", () -> onStreamEnded(ownGeneration, "failed: " + failure.getMessage(), false));
         }
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
@@ -30,10 +30,10 @@
         void onProbeResult(String replicaId, long probe, boolean succeeded, SchedulerHost.LoadReport report);
 
         /**
-         * A frame arrived that is not a valid response; {@code launch} is the attempt that it ends, null if it cannot
-         * be told.
+         * A frame arrived that is not a valid response; {@code attempt} is the one that it ends, null if it cannot be
+         * told.
          */
-        void onInvalidFrame(TcpReplicaConnection link, String reason, LiveLaunch attempt);
+        void onInvalidFrame(TcpReplicaConnection connection, String reason, LiveLaunch attempt);
 
         /**
          * Whether the first byte of that attempt may be written now; if not, the listener has withdrawn the attempt.
@@ -41,18 +41,18 @@
         boolean canStartWrite(LiveLaunch attempt);
 
         /** These attempts were not written completely and will not be, through no fault of the replica. */
-        void onUnsent(List<LiveLaunch> launches);
+        void onUnsent(List<LiveLaunch> attempts);
 
         /**
          * The connection was not established in time for these attempts; it may still be established for later ones.
          */
-        void onConnectTimeout(TcpReplicaConnection link, List<LiveLaunch> launches);
+        void onConnectTimeout(TcpReplicaConnection connection, List<LiveLaunch> attempts);
 
         /**
          * The connection is closed; the attempts in {@code never} were not written completely, those in {@code perhaps}
          * were and may have run.
          */
-        void onClosed(TcpReplicaConnection link, String reason, List<LiveLaunch> never, List<LiveLaunch> perhaps);
+        void onClosed(TcpReplicaConnection connection, String reason, List<LiveLaunch> never, List<LiveLaunch> perhaps);
     }
 
     private final String replicaId;
@@ -218,8 +218,8 @@
     }
 
     @Override
-    public void send(List<LiveLaunch> launches) {
-        Call call = new Call(this, launches);
+    public void send(List<LiveLaunch> attempts) {
+        Call call = new Call(this, attempts);
         calls.add(call);
         waiting.add(call);
         write();
@@ -243,12 +243,14 @@
             // written, while calls outstanding on this connection may still be answered; closing at once would lose
             // their responses.
             writesStopped = true;
-            loop.later("dropping a frame", this::abandonFrame);
+            loop.later("abandoning a frame", this::abandonFrame);
         } else if (tell) {
             controlFrames.add(FrameCodec.cancel(attempt.piece.id));
             write();
             if (controlFrames.size() > limits.maxQueuedControlFrames()) {
-                loop.later("too many frames unread", () -> close("reads nothing"));
+                loop.later(
+                        "closing a connection whose control frames are not read",
+                        () -> close("does not read control frames"));
             }
         }
     }
@@ -260,7 +262,7 @@
                 .forEach(unwritten::add));
         if (!closed) {
             listener.onUnsent(unwritten);
-            retire("a frame begun was no longer wanted");
+            retire("a partly written frame was abandoned");
         }
     }
 
@@ -281,7 +283,7 @@
             calls.remove(call);
             waiting.remove(call);
             if (retired && calls.isEmpty()) {
-                loop.later("closing a retired link", () -> close("retired"));
+                loop.later("closing a retired connection", () -> close("retired"));
             }
         }
     }
@@ -311,7 +313,7 @@
             }
             connection.getSinkChannel().suspendWrites();
         } catch (IOException broken) {
-            loop.later("a searcher's connection broke", () -> close("broke: " + broken.getMessage()));
+            loop.later("handling an I/O error", () -> close("I/O error: " + broken.getMessage()));
         }
     }
 
@@ -359,7 +361,7 @@
                 buffer.clear();
                 int byteCount = connection.getSourceChannel().read(buffer);
                 if (byteCount < 0) {
-                    close("ended by the searcher");
+                    close("closed by the searcher");
                     return;
                 }
                 if (byteCount == 0) {
@@ -370,7 +372,7 @@
                 decoder.feed(buffer.flip(), onFrame);
             }
         } catch (IOException broken) {
-            close("broke: " + broken.getMessage());
+            close("I/O error: " + broken.getMessage());
         } catch (RuntimeException unusable) {
             close("unusable: " + unusable.getMessage());
         } finally {
@@ -391,7 +393,7 @@
                 String text = new String(rest, StandardCharsets.UTF_8).trim();
                 Long number = probes.poll();
                 if (number == null) {
-                    onInvalidFrame(null, "an answer to no probe");
+                    onInvalidFrame(null, "unexpected probe response");
                     return;
                 }
                 boolean succeeded = !text.startsWith("E");
@@ -403,7 +405,7 @@
             }
             case FrameCodec.PROTOCOL_ERROR -> throw new IllegalArgumentException(
                     "X " + new String(rest, 0, Math.min(80, rest.length), StandardCharsets.UTF_8));
-            default -> onInvalidFrame(ResponseFrame.firstWord(rest), "a frame of letter " + (int) type);
+            default -> onInvalidFrame(ResponseFrame.firstWord(rest), "unknown frame type " + (int) type);
         }
     }
 
@@ -412,12 +414,12 @@
         if (!pending.isExpected(response.part())) {
             // A duplicate response is harmless: its part has a value already.
             if (!pending.mayHaveBeenExpected(response.part())) {
-                onInvalidFrame(null, "an answer for a part that is not out here");
+                onInvalidFrame(null, "response for a part that is not outstanding on this connection");
             }
             return;
         }
         if (!response.wellFormed()) {
-            onInvalidFrame(response.part(), "an answer that can't be read");
+            onInvalidFrame(response.part(), "malformed response");
             return;
         }
         LiveLaunch attempt = pending.onResponse(response.part());
@@ -444,7 +446,7 @@
         retired = true;
         listener.onInvalidFrame(this, reason, endedAttempt == null || endedAttempt.over ? null : endedAttempt);
         if (calls.isEmpty()) {
-            loop.later("closing a spoilt link", () -> close("spoilt"));
+            loop.later("closing a connection after an invalid frame", () -> close("spoilt"));
         }
     }
 
@@ -453,7 +455,7 @@
         long frameCount = decoder.frameCount();
         if (decoder.isPartial() && frameCount != incompleteAtFrameCount) {
             incompleteAtFrameCount = frameCount;
-            loop.timeOut(limits.frameCompletionTimeoutSeconds(), "a frame's rest", () -> {
+            loop.timeOut(limits.frameCompletionTimeoutSeconds(), "checking an incomplete frame", () -> {
                 if (!closed && decoder.isPartial() && decoder.frameCount() == frameCount) {
                     close("unusable: a frame that stops short");
                 }
