--- a/query-mixer/daemon/src/main/java/pinewick/loop/EventLoop.java
+++ b/query-mixer/daemon/src/main/java/pinewick/loop/EventLoop.java
@@ -6,24 +6,24 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The one thread that owns the decisions and all state. The events of one wake-up are a batch with one clock;
- * XNIO runs what is put to the thread after all that were ready, so the batch ends there.
+ * The single thread that owns the scheduler and all state. The events of one wake-up form a batch with one time stamp;
+ * XNIO runs tasks that were submitted to the thread after all ready channels, so the batch ends there.
  */
 public final class EventLoop {
-    /** Long enough that the sockets are looked at in between, short beside any time-out. */
-    private static final double NEWS = 0.01;
+    /** Long enough that the sockets are polled in between, short compared with any timeout. */
+    private static final double POLL_DELAY_SECONDS = 0.01;
 
     private final XnioIoThread thread;
     private final Log log;
     private final double startedAt = System.currentTimeMillis() / 1e3;
     private final long startedNanos = System.nanoTime();
-    private Runnable endOfBatch = () -> {};
+    private Runnable batchEndHandler = () -> {};
     private LoadShedder loadShedder;
-    private final Runnable closing = this::close;
+    private final Runnable batchEndTask = this::endBatch;
     private boolean inBatch;
     private double now = startedAt;
     private double lastPolledAt = startedAt;
-    private long faults;
+    private long faultCount;
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(16 << 10);
 
     public EventLoop(XnioIoThread thread, Log log) {
@@ -31,61 +31,61 @@
         this.log = log;
     }
 
-    public void onBatchEnd(Runnable end) {
-        endOfBatch = end;
+    public void onBatchEnd(Runnable handler) {
+        batchEndHandler = handler;
     }
 
-    /** Tells how long each batch took. */
-    public void setLoadShedder(LoadShedder by) {
-        loadShedder = by;
+    /** Sets the load shedder that is told how long each batch took. */
+    public void setLoadShedder(LoadShedder shedder) {
+        loadShedder = shedder;
     }
 
     public XnioIoThread thread() {
         return thread;
     }
 
-    /** The batch's clock: seconds since 1970 at the start, from then on by the monotonic clock. */
+    /** Time stamp of the current batch: seconds since 1970, advanced by the monotonic clock since the start. */
     public double now() {
         return now;
     }
 
-    /** What is read in this batch came after this time, when the sockets had been looked at before. */
+    /** Time of the previous batch, at which the sockets had been polled; data read in this batch arrived after it. */
     public double lastPolledAt() {
         return lastPolledAt;
     }
 
-    /** The clock itself, for what is written late in a batch. */
+    /** The current time, for data that is written late in a batch. */
     public double clock() {
         return startedAt + (System.nanoTime() - startedNanos) / 1e9;
     }
 
-    /** For bytes that are used up before the caller returns. */
+    /** A shared buffer, for bytes that are consumed before the caller returns. */
     public ByteBuffer readBuffer() {
         return readBuffer;
     }
 
     public long faults() {
-        return faults;
+        return faultCount;
     }
 
-    /** Handles one event on this thread; the first one of a wake-up opens its batch. */
-    public void event(String doing, Runnable event) {
+    /** Runs an event on this thread; the first one of a wake-up opens its batch. */
+    public void event(String description, Runnable event) {
         if (Thread.currentThread() != thread) {
-            later(doing, event);
+            later(description, event);
             return;
         }
         if (!inBatch) {
             inBatch = true;
             lastPolledAt = now;
             now = clock();
-            thread.execute(closing);
+            thread.execute(batchEndTask);
         }
-        guarded(doing, event);
+        guarded(description, event);
     }
 
-    private void close() {
+    private void endBatch() {
         try {
-            guarded("ending a batch", endOfBatch);
+            guarded("ending a batch", batchEndHandler);
         } finally {
             if (loadShedder != null) {
                 loadShedder.recordBatch(now, clock());
@@ -94,32 +94,39 @@
         }
     }
 
-    /** No exception ends the loop, nor one of the kind that a full heap or stack brings. */
-    public void guarded(String doing, Runnable action) {
+    /**
+     * Runs an action so that no exception ends the loop, including the VirtualMachineError of an exhausted heap or
+     * stack.
+     */
+    public void guarded(String description, Runnable action) {
         try {
             action.run();
         } catch (RuntimeException | VirtualMachineError fault) {
-            faults++;
-            log.fault(doing, fault);
+            faultCount++;
+            log.fault(description, fault);
         }
     }
 
-    /** An event of a later wake-up; may be called from any thread. */
-    public void later(String doing, Runnable event) {
-        thread.execute(() -> event(doing, event));
+    /** Runs an event in a later wake-up; may be called from any thread. */
+    public void later(String description, Runnable event) {
+        thread.execute(() -> event(description, event));
     }
 
     /**
-     * A time-out: its event comes only after what had come in by then. Danger: timers go first in a wake-up, so after
-     * this program stood still (a start on part of a core) connections and answers that are there would count as late.
-     * What is put to the thread without a delay runs before it looks at the sockets again. Harm: 20 ms later.
+     * Schedules a timeout whose event runs only after what had arrived by then. Timers fire first in a wake-up, so
+     * after this process was paused (for example a start on part of a core) connections and responses that are ready
+     * would count as late. Tasks without a delay run before the sockets are polled again, hence the short delays. Cost:
+     * 20 ms later.
      */
-    public XnioExecutor.Key timeOut(double seconds, String doing, Runnable event) {
-        return after(seconds, doing, () -> after(NEWS, doing, () -> after(NEWS, doing, event)));
+    public XnioExecutor.Key timeOut(double seconds, String description, Runnable event) {
+        return after(
+                seconds,
+                description,
+                () -> after(POLL_DELAY_SECONDS, description, () -> after(POLL_DELAY_SECONDS, description, event)));
     }
 
-    public XnioExecutor.Key after(double seconds, String doing, Runnable event) {
+    public XnioExecutor.Key after(double seconds, String description, Runnable event) {
         return thread.executeAfter(
-                () -> event(doing, event), Math.max(0, Math.round(seconds * 1e6)), TimeUnit.MICROSECONDS);
+                () -> event(description, event), Math.max(0, Math.round(seconds * 1e6)), TimeUnit.MICROSECONDS);
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/loop/Limits.java
+++ b/query-mixer/daemon/src/main/java/pinewick/loop/Limits.java
@@ -3,8 +3,8 @@
 import com.google.gson.JsonObject;
 
 /**
- * Every size, count and time that bounds the network code, filled at start and handed down. The figures of
- * the deployment come from its settings; the others are the program's own and stand here alone.
+ * All sizes, counts and times that bound the network code, set at start and passed down. Limits of the deployment come
+ * from its settings; the others are defined only here.
  */
 public record Limits(
         /* clients */
@@ -24,7 +24,7 @@
         double livenessCheckSeconds,
         double responseWriteTimeoutSeconds,
         double maxQueryTimeoutSeconds,
-        /* searchers */
+        /* replicas */
         int maxFrameBytes,
         int maxPartsPerCall,
         int maxCallsPerConnection,
@@ -41,58 +41,67 @@
         int shardCount,
         /* discovery */
         int maxListObjectBytes,
-        /* held and said */
+        /* queries held and lines logged */
         int maxOpenItems,
         double backstopDelaySeconds,
         int maxLogLinesPerSecond,
-        /* the end: how long the front may still send, and how long a stop takes at most, from the signal on */
+        /*
+         * shutdown: how long the front may still send, and how long a shutdown takes at most, counted from the signal
+         */
         double drainNoticeSeconds,
         double maxShutdownSeconds,
         double lastResponseSeconds,
         double logDrainSeconds,
-        /* the program itself */
+        /* the process itself */
         double warmUpSeconds,
         double housekeepingIntervalSeconds,
         int backlog,
         int bufferBytes,
         int maxPooledBuffers,
-        /* falling behind: the wait borne and what is told those turned away as shares of the goal; what fades after */
+        /*
+         * load shedding: the tolerable wait and the retry advice as shares of the goal; the decay time of observations
+         */
         double tolerableLagShare,
         double lagDecaySeconds,
         double retryAfterShare) {
 
-    private static final int OWN_SOCKETS = 40; // the program's files, selectors, pipes, discovery
-    private static final int LEAST_SOCKETS = OWN_SOCKETS + 24; // a few clients and a few searchers
-    private static final int BODY = 64 << 10;
+    private static final int RESERVED_SOCKETS = 40; // the program's files, selectors, pipes, discovery
+    private static final int MIN_SOCKETS = RESERVED_SOCKETS + 24; // a few clients and a few replicas
+    private static final int MAX_BODY_BYTES = 64 << 10;
 
-    /** From the configuration that a mixer is started with. */
+    /**
+     * Reads the limits from the configuration that a mixer is started with; throws IllegalArgumentException if they are
+     * too low.
+     */
     public static Limits of(JsonObject config) {
         JsonObject limits = config.getAsJsonObject("limits");
         JsonObject settings = config.getAsJsonObject("settings");
         JsonObject bounds = settings.getAsJsonObject("bounds");
         JsonObject family = settings.getAsJsonObject("family-info");
         int sockets = (int) number(limits, "sockets", 1024);
-        if (sockets < LEAST_SOCKETS) {
+        if (sockets < MIN_SOCKETS) {
             throw new IllegalArgumentException(
-                    "limits.sockets is " + sockets + ", and at least " + LEAST_SOCKETS + " are needed");
+                    "limits.sockets is " + sockets + ", and at least " + MIN_SOCKETS + " are required");
         }
-        double dial = number(bounds, "dial-timeout-ns", 250e6) / 1e9;
+        double connectTimeout = number(bounds, "dial-timeout-ns", 250e6) / 1e9;
         double idle = number(bounds, "conn-idle-ns", 15e9) / 1e9;
-        double longest = 3;
-        for (var grade : settings.getAsJsonArray("categories")) {
-            longest = Math.max(longest, number(grade.getAsJsonObject(), "hard-limit-ns", 3e9) / 1e9);
+        double longestDeadline = 3;
+        for (var serviceClass : settings.getAsJsonArray("categories")) {
+            longestDeadline =
+                    Math.max(longestDeadline, number(serviceClass.getAsJsonObject(), "hard-limit-ns", 3e9) / 1e9);
         }
         JsonObject known = config.has("known") && config.get("known").isJsonObject()
                 ? config.getAsJsonObject("known")
                 : new JsonObject();
-        int searchers = known.has("members") ? known.getAsJsonArray("members").size() : 0;
-        // What searchers' connections can be seen to need; the rest is the clients'.
-        int client = sockets - OWN_SOCKETS - Math.min((sockets - OWN_SOCKETS) / 2, Math.max(48, 4 * searchers));
+        int replicas = known.has("members") ? known.getAsJsonArray("members").size() : 0;
+        // Descriptors that connections to replicas are expected to need; the rest is for clients.
+        int clientSockets =
+                sockets - RESERVED_SOCKETS - Math.min((sockets - RESERVED_SOCKETS) / 2, Math.max(48, 4 * replicas));
         return new Limits(
-                BODY,
+                MAX_BODY_BYTES,
                 64,
                 16 << 10,
-                client,
+                clientSockets,
                 4,
                 2,
                 1,
@@ -105,26 +114,26 @@
                 0.03,
                 5,
                 3600,
-                BODY,
+                MAX_BODY_BYTES,
                 (int) number(family, "per-call", 1),
                 (int) number(bounds, "multiplex", 1),
                 32,
-                dial,
-                8 * dial,
+                connectTimeout,
+                8 * connectTimeout,
                 idle - Math.min(1, idle / 5),
-                dial,
+                connectTimeout,
                 0.2,
                 512,
                 8,
                 1024,
-                sockets - OWN_SOCKETS - client,
+                sockets - RESERVED_SOCKETS - clientSockets,
                 (int) number(family, "slabs", Integer.MAX_VALUE),
                 4 << 20,
                 (int) number(bounds, "max-open", 20000),
                 0.01,
                 50,
                 0.55,
-                longest + 0.62,
+                longestDeadline + 0.62,
                 0.05,
                 0.05,
                 0.15,
@@ -137,9 +146,9 @@
                 0.5);
     }
 
-    private static double number(JsonObject from, String key, double absent) {
+    private static double number(JsonObject from, String key, double defaultValue) {
         return from != null && from.has(key) && !from.get(key).isJsonNull()
                 ? from.get(key).getAsDouble()
-                : absent;
+                : defaultValue;
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/loop/LoadShedder.java
+++ b/query-mixer/daemon/src/main/java/pinewick/loop/LoadShedder.java
@@ -3,81 +3,89 @@
 import java.util.SplittableRandom;
 
 /**
- * Whether this process itself falls behind, and which newcomers it then turns away before their bodies are parsed.
- * It guards the process only, and so stands outside {@code Logic}: it knows nothing of searchers and acts on nothing
- * that was taken. No I/O, no clock of its own; times are seconds.
+ * Detects that this process is overloaded, and decides which new queries it then rejects before their bodies are
+ * parsed. It protects only this process, and so is separate from {@code QueryScheduler}: it knows nothing of replicas
+ * and does not affect accepted queries. No I/O, no clock of its own; times are seconds.
  *
- * <p>The signal is how long an event that comes at any moment has to wait for the batch that is under way then: the
- * sum of the squares of the batches' lengths over twice the time they span, both fading. One long batch (a pause, a
- * method being compiled) hardly moves it; batches that are long one after another do, also where the system gives
+ * <p>The signal is the expected time that an event arriving at a random moment waits for the batch in progress: the sum
+ * of the squared batch lengths over twice the time they span, both decaying exponentially. A single long batch (a
+ * pause, a method being compiled) hardly changes it; consecutive long batches do, also where the operating system gives
  * this process its core in slices.
  */
 public final class LoadShedder {
-    /** At this many times the wait borne, all but {@link #KEPT} of the newcomers are turned away. */
-    private static final double STEEP = 4;
-    /** Danger: with all turned away no batch would show that the load is over. */
-    private static final double KEPT = 0.1;
+    /** At this multiple of the tolerable wait all but {@link #MIN_ADMITTED_SHARE} of the new queries are rejected. */
+    private static final double FULL_SHEDDING_FACTOR = 4;
+    /** With every query rejected no batch would show that the overload is over. */
+    private static final double MIN_ADMITTED_SHARE = 0.1;
 
-    private final double borne;
-    private final double memory;
-    private final double advice;
+    private final double tolerableWaitSeconds;
+    private final double decaySeconds;
+    private final double meanRetryAfterSeconds;
     private final double highestValue;
-    private final SplittableRandom chance;
-    private double squares;
-    private double spanned;
+    private final SplittableRandom random;
+    private double squaredLengths;
+    private double observedSeconds;
     private double lastEnd = Double.NaN;
 
     /**
-     * @param borne seconds an event may have to wait, on the mean, before anybody is turned away
-     * @param memory seconds over which what was seen fades
-     * @param advice seconds after which those turned away should ask again, on the mean; 0 where none may be told
-     * @param highestValue the value of the most valuable service grade, which is turned away half as often
+     * @param tolerableWaitSeconds mean wait of an event before any query is rejected
+     * @param decaySeconds time constant with which observations decay
+     * @param meanRetryAfterSeconds mean delay after which rejected clients should retry; 0 if none may be sent
+     * @param highestValue value of the most valuable service class, which is rejected half as often
      */
-    public LoadShedder(double borne, double memory, double advice, double highestValue, SplittableRandom chance) {
-        this.borne = borne;
-        this.memory = memory;
-        this.advice = advice;
+    public LoadShedder(
+            double tolerableWaitSeconds,
+            double decaySeconds,
+            double meanRetryAfterSeconds,
+            double highestValue,
+            SplittableRandom random) {
+        this.tolerableWaitSeconds = tolerableWaitSeconds;
+        this.decaySeconds = decaySeconds;
+        this.meanRetryAfterSeconds = meanRetryAfterSeconds;
         this.highestValue = highestValue;
-        this.chance = chance;
+        this.random = random;
     }
 
-    /** A batch of events was handled between these times. */
-    void recordBatch(double began, double ended) {
-        double since = Double.isNaN(lastEnd) ? ended - began : Math.max(0, ended - lastEnd);
-        double kept = Math.exp(-since / memory);
-        double length = Math.max(0, ended - began);
-        squares = squares * kept + length * length;
-        spanned = spanned * kept + since;
-        lastEnd = ended;
+    /** Records a batch of events that was processed between these times. */
+    void recordBatch(double startedAt, double endedAt) {
+        double since = Double.isNaN(lastEnd) ? endedAt - startedAt : Math.max(0, endedAt - lastEnd);
+        double decay = Math.exp(-since / decaySeconds);
+        double length = Math.max(0, endedAt - startedAt);
+        squaredLengths = squaredLengths * decay + length * length;
+        observedSeconds = observedSeconds * decay + since;
+        lastEnd = endedAt;
     }
 
-    /** Seconds that an event now has to wait before it is taken, on the mean. */
+    /** Expected wait of an event before it is processed, in seconds. */
     double expectedWait(double now) {
         if (Double.isNaN(lastEnd)) {
             return 0;
         }
-        double idle = Math.max(0, now - lastEnd);
-        double kept = Math.exp(-idle / memory);
-        // Danger: right after the first batch the time spanned is that batch alone, and it would count as a jam.
-        return squares * kept / (2 * Math.max(memory / 2, spanned * kept + idle));
+        double idleSeconds = Math.max(0, now - lastEnd);
+        double decay = Math.exp(-idleSeconds / decaySeconds);
+        // Right after the first batch the observed time is that batch alone, which would look like a jam.
+        return squaredLengths * decay / (2 * Math.max(decaySeconds / 2, observedSeconds * decay + idleSeconds));
     }
 
     /**
-     * Whether a newcomer of this value is turned away. Danger: a process that is behind takes all, serves nothing in
-     * time, and clients come again. Also catches floods by bad clients. Harm: a query is declined that could just
-     * have been served; not while the wait is borne.
+     * Whether to reject a new query of this value. A process that is behind and accepts everything serves nothing in
+     * time, and clients retry; the same covers floods by faulty clients. Cost: queries are rejected that could just
+     * have been served, though none while the wait is tolerable.
      */
     public boolean shouldReject(double now, double value) {
-        double over = expectedWait(now) / borne - 1;
-        if (over <= 0) {
+        double excess = expectedWait(now) / tolerableWaitSeconds - 1;
+        if (excess <= 0) {
             return false;
         }
-        double share = Math.min(1 - KEPT, over / (STEEP - 1)) * (1 - 0.5 * Math.min(1, value / highestValue));
-        return chance.nextDouble() < share;
+        double rejectedShare = Math.min(1 - MIN_ADMITTED_SHARE, excess / (FULL_SHEDDING_FACTOR - 1))
+                * (1 - 0.5 * Math.min(1, value / highestValue));
+        return random.nextDouble() < rejectedShare;
     }
 
-    /** Seconds after which one that was turned away should ask again, spread so that they do not return together. */
+    /**
+     * Delay in seconds after which a rejected client should retry, randomized so that clients do not return together.
+     */
     public double retryAfterSeconds() {
-        return advice * (0.5 + chance.nextDouble());
+        return meanRetryAfterSeconds * (0.5 + random.nextDouble());
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/loop/Log.java
+++ b/query-mixer/daemon/src/main/java/pinewick/loop/Log.java
@@ -9,9 +9,9 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Lines with a time on standard error; from any one source only so many a second, so that it never floods. */
+/** Writes log lines with a time stamp to standard error, rate-limited per source, so that the log cannot flood. */
 public class Log {
-    /** How grave a line is. */
+    /** Severity of a line. */
     public enum Level {
         DEBUG,
         INFO,
@@ -19,44 +19,44 @@
         ERROR
     }
 
-    /** So many lines wait for a reader of the log that stands still; further ones are left out and counted. */
-    private static final int LINES = 256;
+    /** Lines buffered for a log reader that stands still; further ones are dropped and counted. */
+    private static final int MAX_BUFFERED_LINES = 256;
 
     private final PrintStream out;
-    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(LINES);
+    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_BUFFERED_LINES);
     private volatile boolean writing;
     private Thread writer;
-    private final int mostASecond;
+    private final int maxLinesPerSecond;
     private long second;
     private int written;
     private long dropped;
 
-    public Log(PrintStream out, int mostASecond) {
+    public Log(PrintStream out, int maxLinesPerSecond) {
         this.out = out;
-        this.mostASecond = mostASecond;
+        this.maxLinesPerSecond = maxLinesPerSecond;
     }
 
-    /** A line of the program as a whole. */
+    /** Logs a line of the program as a whole. */
     public void say(String text) {
         say(Level.INFO, "mixer", text);
     }
 
     /**
-     * A line of one component.
+     * Logs a line of one component.
      *
-     * @param fields names and values by turns, such as searcher and revision, for logs that keep them apart
+     * @param fields alternating names and values, such as searcher and revision, for logs with separate fields
      */
     public synchronized void say(Level level, String component, String text, String... fields) {
         long now = System.currentTimeMillis();
         if (now / 1000 != second) {
             if (dropped > 0) {
-                write(now, Level.WARNING, "log", dropped + " lines left out");
+                write(now, Level.WARNING, "log", dropped + " lines dropped");
             }
             second = now / 1000;
             written = 0;
             dropped = 0;
         }
-        if (++written > mostASecond) {
+        if (++written > maxLinesPerSecond) {
             dropped++;
             return;
         }
@@ -64,12 +64,13 @@
     }
 
     /**
-     * Hands one line to the thread that writes; the rate has been seen to. Danger: a full pipe, whose reader stands
-     * still, would stop the loop at its next line, and with it every query and the exit. Harm: lines are left out then.
+     * Hands a line that passed the rate limit to the writer thread. A full pipe, whose reader stands still, would
+     * otherwise block the event loop at its next line, and with it every query and the shutdown. Cost: lines are then
+     * dropped.
      */
     protected void write(long nowMillis, Level level, String component, String text, String... fields) {
         if (writer == null) {
-            writer = new Thread(this::writes, "pinewick log");
+            writer = new Thread(this::runWriter, "pinewick log");
             writer.setDaemon(true);
             writer.start();
         }
@@ -78,7 +79,7 @@
         }
     }
 
-    private void writes() {
+    private void runWriter() {
         try {
             while (true) {
                 String line = lines.take();
@@ -86,24 +87,24 @@
                 out.println(line);
                 writing = false;
             }
-        } catch (InterruptedException over) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits until all lines are written, so long at most; for the end of the program. */
+    /** Waits until all lines are written, at most this many seconds; for the end of the program. */
     public void drain(double seconds) {
-        long until = System.nanoTime() + (long) (seconds * 1e9);
+        long deadlineNanos = System.nanoTime() + (long) (seconds * 1e9);
         try {
-            while ((writing || !lines.isEmpty()) && System.nanoTime() < until) {
+            while ((writing || !lines.isEmpty()) && System.nanoTime() < deadlineNanos) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
-        } catch (InterruptedException over) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** What the libraries log goes here too: warnings and worse, a line each without its trace. */
+    /** Redirects the logging of libraries to this log: warnings and worse, one line each without a stack trace. */
     public void captureLibraryLogs() {
         Logger root = Logger.getLogger("");
         for (Handler each : root.getHandlers()) {
@@ -122,7 +123,7 @@
 
             @Override
             public void flush() {
-                // Each line is written out at once, by a thread that may wait for its reader.
+                // Nothing to flush: the writer thread writes each line at once, and may block on its reader.
             }
 
             @Override
@@ -132,9 +133,9 @@
         });
     }
 
-    /** A fault that was caught: what was being done, and where it happened. */
-    public void fault(String doing, Throwable fault) {
-        StringBuilder text = new StringBuilder("fault while " + doing + ": " + fault);
+    /** Logs an unexpected exception: what was being done, and where it occurred. */
+    public void fault(String description, Throwable fault) {
+        StringBuilder text = new StringBuilder("fault while " + description + ": " + fault);
         StackTraceElement[] trace = fault.getStackTrace();
         for (int each = 0; each < Math.min(6, trace.length); each++) {
             text.append(" < ").append(trace[each]);
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListFreshness.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListFreshness.java
@@ -1,177 +1,199 @@
 package pinewick.protocol;
 
 /**
- * Decides when the list in hand is doubted, and what is asked of the agent next. No I/O and no clock: events and times
- * (seconds) come in, what to do goes out. One figure rules: the last moment at which the list is known to have been
- * current. The deadline runs from there and no try begins it anew.
+ * Decides when the current replica list counts as stale, and what to request from the discovery agent next. No I/O and
+ * no clock: events and times (seconds) are passed in, actions are returned. One value governs it: the last time at
+ * which the list is known to have been current. The deadline runs from there, and no attempt restarts it.
  *
- * <p>Danger: a watch that fell silent, or one opened anew that sends its head and no more, hides a drain that counts as
- * told {@value #TOLD_AFTER} s after discovery had it. Also catches an agent that accepts and says nothing, one whose
- * objects can't be read, and a moved address. Harm: a mixer that stands still for a second asks for a list that it has.
+ * <p>Guards against a watch that went silent, or one that was reopened and sends its head and nothing more: it would
+ * hide a drain, which counts as announced {@value #MAX_STALENESS_SECONDS} s after discovery had it. The same covers an
+ * agent that accepts connections and sends nothing, one whose objects cannot be parsed, and a changed address. Cost: a
+ * mixer that was paused for a second requests a list that it has already.
  *
- * <p>While no try succeeds the list in hand stays in force: what discovery has to tell counts as told only from when it
- * can be reached, and to stop serving would turn an outage of discovery into one of the service.
+ * <p>While no attempt succeeds the current list stays in force: what discovery announces counts only from when it can
+ * be reached, and to stop serving would turn an outage of discovery into one of the service.
  */
 public final class ReplicaListFreshness {
-    /** What to ask of the agent. */
+    /** What to request from the agent: a watch, or the complete list. */
     public enum RequestKind {
         WATCH,
         FULL
     }
 
-    /** What is due now: nothing, to begin a try, or to leave the connection of the present one. */
+    /** The action due now: nothing, to start an attempt, or to close the connection of the current one. */
     public enum Action {
         NONE,
         CONNECT,
         DISCONNECT
     }
 
-    /* The page's figures: a line this often on a watch where nothing changes, and when a change counts as told. */
-    private static final double LINE_EVERY = 2;
-    static final double TOLD_AFTER = 6;
+    /*
+     * From the specification: how often a watch sends a line where nothing changes, and when a change counts as
+     * announced.
+     */
+    private static final double HEARTBEAT_INTERVAL_SECONDS = 2;
+    static final double MAX_STALENESS_SECONDS = 6;
 
-    /** A line may be late by this, as a mixer on a part of a core reads late. */
-    private static final double LINE_SLACK = 1;
-    /** Three tries and their pauses fit between doubt and the time at which a change counts as told. */
-    private static final double TRY = (TOLD_AFTER - LINE_EVERY - LINE_SLACK) / 3 - 0.2;
+    /** A line may be processed late by this much on a mixer that has only part of a core. */
+    private static final double HEARTBEAT_SLACK_SECONDS = 1;
+    /**
+     * Three attempts with their backoff fit between the time the list becomes stale and the time at which a change
+     * counts as announced.
+     */
+    private static final double ATTEMPT_TIMEOUT_SECONDS =
+            (MAX_STALENESS_SECONDS - HEARTBEAT_INTERVAL_SECONDS - HEARTBEAT_SLACK_SECONDS) / 3 - 0.2;
 
-    private static final double PAUSE_LEAST = 0.1;
-    /** An agent that is down for long is asked this seldom; a pause and two tries fit in {@value #TOLD_AFTER} s. */
-    private static final double PAUSE_MOST = 0.5;
-    /** An agent whose objects can't be read is asked this seldom; the whole list keeps the mixer current meanwhile. */
-    private static final double SPOILT_PAUSE_MOST = 2;
+    private static final double MIN_BACKOFF_SECONDS = 0.1;
+    /**
+     * Backoff for an agent that is down for long; one backoff and two attempts fit into {@value #MAX_STALENESS_SECONDS}
+     * s.
+     */
+    private static final double MAX_BACKOFF_SECONDS = 0.5;
+    /** Backoff for an agent whose objects cannot be parsed; the complete list keeps the mixer current meanwhile. */
+    private static final double MAX_MALFORMED_BACKOFF_SECONDS = 2;
 
-    /** So many tries in a row have to bring nothing before a new process serves by a list that may be old. */
-    private static final int TRIES_BEFORE_OLD = 2;
+    /** Number of consecutive failed attempts after which a new process serves from a list that may be old. */
+    private static final int FAILED_ATTEMPTS_BEFORE_UNCONFIRMED = 2;
 
     private enum State {
-        PAUSED,
-        TRYING,
+        BACKOFF,
+        CONNECTING,
         FOLLOWING
     }
 
-    private State state = State.PAUSED;
-    private RequestKind next;
-    private boolean wholeNeeded;
-    private double since;
-    private double until;
-    private double provenAt = Double.NEGATIVE_INFINITY;
-    private double movedAt = Double.NEGATIVE_INFINITY;
-    private double pause;
-    private double spoiltPause;
-    private int failedTries;
+    private State state = State.BACKOFF;
+    private RequestKind nextRequest;
+    private boolean needsFullList;
+    private double attemptStartedAt;
+    private double backoffUntil;
+    private double confirmedAt = Double.NEGATIVE_INFINITY;
+    private double addressChangedAt = Double.NEGATIVE_INFINITY;
+    private double backoff;
+    private double malformedBackoff;
+    private int failedAttempts;
 
-    /** A new process holds a list that may be old, so it reads a whole one first. */
+    /** A new process has a list that may be old, so it requests the complete list first. */
     public ReplicaListFreshness(double now) {
-        next = RequestKind.FULL;
-        wholeNeeded = true;
-        until = now;
+        nextRequest = RequestKind.FULL;
+        needsFullList = true;
+        backoffUntil = now;
     }
 
-    public RequestKind next() {
-        return next;
+    public RequestKind nextRequest() {
+        return nextRequest;
     }
 
-    /** When {@link #due} has to be asked again at the latest. */
+    /** Latest time at which {@link #dueAction} must be called again. */
     public double dueAt() {
         return switch (state) {
-            case PAUSED -> until;
-            case TRYING -> since + TRY;
-            case FOLLOWING -> Math.max(since + TRY, movedAt > provenAt ? movedAt + TRY : doubtAt());
+            case BACKOFF -> backoffUntil;
+            case CONNECTING -> attemptStartedAt + ATTEMPT_TIMEOUT_SECONDS;
+            case FOLLOWING -> Math.max(
+                    attemptStartedAt + ATTEMPT_TIMEOUT_SECONDS,
+                    addressChangedAt > confirmedAt ? addressChangedAt + ATTEMPT_TIMEOUT_SECONDS : staleAt());
         };
     }
 
-    private double doubtAt() {
-        return provenAt + LINE_EVERY + LINE_SLACK;
+    private double staleAt() {
+        return confirmedAt + HEARTBEAT_INTERVAL_SECONDS + HEARTBEAT_SLACK_SECONDS;
     }
 
-    public Action due(double now) {
+    public Action dueAction(double now) {
         if (now < dueAt()) {
             return Action.NONE;
         }
-        if (state == State.PAUSED) {
-            state = State.TRYING;
-            since = now;
+        if (state == State.BACKOFF) {
+            state = State.CONNECTING;
+            attemptStartedAt = now;
             return Action.CONNECT;
         }
-        boolean doubted = state == State.FOLLOWING;
-        over(now, false);
-        if (doubted) {
-            // It may be the watch alone that is broken; the whole list is answered at once and proves itself.
-            next = RequestKind.FULL;
-            until = now;
+        boolean wasFollowing = state == State.FOLLOWING;
+        onAttemptEnd(now, false);
+        if (wasFollowing) {
+            // Possibly only the watch is broken; the complete list is answered at once and confirms itself.
+            nextRequest = RequestKind.FULL;
+            backoffUntil = now;
         }
         return Action.DISCONNECT;
     }
 
-    /** The head of a watch's answer has come: the agent is there, but its list is not proven by that. */
-    public void head() {
-        if (state == State.TRYING && next == RequestKind.WATCH) {
+    /** The head of a watch response has arrived: the agent is reachable, but this does not confirm the list. */
+    public void onWatchOpened() {
+        if (state == State.CONNECTING && nextRequest == RequestKind.WATCH) {
             state = State.FOLLOWING;
         }
     }
 
-    /** An object was accepted from the watch, or a line came that says that nothing has changed. */
-    public void line(double readAt, boolean accepted) {
-        proven(readAt);
+    /** An object from the watch was accepted, or a line arrived which says that nothing has changed. */
+    public void onLine(double readAt, boolean accepted) {
+        confirm(readAt);
         if (accepted) {
-            spoiltPause = 0;
+            malformedBackoff = 0;
         }
     }
 
-    /** The whole list was read and accepted; it is as new as the asking for it. */
-    public void whole(double now) {
-        proven(since);
-        wholeNeeded = false;
-        next = RequestKind.WATCH;
-        state = State.PAUSED;
-        until = now + spoiltPause;
+    /** The complete list was read and accepted; it is as recent as the request for it. */
+    public void onFullList(double now) {
+        confirm(attemptStartedAt);
+        needsFullList = false;
+        nextRequest = RequestKind.WATCH;
+        state = State.BACKOFF;
+        backoffUntil = now + malformedBackoff;
     }
 
-    /** The whole list that came is older than the one in hand: that proves nothing, and a watch may tell more. */
-    public void older(double now) {
-        over(now, false);
-        wholeNeeded = false;
-        next = RequestKind.WATCH;
+    /**
+     * The complete list received is older than the current one: this confirms nothing, and a watch may deliver more.
+     */
+    public void onOlderList(double now) {
+        onAttemptEnd(now, false);
+        needsFullList = false;
+        nextRequest = RequestKind.WATCH;
     }
 
-    private void proven(double at) {
-        provenAt = Math.max(provenAt, at);
-        pause = 0;
-        failedTries = 0;
+    private void confirm(double at) {
+        confirmedAt = Math.max(confirmedAt, at);
+        backoff = 0;
+        failedAttempts = 0;
     }
 
-    /** The present try or watch is over: refused, ended, reset, or {@code spoilt}: not in the form. */
-    public void over(double now, boolean spoilt) {
-        if (state == State.PAUSED) {
+    /** The current attempt or watch has ended: refused, closed, reset, or {@code isMalformed}. */
+    public void onAttemptEnd(double now, boolean isMalformed) {
+        if (state == State.BACKOFF) {
             return;
         }
-        failedTries += state == State.TRYING || spoilt ? 1 : 0;
-        state = State.PAUSED;
-        boolean hurry = now < Math.max(provenAt, movedAt) + TOLD_AFTER;
-        pause = hurry ? PAUSE_LEAST : Math.max(PAUSE_LEAST, Math.min(PAUSE_MOST, 2 * pause));
-        until = now + pause;
-        if (spoilt) {
-            // Danger: an agent whose watch can't be read would have the whole list read ten times a second for ever.
-            spoiltPause = Math.max(PAUSE_LEAST, Math.min(SPOILT_PAUSE_MOST, 2 * spoiltPause));
-            until = next == RequestKind.FULL ? now + Math.max(pause, spoiltPause) : until;
-            wholeNeeded = true;
+        failedAttempts += state == State.CONNECTING || isMalformed ? 1 : 0;
+        state = State.BACKOFF;
+        boolean isUrgent = now < Math.max(confirmedAt, addressChangedAt) + MAX_STALENESS_SECONDS;
+        backoff = isUrgent
+                ? MIN_BACKOFF_SECONDS
+                : Math.max(MIN_BACKOFF_SECONDS, Math.min(MAX_BACKOFF_SECONDS, 2 * backoff));
+        backoffUntil = now + backoff;
+        if (isMalformed) {
+            // An agent whose watch cannot be parsed would otherwise be asked for the complete list ten times a second
+            // without end.
+            malformedBackoff =
+                    Math.max(MIN_BACKOFF_SECONDS, Math.min(MAX_MALFORMED_BACKOFF_SECONDS, 2 * malformedBackoff));
+            backoffUntil = nextRequest == RequestKind.FULL ? now + Math.max(backoff, malformedBackoff) : backoffUntil;
+            needsFullList = true;
         }
-        // In doubt the two ways take turns: an agent may answer one of them only.
-        next = wholeNeeded || (now >= doubtAt() && next == RequestKind.WATCH) ? RequestKind.FULL : RequestKind.WATCH;
+        // While the list is stale the two requests alternate: an agent may answer only one of them.
+        nextRequest = needsFullList || (now >= staleAt() && nextRequest == RequestKind.WATCH)
+                ? RequestKind.FULL
+                : RequestKind.WATCH;
     }
 
     /**
-     * Another address was told: it has to prove itself within a try's time, and the tries go on without long pauses.
+     * The discovery address has changed: the new one has to confirm the list within one attempt, and attempts go on
+     * without long backoff.
      */
-    public void moved(double now) {
-        state = State.PAUSED;
-        until = now;
-        movedAt = now;
+    public void onAddressChange(double now) {
+        state = State.BACKOFF;
+        backoffUntil = now;
+        addressChangedAt = now;
     }
 
-    /** Whether the list in hand may be served by although it was never proven: the agent says nothing. */
+    /** Whether the current list may be served although it was never confirmed, because the agent does not answer. */
     public boolean canServeUnconfirmed() {
-        return failedTries >= TRIES_BEFORE_OLD;
+        return failedAttempts >= FAILED_ATTEMPTS_BEFORE_UNCONFIRMED;
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListWatch.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListWatch.java
@@ -63,7 +63,7 @@
         this.onWatchFailure = onWatchFailure;
         freshness = new ReplicaListFreshness(loop.now());
         splitter = new JsonObjectSplitter(
-                limits.maxListObjectBytes(), this::handleObject, () -> freshness.line(loop.lastPolledAt(), false));
+                limits.maxListObjectBytes(), this::handleObject, () -> freshness.onLine(loop.lastPolledAt(), false));
     }
 
     private static URI uri(InetSocketAddress address) {
@@ -80,7 +80,7 @@
         }
         discovery = uri(address);
         disconnect();
-        freshness.moved(loop.now());
+        freshness.onAddressChange(loop.now());
         performDueAction();
     }
 
@@ -123,7 +123,7 @@
 
     /** Performs the action that is due and schedules the next check. */
     private void performDueAction() {
-        switch (freshness.due(loop.now())) {
+        switch (freshness.dueAction(loop.now())) {
             case CONNECT -> connect();
             case DISCONNECT -> {
                 disconnect();
@@ -164,7 +164,7 @@
     }
 
     private void sendRequest(long ownGeneration, ClientConnection target) {
-        boolean isFull = freshness.next() == ReplicaListFreshness.RequestKind.FULL;
+        boolean isFull = freshness.nextRequest() == ReplicaListFreshness.RequestKind.FULL;
         ClientRequest request = new ClientRequest()
                 .setMethod(Methods.GET)
                 .setPath(isFull ? "/registry/instances" : "/registry/instances?stream=1&index=" + revision);
@@ -181,7 +181,7 @@
                                         onStreamEnded(ownGeneration, "status " + status, false);
                                         return;
                                     }
-                                    freshness.head();
+                                    freshness.onWatchOpened();
                                     StreamSourceChannel body = response.getResponseChannel();
                                     readTask = () -> read(ownGeneration, isFull, body);
                                     body.getReadSetter()
@@ -238,13 +238,13 @@
     }
 
     private void handleObject(String text) {
-        if (freshness.next() == ReplicaListFreshness.RequestKind.FULL) {
+        if (freshness.nextRequest() == ReplicaListFreshness.RequestKind.FULL) {
             // A response that is reset or truncated is not a complete list, so it counts only once its end was read.
             fullList = text;
             return;
         }
         ReplicaListJson.Update update = ReplicaListJson.read(text);
-        freshness.line(loop.lastPolledAt(), true);
+        freshness.onLine(loop.lastPolledAt(), true);
         if (!isOlder(update)) {
             accept(update);
         }
@@ -256,13 +256,13 @@
         }
         if (isOlder(update)) {
             disconnect();
-            freshness.older(loop.now());
+            freshness.onOlderList(loop.now());
             onWatchEnded("the full list is older than the current one");
             performDueAction();
             return;
         }
         disconnect();
-        freshness.whole(loop.now());
+        freshness.onFullList(loop.now());
         accept(update);
         performDueAction();
     }
@@ -293,7 +293,7 @@
             return;
         }
         disconnect();
-        freshness.over(loop.now(), isMalformed);
+        freshness.onAttemptEnd(loop.now(), isMalformed);
         onWatchEnded(reason);
         performDueAction();
     }
--- a/query-mixer/daemon/src/main/java/pinewick/simulator/ProtocolLine.java
+++ b/query-mixer/daemon/src/main/java/pinewick/simulator/ProtocolLine.java
@@ -1,6 +1,6 @@
 package pinewick.simulator;
 
-/** One line of the wire: its verb and its name=value pairs, found in place. */
+/** One line of the protocol: its verb and its name=value pairs, parsed on access. */
 final class ProtocolLine {
     private final String line;
     private final String verb;
@@ -15,7 +15,7 @@
         return verb;
     }
 
-    /** The value of a field, or null; only 'config' and 'text' run to the end of the line. */
+    /** The value of a field, or null; only 'config' and 'text' extend to the end of the line. */
     private String find(String name) {
         int at = verb.length();
         while (at < line.length()) {
@@ -24,8 +24,8 @@
             if (equals < 0) {
                 return null;
             }
-            boolean toEnd = line.startsWith("config=", start) || line.startsWith("text=", start);
-            int end = toEnd ? line.length() : line.indexOf(' ', equals);
+            boolean extendsToEnd = line.startsWith("config=", start) || line.startsWith("text=", start);
+            int end = extendsToEnd ? line.length() : line.indexOf(' ', equals);
             if (end < 0) {
                 end = line.length();
             }
@@ -45,44 +45,44 @@
         return value;
     }
 
-    String text(String name, String absent) {
+    String text(String name, String defaultValue) {
         String value = find(name);
-        return value == null ? absent : value;
+        return value == null ? defaultValue : value;
     }
 
-    long whole(String name) {
-        return whole(name, text(name));
+    long longValue(String name) {
+        return longValue(name, text(name));
     }
 
-    long whole(String name, long absent) {
+    long longValue(String name, long defaultValue) {
         String value = find(name);
-        return value == null ? absent : whole(name, value);
+        return value == null ? defaultValue : longValue(name, value);
     }
 
-    private long whole(String name, String value) {
+    private long longValue(String name, String value) {
         try {
             return Long.parseLong(value);
-        } catch (NumberFormatException odd) {
+        } catch (NumberFormatException malformed) {
             throw new IllegalArgumentException("'" + verb + "' with " + name + "=" + value);
         }
     }
 
-    double number(String name, double absent) {
+    double number(String name, double defaultValue) {
         String value = find(name);
         try {
-            return value == null ? absent : Double.parseDouble(value);
-        } catch (NumberFormatException odd) {
+            return value == null ? defaultValue : Double.parseDouble(value);
+        } catch (NumberFormatException malformed) {
             throw new IllegalArgumentException("'" + verb + "' with " + name + "=" + value);
         }
     }
 
-    boolean yes(String name) {
+    boolean booleanValue(String name) {
         String value = find(name);
         return "1".equals(value) || "true".equals(value);
     }
 
-    double seconds(String name, double absent) {
+    double seconds(String name, double defaultValue) {
         String value = find(name);
-        return value == null ? absent : whole(name, value) / 1e9;
+        return value == null ? defaultValue : longValue(name, value) / 1e9;
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/simulator/SimulatedMixer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/simulator/SimulatedMixer.java
@@ -12,36 +12,36 @@
 import pinewick.core.QueryScheduler;
 import pinewick.core.SchedulerHost;
 
-/** One mixer on the wire: hands events to its own {@link QueryScheduler} and writes down what that asks for. */
+/** One simulated mixer: passes events to its own {@link QueryScheduler} and writes what the scheduler requests. */
 final class SimulatedMixer implements SchedulerHost {
-    private final int number;
+    private final int mixerId;
     private final QueryScheduler scheduler;
     private final SchedulerHost.Deployment deployment;
-    private final Map<String, Integer> gradeRows = new HashMap<>();
+    private final Map<String, Integer> serviceClassIndexes = new HashMap<>();
     private final Map<Long, Query> byJob = new HashMap<>();
     private final Map<String, Query> byId = new HashMap<>();
-    private final Map<Query, Wired> wired = new HashMap<>();
+    private final Map<Query, QueryIds> idsByQuery = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
-    private final List<String> ended = new ArrayList<>();
-    private long clock;
-    private boolean broken;
+    private final List<String> endedQueries = new ArrayList<>();
+    private long timeNs;
+    private boolean hasFailed;
 
-    /** Under what a query goes on the wire: its number, and the ids of itself and its parts. */
-    private record Wired(long job, List<String> ids) {}
+    /** Identifiers of a query in the protocol: its job number, and the ids of the query and its parts. */
+    private record QueryIds(long job, List<String> ids) {}
 
-    SimulatedMixer(int number, long clock, ProtocolLine opening) {
-        this.number = number;
-        this.clock = clock;
+    SimulatedMixer(int mixerId, long timeNs, ProtocolLine opening) {
+        this.mixerId = mixerId;
+        this.timeNs = timeNs;
         deployment = DeploymentParser.parse(opening.text("config"));
-        for (SchedulerHost.ServiceClassConfig grade : deployment.serviceClasses()) {
-            gradeRows.put(grade.name(), gradeRows.size());
+        for (SchedulerHost.ServiceClassConfig serviceClass : deployment.serviceClasses()) {
+            serviceClassIndexes.put(serviceClass.name(), serviceClassIndexes.size());
         }
-        scheduler = new QueryScheduler(this, deployment, new SplittableRandom(opening.whole("rng-seed", 0)));
+        scheduler = new QueryScheduler(this, deployment, new SplittableRandom(opening.longValue("rng-seed", 0)));
     }
 
-    void event(ProtocolLine event, long batchClock, List<ReplicaEntry> entries) {
-        clock = batchClock;
-        if (broken) {
+    void handleEvent(ProtocolLine event, long batchTimeNs, List<ReplicaEntry> entries) {
+        timeNs = batchTimeNs;
+        if (hasFailed) {
             return;
         }
         try {
@@ -49,29 +49,29 @@
         } catch (IllegalArgumentException malformed) {
             throw malformed;
         } catch (RuntimeException fault) {
-            fault(fault);
+            onFault(fault);
         }
     }
 
-    void endOfBatch() {
-        if (broken) {
+    void onBatchEnd() {
+        if (hasFailed) {
             return;
         }
         try {
             scheduler.onBatchEnd();
-            ended.forEach(id -> {
+            endedQueries.forEach(id -> {
                 if (byId.containsKey(id)) {
-                    forget(byId.get(id));
+                    removeIfFinished(byId.get(id));
                 }
             });
-            ended.clear();
+            endedQueries.clear();
         } catch (RuntimeException fault) {
-            fault(fault);
+            onFault(fault);
         }
     }
 
-    private void fault(RuntimeException fault) {
-        broken = true;
+    private void onFault(RuntimeException fault) {
+        hasFailed = true;
         StackTraceElement[] trace = fault.getStackTrace();
         write("fault")
                 .append(" text=")
@@ -80,7 +80,7 @@
                 .append('\n');
     }
 
-    void drainTo(Writer out) throws IOException {
+    void writeReplyTo(Writer out) throws IOException {
         out.append(reply);
         reply.setLength(0);
     }
@@ -88,80 +88,80 @@
     private void dispatch(ProtocolLine event, List<ReplicaEntry> entries) {
         switch (event.verb()) {
             case "discovery" -> scheduler.onReplicaListUpdate(
-                    switch ((int) event.whole("form")) {
+                    switch ((int) event.longValue("form")) {
                         case 0 -> ListUpdateKind.INCREMENTAL;
                         case 1 -> ListUpdateKind.FULL;
                         case 2 -> ListUpdateKind.CACHED;
                         default -> ListUpdateKind.FAILED;
                     },
                     entries);
-            case "req" -> request(event);
+            case "req" -> handleRequest(event);
             case "settled" -> {
                 Query query = byId.get(event.text("call"));
                 if (query != null) {
                     query.onAttemptEnd(
                             event.text("call"),
-                            (int) event.whole("go"),
-                            ending(event),
+                            (int) event.longValue("go"),
+                            outcome(event),
                             event.seconds("spent-ns", 0),
                             report(event));
-                    forget(query);
+                    removeIfFinished(query);
                 }
             }
             case "withdrawn" -> {
                 Query query = byId.get(event.text("call"));
                 if (query != null) {
                     query.onCancelled(event.text("call"));
-                    forget(query);
+                    removeIfFinished(query);
                 }
             }
-            case "probe_done" -> scheduler.onProbeResult(event.text("searcher"), ending(event), report(event));
-            case "ring" -> scheduler.onTimer(event.whole("name"));
+            case "probe_done" -> scheduler.onProbeResult(event.text("searcher"), outcome(event), report(event));
+            case "ring" -> scheduler.onTimer(event.longValue("name"));
             default -> {
-                // Nothing that a mixer acts on: messages from peers, streams (no grade has them).
+                // Events that a mixer ignores: messages from peers, streams (no service class uses them).
             }
         }
     }
 
-    private void request(ProtocolLine event) {
+    private void handleRequest(ProtocolLine event) {
         String id = event.text("call");
-        long job = event.whole("job-no", 0);
-        if (event.whole("segment-no", -1) < 0) {
-            Integer row = gradeRows.get(event.text("priority"));
-            if (row == null) {
+        long job = event.longValue("job-no", 0);
+        if (event.longValue("segment-no", -1) < 0) {
+            Integer serviceClassIndex = serviceClassIndexes.get(event.text("priority"));
+            if (serviceClassIndex == null) {
                 throw new IllegalArgumentException("unknown priority " + event.text("priority"));
             }
             Query query = scheduler.submit(
                     id,
-                    row,
+                    serviceClassIndex,
                     event.seconds("ttl-ns", 0),
                     (int) event.number("share-or-count", 1),
                     event.seconds("work-hint-ns", 0),
-                    event.whole("again-by-client", 0) == 1);
+                    event.longValue("again-by-client", 0) == 1);
             byId.put(id, query);
             byJob.put(job, query);
-            wired.put(query, new Wired(job, new ArrayList<>(List.of(id))));
+            idsByQuery.put(query, new QueryIds(job, new ArrayList<>(List.of(id))));
             return;
         }
         Query query = byJob.get(job);
         if (query != null) {
             byId.put(id, query);
-            wired.get(query).ids().add(id);
-            query.addShardRequest(id, (int) event.whole("segment-no"), event.number("share-or-count", 0));
+            idsByQuery.get(query).ids().add(id);
+            query.addShardRequest(id, (int) event.longValue("segment-no"), event.number("share-or-count", 0));
         }
     }
 
-    /** Drops the ids of a query of which nothing more can be told. */
-    private void forget(Query query) {
+    /** Removes the ids of a query once no further event can concern it. */
+    private void removeIfFinished(Query query) {
         if (query.isFinished()) {
-            Wired names = wired.remove(query);
-            names.ids().forEach(byId::remove);
-            byJob.remove(names.job(), query);
+            QueryIds ids = idsByQuery.remove(query);
+            ids.ids().forEach(byId::remove);
+            byJob.remove(ids.job(), query);
         }
     }
 
-    private static Outcome ending(ProtocolLine event) {
-        return switch ((int) event.whole("outcome")) {
+    private static Outcome outcome(ProtocolLine event) {
+        return switch ((int) event.longValue("outcome")) {
             case 0 -> Outcome.FULFILLED;
             case 8 -> Outcome.REJECTED;
             case 4 -> Outcome.TIMED_OUT;
@@ -178,7 +178,7 @@
     }
 
     private StringBuilder write(String verb) {
-        return reply.append(verb).append(" mixer=").append(number);
+        return reply.append(verb).append(" mixer=").append(mixerId);
     }
 
     private static long nanos(double seconds) {
@@ -187,35 +187,35 @@
 
     @Override
     public double now() {
-        return clock / 1e9;
+        return timeNs / 1e9;
     }
 
     @Override
-    public void sendAttempt(String part, String searcher, double maxWait) {
+    public void sendAttempt(String part, String replicaId, double maxWait) {
         write("issue")
                 .append(" call=")
                 .append(part)
                 .append(" searcher=")
-                .append(searcher)
+                .append(replicaId)
                 .append(" max-wait-ns=")
                 .append(nanos(maxWait))
                 .append('\n');
     }
 
     @Override
-    public void mergeResults(String query, boolean whole) {
-        ended.add(query);
+    public void mergeResults(String query, boolean isComplete) {
+        endedQueries.add(query);
         write("assemble")
                 .append(" call=")
                 .append(query)
                 .append(" complete=")
-                .append(whole ? 1 : 0)
+                .append(isComplete ? 1 : 0)
                 .append('\n');
     }
 
     @Override
     public void rejectQuery(String query, double retryAfter) {
-        ended.add(query);
+        endedQueries.add(query);
         write("not_now").append(" call=").append(query);
         if (retryAfter > 0) {
             reply.append(" retry-after-ns=").append(nanos(retryAfter));
@@ -225,23 +225,23 @@
 
     @Override
     public void failQuery(String query) {
-        ended.add(query);
+        endedQueries.add(query);
         write("drop_request").append(" call=").append(query).append('\n');
     }
 
     @Override
-    public void cancelAttempt(String part, int launch) {
+    public void cancelAttempt(String part, int attempt) {
         write("undo_send")
                 .append(" call=")
                 .append(part)
                 .append(" go=")
-                .append(launch)
+                .append(attempt)
                 .append('\n');
     }
 
     @Override
-    public void sendProbe(String searcher) {
-        write("test").append(" searcher=").append(searcher).append('\n');
+    public void sendProbe(String replicaId) {
+        write("test").append(" searcher=").append(replicaId).append('\n');
     }
 
     @Override
--- a/query-mixer/daemon/src/main/java/pinewick/simulator/SimulatorAdapter.java
+++ b/query-mixer/daemon/src/main/java/pinewick/simulator/SimulatorAdapter.java
@@ -15,48 +15,51 @@
 import java.util.Map;
 import pinewick.core.SchedulerHost;
 
-/** Speaks the bench's wire: reads batches, turns each line into calls on its mixer, writes the reply. */
+/**
+ * Implements the line protocol of the simulator: reads batches, turns each line into calls on its mixer, writes the
+ * replies.
+ */
 public final class SimulatorAdapter {
     private final BufferedReader in;
     private final BufferedWriter out;
     private final Map<Integer, SimulatedMixer> mixers = new HashMap<>();
     private final Map<Integer, List<SchedulerHost.ReplicaEntry>> pools = new HashMap<>();
-    private final Map<Integer, SimulatedMixer> touched = new LinkedHashMap<>();
-    private long lines;
+    private final Map<Integer, SimulatedMixer> mixersInBatch = new LinkedHashMap<>();
+    private long lineNumber;
 
     private SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8), 1 << 16);
     }
 
-    /** Serves until the input ends; malformed input ends the process with a message and exit code 1. */
+    /** Runs until the input ends; malformed input ends the process with an error message and exit code 1. */
     public static void run(InputStream in, OutputStream out) throws IOException {
-        SimulatorAdapter link = new SimulatorAdapter(in, out);
+        SimulatorAdapter adapter = new SimulatorAdapter(in, out);
         String line = "";
         try {
-            while ((line = link.next()) != null) {
-                link.batch(new ProtocolLine(line));
+            while ((line = adapter.readLine()) != null) {
+                adapter.handleBatch(new ProtocolLine(line));
             }
-        } catch (IllegalArgumentException wrong) {
-            System.err.println("benchlink: line " + link.lines + ": " + wrong.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            System.err.println("benchlink: line " + adapter.lineNumber + ": " + malformed.getMessage());
             System.exit(1);
         }
     }
 
-    private String next() throws IOException {
+    private String readLine() throws IOException {
         String line = in.readLine();
-        lines++;
+        lineNumber++;
         return line;
     }
 
-    private void batch(ProtocolLine begin) throws IOException {
+    private void handleBatch(ProtocolLine begin) throws IOException {
         if (!begin.verb().equals("begin_batch")) {
             throw new IllegalArgumentException("begin_batch expected, not '" + begin.verb() + "'");
         }
-        long clock = begin.whole("sim-time-ns");
-        touched.clear();
+        long timeNs = begin.longValue("sim-time-ns");
+        mixersInBatch.clear();
         while (true) {
-            String line = next();
+            String line = readLine();
             if (line == null) {
                 throw new IllegalArgumentException("input ended within a batch");
             }
@@ -65,68 +68,68 @@
             }
             ProtocolLine event = new ProtocolLine(line);
             if (event.verb().equals("pool")) {
-                pool(event);
+                readPool(event);
             } else {
-                event(event, clock);
+                handleEvent(event, timeNs);
             }
         }
-        for (SimulatedMixer mixer : touched.values()) {
-            mixer.endOfBatch();
-            mixer.drainTo(out);
+        for (SimulatedMixer mixer : mixersInBatch.values()) {
+            mixer.onBatchEnd();
+            mixer.writeReplyTo(out);
         }
         out.write("yield serial=" + begin.text("serial") + "\n");
         out.flush();
     }
 
-    private void pool(ProtocolLine head) throws IOException {
+    private void readPool(ProtocolLine head) throws IOException {
         List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>();
-        for (long left = head.whole("items"); left > 0; left--) {
-            String line = next();
+        for (long left = head.longValue("items"); left > 0; left--) {
+            String line = readLine();
             if (line == null || !line.startsWith("m ")) {
-                throw new IllegalArgumentException("an entry of the pool expected");
+                throw new IllegalArgumentException("pool entry expected");
             }
-            ProtocolLine m = new ProtocolLine(line);
-            SchedulerHost.LifecycleState stage =
-                    switch ((int) m.whole("stage-state", 1)) {
+            ProtocolLine entry = new ProtocolLine(line);
+            SchedulerHost.LifecycleState state =
+                    switch ((int) entry.longValue("stage-state", 1)) {
                         case 0 -> SchedulerHost.LifecycleState.GONE;
                         case 2 -> SchedulerHost.LifecycleState.DRAINING;
                         default -> SchedulerHost.LifecycleState.READY;
                     };
             entries.add(new SchedulerHost.ReplicaEntry(
-                    m.text("searcher"),
-                    (int) m.whole("cell", 0),
-                    m.text("site", ""),
-                    stage,
-                    m.seconds("ready-at-ns", 0)));
+                    entry.text("searcher"),
+                    (int) entry.longValue("cell", 0),
+                    entry.text("site", ""),
+                    state,
+                    entry.seconds("ready-at-ns", 0)));
         }
-        pools.put((int) head.whole("slot"), entries);
+        pools.put((int) head.longValue("slot"), entries);
     }
 
-    private void event(ProtocolLine event, long clock) {
-        int number = (int) event.whole("mixer");
+    private void handleEvent(ProtocolLine event, long timeNs) {
+        int mixerId = (int) event.longValue("mixer");
         if (event.verb().equals("halt")) {
-            mixers.remove(number);
-            touched.remove(number);
+            mixers.remove(mixerId);
+            mixersInBatch.remove(mixerId);
             return;
         }
         if (event.verb().equals("open_instance")) {
-            SimulatedMixer opened = new SimulatedMixer(number, clock, event);
-            mixers.put(number, opened);
-            touched.put(number, opened);
+            SimulatedMixer opened = new SimulatedMixer(mixerId, timeNs, event);
+            mixers.put(mixerId, opened);
+            mixersInBatch.put(mixerId, opened);
             return;
         }
-        SimulatedMixer mixer = mixers.get(number);
+        SimulatedMixer mixer = mixers.get(mixerId);
         if (mixer == null) {
-            throw new IllegalArgumentException("mixer " + number + " was never opened");
+            throw new IllegalArgumentException("mixer " + mixerId + " was never opened");
         }
-        touched.put(number, mixer);
+        mixersInBatch.put(mixerId, mixer);
         List<SchedulerHost.ReplicaEntry> entries = List.of();
-        if (event.verb().equals("discovery") && event.whole("form") != 3) {
-            entries = pools.get((int) event.whole("slot"));
+        if (event.verb().equals("discovery") && event.longValue("form") != 3) {
+            entries = pools.get((int) event.longValue("slot"));
             if (entries == null) {
-                throw new IllegalArgumentException("no pool " + event.whole("slot"));
+                throw new IllegalArgumentException("no pool " + event.longValue("slot"));
             }
         }
-        mixer.event(event, clock, entries);
+        mixer.handleEvent(event, timeNs, entries);
     }
 }
--- a/query-mixer/daemon/src/test/java/pinewick/protocol/ReplicaListFreshnessTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/ReplicaListFreshnessTest.java
@@ -11,148 +11,161 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** When the list is doubted and asked for again, in times handed in, against agents that fail by seed. */
+/**
+ * Tests when the list counts as stale and is requested again, with explicit times and agents that fail at random by
+ * seed.
+ */
 class ReplicaListFreshnessTest {
-    /** What the agent does with one try. */
-    private enum Way {
+    /** Behaviour of the agent in one attempt. */
+    private enum Behaviour {
         REFUSES,
         ACCEPTS_ONLY,
         HEAD_ONLY,
-        SPOILT,
+        MALFORMED,
         GOOD
     }
 
-    /** An agent that fails by chance until {@code goodFrom}, then gives whole lists, but watches that say nothing. */
+    /**
+     * An agent that fails at random until {@code goodFrom}; then it serves complete lists, but watches that stay
+     * silent.
+     */
     private static final class Run {
         final ReplicaListFreshness freshness;
         final SplittableRandom chance;
         final double goodFrom;
         double now;
-        double longestUnproven;
-        double proofAt;
-        int wholes;
+        double longestUnconfirmedSeconds;
+        double confirmedAt;
+        int fullLists;
 
         Run(long seed, double goodFrom) {
             chance = new SplittableRandom(seed);
             this.goodFrom = goodFrom;
             now = 100;
-            proofAt = now;
+            confirmedAt = now;
             freshness = new ReplicaListFreshness(now);
         }
 
         void until(double end) {
             while (now < end) {
                 now = Math.max(now, freshness.dueAt());
-                longestUnproven = Math.max(longestUnproven, now - Math.max(proofAt, goodFrom));
-                if (freshness.due(now) == ReplicaListFreshness.Action.CONNECT) {
-                    answer(now >= goodFrom ? Way.GOOD : Way.values()[chance.nextInt(Way.values().length)]);
+                longestUnconfirmedSeconds = Math.max(longestUnconfirmedSeconds, now - Math.max(confirmedAt, goodFrom));
+                if (freshness.dueAction(now) == ReplicaListFreshness.Action.CONNECT) {
+                    answer(
+                            now >= goodFrom
+                                    ? Behaviour.GOOD
+                                    : Behaviour.values()[chance.nextInt(Behaviour.values().length)]);
                 }
             }
         }
 
-        private void answer(Way way) {
-            double asked = now;
-            boolean whole = freshness.next() == ReplicaListFreshness.RequestKind.FULL;
-            double late = now + chance.nextDouble() * 0.3;
-            switch (way) {
-                case REFUSES -> freshness.over(late, false);
-                case SPOILT -> freshness.over(late, true);
-                case HEAD_ONLY -> freshness.head();
+        private void answer(Behaviour behaviour) {
+            double requestedAt = now;
+            boolean isFull = freshness.nextRequest() == ReplicaListFreshness.RequestKind.FULL;
+            double endedAt = now + chance.nextDouble() * 0.3;
+            switch (behaviour) {
+                case REFUSES -> freshness.onAttemptEnd(endedAt, false);
+                case MALFORMED -> freshness.onAttemptEnd(endedAt, true);
+                case HEAD_ONLY -> freshness.onWatchOpened();
                 case GOOD -> {
-                    if (whole) {
-                        wholes++;
-                        proofAt = asked;
-                        freshness.whole(late);
+                    if (isFull) {
+                        fullLists++;
+                        confirmedAt = requestedAt;
+                        freshness.onFullList(endedAt);
                     } else {
-                        freshness.head(); // and nothing more
+                        freshness.onWatchOpened(); // The watch stays silent after its head.
                     }
                 }
                 default -> {}
             }
-            now = way == Way.ACCEPTS_ONLY || way == Way.HEAD_ONLY ? now : late;
+            now = behaviour == Behaviour.ACCEPTS_ONLY || behaviour == Behaviour.HEAD_ONLY ? now : endedAt;
         }
     }
 
     @Test
-    void watchesThatSayNothingNeverHideAChangeForSixSeconds() {
+    void silentWatchesNeverHideAChangeForSixSeconds() {
         for (long seed = 0; seed < 500; seed++) {
             Run run = new Run(seed, 100);
             run.until(200);
-            assertTrue(run.longestUnproven < ReplicaListFreshness.TOLD_AFTER, seed + ": " + run.longestUnproven);
-            assertTrue(run.wholes < 100 / 2, "and the whole list is not asked for all the time: " + run.wholes);
+            assertTrue(
+                    run.longestUnconfirmedSeconds < ReplicaListFreshness.MAX_STALENESS_SECONDS,
+                    seed + ": " + run.longestUnconfirmedSeconds);
+            assertTrue(run.fullLists < 100 / 2, "the full list must not be requested continually: " + run.fullLists);
         }
     }
 
     @Test
-    void whateverFailedBeforeTheListIsProvenWithinSixSecondsOfTheAgentsReturn() {
+    void listIsConfirmedWithinSixSecondsOfTheAgentsRecovery() {
         for (long seed = 0; seed < 2000; seed++) {
             Run run = new Run(seed, 100 + seed % 40 + (seed % 7) / 7.0);
             run.until(200);
-            assertTrue(run.longestUnproven < ReplicaListFreshness.TOLD_AFTER, seed + ": " + run.longestUnproven);
+            assertTrue(
+                    run.longestUnconfirmedSeconds < ReplicaListFreshness.MAX_STALENESS_SECONDS,
+                    seed + ": " + run.longestUnconfirmedSeconds);
         }
     }
 
     @Test
-    void twoWholeTriesFitBetweenTheLastLineAndSixSecondsAfterIt() {
+    void twoCompleteAttemptsFitIntoSixSecondsAfterTheLastLine() {
         ReplicaListFreshness freshness = new ReplicaListFreshness(0);
-        assertEquals(ReplicaListFreshness.Action.CONNECT, freshness.due(0));
-        freshness.whole(0.1);
-        assertEquals(ReplicaListFreshness.Action.CONNECT, freshness.due(0.1));
-        freshness.head();
-        freshness.line(2, true);
-        int tries = 0;
+        assertEquals(ReplicaListFreshness.Action.CONNECT, freshness.dueAction(0));
+        freshness.onFullList(0.1);
+        assertEquals(ReplicaListFreshness.Action.CONNECT, freshness.dueAction(0.1));
+        freshness.onWatchOpened();
+        freshness.onLine(2, true);
+        int attempts = 0;
         double now = 2;
-        while (now < 2 + ReplicaListFreshness.TOLD_AFTER) {
+        while (now < 2 + ReplicaListFreshness.MAX_STALENESS_SECONDS) {
             now = freshness.dueAt();
-            switch (freshness.due(now)) {
-                case DISCONNECT -> tries +=
-                        freshness.dueAt() <= 2 + ReplicaListFreshness.TOLD_AFTER && now > 5.5 ? 1 : 0;
+            switch (freshness.dueAction(now)) {
+                case DISCONNECT -> attempts +=
+                        freshness.dueAt() <= 2 + ReplicaListFreshness.MAX_STALENESS_SECONDS && now > 5.5 ? 1 : 0;
                 default -> {}
             }
         }
-        assertTrue(tries >= 2, tries + " whole tries that said nothing");
+        assertTrue(attempts >= 2, attempts + " complete attempts without a response");
     }
 
     @Test
-    void aMovedAddressIsProvenOrDoubtedWithinATry() {
+    void changedAddressIsConfirmedOrStaleWithinOneAttempt() {
         ReplicaListFreshness freshness = new ReplicaListFreshness(0);
-        freshness.due(0);
-        freshness.whole(0.1);
-        freshness.due(0.1);
-        freshness.head();
-        freshness.line(1, false);
-        freshness.moved(1.5);
-        assertEquals(ReplicaListFreshness.Action.CONNECT, freshness.due(1.5));
-        freshness.head();
-        assertTrue(freshness.dueAt() < 2.5, "a head proves nothing: " + freshness.dueAt());
-        assertEquals(ReplicaListFreshness.Action.DISCONNECT, freshness.due(freshness.dueAt()));
-        assertEquals(ReplicaListFreshness.RequestKind.FULL, freshness.next());
+        freshness.dueAction(0);
+        freshness.onFullList(0.1);
+        freshness.dueAction(0.1);
+        freshness.onWatchOpened();
+        freshness.onLine(1, false);
+        freshness.onAddressChange(1.5);
+        assertEquals(ReplicaListFreshness.Action.CONNECT, freshness.dueAction(1.5));
+        freshness.onWatchOpened();
+        assertTrue(freshness.dueAt() < 2.5, "a response head does not confirm the list: " + freshness.dueAt());
+        assertEquals(ReplicaListFreshness.Action.DISCONNECT, freshness.dueAction(freshness.dueAt()));
+        assertEquals(ReplicaListFreshness.RequestKind.FULL, freshness.nextRequest());
     }
 
     @Test
-    void anOldListServesANewProcessOnlyAfterTwoTriesThatBroughtNothing() {
+    void newProcessServesAnUnconfirmedListOnlyAfterTwoFailedAttempts() {
         ReplicaListFreshness freshness = new ReplicaListFreshness(0);
-        freshness.due(0);
-        freshness.over(0, false);
+        freshness.dueAction(0);
+        freshness.onAttemptEnd(0, false);
         assertFalse(freshness.canServeUnconfirmed());
-        freshness.due(freshness.dueAt());
-        freshness.over(0.2, false);
+        freshness.dueAction(freshness.dueAt());
+        freshness.onAttemptEnd(0.2, false);
         assertTrue(freshness.canServeUnconfirmed());
     }
 
     @Test
-    void objectsAreCutWhereTheyEndAndNowhereElse() {
+    void objectsAreSplitOnlyAtTheirEnd() {
         String odd = "{\"a\":\"}]\\\"{\\\\\",\n \"b\":[{\"c\":{}},[]]}";
-        List<String> cut = new ArrayList<>();
+        List<String> objects = new ArrayList<>();
         int[] lines = new int[1];
-        JsonObjectSplitter cutter = new JsonObjectSplitter(1000, cut::add, () -> lines[0]++);
+        JsonObjectSplitter splitter = new JsonObjectSplitter(1000, objects::add, () -> lines[0]++);
         for (byte one : (odd + "\r\n\n" + odd + odd + "\n").getBytes(StandardCharsets.UTF_8)) {
-            cutter.feed(one);
+            splitter.feed(one);
         }
-        assertEquals(List.of(odd, odd, odd), cut);
+        assertEquals(List.of(odd, odd, odd), objects);
         assertEquals(3, lines[0]);
-        assertThrows(IllegalArgumentException.class, () -> cutter.feed((byte) '}'));
-        JsonObjectSplitter small = new JsonObjectSplitter(4, cut::add, () -> {});
+        assertThrows(IllegalArgumentException.class, () -> splitter.feed((byte) '}'));
+        JsonObjectSplitter small = new JsonObjectSplitter(4, objects::add, () -> {});
         assertThrows(IllegalArgumentException.class, () -> {
             for (byte one : odd.getBytes(StandardCharsets.UTF_8)) {
                 small.feed(one);
