--- a/query-mixer/daemon/src/test/java/pinewick/ClientCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ClientCrossingTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Clients that leave, rest, crowd in or send at the wrong moment. */
+/** Clients that disconnect, stay idle, arrive in bursts or send at the wrong moment. */
 class ClientCrossingTest extends MixerHarness {
     @Test
     void whoDoesNotSendAWholeRequestInTimeIsTurnedOutAndNobodyElse() throws Exception {
@@ -27,7 +27,7 @@
         a.release.add("go");
         assertTrue(waits.answer().startsWith("200 "), "the first query with that id was not touched");
         String head = "POST /api HTTP/1.1\r\nHost: h\r\n";
-        List<Client> slow = new ArrayList<>();
+        List<Client> slowClients = new ArrayList<>();
         for (String part : List.of(
                 "",
                 "POST /a",
@@ -35,10 +35,10 @@
                 head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n")) {
             Client client = new Client();
             client.send(part);
-            slow.add(client);
+            slowClients.add(client);
         }
         long began = System.nanoTime();
-        for (Client client : slow) {
+        for (Client client : slowClients) {
             String answer = client.answer();
             assertTrue(answer.isEmpty() || answer.startsWith("4"), answer);
         }
@@ -96,7 +96,7 @@
         start(a);
         for (boolean atOnce : new boolean[] {true, false}) {
             Client leaver = new Client();
-            leaver.ahead = atOnce ? "POST /api HTTP/1.1\r\nHost: h\r\n" : "";
+            leaver.pipelined = atOnce ? "POST /api HTTP/1.1\r\nHost: h\r\n" : "";
             leaver.post("q" + atOnce, "idempotent", "[0]", "", false);
             assertNotNull(a.frames.poll(WAIT, TimeUnit.SECONDS));
             if (!atOnce) {
@@ -153,7 +153,7 @@
             signal("STOP");
             Searcher other = a.frames.isEmpty() ? a : b;
             if (!other.frames.isEmpty()) {
-                // The copy was out before the mixer stood still: once more.
+                // The second attempt was sent before the mixer was stopped: try again.
                 assertTrue(each < 20);
                 signal("CONT");
                 leaver.close();
@@ -184,12 +184,12 @@
     @Test
     void idleClientsThatFillTheDescriptorsLeaveDiscoveryItsOwn() throws Exception {
         sockets = 96;
-        descriptors = 96;
+        maxDescriptors = 96;
         Searcher a = new Searcher("a", 0, "answer");
         start(a);
         discovery.mute = true;
         discovery.server.close();
-        discovery.drop();
+        discovery.resetAll();
         List<Client> idle = new ArrayList<>();
         for (int each = 0; each < 200; each++) {
             Client client = new Client();
@@ -201,7 +201,7 @@
         assertTrue(mixer.isAlive());
         Searcher b = new Searcher("b", 1, "answer");
         discovery.revision = 6;
-        discovery.returns(piece(true, a.entry("ready"), b.entry("ready")));
+        discovery.restart(listUpdate(true, a.entry("ready"), b.entry("ready")));
         until(() -> {
             Client client = new Client();
             client.post("q" + System.nanoTime(), "idempotent", "[0,1]", "", false);
--- a/query-mixer/daemon/src/test/java/pinewick/FleetServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/FleetServeTest.java
@@ -17,15 +17,17 @@
 import pinewick.standins.StandinSearchers;
 
 /**
- * Stories of several mixers, each a process of its own from this build's classes, that see each other through a relay
- * which loses, delays, doubles and cuts. Whatever is waited for has a bound, which the story claims.
+ * Several mixers, each a process of its own from this build's classes, that see each other through a relay which loses,
+ * delays, duplicates and partitions. Every wait has a bound, which the test asserts.
  */
 class FleetServeTest {
-    private static final double START = 30; // seconds that so many processes may take to start on a busy machine
-    /** A pause that ends, to the others' eyes, before the least silence that a death takes. */
-    private static final double LONGEST_PAUSE = MembershipSettings.defaults().minSilenceSeconds() - 0.1;
-    /** How often a pause may be tried that a busy machine draws out over that. */
-    private static final int TRIES = 12;
+    /** A busy machine may take this long to start that many processes. */
+    private static final double START_TIMEOUT_SECONDS = 30;
+    /** The longest pause that ends, as seen by the others, before the least silence that a declared failure takes. */
+    private static final double MAX_PAUSE_SECONDS =
+            MembershipSettings.defaults().minSilenceSeconds() - 0.1;
+    /** Attempts for a pause that a busy machine may extend beyond that. */
+    private static final int MAX_ATTEMPTS = 12;
 
     @TempDir
     Path folder;
@@ -43,13 +45,14 @@
         fleet.close();
     }
 
-    private void sees(double within, String letters, int... places) throws Exception {
-        double took = fleet.until(within, letters, places);
+    private void awaitView(double timeoutSeconds, String letters, int... places) throws Exception {
+        double took = fleet.until(timeoutSeconds, letters, places);
         StringBuilder views = new StringBuilder();
         for (int place : places) {
             views.append(' ').append(fleet.figure(place, "fleet-view"));
         }
-        assertFalse(Double.isNaN(took), () -> letters + " was not seen by all within " + within + " s:" + views);
+        assertFalse(
+                Double.isNaN(took), () -> letters + " was not seen by all within " + timeoutSeconds + " s:" + views);
     }
 
     private double number(int place, String figure) throws Exception {
@@ -59,21 +62,21 @@
     @Test
     void aJoinIsSeenByAllACrashIsDeclaredAndARestartComesBackWithAHigherIncarnation() throws Exception {
         fleet(5, null, 0, 1, 2, 3);
-        sees(START, "AAAAU", 0, 1, 2, 3);
+        awaitView(START_TIMEOUT_SECONDS, "AAAAU", 0, 1, 2, 3);
         fleet.start(4);
-        assertTrue(fleet.mixer(4).awaitReady(START));
-        sees(2, "AAAAA", 0, 1, 2, 3, 4);
+        assertTrue(fleet.mixer(4).awaitReady(START_TIMEOUT_SECONDS));
+        awaitView(2, "AAAAA", 0, 1, 2, 3, 4);
         String first = fleet.figure(4, "fleet-incarnation");
         fleet.mixer(4).stop(false);
-        sees(5, "AAAAD", 0, 1, 2, 3);
+        awaitView(5, "AAAAD", 0, 1, 2, 3);
         assertEquals(4, number(0, "fleet-live"));
         assertEquals(5, number(0, "fleet-bound"), "a death counts off a budget only after it has stood for long");
         fleet.start(4);
-        assertTrue(fleet.mixer(4).awaitReady(START));
-        sees(2, "AAAAA", 0, 1, 2, 3, 4);
+        assertTrue(fleet.mixer(4).awaitReady(START_TIMEOUT_SECONDS));
+        awaitView(2, "AAAAA", 0, 1, 2, 3, 4);
         assertTrue(Long.parseLong(fleet.figure(4, "fleet-incarnation")) > Long.parseLong(first));
         fleet.mixer(3).stop(true);
-        sees(2, "AAALA", 0, 1, 2, 4);
+        awaitView(2, "AAALA", 0, 1, 2, 4);
         assertEquals(0, fleet.deathsOf(3, 0, 1, 2, 4), "it said itself that it stops");
         assertTrue(
                 fleet.relay().longest() <= 256, "a datagram of " + fleet.relay().longest() + " bytes");
@@ -82,23 +85,24 @@
     @Test
     void aMixerThatStandsStillForTwoSecondsIsNotDeclaredDeadNorDoesItDeclareOthers() throws Exception {
         fleet(4, null, 0, 1, 2, 3);
-        sees(START, "AAAA", 0, 1, 2, 3);
+        awaitView(START_TIMEOUT_SECONDS, "AAAA", 0, 1, 2, 3);
         int rounds = 0;
         for (int tries = 0; rounds < 2; tries++) {
-            assertTrue(tries < TRIES, "this machine is too busy to stop a process for two seconds");
+            assertTrue(tries < MAX_ATTEMPTS, "this machine is too busy to stop a process for two seconds");
             int before = deaths();
             double from = StandinSearchers.clock();
             fleet.mixer(2).signal("STOP");
             boolean died = FleetProcesses.within(2, () -> deaths() > before);
             fleet.mixer(2).signal("CONT");
-            assertTrue(FleetProcesses.within(START, () -> answers(2)));
+            assertTrue(FleetProcesses.within(START_TIMEOUT_SECONDS, () -> answers(2)));
             double pause = StandinSearchers.clock() - from;
-            if (pause > LONGEST_PAUSE) {
-                sees(START, "AAAA", 0, 1, 2, 3); // Of another pause, which may rightly be a death, nothing is claimed.
+            if (pause > MAX_PAUSE_SECONDS) {
+                // A longer pause may rightly count as a failure, so nothing is asserted about it.
+                awaitView(START_TIMEOUT_SECONDS, "AAAA", 0, 1, 2, 3);
                 continue;
             }
             assertFalse(died, "a death within the pause");
-            sees(5, "AAAA", 0, 1, 2, 3);
+            awaitView(5, "AAAA", 0, 1, 2, 3);
             assertEquals(before, deaths(), "after a pause of " + pause + " s");
             rounds++;
         }
@@ -127,16 +131,16 @@
     @Test
     void aPartitionOfSixSecondsHealsIntoOneViewAndAOneWayCutKillsNobody() throws Exception {
         fleet(5, null, 0, 1, 2, 3, 4);
-        sees(START, "AAAAA", 0, 1, 2, 3, 4);
+        awaitView(START_TIMEOUT_SECONDS, "AAAAA", 0, 1, 2, 3, 4);
         fleet.relay().cut((from, to) -> from == 0 && to == 1);
         assertFalse(
                 FleetProcesses.within(4, () -> oneDied()), "looked at by others, one that can't be heard here lives");
         fleet.relay().cut((from, to) -> from < 2 != to < 2);
-        sees(8, "AADDD", 0, 1);
-        sees(8, "DDAAA", 2, 3, 4);
+        awaitView(8, "AADDD", 0, 1);
+        awaitView(8, "DDAAA", 2, 3, 4);
         assertEquals(5, number(0, "fleet-bound"), "cut off is not dead: the others may go on sending");
         fleet.relay().cut((from, to) -> false);
-        sees(3, "AAAAA", 0, 1, 2, 3, 4);
+        awaitView(3, "AAAAA", 0, 1, 2, 3, 4);
         // All stand as alive before the last objection, which raises an incarnation, has come everywhere.
         assertTrue(FleetProcesses.within(3, this::sameDigests), "one view, incarnations too");
     }
@@ -168,34 +172,35 @@
         fleet = new FleetProcesses(4, null, folder, null, 7);
         fleet.list(3);
         fleet.start(0, 1, 2);
-        sees(START, "AAA", 0, 1, 2);
+        awaitView(START_TIMEOUT_SECONDS, "AAA", 0, 1, 2);
         String before = fleet.figure(0, "fleet-incarnation");
         fleet.list(4);
         for (int each = 0; each < 3; each++) {
             fleet.mixer(each).signal("HUP");
         }
-        sees(5, "AAAU", 0, 1, 2);
+        awaitView(5, "AAAU", 0, 1, 2);
         fleet.start(3);
-        assertTrue(fleet.mixer(3).awaitReady(START));
-        sees(2, "AAAA", 0, 1, 2, 3);
+        assertTrue(fleet.mixer(3).awaitReady(START_TIMEOUT_SECONDS));
+        awaitView(2, "AAAA", 0, 1, 2, 3);
         assertEquals(before, fleet.figure(0, "fleet-incarnation"), "it was not started anew");
     }
 
     @Test
     void datagramsOfStrangersAndNoiseAreDroppedAndCounted() throws Exception {
         fleet(2, null, 0, 1);
-        sees(START, "AA", 0, 1);
+        awaitView(START_TIMEOUT_SECONDS, "AA", 0, 1);
         try (DatagramSocket stranger = new DatagramSocket()) {
             for (int length : new int[] {0, 1, 20, 256, 257, 2000}) {
                 stranger.send(new DatagramPacket(new byte[length], length, fleet.home(0)));
             }
         }
-        fleet.relay().inject(1, 0, new byte[50]); // past the links' loss, which would swallow one datagram in ten
+        // Bypasses the loss of the links, which would drop one datagram in ten.
+        fleet.relay().inject(1, 0, new byte[50]);
         assertTrue(
                 FleetProcesses.within(
                         5, () -> dropped("fleet-dropped-stranger") >= 6 && dropped("fleet-dropped-version") >= 1),
                 "noise through the relay bears a member's address");
-        sees(1, "AA", 0, 1);
+        awaitView(1, "AA", 0, 1);
         assertEquals(1, number(0, "fleet-dropped-version"), "it came once and was counted once");
         assertEquals(0, number(0, "faults"));
     }
@@ -214,7 +219,8 @@
         Path operator = folder.resolve("operator.json");
         Files.writeString(operator, "{\"fleet\":{\"view\":\"off\"}}");
         fleet(2, operator, 0, 1);
-        assertTrue(fleet.mixer(0).awaitReady(START) && fleet.mixer(1).awaitReady(START));
+        assertTrue(fleet.mixer(0).awaitReady(START_TIMEOUT_SECONDS)
+                && fleet.mixer(1).awaitReady(START_TIMEOUT_SECONDS));
         assertEquals("", fleet.figure(0, "fleet-view"));
         assertEquals(0, fleet.relay().carried());
         assertNotEquals("", fleet.figure(0, "faults"), "it tells its other figures");
--- a/query-mixer/daemon/src/test/java/pinewick/MixerHarness.java
+++ b/query-mixer/daemon/src/test/java/pinewick/MixerHarness.java
@@ -30,7 +30,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole program as a process, with small searchers, clients and a small discovery of the project's own. */
+/**
+ * Runs the whole program as a process, with in-process fakes of the replicas, the clients and the discovery service.
+ */
 @Timeout(60)
 abstract class MixerHarness {
     static final int WAIT = 20;
@@ -43,20 +45,20 @@
     Process mixer;
     int port;
     int sockets = 1024;
-    /** What the system lets the mixer hold, its program's own files with it; 0 for what this machine gives. */
-    int descriptors;
+    /** Descriptor limit of the mixer process, including its own files; 0 for the default of this machine. */
+    int maxDescriptors;
 
-    String goal = "1e9";
-    String floor = "1";
-    String window = "2e9";
-    String dial = "25e7";
-    String deadline = "2.5";
-    /** The longest that the deployment lets a query last, nanoseconds. */
-    String hardLimit = "3e9";
+    String goalNs = "1e9";
+    String classFloor = "1";
+    String dedupWindowNs = "2e9";
+    String connectTimeoutNs = "25e7";
+    String deadlineSeconds = "2.5";
+    /** Hard limit of a query in the deployment, nanoseconds. */
+    String hardLimitNs = "3e9";
 
     ProcessBuilder.Redirect log = ProcessBuilder.Redirect.INHERIT;
-    /** What the mixer's configuration knows of the list. */
-    String[] known = {};
+    /** Replica entries in the mixer's configuration. */
+    String[] knownEntries = {};
 
     @BeforeEach
     void opens() throws IOException {
@@ -73,16 +75,14 @@
         }
     }
 
-    // ---- the stand-ins ----
-
-    final void hangUp() throws Exception {
+    final void sendSighup() throws Exception {
         HangUpPrecondition.check();
         assertEquals(
                 0, new ProcessBuilder("kill", "-HUP", "" + mixer.pid()).start().waitFor());
         Thread.sleep(150);
     }
 
-    /** Sends the mixer a signal by its name. */
+    /** Sends the mixer a signal by name. */
     final void signal(String name) throws Exception {
         assertEquals(
                 0,
@@ -91,14 +91,14 @@
 
     /** Starts a mixer and waits until it is ready and follows the list. */
     void start(Searcher... searchers) throws Exception {
-        discovery.watches.clear();
+        discovery.watchRequests.clear();
         launch(searchers);
         awaitReady();
         until(new Client(), "list-pieces 2\n");
-        assertNotNull(discovery.watches.poll(WAIT, TimeUnit.SECONDS), "it follows the list");
+        assertNotNull(discovery.watchRequests.poll(WAIT, TimeUnit.SECONDS), "it follows the list");
     }
 
-    /** Starts a mixer. */
+    /** Starts a mixer without waiting for it. */
     void launch(Searcher... searchers) throws Exception {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
@@ -108,11 +108,11 @@
             entries[each] = searchers[each].entry("ready");
         }
         discovery.revision = 4;
-        String before = piece(true, known);
+        String before = listUpdate(true, knownEntries);
         discovery.revision = 5;
-        discovery.first = piece(true, entries);
-        String grade = "{\"name\":\"%s\",\"slo-ns\":" + goal + ",\"hard-limit-ns\":" + hardLimit + ",\"late-worth\":0,"
-                + "\"effect\":\"%s\",\"dedup-window-ns\":" + window + "}";
+        discovery.list = listUpdate(true, entries);
+        String grade = "{\"name\":\"%s\",\"slo-ns\":" + goalNs + ",\"hard-limit-ns\":" + hardLimitNs
+                + ",\"late-worth\":0," + "\"effect\":\"%s\",\"dedup-window-ns\":" + dedupWindowNs + "}";
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
@@ -125,9 +125,9 @@
                         + String.format(grade, "unrepeatable", "fragile")
                         + "],\"bounds\":{\"multiplex\":100,\"try-limit\":4,\"parallel-tries\":true,"
                         + "\"may-cancel\":true,\"probing\":"
-                        + "true,\"max-open\":1000,\"dial-timeout-ns\":" + dial + "},"
+                        + "true,\"max-open\":1000,\"dial-timeout-ns\":" + connectTimeoutNs + "},"
                         + "\"family-info\":{\"cells\":2,\"reach\":1,\"slabs\":4,\"per-call\":4,"
-                        + "\"class-floor\":[" + floor + ",1,1],\"incomplete-worth\":[0.9,0,0]}}}");
+                        + "\"class-floor\":[" + classFloor + ",1,1],\"incomplete-worth\":[0.9,0,0]}}}");
         mixer = program(file).redirectError(log).start();
     }
 
@@ -154,8 +154,8 @@
                 System.getProperty("java.class.path"),
                 "pinewick.Main",
                 "serve"));
-        if (descriptors > 0) {
-            words.addAll(0, List.of("/bin/sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
+        if (maxDescriptors > 0) {
+            words.addAll(0, List.of("/bin/sh", "-c", "ulimit -n " + maxDescriptors + " && exec \"$@\"", "sh"));
         }
         ProcessBuilder builder = new ProcessBuilder(words);
         builder.environment().keySet().removeIf(name -> name.startsWith("EDGE_"));
@@ -163,25 +163,25 @@
         return builder;
     }
 
-    /** Asks for the counters until they say this; the test's time limit ends a wait in vain. */
+    /** Polls the counters until they contain this line; bounded by the timeout of the test. */
     static void until(Client client, String line) throws Exception {
         while (!client.get("/counters").contains(line)) {
             Thread.sleep(10);
         }
     }
 
-    interface Ask {
-        boolean says() throws Exception;
+    interface Condition {
+        boolean holds() throws Exception;
     }
 
-    /** Asks until it says yes; the test's time limit ends a wait in vain. */
-    static void until(Ask ask) throws Exception {
-        while (!ask.says()) {
+    /** Polls the condition until it holds; bounded by the timeout of the test. */
+    static void until(Condition condition) throws Exception {
+        while (!condition.holds()) {
             Thread.sleep(10);
         }
     }
 
-    String piece(boolean whole, String... entries) {
+    String listUpdate(boolean whole, String... entries) {
         return "{\"revision\":" + discovery.revision + ",\"complete\":" + whole + ",\"members\":["
                 + String.join(",", entries) + "]}";
     }
@@ -201,7 +201,7 @@
             try {
                 work.run();
             } catch (Exception over) {
-                // The far end or the story is over.
+                // The peer has closed or the test is over.
             }
         });
         thread.setDaemon(true);
@@ -209,27 +209,27 @@
     }
 
     /**
-     * Answers a watch with the list and then with whatever is told, on the newest watch; says each second that it
-     * lives.
+     * A fake discovery service: answers a watch with the list and then with every update, on the newest watch; sends a
+     * heartbeat line every second.
      */
     final class Discovery {
         ServerSocket server = listen();
-        final int place = server.getLocalPort();
+        final int discoveryPort = server.getLocalPort();
         private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-        final BlockingQueue<String> watches = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> wholes = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> watchRequests = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> fullListRequests = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> endedWatches = new LinkedBlockingQueue<>();
         final BlockingQueue<String> release = new LinkedBlockingQueue<>();
         volatile long revision;
-        volatile String first = "";
-        /** Watches, open or new, get no line any more, and nothing is told on them. */
+        volatile String list = "";
+        /** If set, open and new watches get neither heartbeats nor updates. */
         volatile boolean mute;
-        /** Whole lists wait for a word in {@link #release}. */
+        /** If set, each full list waits for an element in {@link #release}. */
         volatile boolean held;
-        /** So many whole lists, without a length, are reset behind their last byte. */
-        final AtomicInteger resets = new AtomicInteger();
-        /** What each new watch gets in place of the list; null for the list. */
-        volatile String nonsense;
+        /** Number of full lists that are sent without a length and reset after their last byte. */
+        final AtomicInteger resetResponses = new AtomicInteger();
+        /** Sent on each new watch in place of the list; null to send the list. */
+        volatile String invalidWatchResponse;
 
         private volatile OutputStream watch;
 
@@ -259,26 +259,26 @@
         }
 
         /** Resets every connection. */
-        void drop() throws IOException {
+        void resetAll() throws IOException {
             for (Socket each : sockets) {
                 each.setSoLinger(true, 0);
                 each.close();
             }
         }
 
-        /** Is there again, after its server was closed, with this list. */
-        void returns(String list) throws IOException {
+        /** Listens again on the same port, after the server was closed, and serves this list. */
+        void restart(String newList) throws IOException {
             server = new ServerSocket();
             open.add(server);
             server.setReuseAddress(true);
-            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), place));
-            first = list;
+            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), discoveryPort));
+            list = newList;
             mute = false;
             thread(this::accepts);
         }
 
         String address() {
-            return "127.0.0.1:" + place;
+            return "127.0.0.1:" + discoveryPort;
         }
 
         private void serve(Socket socket) throws Exception {
@@ -287,39 +287,38 @@
             if (request.contains("stream=1")) {
                 out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.UTF_8));
                 watch = out;
-                if (nonsense != null) {
-                    tell(nonsense);
+                if (invalidWatchResponse != null) {
+                    sendUpdate(invalidWatchResponse);
                 } else if (!mute && !request.contains("index=" + revision + " ")) {
-                    tell(first);
+                    sendUpdate(list);
                 }
-                watches.add(request);
+                watchRequests.add(request);
                 try {
                     int more = 0;
                     while (more >= 0) {
                         more = socket.getInputStream().read();
                     }
                 } finally {
-                    ended.add("ended"); // a reset ends it as well
+                    endedWatches.add("ended"); // also after a reset
                 }
             } else {
-                wholes.add(request);
+                fullListRequests.add(request);
                 if (held) {
                     release.take();
                 }
-                if (resets.get() > 0) {
-                    resets.decrementAndGet();
-                    out.write(
-                            ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + first).getBytes(StandardCharsets.UTF_8));
+                if (resetResponses.get() > 0) {
+                    resetResponses.decrementAndGet();
+                    out.write(("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + list).getBytes(StandardCharsets.UTF_8));
                     socket.setSoLinger(true, 0);
                     socket.close();
                     return;
                 }
-                out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + first.length() + "\r\n\r\n" + first)
+                out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                         .getBytes(StandardCharsets.UTF_8));
             }
         }
 
-        void tell(String line) throws IOException {
+        void sendUpdate(String line) throws IOException {
             chunk(line + "\n");
         }
 
@@ -330,24 +329,24 @@
         }
     }
 
-    /** Speaks frames; what it does with a part is its way. */
+    /** A fake replica that speaks the frame protocol; its behaviour names what it does with a part. */
     final class Searcher {
         final String id;
         final int cell;
-        final String way;
+        final String behaviour;
         final ServerSocket server;
         final BlockingQueue<String> frames = new LinkedBlockingQueue<>();
         final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
         final BlockingQueue<String> release = new LinkedBlockingQueue<>();
 
-        Searcher(String id, int cell, String way) throws IOException {
+        Searcher(String id, int cell, String behaviour) throws IOException {
             this.id = id;
             this.cell = cell;
-            this.way = way;
-            server = way.equals("late") ? new ServerSocket(0, 1, InetAddress.getLoopbackAddress()) : listen();
+            this.behaviour = behaviour;
+            server = behaviour.equals("late") ? new ServerSocket(0, 1, InetAddress.getLoopbackAddress()) : listen();
             open.add(server);
             thread(() -> {
-                if (way.equals("late")) {
+                if (behaviour.equals("late")) {
                     release.take();
                 }
                 while (true) {
@@ -392,7 +391,7 @@
                     continue;
                 }
                 String part = left.split(" ")[0];
-                switch (way) {
+                switch (behaviour) {
                     case "answer", "late" -> write(socket, "5" + part + " S 1 queue=0,qps=1.5\n" + id + "." + part);
                     case "reset" -> socket.close();
                     case "garbage" -> write(socket, "5nothing");
@@ -415,10 +414,11 @@
                     case "twice", "report", "noise" -> {
                         write(
                                 socket,
-                                "5" + part + " S 1 " + (way.equals("report") ? "queue=%%%" : "queue=0") + "\nvalue");
-                        if (way.equals("twice")) {
+                                "5" + part + " S 1 " + (behaviour.equals("report") ? "queue=%%%" : "queue=0")
+                                        + "\nvalue");
+                        if (behaviour.equals("twice")) {
                             write(socket, "5" + part + " S 1 -\nvalue");
-                        } else if (way.equals("noise")) {
+                        } else if (behaviour.equals("noise")) {
                             socket.getOutputStream().write("noise".getBytes(StandardCharsets.UTF_8));
                         }
                     }
@@ -460,8 +460,8 @@
     final class Client implements AutoCloseable {
         private final Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
 
-        /** Goes out behind the next request, in one piece with it. */
-        String ahead = "";
+        /** Sent after the next request, in the same write. */
+        String pipelined = "";
 
         Client() throws IOException {
             socket.setSoTimeout(WAIT * 1000);
@@ -486,16 +486,16 @@
             String text = body.append("],\"filter\":\"t\u00e9\"}").toString();
             int length = text.getBytes(StandardCharsets.UTF_8).length;
             send("POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline: "
-                    + deadline
+                    + deadlineSeconds
                     + "\r\n" + more
                     + (chunked
                             ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(length) + "\r\n" + text
                                     + "\r\n0\r\n\r\n"
                             : "Content-Length: " + length + "\r\n\r\n" + text)
-                    + ahead);
+                    + pipelined);
         }
 
-        /** Status, blank, body; empty where the connection ended instead. */
+        /** Reads a response: status, blank, body; empty if the connection ended instead. */
         String answer() throws IOException {
             String head;
             try {
@@ -516,7 +516,7 @@
             return head.substring(9, 12) + " " + new String(body, StandardCharsets.UTF_8);
         }
 
-        /** How the connection ended, with nothing more before that: by an end or by a reset. */
+        /** How the connection ended, if nothing more was received: by end of stream or by a reset. */
         String ending() throws IOException {
             try {
                 return socket.getInputStream().read() < 0 ? "end" : "more";
--- a/query-mixer/daemon/src/test/java/pinewick/RegistryServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/RegistryServeTest.java
@@ -19,11 +19,11 @@
 import pinewick.standins.StandinSearchers;
 
 /**
- * Stories of a real mixer, in a process of its own from this build's classes, that follows a stand-in registry on
- * sockets. Whatever is waited for has a bound; nothing is told by how long it took.
+ * A mixer in a process of its own, from this build's classes, that follows a fake registry on sockets. Every wait has a
+ * bound; no test depends on how long something took.
  */
 class RegistryServeTest {
-    private static final String GRADE =
+    private static final String SERVICE_CLASS =
             "{\"name\":\"any\",\"slo-ns\":1e9,\"hard-limit-ns\":3e9,\"effect\":\"retryable\"}";
     private static final String PREFIX = "/stores/";
 
@@ -33,7 +33,7 @@
     private StandinRegistry registry;
     private StandinSearchers searchers;
     private MixerProcess mixer;
-    private int asked;
+    private int queryCount;
 
     @BeforeEach
     void open() throws Exception {
@@ -48,7 +48,7 @@
                 "{\"registry\":{\"endpoints\":[\"" + registry.members().get(0).address() + "\",\""
                         + registry.members().get(1).address() + "\"],\"prefix\":\"" + PREFIX + "\",\"page-keys\":2,"
                         + "\"line-bytes\":65536,\"kept\":\"" + folder.resolve("kept") + "\"}}");
-        mixer = new MixerProcess(null, folder, operator, GRADE, 2);
+        mixer = new MixerProcess(null, folder, operator, SERVICE_CLASS, 2);
     }
 
     @AfterEach
@@ -73,20 +73,20 @@
     private String log() {
         try {
             return Files.readString(mixer.log());
-        } catch (java.io.IOException none) {
-            return none.toString();
+        } catch (java.io.IOException unreadable) {
+            return unreadable.toString();
         }
     }
 
-    private void await(String what, BooleanSupplier seen) throws Exception {
-        double until = StandinSearchers.clock() + 30;
-        while (!seen.getAsBoolean()) {
-            assertTrue(StandinSearchers.clock() < until, () -> what + " did not come\n" + log());
+    private void await(String what, BooleanSupplier condition) throws Exception {
+        double deadline = StandinSearchers.clock() + 30;
+        while (!condition.getAsBoolean()) {
+            assertTrue(StandinSearchers.clock() < deadline, () -> what + " did not come\n" + log());
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
 
-    private boolean follows(long revision) {
+    private boolean isAtRevision(long revision) {
         try {
             String counters = mixer.get("/counters");
             return counters != null && counters.contains("registry-revision " + revision + "\n");
@@ -96,14 +96,14 @@
     }
 
     private void awaitNewest() throws Exception {
-        await("revision " + registry.revision(), () -> follows(registry.revision()));
+        await("revision " + registry.revision(), () -> isAtRevision(registry.revision()));
     }
 
-    /** Asks some queries; how many parts came to each searcher for them. */
+    /** Sends queries; returns how many of their parts arrived at each replica. */
     private int[] ask(int queries) throws Exception {
         int before = searchers.arrivals().size();
         for (int each = 0; each < queries; each++) {
-            assertEquals(200, mixer.ask("q-" + asked++, "any", 2, 2), () -> log());
+            assertEquals(200, mixer.ask("q-" + queryCount++, "any", 2, 2), () -> log());
         }
         int[] parts = new int[4];
         List<StandinSearchers.Arrival> all = searchers.arrivals();
@@ -261,19 +261,19 @@
                                 "\"page-keys\"",
                                 "\"mixers-prefix\":\"/mixers/\",\"lease-s\":2,\"lower-after-s\":1,\"page-keys\""));
         start();
-        await("its own key", () -> counts("mixers-shown 1\nown-key-held 1"));
-        // Two are stated; three are shown once others register, under a lease that then runs out.
+        await("its own key", () -> countersContain("mixers-shown 1\nown-key-held 1"));
+        // Two mixers are configured; three are counted once others register, under a lease that then expires.
         registry.put("/mixers/a", "{\"addresses\":[\"127.0.0.1:1\"]}".getBytes(StandardCharsets.UTF_8), 9);
         registry.put("/mixers/b", "{\"addresses\":[\"127.0.0.1:2\"]}".getBytes(StandardCharsets.UTF_8), 9);
-        await("three mixers", () -> counts("mixers-counted 3\n"));
+        await("three mixers", () -> countersContain("mixers-counted 3\n"));
         ask(3);
         registry.expire(9);
-        await("one mixer", () -> counts("mixers-counted 1\n"));
+        await("one mixer", () -> countersContain("mixers-counted 1\n"));
         mixer.stop(false);
         await("the end of its lease", () -> registry.keys("/mixers/") == 0);
     }
 
-    private boolean counts(String lines) {
+    private boolean countersContain(String lines) {
         try {
             String counters = mixer.get("/counters");
             return counters != null && counters.contains(lines);
@@ -292,15 +292,15 @@
         awaitNewest();
         registry.put(PREFIX + "s-9", "{\"addresses\":[]}");
         await("the bad value's line", () -> log().contains("at least one is expected"));
-        boolean whole = false;
+        boolean hasViewLine = false;
         for (String line : log().lines().toList()) {
             var entry = com.google.gson.JsonParser.parseString(line).getAsJsonObject();
             assertTrue(entry.has("time") && entry.has("level") && entry.has("component"), line);
-            whole |= entry.get("component").getAsString().equals("registry")
+            hasViewLine |= entry.get("component").getAsString().equals("registry")
                     && entry.get("message").getAsString().startsWith("registry: whole view")
                     && entry.get("revision").getAsString().equals("5");
         }
-        assertTrue(whole, log());
+        assertTrue(hasViewLine, log());
     }
 
     @Test
@@ -319,7 +319,7 @@
         put(2, "draining");
         registry.members().forEach(StandinRegistry.Member::drop);
         awaitNewest();
-        await("all keys", () -> counts("registry-keys 10004\n"));
+        await("all keys", () -> countersContain("registry-keys 10004\n"));
         int[] parts = ask(10);
         assertTrue(parts[0] == 10 && parts[2] == 0);
     }
--- a/query-mixer/daemon/src/test/java/pinewick/SearcherCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/SearcherCrossingTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Connections to searchers that break, fall silent or bring what they should not. */
+/** Connections to replicas that break, fall silent or deliver invalid data. */
 class SearcherCrossingTest extends MixerHarness {
     @Test
     void spoiltAnswersEndTheirOwnLaunchesAndGoodOnesKeepTheirValue() throws Exception {
@@ -69,11 +69,11 @@
 
     @Test
     void aRepeatThatWaitsForAConnectionIsNotWrittenPastItsWindow() throws Exception {
-        window = "4e8";
-        dial = "3e9";
+        dedupWindowNs = "4e8";
+        connectTimeoutNs = "3e9";
         Searcher b = new Searcher("b", 0, "late");
         for (int each = 0; each < 2; each++) {
-            // They fill the queue of connections, so that the mixer's own does not come up yet.
+            // These fill the accept backlog, so that the mixer's own connection is not established yet.
             open.add(new Socket(InetAddress.getLoopbackAddress(), b.server.getLocalPort()));
         }
         start(new Searcher("a", 0, "reset"), b);
--- a/query-mixer/daemon/src/test/java/pinewick/ServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ServeTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Stories of the whole program on sockets: what it answers, and what it refuses. */
+/** The whole program on sockets: what it answers and what it refuses. */
 class ServeTest extends MixerHarness {
     @Test
     void aCalmQueryIsAnsweredWithTheValuesThatCame() throws Exception {
@@ -41,8 +41,8 @@
 
     @Test
     void anAnswerInPartSaysSo() throws Exception {
-        goal = "4e8";
-        floor = "0.5";
+        goalNs = "4e8";
+        classFloor = "0.5";
         start(new Searcher("a", 0, "answer"), new Searcher("b", 1, "silent"));
         Client client = new Client();
         client.post("q1", "idempotent", "[0,1]", "", false);
@@ -129,7 +129,7 @@
 
     @Test
     void aQueryThatNobodyServesIsEndedByTheDecisionsAndNotByTheNet() throws Exception {
-        goal = "3e9";
+        goalNs = "3e9";
         start(new Searcher("a", 0, "silent"));
         Client client = new Client();
         client.post("q1", "idempotent", "[0]", "", false);
--- a/query-mixer/daemon/src/test/java/pinewick/ShutdownCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ShutdownCrossingTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What happens while the program ends in order. */
+/** Events during an orderly shutdown. */
 class ShutdownCrossingTest extends MixerHarness {
     @Test
     void whatWasTakenIsAnsweredBeforeTheEnd() throws Exception {
@@ -35,8 +35,8 @@
         assertEquals(0, mixer.exitValue());
     }
 
-    /** Ends with the mixer leaving: its door is still open and it says that it is not ready. */
-    private void leaving() throws Exception {
+    /** Returns once the mixer is draining: it still accepts connections and reports that it is not ready. */
+    private void startDraining() throws Exception {
         mixer.destroy();
         Client late = new Client();
         String ready = "200 ";
@@ -49,7 +49,7 @@
     @Test
     void connectionsThatWaitToBeAcceptedAsTheDoorClosesAreAnswered() throws Exception {
         start(new Searcher("a", 0, "answer"));
-        leaving();
+        startDraining();
         signal("STOP");
         List<Client> waiting = new ArrayList<>();
         for (int each = 0; each < 5; each++) {
@@ -70,8 +70,8 @@
     void aRequestThatCantEndBeforeTheExitIsTurnedAwayAtOnce() throws Exception {
         Searcher a = new Searcher("a", 0, "silent");
         start(a);
-        deadline = "30";
-        leaving();
+        deadlineSeconds = "30";
+        startDraining();
         Client client = new Client();
         long began = System.nanoTime();
         client.post("q", "idempotent", "[0]", "", false);
@@ -98,7 +98,7 @@
         Path pipe = folder.resolve("log");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         try (RandomAccessFile both = new RandomAccessFile(pipe.toFile(), "rw")) {
-            both.write(new byte[64 << 10]); // all that it holds
+            both.write(new byte[64 << 10]); // the capacity of the pipe
             log = ProcessBuilder.Redirect.to(pipe.toFile());
             start(new Searcher("a", 0, "answer"));
             Client client = new Client();
@@ -117,9 +117,10 @@
         discovery.held = true;
         Searcher a = new Searcher("a", 0, "answer");
         launch(a);
-        assertNotNull(discovery.wholes.poll(WAIT, TimeUnit.SECONDS), "it is starting: the list is not read yet");
+        assertNotNull(
+                discovery.fullListRequests.poll(WAIT, TimeUnit.SECONDS), "it is starting: the list is not read yet");
         mixer.destroy();
-        hangUp();
+        sendSighup();
         mixer.destroy();
         assertTrue(mixer.waitFor(WAIT, TimeUnit.SECONDS));
         assertEquals(0, mixer.exitValue());
--- a/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
@@ -22,21 +22,23 @@
 import pinewick.standins.StandinSearchers;
 
 /**
- * Stories of several mixer processes that replicate what they see of stand-in searchers, through a relay that loses a
- * tenth, with liars among them and disks that spoil snapshots. Whatever is waited for has a bound.
+ * Several mixer processes that replicate facts about fake replicas, through a relay that loses a tenth of the
+ * datagrams, with peers that send false facts and corrupted snapshot files. Every wait has a bound.
  */
 class StateServeTest {
-    private static final double START = 30;
-    private static final double[] TAKES = {0.03, 0.06, 0.09, 0.12};
-    /** As far apart, but so slow that what a busy machine adds to an answer is a small part of it. */
-    private static final double[] TAKES_LONGER = {0.12, 0.24, 0.36, 0.48};
+    private static final double START_TIMEOUT_SECONDS = 30;
+    private static final double[] SERVICE_SECONDS = {0.03, 0.06, 0.09, 0.12};
+    /**
+     * The same ratios, but slow enough that the delay which a busy machine adds to a response is a small part of it.
+     */
+    private static final double[] SLOW_SERVICE_SECONDS = {0.12, 0.24, 0.36, 0.48};
 
     @TempDir
     Path folder;
 
     private StandinSearchers searchers;
     private FleetProcesses fleet;
-    private int asked;
+    private int queryCount;
 
     private void fleet(int size, String operator, List<String> addresses) throws Exception {
         Path file = folder.resolve("operator.json");
@@ -46,13 +48,13 @@
     }
 
     private List<String> searchers() throws Exception {
-        return searchers(TAKES);
+        return searchers(SERVICE_SECONDS);
     }
 
-    private List<String> searchers(double... takes) throws Exception {
-        searchers = new StandinSearchers(takes);
+    private List<String> searchers(double... serviceSeconds) throws Exception {
+        searchers = new StandinSearchers(serviceSeconds);
         List<String> addresses = new ArrayList<>();
-        for (int each = 0; each < takes.length; each++) {
+        for (int each = 0; each < serviceSeconds.length; each++) {
             addresses.add(searchers.address(each));
         }
         return addresses;
@@ -63,10 +65,10 @@
             fleet.start(each);
         }
         for (int each = 0; each < size; each++) {
-            assertTrue(fleet.mixer(each).awaitReady(START));
+            assertTrue(fleet.mixer(each).awaitReady(START_TIMEOUT_SECONDS));
         }
         int[] all = java.util.stream.IntStream.range(0, size).toArray();
-        assertTrue(fleet.until(START, "A".repeat(size), all) <= START);
+        assertTrue(fleet.until(START_TIMEOUT_SECONDS, "A".repeat(size), all) <= START_TIMEOUT_SECONDS);
     }
 
     @AfterEach
@@ -78,29 +80,30 @@
     }
 
     private int ask(int mixer) throws Exception {
-        return fleet.mixer(mixer).ask("q-" + asked++, "any", TAKES.length, 2.5);
+        return fleet.mixer(mixer).ask("q-" + queryCount++, "any", SERVICE_SECONDS.length, 2.5);
     }
 
-    /** What a mixer holds of the searchers from the others, ms by searcher. */
-    private Map<String, Double> paces(int mixer) {
+    /** Latencies of the replicas that a mixer knows from the others, in ms by replica. */
+    private Map<String, Double> latenciesMs(int mixer) {
         try {
-            Map<String, Double> paces = new HashMap<>();
+            Map<String, Double> latencies = new HashMap<>();
             for (String each : fleet.figure(mixer, "state-paces").split(",")) {
                 if (each.contains("=")) {
-                    paces.put(each.split("=")[0], Double.parseDouble(each.split("=")[1]));
+                    latencies.put(each.split("=")[0], Double.parseDouble(each.split("=")[1]));
                 }
             }
-            return paces;
-        } catch (InterruptedException odd) {
-            throw new IllegalStateException(odd);
+            return latencies;
+        } catch (InterruptedException interrupted) {
+            throw new IllegalStateException(interrupted);
         }
     }
 
-    private boolean knows(int mixer, double within, double... takes) {
-        Map<String, Double> its = paces(mixer);
-        for (int each = 0; each < takes.length; each++) {
-            double off = Math.abs(its.getOrDefault("s-" + each, -1e9) - takes[each] * 1e3) / (takes[each] * 1e3);
-            if (off > within) {
+    private boolean knowsLatencies(int mixer, double tolerance, double... serviceSeconds) {
+        Map<String, Double> known = latenciesMs(mixer);
+        for (int each = 0; each < serviceSeconds.length; each++) {
+            double off = Math.abs(known.getOrDefault("s-" + each, -1e9) - serviceSeconds[each] * 1e3)
+                    / (serviceSeconds[each] * 1e3);
+            if (off > tolerance) {
                 return false;
             }
         }
@@ -109,24 +112,32 @@
 
     @Test
     void whatSomeLearnAllKnowAndOneThatReturnsCatchesUpBeforeItHasServedAnything() throws Exception {
-        fleet(4, "{\"fleet\":{\"state\":\"on\"}}", searchers(TAKES_LONGER));
+        fleet(4, "{\"fleet\":{\"state\":\"on\"}}", searchers(SLOW_SERVICE_SECONDS));
         startAll(4);
-        for (int round = 0; round < 40 && !(knows(3, 0.35, TAKES_LONGER) && knows(0, 0.35, TAKES_LONGER)); round++) {
+        for (int round = 0;
+                round < 40
+                        && !(knowsLatencies(3, 0.35, SLOW_SERVICE_SECONDS)
+                                && knowsLatencies(0, 0.35, SLOW_SERVICE_SECONDS));
+                round++) {
             for (int mixer = 0; mixer < 3; mixer++) {
                 assertEquals(200, ask(mixer));
             }
         }
         assertTrue(
-                FleetProcesses.within(3, () -> knows(3, 0.35, TAKES_LONGER)),
-                () -> "mixer 3 never asked a searcher: " + paces(3));
-        assertTrue(FleetProcesses.within(START, () -> digestsAgree(4)), "the copies agree once nothing new comes");
-        // A figure is a median over the other mixers' words, so only this mixer's own, of before, says what it has to
-        // be.
-        Map<String, Double> before = paces(3);
+                FleetProcesses.within(3, () -> knowsLatencies(3, 0.35, SLOW_SERVICE_SECONDS)),
+                () -> "mixer 3 never asked a searcher: " + latenciesMs(3));
+        assertTrue(
+                FleetProcesses.within(START_TIMEOUT_SECONDS, () -> digestsAgree(4)),
+                "the copies agree once nothing new comes");
+        // A value is the median over the facts of the other mixers, so the value to expect is the one that this mixer
+        // itself had before.
+        Map<String, Double> before = latenciesMs(3);
         fleet.mixer(3).stop(false);
         fleet.start(3);
-        assertTrue(fleet.mixer(3).awaitReady(START));
-        assertTrue(FleetProcesses.within(2, () -> paces(3).equals(before)), () -> paces(3) + " and before " + before);
+        assertTrue(fleet.mixer(3).awaitReady(START_TIMEOUT_SECONDS));
+        assertTrue(
+                FleetProcesses.within(2, () -> latenciesMs(3).equals(before)),
+                () -> latenciesMs(3) + " and before " + before);
         assertEquals(figure(2, "state-digest"), figure(3, "state-digest"), "all that the others hold");
         assertTrue(FleetProcesses.within(5, () -> log(3).contains("caught up with the other mixers")), () -> log(3));
     }
@@ -143,8 +154,8 @@
     private String log(int mixer) {
         try {
             return Files.readString(fleet.mixer(mixer).log());
-        } catch (java.io.IOException odd) {
-            throw new java.io.UncheckedIOException(odd);
+        } catch (java.io.IOException interrupted) {
+            throw new java.io.UncheckedIOException(interrupted);
         }
     }
 
@@ -155,18 +166,18 @@
         fleet(3, "{\"fleet\":{\"state\":\"on\"}}", addresses);
         startAll(3);
         fleet.relay().cut((from, to) -> from == 2 || to == 2);
-        boolean[] over = {false};
-        Thread asks = new Thread(() -> {
+        boolean[] done = {false};
+        Thread queries = new Thread(() -> {
             try {
-                while (!over[0]) {
+                while (!done[0]) {
                     ask(0);
                     ask(1);
                 }
             } catch (Exception gone) {
-                over[0] = true;
+                done[0] = true;
             }
         });
-        asks.start();
+        queries.start();
         try {
             assertTrue(FleetProcesses.within(10, () -> !figure(0, "state-facts").equals("0")));
             fleet.relay().cut((from, to) -> false);
@@ -174,8 +185,8 @@
                     FleetProcesses.within(10, () -> figure(2, "state-warned").contains("s-2")),
                     () -> figure(2, "state-warned"));
         } finally {
-            over[0] = true;
-            asks.join();
+            done[0] = true;
+            queries.join();
         }
         assertTrue(
                 FleetProcesses.within(
@@ -188,8 +199,8 @@
     private String figure(int mixer, String name) {
         try {
             return fleet.figure(mixer, name);
-        } catch (InterruptedException odd) {
-            throw new IllegalStateException(odd);
+        } catch (InterruptedException interrupted) {
+            throw new IllegalStateException(interrupted);
         }
     }
 
@@ -197,22 +208,22 @@
     void aPeerThatLiesAboutEverythingLosesNoQuery() throws Exception {
         fleet(2, "{\"fleet\":{\"state\":\"on\"}}", searchers());
         startAll(2);
-        try (DatagramSocket liar = new DatagramSocket()) {
+        try (DatagramSocket faultyPeer = new DatagramSocket()) {
             for (int round = 0; round < 20; round++) {
-                List<Fact> lies = new ArrayList<>();
-                for (int each = 0; each < TAKES.length; each++) {
+                List<Fact> falseFacts = new ArrayList<>();
+                for (int each = 0; each < SERVICE_SECONDS.length; each++) {
                     long stamp = System.currentTimeMillis() + round;
                     int key = Fact.key("s-" + each);
-                    lies.add(new Fact(key, FactKind.UNHEALTHY, 1 + round % 3, stamp, 9, 0));
-                    lies.add(new Fact(key, FactKind.LEAVING, 1 + round % 3, stamp, 2, 0));
-                    lies.add(new Fact(key, FactKind.LATENCY, 1 + round % 3, stamp, 1e5, 1e5));
+                    falseFacts.add(new Fact(key, FactKind.UNHEALTHY, 1 + round % 3, stamp, 9, 0));
+                    falseFacts.add(new Fact(key, FactKind.LEAVING, 1 + round % 3, stamp, 2, 0));
+                    falseFacts.add(new Fact(key, FactKind.LATENCY, 1 + round % 3, stamp, 1e5, 1e5));
                 }
-                byte[] datagram =
-                        FactDatagram.facts(lies.subList(0, Math.min(lies.size(), FactDatagram.MAX_FACTS)), false);
-                liar.send(new DatagramPacket(
+                byte[] datagram = FactDatagram.facts(
+                        falseFacts.subList(0, Math.min(falseFacts.size(), FactDatagram.MAX_FACTS)), false);
+                faultyPeer.send(new DatagramPacket(
                         datagram, datagram.length, fleet.relay().address(1, 0)));
                 datagram[5] ^= 1;
-                liar.send(new DatagramPacket(
+                faultyPeer.send(new DatagramPacket(
                         datagram, datagram.length, fleet.relay().address(1, 0)));
                 assertEquals(200, ask(0), "round " + round);
             }
@@ -230,57 +241,61 @@
                 "{\"fleet\":{\"state\":\"on\",\"snapshot-every-s\":1,\"snapshot\":\"" + snapshot + "\"}}",
                 searchers());
         fleet.start(0);
-        assertTrue(fleet.mixer(0).awaitReady(START));
+        assertTrue(fleet.mixer(0).awaitReady(START_TIMEOUT_SECONDS));
         for (int each = 0; each < 10; each++) {
             assertEquals(200, ask(0));
         }
-        assertTrue(FleetProcesses.within(10, () -> holds(snapshot) > 0), "a snapshot with facts is on disk");
+        assertTrue(FleetProcesses.within(10, () -> factsIn(snapshot) > 0), "a snapshot with facts is on disk");
         fleet.mixer(0).stop(false);
         fleet.start(0);
-        assertTrue(fleet.mixer(0).awaitReady(START));
+        assertTrue(fleet.mixer(0).awaitReady(START_TIMEOUT_SECONDS));
         assertTrue(log(0).contains("snapshot: "), () -> log(0));
         assertTrue(
                 Integer.parseInt(figure(0, "state-facts")) > 0, "with nobody to ask and nothing asked, from the disk");
         fleet.mixer(0).stop(false);
-        byte[] whole = Files.readAllBytes(snapshot);
-        byte[] flipped = whole.clone();
-        flipped[whole.length / 2] ^= 1;
-        Files.write(snapshot, flipped);
-        starts("snapshot refused: spoilt");
-        Files.write(snapshot, java.util.Arrays.copyOf(whole, whole.length - 7));
-        starts("snapshot refused: torn");
+        byte[] snapshotBytes = Files.readAllBytes(snapshot);
+        byte[] corrupted = snapshotBytes.clone();
+        corrupted[snapshotBytes.length / 2] ^= 1;
+        Files.write(snapshot, corrupted);
+        expectLogAtStart("snapshot refused: spoilt");
+        Files.write(snapshot, java.util.Arrays.copyOf(snapshotBytes, snapshotBytes.length - 7));
+        expectLogAtStart("snapshot refused: torn");
         double now = System.currentTimeMillis() / 1e3;
         Files.write(snapshot, FactSnapshotFormat.write(0, 1, now - 1000, List.of()));
-        starts("snapshot refused: stale");
+        expectLogAtStart("snapshot refused: stale");
         Files.write(snapshot, FactSnapshotFormat.write(3, 9, now, List.of()));
-        starts("snapshot refused: of another mixer");
+        expectLogAtStart("snapshot refused: of another mixer");
         Files.delete(snapshot);
         Files.createDirectory(snapshot);
         Files.writeString(snapshot.resolve("in-the-way"), "x");
         fleet.start(0);
-        assertTrue(fleet.mixer(0).awaitReady(START));
+        assertTrue(fleet.mixer(0).awaitReady(START_TIMEOUT_SECONDS));
         assertTrue(FleetProcesses.within(10, () -> log(0).contains("can't be written")), () -> log(0));
         assertEquals(200, ask(0), "it serves without");
-        int said = log(0).split("can't be written", -1).length;
-        assertTrue(!FleetProcesses.within(2.5, () -> log(0).split("can't be written", -1).length > said), "said once");
+        int occurrences = log(0).split("can't be written", -1).length;
+        assertTrue(
+                !FleetProcesses.within(2.5, () -> log(0).split("can't be written", -1).length > occurrences),
+                "said once");
     }
 
-    private int holds(Path snapshot) {
+    private int factsIn(Path snapshot) {
         try {
             return Files.exists(snapshot)
                     ? FactSnapshotFormat.read(Files.readAllBytes(snapshot), 0, 1, System.currentTimeMillis() / 1e3, 60)
                             .facts()
                             .size()
                     : 0;
-        } catch (java.io.IOException odd) {
+        } catch (java.io.IOException interrupted) {
             return 0;
         }
     }
 
-    /** Starts the mixer, which must say so of its snapshot, and kills it before it writes the next one. */
-    private void starts(String says) throws Exception {
+    /** Starts the mixer, which must log this about its snapshot, and kills it before it writes the next one. */
+    private void expectLogAtStart(String message) throws Exception {
         fleet.start(0);
-        assertTrue(FleetProcesses.within(START, () -> log(0).contains(says)), () -> says + " is not in " + log(0));
+        assertTrue(
+                FleetProcesses.within(START_TIMEOUT_SECONDS, () -> log(0).contains(message)),
+                () -> message + " is not in " + log(0));
         assertEquals(2, log(0).split("snapshot", -1).length, "said once");
         fleet.mixer(0).stop(false);
     }
--- a/query-mixer/daemon/src/test/java/pinewick/protocol/ResponseFrameTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/ResponseFrameTest.java
@@ -18,22 +18,22 @@
     }
 
     @Test
-    void anAnswerIsReadInItsParts() {
-        ResponseFrame answer = read("q1.0 S 1 queue=3,qps=1.5\nvalue of the part");
-
-        assertTrue(answer.wellFormed());
-        assertEquals("q1.0", answer.part());
-        assertEquals('S', answer.end());
-        assertNotNull(answer.report());
-        assertArrayEquals("value of the part".getBytes(StandardCharsets.UTF_8), answer.value());
+    void responseIsParsedIntoItsFields() {
+        ResponseFrame response = read("q1.0 S 1 queue=3,qps=1.5\nvalue of the part");
+
+        assertTrue(response.wellFormed());
+        assertEquals("q1.0", response.part());
+        assertEquals('S', response.end());
+        assertNotNull(response.report());
+        assertArrayEquals("value of the part".getBytes(StandardCharsets.UTF_8), response.value());
     }
 
     @Test
-    void aReportThatCannotBeReadCostsNoAnswer() {
-        ResponseFrame answer = read("q1.0 S 1 queue=%%%\nvalue");
+    void invalidLoadReportDoesNotInvalidateTheResponse() {
+        ResponseFrame response = read("q1.0 S 1 queue=%%%\nvalue");
 
-        assertTrue(answer.wellFormed());
-        assertNull(answer.report());
+        assertTrue(response.wellFormed());
+        assertNull(response.report());
     }
 
     @ParameterizedTest
@@ -47,10 +47,10 @@
                 "q1.0 S one -\nvalue",
                 "q1.0 S 1 -\n\u0001\u0002"
             })
-    void whatCannotBeReadStillNamesItsPart(String text) {
-        ResponseFrame answer = read(text);
+    void malformedResponseStillNamesItsPart(String text) {
+        ResponseFrame response = read(text);
 
-        assertFalse(answer.wellFormed());
-        assertEquals("q1.0", answer.part());
+        assertFalse(response.wellFormed());
+        assertEquals("q1.0", response.part());
     }
 }
--- a/query-mixer/daemon/src/test/java/pinewick/protocol/TcpReplicaConnectionTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/TcpReplicaConnectionTest.java
@@ -37,24 +37,26 @@
 import pinewick.memory.LiveLaunch;
 import pinewick.memory.OpenQuery;
 
-/** One connection to a searcher over a real socket; a gate on the loop forces which of two listener comes first. */
+/**
+ * One connection to a replica over a real socket; running code on the event loop thread forces the order of two events.
+ */
 @Timeout(30)
 class TcpReplicaConnectionTest {
-    private static final int WAIT = 20;
+    private static final int WAIT_SECONDS = 20;
 
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private ServerSocket server;
-    private Socket searcher;
+    private Socket replicaSocket;
     private XnioWorker worker;
     private EventLoop loop;
-    private TcpReplicaConnection link;
+    private TcpReplicaConnection connection;
     private Limits limits;
 
-    /** Writes down what the link tells, and books a launch's end as the last stage would. */
-    private final class Told implements TcpReplicaConnection.Listener {
+    /** Records the events of the connection, and ends attempts as the last stage does. */
+    private final class RecordingListener implements TcpReplicaConnection.Listener {
         @Override
         public void onResponse(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value) {
-            ends(launch, "answered " + launch.piece.id);
+            end(launch, "answered " + launch.piece.id);
         }
 
         @Override
@@ -62,12 +64,12 @@
 
         @Override
         public void onInvalidFrame(TcpReplicaConnection from, String why, LiveLaunch launch) {
-            told.add("spoilt " + why);
+            events.add("spoilt " + why);
         }
 
         @Override
         public void onClosed(TcpReplicaConnection from, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps) {
-            told.add("closed, never " + never.size() + ", perhaps " + perhaps.size());
+            events.add("closed, never " + never.size() + ", perhaps " + perhaps.size());
         }
 
         @Override
@@ -77,23 +79,23 @@
 
         @Override
         public void onUnsent(List<LiveLaunch> launches) {
-            launches.forEach(each -> ends(each, "unsent " + each.piece.id));
+            launches.forEach(each -> end(each, "unsent " + each.piece.id));
         }
 
         @Override
         public void onConnectTimeout(TcpReplicaConnection from, List<LiveLaunch> launches) {
-            launches.forEach(each -> ends(each, "not up " + each.piece.id));
+            launches.forEach(each -> end(each, "not up " + each.piece.id));
         }
 
-        private void ends(LiveLaunch launch, String how) {
-            told.add(how);
+        private void end(LiveLaunch launch, String how) {
+            events.add(how);
             launch.over = true;
             launch.call.link.over(launch);
         }
     }
 
     @BeforeEach
-    void connects() throws Exception {
+    void connect() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         loop = new EventLoop(worker.getIoThread(), new Log(System.err, 10));
         server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -101,60 +103,61 @@
                         "{\"settings\":{\"categories\":[],\"bounds\":" + "{\"multiplex\":10,\"dial-timeout-ns\":1e9}}}")
                 .getAsJsonObject());
         onLoop(() -> {
-            link = new TcpReplicaConnection(
+            connection = new TcpReplicaConnection(
                     "a",
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
                     loop,
                     limits,
-                    new Told());
-            link.connect();
+                    new RecordingListener());
+            connection.connect();
         });
-        searcher = server.accept();
+        replicaSocket = server.accept();
         onLoop(() -> {});
     }
 
     @AfterEach
     void close() throws Exception {
-        searcher.close();
+        replicaSocket.close();
         server.close();
         worker.shutdownNow();
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws Exception;
     }
 
-    /** Runs it as one event of the loop, which does nothing else meanwhile. */
-    private void onLoop(Work work) throws Exception {
+    /** Runs it as one event on the event loop, which does nothing else meanwhile. */
+    private void onLoop(Task task) throws Exception {
         CountDownLatch done = new CountDownLatch(1);
         loop.later("a test", () -> {
             try {
-                work.run();
+                task.run();
             } catch (Exception wrong) {
-                told.add("failed: " + wrong);
+                events.add("failed: " + wrong);
             } finally {
                 done.countDown();
             }
         });
-        assertTrue(done.await(WAIT, TimeUnit.SECONDS));
+        assertTrue(done.await(WAIT_SECONDS, TimeUnit.SECONDS));
     }
 
     private static LiveLaunch launch(String query, int bytes) {
-        OpenQuery asked = new OpenQuery(query, 0, 10, null, null);
-        asked.text = new byte[bytes];
-        asked.piece(0, 1);
-        return new LiveLaunch(asked.pieces.get(query + ".0"), 0, "a", 0, 10);
+        OpenQuery openQuery = new OpenQuery(query, 0, 10, null, null);
+        openQuery.text = new byte[bytes];
+        openQuery.piece(0, 1);
+        return new LiveLaunch(openQuery.pieces.get(query + ".0"), 0, "a", 0, 10);
     }
 
-    /** Reads one call's frame at the searcher. */
+    /** Reads the frame of one call at the replica. */
     private void readCall() throws IOException {
-        DataInputStream in = new DataInputStream(searcher.getInputStream());
+        DataInputStream in = new DataInputStream(replicaSocket.getInputStream());
         in.readFully(new byte[Integer.reverseBytes(in.readInt())]);
     }
 
     private void answer(String part) throws IOException {
         byte[] text = ("5" + part + " S 1 -\nvalue").getBytes(StandardCharsets.UTF_8);
-        searcher.getOutputStream()
+        replicaSocket
+                .getOutputStream()
                 .write(ByteBuffer.allocate(4 + text.length)
                         .order(ByteOrder.LITTLE_ENDIAN)
                         .putInt(text.length)
@@ -163,21 +166,21 @@
     }
 
     private String next() throws InterruptedException {
-        String one = told.poll(WAIT, TimeUnit.SECONDS);
-        assertNotNull(one, "nothing more was told");
+        String one = events.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+        assertNotNull(one, "no further event");
         return one;
     }
 
     @Test
     void answersThatHaveComeCountBeforeTheWriteThatFindsTheConnectionBroken() throws Exception {
-        onLoop(() -> link.send(List.of(launch("q1", 3))));
+        onLoop(() -> connection.send(List.of(launch("q1", 3))));
         readCall();
         onLoop(() -> {
             answer("q1.0");
-            searcher.setSoLinger(true, 0);
-            searcher.close();
+            replicaSocket.setSoLinger(true, 0);
+            replicaSocket.close();
             for (int each = 0; each < 3; each++) {
-                link.probe(each, false);
+                connection.probe(each, false);
             }
         });
         assertEquals("answered q1.0", next());
@@ -186,19 +189,19 @@
 
     @Test
     void aFrameBegunAndNoLongerWantedTakesNoOtherCallWithIt() throws Exception {
-        onLoop(() -> link.send(List.of(launch("q1", 3))));
+        onLoop(() -> connection.send(List.of(launch("q1", 3))));
         readCall();
         LiveLaunch large = launch("q2", 64 << 20);
         LiveLaunch behind = launch("q3", 3);
         onLoop(() -> {
-            link.send(List.of(large));
-            link.send(List.of(behind));
+            connection.send(List.of(large));
+            connection.send(List.of(behind));
         });
         onLoop(() -> {
             assertEquals(Call.Stage.BEGUN, large.call.stage);
-            link.drop(large, false);
+            connection.drop(large, false);
             large.over = true;
-            link.over(large);
+            connection.over(large);
         });
         assertEquals("unsent q3.0", next());
         answer("q1.0");
@@ -210,7 +213,7 @@
     void aDialThatIsLateGivesBackWhatWaitsAndServesWhatComesAfterItIsUp() throws Exception {
         List<Socket> fill = new ArrayList<>();
         for (int each = 0; each < 2; each++) {
-            // They fill the queue of connections, so that the next one does not come up yet.
+            // These fill the accept backlog, so that the next connection is not established yet.
             fill.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
         }
         TcpReplicaConnection[] second = new TcpReplicaConnection[1];
@@ -220,12 +223,12 @@
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
                     loop,
                     limits,
-                    new Told());
+                    new RecordingListener());
             second[0].connect();
             second[0].send(List.of(launch("q1", 3)));
         });
         assertEquals("not up q1.0", next());
-        onLoop(() -> assertFalse(second[0].hasPlace(), "nothing new waits for it"));
+        onLoop(() -> assertFalse(second[0].hasPlace(), "no new call may be queued on it"));
         for (Socket each : fill) {
             server.accept().close();
             each.close();
@@ -236,8 +239,8 @@
             onLoop(() -> up[0] = second[0].hasPlace());
         }
         onLoop(() -> second[0].send(List.of(launch("q2", 3))));
-        searcher.close();
-        searcher = late;
+        replicaSocket.close();
+        replicaSocket = late;
         readCall();
         answer("q2.0");
         String one = next();
