--- a/query-mixer/daemon/src/main/java/pinewick/protocol/PendingResponses.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/PendingResponses.java
@@ -23,10 +23,10 @@
     }
 
     /** These attempts were written completely: a response is expected for each. */
-    void onWritten(Iterable<LiveLaunch> launches) {
-        for (LiveLaunch launch : launches) {
-            Expected expected = expectedByPart.computeIfAbsent(launch.piece.id, any -> new Expected());
-            expected.latest = launch;
+    void onWritten(Iterable<LiveLaunch> attempts) {
+        for (LiveLaunch attempt : attempts) {
+            Expected expected = expectedByPart.computeIfAbsent(attempt.piece.id, any -> new Expected());
+            expected.latest = attempt;
             expected.responseCount++;
         }
         if (expectedByPart.size() > limits.maxPendingResponses()) {
@@ -36,9 +36,9 @@
     }
 
     /** The attempt has ended, for whatever reason. */
-    void onAttemptEnd(LiveLaunch launch) {
-        Expected expected = expectedByPart.get(launch.piece.id);
-        if (expected != null && expected.latest == launch) {
+    void onAttemptEnd(LiveLaunch attempt) {
+        Expected expected = expectedByPart.get(attempt.piece.id);
+        if (expected != null && expected.latest == attempt) {
             // A response that never arrives would otherwise keep the query, and with it its client, in memory for as
             // long as the connection lives.
             expected.latest = null;
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
@@ -361,7 +361,7 @@
                 buffer.clear();
                 int byteCount = connection.getSourceChannel().read(buffer);
                 if (byteCount < 0) {
-                    close("closed by the searcher");
+                    close("ended by the searcher");
                     return;
                 }
                 if (byteCount == 0) {
--- a/query-mixer/daemon/src/test/java/pinewick/ClientCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ClientCrossingTest.java
@@ -13,14 +13,14 @@
 /** Clients that disconnect, stay idle, arrive in bursts or send at the wrong moment. */
 class ClientCrossingTest extends MixerHarness {
     @Test
-    void whoDoesNotSendAWholeRequestInTimeIsTurnedOutAndNobodyElse() throws Exception {
-        Searcher a = new Searcher("a", 0, "held");
+    void incompleteRequestsTimeOutWithoutAffectingOtherClients() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "held");
         start(a);
         Client kept = new Client();
         kept.get("/health/live");
         Client waits = new Client();
         waits.post("q1", "idempotent", "[0]", "", false);
-        assertNotNull(a.frames.poll(WAIT, TimeUnit.SECONDS));
+        assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         Client again = new Client();
         again.post("q1", "idempotent", "[0]", "", false);
         assertTrue(again.answer().startsWith("400 id: "), "the id of an open request");
@@ -47,20 +47,20 @@
     }
 
     @Test
-    void aClientThatLeavesEndsItsQuery() throws Exception {
-        Searcher a = new Searcher("a", 0, "silent");
+    void disconnectingClientCancelsItsQuery() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "silent");
         start(a);
         Client leaver = new Client();
         leaver.post("q1", "idempotent", "[0]", "", false);
-        assertNotNull(a.frames.poll(WAIT, TimeUnit.SECONDS));
+        assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         leaver.close();
         until(new Client(), "withdrawn 1\n");
     }
 
     @Test
-    void atTheLimitOfDescriptorsIdleClientsGoFirst() throws Exception {
+    void idleClientsAreEvictedFirstAtTheDescriptorLimit() throws Exception {
         sockets = 160;
-        start(new Searcher("a", 0, "answer"));
+        start(new FakeReplica("a", 0, "answer"));
         List<Client> idle = new ArrayList<>();
         for (int each = 0; each < 120; each++) {
             idle.add(new Client());
@@ -74,9 +74,9 @@
     }
 
     @Test
-    void whileManyConnectionsAreKeptAnAnswerEndsItsOwn() throws Exception {
+    void responsesCloseTheirConnectionWhileManyAreKeptAlive() throws Exception {
         sockets = 160;
-        start(new Searcher("a", 0, "answer"));
+        start(new FakeReplica("a", 0, "answer"));
         Client client = new Client();
         List<Client> kept = new ArrayList<>();
         for (boolean crowd : new boolean[] {false, true}) {
@@ -91,14 +91,14 @@
     }
 
     @Test
-    void aClientThatSentAheadAndLeftIsGone() throws Exception {
-        Searcher a = new Searcher("a", 0, "silent");
+    void disconnectIsNoticedBehindPipelinedBytes() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "silent");
         start(a);
         for (boolean atOnce : new boolean[] {true, false}) {
             Client leaver = new Client();
             leaver.pipelined = atOnce ? "POST /api HTTP/1.1\r\nHost: h\r\n" : "";
             leaver.post("q" + atOnce, "idempotent", "[0]", "", false);
-            assertNotNull(a.frames.poll(WAIT, TimeUnit.SECONDS));
+            assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
             if (!atOnce) {
                 leaver.send("POST /api HTTP/1.1\r\n");
                 leaver.send("Host: h\r\n");
@@ -109,12 +109,12 @@
     }
 
     @Test
-    void aRequestSentAheadIsAnsweredAfterTheOneBeforeIt() throws Exception {
-        Searcher a = new Searcher("a", 0, "held");
+    void pipelinedRequestIsAnsweredInOrder() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "held");
         start(a);
         Client client = new Client();
         client.post("first", "idempotent", "[0]", "", false);
-        assertNotNull(a.frames.poll(WAIT, TimeUnit.SECONDS));
+        assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         client.post("second", "idempotent", "[0]", "", false);
         Client seen = new Client();
         seen.get("/health/live");
@@ -123,16 +123,16 @@
         a.release.add("go");
         assertTrue(client.answer().startsWith("200 "));
         assertTrue(client.answer().startsWith("200 "));
-        assertTrue(a.frames.poll(WAIT, TimeUnit.SECONDS).contains("second"));
+        assertTrue(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS).contains("second"));
     }
 
     @Test
-    void aFloodBehindARequestEndsItsConnectionAndItsQuery() throws Exception {
-        Searcher a = new Searcher("a", 0, "silent");
+    void tooManyPipelinedBytesCloseTheConnectionAndCancelItsQuery() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "silent");
         start(a);
         Client client = new Client();
         client.post("q", "idempotent", "[0]", "", false);
-        assertNotNull(a.frames.poll(WAIT, TimeUnit.SECONDS));
+        assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         client.send("x".repeat(100_000));
         assertTrue(client.answer().startsWith("413 "));
         assertEquals("end", client.ending());
@@ -140,9 +140,9 @@
     }
 
     @Test
-    void nothingBeginsForAClientThatLeftWhileTheMixerStoodStill() throws Exception {
-        Searcher a = new Searcher("a", 0, "silent");
-        Searcher b = new Searcher("b", 0, "silent");
+    void noAttemptStartsForAClientThatDisconnectedDuringAPause() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "silent");
+        FakeReplica b = new FakeReplica("b", 0, "silent");
         start(a, b);
         for (int each = 0; true; each++) {
             Client leaver = new Client();
@@ -151,7 +151,7 @@
                 Thread.onSpinWait();
             }
             signal("STOP");
-            Searcher other = a.frames.isEmpty() ? a : b;
+            FakeReplica other = a.frames.isEmpty() ? a : b;
             if (!other.frames.isEmpty()) {
                 // The second attempt was sent before the mixer was stopped: try again.
                 assertTrue(each < 20);
@@ -173,8 +173,8 @@
     }
 
     @Test
-    void theLastAnswerIsNotResetByBytesThatNobodyReads() throws Exception {
-        start(new Searcher("a", 0, "answer"));
+    void finalResponseIsNotLostToUnreadInput() throws Exception {
+        start(new FakeReplica("a", 0, "answer"));
         Client client = new Client();
         client.send("POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 70000\r\n\r\n" + "x".repeat(70_000));
         assertTrue(client.answer().startsWith("413 "));
@@ -182,10 +182,10 @@
     }
 
     @Test
-    void idleClientsThatFillTheDescriptorsLeaveDiscoveryItsOwn() throws Exception {
+    void idleClientsCannotUseUpTheDescriptorsOfDiscovery() throws Exception {
         sockets = 96;
         maxDescriptors = 96;
-        Searcher a = new Searcher("a", 0, "answer");
+        FakeReplica a = new FakeReplica("a", 0, "answer");
         start(a);
         discovery.mute = true;
         discovery.server.close();
@@ -199,7 +199,7 @@
             idle.add(client);
         }
         assertTrue(mixer.isAlive());
-        Searcher b = new Searcher("b", 1, "answer");
+        FakeReplica b = new FakeReplica("b", 1, "answer");
         discovery.revision = 6;
         discovery.restart(listUpdate(true, a.entry("ready"), b.entry("ready")));
         until(() -> {
--- a/query-mixer/daemon/src/test/java/pinewick/ListCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ListCrossingTest.java
@@ -15,14 +15,14 @@
 /** The replica list: drains, changed addresses, new configurations, discovery agents that fall silent. */
 class ListCrossingTest extends MixerHarness {
     @Test
-    void aDrainingSearcherGetsNothingNewAndAChangedAddressIsFollowed() throws Exception {
-        Searcher a = new Searcher("a", 0, "answer");
-        Searcher b = new Searcher("b", 0, "answer");
+    void drainingReplicaGetsNoNewAttemptsAndChangedAddressIsFollowed() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "answer");
+        FakeReplica b = new FakeReplica("b", 0, "answer");
         start(a, b);
         Client client = new Client();
         discovery.watchRequests.clear();
         discovery.sendUpdate("this is no list");
-        discovery.watchRequests.poll(WAIT, TimeUnit.SECONDS);
+        discovery.watchRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         discovery.revision = 7;
         discovery.sendUpdate(listUpdate(false, a.entry("draining"), b.entry("ready")));
         until(client, "list-pieces 4\n");
@@ -32,7 +32,7 @@
             assertTrue(client.answer().startsWith("200 "));
         }
         assertEquals(0, a.frames.size());
-        Searcher moved = new Searcher("b", 0, "answer");
+        FakeReplica moved = new FakeReplica("b", 0, "answer");
         discovery.revision = 8;
         discovery.sendUpdate(listUpdate(false, moved.entry("ready")));
         until(client, "list-pieces 5\n");
@@ -56,14 +56,14 @@
         goalNs = "40e9";
         hardLimitNs = "50e9";
         deadlineSeconds = "45";
-        Searcher a = new Searcher("a", 0, "held");
-        start(a, new Searcher("b", 1, "answer"));
+        FakeReplica a = new FakeReplica("a", 0, "held");
+        start(a, new FakeReplica("b", 1, "answer"));
         Client client = new Client();
         client.post("q1", "idempotent", "[0]", "", false);
-        assertNotNull(a.frames.poll(WAIT, TimeUnit.SECONDS));
+        assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         Path file = folder.resolve("config.json");
         String before = Files.readString(file);
-        Discovery other = new Discovery();
+        FakeDiscovery other = new FakeDiscovery();
         other.revision = 5;
         other.list = discovery.list;
         for (String wrong : List.of(before.substring(0, 200), before.replace(discovery.address(), "nowhere"))) {
@@ -74,12 +74,15 @@
         long leftAt = System.nanoTime();
         Files.writeString(file, before.replace(discovery.address(), "127.0.0.1:1"));
         sendSighup();
-        assertEquals("ended", discovery.endedWatches.poll(WAIT, TimeUnit.SECONDS), "the old address is left at once");
+        assertEquals(
+                "ended",
+                discovery.endedWatches.poll(WAIT_SECONDS, TimeUnit.SECONDS),
+                "the old address is left at once");
         discovery.watchRequests.clear();
         Files.writeString(file, before.replace(discovery.address(), other.address()));
         sendSighup();
         sendSighup();
-        String asked = other.watchRequests.poll(WAIT, TimeUnit.SECONDS);
+        String asked = other.watchRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         assertTrue(asked != null && asked.contains("index=5 "), "it goes on from the revision in hand: " + asked);
         double unconfirmedSeconds = HEARTBEAT_INTERVAL_SECONDS + (System.nanoTime() - leftAt) / 1e9;
         assertTrue(
@@ -87,7 +90,7 @@
                 "no whole list is needed for a move");
         a.release.add("go");
         assertTrue(client.answer().startsWith("200 "), "what was taken, and its connection, stay");
-        Searcher c = new Searcher("c", 0, "held");
+        FakeReplica c = new FakeReplica("c", 0, "held");
         long updates = acceptedUpdates(client);
         assertTrue(
                 updates == 2 || unconfirmedSeconds >= CONFIRMED_SECONDS,
@@ -96,19 +99,19 @@
                 + c.entry("ready") + "]}");
         until(client, "list-pieces " + (updates + 1) + "\n");
         client.post("q2", "idempotent", "[0]", "", false);
-        assertNotNull(c.frames.poll(WAIT, TimeUnit.SECONDS), "news come from the new address");
+        assertNotNull(c.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS), "news come from the new address");
         c.release.add("go");
         assertTrue(client.answer().startsWith("200 "));
         assertEquals(0, a.frames.size(), "one that drains gets nothing new");
         Thread.sleep(300);
         assertEquals(0, discovery.watchRequests.size(), "nothing goes back to the old address");
         client.post("q3", "idempotent", "[0]", "", false);
-        assertNotNull(c.frames.poll(WAIT, TimeUnit.SECONDS));
+        assertNotNull(c.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         mixer.destroy();
         sendSighup(); // it is still running, as it has a query to answer
         c.release.add("go");
         assertTrue(client.answer().startsWith("200 "), "a reload while it stops loses nothing");
-        assertTrue(mixer.waitFor(WAIT, TimeUnit.SECONDS));
+        assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
         assertEquals(0, mixer.exitValue());
     }
 
@@ -123,9 +126,9 @@
     }
 
     @Test
-    void aWatchThatSendsItsHeadAndNoMoreHidesNoChangeForSixSeconds() throws Exception {
-        Searcher a = new Searcher("a", 0, "answer");
-        Searcher b = new Searcher("b", 0, "answer");
+    void watchThatSendsOnlyItsHeadHidesNoChangeForSixSeconds() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "answer");
+        FakeReplica b = new FakeReplica("b", 0, "answer");
         start(a, b);
         until(new Client(), "list-pieces 2\n");
         discovery.mute = true;
@@ -149,9 +152,9 @@
     }
 
     @Test
-    void anObjectOverManyLinesAndCutAnywhereIsOneChange() throws Exception {
-        Searcher a = new Searcher("a", 0, "answer");
-        Searcher b = new Searcher("b", 0, "answer");
+    void fragmentedMultiLineObjectIsOneUpdate() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "answer");
+        FakeReplica b = new FakeReplica("b", 0, "answer");
         start(a, b);
         discovery.fullListRequests.clear();
         discovery.revision = 6;
@@ -173,15 +176,15 @@
     }
 
     @Test
-    void aWatchThatCantBeReadIsAskedForWithGrowingPauses() throws Exception {
-        start(new Searcher("a", 0, "answer"));
+    void malformedWatchIsRetriedWithBackoff() throws Exception {
+        start(new FakeReplica("a", 0, "answer"));
         discovery.invalidWatchResponse = "no list at all";
         discovery.fullListRequests.clear();
         discovery.sendUpdate("no list");
-        assertNotNull(discovery.fullListRequests.poll(WAIT, TimeUnit.SECONDS));
+        assertNotNull(discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         long began = System.nanoTime();
         for (int each = 0; each < 4; each++) {
-            assertNotNull(discovery.fullListRequests.poll(WAIT, TimeUnit.SECONDS));
+            assertNotNull(discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         }
         assertTrue(System.nanoTime() - began > 1.2e9, "not ten times a second");
         discovery.invalidWatchResponse = null;
@@ -197,15 +200,15 @@
     }
 
     @Test
-    void aWholeListThatIsResetBehindItsLastByteIsNone() throws Exception {
-        Searcher a = new Searcher("a", 0, "answer");
+    void fullListResetAfterItsLastByteIsNotAccepted() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "answer");
         discovery.resetResponses.set(1);
         discovery.held = true;
         launch(a);
-        assertNotNull(discovery.fullListRequests.poll(WAIT, TimeUnit.SECONDS));
+        assertNotNull(discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         discovery.release.add("go");
-        assertNotNull(discovery.fullListRequests.poll(WAIT, TimeUnit.SECONDS), "it asks again");
-        discovery.list = listUpdate(true, a.entry("ready"), new Searcher("b", 1, "answer").entry("ready"));
+        assertNotNull(discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS), "it asks again");
+        discovery.list = listUpdate(true, a.entry("ready"), new FakeReplica("b", 1, "answer").entry("ready"));
         discovery.release.add("go");
         awaitReady();
         Client client = new Client();
@@ -215,14 +218,14 @@
     }
 
     @Test
-    void aNewProcessTakesNothingBeforeItHasReadWhatTheAgentHolds() throws Exception {
-        Searcher a = new Searcher("a", 0, "answer");
-        Searcher b = new Searcher("b", 0, "answer");
+    void newProcessAcceptsNoQueryBeforeItReadTheCurrentList() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "answer");
+        FakeReplica b = new FakeReplica("b", 0, "answer");
         knownEntries = new String[] {a.entry("ready"), b.entry("ready")};
         discovery.held = true;
         launch(a, b);
         discovery.list = listUpdate(true, a.entry("draining"), b.entry("ready"));
-        assertNotNull(discovery.fullListRequests.poll(WAIT, TimeUnit.SECONDS));
+        assertNotNull(discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         assertThrows(ConnectException.class, Client::new, "the door is not open yet");
         discovery.release.add("go");
         awaitReady();
@@ -235,8 +238,8 @@
     }
 
     @Test
-    void besideAnAgentThatCantBeHadTheKnownListServes() throws Exception {
-        Searcher a = new Searcher("a", 0, "answer");
+    void knownListServesWhileTheAgentIsUnreachable() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "answer");
         knownEntries = new String[] {a.entry("ready")};
         discovery.server.close();
         launch(a);
@@ -247,9 +250,9 @@
     }
 
     @Test
-    void anOlderListUndoesNoDrain() throws Exception {
-        Searcher a = new Searcher("a", 0, "answer");
-        Searcher b = new Searcher("b", 0, "answer");
+    void olderListDoesNotRevertADrain() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "answer");
+        FakeReplica b = new FakeReplica("b", 0, "answer");
         start(a, b);
         discovery.revision = 8;
         discovery.sendUpdate(listUpdate(false, a.entry("draining")));
--- a/query-mixer/daemon/src/test/java/pinewick/MixerHarness.java
+++ b/query-mixer/daemon/src/test/java/pinewick/MixerHarness.java
@@ -35,13 +35,13 @@
  */
 @Timeout(60)
 abstract class MixerHarness {
-    static final int WAIT = 20;
+    static final int WAIT_SECONDS = 20;
 
     @TempDir
     Path folder;
 
     final List<AutoCloseable> open = new CopyOnWriteArrayList<>();
-    Discovery discovery;
+    FakeDiscovery discovery;
     Process mixer;
     int port;
     int sockets = 1024;
@@ -62,7 +62,7 @@
 
     @BeforeEach
     void opens() throws IOException {
-        discovery = new Discovery();
+        discovery = new FakeDiscovery();
     }
 
     @AfterEach
@@ -90,22 +90,22 @@
     }
 
     /** Starts a mixer and waits until it is ready and follows the list. */
-    void start(Searcher... searchers) throws Exception {
+    void start(FakeReplica... replicas) throws Exception {
         discovery.watchRequests.clear();
-        launch(searchers);
+        launch(replicas);
         awaitReady();
         until(new Client(), "list-pieces 2\n");
-        assertNotNull(discovery.watchRequests.poll(WAIT, TimeUnit.SECONDS), "it follows the list");
+        assertNotNull(discovery.watchRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS), "it follows the list");
     }
 
     /** Starts a mixer without waiting for it. */
-    void launch(Searcher... searchers) throws Exception {
+    void launch(FakeReplica... replicas) throws Exception {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        String[] entries = new String[searchers.length];
+        String[] entries = new String[replicas.length];
         for (int each = 0; each < entries.length; each++) {
-            entries[each] = searchers[each].entry("ready");
+            entries[each] = replicas[each].entry("ready");
         }
         discovery.revision = 4;
         String before = listUpdate(true, knownEntries);
@@ -212,7 +212,7 @@
      * A fake discovery service: answers a watch with the list and then with every update, on the newest watch; sends a
      * heartbeat line every second.
      */
-    final class Discovery {
+    final class FakeDiscovery {
         ServerSocket server = listen();
         final int discoveryPort = server.getLocalPort();
         private final List<Socket> sockets = new CopyOnWriteArrayList<>();
@@ -233,7 +233,7 @@
 
         private volatile OutputStream watch;
 
-        Discovery() throws IOException {
+        FakeDiscovery() throws IOException {
             thread(this::accepts);
             thread(() -> {
                 while (true) {
@@ -330,7 +330,7 @@
     }
 
     /** A fake replica that speaks the frame protocol; its behaviour names what it does with a part. */
-    final class Searcher {
+    final class FakeReplica {
         final String id;
         final int cell;
         final String behaviour;
@@ -339,7 +339,7 @@
         final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
         final BlockingQueue<String> release = new LinkedBlockingQueue<>();
 
-        Searcher(String id, int cell, String behaviour) throws IOException {
+        FakeReplica(String id, int cell, String behaviour) throws IOException {
             this.id = id;
             this.cell = cell;
             this.behaviour = behaviour;
@@ -464,7 +464,7 @@
         String pipelined = "";
 
         Client() throws IOException {
-            socket.setSoTimeout(WAIT * 1000);
+            socket.setSoTimeout(WAIT_SECONDS * 1000);
             open.add(socket);
         }
 
--- a/query-mixer/daemon/src/test/java/pinewick/RegistryServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/RegistryServeTest.java
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void withoutAnythingToServeByTheDoorStaysShut() throws Exception {
+    void withoutAnyListTheListenerStaysClosed() throws Exception {
         registry.members().forEach(each -> each.down(true));
         mixer.start();
         await("a first try", () -> log().contains("left a member"));
--- a/query-mixer/daemon/src/test/java/pinewick/ServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ServeTest.java
@@ -14,9 +14,9 @@
 /** The whole program on sockets: what it answers and what it refuses. */
 class ServeTest extends MixerHarness {
     @Test
-    void aCalmQueryIsAnsweredWithTheValuesThatCame() throws Exception {
-        Searcher a = new Searcher("a", 0, "answer");
-        Searcher b = new Searcher("b", 1, "answer");
+    void queryIsAnsweredWithTheValuesOfItsReplicas() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "answer");
+        FakeReplica b = new FakeReplica("b", 1, "answer");
         start(a, b);
         Client client = new Client();
         client.post("q1", "deduplicated", "[0,1]", "Idempotency-Key: k1\r\n", false);
@@ -24,7 +24,7 @@
                 "200 {\"entire\":true,\"items\":[{\"slice\":0,\"body\":\"a.q1.0\"},"
                         + "{\"slice\":1,\"body\":\"b.q1.1\"}]}",
                 client.answer());
-        String frame = a.frames.poll(WAIT, TimeUnit.SECONDS);
+        String frame = a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         assertTrue(frame.matches("1q1\\.0 0 d=\\d+,k=k1 3\nt\u00e9"), frame);
         client.post("q2", "idempotent", "[0]", "", true);
         assertTrue(client.answer().startsWith("200 "), "a chunked body on the same connection");
@@ -40,18 +40,18 @@
     }
 
     @Test
-    void anAnswerInPartSaysSo() throws Exception {
+    void partialResponseIsMarkedIncomplete() throws Exception {
         goalNs = "4e8";
         classFloor = "0.5";
-        start(new Searcher("a", 0, "answer"), new Searcher("b", 1, "silent"));
+        start(new FakeReplica("a", 0, "answer"), new FakeReplica("b", 1, "silent"));
         Client client = new Client();
         client.post("q1", "idempotent", "[0,1]", "", false);
         assertEquals("200 {\"entire\":false,\"items\":[{\"slice\":0,\"body\":\"a.q1.0\"}]}", client.answer());
     }
 
     @Test
-    void badRequestsAreRefusedAndNothingIsLaunched() throws Exception {
-        Searcher a = new Searcher("a", 0, "answer");
+    void malformedRequestsAreRejectedWithoutAnyAttempt() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "answer");
         start(a);
         Client client = new Client();
         String good = "{\"slices\":[{\"slice\":0,\"mass\":1}],\"filter\":\"x\"}";
@@ -130,7 +130,7 @@
     @Test
     void aQueryThatNobodyServesIsEndedByTheDecisionsAndNotByTheNet() throws Exception {
         goalNs = "3e9";
-        start(new Searcher("a", 0, "silent"));
+        start(new FakeReplica("a", 0, "silent"));
         Client client = new Client();
         client.post("q1", "idempotent", "[0]", "", false);
         assertTrue(client.answer().startsWith("503 "), "a repeat is harmless");
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void aBadConfigurationIsNamed() throws Exception {
+    void invalidConfigurationIsReported() throws Exception {
         for (String[] each : new String[][] {
             {"", "EDGE_CONFIG"},
             {"{", "EDGE_CONFIG"},
--- a/query-mixer/daemon/src/test/java/pinewick/ShutdownCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ShutdownCrossingTest.java
@@ -15,12 +15,12 @@
 /** Events during an orderly shutdown. */
 class ShutdownCrossingTest extends MixerHarness {
     @Test
-    void whatWasTakenIsAnsweredBeforeTheEnd() throws Exception {
-        Searcher a = new Searcher("a", 0, "held");
+    void acceptedQueriesAreAnsweredBeforeTheExit() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "held");
         start(a);
         Client client = new Client();
         client.post("q1", "idempotent", "[0]", "", false);
-        assertNotNull(a.frames.poll(WAIT, TimeUnit.SECONDS));
+        assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         mixer.destroy();
         Client late = new Client();
         String ready = "200 ready";
@@ -31,7 +31,7 @@
         assertTrue(ready.startsWith("500 "), ready);
         a.release.add("go");
         assertTrue(client.answer().startsWith("200 "));
-        assertTrue(mixer.waitFor(WAIT, TimeUnit.SECONDS));
+        assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
         assertEquals(0, mixer.exitValue());
     }
 
@@ -47,8 +47,8 @@
     }
 
     @Test
-    void connectionsThatWaitToBeAcceptedAsTheDoorClosesAreAnswered() throws Exception {
-        start(new Searcher("a", 0, "answer"));
+    void connectionsInTheAcceptBacklogAreAnsweredWhenTheListenerCloses() throws Exception {
+        start(new FakeReplica("a", 0, "answer"));
         startDraining();
         signal("STOP");
         List<Client> waiting = new ArrayList<>();
@@ -62,13 +62,13 @@
         for (Client client : waiting) {
             assertTrue(client.answer().startsWith("200 "));
         }
-        assertTrue(mixer.waitFor(WAIT, TimeUnit.SECONDS));
+        assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
         assertEquals(0, mixer.exitValue());
     }
 
     @Test
-    void aRequestThatCantEndBeforeTheExitIsTurnedAwayAtOnce() throws Exception {
-        Searcher a = new Searcher("a", 0, "silent");
+    void requestThatCannotEndBeforeTheExitIsRejectedAtOnce() throws Exception {
+        FakeReplica a = new FakeReplica("a", 0, "silent");
         start(a);
         deadlineSeconds = "30";
         startDraining();
@@ -82,32 +82,32 @@
     }
 
     @Test
-    void aClientThatRestsIsEndedWithoutAReset() throws Exception {
-        start(new Searcher("a", 0, "answer"));
+    void idleClientIsClosedWithoutAReset() throws Exception {
+        start(new FakeReplica("a", 0, "answer"));
         Client resting = new Client();
         resting.get("/health/live");
         mixer.destroy();
         assertEquals("end", resting.ending());
         resting.close();
-        assertTrue(mixer.waitFor(WAIT, TimeUnit.SECONDS));
+        assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
         assertEquals(0, mixer.exitValue());
     }
 
     @Test
-    void aLogThatNobodyReadsHoldsUpNeitherQueriesNorTheExit() throws Exception {
+    void unreadLogBlocksNeitherQueriesNorTheExit() throws Exception {
         Path pipe = folder.resolve("log");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         try (RandomAccessFile both = new RandomAccessFile(pipe.toFile(), "rw")) {
             both.write(new byte[64 << 10]); // the capacity of the pipe
             log = ProcessBuilder.Redirect.to(pipe.toFile());
-            start(new Searcher("a", 0, "answer"));
+            start(new FakeReplica("a", 0, "answer"));
             Client client = new Client();
             client.post("q", "idempotent", "[0]", "", false);
             assertTrue(client.answer().startsWith("200 "));
             mixer.destroy();
             assertEquals("end", client.ending());
             client.close();
-            assertTrue(mixer.waitFor(WAIT, TimeUnit.SECONDS));
+            assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
             assertEquals(0, mixer.exitValue());
         }
     }
@@ -115,14 +115,15 @@
     @Test
     void signalsThatComeTwiceOrDuringTheStartEndItInOrder() throws Exception {
         discovery.held = true;
-        Searcher a = new Searcher("a", 0, "answer");
+        FakeReplica a = new FakeReplica("a", 0, "answer");
         launch(a);
         assertNotNull(
-                discovery.fullListRequests.poll(WAIT, TimeUnit.SECONDS), "it is starting: the list is not read yet");
+                discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS),
+                "it is starting: the list is not read yet");
         mixer.destroy();
         sendSighup();
         mixer.destroy();
-        assertTrue(mixer.waitFor(WAIT, TimeUnit.SECONDS));
+        assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
         assertEquals(0, mixer.exitValue());
     }
 }
--- a/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void whatSomeLearnAllKnowAndOneThatReturnsCatchesUpBeforeItHasServedAnything() throws Exception {
+    void factsReachAllMixersAndARestartedOneCatchesUpBeforeServing() throws Exception {
         fleet(4, "{\"fleet\":{\"state\":\"on\"}}", searchers(SLOW_SERVICE_SECONDS));
         startAll(4);
         for (int round = 0;
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aSearcherThatFailsAtTwoIsAWarningToTheThirdAndCopiesAgreeAfterASplit() throws Exception {
+    void failuresSeenByTwoMixersWarnTheThirdAndCopiesConvergeAfterAPartition() throws Exception {
         List<String> addresses = searchers();
         addresses.set(2, "127.0.0.1:9");
         fleet(3, "{\"fleet\":{\"state\":\"on\"}}", addresses);
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void aPeerThatLiesAboutEverythingLosesNoQuery() throws Exception {
+    void peerWithFalseFactsCausesNoLostQuery() throws Exception {
         fleet(2, "{\"fleet\":{\"state\":\"on\"}}", searchers());
         startAll(2);
         try (DatagramSocket faultyPeer = new DatagramSocket()) {
@@ -234,7 +234,7 @@
     }
 
     @Test
-    void aSnapshotIsTakenUpAndOneThatIsSpoiltStaleOrAnothersIsRefusedOnce() throws Exception {
+    void snapshotIsLoadedAndAnInvalidStaleOrForeignOneIsRefusedOnce() throws Exception {
         Path snapshot = folder.resolve("snapshot");
         fleet(
                 1,
--- a/query-mixer/daemon/src/test/java/pinewick/protocol/TcpReplicaConnectionTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/TcpReplicaConnectionTest.java
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void answersThatHaveComeCountBeforeTheWriteThatFindsTheConnectionBroken() throws Exception {
+    void receivedResponsesCountBeforeAWriteFindsTheConnectionBroken() throws Exception {
         onLoop(() -> connection.send(List.of(launch("q1", 3))));
         readCall();
         onLoop(() -> {
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void aFrameBegunAndNoLongerWantedTakesNoOtherCallWithIt() throws Exception {
+    void abandoningAPartlyWrittenFrameLosesNoOtherCall() throws Exception {
         onLoop(() -> connection.send(List.of(launch("q1", 3))));
         readCall();
         LiveLaunch large = launch("q2", 64 << 20);
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void aDialThatIsLateGivesBackWhatWaitsAndServesWhatComesAfterItIsUp() throws Exception {
+    void lateConnectReturnsWaitingAttemptsAndServesLaterOnes() throws Exception {
         List<Socket> fill = new ArrayList<>();
         for (int each = 0; each < 2; each++) {
             // These fill the accept backlog, so that the next connection is not established yet.
