--- a/query-mixer/daemon/src/test/java/pinewick/wire/AnswerFrameTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/ResponseFrameTest.java
@@ -1,4 +1,4 @@
-package pinewick.wire;
+package pinewick.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,28 +12,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class AnswerFrameTest {
-    private static AnswerFrame read(String text) {
-        return AnswerFrame.read(text.getBytes(StandardCharsets.UTF_8));
+class ResponseFrameTest {
+    private static ResponseFrame read(String text) {
+        return ResponseFrame.read(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void anAnswerIsReadInItsParts() {
-        AnswerFrame answer = read("q1.0 S 1 queue=3,qps=1.5\nvalue of the part");
-
-        assertTrue(answer.wellFormed());
-        assertEquals("q1.0", answer.part());
-        assertEquals('S', answer.end());
-        assertNotNull(answer.report());
-        assertArrayEquals("value of the part".getBytes(StandardCharsets.UTF_8), answer.value());
+    void responseIsParsedIntoItsFields() {
+        ResponseFrame response = read("q1.0 S 1 queue=3,qps=1.5\nvalue of the part");
+
+        assertTrue(response.wellFormed());
+        assertEquals("q1.0", response.part());
+        assertEquals('S', response.end());
+        assertNotNull(response.report());
+        assertArrayEquals("value of the part".getBytes(StandardCharsets.UTF_8), response.value());
     }
 
     @Test
-    void aReportThatCannotBeReadCostsNoAnswer() {
-        AnswerFrame answer = read("q1.0 S 1 queue=%%%\nvalue");
+    void invalidLoadReportDoesNotInvalidateTheResponse() {
+        ResponseFrame response = read("q1.0 S 1 queue=%%%\nvalue");
 
-        assertTrue(answer.wellFormed());
-        assertNull(answer.report());
+        assertTrue(response.wellFormed());
+        assertNull(response.report());
     }
 
     @ParameterizedTest
@@ -47,10 +47,10 @@
                 "q1.0 S one -\nvalue",
                 "q1.0 S 1 -\n\u0001\u0002"
             })
-    void whatCannotBeReadStillNamesItsPart(String text) {
-        AnswerFrame answer = read(text);
+    void malformedResponseStillNamesItsPart(String text) {
+        ResponseFrame response = read(text);
 
-        assertFalse(answer.wellFormed());
-        assertEquals("q1.0", answer.part());
+        assertFalse(response.wellFormed());
+        assertEquals("q1.0", response.part());
     }
 }
