--- a/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryLeaseTransport.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/RegistryLeaseTransport.java
@@ -57,7 +57,7 @@
                     @Override
                     public void onLine(String text) {
                         pendingRequests.remove(question);
-EtcdJson.Lease lease = EtcdJson.parseLease(text);
+                        EtcdJson.Lease lease = EtcdJson.parseLease(text);
                         keeper.onResponse(loop.now(), question, lease.id(), lease.ttlSeconds());
                     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/RegistrySessionTransport.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/RegistrySessionTransport.java
@@ -19,7 +19,11 @@
     private PrefixWatcher session;
 
     public RegistrySessionTransport(
-            EventLoop loop, RegistryHttpClient client, String prefix, Consumer<ViewUpdate> steps, Consumer<String> log) {
+            EventLoop loop,
+            RegistryHttpClient client,
+            String prefix,
+            Consumer<ViewUpdate> steps,
+            Consumer<String> log) {
         this.loop = loop;
         this.client = client;
         this.prefix = prefix;
