--- a/query-mixer/daemon/src/main/java/pinewick/Main.java
+++ b/query-mixer/daemon/src/main/java/pinewick/Main.java
@@ -1,6 +1,6 @@
 package pinewick;
 
-import pinewick.life.Commands;
+import pinewick.lifecycle.Commands;
 
 /** Where the program starts. */
 public final class Main {
--- a/query-mixer/daemon/src/main/java/pinewick/life/Commands.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/Commands.java
@@ -1,4 +1,4 @@
-package pinewick.life;
+package pinewick.lifecycle;
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
--- a/query-mixer/daemon/src/main/java/pinewick/life/RegistryList.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RegistryList.java
@@ -1,4 +1,4 @@
-package pinewick.life;
+package pinewick.lifecycle;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/query-mixer/daemon/src/main/java/pinewick/life/Rehearsal.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/Rehearsal.java
@@ -1,4 +1,4 @@
-package pinewick.life;
+package pinewick.lifecycle;
 
 import io.undertow.connector.ByteBufferPool;
 import java.io.IOException;
--- a/query-mixer/daemon/src/main/java/pinewick/life/SnapshotFile.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/SnapshotFile.java
@@ -1,4 +1,4 @@
-package pinewick.life;
+package pinewick.lifecycle;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/query-mixer/daemon/src/main/java/pinewick/life/StartOrders.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/StartOrders.java
@@ -1,4 +1,4 @@
-package pinewick.life;
+package pinewick.lifecycle;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/query-mixer/daemon/src/main/java/pinewick/life/StateLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/StateLife.java
@@ -1,4 +1,4 @@
-package pinewick.life;
+package pinewick.lifecycle;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,7 +16,7 @@
 import pinewick.fleet.state.FactSnapshotFormat;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.stages.Route;
+import pinewick.pipeline.Route;
 
 /** What this mixer and the others see of the searchers, put together with the decisions, the wire and the snapshot. */
 final class StateLife implements Route.Others {
--- a/query-mixer/daemon/src/main/java/pinewick/life/StructuredLog.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/StructuredLog.java
@@ -1,4 +1,4 @@
-package pinewick.life;
+package pinewick.lifecycle;
 
 import java.util.List;
 import org.tinylog.Logger;
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Admit.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/Admit.java
@@ -1,10 +1,10 @@
-package pinewick.stages;
+package pinewick.pipeline;
 
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
-import pinewick.memory.Counters;
-import pinewick.memory.OpenQueries;
-import pinewick.memory.OpenQuery;
+import pinewick.state.Counters;
+import pinewick.state.OpenQueries;
+import pinewick.state.OpenQuery;
 
 /** Second stage: what the mixer can't hold is turned away before any decision, as the settings say. */
 public final class Admit {
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Book.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/Book.java
@@ -1,15 +1,15 @@
-package pinewick.stages;
+package pinewick.pipeline;
 
 import java.util.List;
 import java.util.Locale;
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.memory.Counters;
-import pinewick.memory.LiveLaunch;
-import pinewick.memory.OpenQueries;
-import pinewick.memory.OpenQuery;
-import pinewick.memory.Searchers;
+import pinewick.state.Counters;
+import pinewick.state.LiveLaunch;
+import pinewick.state.OpenQueries;
+import pinewick.state.OpenQuery;
+import pinewick.state.Searchers;
 import pinewick.wire.SearcherLink;
 
 /** Last stage: books how launches, probes and queries ended, and tells the decisions. */
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Relay.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/Relay.java
@@ -1,12 +1,12 @@
-package pinewick.stages;
+package pinewick.pipeline;
 
 import java.nio.charset.StandardCharsets;
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Loop;
-import pinewick.memory.Counters;
-import pinewick.memory.LiveLaunch;
-import pinewick.memory.OpenQueries;
-import pinewick.memory.OpenQuery;
+import pinewick.state.Counters;
+import pinewick.state.LiveLaunch;
+import pinewick.state.OpenQueries;
+import pinewick.state.OpenQuery;
 import pinewick.wire.QueryText;
 
 /** Fifth stage: the one final answer to a client, and nothing sent for the query after it. */
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Route.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/Route.java
@@ -1,4 +1,4 @@
-package pinewick.stages;
+package pinewick.pipeline;
 
 import java.util.List;
 import java.util.SplittableRandom;
@@ -6,10 +6,10 @@
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.memory.Counters;
-import pinewick.memory.LiveLaunch;
-import pinewick.memory.OpenQueries;
-import pinewick.memory.OpenQuery;
+import pinewick.state.Counters;
+import pinewick.state.LiveLaunch;
+import pinewick.state.OpenQueries;
+import pinewick.state.OpenQuery;
 
 /** Third stage: hands events to the decisions and passes on what they ask for. It decides nothing itself. */
 public final class Route implements SchedulerHost {
--- a/query-mixer/daemon/src/main/java/pinewick/stages/Send.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/Send.java
@@ -1,4 +1,4 @@
-package pinewick.stages;
+package pinewick.pipeline;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -9,12 +9,12 @@
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
-import pinewick.memory.Call;
-import pinewick.memory.Carrier;
-import pinewick.memory.Counters;
-import pinewick.memory.LiveLaunch;
-import pinewick.memory.OpenQuery;
-import pinewick.memory.Searchers;
+import pinewick.state.Call;
+import pinewick.state.Carrier;
+import pinewick.state.Counters;
+import pinewick.state.LiveLaunch;
+import pinewick.state.OpenQuery;
+import pinewick.state.Searchers;
 import pinewick.wire.SearcherLink;
 
 /** Fourth stage: what one batch launches to a searcher goes out together, over a connection with a place. */
--- a/query-mixer/daemon/src/main/java/pinewick/stages/TakeIn.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/TakeIn.java
@@ -1,4 +1,4 @@
-package pinewick.stages;
+package pinewick.pipeline;
 
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.HeaderMap;
@@ -9,8 +9,8 @@
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
 import pinewick.loop.Pressure;
-import pinewick.memory.Counters;
-import pinewick.memory.OpenQuery;
+import pinewick.state.Counters;
+import pinewick.state.OpenQuery;
 import pinewick.wire.ClientDoor;
 import pinewick.wire.QueryText;
 
--- a/query-mixer/daemon/src/main/java/pinewick/memory/Carrier.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/Carrier.java
@@ -1,4 +1,4 @@
-package pinewick.memory;
+package pinewick.state;
 
 import java.util.List;
 
--- a/query-mixer/daemon/src/main/java/pinewick/memory/Counters.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/Counters.java
@@ -1,4 +1,4 @@
-package pinewick.memory;
+package pinewick.state;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/query-mixer/daemon/src/main/java/pinewick/memory/Searchers.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/Searchers.java
@@ -1,4 +1,4 @@
-package pinewick.memory;
+package pinewick.state;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
@@ -31,7 +31,7 @@
 import org.xnio.channels.StreamSourceChannel;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
-import pinewick.memory.OpenQuery;
+import pinewick.state.OpenQuery;
 
 /** Where clients come in: HTTP/1.1 by Undertow, all of it on the loop's thread. */
 public final class ClientDoor implements ChannelListener<StreamConnection>, HttpHandler {
--- a/query-mixer/daemon/src/main/java/pinewick/wire/Frames.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/Frames.java
@@ -5,9 +5,9 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import pinewick.memory.Call;
-import pinewick.memory.LiveLaunch;
-import pinewick.memory.OpenQuery;
+import pinewick.state.Call;
+import pinewick.state.LiveLaunch;
+import pinewick.state.OpenQuery;
 
 /** The frames spoken with searchers: a length (least significant byte first), a letter, the rest. */
 public final class Frames {
--- a/query-mixer/daemon/src/main/java/pinewick/wire/OwedAnswers.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/OwedAnswers.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import pinewick.loop.Limits;
-import pinewick.memory.LiveLaunch;
+import pinewick.state.LiveLaunch;
 
 /** The answers that a searcher still owes on one connection, by part, and those that it has given of late. */
 final class OwedAnswers {
--- a/query-mixer/daemon/src/main/java/pinewick/wire/QueryText.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/QueryText.java
@@ -9,7 +9,7 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.CodingErrorAction;
 import java.nio.charset.StandardCharsets;
-import pinewick.memory.OpenQuery;
+import pinewick.state.OpenQuery;
 
 /** The text of a query and of its answer; of a query only what decisions and searchers need is taken out. */
 public final class QueryText {
--- a/query-mixer/daemon/src/main/java/pinewick/wire/SearcherLink.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/SearcherLink.java
@@ -17,9 +17,9 @@
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
-import pinewick.memory.Call;
-import pinewick.memory.Carrier;
-import pinewick.memory.LiveLaunch;
+import pinewick.state.Call;
+import pinewick.state.Carrier;
+import pinewick.state.LiveLaunch;
 
 /** One connection to a searcher, from when it is asked for until it is closed. */
 public final class SearcherLink implements Carrier {
--- a/query-mixer/daemon/src/test/java/pinewick/life/LaunchCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/lifecycle/LaunchCrossingTest.java
@@ -1,4 +1,4 @@
-package pinewick.life;
+package pinewick.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
@@ -33,9 +33,9 @@
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.memory.Call;
-import pinewick.memory.LiveLaunch;
-import pinewick.memory.OpenQuery;
+import pinewick.state.Call;
+import pinewick.state.LiveLaunch;
+import pinewick.state.OpenQuery;
 
 /** One connection to a searcher over a real socket; a gate on the loop forces which of two events comes first. */
 @Timeout(30)
