--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/Serving.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/CommandActions.java
@@ -11,7 +11,7 @@
 import sun.misc.Signal;
 
 /** What the sub-commands do. */
-final class Serving {
+final class CommandActions {
     private static final String REHEARSAL_ORDERS =
             """
         {"limits":{"sockets":256},"known":{"revision":1,"complete":true,"members":[]},"settings":{
@@ -20,15 +20,15 @@
          "bounds":{"multiplex":100,"try-limit":4,"probing":true,"may-cancel":true,"parallel-tries":true},
          "family-info":{"cells":4,"reach":1,"slabs":8,"per-call":16}}}""";
 
-    private Serving() {}
+    private CommandActions() {}
 
     /** Serves until a signal ends it. */
     static int serve(String operatorFile) throws Exception {
-        StartOrders orders;
-        OperatorFile operator;
+        StartupConfig orders;
+        OperatorConfig operator;
         try {
-            operator = operatorFile == null ? null : OperatorFile.read(Path.of(operatorFile));
-            orders = StartOrders.read(System.getenv());
+            operator = operatorFile == null ? null : OperatorConfig.read(Path.of(operatorFile));
+            orders = StartupConfig.read(System.getenv());
         } catch (IllegalArgumentException wrong) {
             System.err.println("pinewick: " + wrong.getMessage());
             return 2;
@@ -41,7 +41,7 @@
     static int check(String operatorFile) {
         try {
             if (operatorFile != null) {
-                OperatorFile operator = OperatorFile.read(Path.of(operatorFile));
+                OperatorConfig operator = OperatorConfig.read(Path.of(operatorFile));
                 System.out.println(
                         operator.registry() == null
                                 ? "operator's file: nothing is on"
@@ -50,7 +50,7 @@
                     return 0;
                 }
             }
-            StartOrders orders = StartOrders.read(System.getenv());
+            StartupConfig orders = StartupConfig.read(System.getenv());
             System.out.println(orders.name() + " listens at " + orders.listen() + ", discovery at "
                     + orders.discovery() + ", "
                     + orders.deployment().serviceClasses().size() + " service grades, "
@@ -64,18 +64,18 @@
         }
     }
 
-    private static Serve start(StartOrders orders, OperatorFile operator) throws Exception {
+    private static RouterServer start(StartupConfig orders, OperatorConfig operator) throws Exception {
         Log log = operator != null && operator.logs() != null
                 ? new StructuredLog(operator.logs(), orders.limits().logLines())
                 : new Log(System.err, orders.limits().logLines());
         log.takesOver();
-        Serve serve = new Serve(orders, operator, log);
+        RouterServer serve = new RouterServer(orders, operator, log);
         AtomicLong asked = new AtomicLong();
         // Each signal has a thread of its own, so the file is read beside the loop, and may be read out of turn.
         Signal.handle(new Signal("HUP"), any -> {
             long number = asked.incrementAndGet();
             try {
-                serve.reload(number, StartOrders.readAgain(System.getenv()), null);
+                serve.reload(number, StartupConfig.readAgain(System.getenv()), null);
             } catch (RuntimeException wrong) {
                 serve.reload(number, null, wrong.getMessage());
             }
@@ -97,8 +97,8 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             own = "127.0.0.1:" + free.getLocalPort();
         }
-        Serve serve = start(
-                StartOrders.of(
+        RouterServer serve = start(
+                StartupConfig.of(
                         JsonParser.parseString(REHEARSAL_ORDERS).getAsJsonObject(),
                         Map.of("EDGE_LISTEN", own, "EDGE_DISCOVERY", own)),
                 null);
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/Commands.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/Commands.java
@@ -29,9 +29,9 @@
     public static int plain(String command, String[] words) {
         try {
             return switch (command) {
-                case "serve" -> Serving.serve(words.length > 2 ? words[2] : null);
-                case "benchlink" -> Serving.benchlink();
-                case "rehearse" -> Serving.rehearse();
+                case "serve" -> CommandActions.serve(words.length > 2 ? words[2] : null);
+                case "benchlink" -> CommandActions.benchlink();
+                case "rehearse" -> CommandActions.rehearse();
                 default -> run(words);
             };
         } catch (Exception fault) {
@@ -67,7 +67,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return Serving.serve(operator);
+            return CommandActions.serve(operator);
         }
     }
 
@@ -81,7 +81,7 @@
 
         @Override
         public Integer call() {
-            return Serving.check(operator);
+            return CommandActions.check(operator);
         }
     }
 
@@ -89,7 +89,7 @@
     static final class BenchCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            return Serving.benchlink();
+            return CommandActions.benchlink();
         }
     }
 
@@ -97,7 +97,7 @@
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            return Serving.rehearse();
+            return CommandActions.rehearse();
         }
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/StateLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/FactReplicationService.java
@@ -16,10 +16,10 @@
 import pinewick.fleet.state.FactSnapshotFormat;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.pipeline.Route;
+import pinewick.pipeline.QueryRouter;
 
 /** What this mixer and the others see of the searchers, put together with the decisions, the wire and the snapshot. */
-final class StateLife implements Route.Others {
+final class FactReplicationService implements QueryRouter.PeerObservations {
     private final Loop loop;
     private final Log log;
     private final FactReplicator state;
@@ -37,7 +37,7 @@
     private long spoilt;
 
     /** @param file null where no snapshot is kept */
-    StateLife(
+    FactReplicationService(
             int size,
             int self,
             long seed,
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/FleetLife.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/MembershipService.java
@@ -13,9 +13,9 @@
 import pinewick.wire.PeerSocket;
 
 /** The view of the other mixers, put together with its socket and the loop's clock for one mixer. */
-final class FleetLife {
+final class MembershipService {
     /** Told the counts of mixers whenever one changes. */
-    interface Counts {
+    interface RouterCountListener {
         /**
          * @param live for spreading work: the best guess
          * @param most for shares of a budget that all keep together: never too low
@@ -26,30 +26,30 @@
     /** Looks at the clock in a period. */
     private static final double LOOKS = 8;
 
-    private final StartOrders.Peers first;
+    private final StartupConfig.Peers first;
     private final double tick;
     private final Loop loop;
     private final Log log;
-    private final Counts counts;
+    private final RouterCountListener counts;
     private final MembershipView view;
     private final PeerSocket socket;
     /** Null where nothing is replicated. */
-    private final StateLife state;
+    private final FactReplicationService state;
 
     private int toldLive = -1;
     private int toldMost = -1;
     private boolean over;
 
     /** @param replicated null where nothing is */
-    FleetLife(
-            StartOrders.Peers peers,
+    MembershipService(
+            StartupConfig.Peers peers,
             MembershipSettings terms,
-            OperatorFile.Replicated replicated,
+            OperatorConfig.Replicated replicated,
             long seed,
             XnioWorker worker,
             Loop loop,
             Log log,
-            Counts counts)
+            RouterCountListener counts)
             throws IOException {
         this.first = peers;
         this.loop = loop;
@@ -78,7 +78,7 @@
                 this::changed);
         state = replicated == null
                 ? null
-                : new StateLife(
+                : new FactReplicationService(
                         peers.peers().size(),
                         peers.self(),
                         seed ^ 0x57A7E,
@@ -94,7 +94,7 @@
     }
 
     /** What the other mixers see of the searchers; null where nothing is replicated. */
-    StateLife state() {
+    FactReplicationService state() {
         return state;
     }
 
@@ -164,7 +164,7 @@
     }
 
     /** The configuration was read anew; the mixers in it are the ones from now on. */
-    void listed(StartOrders.Peers peers) {
+    void listed(StartupConfig.Peers peers) {
         socket.listed(peers.peers(), peers.all());
         if (peers.peers().size() != view.size() || peers.self() != view.self()) {
             log.say(
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/OperatorFile.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/OperatorConfig.java
@@ -21,7 +21,7 @@
  * {@code deploy/operator.schema.json}; a test holds this reader and that schema to the same verdicts. Without the file
  * all of it is off.
  */
-final class OperatorFile {
+final class OperatorConfig {
     /** Where and how the list of searchers is followed; times in seconds. */
     record Registry(
             List<InetSocketAddress> endpoints,
@@ -53,7 +53,7 @@
 
     private Replicated replicated;
 
-    private OperatorFile() {}
+    private OperatorConfig() {}
 
     Logs logs() {
         return logs;
@@ -73,7 +73,7 @@
     }
 
     /** Throws IllegalArgumentException whose message has a line for each wrong field: its path, what was expected. */
-    static OperatorFile read(Path file) {
+    static OperatorConfig read(Path file) {
         JsonElement all;
         try {
             all = JsonParser.parseString(Files.readString(file));
@@ -84,8 +84,8 @@
         return of(all);
     }
 
-    static OperatorFile of(JsonElement all) {
-        OperatorFile read = new OperatorFile();
+    static OperatorConfig of(JsonElement all) {
+        OperatorConfig read = new OperatorConfig();
         read.all(all);
         if (!read.wrong.isEmpty()) {
             throw new IllegalArgumentException("operator's file: " + String.join("\noperator's file: ", read.wrong));
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/Rehearsal.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/PipelineWarmUp.java
@@ -23,7 +23,7 @@
  * classes loaded and the ordinary path compiled. Client and searchers are pipes within this process: nothing
  * reaches the network, and nothing of what the chain learned is kept.
  */
-final class Rehearsal {
+final class PipelineWarmUp {
     /** Few, since each pipe takes four descriptors. */
     private static final int CELLS = 4;
 
@@ -32,20 +32,20 @@
     private final Loop loop;
     private final Log log;
     private final Runnable then;
-    private final Chain chain;
+    private final RequestPipeline chain;
     private final List<StreamConnection> ends = new ArrayList<>();
     private StreamConnection client;
     private double startedAt;
     private int asked;
     private boolean over;
 
-    Rehearsal(StartOrders orders, Loop loop, ByteBufferPool buffers, Runnable then) {
+    PipelineWarmUp(StartupConfig orders, Loop loop, ByteBufferPool buffers, Runnable then) {
         this.given = orders.deployment();
         this.limits = orders.limits();
         this.loop = loop;
         this.log = new Log(System.err, 0);
         this.then = then;
-        chain = new Chain(given, limits, 1, loop, log, buffers, this::dial);
+        chain = new RequestPipeline(given, limits, 1, loop, log, buffers, this::dial);
     }
 
     void start() {
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RegistryList.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RegistryDiscovery.java
@@ -24,12 +24,12 @@
 import pinewick.wire.RegistryWire;
 
 /** The list of searchers from a registry: view, session, wire and kept copy put together for one mixer. */
-final class RegistryList {
+final class RegistryDiscovery {
     private static final double TICK = 0.02;
 
     private final Loop loop;
     private final Log log;
-    private final OperatorFile.Registry given;
+    private final OperatorConfig.Registry given;
     private final BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> news;
     private final RegistryView view;
     private final RegistrySession session;
@@ -39,9 +39,9 @@
     private final Members members;
 
     /** @param mixers is told how many mixers share the searchers, whenever that changes */
-    RegistryList(
-            OperatorFile.Registry given,
-            StartOrders orders,
+    RegistryDiscovery(
+            OperatorConfig.Registry given,
+            StartupConfig orders,
             Loop loop,
             Log log,
             BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> news,
@@ -139,7 +139,7 @@
         Members(
                 RegistryCalls calls,
                 RegistrySession.Terms terms,
-                StartOrders orders,
+                StartupConfig orders,
                 SplittableRandom chance,
                 IntConsumer tell) {
             this.tell = tell;
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/Chain.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RequestPipeline.java
@@ -10,33 +10,33 @@
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.loop.Pressure;
-import pinewick.pipeline.Admit;
-import pinewick.pipeline.Book;
-import pinewick.pipeline.Relay;
-import pinewick.pipeline.Route;
-import pinewick.pipeline.Send;
-import pinewick.pipeline.TakeIn;
-import pinewick.state.Carrier;
+import pinewick.pipeline.AdmissionController;
+import pinewick.pipeline.AttemptDispatcher;
+import pinewick.pipeline.CompletionHandler;
+import pinewick.pipeline.QueryRouter;
+import pinewick.pipeline.RequestIntake;
+import pinewick.pipeline.ResponseSender;
 import pinewick.state.Counters;
 import pinewick.state.OpenQueries;
-import pinewick.state.Searchers;
+import pinewick.state.OutboundConnection;
+import pinewick.state.ReplicaDirectory;
 import pinewick.wire.ClientDoor;
 import pinewick.wire.ListText;
 import pinewick.wire.SearcherLink;
 
 /** The stages of one mixer, put together, with what they keep. */
-final class Chain {
+final class RequestPipeline {
     final Counters counters = new Counters();
     final OpenQueries queries = new OpenQueries();
-    final Searchers searchers = new Searchers();
+    final ReplicaDirectory searchers = new ReplicaDirectory();
     final ClientDoor door;
-    final Route route;
+    final QueryRouter route;
     private final Loop loop;
-    private final Send send;
+    private final AttemptDispatcher send;
     private Supplier<String> others = () -> "";
     private Consumer<List<SchedulerHost.ReplicaEntry>> alsoListed = any -> {};
 
-    Chain(
+    RequestPipeline(
             SchedulerHost.Deployment given,
             Limits limits,
             long seed,
@@ -46,13 +46,13 @@
             Consumer<SearcherLink> dialer) {
         this.loop = loop;
         door = new ClientDoor(loop, limits, buffers, this::figures);
-        send = new Send(given, loop, limits, counters, searchers, dialer);
-        Relay relay = new Relay(loop, queries, counters, send);
-        Book book = new Book(loop, log, queries, counters, searchers, send, relay);
+        send = new AttemptDispatcher(given, loop, limits, counters, searchers, dialer);
+        ResponseSender relay = new ResponseSender(loop, queries, counters, send);
+        CompletionHandler book = new CompletionHandler(loop, log, queries, counters, searchers, send, relay);
         send.passesTo(book);
-        route = new Route(given, seed, loop, log, queries, counters, send, relay);
+        route = new QueryRouter(given, seed, loop, log, queries, counters, send, relay);
         book.tells(route);
-        Admit admit = new Admit(limits, loop, queries, counters, route, relay);
+        AdmissionController admit = new AdmissionController(limits, loop, queries, counters, route, relay);
         double goal = given.serviceClasses().stream()
                 .mapToDouble(SchedulerHost.ServiceClassConfig::latencyTargetSeconds)
                 .min()
@@ -68,7 +68,7 @@
                 value,
                 new SplittableRandom(seed));
         loop.watches(pressure);
-        door.opens(new TakeIn(given, limits, counters, admit, book, pressure, loop));
+        door.opens(new RequestIntake(given, limits, counters, admit, book, pressure, loop));
         loop.atEndOfBatch(route::endOfBatch);
     }
 
@@ -85,7 +85,7 @@
         }
         route.list(form, piece.listings());
         alsoListed.accept(piece.listings());
-        for (Carrier link : searchers.allLinks()) {
+        for (OutboundConnection link : searchers.allLinks()) {
             if (!searchers.takesNew(link.searcher())) {
                 send.leaves(link.searcher(), "draining or gone");
             }
@@ -96,7 +96,7 @@
 
     /** Looks after connections; to be called now and then. */
     void housekeeping() {
-        searchers.allLinks().forEach(Carrier::look);
+        searchers.allLinks().forEach(OutboundConnection::look);
         door.look();
         counters.peak("peak-client-connections", door.connections());
     }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/Serve.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
@@ -21,26 +21,26 @@
 import pinewick.wire.SearcherLink;
 
 /** One mixer from its start to its end: rehearses, opens the door, follows the list, leaves in order. */
-final class Serve {
-    private StartOrders orders;
+final class RouterServer {
+    private StartupConfig orders;
     private ListWatch watch;
-    private final OperatorFile operator;
-    private RegistryList registry;
-    private FleetLife fleet;
+    private final OperatorConfig operator;
+    private RegistryDiscovery registry;
+    private MembershipService fleet;
     private long newest;
     private final Limits limits;
     private final Log log;
     private final Loop loop;
     private final ByteBufferPool buffers;
     private final XnioWorker worker;
-    private Chain chain;
+    private RequestPipeline chain;
     private AcceptingChannel<StreamConnection> listener;
     private boolean listKnown;
     private boolean ready;
     private boolean leaving;
 
     /** @param operator null where nothing of it is on */
-    Serve(StartOrders orders, OperatorFile operator, Log log) throws IOException {
+    RouterServer(StartupConfig orders, OperatorConfig operator, Log log) throws IOException {
         this.orders = orders;
         this.operator = operator;
         this.limits = orders.limits();
@@ -55,14 +55,15 @@
                         .getMap());
         loop = new Loop(worker.getIoThread(), log);
         buffers = new DefaultByteBufferPool(true, limits.bufferBytes(), limits.buffersKept(), 4);
-        loop.later("rehearsing", () -> new Rehearsal(orders, loop, buffers, () -> loop.later("starting", this::start))
-                .start());
+        loop.later(
+                "rehearsing",
+                () -> new PipelineWarmUp(orders, loop, buffers, () -> loop.later("starting", this::start)).start());
     }
 
     private void start() {
-        chain = new Chain(orders.deployment(), limits, orders.seed(), loop, log, buffers, SearcherLink::dial);
+        chain = new RequestPipeline(orders.deployment(), limits, orders.seed(), loop, log, buffers, SearcherLink::dial);
         if (operator != null && operator.registry() != null) {
-            registry = new RegistryList(
+            registry = new RegistryDiscovery(
                     operator.registry(), orders, loop, log, chain::list, count -> chain.route.mixers(count, count));
             chain.alsoTells(this::figures);
             registry.start();
@@ -85,7 +86,7 @@
             return;
         }
         try {
-            fleet = new FleetLife(
+            fleet = new MembershipService(
                     orders.peers(),
                     terms,
                     operator == null ? null : operator.replicated(),
@@ -220,7 +221,7 @@
      * address from now on; queries, connections and what the decisions learnt stay. Of two read at the same time
      * the one asked for last counts.
      */
-    void reload(long number, StartOrders read, String wrong) {
+    void reload(long number, StartupConfig read, String wrong) {
         loop.later("taking a new configuration", () -> {
             if (read == null) {
                 log.say("SIGHUP: the configuration in hand stays: " + wrong);
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/StartOrders.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/StartupConfig.java
@@ -17,7 +17,7 @@
 import pinewick.wire.ListText;
 
 /** What a mixer is told before it starts: the environment and the file that it names. */
-record StartOrders(
+record StartupConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -37,14 +37,14 @@
     record Peers(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress all, int self) {}
 
     /** With what a running program takes in of another configuration: the list's address and the mixers. */
-    StartOrders takes(StartOrders other) {
+    StartupConfig takes(StartupConfig other) {
         Peers next =
                 peers == null || other.peers == null || !peers.listen.equals(other.peers.listen) ? peers : other.peers;
-        return new StartOrders(name, listen, other.discovery, seed, limits, deployment, known, next);
+        return new StartupConfig(name, listen, other.discovery, seed, limits, deployment, known, next);
     }
 
     /** The fields that differ in another configuration and cannot change in a running program. */
-    List<String> needingRestart(StartOrders other) {
+    List<String> needingRestart(StartupConfig other) {
         List<String> fields = new ArrayList<>();
         if (!listen.equals(other.listen)) {
             fields.add("listen");
@@ -62,7 +62,7 @@
     }
 
     /** As {@link #read}, but the file's address of discovery prevails: the variable's is that of the start. */
-    static StartOrders readAgain(Map<String, String> environment) {
+    static StartupConfig readAgain(Map<String, String> environment) {
         JsonObject all = file(environment);
         Map<String, String> rest = new HashMap<>(environment);
         if (all.has("discovery")) {
@@ -72,7 +72,7 @@
     }
 
     /** A message naming the variable or field at fault comes with the exception. */
-    static StartOrders read(Map<String, String> environment) {
+    static StartupConfig read(Map<String, String> environment) {
         return of(file(environment), environment);
     }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    static StartOrders of(JsonObject all, Map<String, String> environment) {
+    static StartupConfig of(JsonObject all, Map<String, String> environment) {
         String listen = given(environment, "EDGE_LISTEN", all, "listen");
         String discovery = given(environment, "EDGE_DISCOVERY", all, "discovery");
         if (!all.has("settings") || !all.get("settings").isJsonObject()) {
@@ -120,7 +120,7 @@
             throw new IllegalArgumentException("EDGE_CONFIG: field known: " + odd.getMessage());
         }
         String name = environment.getOrDefault("EDGE_NAME", "mixer");
-        return new StartOrders(
+        return new StartupConfig(
                 name,
                 address("EDGE_LISTEN or field listen", listen),
                 address("EDGE_DISCOVERY or field discovery", discovery),
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/StructuredLog.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/StructuredLog.java
@@ -16,7 +16,7 @@
 
     private static final String TIME = "{date: yyyy-MM-dd'T'HH:mm:ss.SSSXXX}";
 
-    StructuredLog(OperatorFile.Logs given, int mostASecond) {
+    StructuredLog(OperatorConfig.Logs given, int mostASecond) {
         super(System.err, mostASecond);
         Configuration.set("autoshutdown", "false");
         Configuration.set(
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/Admit.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/AdmissionController.java
@@ -7,15 +7,16 @@
 import pinewick.state.OpenQuery;
 
 /** Second stage: what the mixer can't hold is turned away before any decision, as the settings say. */
-public final class Admit {
+public final class AdmissionController {
     private final Limits limits;
     private final Loop loop;
     private final OpenQueries queries;
     private final Counters counters;
-    private final Route route;
-    private final Relay relay;
+    private final QueryRouter route;
+    private final ResponseSender relay;
 
-    public Admit(Limits limits, Loop loop, OpenQueries queries, Counters counters, Route route, Relay relay) {
+    public AdmissionController(
+            Limits limits, Loop loop, OpenQueries queries, Counters counters, QueryRouter route, ResponseSender relay) {
         this.limits = limits;
         this.loop = loop;
         this.queries = queries;
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/Send.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/AttemptDispatcher.java
@@ -9,35 +9,35 @@
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
-import pinewick.state.Call;
-import pinewick.state.Carrier;
 import pinewick.state.Counters;
-import pinewick.state.LiveLaunch;
+import pinewick.state.InFlightAttempt;
 import pinewick.state.OpenQuery;
-import pinewick.state.Searchers;
+import pinewick.state.OutboundConnection;
+import pinewick.state.ReplicaCall;
+import pinewick.state.ReplicaDirectory;
 import pinewick.wire.SearcherLink;
 
 /** Fourth stage: what one batch launches to a searcher goes out together, over a connection with a place. */
-public final class Send {
+public final class AttemptDispatcher {
     private final SchedulerHost.Deployment given;
     private final Loop loop;
     private final Limits limits;
     private final Counters counters;
-    private final Searchers searchers;
-    private final Map<String, List<LiveLaunch>> batch = new LinkedHashMap<>();
+    private final ReplicaDirectory searchers;
+    private final Map<String, List<InFlightAttempt>> batch = new LinkedHashMap<>();
     private final Map<Long, String> probes = new LinkedHashMap<>();
     private final Consumer<SearcherLink> dialer;
     private Runnable lookAtList = () -> {};
     private double lookedAt;
     private long lastProbe;
-    private Book book;
+    private CompletionHandler book;
 
-    public Send(
+    public AttemptDispatcher(
             SchedulerHost.Deployment given,
             Loop loop,
             Limits limits,
             Counters counters,
-            Searchers searchers,
+            ReplicaDirectory searchers,
             Consumer<SearcherLink> dialer) {
         this.given = given;
         this.loop = loop;
@@ -48,7 +48,7 @@
     }
 
     /** The stage to which endings go. */
-    public void passesTo(Book next) {
+    public void passesTo(CompletionHandler next) {
         book = next;
     }
 
@@ -57,7 +57,7 @@
         lookAtList = atList;
     }
 
-    public void add(LiveLaunch launch) {
+    public void add(InFlightAttempt launch) {
         counters.add("launched");
         batch.computeIfAbsent(launch.searcher, any -> new ArrayList<>()).add(launch);
     }
@@ -67,24 +67,24 @@
         if (batch.isEmpty()) {
             return;
         }
-        Map<String, List<LiveLaunch>> now = new LinkedHashMap<>(batch);
+        Map<String, List<InFlightAttempt>> now = new LinkedHashMap<>(batch);
         batch.clear();
         now.forEach((searcher, launches) -> loop.guarded("sending", () -> send(searcher, launches)));
     }
 
-    private void send(String searcher, List<LiveLaunch> launches) {
+    private void send(String searcher, List<InFlightAttempt> launches) {
         // What was taken back within its own batch, by its query's end, has ended already.
         launches.removeIf(each -> each.over || each.piece.query.ended);
         for (int from = 0; from < launches.size(); from += limits.callParts()) {
-            List<LiveLaunch> call = launches.subList(from, Math.min(launches.size(), from + limits.callParts()));
+            List<InFlightAttempt> call = launches.subList(from, Math.min(launches.size(), from + limits.callParts()));
             boolean told = !searchers.takesNew(searcher);
-            Carrier link = told ? null : link(searcher);
+            OutboundConnection link = told ? null : link(searcher);
             if (link == null) {
                 SchedulerHost.Outcome ending = told ? SchedulerHost.Outcome.MOOT : SchedulerHost.Outcome.NOT_CONNECTED;
                 List.copyOf(call).forEach(each -> endLater(each, ending));
                 continue;
             }
-            for (LiveLaunch each : call) {
+            for (InFlightAttempt each : call) {
                 each.timer = loop.timeOut(each.until - loop.clock(), "a time-out", () -> timedOut(each));
                 writeInWindow(each);
             }
@@ -98,7 +98,7 @@
      * and then its effect would happen twice. So it is taken back in time, and not begun after it. Also catches a
      * searcher that does not read. Harm: none, the decisions may launch it no more either.
      */
-    private void writeInWindow(LiveLaunch launch) {
+    private void writeInWindow(InFlightAttempt launch) {
         SchedulerHost.ServiceClassConfig grade = given.serviceClasses().get(launch.piece.query.grade);
         if (grade.retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED && launch.number > 0) {
             launch.piece.launches.stream()
@@ -120,7 +120,7 @@
      * and in that time the client may have left, a window have ended, or a drain have come. Harm: a read for each
      * launch of a query not seen for a moment, and one of the list.
      */
-    boolean mayBegin(LiveLaunch launch) {
+    boolean mayBegin(InFlightAttempt launch) {
         OpenQuery query = launch.piece.query;
         double now = loop.clock();
         if (!launch.over && !query.ended && now - query.seenAt > limits.unseen() && query.asker.stillThere()) {
@@ -138,9 +138,9 @@
     }
 
     /** A connection with a place: one that is up before one that is not yet, else a new one; null at limits. */
-    private Carrier link(String searcher) {
-        Carrier best = null;
-        for (Carrier each : List.copyOf(searchers.links(searcher))) {
+    private OutboundConnection link(String searcher) {
+        OutboundConnection best = null;
+        for (OutboundConnection each : List.copyOf(searchers.links(searcher))) {
             if (each.hasPlace() && (best == null || (each.isUp() && !best.isUp())) && each.stillThere()) {
                 best = each;
             }
@@ -168,12 +168,12 @@
         return link;
     }
 
-    private void timedOut(LiveLaunch launch) {
+    private void timedOut(InFlightAttempt launch) {
         if (launch.over) {
             return;
         }
-        Call call = launch.call;
-        if (call.stage == Call.Stage.WRITTEN) {
+        ReplicaCall call = launch.call;
+        if (call.stage == ReplicaCall.WriteState.WRITTEN) {
             // Danger: a machine that vanished leaves its connections open and silent, and each launch put on
             // them would be lost until its time-out. So a silent one gets nothing new. Harm: a searcher that
             // is only slow is dialled once more.
@@ -189,7 +189,7 @@
         }
     }
 
-    public void cancel(LiveLaunch launch) {
+    public void cancel(InFlightAttempt launch) {
         if (!launch.over) {
             if (launch.call != null) {
                 launch.call.link.drop(launch, given.allowsCancel());
@@ -199,28 +199,28 @@
     }
 
     /** Takes back what has not been written yet; it never ran. */
-    public void takeBack(LiveLaunch launch, SchedulerHost.Outcome ending) {
+    public void takeBack(InFlightAttempt launch, SchedulerHost.Outcome ending) {
         if (!launch.over && launch.waits()) {
             if (launch.call != null) {
                 launch.call.link.drop(launch, false);
             }
             endLater(launch, ending);
-        } else if (!launch.over && launch.call.stage == Call.Stage.BEGUN) {
+        } else if (!launch.over && launch.call.stage == ReplicaCall.WriteState.PARTIAL) {
             launch.call.link.drop(launch, false);
         }
     }
 
     /** The searcher takes nothing new: what waits for it goes back, its connections end with what is out. */
     public void leaves(String searcher, String why) {
-        for (Carrier link : List.copyOf(searchers.links(searcher))) {
-            for (LiveLaunch launch : link.waiting()) {
+        for (OutboundConnection link : List.copyOf(searchers.links(searcher))) {
+            for (InFlightAttempt launch : link.waiting()) {
                 takeBack(launch, SchedulerHost.Outcome.MOOT);
             }
             link.retire(why);
         }
     }
 
-    private void endLater(LiveLaunch launch, SchedulerHost.Outcome ending) {
+    private void endLater(InFlightAttempt launch, SchedulerHost.Outcome ending) {
         loop.later("a launch's end", () -> book.ended(launch, ending, null));
     }
 
@@ -229,7 +229,7 @@
         probes.put(number, searcher);
         counters.add("probes");
         loop.later("probing", () -> {
-            Carrier link = searchers.takesNew(searcher) ? link(searcher) : null;
+            OutboundConnection link = searchers.takesNew(searcher) ? link(searcher) : null;
             if (link == null) {
                 probeEnds(number, SchedulerHost.Outcome.NOT_CONNECTED, null);
                 return;
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/Book.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/CompletionHandler.java
@@ -6,25 +6,31 @@
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.state.Counters;
-import pinewick.state.LiveLaunch;
+import pinewick.state.InFlightAttempt;
 import pinewick.state.OpenQueries;
 import pinewick.state.OpenQuery;
-import pinewick.state.Searchers;
+import pinewick.state.ReplicaDirectory;
 import pinewick.wire.SearcherLink;
 
 /** Last stage: books how launches, probes and queries ended, and tells the decisions. */
-public final class Book implements SearcherLink.Events {
+public final class CompletionHandler implements SearcherLink.Events {
     private final Loop loop;
     private final Log log;
     private final OpenQueries queries;
     private final Counters counters;
-    private final Searchers searchers;
-    private final Send send;
-    private final Relay relay;
-    private Route route;
+    private final ReplicaDirectory searchers;
+    private final AttemptDispatcher send;
+    private final ResponseSender relay;
+    private QueryRouter route;
 
-    public Book(
-            Loop loop, Log log, OpenQueries queries, Counters counters, Searchers searchers, Send send, Relay relay) {
+    public CompletionHandler(
+            Loop loop,
+            Log log,
+            OpenQueries queries,
+            Counters counters,
+            ReplicaDirectory searchers,
+            AttemptDispatcher send,
+            ResponseSender relay) {
         this.loop = loop;
         this.log = log;
         this.queries = queries;
@@ -35,12 +41,12 @@
     }
 
     /** The stage that the decisions are told through. */
-    public void tells(Route decisions) {
+    public void tells(QueryRouter decisions) {
         route = decisions;
     }
 
     /** A launch is over, once. */
-    void ended(LiveLaunch launch, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
+    void ended(InFlightAttempt launch, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
         if (launch.over) {
             return;
         }
@@ -85,7 +91,7 @@
     }
 
     @Override
-    public void answered(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value) {
+    public void answered(InFlightAttempt launch, char end, SchedulerHost.LoadReport report, byte[] value) {
         if (end == 'S' && launch.piece.value == null) {
             launch.piece.value = value;
         }
@@ -105,7 +111,7 @@
     }
 
     @Override
-    public void spoilt(SearcherLink link, String why, LiveLaunch launch) {
+    public void spoilt(SearcherLink link, String why, InFlightAttempt launch) {
         counters.add("spoilt-answers");
         link.waiting().forEach(each -> send.takeBack(each, SchedulerHost.Outcome.MOOT));
         log.say(
@@ -120,17 +126,17 @@
     }
 
     @Override
-    public boolean mayBegin(LiveLaunch launch) {
+    public boolean mayBegin(InFlightAttempt launch) {
         return send.mayBegin(launch);
     }
 
     @Override
-    public void unsent(List<LiveLaunch> launches) {
+    public void unsent(List<InFlightAttempt> launches) {
         launches.forEach(each -> loop.guarded("a launch unsent", () -> ended(each, SchedulerHost.Outcome.MOOT, null)));
     }
 
     @Override
-    public void notUp(SearcherLink link, List<LiveLaunch> launches) {
+    public void notUp(SearcherLink link, List<InFlightAttempt> launches) {
         counters.add("connections-late");
         if (!launches.isEmpty()) {
             log.say(
@@ -145,7 +151,7 @@
     }
 
     @Override
-    public void closed(SearcherLink link, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps) {
+    public void closed(SearcherLink link, String why, List<InFlightAttempt> never, List<InFlightAttempt> perhaps) {
         searchers.remove(link);
         counters.add("connections-closed");
         if (!never.isEmpty() || !perhaps.isEmpty()) {
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/Route.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/QueryRouter.java
@@ -7,31 +7,31 @@
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
 import pinewick.state.Counters;
-import pinewick.state.LiveLaunch;
+import pinewick.state.InFlightAttempt;
 import pinewick.state.OpenQueries;
 import pinewick.state.OpenQuery;
 
 /** Third stage: hands events to the decisions and passes on what they ask for. It decides nothing itself. */
-public final class Route implements SchedulerHost {
+public final class QueryRouter implements SchedulerHost {
     private final Loop loop;
     private final Log log;
     private final OpenQueries queries;
     private final Counters counters;
-    private final Send send;
-    private final Relay relay;
+    private final AttemptDispatcher send;
+    private final ResponseSender relay;
     private final QueryScheduler logic;
-    private Others others = new Others() {};
+    private PeerObservations others = new PeerObservations() {};
     private boolean over;
 
-    public Route(
+    public QueryRouter(
             SchedulerHost.Deployment given,
             long seed,
             Loop loop,
             Log log,
             OpenQueries queries,
             Counters counters,
-            Send send,
-            Relay relay) {
+            AttemptDispatcher send,
+            ResponseSender relay) {
         this.loop = loop;
         this.log = log;
         this.queries = queries;
@@ -42,7 +42,7 @@
     }
 
     /** What the other mixers see; without them, nothing. */
-    public interface Others {
+    public interface PeerObservations {
         default void saw(String searcher, double pace, double queue, int failures) {}
 
         default double pace(String searcher) {
@@ -54,7 +54,7 @@
         }
     }
 
-    public void hears(Others from) {
+    public void hears(PeerObservations from) {
         others = from;
     }
 
@@ -103,8 +103,8 @@
 
     @Override
     public void sendAttempt(String part, String searcher, double maxWait) {
-        OpenQuery.Piece piece = queries.piece(part);
-        LiveLaunch launch = new LiveLaunch(piece, piece.launches.size(), searcher, now(), now() + maxWait);
+        OpenQuery.ShardRequest piece = queries.piece(part);
+        InFlightAttempt launch = new InFlightAttempt(piece, piece.launches.size(), searcher, now(), now() + maxWait);
         piece.launches.add(launch);
         send.add(launch);
     }
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/TakeIn.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/RequestIntake.java
@@ -15,7 +15,7 @@
 import pinewick.wire.QueryText;
 
 /** First stage: makes an open query of a client's request, or says what is wrong with that. */
-public final class TakeIn implements ClientDoor.Taker {
+public final class RequestIntake implements ClientDoor.Taker {
     private static final HttpString ID = new HttpString("Req-Id");
     private static final HttpString KIND = new HttpString("Req-Kind");
     private static final HttpString DEADLINE = new HttpString("Req-Deadline");
@@ -25,19 +25,19 @@
     private final SchedulerHost.Deployment given;
     private final Limits limits;
     private final Counters counters;
-    private final Admit admit;
-    private final Book book;
+    private final AdmissionController admit;
+    private final CompletionHandler book;
     private final Pressure pressure;
     private final Loop loop;
     private double lastEnd = Double.POSITIVE_INFINITY;
     private final Map<String, Integer> gradeRows = new HashMap<>();
 
-    public TakeIn(
+    public RequestIntake(
             SchedulerHost.Deployment given,
             Limits limits,
             Counters counters,
-            Admit admit,
-            Book book,
+            AdmissionController admit,
+            CompletionHandler book,
             Pressure pressure,
             Loop loop) {
         this.given = given;
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public OpenQuery take(HttpServerExchange request, byte[] body, OpenQuery.Asker asker) {
+    public OpenQuery take(HttpServerExchange request, byte[] body, OpenQuery.Client asker) {
         HeaderMap headers = request.getRequestHeaders();
         String id = header(headers, ID);
         Integer grade = gradeRows.get(header(headers, KIND));
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/Relay.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/ResponseSender.java
@@ -4,13 +4,13 @@
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Loop;
 import pinewick.state.Counters;
-import pinewick.state.LiveLaunch;
+import pinewick.state.InFlightAttempt;
 import pinewick.state.OpenQueries;
 import pinewick.state.OpenQuery;
 import pinewick.wire.QueryText;
 
 /** Fifth stage: the one final answer to a client, and nothing sent for the query after it. */
-public final class Relay {
+public final class ResponseSender {
     private static final int FULFILLED = 200;
     private static final int DECLINED = 503;
     private static final int GIVEN_UP = 500;
@@ -18,9 +18,9 @@
     private final Loop loop;
     private final OpenQueries queries;
     private final Counters counters;
-    private final Send send;
+    private final AttemptDispatcher send;
 
-    public Relay(Loop loop, OpenQueries queries, Counters counters, Send send) {
+    public ResponseSender(Loop loop, OpenQueries queries, Counters counters, AttemptDispatcher send) {
         this.loop = loop;
         this.queries = queries;
         this.counters = counters;
@@ -74,8 +74,8 @@
                 queries.forget(query);
             }
         });
-        for (OpenQuery.Piece piece : query.pieces.values()) {
-            for (LiveLaunch launch : piece.launches) {
+        for (OpenQuery.ShardRequest piece : query.pieces.values()) {
+            for (InFlightAttempt launch : piece.launches) {
                 send.takeBack(launch, SchedulerHost.Outcome.MOOT);
             }
         }
--- a/query-mixer/daemon/src/main/java/pinewick/state/LiveLaunch.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/InFlightAttempt.java
@@ -3,8 +3,8 @@
 import org.xnio.XnioExecutor;
 
 /** One launch of a part on its way: where it goes, until when it is waited for, and how far it has come. */
-public final class LiveLaunch {
-    public final OpenQuery.Piece piece;
+public final class InFlightAttempt {
+    public final OpenQuery.ShardRequest piece;
     public final int number;
     public final String searcher;
     public final double sentAt;
@@ -14,13 +14,13 @@
 
     public XnioExecutor.Key timer;
     /** The call that carries it, from when one was found. */
-    public Call call;
+    public ReplicaCall call;
 
     public boolean over;
     /** Over, and known not to have run. */
     public boolean neverRan;
 
-    public LiveLaunch(OpenQuery.Piece piece, int number, String searcher, double sentAt, double until) {
+    public InFlightAttempt(OpenQuery.ShardRequest piece, int number, String searcher, double sentAt, double until) {
         this.piece = piece;
         this.number = number;
         this.searcher = searcher;
@@ -30,6 +30,6 @@
 
     /** Whether not even a first byte of it has been written. */
     public boolean waits() {
-        return call == null || call.stage == Call.Stage.WAITING;
+        return call == null || call.stage == ReplicaCall.WriteState.PENDING;
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/state/OpenQueries.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/OpenQueries.java
@@ -6,7 +6,7 @@
 /** Queries of which something may still be told, by id; those that await their answer are counted apart. */
 public final class OpenQueries {
     private final Map<String, OpenQuery> byId = new LinkedHashMap<>();
-    private final Map<String, OpenQuery.Piece> byPart = new LinkedHashMap<>();
+    private final Map<String, OpenQuery.ShardRequest> byPart = new LinkedHashMap<>();
     private int awaiting;
     private int held;
 
@@ -14,7 +14,7 @@
         return byId.get(id);
     }
 
-    public OpenQuery.Piece piece(String part) {
+    public OpenQuery.ShardRequest piece(String part) {
         return byPart.get(part);
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/state/OpenQuery.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/OpenQuery.java
@@ -10,7 +10,7 @@
 /** A query that was taken: what came with it, what is out for it, and the handle on which news of it is a call. */
 public final class OpenQuery {
     /** Whoever waits for the answer. */
-    public interface Asker {
+    public interface Client {
         /** The one final answer; {@code retryAfter} 0 gives no advice. */
         void answer(int status, double retryAfter, byte[] body);
 
@@ -21,15 +21,15 @@
     }
 
     /** One part, with its launches in the order in which they were made and its value once that is in. */
-    public static final class Piece {
+    public static final class ShardRequest {
         public final OpenQuery query;
         public final String id;
         public final int shard;
         public final double mass;
-        public final List<LiveLaunch> launches = new ArrayList<>(1);
+        public final List<InFlightAttempt> launches = new ArrayList<>(1);
         public byte[] value;
 
-        Piece(OpenQuery query, String id, int shard, double mass) {
+        ShardRequest(OpenQuery query, String id, int shard, double mass) {
             this.query = query;
             this.id = id;
             this.shard = shard;
@@ -41,11 +41,11 @@
     public final int grade;
     public final double ttl;
     public final String key;
-    public final Asker asker;
+    public final Client asker;
     /** When its client was last seen to wait. */
     public double seenAt;
 
-    public final Map<String, Piece> pieces = new LinkedHashMap<>();
+    public final Map<String, ShardRequest> pieces = new LinkedHashMap<>();
     public byte[] text = new byte[0];
     public double workHint;
     /** Marked by its client as a later try. */
@@ -57,7 +57,7 @@
     /** Answered, or left by its client: nothing more is sent for it. */
     public boolean ended;
 
-    public OpenQuery(String id, int grade, double ttl, String key, Asker asker) {
+    public OpenQuery(String id, int grade, double ttl, String key, Client asker) {
         this.id = id;
         this.grade = grade;
         this.ttl = ttl;
@@ -68,6 +68,6 @@
     /** False where the shard was named before. */
     public boolean piece(int shard, double mass) {
         String part = id + "." + shard;
-        return pieces.putIfAbsent(part, new Piece(this, part, shard, mass)) == null;
+        return pieces.putIfAbsent(part, new ShardRequest(this, part, shard, mass)) == null;
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/state/Carrier.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/OutboundConnection.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A connection to a searcher as the tables and stages know it, from when it is asked for until it is closed. */
-public interface Carrier {
+public interface OutboundConnection {
     String searcher();
 
     /** Whether another call may be put on it now. */
@@ -17,21 +17,21 @@
     /** Calls that are out on it. */
     int calls();
 
-    void send(List<LiveLaunch> launches);
+    void send(List<InFlightAttempt> launches);
 
     void probe(long number, boolean load);
 
     /** Takes a launch back that has not been written, or tells the searcher that it is given up. */
-    void drop(LiveLaunch launch, boolean tell);
+    void drop(InFlightAttempt launch, boolean tell);
 
     /** The launches of which no byte has been written. */
-    List<LiveLaunch> waiting();
+    List<InFlightAttempt> waiting();
 
     /** A launch on it is over, for whatever reason. */
-    void over(LiveLaunch launch);
+    void over(InFlightAttempt launch);
 
     /** Whether nothing has come since that call was written. */
-    boolean silentSince(Call call);
+    boolean silentSince(ReplicaCall call);
 
     /** No new calls; it closes once those that are out have ended. */
     void retire(String why);
--- a/query-mixer/daemon/src/main/java/pinewick/state/Searchers.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/ReplicaDirectory.java
@@ -8,10 +8,10 @@
 import pinewick.core.SchedulerHost;
 
 /** Where searchers listen, whether they take new parts, and the connections that lead there. */
-public final class Searchers {
+public final class ReplicaDirectory {
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     private final Map<String, SchedulerHost.LifecycleState> stages = new LinkedHashMap<>();
-    private final Map<String, List<Carrier>> links = new LinkedHashMap<>();
+    private final Map<String, List<OutboundConnection>> links = new LinkedHashMap<>();
     private int open;
 
     /** True where the address has changed. */
@@ -50,22 +50,22 @@
         return addresses.get(id);
     }
 
-    public List<Carrier> links(String id) {
+    public List<OutboundConnection> links(String id) {
         return links.getOrDefault(id, List.of());
     }
 
-    public List<Carrier> allLinks() {
-        List<Carrier> all = new ArrayList<>();
+    public List<OutboundConnection> allLinks() {
+        List<OutboundConnection> all = new ArrayList<>();
         links.values().forEach(all::addAll);
         return all;
     }
 
-    public void add(Carrier link) {
+    public void add(OutboundConnection link) {
         links.computeIfAbsent(link.searcher(), any -> new ArrayList<>()).add(link);
         open++;
     }
 
-    public void remove(Carrier link) {
+    public void remove(OutboundConnection link) {
         if (links.containsKey(link.searcher()) && links.get(link.searcher()).remove(link)) {
             open--;
         }
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
@@ -37,7 +37,7 @@
 public final class ClientDoor implements ChannelListener<StreamConnection>, HttpHandler {
     /** Takes a request whose body is in; throws IllegalArgumentException for one that is not in the form. */
     public interface Taker {
-        OpenQuery take(HttpServerExchange request, byte[] body, OpenQuery.Asker asker);
+        OpenQuery take(HttpServerExchange request, byte[] body, OpenQuery.Client asker);
 
         /** Takes nothing from now on that could end after this time. */
         void leavesBy(double time);
@@ -408,7 +408,7 @@
     }
 
     /** A client that waits for the answer to its query. */
-    private final class Waiting implements OpenQuery.Asker {
+    private final class Waiting implements OpenQuery.Client {
         private final HttpServerExchange exchange;
         private final HttpServerConnection connection;
         private final Guest guest;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/Frames.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/Frames.java
@@ -5,9 +5,9 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import pinewick.state.Call;
-import pinewick.state.LiveLaunch;
+import pinewick.state.InFlightAttempt;
 import pinewick.state.OpenQuery;
+import pinewick.state.ReplicaCall;
 
 /** The frames spoken with searchers: a length (least significant byte first), a letter, the rest. */
 public final class Frames {
@@ -31,9 +31,9 @@
     }
 
     /** One call; the wait is told in whole milliseconds, never more than is left. */
-    static ByteBuffer call(Call call, double now) {
+    static ByteBuffer call(ReplicaCall call, double now) {
         ByteArrayOutputStream rest = new ByteArrayOutputStream(256);
-        for (LiveLaunch launch : call.launches) {
+        for (InFlightAttempt launch : call.launches) {
             OpenQuery query = launch.piece.query;
             long wait = Math.max(1, (long) Math.floor((launch.until - now) * 1000));
             String line = launch.piece.id + ' ' + launch.piece.shard + " d=" + wait
--- a/query-mixer/daemon/src/main/java/pinewick/wire/OwedAnswers.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/OwedAnswers.java
@@ -4,12 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import pinewick.loop.Limits;
-import pinewick.state.LiveLaunch;
+import pinewick.state.InFlightAttempt;
 
 /** The answers that a searcher still owes on one connection, by part, and those that it has given of late. */
 final class OwedAnswers {
     private static final class Owed {
-        LiveLaunch latest;
+        InFlightAttempt latest;
         int answers;
     }
 
@@ -23,8 +23,8 @@
     }
 
     /** These were written whole: each is owed an answer. */
-    void written(Iterable<LiveLaunch> launches) {
-        for (LiveLaunch launch : launches) {
+    void written(Iterable<InFlightAttempt> launches) {
+        for (InFlightAttempt launch : launches) {
             Owed owed = owedByPart.computeIfAbsent(launch.piece.id, any -> new Owed());
             owed.latest = launch;
             owed.answers++;
@@ -36,7 +36,7 @@
     }
 
     /** A launch is over, for whatever reason. */
-    void over(LiveLaunch launch) {
+    void over(InFlightAttempt launch) {
         Owed owed = owedByPart.get(launch.piece.id);
         if (owed != null && owed.latest == launch) {
             // Danger: an answer that never comes would keep its query, and with that its client, as long as the link.
@@ -55,13 +55,13 @@
     }
 
     /** The launch that waits for that part's answer; null if none does. */
-    LiveLaunch launch(String part) {
+    InFlightAttempt launch(String part) {
         Owed owed = owedByPart.get(part);
         return owed == null ? null : owed.latest;
     }
 
     /** Takes an answer for a part that is owed one; returns the launch that it ends, null if that is over. */
-    LiveLaunch answered(String part) {
+    InFlightAttempt answered(String part) {
         Owed owed = owedByPart.get(part);
         if (--owed.answers == 0) {
             owedByPart.remove(part);
--- a/query-mixer/daemon/src/main/java/pinewick/wire/QueryText.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/QueryText.java
@@ -118,7 +118,7 @@
         Bytes out = new Bytes(64 + 48 * query.pieces.size());
         out.ascii("{\"entire\":").ascii(whole ? "true" : "false").ascii(",\"items\":[");
         boolean first = true;
-        for (OpenQuery.Piece piece : query.pieces.values()) {
+        for (OpenQuery.ShardRequest piece : query.pieces.values()) {
             if (piece.value != null) {
                 out.ascii(first ? "{\"slice\":" : ",{\"slice\":")
                         .ascii(Integer.toString(piece.shard))
--- a/query-mixer/daemon/src/main/java/pinewick/wire/SearcherLink.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/SearcherLink.java
@@ -17,32 +17,32 @@
 import pinewick.core.SchedulerHost;
 import pinewick.loop.Limits;
 import pinewick.loop.Loop;
-import pinewick.state.Call;
-import pinewick.state.Carrier;
-import pinewick.state.LiveLaunch;
+import pinewick.state.InFlightAttempt;
+import pinewick.state.OutboundConnection;
+import pinewick.state.ReplicaCall;
 
 /** One connection to a searcher, from when it is asked for until it is closed. */
-public final class SearcherLink implements Carrier {
+public final class SearcherLink implements OutboundConnection {
     /** What a link tells; every call is an event of its own on the loop. */
     public interface Events {
-        void answered(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value);
+        void answered(InFlightAttempt launch, char end, SchedulerHost.LoadReport report, byte[] value);
 
         void probed(String searcher, long probe, boolean good, SchedulerHost.LoadReport report);
 
         /** Something came that is no answer; the launch that it ends, null where there is none to be told. */
-        void spoilt(SearcherLink link, String why, LiveLaunch launch);
+        void spoilt(SearcherLink link, String why, InFlightAttempt launch);
 
         /** Whether the first byte of that launch may be written now; one that may not has been taken back. */
-        boolean mayBegin(LiveLaunch launch);
+        boolean mayBegin(InFlightAttempt launch);
 
         /** These were never written whole and will not be, for no fault of the searcher. */
-        void unsent(List<LiveLaunch> launches);
+        void unsent(List<InFlightAttempt> launches);
 
         /** The link is not up in time for these; it may still come up for others. */
-        void notUp(SearcherLink link, List<LiveLaunch> launches);
+        void notUp(SearcherLink link, List<InFlightAttempt> launches);
 
         /** The link is closed; {@code never} were not written whole, {@code perhaps} were. */
-        void closed(SearcherLink link, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps);
+        void closed(SearcherLink link, String why, List<InFlightAttempt> never, List<InFlightAttempt> perhaps);
     }
 
     private final String searcher;
@@ -52,16 +52,16 @@
     private final Events events;
     private final Frames.Cutter cutter;
     private final Consumer<ByteBuffer> cut = this::frame;
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    private final ArrayDeque<ReplicaCall> waiting = new ArrayDeque<>();
     private final ArrayDeque<ByteBuffer> control = new ArrayDeque<>();
     private final ArrayDeque<Long> probes = new ArrayDeque<>();
-    private final List<Call> calls = new ArrayList<>();
+    private final List<ReplicaCall> calls = new ArrayList<>();
     private final OwedAnswers owed;
     private IoFuture<StreamConnection> dialing;
     private XnioExecutor.Key dialTimer;
     private StreamConnection connection;
     private ByteBuffer current;
-    private Call currentCall;
+    private ReplicaCall currentCall;
     private boolean closed;
     private boolean retired;
     private boolean doomed;
@@ -201,8 +201,8 @@
     }
 
     @Override
-    public void send(List<LiveLaunch> launches) {
-        Call call = new Call(this, launches);
+    public void send(List<InFlightAttempt> launches) {
+        ReplicaCall call = new ReplicaCall(this, launches);
         calls.add(call);
         waiting.add(call);
         write();
@@ -217,11 +217,11 @@
 
     /** Takes a launch back that has not been written, or tells the searcher that it is given up. */
     @Override
-    public void drop(LiveLaunch launch, boolean tell) {
-        Call call = launch.call;
-        if (call.stage == Call.Stage.WAITING) {
+    public void drop(InFlightAttempt launch, boolean tell) {
+        ReplicaCall call = launch.call;
+        if (call.stage == ReplicaCall.WriteState.PENDING) {
             call.launches.remove(launch);
-        } else if (call.stage == Call.Stage.BEGUN) {
+        } else if (call.stage == ReplicaCall.WriteState.PARTIAL) {
             // Danger: the rest of the frame would still go out after the query's answer. So nothing more is written;
             // what is out on the link may still be answered, or it would be lost with the frame.
             doomed = true;
@@ -236,10 +236,11 @@
     }
 
     private void dropFrame() {
-        List<LiveLaunch> unsent = new ArrayList<>();
-        calls.stream().filter(call -> call.stage != Call.Stage.WRITTEN).forEach(call -> call.launches.stream()
-                .filter(each -> !each.over)
-                .forEach(unsent::add));
+        List<InFlightAttempt> unsent = new ArrayList<>();
+        calls.stream()
+                .filter(call -> call.stage != ReplicaCall.WriteState.WRITTEN)
+                .forEach(call ->
+                        call.launches.stream().filter(each -> !each.over).forEach(unsent::add));
         if (!closed) {
             events.unsent(unsent);
             retire("a frame begun was no longer wanted");
@@ -248,16 +249,16 @@
 
     /** The launches of which no byte has been written. */
     @Override
-    public List<LiveLaunch> waiting() {
-        List<LiveLaunch> none = new ArrayList<>();
+    public List<InFlightAttempt> waiting() {
+        List<InFlightAttempt> none = new ArrayList<>();
         waiting.forEach(call -> none.addAll(call.launches));
         return none;
     }
 
     /** A launch on this link is over, for whatever reason. */
     @Override
-    public void over(LiveLaunch launch) {
-        Call call = launch.call;
+    public void over(InFlightAttempt launch) {
+        ReplicaCall call = launch.call;
         owed.over(launch);
         if (--call.out == 0) {
             calls.remove(call);
@@ -270,8 +271,8 @@
 
     /** Whether nothing has come since that call was written. */
     @Override
-    public boolean silentSince(Call call) {
-        return call.stage == Call.Stage.WRITTEN && heardAt < call.writtenAt;
+    public boolean silentSince(ReplicaCall call) {
+        return call.stage == ReplicaCall.WriteState.WRITTEN && heardAt < call.writtenAt;
     }
 
     private void write() {
@@ -284,8 +285,8 @@
                     connection.getSinkChannel().resumeWrites();
                     return;
                 }
-                if (currentCall != null && currentCall.stage == Call.Stage.WAITING) {
-                    currentCall.stage = Call.Stage.BEGUN;
+                if (currentCall != null && currentCall.stage == ReplicaCall.WriteState.PENDING) {
+                    currentCall.stage = ReplicaCall.WriteState.PARTIAL;
                 }
                 if (!current.hasRemaining()) {
                     written();
@@ -303,7 +304,7 @@
             return true;
         }
         while (!waiting.isEmpty()) {
-            Call call = waiting.poll();
+            ReplicaCall call = waiting.poll();
             List.copyOf(call.launches).stream()
                     .filter(each -> !events.mayBegin(each))
                     .forEach(call.launches::remove);
@@ -323,7 +324,7 @@
         current = null;
         usedAt = loop.now();
         if (currentCall != null) {
-            currentCall.stage = Call.Stage.WRITTEN;
+            currentCall.stage = ReplicaCall.WriteState.WRITTEN;
             currentCall.writtenAt = usedAt;
             owed.written(currentCall.launches);
             currentCall = null;
@@ -398,7 +399,7 @@
             spoilt(answer.part(), "an answer that can't be read");
             return;
         }
-        LiveLaunch launch = owed.answered(answer.part());
+        InFlightAttempt launch = owed.answered(answer.part());
         if (launch != null) {
             events.answered(launch, answer.end(), answer.report(), answer.value());
         }
@@ -411,11 +412,11 @@
      */
     private void spoilt(String part, String why) {
         boolean named = part != null && owed.owes(part);
-        LiveLaunch meant = named ? owed.launch(part) : null;
+        InFlightAttempt meant = named ? owed.launch(part) : null;
         if (!named) {
-            List<LiveLaunch> out = new ArrayList<>();
+            List<InFlightAttempt> out = new ArrayList<>();
             calls.forEach(call -> call.launches.stream()
-                    .filter(each -> !each.over && call.stage == Call.Stage.WRITTEN)
+                    .filter(each -> !each.over && call.stage == ReplicaCall.WriteState.WRITTEN)
                     .forEach(out::add));
             meant = out.size() == 1 ? out.get(0) : null;
         }
@@ -458,12 +459,12 @@
             dialing.cancel();
         }
         IoUtils.safeClose(connection);
-        List<LiveLaunch> never = new ArrayList<>();
-        List<LiveLaunch> perhaps = new ArrayList<>();
-        for (Call call : calls) {
-            for (LiveLaunch launch : call.launches) {
+        List<InFlightAttempt> never = new ArrayList<>();
+        List<InFlightAttempt> perhaps = new ArrayList<>();
+        for (ReplicaCall call : calls) {
+            for (InFlightAttempt launch : call.launches) {
                 if (!launch.over) {
-                    (call.stage == Call.Stage.WRITTEN ? perhaps : never).add(launch);
+                    (call.stage == ReplicaCall.WriteState.WRITTEN ? perhaps : never).add(launch);
                 }
             }
         }
--- a/query-mixer/daemon/src/test/java/pinewick/lifecycle/LaunchCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/lifecycle/AttemptDispatchRaceTest.java
@@ -41,7 +41,7 @@
 
 /** The stages of one mixer between real sockets, with a gate at the end of each batch, before its launches go out. */
 @Timeout(30)
-class LaunchCrossingTest {
+class AttemptDispatchRaceTest {
     private static final int WAIT = 10;
     private static final String SETTINGS = "{\"settings\":{\"categories\":[{\"name\":\"any\",\"slo-ns\":1e9,"
             + "\"hard-limit-ns\":3e9,\"effect\":\"retryable\"}],\"bounds\":{\"multiplex\":10,\"try-limit\":3},"
@@ -52,7 +52,7 @@
     private XnioWorker worker;
     private AcceptingChannel<StreamConnection> door;
     private Loop loop;
-    private Chain chain;
+    private RequestPipeline chain;
 
     @BeforeEach
     void opens() throws Exception {
@@ -86,7 +86,7 @@
         loop = new Loop(worker.getIoThread(), log);
         JsonObject settings = JsonParser.parseString(SETTINGS).getAsJsonObject();
         onLoop(() -> {
-            chain = new Chain(
+            chain = new RequestPipeline(
                     DeploymentParser.parse(settings.getAsJsonObject("settings")),
                     Limits.of(settings),
                     7,
--- a/query-mixer/daemon/src/test/java/pinewick/lifecycle/OperatorFileTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/lifecycle/OperatorConfigTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The reader in the small jar and the schema beside it give the same verdicts. */
-class OperatorFileTest {
+class OperatorConfigTest {
     private static final Path DEPLOY = Path.of("..", "..", "deploy");
     private static final String GOOD = "\"endpoints\":[\"127.0.0.1:2379\"],\"prefix\":\"/s/\"";
 
@@ -27,7 +27,7 @@
 
     @Test
     void theExampleIsGood() {
-        OperatorFile read = OperatorFile.read(DEPLOY.resolve("operator-example.json"));
+        OperatorConfig read = OperatorConfig.read(DEPLOY.resolve("operator-example.json"));
         assertEquals(3, read.registry().endpoints().size());
         assertEquals(0.15, read.registry().probeEvery());
     }
@@ -43,7 +43,7 @@
             "{\"registry\":{\"endpoints\":[\"[::1]:2379\"],\"prefix\":\"p\",\"page-keys\":1,"
                     + "\"answer-s\":0.05,\"kept\":\"/x\"}}"
         }) {
-            OperatorFile.of(JsonParser.parseString(text));
+            OperatorConfig.of(JsonParser.parseString(text));
             assertTrue(schema().validate(text, InputFormat.JSON).isEmpty(), text);
         }
     }
@@ -82,7 +82,7 @@
         for (Map.Entry<String, String> each : bad.entrySet()) {
             IllegalArgumentException refused = assertThrows(
                     IllegalArgumentException.class,
-                    () -> OperatorFile.of(JsonParser.parseString(each.getKey())),
+                    () -> OperatorConfig.of(JsonParser.parseString(each.getKey())),
                     each.getKey());
             assertTrue(refused.getMessage().contains(each.getValue()), refused.getMessage());
             assertTrue(
@@ -94,7 +94,7 @@
     void allWrongFieldsAreNamedAtOnce() {
         IllegalArgumentException refused = assertThrows(
                 IllegalArgumentException.class,
-                () -> OperatorFile.of(JsonParser.parseString(
+                () -> OperatorConfig.of(JsonParser.parseString(
                         "{\"x\":1,\"registry\":{\"endpoints\":[\"a\"],\"prefix\":3,\"answer-s\":0}}")));
         assertEquals(4, refused.getMessage().lines().count(), refused.getMessage());
     }
@@ -103,7 +103,7 @@
     void mixersUnderTheSearchersPrefixAreRefused() {
         assertTrue(assertThrows(
                         IllegalArgumentException.class,
-                        () -> OperatorFile.of(
+                        () -> OperatorConfig.of(
                                 JsonParser.parseString("{\"registry\":{" + GOOD + ",\"mixers-prefix\":\"/s/m/\"}}")))
                 .getMessage()
                 .contains("must not overlap"));
@@ -113,7 +113,7 @@
     void aSilenceThatIsShortBesideThePeriodIsRefusedByTheReader() {
         IllegalArgumentException wrong = assertThrows(
                 IllegalArgumentException.class,
-                () -> OperatorFile.of(JsonParser.parseString("{\"fleet\":{\"period-s\":2,\"silence-s\":3}}")));
+                () -> OperatorConfig.of(JsonParser.parseString("{\"fleet\":{\"period-s\":2,\"silence-s\":3}}")));
         assertTrue(wrong.getMessage().contains("/fleet/silence-s: at least four times period-s"), wrong.getMessage());
     }
 
@@ -121,14 +121,14 @@
     void theViewOfTheMixersIsOnWithTheUsualTimesUnlessSaidOtherwise() {
         assertEquals(
                 pinewick.fleet.MembershipSettings.defaults(),
-                OperatorFile.of(JsonParser.parseString("{}")).fleet());
+                OperatorConfig.of(JsonParser.parseString("{}")).fleet());
         assertEquals(
                 null,
-                OperatorFile.of(JsonParser.parseString("{\"fleet\":{\"view\":\"off\"}}"))
+                OperatorConfig.of(JsonParser.parseString("{\"fleet\":{\"view\":\"off\"}}"))
                         .fleet());
         assertEquals(
                 5,
-                OperatorFile.of(JsonParser.parseString("{\"fleet\":{\"silence-s\":5}}"))
+                OperatorConfig.of(JsonParser.parseString("{\"fleet\":{\"silence-s\":5}}"))
                         .fleet()
                         .minSilenceSeconds());
     }
--- a/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
@@ -33,9 +33,9 @@
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
 import pinewick.loop.Loop;
-import pinewick.state.Call;
-import pinewick.state.LiveLaunch;
+import pinewick.state.InFlightAttempt;
 import pinewick.state.OpenQuery;
+import pinewick.state.ReplicaCall;
 
 /** One connection to a searcher over a real socket; a gate on the loop forces which of two events comes first. */
 @Timeout(30)
@@ -53,7 +53,7 @@
     /** Writes down what the link tells, and books a launch's end as the last stage would. */
     private final class Told implements SearcherLink.Events {
         @Override
-        public void answered(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value) {
+        public void answered(InFlightAttempt launch, char end, SchedulerHost.LoadReport report, byte[] value) {
             ends(launch, "answered " + launch.piece.id);
         }
 
@@ -61,31 +61,31 @@
         public void probed(String from, long probe, boolean good, SchedulerHost.LoadReport report) {}
 
         @Override
-        public void spoilt(SearcherLink from, String why, LiveLaunch launch) {
+        public void spoilt(SearcherLink from, String why, InFlightAttempt launch) {
             told.add("spoilt " + why);
         }
 
         @Override
-        public void closed(SearcherLink from, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps) {
+        public void closed(SearcherLink from, String why, List<InFlightAttempt> never, List<InFlightAttempt> perhaps) {
             told.add("closed, never " + never.size() + ", perhaps " + perhaps.size());
         }
 
         @Override
-        public boolean mayBegin(LiveLaunch launch) {
+        public boolean mayBegin(InFlightAttempt launch) {
             return true;
         }
 
         @Override
-        public void unsent(List<LiveLaunch> launches) {
+        public void unsent(List<InFlightAttempt> launches) {
             launches.forEach(each -> ends(each, "unsent " + each.piece.id));
         }
 
         @Override
-        public void notUp(SearcherLink from, List<LiveLaunch> launches) {
+        public void notUp(SearcherLink from, List<InFlightAttempt> launches) {
             launches.forEach(each -> ends(each, "not up " + each.piece.id));
         }
 
-        private void ends(LiveLaunch launch, String how) {
+        private void ends(InFlightAttempt launch, String how) {
             told.add(how);
             launch.over = true;
             launch.call.link.over(launch);
@@ -139,11 +139,11 @@
         assertTrue(done.await(WAIT, TimeUnit.SECONDS));
     }
 
-    private static LiveLaunch launch(String query, int bytes) {
+    private static InFlightAttempt launch(String query, int bytes) {
         OpenQuery asked = new OpenQuery(query, 0, 10, null, null);
         asked.text = new byte[bytes];
         asked.piece(0, 1);
-        return new LiveLaunch(asked.pieces.get(query + ".0"), 0, "a", 0, 10);
+        return new InFlightAttempt(asked.pieces.get(query + ".0"), 0, "a", 0, 10);
     }
 
     /** Reads one call's frame at the searcher. */
@@ -188,14 +188,14 @@
     void aFrameBegunAndNoLongerWantedTakesNoOtherCallWithIt() throws Exception {
         onLoop(() -> link.send(List.of(launch("q1", 3))));
         readCall();
-        LiveLaunch large = launch("q2", 64 << 20);
-        LiveLaunch behind = launch("q3", 3);
+        InFlightAttempt large = launch("q2", 64 << 20);
+        InFlightAttempt behind = launch("q3", 3);
         onLoop(() -> {
             link.send(List.of(large));
             link.send(List.of(behind));
         });
         onLoop(() -> {
-            assertEquals(Call.Stage.BEGUN, large.call.stage);
+            assertEquals(ReplicaCall.WriteState.PARTIAL, large.call.stage);
             link.drop(large, false);
             large.over = true;
             link.over(large);
