--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RequestPipeline.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RequestPipeline.java
@@ -28,7 +28,7 @@
 final class RequestPipeline {
     final Counters counters = new Counters();
     final OpenQueries queries = new OpenQueries();
-    final ReplicaDirectory searchers = new ReplicaDirectory();
+    final ReplicaDirectory replicas = new ReplicaDirectory();
     final ClientDoor door;
     final QueryRouter route;
     private final Loop loop;
@@ -46,9 +46,9 @@
             Consumer<SearcherLink> dialer) {
         this.loop = loop;
         door = new ClientDoor(loop, limits, buffers, this::figures);
-        send = new AttemptDispatcher(given, loop, limits, counters, searchers, dialer);
+        send = new AttemptDispatcher(given, loop, limits, counters, replicas, dialer);
         ResponseSender relay = new ResponseSender(loop, queries, counters, send);
-        CompletionHandler book = new CompletionHandler(loop, log, queries, counters, searchers, send, relay);
+        CompletionHandler book = new CompletionHandler(loop, log, queries, counters, replicas, send, relay);
         send.passesTo(book);
         route = new QueryRouter(given, seed, loop, log, queries, counters, send, relay);
         book.tells(route);
@@ -75,28 +75,28 @@
     /** News of the list: the decisions are told, and what waits for a searcher that takes nothing new goes back. */
     void list(ListText.Piece piece, SchedulerHost.ListUpdateKind form) {
         if (form != SchedulerHost.ListUpdateKind.INCREMENTAL) {
-            searchers.allGone();
+            replicas.markAllGone();
         }
         for (int each = 0; each < piece.listings().size(); each++) {
             SchedulerHost.ReplicaEntry entry = piece.listings().get(each);
-            if (searchers.listed(entry, piece.addresses().get(each))) {
+            if (replicas.update(entry, piece.addresses().get(each))) {
                 send.leaves(entry.replicaId(), "address changed");
             }
         }
         route.list(form, piece.listings());
         alsoListed.accept(piece.listings());
-        for (OutboundConnection link : searchers.allLinks()) {
-            if (!searchers.takesNew(link.searcher())) {
-                send.leaves(link.searcher(), "draining or gone");
+        for (OutboundConnection link : replicas.allConnections()) {
+            if (!replicas.isReady(link.replicaId())) {
+                send.leaves(link.replicaId(), "draining or gone");
             }
         }
-        searchers.prune();
+        replicas.prune();
         counters.add("list-pieces");
     }
 
     /** Looks after connections; to be called now and then. */
     void housekeeping() {
-        searchers.allLinks().forEach(OutboundConnection::look);
+        replicas.allConnections().forEach(OutboundConnection::checkIdle);
         door.look();
         counters.peak("peak-client-connections", door.connections());
     }
@@ -104,7 +104,7 @@
     /** Ends a chain that was only tried out. */
     void end() {
         route.ends();
-        searchers.allLinks().forEach(link -> link.close("end of the rehearsal"));
+        replicas.allConnections().forEach(link -> link.close("end of the rehearsal"));
     }
 
     /** Is handed each piece of the list that came, after the decisions. */
@@ -122,9 +122,11 @@
     }
 
     String figures() {
-        return others.get() + counters.text() + "awaiting " + queries.awaiting() + "\nkept " + queries.kept()
-                + "\nheld " + queries.held() + "\nout "
-                + queries.out() + "\nsearcher-connections " + searchers.open() + "\nclient-connections "
+        return others.get() + counters.text() + "awaiting " + queries.awaitingCount() + "\nkept "
+                + queries.trackedCount()
+                + "\nheld " + queries.heldCount() + "\nout "
+                + queries.activeAttemptCount() + "\nsearcher-connections " + replicas.openCount()
+                + "\nclient-connections "
                 + door.connections() + "\nfaults " + loop.faults() + "\n";
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
@@ -300,7 +300,7 @@
     /** Ends once nobody waits for an answer and every connection is closed, which its last bytes come before. */
     private void finish(double latest) {
         chain.door.closeIdle();
-        if ((chain.queries.awaiting() == 0 && chain.door.connections() == 0) || loop.now() >= latest) {
+        if ((chain.queries.awaitingCount() == 0 && chain.door.connections() == 0) || loop.now() >= latest) {
             log.say("stopped; " + chain.figures().replace('\n', ';'));
             log.drain(limits.lastLines());
             Runtime.getRuntime().exit(0);
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/AdmissionController.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/AdmissionController.java
@@ -36,16 +36,16 @@
             throw new IllegalArgumentException("id: Req-Id is that of an open request");
         }
         counters.add("taken");
-        if (queries.held() + 1 + query.pieces.size() > limits.open()) {
+        if (queries.heldCount() + 1 + query.shardRequests.size() > limits.open()) {
             counters.add("turned-away-full");
             relay.turnAway(query, 0);
             return;
         }
         queries.add(query);
-        counters.peak("peak-held", queries.held());
+        counters.peak("peak-held", queries.heldCount());
         // Danger: a fault in the decisions must not cost a query its answer. Also catches a lost timer. Harm: where it
         // came before the decisions' own end, a query that could be declined would be given up; so it comes after.
-        query.net = loop.after(query.ttl + limits.netAfter(), "the end of a client's time", () -> {
+        query.safetyTimer = loop.after(query.timeoutSeconds + limits.netAfter(), "the end of a client's time", () -> {
             counters.add("ended-by-the-net");
             relay.giveUp(query);
         });
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/AttemptDispatcher.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/AttemptDispatcher.java
@@ -23,7 +23,7 @@
     private final Loop loop;
     private final Limits limits;
     private final Counters counters;
-    private final ReplicaDirectory searchers;
+    private final ReplicaDirectory replicas;
     private final Map<String, List<InFlightAttempt>> batch = new LinkedHashMap<>();
     private final Map<Long, String> probes = new LinkedHashMap<>();
     private final Consumer<SearcherLink> dialer;
@@ -37,13 +37,13 @@
             Loop loop,
             Limits limits,
             Counters counters,
-            ReplicaDirectory searchers,
+            ReplicaDirectory replicas,
             Consumer<SearcherLink> dialer) {
         this.given = given;
         this.loop = loop;
         this.limits = limits;
         this.counters = counters;
-        this.searchers = searchers;
+        this.replicas = replicas;
         this.dialer = dialer;
     }
 
@@ -59,7 +59,7 @@
 
     public void add(InFlightAttempt launch) {
         counters.add("launched");
-        batch.computeIfAbsent(launch.searcher, any -> new ArrayList<>()).add(launch);
+        batch.computeIfAbsent(launch.replicaId, any -> new ArrayList<>()).add(launch);
     }
 
     /** The end of a batch: everything that it launched goes out. */
@@ -74,10 +74,10 @@
 
     private void send(String searcher, List<InFlightAttempt> launches) {
         // What was taken back within its own batch, by its query's end, has ended already.
-        launches.removeIf(each -> each.over || each.piece.query.ended);
+        launches.removeIf(each -> each.ended || each.shardRequest.query.ended);
         for (int from = 0; from < launches.size(); from += limits.callParts()) {
             List<InFlightAttempt> call = launches.subList(from, Math.min(launches.size(), from + limits.callParts()));
-            boolean told = !searchers.takesNew(searcher);
+            boolean told = !replicas.isReady(searcher);
             OutboundConnection link = told ? null : link(searcher);
             if (link == null) {
                 SchedulerHost.Outcome ending = told ? SchedulerHost.Outcome.MOOT : SchedulerHost.Outcome.NOT_CONNECTED;
@@ -85,7 +85,7 @@
                 continue;
             }
             for (InFlightAttempt each : call) {
-                each.timer = loop.timeOut(each.until - loop.clock(), "a time-out", () -> timedOut(each));
+                each.timer = loop.timeOut(each.deadline - loop.clock(), "a time-out", () -> timedOut(each));
                 writeInWindow(each);
             }
             counters.add("calls");
@@ -99,15 +99,16 @@
      * searcher that does not read. Harm: none, the decisions may launch it no more either.
      */
     private void writeInWindow(InFlightAttempt launch) {
-        SchedulerHost.ServiceClassConfig grade = given.serviceClasses().get(launch.piece.query.grade);
+        SchedulerHost.ServiceClassConfig grade = given.serviceClasses().get(launch.shardRequest.query.serviceClass);
         if (grade.retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED && launch.number > 0) {
-            launch.piece.launches.stream()
+            launch.shardRequest.attempts.stream()
                     .filter(each -> each != launch && !each.neverRan)
                     .findFirst()
                     .ifPresent(first -> {
-                        launch.writeBy = first.sentAt + grade.dedupWindowSeconds() - given.timerGranularitySeconds();
+                        launch.writeDeadline =
+                                first.sentAt + grade.dedupWindowSeconds() - given.timerGranularitySeconds();
                         loop.after(
-                                launch.writeBy - loop.clock(),
+                                launch.writeDeadline - loop.clock(),
                                 "the end of a window",
                                 () -> takeBack(launch, SchedulerHost.Outcome.MOOT));
                     });
@@ -121,78 +122,80 @@
      * launch of a query not seen for a moment, and one of the list.
      */
     boolean mayBegin(InFlightAttempt launch) {
-        OpenQuery query = launch.piece.query;
+        OpenQuery query = launch.shardRequest.query;
         double now = loop.clock();
-        if (!launch.over && !query.ended && now - query.seenAt > limits.unseen() && query.asker.stillThere()) {
-            query.seenAt = now;
+        if (!launch.ended && !query.ended && now - query.clientSeenAt > limits.unseen() && query.client.isConnected()) {
+            query.clientSeenAt = now;
         }
         if (now - Math.max(lookedAt, loop.lookedBefore()) > limits.unseen()) {
             lookedAt = now;
             lookAtList.run();
         }
-        if (!launch.over && !query.ended && (now >= launch.writeBy || !searchers.takesNew(launch.searcher))) {
+        if (!launch.ended && !query.ended && (now >= launch.writeDeadline || !replicas.isReady(launch.replicaId))) {
             takeBack(launch, SchedulerHost.Outcome.MOOT);
             return false;
         }
-        return !launch.over && !query.ended;
+        return !launch.ended && !query.ended;
     }
 
     /** A connection with a place: one that is up before one that is not yet, else a new one; null at limits. */
     private OutboundConnection link(String searcher) {
         OutboundConnection best = null;
-        for (OutboundConnection each : List.copyOf(searchers.links(searcher))) {
-            if (each.hasPlace() && (best == null || (each.isUp() && !best.isUp())) && each.stillThere()) {
+        for (OutboundConnection each : List.copyOf(replicas.connections(searcher))) {
+            if (each.hasCapacity()
+                    && (best == null || (each.isConnected() && !best.isConnected()))
+                    && each.isStillOpen()) {
                 best = each;
             }
         }
-        InetSocketAddress address = searchers.address(searcher);
+        InetSocketAddress address = replicas.address(searcher);
         if (best != null || address == null) {
             return best;
         }
-        if (searchers.open() >= limits.searcherSockets()) {
-            searchers.allLinks().stream()
-                    .filter(each -> each.calls() == 0)
+        if (replicas.openCount() >= limits.searcherSockets()) {
+            replicas.allConnections().stream()
+                    .filter(each -> each.activeCalls() == 0)
                     .findFirst()
                     .ifPresent(idle -> idle.close("its place is needed"));
         }
-        if (searchers.links(searcher).size() >= limits.connectionsASearcher()
-                || searchers.open() >= limits.searcherSockets()) {
+        if (replicas.connections(searcher).size() >= limits.connectionsASearcher()
+                || replicas.openCount() >= limits.searcherSockets()) {
             counters.add("connections-at-limit");
             return null;
         }
         SearcherLink link = new SearcherLink(searcher, address, loop, limits, book);
-        searchers.add(link);
+        replicas.add(link);
         counters.add("connections-opened");
-        counters.peak("peak-searcher-connections", searchers.open());
+        counters.peak("peak-searcher-connections", replicas.openCount());
         dialer.accept(link);
         return link;
     }
 
     private void timedOut(InFlightAttempt launch) {
-        if (launch.over) {
+        if (launch.ended) {
             return;
         }
         ReplicaCall call = launch.call;
-        if (call.stage == ReplicaCall.WriteState.WRITTEN) {
+        if (call.writeState == ReplicaCall.WriteState.WRITTEN) {
             // Danger: a machine that vanished leaves its connections open and silent, and each launch put on
             // them would be lost until its time-out. So a silent one gets nothing new. Harm: a searcher that
             // is only slow is dialled once more.
-            if (call.link.silentSince(call)) {
-                call.link.retire("silent");
+            if (call.connection.isSilentSince(call)) {
+                call.connection.retire("silent");
             }
             boolean tell = given.allowsCancel() && !given.allowsConcurrentAttempts();
-            call.link.drop(launch, tell);
+            call.connection.cancel(launch, tell);
             book.ended(launch, SchedulerHost.Outcome.TIMED_OUT, null);
         } else {
-            call.link.drop(launch, false);
+            call.connection.cancel(launch, false);
             book.ended(launch, SchedulerHost.Outcome.NOT_CONNECTED, null);
         }
     }
 
     public void cancel(InFlightAttempt launch) {
-        if (!launch.over) {
+        if (!launch.ended) {
             if (launch.call != null) {
-                launch.call.link.drop(launch, given.allowsCancel());
+                launch.call.connection.cancel(launch, given.allowsCancel());
             }
             endLater(launch, SchedulerHost.Outcome.CANCELLED);
         }
@@ -200,20 +203,20 @@
 
     /** Takes back what has not been written yet; it never ran. */
     public void takeBack(InFlightAttempt launch, SchedulerHost.Outcome ending) {
-        if (!launch.over && launch.waits()) {
+        if (!launch.ended && launch.isUnwritten()) {
             if (launch.call != null) {
-                launch.call.link.drop(launch, false);
+                launch.call.connection.cancel(launch, false);
             }
             endLater(launch, ending);
-        } else if (!launch.over && launch.call.stage == ReplicaCall.WriteState.PARTIAL) {
-            launch.call.link.drop(launch, false);
+        } else if (!launch.ended && launch.call.writeState == ReplicaCall.WriteState.PARTIAL) {
+            launch.call.connection.cancel(launch, false);
         }
     }
 
     /** The searcher takes nothing new: what waits for it goes back, its connections end with what is out. */
     public void leaves(String searcher, String why) {
-        for (OutboundConnection link : List.copyOf(searchers.links(searcher))) {
-            for (InFlightAttempt launch : link.waiting()) {
+        for (OutboundConnection link : List.copyOf(replicas.connections(searcher))) {
+            for (InFlightAttempt launch : link.unwrittenAttempts()) {
                 takeBack(launch, SchedulerHost.Outcome.MOOT);
             }
             link.retire(why);
@@ -229,7 +232,7 @@
         probes.put(number, searcher);
         counters.add("probes");
         loop.later("probing", () -> {
-            OutboundConnection link = searchers.takesNew(searcher) ? link(searcher) : null;
+            OutboundConnection link = replicas.isReady(searcher) ? link(searcher) : null;
             if (link == null) {
                 probeEnds(number, SchedulerHost.Outcome.NOT_CONNECTED, null);
                 return;
@@ -238,7 +241,7 @@
                     limits.probeWait(),
                     "a probe's time-out",
                     () -> probeEnds(number, SchedulerHost.Outcome.TIMED_OUT, null));
-            link.probe(number, true);
+            link.sendProbe(number, true);
         });
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/CompletionHandler.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/CompletionHandler.java
@@ -18,7 +18,7 @@
     private final Log log;
     private final OpenQueries queries;
     private final Counters counters;
-    private final ReplicaDirectory searchers;
+    private final ReplicaDirectory replicas;
     private final AttemptDispatcher send;
     private final ResponseSender relay;
     private QueryRouter route;
@@ -28,14 +28,14 @@
             Log log,
             OpenQueries queries,
             Counters counters,
-            ReplicaDirectory searchers,
+            ReplicaDirectory replicas,
             AttemptDispatcher send,
             ResponseSender relay) {
         this.loop = loop;
         this.log = log;
         this.queries = queries;
         this.counters = counters;
-        this.searchers = searchers;
+        this.replicas = replicas;
         this.send = send;
         this.relay = relay;
     }
@@ -47,21 +47,22 @@
 
     /** A launch is over, once. */
     void ended(InFlightAttempt launch, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
-        if (launch.over) {
+        if (launch.ended) {
             return;
         }
-        launch.over = true;
+        launch.ended = true;
         launch.neverRan = ending.neverRan();
         if (launch.timer != null) {
             launch.timer.remove();
         }
         if (launch.call != null) {
-            launch.call.link.over(launch);
+            launch.call.connection.onAttemptEnded(launch);
         }
         counters.add("ended-" + ending.name().toLowerCase(Locale.ROOT));
-        OpenQuery query = launch.piece.query;
+        OpenQuery query = launch.shardRequest.query;
         try {
-            query.handle.onAttemptEnd(launch.piece.id, launch.number, ending, loop.now() - launch.sentAt, report);
+            query.handle.onAttemptEnd(
+                    launch.shardRequest.id, launch.number, ending, loop.now() - launch.sentAt, report);
         } catch (RuntimeException fault) {
             relay.giveUp(query);
             throw fault;
@@ -81,7 +82,7 @@
 
     private void forget(OpenQuery query) {
         if (query.handle.isFinished()) {
-            queries.forget(query);
+            queries.remove(query);
         }
     }
 
@@ -92,8 +93,8 @@
 
     @Override
     public void answered(InFlightAttempt launch, char end, SchedulerHost.LoadReport report, byte[] value) {
-        if (end == 'S' && launch.piece.value == null) {
-            launch.piece.value = value;
+        if (end == 'S' && launch.shardRequest.result == null) {
+            launch.shardRequest.result = value;
         }
         ended(
                 launch,
@@ -113,13 +114,14 @@
     @Override
     public void spoilt(SearcherLink link, String why, InFlightAttempt launch) {
         counters.add("spoilt-answers");
-        link.waiting().forEach(each -> send.takeBack(each, SchedulerHost.Outcome.MOOT));
+        link.unwrittenAttempts().forEach(each -> send.takeBack(each, SchedulerHost.Outcome.MOOT));
         log.say(
                 Log.Level.WARNING,
                 "searchers",
-                "spoilt by " + link.searcher() + ": " + why + (launch == null ? "" : ", ends " + launch.piece.id),
+                "spoilt by " + link.replicaId() + ": " + why
+                        + (launch == null ? "" : ", ends " + launch.shardRequest.id),
                 "searcher",
-                link.searcher());
+                link.replicaId());
         if (launch != null) {
             ended(launch, SchedulerHost.Outcome.ERROR, null);
         }
@@ -142,9 +144,9 @@
             log.say(
                     Log.Level.WARNING,
                     "searchers",
-                    "connection to " + link.searcher() + " is not up in time; not connected " + launches.size(),
+                    "connection to " + link.replicaId() + " is not up in time; not connected " + launches.size(),
                     "searcher",
-                    link.searcher());
+                    link.replicaId());
         }
         launches.forEach(each ->
                 loop.guarded("a launch not connected", () -> ended(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
@@ -152,16 +154,16 @@
 
     @Override
     public void closed(SearcherLink link, String why, List<InFlightAttempt> never, List<InFlightAttempt> perhaps) {
-        searchers.remove(link);
+        replicas.remove(link);
         counters.add("connections-closed");
         if (!never.isEmpty() || !perhaps.isEmpty()) {
             log.say(
                     Log.Level.WARNING,
                     "searchers",
-                    "connection to " + link.searcher() + " closed, " + why + "; not connected " + never.size()
+                    "connection to " + link.replicaId() + " closed, " + why + "; not connected " + never.size()
                             + ", dropped " + perhaps.size(),
                     "searcher",
-                    link.searcher());
+                    link.replicaId());
         }
         never.forEach(each ->
                 loop.guarded("a launch not connected", () -> ended(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/QueryRouter.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/QueryRouter.java
@@ -60,14 +60,21 @@
 
     public void take(OpenQuery query) {
         try {
-            query.handle =
-                    logic.submit(query.id, query.grade, query.ttl, query.pieces.size(), query.workHint, query.again);
-            query.pieces.values().forEach(piece -> query.handle.addShardRequest(piece.id, piece.shard, piece.mass));
+            query.handle = logic.submit(
+                    query.id,
+                    query.serviceClass,
+                    query.timeoutSeconds,
+                    query.shardRequests.size(),
+                    query.workHint,
+                    query.isRetry);
+            query.shardRequests
+                    .values()
+                    .forEach(piece -> query.handle.addShardRequest(piece.id, piece.shard, piece.weight));
         } catch (RuntimeException fault) {
             // Whatever went wrong inside, the client gets its one answer.
             relay.giveUp(query);
             if (query.handle == null) {
-                queries.forget(query);
+                queries.remove(query);
             }
             throw fault;
         }
@@ -103,9 +110,9 @@
 
     @Override
     public void sendAttempt(String part, String searcher, double maxWait) {
-        OpenQuery.ShardRequest piece = queries.piece(part);
-        InFlightAttempt launch = new InFlightAttempt(piece, piece.launches.size(), searcher, now(), now() + maxWait);
-        piece.launches.add(launch);
+        OpenQuery.ShardRequest piece = queries.shardRequest(part);
+        InFlightAttempt launch = new InFlightAttempt(piece, piece.attempts.size(), searcher, now(), now() + maxWait);
+        piece.attempts.add(launch);
         send.add(launch);
     }
 
@@ -126,7 +133,7 @@
 
     @Override
     public void cancelAttempt(String part, int number) {
-        send.cancel(queries.piece(part).launches.get(number));
+        send.cancel(queries.shardRequest(part).attempts.get(number));
     }
 
     @Override
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/RequestIntake.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/RequestIntake.java
@@ -63,7 +63,7 @@
         boolean keyed = given.serviceClasses().get(grade).retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED;
         String key = keyed ? header(headers, KEY) : null;
         OpenQuery query = new OpenQuery(id, grade, ttl, key, asker);
-        query.seenAt = loop.now();
+        query.clientSeenAt = loop.now();
         if (loop.now() + ttl > lastEnd) {
             // Danger: a request taken while leaving that can't end before the exit would be lost with its effects.
             counters.add("turned-away-leaving");
@@ -77,8 +77,8 @@
             return query;
         }
         QueryText.read(body, query, limits.shards());
-        query.again = "1".equals(headers.getFirst(RETRY));
-        if (query.again) {
+        query.isRetry = "1".equals(headers.getFirst(RETRY));
+        if (query.isRetry) {
             counters.add("taken-marked-retry");
         }
         admit.admit(query);
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/ResponseSender.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/ResponseSender.java
@@ -58,24 +58,24 @@
 
     /** Danger: a client's broken connection would throw into the midst of a decision. Harm: none. */
     private void answer(OpenQuery query, int status, double retryAfter, byte[] body) {
-        loop.guarded("answering", () -> query.asker.answer(status, retryAfter, body));
+        loop.guarded("answering", () -> query.client.respond(status, retryAfter, body));
     }
 
     private boolean ends(OpenQuery query, String counter) {
         if (query == null || query.ended) {
             return false;
         }
-        queries.ended(query);
+        queries.onEnded(query);
         counters.add(counter);
         // Danger: a query of which nothing is out when it ends gets no more news, and would be kept for good. The
         // decisions are done with it only once they return.
         loop.later("forgetting a query", () -> {
             if (query.handle == null || query.handle.isFinished()) {
-                queries.forget(query);
+                queries.remove(query);
             }
         });
-        for (OpenQuery.ShardRequest piece : query.pieces.values()) {
-            for (InFlightAttempt launch : piece.launches) {
+        for (OpenQuery.ShardRequest piece : query.shardRequests.values()) {
+            for (InFlightAttempt launch : piece.attempts) {
                 send.takeBack(launch, SchedulerHost.Outcome.MOOT);
             }
         }
--- a/query-mixer/daemon/src/main/java/pinewick/state/Counters.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/Counters.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Counts by name, in the order in which the names first came; figures of the moment are added on request. */
+/** Counters by name, in the order of their first use. */
 public final class Counters {
     private final Map<String, long[]> counts = new LinkedHashMap<>();
 
@@ -15,17 +15,18 @@
         counts.computeIfAbsent(name, any -> new long[1])[0] += amount;
     }
 
-    /** Keeps the highest value seen. */
+    /** Raises the counter to this value if it is higher. */
     public void peak(String name, long value) {
         long[] count = counts.computeIfAbsent(name, any -> new long[1]);
         count[0] = Math.max(count[0], value);
     }
 
+    /** The counter's value; 0 if it was never used. */
     public long get(String name) {
         return counts.containsKey(name) ? counts.get(name)[0] : 0;
     }
 
-    /** A line for each: name, blank, figure. */
+    /** One line for each counter: name, space, value. */
     public String text() {
         StringBuilder text = new StringBuilder();
         counts.forEach(
--- a/query-mixer/daemon/src/main/java/pinewick/state/InFlightAttempt.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/InFlightAttempt.java
@@ -2,34 +2,35 @@
 
 import org.xnio.XnioExecutor;
 
-/** One launch of a part on its way: where it goes, until when it is waited for, and how far it has come. */
+/** An attempt of a shard request that has been sent or is about to be: its replica, its deadline and its progress. */
 public final class InFlightAttempt {
-    public final OpenQuery.ShardRequest piece;
+    public final OpenQuery.ShardRequest shardRequest;
     public final int number;
-    public final String searcher;
+    public final String replicaId;
     public final double sentAt;
-    public final double until;
-    /** Its first byte goes out before this time or never. */
-    public double writeBy = Double.POSITIVE_INFINITY;
+    public final double deadline;
+    /** Its first byte is written before this time or never. */
+    public double writeDeadline = Double.POSITIVE_INFINITY;
 
     public XnioExecutor.Key timer;
-    /** The call that carries it, from when one was found. */
+    /** The call that carries it; null until a connection was found. */
     public ReplicaCall call;
 
-    public boolean over;
-    /** Over, and known not to have run. */
+    public boolean ended;
+    /** Whether it has ended and is known not to have run. */
     public boolean neverRan;
 
-    public InFlightAttempt(OpenQuery.ShardRequest piece, int number, String searcher, double sentAt, double until) {
-        this.piece = piece;
+    public InFlightAttempt(
+            OpenQuery.ShardRequest shardRequest, int number, String replicaId, double sentAt, double deadline) {
+        this.shardRequest = shardRequest;
         this.number = number;
-        this.searcher = searcher;
+        this.replicaId = replicaId;
         this.sentAt = sentAt;
-        this.until = until;
+        this.deadline = deadline;
     }
 
-    /** Whether not even a first byte of it has been written. */
-    public boolean waits() {
-        return call == null || call.stage == ReplicaCall.WriteState.PENDING;
+    /** Whether not even its first byte has been written. */
+    public boolean isUnwritten() {
+        return call == null || call.writeState == ReplicaCall.WriteState.PENDING;
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/state/OpenQueries.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/OpenQueries.java
@@ -3,66 +3,69 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Queries of which something may still be told, by id; those that await their answer are counted apart. */
+/** Queries that may still get events, by id; those that await their response are counted separately. */
 public final class OpenQueries {
     private final Map<String, OpenQuery> byId = new LinkedHashMap<>();
-    private final Map<String, OpenQuery.ShardRequest> byPart = new LinkedHashMap<>();
-    private int awaiting;
-    private int held;
+    private final Map<String, OpenQuery.ShardRequest> byRequestId = new LinkedHashMap<>();
+    private int awaitingCount;
+    private int heldCount;
 
+    /** The query with this id; null if there is none. */
     public OpenQuery query(String id) {
         return byId.get(id);
     }
 
-    public OpenQuery.ShardRequest piece(String part) {
-        return byPart.get(part);
+    /** The shard request with this id; null if there is none. */
+    public OpenQuery.ShardRequest shardRequest(String requestId) {
+        return byRequestId.get(requestId);
     }
 
     public void add(OpenQuery query) {
         byId.put(query.id, query);
-        byPart.putAll(query.pieces);
-        awaiting++;
-        held += 1 + query.pieces.size();
+        byRequestId.putAll(query.shardRequests);
+        awaitingCount++;
+        heldCount += 1 + query.shardRequests.size();
     }
 
-    /** The query has its answer, or nobody waits for one. */
-    public void ended(OpenQuery query) {
+    /** Marks a query as answered, or as abandoned by its client. */
+    public void onEnded(OpenQuery query) {
         if (!query.ended) {
             query.ended = true;
-            if (query.net != null) {
-                query.net.remove();
+            if (query.safetyTimer != null) {
+                query.safetyTimer.remove();
             }
-            awaiting--;
-            held -= 1 + query.pieces.size();
+            awaitingCount--;
+            heldCount -= 1 + query.shardRequests.size();
         }
     }
 
-    public void forget(OpenQuery query) {
-        ended(query);
-        // By value: another query may have come under the same id meanwhile.
+    public void remove(OpenQuery query) {
+        onEnded(query);
+        // By value: another query may have been added under the same id meanwhile.
         byId.remove(query.id, query);
-        query.pieces.forEach(byPart::remove);
+        query.shardRequests.forEach(byRequestId::remove);
     }
 
-    /** Queries that are not forgotten yet. */
-    public int kept() {
+    /** The number of queries that have not been removed. */
+    public int trackedCount() {
         return byId.size();
     }
 
-    public int awaiting() {
-        return awaiting;
+    /** The number of queries that await a response. */
+    public int awaitingCount() {
+        return awaitingCount;
     }
 
-    /** Queries and parts that await an answer. */
-    public int held() {
-        return held;
+    /** The number of queries and shard requests that await a response. */
+    public int heldCount() {
+        return heldCount;
     }
 
-    /** Launches that have not ended. */
-    public long out() {
-        return byPart.values().stream()
-                .flatMap(piece -> piece.launches.stream())
-                .filter(each -> !each.over)
+    /** The number of attempts that have not ended. */
+    public long activeAttemptCount() {
+        return byRequestId.values().stream()
+                .flatMap(request -> request.attempts.stream())
+                .filter(each -> !each.ended)
                 .count();
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/state/OpenQuery.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/OpenQuery.java
@@ -7,67 +7,67 @@
 import org.xnio.XnioExecutor;
 import pinewick.core.Query;
 
-/** A query that was taken: what came with it, what is out for it, and the handle on which news of it is a call. */
+/** An accepted query: its request, its shard requests and attempts, and the scheduler's handle for its events. */
 public final class OpenQuery {
-    /** Whoever waits for the answer. */
+    /** The client that awaits the response. */
     public interface Client {
-        /** The one final answer; {@code retryAfter} 0 gives no advice. */
-        void answer(int status, double retryAfter, byte[] body);
+        /** Sends the one final response; {@code retryAfter} is in seconds, 0 gives no advice. */
+        void respond(int status, double retryAfter, byte[] body);
 
-        /** Looks whether it still waits; one that has left ends its query. */
-        default boolean stillThere() {
+        /** Checks whether the client is still connected; a client that has left ends its query. */
+        default boolean isConnected() {
             return true;
         }
     }
 
-    /** One part, with its launches in the order in which they were made and its value once that is in. */
+    /** One shard request, with its attempts in the order in which they were made; the result is null until it is in. */
     public static final class ShardRequest {
         public final OpenQuery query;
         public final String id;
         public final int shard;
-        public final double mass;
-        public final List<InFlightAttempt> launches = new ArrayList<>(1);
-        public byte[] value;
+        public final double weight;
+        public final List<InFlightAttempt> attempts = new ArrayList<>(1);
+        public byte[] result;
 
-        ShardRequest(OpenQuery query, String id, int shard, double mass) {
+        ShardRequest(OpenQuery query, String id, int shard, double weight) {
             this.query = query;
             this.id = id;
             this.shard = shard;
-            this.mass = mass;
+            this.weight = weight;
         }
     }
 
     public final String id;
-    public final int grade;
-    public final double ttl;
-    public final String key;
-    public final Client asker;
-    /** When its client was last seen to wait. */
-    public double seenAt;
+    public final int serviceClass;
+    public final double timeoutSeconds;
+    public final String idempotencyKey;
+    public final Client client;
+    /** When its client was last known to be connected. */
+    public double clientSeenAt;
 
-    public final Map<String, ShardRequest> pieces = new LinkedHashMap<>();
-    public byte[] text = new byte[0];
+    public final Map<String, ShardRequest> shardRequests = new LinkedHashMap<>();
+    public byte[] filter = new byte[0];
     public double workHint;
-    /** Marked by its client as a later try. */
-    public boolean again;
+    /** Whether its client marked it as a retry. */
+    public boolean isRetry;
 
     public Query handle;
     /** The timer that ends the query if nothing else has. */
-    public XnioExecutor.Key net;
-    /** Answered, or left by its client: nothing more is sent for it. */
+    public XnioExecutor.Key safetyTimer;
+    /** Whether it was answered or abandoned by its client: nothing more is sent for it. */
     public boolean ended;
 
-    public OpenQuery(String id, int grade, double ttl, String key, Client asker) {
+    public OpenQuery(String id, int serviceClass, double timeoutSeconds, String idempotencyKey, Client client) {
         this.id = id;
-        this.grade = grade;
-        this.ttl = ttl;
-        this.key = key;
-        this.asker = asker;
+        this.serviceClass = serviceClass;
+        this.timeoutSeconds = timeoutSeconds;
+        this.idempotencyKey = idempotencyKey;
+        this.client = client;
     }
 
-    /** False where the shard was named before. */
-    public boolean piece(int shard, double mass) {
-        String part = id + "." + shard;
-        return pieces.putIfAbsent(part, new ShardRequest(this, part, shard, mass)) == null;
+    /** Adds a request to a shard; false if the query already has one for that shard. */
+    public boolean addShardRequest(int shard, double weight) {
+        String requestId = id + "." + shard;
+        return shardRequests.putIfAbsent(requestId, new ShardRequest(this, requestId, shard, weight)) == null;
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/state/OutboundConnection.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/OutboundConnection.java
@@ -2,42 +2,42 @@
 
 import java.util.List;
 
-/** A connection to a searcher as the tables and stages know it, from when it is asked for until it is closed. */
+/** A connection to a replica as the pipeline and its state see it, from the request to open it until it is closed. */
 public interface OutboundConnection {
-    String searcher();
+    String replicaId();
 
-    /** Whether another call may be put on it now. */
-    boolean hasPlace();
+    /** Whether another call may be sent on it now. */
+    boolean hasCapacity();
 
-    /** Looks whether an unused one was closed at the far end; false if so. */
-    boolean stillThere();
+    /** Checks whether the far end has closed this connection while it was unused; false if so. */
+    boolean isStillOpen();
 
-    boolean isUp();
+    boolean isConnected();
 
-    /** Calls that are out on it. */
-    int calls();
+    /** The number of calls that have not ended. */
+    int activeCalls();
 
-    void send(List<InFlightAttempt> launches);
+    void send(List<InFlightAttempt> attempts);
 
-    void probe(long number, boolean load);
+    void sendProbe(long number, boolean withLoad);
 
-    /** Takes a launch back that has not been written, or tells the searcher that it is given up. */
-    void drop(InFlightAttempt launch, boolean tell);
+    /** Withdraws an attempt that has not been written, or tells the replica that it has been abandoned. */
+    void cancel(InFlightAttempt attempt, boolean notifyReplica);
 
-    /** The launches of which no byte has been written. */
-    List<InFlightAttempt> waiting();
+    /** The attempts of which no byte has been written. */
+    List<InFlightAttempt> unwrittenAttempts();
 
-    /** A launch on it is over, for whatever reason. */
-    void over(InFlightAttempt launch);
+    /** Handles the end of an attempt on this connection, whatever its outcome. */
+    void onAttemptEnded(InFlightAttempt attempt);
 
-    /** Whether nothing has come since that call was written. */
-    boolean silentSince(ReplicaCall call);
+    /** Whether nothing has been received since this call was written. */
+    boolean isSilentSince(ReplicaCall call);
 
-    /** No new calls; it closes once those that are out have ended. */
-    void retire(String why);
+    /** Accepts no new calls; closes once the active ones have ended. */
+    void retire(String reason);
 
-    /** To be called now and then: closes it before the far side would. */
-    void look();
+    /** Closes an idle connection before the far end would; called periodically. */
+    void checkIdle();
 
-    void close(String why);
+    void close(String reason);
 }
--- a/query-mixer/daemon/src/main/java/pinewick/state/ReplicaCall.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/ReplicaCall.java
@@ -3,27 +3,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Launches that travel in one frame, and whether that has been written. */
+/** A call to a replica: attempts that travel in one frame, and how much of that frame has been written. */
 public final class ReplicaCall {
-    /** WAITING: no byte written; BEGUN: some; WRITTEN: the last one too. */
+    /** PENDING: no byte written; PARTIAL: some bytes written; WRITTEN: the whole frame written. */
     public enum WriteState {
         PENDING,
         PARTIAL,
         WRITTEN
     }
 
-    public final List<InFlightAttempt> launches = new ArrayList<>();
-    public final OutboundConnection link;
-    public WriteState stage = WriteState.PENDING;
-    /** How many of its launches are not over. */
-    public int out;
+    public final List<InFlightAttempt> attempts = new ArrayList<>();
+    public final OutboundConnection connection;
+    public WriteState writeState = WriteState.PENDING;
+    /** The number of its attempts that have not ended. */
+    public int activeCount;
 
     public double writtenAt;
 
-    public ReplicaCall(OutboundConnection link, List<InFlightAttempt> launches) {
-        this.link = link;
-        this.launches.addAll(launches);
-        this.out = launches.size();
-        launches.forEach(each -> each.call = this);
+    public ReplicaCall(OutboundConnection connection, List<InFlightAttempt> attempts) {
+        this.connection = connection;
+        this.attempts.addAll(attempts);
+        this.activeCount = attempts.size();
+        attempts.forEach(each -> each.call = this);
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/state/ReplicaDirectory.java
+++ b/query-mixer/daemon/src/main/java/pinewick/state/ReplicaDirectory.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 import pinewick.core.SchedulerHost;
 
-/** Where searchers listen, whether they take new parts, and the connections that lead there. */
+/** The address and lifecycle state of each replica, and the connections to it. */
 public final class ReplicaDirectory {
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final Map<String, SchedulerHost.LifecycleState> stages = new LinkedHashMap<>();
-    private final Map<String, List<OutboundConnection>> links = new LinkedHashMap<>();
-    private int open;
+    private final Map<String, SchedulerHost.LifecycleState> states = new LinkedHashMap<>();
+    private final Map<String, List<OutboundConnection>> connections = new LinkedHashMap<>();
+    private int openCount;
 
-    /** True where the address has changed. */
-    public boolean listed(SchedulerHost.ReplicaEntry entry, InetSocketAddress address) {
-        stages.put(entry.replicaId(), entry.state());
+    /** Applies an entry of the replica list; the address may be null. Returns whether a known address changed. */
+    public boolean update(SchedulerHost.ReplicaEntry entry, InetSocketAddress address) {
+        states.put(entry.replicaId(), entry.state());
         if (address == null) {
             return false;
         }
@@ -24,54 +24,60 @@
         return before != null && !before.equals(address);
     }
 
-    /** A whole list has come: what it does not name is gone. */
-    public void allGone() {
-        stages.replaceAll((id, stage) -> SchedulerHost.LifecycleState.GONE);
+    /** Marks all replicas as gone before a full list is applied: replicas that it does not name are gone. */
+    public void markAllGone() {
+        states.replaceAll((id, state) -> SchedulerHost.LifecycleState.GONE);
     }
 
-    public boolean takesNew(String id) {
-        return stages.get(id) == SchedulerHost.LifecycleState.READY;
+    /** Whether the replica accepts new shard requests. */
+    public boolean isReady(String id) {
+        return states.get(id) == SchedulerHost.LifecycleState.READY;
     }
 
-    /** Forgets searchers that are gone and have no connection left. */
+    /** Removes replicas that are gone and have no connection left. */
     public void prune() {
-        stages.entrySet().removeIf(each -> {
-            boolean done = each.getValue() == SchedulerHost.LifecycleState.GONE
-                    && links(each.getKey()).isEmpty();
-            if (done) {
+        states.entrySet().removeIf(each -> {
+            boolean removable = each.getValue() == SchedulerHost.LifecycleState.GONE
+                    && connections(each.getKey()).isEmpty();
+            if (removable) {
                 addresses.remove(each.getKey());
-                links.remove(each.getKey());
+                connections.remove(each.getKey());
             }
-            return done;
+            return removable;
         });
     }
 
+    /** The replica's address; null if unknown. */
     public InetSocketAddress address(String id) {
         return addresses.get(id);
     }
 
-    public List<OutboundConnection> links(String id) {
-        return links.getOrDefault(id, List.of());
+    public List<OutboundConnection> connections(String id) {
+        return connections.getOrDefault(id, List.of());
     }
 
-    public List<OutboundConnection> allLinks() {
+    public List<OutboundConnection> allConnections() {
         List<OutboundConnection> all = new ArrayList<>();
-        links.values().forEach(all::addAll);
+        connections.values().forEach(all::addAll);
         return all;
     }
 
-    public void add(OutboundConnection link) {
-        links.computeIfAbsent(link.searcher(), any -> new ArrayList<>()).add(link);
-        open++;
+    public void add(OutboundConnection connection) {
+        connections
+                .computeIfAbsent(connection.replicaId(), any -> new ArrayList<>())
+                .add(connection);
+        openCount++;
     }
 
-    public void remove(OutboundConnection link) {
-        if (links.containsKey(link.searcher()) && links.get(link.searcher()).remove(link)) {
-            open--;
+    public void remove(OutboundConnection connection) {
+        if (connections.containsKey(connection.replicaId())
+                && connections.get(connection.replicaId()).remove(connection)) {
+            openCount--;
         }
     }
 
-    public int open() {
-        return open;
+    /** The number of connections that have not been closed. */
+    public int openCount() {
+        return openCount;
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/ClientDoor.java
@@ -386,7 +386,7 @@
         } catch (IllegalArgumentException wrong) {
             refuse(exchange, 400, wrong.getMessage());
         } catch (RuntimeException fault) {
-            waiting.answer(500, 0, "fault".getBytes(StandardCharsets.US_ASCII));
+            waiting.respond(500, 0, "fault".getBytes(StandardCharsets.US_ASCII));
             throw fault;
         }
     }
@@ -427,12 +427,12 @@
             connection
                     .getChannel()
                     .getSourceChannel()
-                    .setReadListener(any -> loop.event("a client's connection", this::stillThere));
+                    .setReadListener(any -> loop.event("a client's connection", this::isConnected));
             guest.listen();
         }
 
         @Override
-        public boolean stillThere() {
+        public boolean isConnected() {
             if (answered) {
                 return true;
             }
@@ -457,7 +457,7 @@
         }
 
         @Override
-        public void answer(int status, double retryAfter, byte[] body) {
+        public void respond(int status, double retryAfter, byte[] body) {
             if (answered) {
                 return;
             }
--- a/query-mixer/daemon/src/main/java/pinewick/wire/Frames.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/Frames.java
@@ -33,13 +33,14 @@
     /** One call; the wait is told in whole milliseconds, never more than is left. */
     static ByteBuffer call(ReplicaCall call, double now) {
         ByteArrayOutputStream rest = new ByteArrayOutputStream(256);
-        for (InFlightAttempt launch : call.launches) {
-            OpenQuery query = launch.piece.query;
-            long wait = Math.max(1, (long) Math.floor((launch.until - now) * 1000));
-            String line = launch.piece.id + ' ' + launch.piece.shard + " d=" + wait
-                    + (query.key == null ? "" : ",k=" + query.key) + ' ' + query.text.length + '\n';
+        for (InFlightAttempt launch : call.attempts) {
+            OpenQuery query = launch.shardRequest.query;
+            long wait = Math.max(1, (long) Math.floor((launch.deadline - now) * 1000));
+            String line = launch.shardRequest.id + ' ' + launch.shardRequest.shard + " d=" + wait
+                    + (query.idempotencyKey == null ? "" : ",k=" + query.idempotencyKey) + ' ' + query.filter.length
+                    + '\n';
             rest.writeBytes(line.getBytes(StandardCharsets.UTF_8));
-            rest.writeBytes(query.text);
+            rest.writeBytes(query.filter);
         }
         return frame(CALL, rest.toByteArray());
     }
--- a/query-mixer/daemon/src/main/java/pinewick/wire/OwedAnswers.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/OwedAnswers.java
@@ -25,7 +25,7 @@
     /** These were written whole: each is owed an answer. */
     void written(Iterable<InFlightAttempt> launches) {
         for (InFlightAttempt launch : launches) {
-            Owed owed = owedByPart.computeIfAbsent(launch.piece.id, any -> new Owed());
+            Owed owed = owedByPart.computeIfAbsent(launch.shardRequest.id, any -> new Owed());
             owed.latest = launch;
             owed.answers++;
         }
@@ -37,7 +37,7 @@
 
     /** A launch is over, for whatever reason. */
     void over(InFlightAttempt launch) {
-        Owed owed = owedByPart.get(launch.piece.id);
+        Owed owed = owedByPart.get(launch.shardRequest.id);
         if (owed != null && owed.latest == launch) {
             // Danger: an answer that never comes would keep its query, and with that its client, as long as the link.
             owed.latest = null;
--- a/query-mixer/daemon/src/main/java/pinewick/wire/QueryText.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/QueryText.java
@@ -40,7 +40,7 @@
                     case "filter" -> {
                         wrongIf(text || in.peek() != JsonToken.STRING, "json: filter twice or no string");
                         text = true;
-                        into.text = in.nextString().getBytes(StandardCharsets.UTF_8);
+                        into.filter = in.nextString().getBytes(StandardCharsets.UTF_8);
                     }
                     default -> in.skipValue();
                 }
@@ -52,12 +52,13 @@
         } catch (IOException | IllegalStateException odd) {
             throw new IllegalArgumentException("json: not in the form: " + odd.getMessage());
         }
-        wrongIf(into.pieces.isEmpty(), "json: no slices");
+        wrongIf(into.shardRequests.isEmpty(), "json: no slices");
         wrongIf(!text, "json: no filter");
-        double sum =
-                into.pieces.values().stream().mapToDouble(piece -> piece.mass).sum();
+        double sum = into.shardRequests.values().stream()
+                .mapToDouble(piece -> piece.weight)
+                .sum();
         // Each weight is a decimal fraction, rounded; few digits are to be expected of some clients.
-        wrongIf(Math.abs(sum - 1) > ROUNDING * Math.max(4, into.pieces.size()), "weight: the sum is " + sum);
+        wrongIf(Math.abs(sum - 1) > ROUNDING * Math.max(4, into.shardRequests.size()), "weight: the sum is " + sum);
     }
 
     private static void part(JsonReader in, OpenQuery into, int shards) throws IOException {
@@ -86,7 +87,7 @@
         in.endObject();
         wrongIf(shard < 0 || shard >= shards, "shard: unknown " + shard);
         wrongIf(!(mass > 0 && mass <= 1), "weight: of slice " + shard + " is missing or not within 0 and 1");
-        wrongIf(!into.piece(shard, mass), "shard: " + shard + " twice");
+        wrongIf(!into.addShardRequest(shard, mass), "shard: " + shard + " twice");
     }
 
     private static void wrongIf(boolean wrong, String what) {
@@ -115,15 +116,15 @@
 
     /** The answer's body: each value that is in, as the bytes that came. */
     public static byte[] answer(OpenQuery query, boolean whole) {
-        Bytes out = new Bytes(64 + 48 * query.pieces.size());
+        Bytes out = new Bytes(64 + 48 * query.shardRequests.size());
         out.ascii("{\"entire\":").ascii(whole ? "true" : "false").ascii(",\"items\":[");
         boolean first = true;
-        for (OpenQuery.ShardRequest piece : query.pieces.values()) {
-            if (piece.value != null) {
+        for (OpenQuery.ShardRequest piece : query.shardRequests.values()) {
+            if (piece.result != null) {
                 out.ascii(first ? "{\"slice\":" : ",{\"slice\":")
                         .ascii(Integer.toString(piece.shard))
                         .ascii(",\"body\":\"")
-                        .quoted(piece.value)
+                        .quoted(piece.result)
                         .ascii("\"}");
                 first = false;
             }
--- a/query-mixer/daemon/src/main/java/pinewick/wire/SearcherLink.java
+++ b/query-mixer/daemon/src/main/java/pinewick/wire/SearcherLink.java
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public String searcher() {
+    public String replicaId() {
         return searcher;
     }
 
@@ -129,7 +129,7 @@
         control.clear();
         List<Long> unasked = List.copyOf(probes);
         probes.clear();
-        events.notUp(this, waiting());
+        events.notUp(this, unwrittenAttempts());
         unasked.forEach(number -> events.probed(searcher, number, false, null));
     }
 
@@ -155,7 +155,7 @@
 
     /** Whether another call may be put on it now. */
     @Override
-    public boolean hasPlace() {
+    public boolean hasCapacity() {
         return !closed
                 && !retired
                 && !doomed
@@ -166,7 +166,7 @@
 
     /** Reads what may tell that an unused link has been closed at the far end, before a call would be lost on it. */
     @Override
-    public boolean stillThere() {
+    public boolean isStillOpen() {
         if (connection != null && calls.isEmpty()) {
             read();
         }
@@ -174,12 +174,12 @@
     }
 
     @Override
-    public boolean isUp() {
+    public boolean isConnected() {
         return connection != null && !closed;
     }
 
     @Override
-    public int calls() {
+    public int activeCalls() {
         return calls.size();
     }
 
@@ -194,7 +194,7 @@
 
     /** To be called now and then: closes the link before the far side would. */
     @Override
-    public void look() {
+    public void checkIdle() {
         if (connection != null && calls.isEmpty() && probes.isEmpty() && loop.now() - usedAt >= limits.linkIdle()) {
             close("idle");
         }
@@ -209,7 +209,7 @@
     }
 
     @Override
-    public void probe(long number, boolean load) {
+    public void sendProbe(long number, boolean load) {
         probes.add(number);
         control.add(Frames.frame(load ? Frames.LOAD : Frames.PROBE, new byte[0]));
         write();
@@ -217,17 +217,17 @@
 
     /** Takes a launch back that has not been written, or tells the searcher that it is given up. */
     @Override
-    public void drop(InFlightAttempt launch, boolean tell) {
+    public void cancel(InFlightAttempt launch, boolean tell) {
         ReplicaCall call = launch.call;
-        if (call.stage == ReplicaCall.WriteState.PENDING) {
-            call.launches.remove(launch);
-        } else if (call.stage == ReplicaCall.WriteState.PARTIAL) {
+        if (call.writeState == ReplicaCall.WriteState.PENDING) {
+            call.attempts.remove(launch);
+        } else if (call.writeState == ReplicaCall.WriteState.PARTIAL) {
             // Danger: the rest of the frame would still go out after the query's answer. So nothing more is written;
             // what is out on the link may still be answered, or it would be lost with the frame.
             doomed = true;
             loop.later("dropping a frame", this::dropFrame);
         } else if (tell) {
-            control.add(Frames.cancel(launch.piece.id));
+            control.add(Frames.cancel(launch.shardRequest.id));
             write();
             if (control.size() > limits.controlFrames()) {
                 loop.later("too many frames unread", () -> close("reads nothing"));
@@ -238,9 +238,9 @@
     private void dropFrame() {
         List<InFlightAttempt> unsent = new ArrayList<>();
         calls.stream()
-                .filter(call -> call.stage != ReplicaCall.WriteState.WRITTEN)
+                .filter(call -> call.writeState != ReplicaCall.WriteState.WRITTEN)
                 .forEach(call ->
-                        call.launches.stream().filter(each -> !each.over).forEach(unsent::add));
+                        call.attempts.stream().filter(each -> !each.ended).forEach(unsent::add));
         if (!closed) {
             events.unsent(unsent);
             retire("a frame begun was no longer wanted");
@@ -249,18 +249,18 @@
 
     /** The launches of which no byte has been written. */
     @Override
-    public List<InFlightAttempt> waiting() {
+    public List<InFlightAttempt> unwrittenAttempts() {
         List<InFlightAttempt> none = new ArrayList<>();
-        waiting.forEach(call -> none.addAll(call.launches));
+        waiting.forEach(call -> none.addAll(call.attempts));
         return none;
     }
 
     /** A launch on this link is over, for whatever reason. */
     @Override
-    public void over(InFlightAttempt launch) {
+    public void onAttemptEnded(InFlightAttempt launch) {
         ReplicaCall call = launch.call;
         owed.over(launch);
-        if (--call.out == 0) {
+        if (--call.activeCount == 0) {
             calls.remove(call);
             waiting.remove(call);
             if (retired && calls.isEmpty()) {
@@ -271,8 +271,8 @@
 
     /** Whether nothing has come since that call was written. */
     @Override
-    public boolean silentSince(ReplicaCall call) {
-        return call.stage == ReplicaCall.WriteState.WRITTEN && heardAt < call.writtenAt;
+    public boolean isSilentSince(ReplicaCall call) {
+        return call.writeState == ReplicaCall.WriteState.WRITTEN && heardAt < call.writtenAt;
     }
 
     private void write() {
@@ -285,8 +285,8 @@
                     connection.getSinkChannel().resumeWrites();
                     return;
                 }
-                if (currentCall != null && currentCall.stage == ReplicaCall.WriteState.PENDING) {
-                    currentCall.stage = ReplicaCall.WriteState.PARTIAL;
+                if (currentCall != null && currentCall.writeState == ReplicaCall.WriteState.PENDING) {
+                    currentCall.writeState = ReplicaCall.WriteState.PARTIAL;
                 }
                 if (!current.hasRemaining()) {
                     written();
@@ -305,13 +305,13 @@
         }
         while (!waiting.isEmpty()) {
             ReplicaCall call = waiting.poll();
-            List.copyOf(call.launches).stream()
+            List.copyOf(call.attempts).stream()
                     .filter(each -> !events.mayBegin(each))
-                    .forEach(call.launches::remove);
+                    .forEach(call.attempts::remove);
             if (doomed || closed) {
                 return false;
             }
-            if (!call.launches.isEmpty()) {
+            if (!call.attempts.isEmpty()) {
                 currentCall = call;
                 current = Frames.call(call, loop.clock());
                 return true;
@@ -324,9 +324,9 @@
         current = null;
         usedAt = loop.now();
         if (currentCall != null) {
-            currentCall.stage = ReplicaCall.WriteState.WRITTEN;
+            currentCall.writeState = ReplicaCall.WriteState.WRITTEN;
             currentCall.writtenAt = usedAt;
-            owed.written(currentCall.launches);
+            owed.written(currentCall.attempts);
             currentCall = null;
         }
     }
@@ -415,13 +415,13 @@
         InFlightAttempt meant = named ? owed.launch(part) : null;
         if (!named) {
             List<InFlightAttempt> out = new ArrayList<>();
-            calls.forEach(call -> call.launches.stream()
-                    .filter(each -> !each.over && call.stage == ReplicaCall.WriteState.WRITTEN)
+            calls.forEach(call -> call.attempts.stream()
+                    .filter(each -> !each.ended && call.writeState == ReplicaCall.WriteState.WRITTEN)
                     .forEach(out::add));
             meant = out.size() == 1 ? out.get(0) : null;
         }
         retired = true;
-        events.spoilt(this, why, meant == null || meant.over ? null : meant);
+        events.spoilt(this, why, meant == null || meant.ended ? null : meant);
         if (calls.isEmpty()) {
             loop.later("closing a spoilt link", () -> close("spoilt"));
         }
@@ -462,9 +462,9 @@
         List<InFlightAttempt> never = new ArrayList<>();
         List<InFlightAttempt> perhaps = new ArrayList<>();
         for (ReplicaCall call : calls) {
-            for (InFlightAttempt launch : call.launches) {
-                if (!launch.over) {
-                    (call.stage == ReplicaCall.WriteState.WRITTEN ? perhaps : never).add(launch);
+            for (InFlightAttempt launch : call.attempts) {
+                if (!launch.ended) {
+                    (call.writeState == ReplicaCall.WriteState.WRITTEN ? perhaps : never).add(launch);
                 }
             }
         }
--- a/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/wire/SearcherLinkTest.java
@@ -54,7 +54,7 @@
     private final class Told implements SearcherLink.Events {
         @Override
         public void answered(InFlightAttempt launch, char end, SchedulerHost.LoadReport report, byte[] value) {
-            ends(launch, "answered " + launch.piece.id);
+            ends(launch, "answered " + launch.shardRequest.id);
         }
 
         @Override
@@ -77,18 +77,18 @@
 
         @Override
         public void unsent(List<InFlightAttempt> launches) {
-            launches.forEach(each -> ends(each, "unsent " + each.piece.id));
+            launches.forEach(each -> ends(each, "unsent " + each.shardRequest.id));
         }
 
         @Override
         public void notUp(SearcherLink from, List<InFlightAttempt> launches) {
-            launches.forEach(each -> ends(each, "not up " + each.piece.id));
+            launches.forEach(each -> ends(each, "not up " + each.shardRequest.id));
         }
 
         private void ends(InFlightAttempt launch, String how) {
             told.add(how);
-            launch.over = true;
-            launch.call.link.over(launch);
+            launch.ended = true;
+            launch.call.connection.onAttemptEnded(launch);
         }
     }
 
@@ -141,9 +141,9 @@
 
     private static InFlightAttempt launch(String query, int bytes) {
         OpenQuery asked = new OpenQuery(query, 0, 10, null, null);
-        asked.text = new byte[bytes];
-        asked.piece(0, 1);
-        return new InFlightAttempt(asked.pieces.get(query + ".0"), 0, "a", 0, 10);
+        asked.filter = new byte[bytes];
+        asked.addShardRequest(0, 1);
+        return new InFlightAttempt(asked.shardRequests.get(query + ".0"), 0, "a", 0, 10);
     }
 
     /** Reads one call's frame at the searcher. */
@@ -177,7 +177,7 @@
             searcher.setSoLinger(true, 0);
             searcher.close();
             for (int each = 0; each < 3; each++) {
-                link.probe(each, false);
+                link.sendProbe(each, false);
             }
         });
         assertEquals("answered q1.0", next());
@@ -195,10 +195,10 @@
             link.send(List.of(behind));
         });
         onLoop(() -> {
-            assertEquals(ReplicaCall.WriteState.PARTIAL, large.call.stage);
-            link.drop(large, false);
-            large.over = true;
-            link.over(large);
+            assertEquals(ReplicaCall.WriteState.PARTIAL, large.call.writeState);
+            link.cancel(large, false);
+            large.ended = true;
+            link.onAttemptEnded(large);
         });
         assertEquals("unsent q3.0", next());
         answer("q1.0");
@@ -225,7 +225,7 @@
             second[0].send(List.of(launch("q1", 3)));
         });
         assertEquals("not up q1.0", next());
-        onLoop(() -> assertFalse(second[0].hasPlace(), "nothing new waits for it"));
+        onLoop(() -> assertFalse(second[0].hasCapacity(), "nothing new waits for it"));
         for (Socket each : fill) {
             server.accept().close();
             each.close();
@@ -233,7 +233,7 @@
         Socket late = server.accept();
         boolean[] up = new boolean[1];
         while (!up[0]) {
-            onLoop(() -> up[0] = second[0].hasPlace());
+            onLoop(() -> up[0] = second[0].hasCapacity());
         }
         onLoop(() -> second[0].send(List.of(launch("q2", 3))));
         searcher.close();
