--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/CommandActions.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/CommandActions.java
@@ -12,7 +12,7 @@
 
 /** What the sub-commands do. */
 final class CommandActions {
-    private static final String REHEARSAL_ORDERS =
+    private static final String WARM_UP_CONFIG =
             """
         {"limits":{"sockets":256},"known":{"revision":1,"complete":true,"members":[]},"settings":{
          "categories":[{"name":"any","slo-ns":1e9,"hard-limit-ns":3e9,"effect":"retryable"},
@@ -24,16 +24,16 @@
 
     /** Serves until a signal ends it. */
     static int serve(String operatorFile) throws Exception {
-        StartupConfig orders;
-        OperatorConfig operator;
+        StartupConfig config;
+        OperatorConfig operatorConfig;
         try {
-            operator = operatorFile == null ? null : OperatorConfig.read(Path.of(operatorFile));
-            orders = StartupConfig.read(System.getenv());
-        } catch (IllegalArgumentException wrong) {
-            System.err.println("pinewick: " + wrong.getMessage());
+            operatorConfig = operatorFile == null ? null : OperatorConfig.read(Path.of(operatorFile));
+            config = StartupConfig.read(System.getenv());
+        } catch (IllegalArgumentException e) {
+            System.err.println("pinewick: " + e.getMessage());
             return 2;
         }
-        start(orders, operator);
+        start(config, operatorConfig);
         Thread.currentThread().join();
         return 0;
     }
@@ -41,48 +41,48 @@
     static int check(String operatorFile) {
         try {
             if (operatorFile != null) {
-                OperatorConfig operator = OperatorConfig.read(Path.of(operatorFile));
+                OperatorConfig operatorConfig = OperatorConfig.read(Path.of(operatorFile));
                 System.out.println(
-                        operator.registry() == null
+                        operatorConfig.registry() == null
                                 ? "operator's file: nothing is on"
-                                : "operator's file: " + operator.registry());
+                                : "operator's file: " + operatorConfig.registry());
                 if (System.getenv("EDGE_CONFIG") == null) {
                     return 0;
                 }
             }
-            StartupConfig orders = StartupConfig.read(System.getenv());
-            System.out.println(orders.name() + " listens at " + orders.listen() + ", discovery at "
-                    + orders.discovery() + ", "
-                    + orders.deployment().serviceClasses().size() + " service grades, "
-                    + orders.known().listings().size() + " searchers known at revision "
-                    + orders.known().revision()
-                    + "\n" + orders.limits());
+            StartupConfig config = StartupConfig.read(System.getenv());
+            System.out.println(config.name() + " listens at " + config.listen() + ", discovery at "
+                    + config.discovery() + ", "
+                    + config.deployment().serviceClasses().size() + " service grades, "
+                    + config.knownReplicas().listings().size() + " searchers known at revision "
+                    + config.knownReplicas().revision()
+                    + "\n" + config.limits());
             return 0;
-        } catch (IllegalArgumentException wrong) {
-            System.err.println("pinewick: " + wrong.getMessage());
+        } catch (IllegalArgumentException e) {
+            System.err.println("pinewick: " + e.getMessage());
             return 2;
         }
     }
 
-    private static RouterServer start(StartupConfig orders, OperatorConfig operator) throws Exception {
-        Log log = operator != null && operator.logs() != null
-                ? new StructuredLog(operator.logs(), orders.limits().logLines())
-                : new Log(System.err, orders.limits().logLines());
+    private static RouterServer start(StartupConfig config, OperatorConfig operatorConfig) throws Exception {
+        Log log = operatorConfig != null && operatorConfig.log() != null
+                ? new StructuredLog(operatorConfig.log(), config.limits().logLines())
+                : new Log(System.err, config.limits().logLines());
         log.takesOver();
-        RouterServer serve = new RouterServer(orders, operator, log);
-        AtomicLong asked = new AtomicLong();
+        RouterServer server = new RouterServer(config, operatorConfig, log);
+        AtomicLong reloads = new AtomicLong();
         // Each signal has a thread of its own, so the file is read beside the loop, and may be read out of turn.
         Signal.handle(new Signal("HUP"), any -> {
-            long number = asked.incrementAndGet();
+            long number = reloads.incrementAndGet();
             try {
-                serve.reload(number, StartupConfig.readAgain(System.getenv()), null);
-            } catch (RuntimeException wrong) {
-                serve.reload(number, null, wrong.getMessage());
+                server.reload(number, StartupConfig.reread(System.getenv()), null);
+            } catch (RuntimeException e) {
+                server.reload(number, null, e.getMessage());
             }
         });
-        Signal.handle(new Signal("TERM"), any -> serve.stop());
-        Signal.handle(new Signal("INT"), any -> serve.stop());
-        return serve;
+        Signal.handle(new Signal("TERM"), any -> server.stop());
+        Signal.handle(new Signal("INT"), any -> server.stop());
+        return server;
     }
 
     static int benchlink() throws Exception {
@@ -91,19 +91,19 @@
     }
 
     /** Starts, serves nobody and stops, so that a build can keep the classes that a start loads. */
-    static int rehearse() throws Exception {
+    static int warmUp() throws Exception {
         // Its own door stands in for discovery: the watch is asked for there and gets a 404.
-        String own;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            own = "127.0.0.1:" + free.getLocalPort();
+        String ownAddress;
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            ownAddress = "127.0.0.1:" + socket.getLocalPort();
         }
-        RouterServer serve = start(
+        RouterServer server = start(
                 StartupConfig.of(
-                        JsonParser.parseString(REHEARSAL_ORDERS).getAsJsonObject(),
-                        Map.of("EDGE_LISTEN", own, "EDGE_DISCOVERY", own)),
+                        JsonParser.parseString(WARM_UP_CONFIG).getAsJsonObject(),
+                        Map.of("EDGE_LISTEN", ownAddress, "EDGE_DISCOVERY", ownAddress)),
                 null);
         Thread.sleep(2500);
-        serve.stop();
+        server.stop();
         Thread.currentThread().join();
         return 0;
     }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/Commands.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/Commands.java
@@ -21,21 +21,21 @@
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    public static int run(String[] words) {
-        return new CommandLine(new Commands()).execute(words);
+    public static int run(String[] arguments) {
+        return new CommandLine(new Commands()).execute(arguments);
     }
 
     /** The commands that machines start, without loading the parser of the command line for them. */
-    public static int plain(String command, String[] words) {
+    public static int runWithoutParser(String command, String[] arguments) {
         try {
             return switch (command) {
-                case "serve" -> CommandActions.serve(words.length > 2 ? words[2] : null);
+                case "serve" -> CommandActions.serve(arguments.length > 2 ? arguments[2] : null);
                 case "benchlink" -> CommandActions.benchlink();
-                case "rehearse" -> CommandActions.rehearse();
-                default -> run(words);
+                case "rehearse" -> CommandActions.warmUp();
+                default -> run(arguments);
             };
-        } catch (Exception fault) {
-            System.err.println("pinewick: " + fault);
+        } catch (Exception e) {
+            System.err.println("pinewick: " + e);
             return 1;
         }
     }
@@ -97,7 +97,7 @@
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            return CommandActions.rehearse();
+            return CommandActions.warmUp();
         }
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/FactReplicationService.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/FactReplicationService.java
@@ -22,109 +22,114 @@
 final class FactReplicationService implements QueryRouter.PeerObservations {
     private final Loop loop;
     private final Log log;
-    private final FactReplicator state;
-    private final SnapshotFile file;
-    private final double every;
+    private final FactReplicator replicator;
+    private final SnapshotFile snapshotFile;
+    private final double snapshotIntervalSeconds;
     private final int self;
-    private int size;
-    private final Map<String, Integer> keys = new HashMap<>();
-    private final Map<Integer, String> ids = new HashMap<>();
+    private int memberCount;
+    private final Map<String, Integer> keysById = new HashMap<>();
+    private final Map<Integer, String> idsByKey = new HashMap<>();
     /** Keys of several ids: nothing is told or taken of these. */
-    private final Set<Integer> mixedUp = new HashSet<>();
+    private final Set<Integer> ambiguousKeys = new HashSet<>();
 
-    private double wroteAt;
-    private boolean saidCaughtUp;
-    private long spoilt;
+    private double snapshotWrittenAt;
+    private boolean isCatchUpLogged;
+    private long malformedCount;
 
     /** @param file null where no snapshot is kept */
     FactReplicationService(
-            int size,
+            int memberCount,
             int self,
             long seed,
-            SnapshotFile file,
-            double every,
+            SnapshotFile snapshotFile,
+            double snapshotIntervalSeconds,
             Loop loop,
             Log log,
-            FactReplicator.Transport wire,
-            IntPredicate takesPart) {
+            FactReplicator.Transport transport,
+            IntPredicate isParticipant) {
         this.loop = loop;
         this.log = log;
-        this.file = file;
-        this.every = every;
+        this.snapshotFile = snapshotFile;
+        this.snapshotIntervalSeconds = snapshotIntervalSeconds;
         this.self = self;
-        this.size = size;
-        state = new FactReplicator(
-                size, self, FactReplicationSettings.defaults(), new SplittableRandom(seed), wire, takesPart);
+        this.memberCount = memberCount;
+        replicator = new FactReplicator(
+                memberCount,
+                self,
+                FactReplicationSettings.defaults(),
+                new SplittableRandom(seed),
+                transport,
+                isParticipant);
     }
 
     void start() {
-        state.start(loop.now()); // first, as the age of a snapshot's facts is told by its clock
-        byte[] whole = file == null ? null : file.read();
-        if (whole != null) {
-            FactSnapshotFormat.Result read =
-                    FactSnapshotFormat.read(whole, self, size, loop.now(), FactKind.LATENCY.maxAgeSeconds());
-            read.facts().forEach(state::onFact);
+        replicator.start(loop.now()); // first, as the age of a snapshot's facts is told by its clock
+        byte[] snapshot = snapshotFile == null ? null : snapshotFile.read();
+        if (snapshot != null) {
+            FactSnapshotFormat.Result result =
+                    FactSnapshotFormat.read(snapshot, self, memberCount, loop.now(), FactKind.LATENCY.maxAgeSeconds());
+            result.facts().forEach(replicator::onFact);
             log.say(
-                    read.rejection() == null ? Log.Level.INFO : Log.Level.WARNING,
+                    result.rejection() == null ? Log.Level.INFO : Log.Level.WARNING,
                     "fleet",
-                    read.rejection() == null
-                            ? "snapshot: " + read.facts().size() + " facts"
-                            : "snapshot refused: " + read.rejection() + "; asking the other mixers");
+                    result.rejection() == null
+                            ? "snapshot: " + result.facts().size() + " facts"
+                            : "snapshot refused: " + result.rejection() + "; asking the other mixers");
         }
-        wroteAt = loop.now();
+        snapshotWrittenAt = loop.now();
     }
 
     void tick() {
-        state.tick(loop.now());
-        if (!saidCaughtUp && !Double.isNaN(state.catchUpSeconds())) {
-            saidCaughtUp = true;
+        replicator.tick(loop.now());
+        if (!isCatchUpLogged && !Double.isNaN(replicator.catchUpSeconds())) {
+            isCatchUpLogged = true;
             log.say(
                     Log.Level.INFO,
                     "fleet",
                     String.format(
                             java.util.Locale.ROOT,
                             "caught up with the other mixers after " + "%.2f s: %d facts",
-                            state.catchUpSeconds(),
-                            state.store().size()));
+                            replicator.catchUpSeconds(),
+                            replicator.store().size()));
         }
-        if (file != null && loop.now() - wroteAt >= every) {
-            wroteAt = loop.now();
-            file.write(FactSnapshotFormat.write(
-                    self, size, loop.now(), state.store().all(-1)));
+        if (snapshotFile != null && loop.now() - snapshotWrittenAt >= snapshotIntervalSeconds) {
+            snapshotWrittenAt = loop.now();
+            snapshotFile.write(FactSnapshotFormat.write(
+                    self, memberCount, loop.now(), replicator.store().all(-1)));
         }
     }
 
-    void took(int place, byte[] datagram, int length) {
-        spoilt += state.onDatagram(loop.now(), place, datagram, length) == null ? 0 : 1;
+    void onDatagram(int member, byte[] datagram, int length) {
+        malformedCount += replicator.onDatagram(loop.now(), member, datagram, length) == null ? 0 : 1;
     }
 
-    void listed(int mixers) {
-        size = mixers;
-        state.onMemberListChanged(mixers);
+    void onMemberListChanged(int members) {
+        memberCount = members;
+        replicator.onMemberListChanged(members);
     }
 
-    private int key(String searcher) {
-        return keys.computeIfAbsent(searcher, id -> {
+    private int key(String replicaId) {
+        return keysById.computeIfAbsent(replicaId, id -> {
             int key = Fact.key(id);
-            String other = ids.putIfAbsent(key, id);
+            String other = idsByKey.putIfAbsent(key, id);
             if (other != null && !other.equals(id)) {
-                mixedUp.add(key);
+                ambiguousKeys.add(key);
             }
             return key;
         });
     }
 
     /** Searchers that a list named, be it an old one. */
-    void knows(List<SchedulerHost.ReplicaEntry> listings) {
-        listings.forEach(each -> key(each.replicaId()));
+    void registerReplicas(List<SchedulerHost.ReplicaEntry> entries) {
+        entries.forEach(each -> key(each.replicaId()));
     }
 
     /** What the list says; those that leave are told to the others, whose own list may come later. */
-    void list(List<SchedulerHost.ReplicaEntry> listings) {
-        for (SchedulerHost.ReplicaEntry each : listings) {
+    void onReplicaListUpdate(List<SchedulerHost.ReplicaEntry> entries) {
+        for (SchedulerHost.ReplicaEntry each : entries) {
             int key = key(each.replicaId());
-            if (each.state() != SchedulerHost.LifecycleState.READY && !mixedUp.contains(key)) {
-                state.recordObservation(
+            if (each.state() != SchedulerHost.LifecycleState.READY && !ambiguousKeys.contains(key)) {
+                replicator.recordObservation(
                         loop.now(),
                         key,
                         FactKind.LEAVING,
@@ -135,42 +140,45 @@
     }
 
     @Override
-    public void saw(String searcher, double pace, double queue, int failures) {
-        int key = key(searcher);
-        if (!mixedUp.contains(key)) {
-            state.recordWork(loop.now(), key, pace, queue, failures);
+    public void recordMeasurement(
+            String replicaId, double latencySeconds, double queueLength, int consecutiveFailures) {
+        int key = key(replicaId);
+        if (!ambiguousKeys.contains(key)) {
+            replicator.recordWork(loop.now(), key, latencySeconds, queueLength, consecutiveFailures);
         }
     }
 
     @Override
-    public double pace(String searcher) {
-        int key = key(searcher);
-        double pace = mixedUp.contains(key) ? Double.NaN : state.aggregator().latencySeconds(key, self, loop.now());
-        return Double.isNaN(pace) ? 0 : pace;
+    public double latencySeconds(String replicaId) {
+        int key = key(replicaId);
+        double latencySeconds = ambiguousKeys.contains(key)
+                ? Double.NaN
+                : replicator.aggregator().latencySeconds(key, self, loop.now());
+        return Double.isNaN(latencySeconds) ? 0 : latencySeconds;
     }
 
     @Override
-    public boolean warn(String searcher, double since) {
-        int key = key(searcher);
-        return !mixedUp.contains(key)
-                && (state.aggregator().isUnhealthy(key, self, loop.now(), since)
-                        || state.aggregator().isLeaving(key, self, loop.now(), since));
+    public boolean reportsFailure(String replicaId, double since) {
+        int key = key(replicaId);
+        return !ambiguousKeys.contains(key)
+                && (replicator.aggregator().isUnhealthy(key, self, loop.now(), since)
+                        || replicator.aggregator().isLeaving(key, self, loop.now(), since));
     }
 
-    String figures() {
+    String metrics() {
         // What this mixer holds of each searcher, for comparing mixers: the others' pace, ms.
-        List<String> paces = new ArrayList<>();
-        List<String> warned = new ArrayList<>();
-        keys.keySet().stream().sorted().limit(200).forEach(each -> {
-            if (warn(each, loop.now() - FactKind.UNHEALTHY.maxAgeSeconds())) {
-                warned.add(each);
+        List<String> latencies = new ArrayList<>();
+        List<String> failing = new ArrayList<>();
+        keysById.keySet().stream().sorted().limit(200).forEach(each -> {
+            if (reportsFailure(each, loop.now() - FactKind.UNHEALTHY.maxAgeSeconds())) {
+                failing.add(each);
             }
-            double pace = pace(each);
-            if (pace > 0) {
-                paces.add(each + "=" + Math.round(pace * 1e3));
+            double latencySeconds = latencySeconds(each);
+            if (latencySeconds > 0) {
+                latencies.add(each + "=" + Math.round(latencySeconds * 1e3));
             }
         });
-        return state.metrics() + "state-spoilt " + spoilt + "\nstate-paces " + String.join(",", paces)
-                + "\nstate-warned " + String.join(",", warned) + "\n";
+        return replicator.metrics() + "state-spoilt " + malformedCount + "\nstate-paces " + String.join(",", latencies)
+                + "\nstate-warned " + String.join(",", failing) + "\n";
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/MembershipService.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/MembershipService.java
@@ -20,54 +20,54 @@
          * @param live for spreading work: the best guess
          * @param most for shares of a budget that all keep together: never too low
          */
-        void mixers(int live, int most);
+        void onRouterCount(int live, int sending);
     }
 
     /** Looks at the clock in a period. */
-    private static final double LOOKS = 8;
+    private static final double TICKS_PER_PROBE_INTERVAL = 8;
 
-    private final StartupConfig.Peers first;
-    private final double tick;
+    private final StartupConfig.Peers peersAtStart;
+    private final double tickSeconds;
     private final Loop loop;
     private final Log log;
-    private final RouterCountListener counts;
+    private final RouterCountListener countListener;
     private final MembershipView view;
     private final PeerSocket socket;
     /** Null where nothing is replicated. */
-    private final FactReplicationService state;
+    private final FactReplicationService facts;
 
-    private int toldLive = -1;
-    private int toldMost = -1;
-    private boolean over;
+    private int reportedLive = -1;
+    private int reportedSending = -1;
+    private boolean stopped;
 
     /** @param replicated null where nothing is */
     MembershipService(
             StartupConfig.Peers peers,
-            MembershipSettings terms,
-            OperatorConfig.Replicated replicated,
+            MembershipSettings settings,
+            OperatorConfig.Replication replication,
             long seed,
             XnioWorker worker,
             Loop loop,
             Log log,
-            RouterCountListener counts)
+            RouterCountListener countListener)
             throws IOException {
-        this.first = peers;
+        this.peersAtStart = peers;
         this.loop = loop;
         this.log = log;
-        this.counts = counts;
-        tick = terms.probeIntervalSeconds() / LOOKS;
-        socket = new PeerSocket(peers.listen(), Datagram.MAX_BYTES, worker, loop, this::took);
-        socket.listed(peers.peers(), peers.all());
+        this.countListener = countListener;
+        tickSeconds = settings.probeIntervalSeconds() / TICKS_PER_PROBE_INTERVAL;
+        socket = new PeerSocket(peers.listen(), Datagram.MAX_BYTES, worker, loop, this::onDatagram);
+        socket.listed(peers.peers(), peers.broadcast());
         view = new MembershipView(
                 peers.peers().size(),
                 peers.self(),
                 Math.round(loop.now() * 1e3),
-                terms,
+                settings,
                 new SplittableRandom(seed),
                 new MembershipView.Transport() {
                     @Override
-                    public void send(int place, byte[] datagram) {
-                        socket.send(place, datagram);
+                    public void send(int member, byte[] datagram) {
+                        socket.send(member, datagram);
                     }
 
                     @Override
@@ -75,97 +75,98 @@
                         return socket.sendAll(datagram);
                     }
                 },
-                this::changed);
-        state = replicated == null
+                this::onStateChanged);
+        facts = replication == null
                 ? null
                 : new FactReplicationService(
                         peers.peers().size(),
                         peers.self(),
                         seed ^ 0x57A7E,
-                        replicated.snapshot() == null
+                        replication.snapshot() == null
                                 ? null
                                 : new SnapshotFile(
-                                        replicated.snapshot(), text -> log.say(Log.Level.WARNING, "fleet", text)),
-                        replicated.every(),
+                                        replication.snapshot(), text -> log.say(Log.Level.WARNING, "fleet", text)),
+                        replication.snapshotIntervalSeconds(),
                         loop,
                         log,
                         socket::send,
-                        place -> place < view.size() && view.state(place) == MemberState.ALIVE);
+                        member -> member < view.size() && view.state(member) == MemberState.ALIVE);
     }
 
     /** What the other mixers see of the searchers; null where nothing is replicated. */
-    FactReplicationService state() {
-        return state;
+    FactReplicationService facts() {
+        return facts;
     }
 
     void start() {
         log.say(
                 Log.Level.INFO,
                 "fleet",
-                "mixer " + first.self() + " of " + first.peers().size() + ", datagrams at " + first.listen(),
+                "mixer " + peersAtStart.self() + " of " + peersAtStart.peers().size() + ", datagrams at "
+                        + peersAtStart.listen(),
                 "place",
-                Integer.toString(first.self()));
+                Integer.toString(peersAtStart.self()));
         view.start(loop.now());
-        if (state != null) {
-            state.start();
+        if (facts != null) {
+            facts.start();
         }
-        tells();
-        ticks();
+        reportCounts();
+        scheduleTick();
     }
 
-    private void ticks() {
-        loop.after(tick, "looking at the mixers", () -> {
-            if (!over) {
+    private void scheduleTick() {
+        loop.after(tickSeconds, "looking at the mixers", () -> {
+            if (!stopped) {
                 view.tick(loop.now());
-                if (state != null) {
-                    state.tick();
+                if (facts != null) {
+                    facts.tick();
                 }
-                tells();
-                ticks();
+                reportCounts();
+                scheduleTick();
             }
         });
     }
 
-    private void took(int place, byte[] datagram, int length) {
-        if (place < 0) {
+    private void onDatagram(int member, byte[] datagram, int length) {
+        if (member < 0) {
             view.onUnknownSender();
         } else if (length > 0 && datagram[0] == FactDatagram.VERSION) {
-            if (state != null) {
-                state.took(place, datagram, length);
+            if (facts != null) {
+                facts.onDatagram(member, datagram, length);
             }
         } else {
-            view.onDatagram(loop.now(), place, datagram, length);
+            view.onDatagram(loop.now(), member, datagram, length);
         }
     }
 
-    private void changed(int place, MemberState was, MemberState is) {
-        if (was == MemberState.UNHEARD && is == MemberState.ALIVE) {
+    private void onStateChanged(int member, MemberState before, MemberState after) {
+        if (before == MemberState.UNHEARD && after == MemberState.ALIVE) {
             return; // At a start all others come so, and a line each would crowd out the rest of the log.
         }
         log.say(
-                is == MemberState.DEAD ? Log.Level.WARNING : Log.Level.INFO,
+                after == MemberState.DEAD ? Log.Level.WARNING : Log.Level.INFO,
                 "fleet",
-                "mixer " + place + ": " + was.name().toLowerCase(java.util.Locale.ROOT) + " to "
-                        + is.name().toLowerCase(java.util.Locale.ROOT),
+                "mixer " + member + ": " + before.name().toLowerCase(java.util.Locale.ROOT) + " to "
+                        + after.name().toLowerCase(java.util.Locale.ROOT),
                 "place",
-                Integer.toString(place),
+                Integer.toString(member),
                 "standing",
-                is.name());
+                after.name());
     }
 
-    private void tells() {
+    private void reportCounts() {
         int live = view.estimatedSenders();
-        int most = view.maxSenders(loop.now());
-        if (live != toldLive || most != toldMost) {
-            toldLive = live;
-            toldMost = most;
-            counts.mixers(live, most);
+        int sending = view.maxSenders(loop.now());
+        if (live != reportedLive || sending != reportedSending) {
+            reportedLive = live;
+            reportedSending = sending;
+            countListener.onRouterCount(live, sending);
         }
     }
 
     /** The configuration was read anew; the mixers in it are the ones from now on. */
-    void listed(StartupConfig.Peers peers) {
-        socket.listed(peers.peers(), peers.all());
+    void onPeersChanged(StartupConfig.Peers peers) {
+        socket.listed(peers.peers(), peers.broadcast());
         if (peers.peers().size() != view.size() || peers.self() != view.self()) {
             log.say(
                     Log.Level.INFO,
@@ -174,20 +175,20 @@
                     "mixers",
                     Integer.toString(peers.peers().size()));
             view.onMemberListChanged(loop.now(), peers.peers().size(), peers.self());
-            if (state != null) {
-                state.listed(peers.peers().size());
+            if (facts != null) {
+                facts.onMemberListChanged(peers.peers().size());
             }
-            tells();
+            reportCounts();
         }
     }
 
     /** Tells the others that this one stops. */
     void leave() {
         view.leave(loop.now());
-        over = true;
+        stopped = true;
     }
 
-    String figures() {
-        return view.metrics() + "fleet-unsent " + socket.unsent() + "\n" + (state == null ? "" : state.figures());
+    String metrics() {
+        return view.metrics() + "fleet-unsent " + socket.unsent() + "\n" + (facts == null ? "" : facts.metrics());
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/OperatorConfig.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/OperatorConfig.java
@@ -38,34 +38,34 @@
             double lowerAfter) {}
 
     /** What mixers replicate, and where a snapshot of it is kept, null for nowhere; every so many seconds. */
-    record Replicated(Path snapshot, double every) {}
+    record Replication(Path snapshot, double snapshotIntervalSeconds) {}
 
     /** How the log looks. */
-    record Logs(boolean json, Log.Level level) {}
+    record LogSettings(boolean json, Log.Level level) {}
 
-    private final List<String> wrong = new ArrayList<>();
+    private final List<String> problems = new ArrayList<>();
     /** Null where the list comes from the platform. */
     private Registry registry;
     /** Null where the log is the plain one. */
-    private Logs logs;
+    private LogSettings log;
     /** Null where the mixers don't look at each other. */
-    private MembershipSettings fleet = MembershipSettings.defaults();
+    private MembershipSettings membership = MembershipSettings.defaults();
 
-    private Replicated replicated;
+    private Replication replication;
 
     private OperatorConfig() {}
 
-    Logs logs() {
-        return logs;
+    LogSettings log() {
+        return log;
     }
 
     /** Null where nothing is replicated. */
-    Replicated replicated() {
-        return replicated;
+    Replication replication() {
+        return replication;
     }
 
-    MembershipSettings fleet() {
-        return fleet;
+    MembershipSettings membership() {
+        return membership;
     }
 
     Registry registry() {
@@ -74,48 +74,48 @@
 
     /** Throws IllegalArgumentException whose message has a line for each wrong field: its path, what was expected. */
     static OperatorConfig read(Path file) {
-        JsonElement all;
+        JsonElement root;
         try {
-            all = JsonParser.parseString(Files.readString(file));
-        } catch (IOException | RuntimeException odd) {
-            throw new IllegalArgumentException(
-                    "operator's file " + file + " can't be read as JSON: " + odd.getMessage());
+            root = JsonParser.parseString(Files.readString(file));
+        } catch (IOException | RuntimeException e) {
+            throw new IllegalArgumentException("operator's file " + file + " can't be read as JSON: " + e.getMessage());
         }
-        return of(all);
+        return of(root);
     }
 
-    static OperatorConfig of(JsonElement all) {
-        OperatorConfig read = new OperatorConfig();
-        read.all(all);
-        if (!read.wrong.isEmpty()) {
-            throw new IllegalArgumentException("operator's file: " + String.join("\noperator's file: ", read.wrong));
+    static OperatorConfig of(JsonElement root) {
+        OperatorConfig config = new OperatorConfig();
+        config.parse(root);
+        if (!config.problems.isEmpty()) {
+            throw new IllegalArgumentException(
+                    "operator's file: " + String.join("\noperator's file: ", config.problems));
         }
-        return read;
+        return config;
     }
 
-    private void all(JsonElement all) {
-        if (!all.isJsonObject()) {
-            wrong.add("/: an object is expected");
+    private void parse(JsonElement root) {
+        if (!root.isJsonObject()) {
+            problems.add("/: an object is expected");
             return;
         }
-        known(all.getAsJsonObject(), "", Set.of("registry", "log", "fleet"));
-        logs(all.getAsJsonObject().get("log"));
-        registry(all.getAsJsonObject().get("registry"));
-        fleet(all.getAsJsonObject().get("fleet"));
+        rejectUnknownFields(root.getAsJsonObject(), "", Set.of("registry", "log", "fleet"));
+        log(root.getAsJsonObject().get("log"));
+        registry(root.getAsJsonObject().get("registry"));
+        membership(root.getAsJsonObject().get("fleet"));
     }
 
     /** The view of the other mixers: on where the platform gives a way, unless said otherwise. */
-    private void fleet(JsonElement part) {
-        if (part == null) {
+    private void membership(JsonElement section) {
+        if (section == null) {
             return;
         }
-        if (!part.isJsonObject()) {
-            wrong.add("/fleet: an object is expected");
+        if (!section.isJsonObject()) {
+            problems.add("/fleet: an object is expected");
             return;
         }
-        JsonObject in = part.getAsJsonObject();
-        known(
-                in,
+        JsonObject object = section.getAsJsonObject();
+        rejectUnknownFields(
+                object,
                 "/fleet",
                 Set.of(
                         "view",
@@ -126,79 +126,82 @@
                         "state",
                         "snapshot",
                         "snapshot-every-s"));
-        boolean on = choice(in, "/fleet", "view", "on", List.of("on", "off")).equals("on");
-        MembershipSettings usual = MembershipSettings.defaults();
-        double period = number(in, "/fleet", "period-s", usual.probeIntervalSeconds(), 0.1, 10, false);
-        double silence = number(in, "/fleet", "silence-s", usual.minSilenceSeconds(), 0.6, 60, false);
-        if (silence < 4 * period) {
-            wrong.add("/fleet/silence-s: at least four times period-s is expected, or a lost datagram would "
+        boolean isEnabled =
+                choice(object, "/fleet", "view", "on", List.of("on", "off")).equals("on");
+        MembershipSettings defaults = MembershipSettings.defaults();
+        double intervalSeconds = number(object, "/fleet", "period-s", defaults.probeIntervalSeconds(), 0.1, 10, false);
+        double silenceSeconds = number(object, "/fleet", "silence-s", defaults.minSilenceSeconds(), 0.6, 60, false);
+        if (silenceSeconds < 4 * intervalSeconds) {
+            problems.add("/fleet/silence-s: at least four times period-s is expected, or a lost datagram would "
                     + "look like death");
         }
-        boolean state =
-                choice(in, "/fleet", "state", "off", List.of("on", "off")).equals("on");
-        String snapshot = text(in, "/fleet", "snapshot", false);
-        double every = number(in, "/fleet", "snapshot-every-s", 10, 1, 3600, false);
-        if (state && !on) {
-            wrong.add("/fleet/state: needs /fleet/view to be on");
+        boolean isReplicated =
+                choice(object, "/fleet", "state", "off", List.of("on", "off")).equals("on");
+        String snapshot = text(object, "/fleet", "snapshot", false);
+        double snapshotIntervalSeconds = number(object, "/fleet", "snapshot-every-s", 10, 1, 3600, false);
+        if (isReplicated && !isEnabled) {
+            problems.add("/fleet/state: needs /fleet/view to be on");
         }
-        replicated = state ? new Replicated(snapshot == null ? null : Path.of(snapshot), every) : null;
-        double stretch = period / usual.probeIntervalSeconds();
-        fleet = !on || !wrong.isEmpty()
+        replication = isReplicated
+                ? new Replication(snapshot == null ? null : Path.of(snapshot), snapshotIntervalSeconds)
+                : null;
+        double scale = intervalSeconds / defaults.probeIntervalSeconds();
+        membership = !isEnabled || !problems.isEmpty()
                 ? null
                 : new MembershipSettings(
-                        period,
-                        usual.pingRetrySeconds() * stretch,
-                        usual.probeTimeoutSeconds() * stretch,
-                        silence,
-                        2 * silence,
-                        usual.confirmations(),
-                        usual.indirectProbers(),
-                        usual.gossipIntervalSeconds() * stretch,
-                        usual.retransmitMultiplier(),
-                        number(in, "/fleet", "lower-after-s", usual.deadCountedSeconds(), 1, 3600, false),
-                        number(in, "/fleet", "least-share", usual.minCountedShare(), 0, 1, false));
+                        intervalSeconds,
+                        defaults.pingRetrySeconds() * scale,
+                        defaults.probeTimeoutSeconds() * scale,
+                        silenceSeconds,
+                        2 * silenceSeconds,
+                        defaults.confirmations(),
+                        defaults.indirectProbers(),
+                        defaults.gossipIntervalSeconds() * scale,
+                        defaults.retransmitMultiplier(),
+                        number(object, "/fleet", "lower-after-s", defaults.deadCountedSeconds(), 1, 3600, false),
+                        number(object, "/fleet", "least-share", defaults.minCountedShare(), 0, 1, false));
     }
 
-    private void logs(JsonElement part) {
-        if (part == null) {
+    private void log(JsonElement section) {
+        if (section == null) {
             return;
         }
-        if (!part.isJsonObject()) {
-            wrong.add("/log: an object is expected");
+        if (!section.isJsonObject()) {
+            problems.add("/log: an object is expected");
             return;
         }
-        JsonObject in = part.getAsJsonObject();
-        known(in, "/log", Set.of("form", "level"));
-        String form = choice(in, "/log", "form", "line", List.of("line", "json"));
-        String level = choice(in, "/log", "level", "info", List.of("debug", "info", "warning", "error"));
-        logs = new Logs(form.equals("json"), Log.Level.valueOf(level.toUpperCase(Locale.ROOT)));
+        JsonObject object = section.getAsJsonObject();
+        rejectUnknownFields(object, "/log", Set.of("form", "level"));
+        String format = choice(object, "/log", "form", "line", List.of("line", "json"));
+        String level = choice(object, "/log", "level", "info", List.of("debug", "info", "warning", "error"));
+        log = new LogSettings(format.equals("json"), Log.Level.valueOf(level.toUpperCase(Locale.ROOT)));
     }
 
-    private String choice(JsonObject in, String path, String name, String absent, List<String> choices) {
-        JsonElement value = in.get(name);
+    private String choice(JsonObject object, String path, String name, String defaultValue, List<String> choices) {
+        JsonElement value = object.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!value.isJsonPrimitive()
                 || !value.getAsJsonPrimitive().isString()
                 || !choices.contains(value.getAsString())) {
-            wrong.add(path + "/" + name + ": one of " + String.join(", ", choices) + " is expected");
-            return absent;
+            problems.add(path + "/" + name + ": one of " + String.join(", ", choices) + " is expected");
+            return defaultValue;
         }
         return value.getAsString();
     }
 
-    private void registry(JsonElement part) {
-        if (part == null) {
+    private void registry(JsonElement section) {
+        if (section == null) {
             return;
         }
-        if (!part.isJsonObject()) {
-            wrong.add("/registry: an object is expected");
+        if (!section.isJsonObject()) {
+            problems.add("/registry: an object is expected");
             return;
         }
-        JsonObject in = part.getAsJsonObject();
-        known(
-                in,
+        JsonObject object = section.getAsJsonObject();
+        rejectUnknownFields(
+                object,
                 "/registry",
                 Set.of(
                         "endpoints",
@@ -213,86 +216,88 @@
                         "mixers-prefix",
                         "lease-s",
                         "lower-after-s"));
-        List<InetSocketAddress> endpoints = endpoints(in.get("endpoints"));
-        String prefix = text(in, "/registry", "prefix", true);
-        String mixers = text(in, "/registry", "mixers-prefix", false);
-        if (mixers != null && (mixers.startsWith(prefix) || prefix.startsWith(mixers))) {
-            wrong.add("/registry/mixers-prefix: must not overlap /registry/prefix, or mixers would count as searchers");
+        List<InetSocketAddress> endpoints = endpoints(object.get("endpoints"));
+        String prefix = text(object, "/registry", "prefix", true);
+        String routersPrefix = text(object, "/registry", "mixers-prefix", false);
+        if (routersPrefix != null && (routersPrefix.startsWith(prefix) || prefix.startsWith(routersPrefix))) {
+            problems.add(
+                    "/registry/mixers-prefix: must not overlap /registry/prefix, or mixers would count as searchers");
         }
-        String kept = text(in, "/registry", "kept", false);
+        String cachePath = text(object, "/registry", "kept", false);
         registry = new Registry(
                 endpoints,
                 prefix,
-                kept == null ? null : Path.of(kept),
-                (int) number(in, "/registry", "page-keys", 500, 1, 10_000, true),
-                (int) number(in, "/registry", "line-bytes", 4 << 20, 64 << 10, 64 << 20, true),
-                number(in, "/registry", "answer-s", 1, 0.05, 30, false),
-                number(in, "/registry", "probe-every-s", 0.15, 0.05, 10, false),
-                number(in, "/registry", "believe-s", 10, 1, 3600, false),
-                number(in, "/registry", "first-contact-s", 1, 0, 30, false),
-                mixers,
-                number(in, "/registry", "lease-s", 10, 2, 600, true),
-                number(in, "/registry", "lower-after-s", 30, 1, 3600, false));
+                cachePath == null ? null : Path.of(cachePath),
+                (int) number(object, "/registry", "page-keys", 500, 1, 10_000, true),
+                (int) number(object, "/registry", "line-bytes", 4 << 20, 64 << 10, 64 << 20, true),
+                number(object, "/registry", "answer-s", 1, 0.05, 30, false),
+                number(object, "/registry", "probe-every-s", 0.15, 0.05, 10, false),
+                number(object, "/registry", "believe-s", 10, 1, 3600, false),
+                number(object, "/registry", "first-contact-s", 1, 0, 30, false),
+                routersPrefix,
+                number(object, "/registry", "lease-s", 10, 2, 600, true),
+                number(object, "/registry", "lower-after-s", 30, 1, 3600, false));
     }
 
-    private List<InetSocketAddress> endpoints(JsonElement given) {
+    private List<InetSocketAddress> endpoints(JsonElement value) {
         List<InetSocketAddress> endpoints = new ArrayList<>();
-        if (given == null || !given.isJsonArray() || given.getAsJsonArray().isEmpty()) {
-            wrong.add("/registry/endpoints: a list of at least one address and port is expected");
+        if (value == null || !value.isJsonArray() || value.getAsJsonArray().isEmpty()) {
+            problems.add("/registry/endpoints: a list of at least one address and port is expected");
             return endpoints;
         }
-        JsonArray list = given.getAsJsonArray();
-        for (int each = 0; each < list.size(); each++) {
-            JsonElement one = list.get(each);
+        JsonArray list = value.getAsJsonArray();
+        for (int index = 0; index < list.size(); index++) {
+            JsonElement item = list.get(index);
             try {
-                if (!one.isJsonPrimitive() || !one.getAsJsonPrimitive().isString()) {
+                if (!item.isJsonPrimitive() || !item.getAsJsonPrimitive().isString()) {
                     throw new IllegalArgumentException("no text");
                 }
-                endpoints.add(ListText.address(one.getAsString()));
-            } catch (IllegalArgumentException odd) {
-                wrong.add("/registry/endpoints/" + each + ": an address and port such as 127.0.0.1:2379 is expected");
+                endpoints.add(ListText.address(item.getAsString()));
+            } catch (IllegalArgumentException e) {
+                problems.add(
+                        "/registry/endpoints/" + index + ": an address and port such as 127.0.0.1:2379 is expected");
             }
         }
         return endpoints;
     }
 
-    private void known(JsonObject in, String path, Set<String> names) {
-        for (String name : in.keySet()) {
+    private void rejectUnknownFields(JsonObject object, String path, Set<String> names) {
+        for (String name : object.keySet()) {
             if (!names.contains(name)) {
-                wrong.add(path + "/" + name + ": unknown field");
+                problems.add(path + "/" + name + ": unknown field");
             }
         }
     }
 
-    private String text(JsonObject in, String path, String name, boolean needed) {
-        JsonElement value = in.get(name);
-        if (value == null && !needed) {
+    private String text(JsonObject object, String path, String name, boolean required) {
+        JsonElement value = object.get(name);
+        if (value == null && !required) {
             return null;
         }
         if (value == null
                 || !value.isJsonPrimitive()
                 || !value.getAsJsonPrimitive().isString()
                 || value.getAsString().isEmpty()) {
-            wrong.add(path + "/" + name + ": a text that is not empty is expected");
+            problems.add(path + "/" + name + ": a text that is not empty is expected");
             return "?";
         }
         return value.getAsString();
     }
 
     private double number(
-            JsonObject in, String path, String name, double absent, double least, double most, boolean whole) {
-        JsonElement value = in.get(name);
+            JsonObject object, String path, String name, double defaultValue, double min, double max, boolean whole) {
+        JsonElement value = object.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
-        boolean number = value.isJsonPrimitive() && value.getAsJsonPrimitive().isNumber();
-        double given = number ? value.getAsDouble() : Double.NaN;
-        if (!(given >= least && given <= most) || (whole && given != Math.rint(given))) {
-            wrong.add(path + "/" + name + ": a " + (whole ? "whole " : "") + "number from " + plain(least) + " to "
-                    + plain(most) + " is expected");
-            return absent;
+        boolean isNumber = value.isJsonPrimitive() && value.getAsJsonPrimitive().isNumber();
+        double number = isNumber ? value.getAsDouble() : Double.NaN;
+        if (!(number >= min && number <= max) || (whole && number != Math.rint(number))) {
+            problems.add(path + "/" + name + ": a " + (whole ? "whole " : "") + "number from " + plain(min) + " to "
+                    + plain(max) + " is expected");
+            return defaultValue;
         }
-        return given;
+        return number;
     }
 
     private static String plain(double number) {
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/PipelineWarmUp.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/PipelineWarmUp.java
@@ -25,121 +25,123 @@
  */
 final class PipelineWarmUp {
     /** Few, since each pipe takes four descriptors. */
-    private static final int CELLS = 4;
+    private static final int MAX_CELLS = 4;
 
-    private final SchedulerHost.Deployment given;
+    private final SchedulerHost.Deployment deployment;
     private final Limits limits;
     private final Loop loop;
     private final Log log;
-    private final Runnable then;
-    private final RequestPipeline chain;
-    private final List<StreamConnection> ends = new ArrayList<>();
+    private final Runnable onDone;
+    private final RequestPipeline pipeline;
+    private final List<StreamConnection> pipeEnds = new ArrayList<>();
     private StreamConnection client;
     private double startedAt;
-    private int asked;
-    private boolean over;
+    private int requestCount;
+    private boolean ended;
 
-    PipelineWarmUp(StartupConfig orders, Loop loop, ByteBufferPool buffers, Runnable then) {
-        this.given = orders.deployment();
-        this.limits = orders.limits();
+    PipelineWarmUp(StartupConfig config, Loop loop, ByteBufferPool buffers, Runnable onDone) {
+        this.deployment = config.deployment();
+        this.limits = config.limits();
         this.loop = loop;
         this.log = new Log(System.err, 0);
-        this.then = then;
-        chain = new RequestPipeline(given, limits, 1, loop, log, buffers, this::dial);
+        this.onDone = onDone;
+        pipeline = new RequestPipeline(deployment, limits, 1, loop, log, buffers, this::dial);
     }
 
     void start() {
         startedAt = loop.now();
-        List<SchedulerHost.ReplicaEntry> listings = new ArrayList<>();
+        List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (int cell = 0; cell < Math.min(CELLS, given.cells()); cell++) {
-            listings.add(new SchedulerHost.ReplicaEntry(
-                    "r-" + cell, cell, given.zone(), SchedulerHost.LifecycleState.READY, 0));
+        for (int cell = 0; cell < Math.min(MAX_CELLS, deployment.cells()); cell++) {
+            entries.add(new SchedulerHost.ReplicaEntry(
+                    "r-" + cell, cell, deployment.zone(), SchedulerHost.LifecycleState.READY, 0));
             addresses.add(InetSocketAddress.createUnresolved("pipe", 1 + cell));
         }
-        chain.list(new ListText.Piece(1, true, listings, addresses), SchedulerHost.ListUpdateKind.CACHED);
+        pipeline.onReplicaListUpdate(
+                new ListText.Piece(1, true, entries, addresses), SchedulerHost.ListUpdateKind.CACHED);
         try {
-            client = pipe(chain.door::handleEvent);
-        } catch (IOException none) {
+            client = pipe(pipeline.door::handleEvent);
+        } catch (IOException e) {
             end();
             return;
         }
-        client.getSourceChannel().setReadListener(any -> loop.event("rehearsing", this::answered));
+        client.getSourceChannel().setReadListener(any -> loop.event("rehearsing", this::onResponse));
         client.getSourceChannel().resumeReads();
         loop.after(limits.rehearsal() * 3, "ending the rehearsal", this::end);
-        ask();
+        sendRequest();
     }
 
     /** Opens a pipe, hands its far end over and gives back the near one. */
-    private StreamConnection pipe(java.util.function.Consumer<StreamConnection> far) throws IOException {
+    private StreamConnection pipe(java.util.function.Consumer<StreamConnection> farEndHandler) throws IOException {
         ChannelPipe<StreamConnection, StreamConnection> pipe = loop.thread().createFullDuplexPipeConnection();
-        ends.add(pipe.getLeftSide());
-        ends.add(pipe.getRightSide());
-        far.accept(pipe.getRightSide());
+        pipeEnds.add(pipe.getLeftSide());
+        pipeEnds.add(pipe.getRightSide());
+        farEndHandler.accept(pipe.getRightSide());
         return pipe.getLeftSide();
     }
 
-    private void dial(SearcherLink link) {
+    private void dial(SearcherLink connection) {
         loop.later("rehearsing a connection", () -> {
             try {
-                link.up(pipe(far -> new PretendSearcher(far, loop, limits)));
-            } catch (IOException none) {
-                link.close(none.getMessage());
+                connection.up(pipe(farEnd -> new PretendSearcher(farEnd, loop, limits)));
+            } catch (IOException e) {
+                connection.close(e.getMessage());
             }
         });
     }
 
-    private void ask() {
-        SchedulerHost.ServiceClassConfig grade =
-                given.serviceClasses().get(asked++ % given.serviceClasses().size());
+    private void sendRequest() {
+        SchedulerHost.ServiceClassConfig serviceClass = deployment
+                .serviceClasses()
+                .get(requestCount++ % deployment.serviceClasses().size());
         StringBuilder body = new StringBuilder("{\"slices\":[");
-        int parts = Math.min(Math.min(CELLS, given.cells()), limits.shards());
-        for (int part = 0; part < parts; part++) {
-            body.append(part == 0 ? "" : ",")
+        int shardCount = Math.min(Math.min(MAX_CELLS, deployment.cells()), limits.shards());
+        for (int shard = 0; shard < shardCount; shard++) {
+            body.append(shard == 0 ? "" : ",")
                     .append("{\"slice\":")
-                    .append(part)
+                    .append(shard)
                     .append(",\"mass\":")
-                    .append(1.0 / parts)
+                    .append(1.0 / shardCount)
                     .append('}');
         }
         body.append("],\"filter\":\"rehearsal\"}");
-        String request = "POST /api HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: rehearsal-" + asked + "\r\nReq-Kind: "
-                + grade.name() + "\r\nReq-Deadline: "
-                + Math.min(limits.longestWait(), Math.max(1, grade.hardDeadlineSeconds()))
-                + "\r\nIdempotency-Key: rehearsal-" + asked + "\r\nContent-Length: " + body.length() + "\r\n\r\n"
+        String request = "POST /api HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: rehearsal-" + requestCount + "\r\nReq-Kind: "
+                + serviceClass.name() + "\r\nReq-Deadline: "
+                + Math.min(limits.longestWait(), Math.max(1, serviceClass.hardDeadlineSeconds()))
+                + "\r\nIdempotency-Key: rehearsal-" + requestCount + "\r\nContent-Length: " + body.length() + "\r\n\r\n"
                 + body;
         try {
             client.getSinkChannel().write(ByteBuffer.wrap(request.getBytes(StandardCharsets.UTF_8)));
-        } catch (IOException broken) {
+        } catch (IOException e) {
             end();
         }
     }
 
-    private void answered() {
-        ByteBuffer in = loop.readBuffer();
+    private void onResponse() {
+        ByteBuffer buffer = loop.readBuffer();
         try {
-            in.clear();
-            int count = client.getSourceChannel().read(in);
+            buffer.clear();
+            int count = client.getSourceChannel().read(buffer);
             if (count < 0) {
                 end();
-            } else if (count > 0 && !over) {
+            } else if (count > 0 && !ended) {
                 if (loop.clock() - startedAt < limits.rehearsal()) {
-                    ask();
+                    sendRequest();
                 } else {
                     end();
                 }
             }
-        } catch (IOException broken) {
+        } catch (IOException e) {
             end();
         }
     }
 
     private void end() {
-        if (!over) {
-            over = true;
-            chain.end();
-            ends.forEach(IoUtils::safeClose);
-            then.run();
+        if (!ended) {
+            ended = true;
+            pipeline.close();
+            pipeEnds.forEach(IoUtils::safeClose);
+            onDone.run();
         }
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RegistryDiscovery.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RegistryDiscovery.java
@@ -25,65 +25,67 @@
 
 /** The list of searchers from a registry: view, session, wire and kept copy put together for one mixer. */
 final class RegistryDiscovery {
-    private static final double TICK = 0.02;
+    private static final double TICK_SECONDS = 0.02;
 
     private final Loop loop;
     private final Log log;
-    private final OperatorConfig.Registry given;
-    private final BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> news;
+    private final OperatorConfig.Registry settings;
+    private final BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> listener;
     private final RegistryView view;
     private final RegistrySession session;
     private final RegistryWire wire;
-    private final KeptFiles files;
+    private final KeptFiles cache;
     private final double startedAt;
-    private final Members members;
+    private final RouterMembership routers;
 
     /** @param mixers is told how many mixers share the searchers, whenever that changes */
     RegistryDiscovery(
-            OperatorConfig.Registry given,
-            StartupConfig orders,
+            OperatorConfig.Registry settings,
+            StartupConfig config,
             Loop loop,
             Log log,
-            BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> news,
-            IntConsumer mixers) {
-        this.given = given;
+            BiConsumer<ListText.Piece, SchedulerHost.ListUpdateKind> listener,
+            IntConsumer countListener) {
+        this.settings = settings;
         this.loop = loop;
         this.log = log;
-        this.news = news;
-        view = new RegistryView(given.prefix());
-        SplittableRandom chance = new SplittableRandom(orders.seed());
-        RegistryCalls calls = new RegistryCalls(loop, given.endpoints(), given.lineBytes());
+        this.listener = listener;
+        view = new RegistryView(settings.prefix());
+        SplittableRandom random = new SplittableRandom(config.seed());
+        RegistryCalls calls = new RegistryCalls(loop, settings.endpoints(), settings.lineBytes());
         wire = new RegistryWire(
                 loop,
                 calls,
-                given.prefix(),
-                this::taken,
+                settings.prefix(),
+                this::onStep,
                 text -> log.say(Log.Level.WARNING, "registry", text, "revision", Long.toString(view.revision())));
-        RegistrySession.Terms usual =
-                RegistrySession.Terms.usual(given.endpoints().size());
+        RegistrySession.Terms defaults =
+                RegistrySession.Terms.usual(settings.endpoints().size());
         RegistrySession.Terms terms = new RegistrySession.Terms(
-                usual.endpoints(),
-                given.pageKeys(),
-                given.answer(),
-                given.probeEvery(),
-                usual.probeAnswer(),
-                usual.owed(),
-                usual.waitLeast(),
-                usual.waitMost(),
-                given.believe());
-        session = new RegistrySession(given.prefix(), view, terms, wire, chance.split());
-        members = given.mixersPrefix() == null ? null : new Members(calls, terms, orders, chance, mixers);
-        files = given.kept() == null
+                defaults.endpoints(),
+                settings.pageKeys(),
+                settings.answer(),
+                settings.probeEvery(),
+                defaults.probeAnswer(),
+                defaults.owed(),
+                defaults.waitLeast(),
+                defaults.waitMost(),
+                settings.believe());
+        session = new RegistrySession(settings.prefix(), view, terms, wire, random.split());
+        routers = settings.mixersPrefix() == null
                 ? null
-                : new KeptFiles(given.kept(), text -> log.say(Log.Level.WARNING, "registry", text));
+                : new RouterMembership(calls, terms, config, random, countListener);
+        cache = settings.kept() == null
+                ? null
+                : new KeptFiles(settings.kept(), text -> log.say(Log.Level.WARNING, "registry", text));
         startedAt = loop.now();
     }
 
     /** Serves from the kept copy, marked old, until the registry tells more. */
     void start() {
-        KeptCodec.Kept kept = files == null ? null : files.read();
-        if (kept != null) {
-            KeptCodec.into(kept, view);
+        KeptCodec.Kept cached = cache == null ? null : cache.read();
+        if (cached != null) {
+            KeptCodec.into(cached, view);
             log.say(
                     Log.Level.INFO,
                     "registry",
@@ -93,22 +95,22 @@
                     Integer.toString(view.stores().size()),
                     "revision",
                     Long.toString(view.revision()));
-            news.accept(piece(view.stores(), true), SchedulerHost.ListUpdateKind.CACHED);
+            listener.accept(toListUpdate(view.stores(), true), SchedulerHost.ListUpdateKind.CACHED);
         }
         wire.follow(session);
-        if (members != null) {
-            members.start();
+        if (routers != null) {
+            routers.start();
         }
-        ticks();
+        scheduleTick();
     }
 
-    private void ticks() {
-        loop.after(TICK, "following the registry", () -> {
+    private void scheduleTick() {
+        loop.after(TICK_SECONDS, "following the registry", () -> {
             session.tick(loop.now());
-            if (members != null) {
-                members.tick();
+            if (routers != null) {
+                routers.tick();
             }
-            ticks();
+            scheduleTick();
         });
     }
 
@@ -116,83 +118,84 @@
      * Whether there is a list to serve by. Danger: a kept copy does not know of drains since; so a start waits a moment
      * for the registry's newest. Harm: with the registry down a restart takes that much longer.
      */
-    boolean mayServe() {
-        return view.revision() > 0 && (session.caughtUp() || loop.now() - startedAt >= given.firstContact());
+    boolean canServe() {
+        return view.revision() > 0 && (session.caughtUp() || loop.now() - startedAt >= settings.firstContact());
     }
 
-    String figures() {
-        return (members == null ? "" : members.figures())
+    String metrics() {
+        return (routers == null ? "" : routers.metrics())
                 + session.figures().replaceAll("(?m)^", "registry-").replaceAll("registry-$", "");
     }
 
     /** This mixer's own key, and the count of all. */
-    private final class Members {
-        private final RegistryView shown = new RegistryView(given.mixersPrefix());
-        private final RegistrySession follower;
-        private final RegistryWire followerWire;
-        private final LeaseKeeper keeper;
-        private final LeaseWire keeperWire;
+    private final class RouterMembership {
+        private final RegistryView routersView = new RegistryView(settings.mixersPrefix());
+        private final RegistrySession routersSession;
+        private final RegistryWire routersWire;
+        private final LeaseKeeper lease;
+        private final LeaseWire leaseWire;
         private final MixerCount count;
-        private final IntConsumer tell;
-        private int told;
+        private final IntConsumer countListener;
+        private int reportedCount;
 
-        Members(
+        RouterMembership(
                 RegistryCalls calls,
                 RegistrySession.Terms terms,
-                StartupConfig orders,
-                SplittableRandom chance,
-                IntConsumer tell) {
-            this.tell = tell;
-            followerWire = new RegistryWire(
+                StartupConfig config,
+                SplittableRandom random,
+                IntConsumer countListener) {
+            this.countListener = countListener;
+            routersWire = new RegistryWire(
                     loop,
                     calls,
-                    given.mixersPrefix(),
+                    settings.mixersPrefix(),
                     step -> {},
                     text -> log.say(Log.Level.WARNING, "registry", "mixers' " + text));
-            follower = new RegistrySession(given.mixersPrefix(), shown, terms, followerWire, chance.split());
+            routersSession =
+                    new RegistrySession(settings.mixersPrefix(), routersView, terms, routersWire, random.split());
             String address =
-                    orders.listen().getHostString() + ':' + orders.listen().getPort();
-            keeperWire = new LeaseWire(
+                    config.listen().getHostString() + ':' + config.listen().getPort();
+            leaseWire = new LeaseWire(
                     loop,
                     calls,
-                    given.mixersPrefix() + orders.name() + '@' + address,
+                    settings.mixersPrefix() + config.name() + '@' + address,
                     "{\"addresses\":[\"" + address + "\"]}");
-            keeper = new LeaseKeeper(terms.endpoints(), given.lease(), given.answer(), keeperWire, chance.split());
-            told = orders.deployment().routers();
-            count = new MixerCount(told, loop.now(), given.lowerAfter());
+            lease = new LeaseKeeper(terms.endpoints(), settings.lease(), settings.answer(), leaseWire, random.split());
+            reportedCount = config.deployment().routers();
+            count = new MixerCount(reportedCount, loop.now(), settings.lowerAfter());
         }
 
         void start() {
-            followerWire.follow(follower);
-            keeperWire.keeps(keeper);
+            routersWire.follow(routersSession);
+            leaseWire.keeps(lease);
         }
 
         void tick() {
-            follower.tick(loop.now());
-            keeper.tick(loop.now());
-            if (follower.caughtUp()) {
-                count.shown(loop.now(), shown.size());
+            routersSession.tick(loop.now());
+            lease.tick(loop.now());
+            if (routersSession.caughtUp()) {
+                count.shown(loop.now(), routersView.size());
             }
-            int now = count.count(loop.now());
-            if (now != told) {
+            int currentCount = count.count(loop.now());
+            if (currentCount != reportedCount) {
                 log.say(
                         Log.Level.INFO,
                         "registry",
-                        "registry: " + now + " mixers, " + told + " before",
+                        "registry: " + currentCount + " mixers, " + reportedCount + " before",
                         "mixers",
-                        Integer.toString(now));
-                told = now;
-                tell.accept(now);
+                        Integer.toString(currentCount));
+                reportedCount = currentCount;
+                countListener.accept(currentCount);
             }
         }
 
-        String figures() {
-            return "mixers-counted " + told + "\nmixers-shown " + shown.size() + "\nown-key-held "
-                    + (keeper.held(loop.now()) ? 1 : 0) + "\n";
+        String metrics() {
+            return "mixers-counted " + reportedCount + "\nmixers-shown " + routersView.size() + "\nown-key-held "
+                    + (lease.held(loop.now()) ? 1 : 0) + "\n";
         }
     }
 
-    private void taken(Step step) {
+    private void onStep(Step step) {
         step.wrong()
                 .forEach(each -> log.say(
                         Log.Level.WARNING,
@@ -200,45 +203,45 @@
                         "registry: " + each + "; its last good state holds",
                         "revision",
                         Long.toString(step.revision())));
-        Collection<Store> told = step.whole() ? view.stores() : step.changed();
+        Collection<Store> changed = step.whole() ? view.stores() : step.changed();
         if (step.whole() || !step.changed().isEmpty()) {
-            news.accept(
-                    piece(told, step.whole()),
+            listener.accept(
+                    toListUpdate(changed, step.whole()),
                     step.whole() ? SchedulerHost.ListUpdateKind.FULL : SchedulerHost.ListUpdateKind.INCREMENTAL);
         }
         if (step.whole()) {
             log.say(
                     Log.Level.INFO,
                     "registry",
-                    "registry: whole view at revision " + step.revision() + ", " + told.size() + " searchers, "
+                    "registry: whole view at revision " + step.revision() + ", " + changed.size() + " searchers, "
                             + step.vanished() + " gone",
                     "revision",
                     Long.toString(step.revision()),
                     "searchers",
-                    Integer.toString(told.size()));
+                    Integer.toString(changed.size()));
         }
-        if (files != null) {
-            if (step.whole() || files.wantsWhole()) {
+        if (cache != null) {
+            if (step.whole() || cache.wantsWhole()) {
                 long revision = step.revision();
                 var entries = view.entries();
-                files.whole(() -> KeptCodec.whole(revision, entries));
+                cache.whole(() -> KeptCodec.whole(revision, entries));
             } else {
-                files.changes(KeptCodec.changes(step.revision(), step.events()));
+                cache.changes(KeptCodec.changes(step.revision(), step.events()));
             }
         }
     }
 
-    private ListText.Piece piece(Collection<Store> stores, boolean whole) {
-        List<SchedulerHost.ReplicaEntry> listings = new ArrayList<>(stores.size());
+    private ListText.Piece toListUpdate(Collection<Store> stores, boolean whole) {
+        List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>(stores.size());
         List<InetSocketAddress> addresses = new ArrayList<>(stores.size());
         for (Store each : stores) {
             try {
                 addresses.add(ListText.address(each.addresses().get(0)));
-                listings.add(each.listing());
-            } catch (IllegalArgumentException odd) {
+                entries.add(each.listing());
+            } catch (IllegalArgumentException e) {
                 // Danger: passing it over would also pass over its drain, and new parts would go to the old address.
                 addresses.add(null);
-                listings.add(new SchedulerHost.ReplicaEntry(
+                entries.add(new SchedulerHost.ReplicaEntry(
                         each.id(),
                         each.cell(),
                         each.zone(),
@@ -249,11 +252,11 @@
                 log.say(
                         Log.Level.WARNING,
                         "registry",
-                        "registry: " + each.id() + ": addresses: " + odd.getMessage() + "; it is not used",
+                        "registry: " + each.id() + ": addresses: " + e.getMessage() + "; it is not used",
                         "searcher",
                         each.id());
             }
         }
-        return new ListText.Piece(view.revision(), whole, listings, addresses);
+        return new ListText.Piece(view.revision(), whole, entries, addresses);
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RequestPipeline.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RequestPipeline.java
@@ -30,14 +30,14 @@
     final OpenQueries queries = new OpenQueries();
     final ReplicaDirectory replicas = new ReplicaDirectory();
     final ClientDoor door;
-    final QueryRouter route;
+    final QueryRouter router;
     private final Loop loop;
-    private final AttemptDispatcher send;
-    private Supplier<String> others = () -> "";
-    private Consumer<List<SchedulerHost.ReplicaEntry>> alsoListed = any -> {};
+    private final AttemptDispatcher dispatcher;
+    private Supplier<String> extraMetrics = () -> "";
+    private Consumer<List<SchedulerHost.ReplicaEntry>> listListener = any -> {};
 
     RequestPipeline(
-            SchedulerHost.Deployment given,
+            SchedulerHost.Deployment deployment,
             Limits limits,
             long seed,
             Loop loop,
@@ -45,49 +45,52 @@
             ByteBufferPool buffers,
             Consumer<SearcherLink> dialer) {
         this.loop = loop;
-        door = new ClientDoor(loop, limits, buffers, this::figures);
-        send = new AttemptDispatcher(given, loop, limits, counters, replicas, dialer);
-        ResponseSender relay = new ResponseSender(loop, queries, counters, send);
-        CompletionHandler book = new CompletionHandler(loop, log, queries, counters, replicas, send, relay);
-        send.passesTo(book);
-        route = new QueryRouter(given, seed, loop, log, queries, counters, send, relay);
-        book.tells(route);
-        AdmissionController admit = new AdmissionController(limits, loop, queries, counters, route, relay);
-        double goal = given.serviceClasses().stream()
+        door = new ClientDoor(loop, limits, buffers, this::metrics);
+        dispatcher = new AttemptDispatcher(deployment, loop, limits, counters, replicas, dialer);
+        ResponseSender responses = new ResponseSender(loop, queries, counters, dispatcher);
+        CompletionHandler completion =
+                new CompletionHandler(loop, log, queries, counters, replicas, dispatcher, responses);
+        dispatcher.setCompletionHandler(completion);
+        router = new QueryRouter(deployment, seed, loop, log, queries, counters, dispatcher, responses);
+        completion.setRouter(router);
+        AdmissionController admission = new AdmissionController(limits, loop, queries, counters, router, responses);
+        double latencyTarget = deployment.serviceClasses().stream()
                 .mapToDouble(SchedulerHost.ServiceClassConfig::latencyTargetSeconds)
                 .min()
                 .orElse(1);
-        double value = given.serviceClasses().stream()
+        double maxValue = deployment.serviceClasses().stream()
                 .mapToDouble(SchedulerHost.ServiceClassConfig::value)
                 .max()
                 .orElse(1);
         Pressure pressure = new Pressure(
-                limits.lagShare() * goal,
+                limits.lagShare() * latencyTarget,
                 limits.lagMemory(),
-                given.allowsRetryAfter() ? Math.min(given.maxRetryAfterSeconds() / 1.5, limits.lagAdvice() * goal) : 0,
-                value,
+                deployment.allowsRetryAfter()
+                        ? Math.min(deployment.maxRetryAfterSeconds() / 1.5, limits.lagAdvice() * latencyTarget)
+                        : 0,
+                maxValue,
                 new SplittableRandom(seed));
         loop.watches(pressure);
-        door.opens(new RequestIntake(given, limits, counters, admit, book, pressure, loop));
-        loop.atEndOfBatch(route::endOfBatch);
+        door.opens(new RequestIntake(deployment, limits, counters, admission, completion, pressure, loop));
+        loop.atEndOfBatch(router::onBatchEnd);
     }
 
     /** News of the list: the decisions are told, and what waits for a searcher that takes nothing new goes back. */
-    void list(ListText.Piece piece, SchedulerHost.ListUpdateKind form) {
-        if (form != SchedulerHost.ListUpdateKind.INCREMENTAL) {
+    void onReplicaListUpdate(ListText.Piece update, SchedulerHost.ListUpdateKind kind) {
+        if (kind != SchedulerHost.ListUpdateKind.INCREMENTAL) {
             replicas.markAllGone();
         }
-        for (int each = 0; each < piece.listings().size(); each++) {
-            SchedulerHost.ReplicaEntry entry = piece.listings().get(each);
-            if (replicas.update(entry, piece.addresses().get(each))) {
-                send.leaves(entry.replicaId(), "address changed");
+        for (int index = 0; index < update.listings().size(); index++) {
+            SchedulerHost.ReplicaEntry entry = update.listings().get(index);
+            if (replicas.update(entry, update.addresses().get(index))) {
+                dispatcher.retireConnections(entry.replicaId(), "address changed");
             }
         }
-        route.list(form, piece.listings());
-        alsoListed.accept(piece.listings());
-        for (OutboundConnection link : replicas.allConnections()) {
-            if (!replicas.isReady(link.replicaId())) {
-                send.leaves(link.replicaId(), "draining or gone");
+        router.onReplicaListUpdate(kind, update.listings());
+        listListener.accept(update.listings());
+        for (OutboundConnection connection : replicas.allConnections()) {
+            if (!replicas.isReady(connection.replicaId())) {
+                dispatcher.retireConnections(connection.replicaId(), "draining or gone");
             }
         }
         replicas.prune();
@@ -102,27 +105,27 @@
     }
 
     /** Ends a chain that was only tried out. */
-    void end() {
-        route.ends();
-        replicas.allConnections().forEach(link -> link.close("end of the rehearsal"));
+    void close() {
+        router.stop();
+        replicas.allConnections().forEach(connection -> connection.close("end of the rehearsal"));
     }
 
     /** Is handed each piece of the list that came, after the decisions. */
-    void listener(Consumer<List<SchedulerHost.ReplicaEntry>> to) {
-        alsoListed = to;
+    void setListListener(Consumer<List<SchedulerHost.ReplicaEntry>> listener) {
+        listListener = listener;
     }
 
     /** How to read what has come of the list, right before a launch. */
-    void looksAtList(Runnable look) {
-        send.looks(look);
+    void setListReader(Runnable reader) {
+        dispatcher.setListReader(reader);
     }
 
-    void alsoTells(Supplier<String> more) {
-        others = more;
+    void setExtraMetrics(Supplier<String> metrics) {
+        extraMetrics = metrics;
     }
 
-    String figures() {
-        return others.get() + counters.text() + "awaiting " + queries.awaitingCount() + "\nkept "
+    String metrics() {
+        return extraMetrics.get() + counters.text() + "awaiting " + queries.awaitingCount() + "\nkept "
                 + queries.trackedCount()
                 + "\nheld " + queries.heldCount() + "\nout "
                 + queries.activeAttemptCount() + "\nsearcher-connections " + replicas.openCount()
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
@@ -22,28 +22,28 @@
 
 /** One mixer from its start to its end: rehearses, opens the door, follows the list, leaves in order. */
 final class RouterServer {
-    private StartupConfig orders;
-    private ListWatch watch;
-    private final OperatorConfig operator;
-    private RegistryDiscovery registry;
-    private MembershipService fleet;
-    private long newest;
+    private StartupConfig config;
+    private ListWatch listWatch;
+    private final OperatorConfig operatorConfig;
+    private RegistryDiscovery registryDiscovery;
+    private MembershipService membership;
+    private long latestReload;
     private final Limits limits;
     private final Log log;
     private final Loop loop;
     private final ByteBufferPool buffers;
     private final XnioWorker worker;
-    private RequestPipeline chain;
+    private RequestPipeline pipeline;
     private AcceptingChannel<StreamConnection> listener;
-    private boolean listKnown;
-    private boolean ready;
-    private boolean leaving;
+    private boolean hasReplicaList;
+    private boolean isReady;
+    private boolean isStopping;
 
     /** @param operator null where nothing of it is on */
-    RouterServer(StartupConfig orders, OperatorConfig operator, Log log) throws IOException {
-        this.orders = orders;
-        this.operator = operator;
-        this.limits = orders.limits();
+    RouterServer(StartupConfig config, OperatorConfig operatorConfig, Log log) throws IOException {
+        this.config = config;
+        this.operatorConfig = operatorConfig;
+        this.limits = config.limits();
         this.log = log;
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -57,63 +57,71 @@
         buffers = new DefaultByteBufferPool(true, limits.bufferBytes(), limits.buffersKept(), 4);
         loop.later(
                 "rehearsing",
-                () -> new PipelineWarmUp(orders, loop, buffers, () -> loop.later("starting", this::start)).start());
+                () -> new PipelineWarmUp(config, loop, buffers, () -> loop.later("starting", this::start)).start());
     }
 
     private void start() {
-        chain = new RequestPipeline(orders.deployment(), limits, orders.seed(), loop, log, buffers, SearcherLink::dial);
-        if (operator != null && operator.registry() != null) {
-            registry = new RegistryDiscovery(
-                    operator.registry(), orders, loop, log, chain::list, count -> chain.route.mixers(count, count));
-            chain.alsoTells(this::figures);
-            registry.start();
+        pipeline =
+                new RequestPipeline(config.deployment(), limits, config.seed(), loop, log, buffers, SearcherLink::dial);
+        if (operatorConfig != null && operatorConfig.registry() != null) {
+            registryDiscovery = new RegistryDiscovery(
+                    operatorConfig.registry(),
+                    config,
+                    loop,
+                    log,
+                    pipeline::onReplicaListUpdate,
+                    count -> pipeline.router.updateRouterCount(count, count));
+            pipeline.setExtraMetrics(this::metrics);
+            registryDiscovery.start();
             awaitRegistry();
         } else {
-            followPlatform();
+            followDiscovery();
         }
-        joinFleet();
+        joinMembership();
         housekeeping();
-        ready();
-        if (leaving) {
-            leave();
+        reportReady();
+        if (isStopping) {
+            shutDown();
         }
     }
 
     /** Where the platform lets mixers talk and the operator's file does not forbid it. */
-    private void joinFleet() {
-        MembershipSettings terms = operator == null ? MembershipSettings.defaults() : operator.fleet();
-        if (orders.peers() == null || terms == null) {
+    private void joinMembership() {
+        MembershipSettings settings =
+                operatorConfig == null ? MembershipSettings.defaults() : operatorConfig.membership();
+        if (config.peers() == null || settings == null) {
             return;
         }
         try {
-            fleet = new MembershipService(
-                    orders.peers(),
-                    terms,
-                    operator == null ? null : operator.replicated(),
-                    orders.seed(),
+            membership = new MembershipService(
+                    config.peers(),
+                    settings,
+                    operatorConfig == null ? null : operatorConfig.replication(),
+                    config.seed(),
                     worker,
                     loop,
                     log,
-                    registry == null ? chain.route::mixers : (live, most) -> {});
-            chain.alsoTells(this::figures);
-            fleet.start();
-            if (fleet.state() != null) {
-                chain.route.hears(fleet.state());
-                fleet.state().knows(orders.known().listings());
-                chain.listener(fleet.state()::list);
+                    registryDiscovery == null ? pipeline.router::updateRouterCount : (live, sending) -> {});
+            pipeline.setExtraMetrics(this::metrics);
+            membership.start();
+            if (membership.facts() != null) {
+                pipeline.router.setPeerObservations(membership.facts());
+                membership.facts().registerReplicas(config.knownReplicas().listings());
+                pipeline.setListListener(membership.facts()::onReplicaListUpdate);
             }
-        } catch (IOException wrong) {
+        } catch (IOException e) {
             // Danger: without the other mixers this one serves all the same, as if the platform gave no such way.
             log.say(
                     Log.Level.ERROR,
                     "fleet",
-                    "peer_listen: can't listen at " + orders.peers().listen() + ": " + wrong.getMessage()
+                    "peer_listen: can't listen at " + config.peers().listen() + ": " + e.getMessage()
                             + "; goes on without a view of the other mixers");
         }
     }
 
-    private String figures() {
-        return (fleet == null ? "" : fleet.figures()) + (registry == null ? "" : registry.figures());
+    private String metrics() {
+        return (membership == null ? "" : membership.metrics())
+                + (registryDiscovery == null ? "" : registryDiscovery.metrics());
     }
 
     /**
@@ -121,13 +129,13 @@
      * not know of drains since (seen: 64 ms of that at a restart). So the door opens when the list may be served by.
      */
     private void awaitRegistry() {
-        if (leaving) {
+        if (isStopping) {
             return;
         }
-        if (registry.mayServe()) {
-            listKnown = true;
+        if (registryDiscovery.canServe()) {
+            hasReplicaList = true;
             listen();
-            ready();
+            reportReady();
         } else {
             loop.after(limits.housekeeping() / 10, "waiting for the registry", this::awaitRegistry);
         }
@@ -138,48 +146,49 @@
      * moment; so the door opens when that was read, or when the agent can't be had and there is nothing to be told.
      * Harm: a start beside an agent that says nothing takes two tries longer.
      */
-    private void followPlatform() {
-        chain.list(orders.known(), SchedulerHost.ListUpdateKind.CACHED);
-        watch = new ListWatch(
-                orders.discovery(),
+    private void followDiscovery() {
+        pipeline.onReplicaListUpdate(config.knownReplicas(), SchedulerHost.ListUpdateKind.CACHED);
+        listWatch = new ListWatch(
+                config.discovery(),
                 loop,
                 limits,
                 log,
                 buffers,
-                orders.known().revision(),
-                piece -> {
-                    chain.list(
-                            piece,
-                            piece.whole()
+                config.knownReplicas().revision(),
+                update -> {
+                    pipeline.onReplicaListUpdate(
+                            update,
+                            update.whole()
                                     ? SchedulerHost.ListUpdateKind.FULL
                                     : SchedulerHost.ListUpdateKind.INCREMENTAL);
-                    serveByList();
+                    serve();
                 },
                 () -> {
-                    if (orders.deployment().mustSubscribe()) {
-                        chain.route.list(SchedulerHost.ListUpdateKind.FAILED, List.of());
+                    if (config.deployment().mustSubscribe()) {
+                        pipeline.router.onReplicaListUpdate(SchedulerHost.ListUpdateKind.FAILED, List.of());
                     }
-                    if (watch.mayServeUnproven() && !orders.known().listings().isEmpty()) {
-                        serveByList();
+                    if (listWatch.mayServeUnproven()
+                            && !config.knownReplicas().listings().isEmpty()) {
+                        serve();
                     }
                 });
-        chain.looksAtList(watch::look);
-        watch.open();
+        pipeline.setListReader(listWatch::look);
+        listWatch.open();
     }
 
-    private void serveByList() {
-        listKnown = true;
-        if (listener == null && !leaving) {
+    private void serve() {
+        hasReplicaList = true;
+        if (listener == null && !isStopping) {
             listen();
         }
-        ready();
+        reportReady();
     }
 
     private void listen() {
         try {
             listener = worker.createStreamConnectionServer(
-                    orders.listen(),
-                    ChannelListeners.openListenerAdapter(chain.door),
+                    config.listen(),
+                    ChannelListeners.openListenerAdapter(pipeline.door),
                     OptionMap.builder()
                             .set(Options.TCP_NODELAY, true)
                             .set(Options.REUSE_ADDRESSES, true)
@@ -188,30 +197,30 @@
                             .set(Options.CONNECTION_LOW_WATER, limits.clientSockets() - 1)
                             .getMap());
             listener.resumeAccepts();
-        } catch (IOException wrong) {
-            log.say("EDGE_LISTEN: can't listen at " + orders.listen() + ": " + wrong.getMessage());
+        } catch (IOException e) {
+            log.say("EDGE_LISTEN: can't listen at " + config.listen() + ": " + e.getMessage());
             log.drain(limits.lastLines());
             Runtime.getRuntime().halt(2);
         }
     }
 
     /** Ready once there is a list to choose from, be it an old one. */
-    private void ready() {
-        if (listKnown && !ready && !leaving && listener != null) {
-            ready = true;
-            chain.door.ready(true);
+    private void reportReady() {
+        if (hasReplicaList && !isReady && !isStopping && listener != null) {
+            isReady = true;
+            pipeline.door.ready(true);
             log.say(
                     Log.Level.INFO,
                     "mixer",
-                    "ready at " + orders.listen(),
+                    "ready at " + config.listen(),
                     "address",
-                    orders.listen().toString());
+                    config.listen().toString());
         }
     }
 
     private void housekeeping() {
         loop.after(limits.housekeeping(), "housekeeping", () -> {
-            chain.housekeeping();
+            pipeline.housekeeping();
             housekeeping();
         });
     }
@@ -221,25 +230,25 @@
      * address from now on; queries, connections and what the decisions learnt stay. Of two read at the same time
      * the one asked for last counts.
      */
-    void reload(long number, StartupConfig read, String wrong) {
+    void reload(long number, StartupConfig newConfig, String error) {
         loop.later("taking a new configuration", () -> {
-            if (read == null) {
-                log.say("SIGHUP: the configuration in hand stays: " + wrong);
+            if (newConfig == null) {
+                log.say("SIGHUP: the configuration in hand stays: " + error);
                 return;
             }
-            if (number < newest) {
+            if (number < latestReload) {
                 return;
             }
-            newest = number;
-            String kept = String.join(", ", orders.needingRestart(read));
-            log.say("SIGHUP: discovery at " + read.discovery()
-                    + (kept.isEmpty() ? "" : "; changed, but only a restart takes in: " + kept));
-            orders = orders.takes(read);
-            if (watch != null) {
-                watch.moveTo(read.discovery());
+            latestReload = number;
+            String unapplied = String.join(", ", config.fieldsNeedingRestart(newConfig));
+            log.say("SIGHUP: discovery at " + newConfig.discovery()
+                    + (unapplied.isEmpty() ? "" : "; changed, but only a restart takes in: " + unapplied));
+            config = config.withReloadable(newConfig);
+            if (listWatch != null) {
+                listWatch.moveTo(newConfig.discovery());
             }
-            if (fleet != null) {
-                fleet.listed(orders.peers());
+            if (membership != null) {
+                membership.onPeersChanged(config.peers());
             }
         });
     }
@@ -247,23 +256,23 @@
     /** Leaves in order: nothing that was taken stays without its answer. */
     void stop() {
         loop.later("stopping", () -> {
-            if (!leaving) {
-                leaving = true;
-                if (chain != null) {
-                    leave();
+            if (!isStopping) {
+                isStopping = true;
+                if (pipeline != null) {
+                    shutDown();
                 }
             }
         });
     }
 
-    private void leave() {
+    private void shutDown() {
         log.say("stopping");
-        double latest = loop.now() + limits.stopMost();
-        chain.door.leaves(latest - limits.lastAnswer());
-        if (fleet != null) {
-            fleet.leave();
+        double deadline = loop.now() + limits.stopMost();
+        pipeline.door.leaves(deadline - limits.lastAnswer());
+        if (membership != null) {
+            membership.leave();
         }
-        loop.after(limits.frontNotice(), "closing the door", () -> closeDoor(latest, -1));
+        loop.after(limits.frontNotice(), "closing the door", () -> closeListener(deadline, -1));
     }
 
     /**
@@ -271,40 +280,40 @@
      * as after it stood still. So it closes once a look has found none (the library's own thread accepts; a time-out
      * gives it its turn). Harm: a crowd that goes on connecting holds the door open until half the time is up.
      */
-    private void closeDoor(double latest, long accepted) {
+    private void closeListener(double deadline, long acceptedBefore) {
         loop.timeOut(0, "closing the door", () -> {
-            long now = chain.door.accepted();
-            if (now != accepted && loop.now() < latest - limits.stopMost() / 2) {
-                closeDoor(latest, now);
+            long accepted = pipeline.door.accepted();
+            if (accepted != acceptedBefore && loop.now() < deadline - limits.stopMost() / 2) {
+                closeListener(deadline, accepted);
                 return;
             }
-            acceptTheLast();
+            acceptPending();
             IoUtils.safeClose(listener);
-            finish(latest);
+            finish(deadline);
         });
     }
 
     /** Takes what the library has accepted and not handed on yet. */
-    private void acceptTheLast() {
+    private void acceptPending() {
         try {
-            StreamConnection last = listener == null ? null : listener.accept();
-            while (last != null) {
-                chain.door.handleEvent(last);
-                last = listener.accept();
+            StreamConnection connection = listener == null ? null : listener.accept();
+            while (connection != null) {
+                pipeline.door.handleEvent(connection);
+                connection = listener.accept();
             }
-        } catch (IOException none) {
-            log.say(Log.Level.WARNING, "mixer", "accepting the last connections: " + none.getMessage());
+        } catch (IOException e) {
+            log.say(Log.Level.WARNING, "mixer", "accepting the last connections: " + e.getMessage());
         }
     }
 
     /** Ends once nobody waits for an answer and every connection is closed, which its last bytes come before. */
-    private void finish(double latest) {
-        chain.door.closeIdle();
-        if ((chain.queries.awaitingCount() == 0 && chain.door.connections() == 0) || loop.now() >= latest) {
-            log.say("stopped; " + chain.figures().replace('\n', ';'));
+    private void finish(double deadline) {
+        pipeline.door.closeIdle();
+        if ((pipeline.queries.awaitingCount() == 0 && pipeline.door.connections() == 0) || loop.now() >= deadline) {
+            log.say("stopped; " + pipeline.metrics().replace('\n', ';'));
             log.drain(limits.lastLines());
             Runtime.getRuntime().exit(0);
         }
-        loop.after(limits.housekeeping() / 10, "ending", () -> finish(latest));
+        loop.after(limits.housekeeping() / 10, "ending", () -> finish(deadline));
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/SnapshotFile.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/SnapshotFile.java
@@ -21,64 +21,64 @@
  * between.
  */
 final class SnapshotFile {
-    private static final int MOST = 16 << 20; // bytes; a longer file is nobody's snapshot
+    private static final int MAX_BYTES = 16 << 20; // bytes; a longer file is nobody's snapshot
 
     private final Path file;
-    private final Consumer<String> says;
-    private final AtomicBoolean busy = new AtomicBoolean();
+    private final Consumer<String> warn;
+    private final AtomicBoolean isWriting = new AtomicBoolean();
     private final ExecutorService writer = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "snapshot");
         thread.setDaemon(true);
         return thread;
     });
-    private volatile boolean bad;
+    private volatile boolean isFailing;
 
-    SnapshotFile(Path file, Consumer<String> says) {
+    SnapshotFile(Path file, Consumer<String> warn) {
         this.file = file;
-        this.says = says;
+        this.warn = warn;
     }
 
     /** What the file holds, sound or not; null where there is none or it can't be read. Blocks: for the start alone. */
     byte[] read() {
         try {
-            if (Files.size(file) > MOST) {
-                says.accept("snapshot " + file + ": too long to be one; asking the other mixers");
+            if (Files.size(file) > MAX_BYTES) {
+                warn.accept("snapshot " + file + ": too long to be one; asking the other mixers");
                 return null;
             }
             return Files.readAllBytes(file);
-        } catch (NoSuchFileException none) {
+        } catch (NoSuchFileException e) {
             return null;
-        } catch (IOException odd) {
-            says.accept("snapshot " + file + " can't be read: " + odd + "; asking the other mixers");
+        } catch (IOException e) {
+            warn.accept("snapshot " + file + " can't be read: " + e + "; asking the other mixers");
             return null;
         }
     }
 
     /** Writes these bytes, unless the last ones are still being written. */
-    void write(byte[] whole) {
-        if (!busy.compareAndSet(false, true)) {
+    void write(byte[] snapshot) {
+        if (!isWriting.compareAndSet(false, true)) {
             return;
         }
         writer.execute(() -> {
             try {
-                put(whole);
-                bad = false;
-            } catch (IOException odd) {
-                if (!bad) {
-                    bad = true;
-                    says.accept("snapshot " + file + " can't be written: " + odd + "; goes on without");
+                replace(snapshot);
+                isFailing = false;
+            } catch (IOException e) {
+                if (!isFailing) {
+                    isFailing = true;
+                    warn.accept("snapshot " + file + " can't be written: " + e + "; goes on without");
                 }
             } finally {
-                busy.set(false);
+                isWriting.set(false);
             }
         });
     }
 
-    private void put(byte[] whole) throws IOException {
-        Path beside = file.resolveSibling(file.getFileName() + ".new");
+    private void replace(byte[] snapshot) throws IOException {
+        Path temporary = file.resolveSibling(file.getFileName() + ".new");
         try (FileChannel out = FileChannel.open(
-                beside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
-            ByteBuffer bytes = ByteBuffer.wrap(whole);
+                temporary, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+            ByteBuffer bytes = ByteBuffer.wrap(snapshot);
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
@@ -86,13 +86,13 @@
         }
         // Danger: a disk that lies takes bytes and gives back others. Harm: one that lies later is found at the start
         // only.
-        if (!Arrays.equals(Files.readAllBytes(beside), whole)) {
+        if (!Arrays.equals(Files.readAllBytes(temporary), snapshot)) {
             throw new IOException("the disk gave back other bytes than it was given");
         }
         try {
-            Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        } catch (AtomicMoveNotSupportedException plain) {
-            throw new IOException("the file system can't rename at once", plain);
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        } catch (AtomicMoveNotSupportedException e) {
+            throw new IOException("the file system can't rename at once", e);
         }
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/StartupConfig.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/StartupConfig.java
@@ -24,7 +24,7 @@
         long seed,
         Limits limits,
         SchedulerHost.Deployment deployment,
-        ListText.Piece known,
+        ListText.Piece knownReplicas,
         Peers peers) {
 
     /**
@@ -34,17 +34,17 @@
      * @param all one address for all of them; null where there is none
      * @param self this one's place
      */
-    record Peers(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress all, int self) {}
+    record Peers(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress broadcast, int self) {}
 
     /** With what a running program takes in of another configuration: the list's address and the mixers. */
-    StartupConfig takes(StartupConfig other) {
-        Peers next =
+    StartupConfig withReloadable(StartupConfig other) {
+        Peers nextPeers =
                 peers == null || other.peers == null || !peers.listen.equals(other.peers.listen) ? peers : other.peers;
-        return new StartupConfig(name, listen, other.discovery, seed, limits, deployment, known, next);
+        return new StartupConfig(name, listen, other.discovery, seed, limits, deployment, knownReplicas, nextPeers);
     }
 
     /** The fields that differ in another configuration and cannot change in a running program. */
-    List<String> needingRestart(StartupConfig other) {
+    List<String> fieldsNeedingRestart(StartupConfig other) {
         List<String> fields = new ArrayList<>();
         if (!listen.equals(other.listen)) {
             fields.add("listen");
@@ -62,62 +62,62 @@
     }
 
     /** As {@link #read}, but the file's address of discovery prevails: the variable's is that of the start. */
-    static StartupConfig readAgain(Map<String, String> environment) {
-        JsonObject all = file(environment);
-        Map<String, String> rest = new HashMap<>(environment);
-        if (all.has("discovery")) {
-            rest.remove("EDGE_DISCOVERY");
+    static StartupConfig reread(Map<String, String> environment) {
+        JsonObject root = readFile(environment);
+        Map<String, String> remaining = new HashMap<>(environment);
+        if (root.has("discovery")) {
+            remaining.remove("EDGE_DISCOVERY");
         }
-        return of(all, rest);
+        return of(root, remaining);
     }
 
     /** A message naming the variable or field at fault comes with the exception. */
     static StartupConfig read(Map<String, String> environment) {
-        return of(file(environment), environment);
+        return of(readFile(environment), environment);
     }
 
-    private static JsonObject file(Map<String, String> environment) {
+    private static JsonObject readFile(Map<String, String> environment) {
         String file = environment.get("EDGE_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new IllegalArgumentException("EDGE_CONFIG is not set");
         }
         try {
             return JsonParser.parseString(Files.readString(Path.of(file))).getAsJsonObject();
-        } catch (IOException | RuntimeException wrong) {
-            throw new IllegalArgumentException("EDGE_CONFIG: " + file + " can't be read as JSON: " + wrong);
+        } catch (IOException | RuntimeException e) {
+            throw new IllegalArgumentException("EDGE_CONFIG: " + file + " can't be read as JSON: " + e);
         }
     }
 
-    static StartupConfig of(JsonObject all, Map<String, String> environment) {
-        String listen = given(environment, "EDGE_LISTEN", all, "listen");
-        String discovery = given(environment, "EDGE_DISCOVERY", all, "discovery");
-        if (!all.has("settings") || !all.get("settings").isJsonObject()) {
+    static StartupConfig of(JsonObject root, Map<String, String> environment) {
+        String listen = required(environment, "EDGE_LISTEN", root, "listen");
+        String discovery = required(environment, "EDGE_DISCOVERY", root, "discovery");
+        if (!root.has("settings") || !root.get("settings").isJsonObject()) {
             throw new IllegalArgumentException("EDGE_CONFIG: field settings is missing or no object");
         }
         Limits limits;
         SchedulerHost.Deployment deployment;
         try {
-            limits = Limits.of(all);
-            deployment = DeploymentParser.parse(all.getAsJsonObject("settings"));
-        } catch (RuntimeException wrong) {
-            throw new IllegalArgumentException("EDGE_CONFIG: field settings or limits: " + wrong.getMessage());
+            limits = Limits.of(root);
+            deployment = DeploymentParser.parse(root.getAsJsonObject("settings"));
+        } catch (RuntimeException e) {
+            throw new IllegalArgumentException("EDGE_CONFIG: field settings or limits: " + e.getMessage());
         }
         if (deployment.serviceClasses().isEmpty()) {
             throw new IllegalArgumentException("EDGE_CONFIG: field settings.categories is missing or empty");
         }
         long seed;
         try {
-            seed = all.has("seed") ? Long.parseUnsignedLong(all.get("seed").getAsString(), 16) : 0;
-        } catch (RuntimeException odd) {
-            throw new IllegalArgumentException("EDGE_CONFIG: field seed: " + odd.getMessage());
+            seed = root.has("seed") ? Long.parseUnsignedLong(root.get("seed").getAsString(), 16) : 0;
+        } catch (RuntimeException e) {
+            throw new IllegalArgumentException("EDGE_CONFIG: field seed: " + e.getMessage());
         }
-        ListText.Piece known = new ListText.Piece(0, true, java.util.List.of());
+        ListText.Piece knownReplicas = new ListText.Piece(0, true, java.util.List.of());
         try {
-            if (all.has("known") && all.get("known").isJsonObject()) {
-                known = ListText.read(all.getAsJsonObject("known"));
+            if (root.has("known") && root.get("known").isJsonObject()) {
+                knownReplicas = ListText.read(root.getAsJsonObject("known"));
             }
-        } catch (RuntimeException odd) {
-            throw new IllegalArgumentException("EDGE_CONFIG: field known: " + odd.getMessage());
+        } catch (RuntimeException e) {
+            throw new IllegalArgumentException("EDGE_CONFIG: field known: " + e.getMessage());
         }
         String name = environment.getOrDefault("EDGE_NAME", "mixer");
         return new StartupConfig(
@@ -127,52 +127,52 @@
                 seed,
                 limits,
                 deployment,
-                known,
-                peers(all));
+                knownReplicas,
+                peers(root));
     }
 
     /** Null where there is no peer_listen, or where the settings do not let mixers talk. */
-    private static Peers peers(JsonObject all) {
-        JsonObject settings = all.getAsJsonObject("settings");
+    private static Peers peers(JsonObject root) {
+        JsonObject settings = root.getAsJsonObject("settings");
         JsonElement bounds = settings.get("bounds");
         JsonElement allowed = bounds == null || !bounds.isJsonObject()
                 ? null
                 : bounds.getAsJsonObject().get("peers");
-        if (!all.has("peer_listen")
-                || all.get("peer_listen").isJsonNull()
+        if (!root.has("peer_listen")
+                || root.get("peer_listen").isJsonNull()
                 || allowed == null
                 || allowed.isJsonNull()
                 || !allowed.getAsBoolean()) {
             return null;
         }
-        if (!all.has("peers") || !all.get("peers").isJsonArray()) {
+        if (!root.has("peers") || !root.get("peers").isJsonArray()) {
             throw new IllegalArgumentException("EDGE_CONFIG: field peers is missing or no list");
         }
         List<InetSocketAddress> peers = new ArrayList<>();
-        for (JsonElement each : all.getAsJsonArray("peers")) {
+        for (JsonElement each : root.getAsJsonArray("peers")) {
             peers.add(address("field peers, item " + peers.size(), each.isJsonPrimitive() ? each.getAsString() : "?"));
         }
-        JsonElement own = settings.get("self-index");
-        int self = own == null || !own.isJsonPrimitive() ? -1 : own.getAsInt();
+        JsonElement selfIndex = settings.get("self-index");
+        int self = selfIndex == null || !selfIndex.isJsonPrimitive() ? -1 : selfIndex.getAsInt();
         if (self < 0 || self >= peers.size()) {
             throw new IllegalArgumentException("EDGE_CONFIG: field settings.self-index is missing, or not a place in "
                     + "peers, which has " + peers.size());
         }
-        boolean toAll = all.has("peers_all") && all.get("peers_all").isJsonPrimitive();
+        boolean hasBroadcast = root.has("peers_all") && root.get("peers_all").isJsonPrimitive();
         return new Peers(
-                address("field peer_listen", all.get("peer_listen").getAsString()),
+                address("field peer_listen", root.get("peer_listen").getAsString()),
                 List.copyOf(peers),
-                toAll ? address("field peers_all", all.get("peers_all").getAsString()) : null,
+                hasBroadcast ? address("field peers_all", root.get("peers_all").getAsString()) : null,
                 self);
     }
 
-    private static String given(Map<String, String> environment, String variable, JsonObject all, String field) {
+    private static String required(Map<String, String> environment, String variable, JsonObject root, String field) {
         String value = environment.get(variable);
-        if ((value == null || value.isEmpty()) && all.has(field)) {
-            if (!all.get(field).isJsonPrimitive()) {
+        if ((value == null || value.isEmpty()) && root.has(field)) {
+            if (!root.get(field).isJsonPrimitive()) {
                 throw new IllegalArgumentException("EDGE_CONFIG: field " + field + " is no text");
             }
-            value = all.get(field).getAsString();
+            value = root.get(field).getAsString();
         }
         if (value == null || value.isEmpty()) {
             throw new IllegalArgumentException(variable + " is not set, and there is no field " + field);
@@ -180,11 +180,11 @@
         return value;
     }
 
-    private static InetSocketAddress address(String what, String text) {
+    private static InetSocketAddress address(String description, String text) {
         try {
             return ListText.address(text);
-        } catch (IllegalArgumentException odd) {
-            throw new IllegalArgumentException(what + ": " + odd.getMessage());
+        } catch (IllegalArgumentException e) {
+            throw new IllegalArgumentException(description + ": " + e.getMessage());
         }
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/StructuredLog.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/StructuredLog.java
@@ -12,48 +12,48 @@
  */
 final class StructuredLog extends Log {
     /** Fields that have a place of their own in a JSON line; others are put behind the message. */
-    private static final List<String> FIELDS = List.of("searcher", "revision", "searchers", "mixers", "address");
+    private static final List<String> JSON_FIELDS = List.of("searcher", "revision", "searchers", "mixers", "address");
 
-    private static final String TIME = "{date: yyyy-MM-dd'T'HH:mm:ss.SSSXXX}";
+    private static final String TIME_FORMAT = "{date: yyyy-MM-dd'T'HH:mm:ss.SSSXXX}";
 
-    StructuredLog(OperatorConfig.Logs given, int mostASecond) {
-        super(System.err, mostASecond);
+    StructuredLog(OperatorConfig.LogSettings settings, int maxLinesPerSecond) {
+        super(System.err, maxLinesPerSecond);
         Configuration.set("autoshutdown", "false");
         Configuration.set(
                 "level",
-                switch (given.level()) {
+                switch (settings.level()) {
                     case DEBUG -> "debug";
                     case INFO -> "info";
                     case WARNING -> "warn";
                     case ERROR -> "error";
                 });
-        if (given.json()) {
+        if (settings.json()) {
             Configuration.set("writer", "json");
             Configuration.set("writer.file", "/dev/stderr");
             Configuration.set("writer.append", "true");
             Configuration.set("writer.format", "LDJSON");
-            Configuration.set("writer.field.time", TIME);
+            Configuration.set("writer.field.time", TIME_FORMAT);
             Configuration.set("writer.field.level", "{level}");
             Configuration.set("writer.field.component", "{tag}");
             Configuration.set("writer.field.message", "{message}");
-            for (String field : FIELDS) {
+            for (String field : JSON_FIELDS) {
                 Configuration.set("writer.field." + field, "{context: " + field + "}");
             }
         } else {
             Configuration.set("writer", "console");
             Configuration.set("writer.stream", "err");
-            Configuration.set("writer.format", TIME + " {level|size=5} {tag} {message}");
+            Configuration.set("writer.format", TIME_FORMAT + " {level|size=5} {tag} {message}");
         }
     }
 
     @Override
     protected void write(long nowMillis, Level level, String component, String text, String... fields) {
         StringBuilder message = new StringBuilder(text);
-        for (int each = 0; each + 1 < fields.length; each += 2) {
-            if (FIELDS.contains(fields[each])) {
-                ThreadContext.put(fields[each], fields[each + 1]);
+        for (int index = 0; index + 1 < fields.length; index += 2) {
+            if (JSON_FIELDS.contains(fields[index])) {
+                ThreadContext.put(fields[index], fields[index + 1]);
             } else {
-                message.append(' ').append(fields[each]).append('=').append(fields[each + 1]);
+                message.append(' ').append(fields[index]).append('=').append(fields[index + 1]);
             }
         }
         switch (level) {
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/AdmissionController.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/AdmissionController.java
@@ -12,23 +12,28 @@
     private final Loop loop;
     private final OpenQueries queries;
     private final Counters counters;
-    private final QueryRouter route;
-    private final ResponseSender relay;
+    private final QueryRouter router;
+    private final ResponseSender responses;
 
     public AdmissionController(
-            Limits limits, Loop loop, OpenQueries queries, Counters counters, QueryRouter route, ResponseSender relay) {
+            Limits limits,
+            Loop loop,
+            OpenQueries queries,
+            Counters counters,
+            QueryRouter router,
+            ResponseSender responses) {
         this.limits = limits;
         this.loop = loop;
         this.queries = queries;
         this.counters = counters;
-        this.route = route;
-        this.relay = relay;
+        this.router = router;
+        this.responses = responses;
     }
 
     /** Declines a query that was never taken, with advice when to come back; 0 gives none. */
-    void turnAway(OpenQuery query, double retryAfter) {
+    void reject(OpenQuery query, double retryAfter) {
         counters.add("taken");
-        relay.turnAway(query, retryAfter);
+        responses.rejectUnadmitted(query, retryAfter);
     }
 
     public void admit(OpenQuery query) {
@@ -38,7 +43,7 @@
         counters.add("taken");
         if (queries.heldCount() + 1 + query.shardRequests.size() > limits.open()) {
             counters.add("turned-away-full");
-            relay.turnAway(query, 0);
+            responses.rejectUnadmitted(query, 0);
             return;
         }
         queries.add(query);
@@ -47,8 +52,8 @@
         // came before the decisions' own end, a query that could be declined would be given up; so it comes after.
         query.safetyTimer = loop.after(query.timeoutSeconds + limits.netAfter(), "the end of a client's time", () -> {
             counters.add("ended-by-the-net");
-            relay.giveUp(query);
+            responses.fail(query);
         });
-        route.take(query);
+        router.submit(query);
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/AttemptDispatcher.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/AttemptDispatcher.java
@@ -19,7 +19,7 @@
 
 /** Fourth stage: what one batch launches to a searcher goes out together, over a connection with a place. */
 public final class AttemptDispatcher {
-    private final SchedulerHost.Deployment given;
+    private final SchedulerHost.Deployment deployment;
     private final Loop loop;
     private final Limits limits;
     private final Counters counters;
@@ -27,19 +27,19 @@
     private final Map<String, List<InFlightAttempt>> batch = new LinkedHashMap<>();
     private final Map<Long, String> probes = new LinkedHashMap<>();
     private final Consumer<SearcherLink> dialer;
-    private Runnable lookAtList = () -> {};
-    private double lookedAt;
-    private long lastProbe;
-    private CompletionHandler book;
+    private Runnable listReader = () -> {};
+    private double listReadAt;
+    private long lastProbeNumber;
+    private CompletionHandler completion;
 
     public AttemptDispatcher(
-            SchedulerHost.Deployment given,
+            SchedulerHost.Deployment deployment,
             Loop loop,
             Limits limits,
             Counters counters,
             ReplicaDirectory replicas,
             Consumer<SearcherLink> dialer) {
-        this.given = given;
+        this.deployment = deployment;
         this.loop = loop;
         this.limits = limits;
         this.counters = counters;
@@ -48,18 +48,18 @@
     }
 
     /** The stage to which endings go. */
-    public void passesTo(CompletionHandler next) {
-        book = next;
+    public void setCompletionHandler(CompletionHandler completion) {
+        this.completion = completion;
     }
 
     /** Reads what has come of the list. */
-    public void looks(Runnable atList) {
-        lookAtList = atList;
+    public void setListReader(Runnable reader) {
+        listReader = reader;
     }
 
-    public void add(InFlightAttempt launch) {
+    public void enqueue(InFlightAttempt attempt) {
         counters.add("launched");
-        batch.computeIfAbsent(launch.replicaId, any -> new ArrayList<>()).add(launch);
+        batch.computeIfAbsent(attempt.replicaId, any -> new ArrayList<>()).add(attempt);
     }
 
     /** The end of a batch: everything that it launched goes out. */
@@ -69,27 +69,28 @@
         }
         Map<String, List<InFlightAttempt>> now = new LinkedHashMap<>(batch);
         batch.clear();
-        now.forEach((searcher, launches) -> loop.guarded("sending", () -> send(searcher, launches)));
+        now.forEach((replicaId, attempts) -> loop.guarded("sending", () -> send(replicaId, attempts)));
     }
 
-    private void send(String searcher, List<InFlightAttempt> launches) {
+    private void send(String replicaId, List<InFlightAttempt> attempts) {
         // What was taken back within its own batch, by its query's end, has ended already.
-        launches.removeIf(each -> each.ended || each.shardRequest.query.ended);
-        for (int from = 0; from < launches.size(); from += limits.callParts()) {
-            List<InFlightAttempt> call = launches.subList(from, Math.min(launches.size(), from + limits.callParts()));
-            boolean told = !replicas.isReady(searcher);
-            OutboundConnection link = told ? null : link(searcher);
-            if (link == null) {
-                SchedulerHost.Outcome ending = told ? SchedulerHost.Outcome.MOOT : SchedulerHost.Outcome.NOT_CONNECTED;
-                List.copyOf(call).forEach(each -> endLater(each, ending));
+        attempts.removeIf(each -> each.ended || each.shardRequest.query.ended);
+        for (int from = 0; from < attempts.size(); from += limits.callParts()) {
+            List<InFlightAttempt> call = attempts.subList(from, Math.min(attempts.size(), from + limits.callParts()));
+            boolean notReady = !replicas.isReady(replicaId);
+            OutboundConnection connection = notReady ? null : findConnection(replicaId);
+            if (connection == null) {
+                SchedulerHost.Outcome outcome =
+                        notReady ? SchedulerHost.Outcome.MOOT : SchedulerHost.Outcome.NOT_CONNECTED;
+                List.copyOf(call).forEach(each -> endLater(each, outcome));
                 continue;
             }
             for (InFlightAttempt each : call) {
-                each.timer = loop.timeOut(each.deadline - loop.clock(), "a time-out", () -> timedOut(each));
-                writeInWindow(each);
+                each.timer = loop.timeOut(each.deadline - loop.clock(), "a time-out", () -> onTimeout(each));
+                limitToDedupWindow(each);
             }
             counters.add("calls");
-            link.send(call);
+            connection.send(call);
         }
     }
 
@@ -98,19 +99,20 @@
      * and then its effect would happen twice. So it is taken back in time, and not begun after it. Also catches a
      * searcher that does not read. Harm: none, the decisions may launch it no more either.
      */
-    private void writeInWindow(InFlightAttempt launch) {
-        SchedulerHost.ServiceClassConfig grade = given.serviceClasses().get(launch.shardRequest.query.serviceClass);
-        if (grade.retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED && launch.number > 0) {
-            launch.shardRequest.attempts.stream()
-                    .filter(each -> each != launch && !each.neverRan)
+    private void limitToDedupWindow(InFlightAttempt attempt) {
+        SchedulerHost.ServiceClassConfig serviceClass =
+                deployment.serviceClasses().get(attempt.shardRequest.query.serviceClass);
+        if (serviceClass.retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED && attempt.number > 0) {
+            attempt.shardRequest.attempts.stream()
+                    .filter(each -> each != attempt && !each.neverRan)
                     .findFirst()
                     .ifPresent(first -> {
-                        launch.writeDeadline =
-                                first.sentAt + grade.dedupWindowSeconds() - given.timerGranularitySeconds();
+                        attempt.writeDeadline =
+                                first.sentAt + serviceClass.dedupWindowSeconds() - deployment.timerGranularitySeconds();
                         loop.after(
-                                launch.writeDeadline - loop.clock(),
+                                attempt.writeDeadline - loop.clock(),
                                 "the end of a window",
-                                () -> takeBack(launch, SchedulerHost.Outcome.MOOT));
+                                () -> withdraw(attempt, SchedulerHost.Outcome.MOOT));
                     });
         }
     }
@@ -121,34 +123,37 @@
      * and in that time the client may have left, a window have ended, or a drain have come. Harm: a read for each
      * launch of a query not seen for a moment, and one of the list.
      */
-    boolean mayBegin(InFlightAttempt launch) {
-        OpenQuery query = launch.shardRequest.query;
+    boolean mayStart(InFlightAttempt attempt) {
+        OpenQuery query = attempt.shardRequest.query;
         double now = loop.clock();
-        if (!launch.ended && !query.ended && now - query.clientSeenAt > limits.unseen() && query.client.isConnected()) {
+        if (!attempt.ended
+                && !query.ended
+                && now - query.clientSeenAt > limits.unseen()
+                && query.client.isConnected()) {
             query.clientSeenAt = now;
         }
-        if (now - Math.max(lookedAt, loop.lookedBefore()) > limits.unseen()) {
-            lookedAt = now;
-            lookAtList.run();
+        if (now - Math.max(listReadAt, loop.lookedBefore()) > limits.unseen()) {
+            listReadAt = now;
+            listReader.run();
         }
-        if (!launch.ended && !query.ended && (now >= launch.writeDeadline || !replicas.isReady(launch.replicaId))) {
-            takeBack(launch, SchedulerHost.Outcome.MOOT);
+        if (!attempt.ended && !query.ended && (now >= attempt.writeDeadline || !replicas.isReady(attempt.replicaId))) {
+            withdraw(attempt, SchedulerHost.Outcome.MOOT);
             return false;
         }
-        return !launch.ended && !query.ended;
+        return !attempt.ended && !query.ended;
     }
 
     /** A connection with a place: one that is up before one that is not yet, else a new one; null at limits. */
-    private OutboundConnection link(String searcher) {
+    private OutboundConnection findConnection(String replicaId) {
         OutboundConnection best = null;
-        for (OutboundConnection each : List.copyOf(replicas.connections(searcher))) {
+        for (OutboundConnection each : List.copyOf(replicas.connections(replicaId))) {
             if (each.hasCapacity()
                     && (best == null || (each.isConnected() && !best.isConnected()))
                     && each.isStillOpen()) {
                 best = each;
             }
         }
-        InetSocketAddress address = replicas.address(searcher);
+        InetSocketAddress address = replicas.address(replicaId);
         if (best != null || address == null) {
             return best;
         }
@@ -158,24 +163,24 @@
                     .findFirst()
                     .ifPresent(idle -> idle.close("its place is needed"));
         }
-        if (replicas.connections(searcher).size() >= limits.connectionsASearcher()
+        if (replicas.connections(replicaId).size() >= limits.connectionsASearcher()
                 || replicas.openCount() >= limits.searcherSockets()) {
             counters.add("connections-at-limit");
             return null;
         }
-        SearcherLink link = new SearcherLink(searcher, address, loop, limits, book);
-        replicas.add(link);
+        SearcherLink connection = new SearcherLink(replicaId, address, loop, limits, completion);
+        replicas.add(connection);
         counters.add("connections-opened");
         counters.peak("peak-searcher-connections", replicas.openCount());
-        dialer.accept(link);
-        return link;
+        dialer.accept(connection);
+        return connection;
     }
 
-    private void timedOut(InFlightAttempt launch) {
-        if (launch.ended) {
+    private void onTimeout(InFlightAttempt attempt) {
+        if (attempt.ended) {
             return;
         }
-        ReplicaCall call = launch.call;
+        ReplicaCall call = attempt.call;
         if (call.writeState == ReplicaCall.WriteState.WRITTEN) {
             // Danger: a machine that vanished leaves its connections open and silent, and each launch put on
             // them would be lost until its time-out. So a silent one gets nothing new. Harm: a searcher that
@@ -183,73 +188,73 @@
             if (call.connection.isSilentSince(call)) {
                 call.connection.retire("silent");
             }
-            boolean tell = given.allowsCancel() && !given.allowsConcurrentAttempts();
-            call.connection.cancel(launch, tell);
-            book.ended(launch, SchedulerHost.Outcome.TIMED_OUT, null);
+            boolean notifyReplica = deployment.allowsCancel() && !deployment.allowsConcurrentAttempts();
+            call.connection.cancel(attempt, notifyReplica);
+            completion.onAttemptEnded(attempt, SchedulerHost.Outcome.TIMED_OUT, null);
         } else {
-            call.connection.cancel(launch, false);
-            book.ended(launch, SchedulerHost.Outcome.NOT_CONNECTED, null);
+            call.connection.cancel(attempt, false);
+            completion.onAttemptEnded(attempt, SchedulerHost.Outcome.NOT_CONNECTED, null);
         }
     }
 
-    public void cancel(InFlightAttempt launch) {
-        if (!launch.ended) {
-            if (launch.call != null) {
-                launch.call.connection.cancel(launch, given.allowsCancel());
+    public void cancel(InFlightAttempt attempt) {
+        if (!attempt.ended) {
+            if (attempt.call != null) {
+                attempt.call.connection.cancel(attempt, deployment.allowsCancel());
             }
-            endLater(launch, SchedulerHost.Outcome.CANCELLED);
+            endLater(attempt, SchedulerHost.Outcome.CANCELLED);
         }
     }
 
     /** Takes back what has not been written yet; it never ran. */
-    public void takeBack(InFlightAttempt launch, SchedulerHost.Outcome ending) {
-        if (!launch.ended && launch.isUnwritten()) {
-            if (launch.call != null) {
-                launch.call.connection.cancel(launch, false);
+    public void withdraw(InFlightAttempt attempt, SchedulerHost.Outcome outcome) {
+        if (!attempt.ended && attempt.isUnwritten()) {
+            if (attempt.call != null) {
+                attempt.call.connection.cancel(attempt, false);
             }
-            endLater(launch, ending);
-        } else if (!launch.ended && launch.call.writeState == ReplicaCall.WriteState.PARTIAL) {
-            launch.call.connection.cancel(launch, false);
+            endLater(attempt, outcome);
+        } else if (!attempt.ended && attempt.call.writeState == ReplicaCall.WriteState.PARTIAL) {
+            attempt.call.connection.cancel(attempt, false);
         }
     }
 
     /** The searcher takes nothing new: what waits for it goes back, its connections end with what is out. */
-    public void leaves(String searcher, String why) {
-        for (OutboundConnection link : List.copyOf(replicas.connections(searcher))) {
-            for (InFlightAttempt launch : link.unwrittenAttempts()) {
-                takeBack(launch, SchedulerHost.Outcome.MOOT);
+    public void retireConnections(String replicaId, String reason) {
+        for (OutboundConnection connection : List.copyOf(replicas.connections(replicaId))) {
+            for (InFlightAttempt attempt : connection.unwrittenAttempts()) {
+                withdraw(attempt, SchedulerHost.Outcome.MOOT);
             }
-            link.retire(why);
+            connection.retire(reason);
         }
     }
 
-    private void endLater(InFlightAttempt launch, SchedulerHost.Outcome ending) {
-        loop.later("a launch's end", () -> book.ended(launch, ending, null));
+    private void endLater(InFlightAttempt attempt, SchedulerHost.Outcome outcome) {
+        loop.later("a launch's end", () -> completion.onAttemptEnded(attempt, outcome, null));
     }
 
-    public void probe(String searcher) {
-        long number = ++lastProbe;
-        probes.put(number, searcher);
+    public void sendProbe(String replicaId) {
+        long number = ++lastProbeNumber;
+        probes.put(number, replicaId);
         counters.add("probes");
         loop.later("probing", () -> {
-            OutboundConnection link = replicas.isReady(searcher) ? link(searcher) : null;
-            if (link == null) {
-                probeEnds(number, SchedulerHost.Outcome.NOT_CONNECTED, null);
+            OutboundConnection connection = replicas.isReady(replicaId) ? findConnection(replicaId) : null;
+            if (connection == null) {
+                onProbeEnded(number, SchedulerHost.Outcome.NOT_CONNECTED, null);
                 return;
             }
             loop.timeOut(
                     limits.probeWait(),
                     "a probe's time-out",
-                    () -> probeEnds(number, SchedulerHost.Outcome.TIMED_OUT, null));
-            link.sendProbe(number, true);
+                    () -> onProbeEnded(number, SchedulerHost.Outcome.TIMED_OUT, null));
+            connection.sendProbe(number, true);
         });
     }
 
     /** A probe ends once. */
-    void probeEnds(long number, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
-        String searcher = probes.remove(number);
-        if (searcher != null) {
-            book.probeEnded(searcher, ending, report);
+    void onProbeEnded(long number, SchedulerHost.Outcome outcome, SchedulerHost.LoadReport report) {
+        String replicaId = probes.remove(number);
+        if (replicaId != null) {
+            completion.onProbeEnded(replicaId, outcome, report);
         }
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/CompletionHandler.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/CompletionHandler.java
@@ -19,9 +19,9 @@
     private final OpenQueries queries;
     private final Counters counters;
     private final ReplicaDirectory replicas;
-    private final AttemptDispatcher send;
-    private final ResponseSender relay;
-    private QueryRouter route;
+    private final AttemptDispatcher dispatcher;
+    private final ResponseSender responses;
+    private QueryRouter router;
 
     public CompletionHandler(
             Loop loop,
@@ -29,76 +29,76 @@
             OpenQueries queries,
             Counters counters,
             ReplicaDirectory replicas,
-            AttemptDispatcher send,
-            ResponseSender relay) {
+            AttemptDispatcher dispatcher,
+            ResponseSender responses) {
         this.loop = loop;
         this.log = log;
         this.queries = queries;
         this.counters = counters;
         this.replicas = replicas;
-        this.send = send;
-        this.relay = relay;
+        this.dispatcher = dispatcher;
+        this.responses = responses;
     }
 
     /** The stage that the decisions are told through. */
-    public void tells(QueryRouter decisions) {
-        route = decisions;
+    public void setRouter(QueryRouter router) {
+        this.router = router;
     }
 
     /** A launch is over, once. */
-    void ended(InFlightAttempt launch, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
-        if (launch.ended) {
+    void onAttemptEnded(InFlightAttempt attempt, SchedulerHost.Outcome outcome, SchedulerHost.LoadReport report) {
+        if (attempt.ended) {
             return;
         }
-        launch.ended = true;
-        launch.neverRan = ending.neverRan();
-        if (launch.timer != null) {
-            launch.timer.remove();
+        attempt.ended = true;
+        attempt.neverRan = outcome.neverRan();
+        if (attempt.timer != null) {
+            attempt.timer.remove();
         }
-        if (launch.call != null) {
-            launch.call.connection.onAttemptEnded(launch);
+        if (attempt.call != null) {
+            attempt.call.connection.onAttemptEnded(attempt);
         }
-        counters.add("ended-" + ending.name().toLowerCase(Locale.ROOT));
-        OpenQuery query = launch.shardRequest.query;
+        counters.add("ended-" + outcome.name().toLowerCase(Locale.ROOT));
+        OpenQuery query = attempt.shardRequest.query;
         try {
             query.handle.onAttemptEnd(
-                    launch.shardRequest.id, launch.number, ending, loop.now() - launch.sentAt, report);
-        } catch (RuntimeException fault) {
-            relay.giveUp(query);
-            throw fault;
+                    attempt.shardRequest.id, attempt.number, outcome, loop.now() - attempt.sentAt, report);
+        } catch (RuntimeException e) {
+            responses.fail(query);
+            throw e;
         } finally {
-            forget(query);
+            removeIfFinished(query);
         }
     }
 
     /** The client has closed its connection. */
-    void withdrawn(OpenQuery query) {
-        relay.left(query);
+    void onClientLeft(OpenQuery query) {
+        responses.onClientLeft(query);
         if (query.handle != null) {
             query.handle.onCancelled(query.id);
-            forget(query);
+            removeIfFinished(query);
         }
     }
 
-    private void forget(OpenQuery query) {
+    private void removeIfFinished(OpenQuery query) {
         if (query.handle.isFinished()) {
             queries.remove(query);
         }
     }
 
-    void probeEnded(String searcher, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
-        counters.add("probe-" + ending.name().toLowerCase(Locale.ROOT));
-        route.probed(searcher, ending, report);
+    void onProbeEnded(String replicaId, SchedulerHost.Outcome outcome, SchedulerHost.LoadReport report) {
+        counters.add("probe-" + outcome.name().toLowerCase(Locale.ROOT));
+        router.onProbeResult(replicaId, outcome, report);
     }
 
     @Override
-    public void answered(InFlightAttempt launch, char end, SchedulerHost.LoadReport report, byte[] value) {
-        if (end == 'S' && launch.shardRequest.result == null) {
-            launch.shardRequest.result = value;
+    public void answered(InFlightAttempt attempt, char status, SchedulerHost.LoadReport report, byte[] result) {
+        if (status == 'S' && attempt.shardRequest.result == null) {
+            attempt.shardRequest.result = result;
         }
-        ended(
-                launch,
-                switch (end) {
+        onAttemptEnded(
+                attempt,
+                switch (status) {
                     case 'S' -> SchedulerHost.Outcome.FULFILLED;
                     case 'B' -> SchedulerHost.Outcome.REJECTED;
                     default -> SchedulerHost.Outcome.ERROR;
@@ -107,67 +107,70 @@
     }
 
     @Override
-    public void probed(String searcher, long probe, boolean good, SchedulerHost.LoadReport report) {
-        send.probeEnds(probe, good ? SchedulerHost.Outcome.FULFILLED : SchedulerHost.Outcome.ERROR, report);
+    public void probed(String replicaId, long probeNumber, boolean succeeded, SchedulerHost.LoadReport report) {
+        dispatcher.onProbeEnded(
+                probeNumber, succeeded ? SchedulerHost.Outcome.FULFILLED : SchedulerHost.Outcome.ERROR, report);
     }
 
     @Override
-    public void spoilt(SearcherLink link, String why, InFlightAttempt launch) {
+    public void spoilt(SearcherLink connection, String reason, InFlightAttempt attempt) {
         counters.add("spoilt-answers");
-        link.unwrittenAttempts().forEach(each -> send.takeBack(each, SchedulerHost.Outcome.MOOT));
+        connection.unwrittenAttempts().forEach(each -> dispatcher.withdraw(each, SchedulerHost.Outcome.MOOT));
         log.say(
                 Log.Level.WARNING,
                 "searchers",
-                "spoilt by " + link.replicaId() + ": " + why
-                        + (launch == null ? "" : ", ends " + launch.shardRequest.id),
+                "spoilt by " + connection.replicaId() + ": " + reason
+                        + (attempt == null ? "" : ", ends " + attempt.shardRequest.id),
                 "searcher",
-                link.replicaId());
-        if (launch != null) {
-            ended(launch, SchedulerHost.Outcome.ERROR, null);
+                connection.replicaId());
+        if (attempt != null) {
+            onAttemptEnded(attempt, SchedulerHost.Outcome.ERROR, null);
         }
     }
 
     @Override
-    public boolean mayBegin(InFlightAttempt launch) {
-        return send.mayBegin(launch);
+    public boolean mayBegin(InFlightAttempt attempt) {
+        return dispatcher.mayStart(attempt);
     }
 
     @Override
-    public void unsent(List<InFlightAttempt> launches) {
-        launches.forEach(each -> loop.guarded("a launch unsent", () -> ended(each, SchedulerHost.Outcome.MOOT, null)));
+    public void unsent(List<InFlightAttempt> attempts) {
+        attempts.forEach(
+                each -> loop.guarded("a launch unsent", () -> onAttemptEnded(each, SchedulerHost.Outcome.MOOT, null)));
     }
 
     @Override
-    public void notUp(SearcherLink link, List<InFlightAttempt> launches) {
+    public void notUp(SearcherLink connection, List<InFlightAttempt> attempts) {
         counters.add("connections-late");
-        if (!launches.isEmpty()) {
+        if (!attempts.isEmpty()) {
             log.say(
                     Log.Level.WARNING,
                     "searchers",
-                    "connection to " + link.replicaId() + " is not up in time; not connected " + launches.size(),
+                    "connection to " + connection.replicaId() + " is not up in time; not connected " + attempts.size(),
                     "searcher",
-                    link.replicaId());
+                    connection.replicaId());
         }
-        launches.forEach(each ->
-                loop.guarded("a launch not connected", () -> ended(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
+        attempts.forEach(each -> loop.guarded(
+                "a launch not connected", () -> onAttemptEnded(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
     }
 
     @Override
-    public void closed(SearcherLink link, String why, List<InFlightAttempt> never, List<InFlightAttempt> perhaps) {
-        replicas.remove(link);
+    public void closed(
+            SearcherLink connection, String reason, List<InFlightAttempt> neverWritten, List<InFlightAttempt> written) {
+        replicas.remove(connection);
         counters.add("connections-closed");
-        if (!never.isEmpty() || !perhaps.isEmpty()) {
+        if (!neverWritten.isEmpty() || !written.isEmpty()) {
             log.say(
                     Log.Level.WARNING,
                     "searchers",
-                    "connection to " + link.replicaId() + " closed, " + why + "; not connected " + never.size()
-                            + ", dropped " + perhaps.size(),
+                    "connection to " + connection.replicaId() + " closed, " + reason + "; not connected "
+                            + neverWritten.size() + ", dropped " + written.size(),
                     "searcher",
-                    link.replicaId());
+                    connection.replicaId());
         }
-        never.forEach(each ->
-                loop.guarded("a launch not connected", () -> ended(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
-        perhaps.forEach(
-                each -> loop.guarded("a launch dropped", () -> ended(each, SchedulerHost.Outcome.DROPPED, null)));
+        neverWritten.forEach(each -> loop.guarded(
+                "a launch not connected", () -> onAttemptEnded(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
+        written.forEach(each ->
+                loop.guarded("a launch dropped", () -> onAttemptEnded(each, SchedulerHost.Outcome.DROPPED, null)));
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/QueryRouter.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/QueryRouter.java
@@ -17,50 +17,51 @@
     private final Log log;
     private final OpenQueries queries;
     private final Counters counters;
-    private final AttemptDispatcher send;
-    private final ResponseSender relay;
-    private final QueryScheduler logic;
-    private PeerObservations others = new PeerObservations() {};
-    private boolean over;
+    private final AttemptDispatcher dispatcher;
+    private final ResponseSender responses;
+    private final QueryScheduler scheduler;
+    private PeerObservations peerObservations = new PeerObservations() {};
+    private boolean stopped;
 
     public QueryRouter(
-            SchedulerHost.Deployment given,
+            SchedulerHost.Deployment deployment,
             long seed,
             Loop loop,
             Log log,
             OpenQueries queries,
             Counters counters,
-            AttemptDispatcher send,
-            ResponseSender relay) {
+            AttemptDispatcher dispatcher,
+            ResponseSender responses) {
         this.loop = loop;
         this.log = log;
         this.queries = queries;
         this.counters = counters;
-        this.send = send;
-        this.relay = relay;
-        logic = new QueryScheduler(this, given, new SplittableRandom(seed));
+        this.dispatcher = dispatcher;
+        this.responses = responses;
+        scheduler = new QueryScheduler(this, deployment, new SplittableRandom(seed));
     }
 
     /** What the other mixers see; without them, nothing. */
     public interface PeerObservations {
-        default void saw(String searcher, double pace, double queue, int failures) {}
+        default void recordMeasurement(
+                String replicaId, double latencySeconds, double queueLength, int consecutiveFailures) {}
 
-        default double pace(String searcher) {
+        default double latencySeconds(String replicaId) {
             return 0;
         }
 
-        default boolean warn(String searcher, double since) {
+        default boolean reportsFailure(String replicaId, double since) {
             return false;
         }
     }
 
-    public void hears(PeerObservations from) {
-        others = from;
+    public void setPeerObservations(PeerObservations observations) {
+        peerObservations = observations;
     }
 
-    public void take(OpenQuery query) {
+    public void submit(OpenQuery query) {
         try {
-            query.handle = logic.submit(
+            query.handle = scheduler.submit(
                     query.id,
                     query.serviceClass,
                     query.timeoutSeconds,
@@ -69,38 +70,38 @@
                     query.isRetry);
             query.shardRequests
                     .values()
-                    .forEach(piece -> query.handle.addShardRequest(piece.id, piece.shard, piece.weight));
-        } catch (RuntimeException fault) {
+                    .forEach(request -> query.handle.addShardRequest(request.id, request.shard, request.weight));
+        } catch (RuntimeException e) {
             // Whatever went wrong inside, the client gets its one answer.
-            relay.giveUp(query);
+            responses.fail(query);
             if (query.handle == null) {
                 queries.remove(query);
             }
-            throw fault;
+            throw e;
         }
     }
 
-    public void list(SchedulerHost.ListUpdateKind form, List<SchedulerHost.ReplicaEntry> entries) {
-        logic.onReplicaListUpdate(form, entries);
+    public void onReplicaListUpdate(SchedulerHost.ListUpdateKind kind, List<SchedulerHost.ReplicaEntry> entries) {
+        scheduler.onReplicaListUpdate(kind, entries);
     }
 
-    public void probed(String searcher, SchedulerHost.Outcome ending, SchedulerHost.LoadReport report) {
-        logic.onProbeResult(searcher, ending, report);
+    public void onProbeResult(String replicaId, SchedulerHost.Outcome outcome, SchedulerHost.LoadReport report) {
+        scheduler.onProbeResult(replicaId, outcome, report);
     }
 
     /** So many mixers live from now on, and so many may be sending at most. */
-    public void mixers(int count, int most) {
-        logic.updateRouterCount(count, most);
+    public void updateRouterCount(int count, int sending) {
+        scheduler.updateRouterCount(count, sending);
     }
 
     /** No more timers: these decisions are done with. */
-    public void ends() {
-        over = true;
+    public void stop() {
+        stopped = true;
     }
 
-    public void endOfBatch() {
-        loop.guarded("deciding at a batch's end", logic::onBatchEnd);
-        send.flush();
+    public void onBatchEnd() {
+        loop.guarded("deciding at a batch's end", scheduler::onBatchEnd);
+        dispatcher.flush();
     }
 
     @Override
@@ -109,68 +110,70 @@
     }
 
     @Override
-    public void sendAttempt(String part, String searcher, double maxWait) {
-        OpenQuery.ShardRequest piece = queries.shardRequest(part);
-        InFlightAttempt launch = new InFlightAttempt(piece, piece.attempts.size(), searcher, now(), now() + maxWait);
-        piece.attempts.add(launch);
-        send.add(launch);
+    public void sendAttempt(String requestId, String replicaId, double timeoutSeconds) {
+        OpenQuery.ShardRequest request = queries.shardRequest(requestId);
+        InFlightAttempt inFlight =
+                new InFlightAttempt(request, request.attempts.size(), replicaId, now(), now() + timeoutSeconds);
+        request.attempts.add(inFlight);
+        dispatcher.enqueue(inFlight);
     }
 
     @Override
-    public void mergeResults(String query, boolean whole) {
-        relay.fulfil(queries.query(query), whole);
+    public void mergeResults(String queryId, boolean complete) {
+        responses.complete(queries.query(queryId), complete);
     }
 
     @Override
-    public void rejectQuery(String query, double retryAfter) {
-        relay.decline(queries.query(query), retryAfter);
+    public void rejectQuery(String queryId, double retryAfterSeconds) {
+        responses.reject(queries.query(queryId), retryAfterSeconds);
     }
 
     @Override
-    public void failQuery(String query) {
-        relay.giveUp(queries.query(query));
+    public void failQuery(String queryId) {
+        responses.fail(queries.query(queryId));
     }
 
     @Override
-    public void cancelAttempt(String part, int number) {
-        send.cancel(queries.shardRequest(part).attempts.get(number));
+    public void cancelAttempt(String requestId, int attempt) {
+        dispatcher.cancel(queries.shardRequest(requestId).attempts.get(attempt));
     }
 
     @Override
-    public void sendProbe(String searcher) {
-        send.probe(searcher);
+    public void sendProbe(String replicaId) {
+        dispatcher.sendProbe(replicaId);
     }
 
     @Override
-    public void scheduleTimer(double in, long name) {
-        if (!over) {
-            loop.after(in, "a timer", () -> {
-                if (!over) {
-                    logic.onTimer(name);
+    public void scheduleTimer(double delaySeconds, long timerId) {
+        if (!stopped) {
+            loop.after(delaySeconds, "a timer", () -> {
+                if (!stopped) {
+                    scheduler.onTimer(timerId);
                 }
             });
         }
     }
 
     @Override
-    public void watchReplicas(boolean on) {
+    public void watchReplicas(boolean enabled) {
         // The watch is always open or about to be; asking starts nothing more.
         counters.add("asked-to-track");
     }
 
     @Override
-    public void onReplicaMeasured(String searcher, double pace, double queue, int failures) {
-        others.saw(searcher, pace, queue, failures);
+    public void onReplicaMeasured(
+            String replicaId, double latencySeconds, double queueLength, int consecutiveFailures) {
+        peerObservations.recordMeasurement(replicaId, latencySeconds, queueLength, consecutiveFailures);
     }
 
     @Override
-    public double peerLatency(String searcher) {
-        return others.pace(searcher);
+    public double peerLatency(String replicaId) {
+        return peerObservations.latencySeconds(replicaId);
     }
 
     @Override
-    public boolean peersReportFailure(String searcher, double since) {
-        return others.warn(searcher, since);
+    public boolean peersReportFailure(String replicaId, double since) {
+        return peerObservations.reportsFailure(replicaId, since);
     }
 
     @Override
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/RequestIntake.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/RequestIntake.java
@@ -22,58 +22,62 @@
     private static final HttpString KEY = new HttpString("Idempotency-Key");
     private static final HttpString RETRY = new HttpString("Req-Retry");
 
-    private final SchedulerHost.Deployment given;
+    private final SchedulerHost.Deployment deployment;
     private final Limits limits;
     private final Counters counters;
-    private final AdmissionController admit;
-    private final CompletionHandler book;
+    private final AdmissionController admission;
+    private final CompletionHandler completion;
     private final Pressure pressure;
     private final Loop loop;
-    private double lastEnd = Double.POSITIVE_INFINITY;
-    private final Map<String, Integer> gradeRows = new HashMap<>();
+    private double latestEnd = Double.POSITIVE_INFINITY;
+    private final Map<String, Integer> serviceClassIndexes = new HashMap<>();
 
     public RequestIntake(
-            SchedulerHost.Deployment given,
+            SchedulerHost.Deployment deployment,
             Limits limits,
             Counters counters,
-            AdmissionController admit,
-            CompletionHandler book,
+            AdmissionController admission,
+            CompletionHandler completion,
             Pressure pressure,
             Loop loop) {
-        this.given = given;
+        this.deployment = deployment;
         this.limits = limits;
         this.counters = counters;
-        this.admit = admit;
-        this.book = book;
+        this.admission = admission;
+        this.completion = completion;
         this.pressure = pressure;
         this.loop = loop;
-        given.serviceClasses().forEach(grade -> gradeRows.put(grade.name(), gradeRows.size()));
+        deployment
+                .serviceClasses()
+                .forEach(serviceClass -> serviceClassIndexes.put(serviceClass.name(), serviceClassIndexes.size()));
     }
 
     @Override
-    public OpenQuery take(HttpServerExchange request, byte[] body, OpenQuery.Client asker) {
+    public OpenQuery take(HttpServerExchange request, byte[] body, OpenQuery.Client client) {
         HeaderMap headers = request.getRequestHeaders();
         String id = header(headers, ID);
-        Integer grade = gradeRows.get(header(headers, KIND));
-        wrongIf(grade == null, "kind: unknown Req-Kind");
-        String wait = header(headers, DEADLINE);
-        wrongIf(!wait.matches("[0-9]+(\\.[0-9]*)?|\\.[0-9]+"), "time: Req-Deadline is no number");
-        double ttl = Double.parseDouble(wait);
-        wrongIf(!(ttl > 0 && ttl <= limits.longestWait()), "time: Req-Deadline out of bounds");
-        boolean keyed = given.serviceClasses().get(grade).retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED;
+        Integer serviceClass = serviceClassIndexes.get(header(headers, KIND));
+        rejectIf(serviceClass == null, "kind: unknown Req-Kind");
+        String deadline = header(headers, DEADLINE);
+        rejectIf(!deadline.matches("[0-9]+(\\.[0-9]*)?|\\.[0-9]+"), "time: Req-Deadline is no number");
+        double timeoutSeconds = Double.parseDouble(deadline);
+        rejectIf(!(timeoutSeconds > 0 && timeoutSeconds <= limits.longestWait()), "time: Req-Deadline out of bounds");
+        boolean keyed =
+                deployment.serviceClasses().get(serviceClass).retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED;
         String key = keyed ? header(headers, KEY) : null;
-        OpenQuery query = new OpenQuery(id, grade, ttl, key, asker);
+        OpenQuery query = new OpenQuery(id, serviceClass, timeoutSeconds, key, client);
         query.clientSeenAt = loop.now();
-        if (loop.now() + ttl > lastEnd) {
+        if (loop.now() + timeoutSeconds > latestEnd) {
             // Danger: a request taken while leaving that can't end before the exit would be lost with its effects.
             counters.add("turned-away-leaving");
-            admit.turnAway(query, given.allowsRetryAfter() ? pressure.comeBack() : 0);
+            admission.reject(query, deployment.allowsRetryAfter() ? pressure.comeBack() : 0);
             return query;
         }
-        if (pressure.turnsAway(loop.now(), given.serviceClasses().get(grade).value())) {
+        if (pressure.turnsAway(
+                loop.now(), deployment.serviceClasses().get(serviceClass).value())) {
             // Before the body is parsed: what can't be served in time should cost as little as it can.
             counters.add("turned-away-behind");
-            admit.turnAway(query, pressure.comeBack());
+            admission.reject(query, pressure.comeBack());
             return query;
         }
         QueryText.read(body, query, limits.shards());
@@ -81,18 +85,18 @@
         if (query.isRetry) {
             counters.add("taken-marked-retry");
         }
-        admit.admit(query);
+        admission.admit(query);
         return query;
     }
 
     @Override
     public void leavesBy(double time) {
-        lastEnd = time;
+        latestEnd = time;
     }
 
     @Override
     public void withdrawn(OpenQuery query) {
-        book.withdrawn(query);
+        completion.onClientLeft(query);
     }
 
     @Override
@@ -109,19 +113,21 @@
     /** Words that go on into frames, so nothing that would end a line or a field there. */
     private static String header(HeaderMap headers, HttpString name) {
         String value = headers.getFirst(name);
-        wrongIf(value == null || value.isEmpty(), "field: " + name + " is missing");
-        wrongIf(headers.count(name) > 1, "field: " + name + " stands twice");
-        wrongIf(value.length() > 200, "field: " + name + " is too long");
-        for (int at = 0; at < value.length(); at++) {
-            char one = value.charAt(at);
-            wrongIf(one <= ' ' || one == ',' || one > '~', "field: " + name + " holds an odd character");
+        rejectIf(value == null || value.isEmpty(), "field: " + name + " is missing");
+        rejectIf(headers.count(name) > 1, "field: " + name + " stands twice");
+        rejectIf(value.length() > 200, "field: " + name + " is too long");
+        for (int index = 0; index < value.length(); index++) {
+            char character = value.charAt(index);
+            rejectIf(
+                    character <= ' ' || character == ',' || character > '~',
+                    "field: " + name + " holds an odd character");
         }
         return value;
     }
 
-    private static void wrongIf(boolean wrong, String what) {
-        if (wrong) {
-            throw new IllegalArgumentException(what);
+    private static void rejectIf(boolean invalid, String message) {
+        if (invalid) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/ResponseSender.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/ResponseSender.java
@@ -11,57 +11,57 @@
 
 /** Fifth stage: the one final answer to a client, and nothing sent for the query after it. */
 public final class ResponseSender {
-    private static final int FULFILLED = 200;
-    private static final int DECLINED = 503;
-    private static final int GIVEN_UP = 500;
+    private static final int STATUS_COMPLETED = 200;
+    private static final int STATUS_REJECTED = 503;
+    private static final int STATUS_FAILED = 500;
 
     private final Loop loop;
     private final OpenQueries queries;
     private final Counters counters;
-    private final AttemptDispatcher send;
+    private final AttemptDispatcher dispatcher;
 
-    public ResponseSender(Loop loop, OpenQueries queries, Counters counters, AttemptDispatcher send) {
+    public ResponseSender(Loop loop, OpenQueries queries, Counters counters, AttemptDispatcher dispatcher) {
         this.loop = loop;
         this.queries = queries;
         this.counters = counters;
-        this.send = send;
+        this.dispatcher = dispatcher;
     }
 
-    public void fulfil(OpenQuery query, boolean whole) {
-        if (ends(query, whole ? "fulfilled-whole" : "fulfilled-part")) {
-            answer(query, FULFILLED, 0, QueryText.answer(query, whole));
+    public void complete(OpenQuery query, boolean complete) {
+        if (tryEnd(query, complete ? "fulfilled-whole" : "fulfilled-part")) {
+            respond(query, STATUS_COMPLETED, 0, QueryText.answer(query, complete));
         }
     }
 
-    public void decline(OpenQuery query, double retryAfter) {
-        if (ends(query, "declined")) {
-            answer(query, DECLINED, retryAfter, words("declined"));
+    public void reject(OpenQuery query, double retryAfter) {
+        if (tryEnd(query, "declined")) {
+            respond(query, STATUS_REJECTED, retryAfter, line("declined"));
         }
     }
 
-    public void giveUp(OpenQuery query) {
-        if (ends(query, "given-up")) {
-            answer(query, GIVEN_UP, 0, words("given up"));
+    public void fail(OpenQuery query) {
+        if (tryEnd(query, "given-up")) {
+            respond(query, STATUS_FAILED, 0, line("given up"));
         }
     }
 
     /** For a query that was never admitted: harmless to retry. */
-    public void turnAway(OpenQuery query, double retryAfter) {
+    public void rejectUnadmitted(OpenQuery query, double retryAfter) {
         query.ended = true;
-        answer(query, DECLINED, retryAfter, words("full"));
+        respond(query, STATUS_REJECTED, retryAfter, line("full"));
     }
 
     /** The client has left: no answer, and nothing more is sent. */
-    public void left(OpenQuery query) {
-        ends(query, "withdrawn");
+    public void onClientLeft(OpenQuery query) {
+        tryEnd(query, "withdrawn");
     }
 
     /** Danger: a client's broken connection would throw into the midst of a decision. Harm: none. */
-    private void answer(OpenQuery query, int status, double retryAfter, byte[] body) {
+    private void respond(OpenQuery query, int status, double retryAfter, byte[] body) {
         loop.guarded("answering", () -> query.client.respond(status, retryAfter, body));
     }
 
-    private boolean ends(OpenQuery query, String counter) {
+    private boolean tryEnd(OpenQuery query, String counter) {
         if (query == null || query.ended) {
             return false;
         }
@@ -74,15 +74,15 @@
                 queries.remove(query);
             }
         });
-        for (OpenQuery.ShardRequest piece : query.shardRequests.values()) {
-            for (InFlightAttempt launch : piece.attempts) {
-                send.takeBack(launch, SchedulerHost.Outcome.MOOT);
+        for (OpenQuery.ShardRequest request : query.shardRequests.values()) {
+            for (InFlightAttempt attempt : request.attempts) {
+                dispatcher.withdraw(attempt, SchedulerHost.Outcome.MOOT);
             }
         }
         return true;
     }
 
-    private static byte[] words(String text) {
+    private static byte[] line(String text) {
         return (text + "\n").getBytes(StandardCharsets.US_ASCII);
     }
 }
--- a/query-mixer/daemon/src/test/java/pinewick/lifecycle/AttemptDispatchRaceTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/lifecycle/AttemptDispatchRaceTest.java
@@ -52,7 +52,7 @@
     private XnioWorker worker;
     private AcceptingChannel<StreamConnection> door;
     private Loop loop;
-    private RequestPipeline chain;
+    private RequestPipeline pipeline;
 
     @BeforeEach
     void opens() throws Exception {
@@ -86,7 +86,7 @@
         loop = new Loop(worker.getIoThread(), log);
         JsonObject settings = JsonParser.parseString(SETTINGS).getAsJsonObject();
         onLoop(() -> {
-            chain = new RequestPipeline(
+            pipeline = new RequestPipeline(
                     DeploymentParser.parse(settings.getAsJsonObject("settings")),
                     Limits.of(settings),
                     7,
@@ -94,10 +94,10 @@
                     log,
                     new DefaultByteBufferPool(true, 8 << 10, 16, 4),
                     SearcherLink::dial);
-            chain.list(list(SchedulerHost.LifecycleState.READY), SchedulerHost.ListUpdateKind.FULL);
+            pipeline.onReplicaListUpdate(list(SchedulerHost.LifecycleState.READY), SchedulerHost.ListUpdateKind.FULL);
             door = worker.createStreamConnectionServer(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    ChannelListeners.openListenerAdapter(chain.door),
+                    ChannelListeners.openListenerAdapter(pipeline.door),
                     OptionMap.EMPTY);
             door.resumeAccepts();
         });
@@ -158,20 +158,20 @@
             String before = figure();
             loop.atEndOfBatch(() -> {
                 if (!figure().equals(before)) {
-                    loop.atEndOfBatch(chain.route::endOfBatch);
+                    loop.atEndOfBatch(pipeline.router::onBatchEnd);
                     try {
                         work.run();
                     } catch (Exception wrong) {
                         throw new IllegalStateException(wrong);
                     }
                 }
-                chain.route.endOfBatch();
+                pipeline.router.onBatchEnd();
             });
         });
     }
 
     private String figure() {
-        return chain.figures().replaceAll("(?s).*\ntaken (\\d+).*|.*", "$1");
+        return pipeline.metrics().replaceAll("(?s).*\ntaken (\\d+).*|.*", "$1");
     }
 
     /** A connection to the searcher is up, and this query's launch is out on it. */
@@ -202,7 +202,7 @@
             post(leaver, "left");
             String[] figures = {""};
             while (!figures[0].contains("withdrawn 1\n")) {
-                onLoop(() -> figures[0] = chain.figures());
+                onLoop(() -> figures[0] = pipeline.metrics());
             }
             post(last, "last");
             String frame = next();
@@ -215,8 +215,8 @@
     void aDrainToldInTheBatchOfALaunchComesBeforeIt() throws Exception {
         try (Socket first = firstQuery();
                 Socket second = client()) {
-            beforeLaunches(() ->
-                    chain.list(list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.INCREMENTAL));
+            beforeLaunches(() -> pipeline.onReplicaListUpdate(
+                    list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.INCREMENTAL));
             post(second, "second");
             assertEquals("HTTP/1.1 503", new String(second.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
             assertEquals(0, frames.size());
@@ -227,8 +227,8 @@
     void aDrainThatCameDuringALongBatchIsReadBeforeTheLaunch() throws Exception {
         try (Socket first = firstQuery();
                 Socket second = client()) {
-            chain.looksAtList(() ->
-                    chain.list(list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.INCREMENTAL));
+            pipeline.setListReader(() -> pipeline.onReplicaListUpdate(
+                    list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.INCREMENTAL));
             beforeLaunches(() -> assertNull(frames.poll(100, TimeUnit.MILLISECONDS)));
             post(second, "second");
             assertEquals("HTTP/1.1 503", new String(second.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
--- a/query-mixer/daemon/src/test/java/pinewick/lifecycle/OperatorConfigTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/lifecycle/OperatorConfigTest.java
@@ -121,15 +121,15 @@
     void theViewOfTheMixersIsOnWithTheUsualTimesUnlessSaidOtherwise() {
         assertEquals(
                 pinewick.fleet.MembershipSettings.defaults(),
-                OperatorConfig.of(JsonParser.parseString("{}")).fleet());
+                OperatorConfig.of(JsonParser.parseString("{}")).membership());
         assertEquals(
                 null,
                 OperatorConfig.of(JsonParser.parseString("{\"fleet\":{\"view\":\"off\"}}"))
-                        .fleet());
+                        .membership());
         assertEquals(
                 5,
                 OperatorConfig.of(JsonParser.parseString("{\"fleet\":{\"silence-s\":5}}"))
-                        .fleet()
+                        .membership()
                         .minSilenceSeconds());
     }
 }
