--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/AdmissionController.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/AdmissionController.java
@@ -6,7 +6,7 @@
 import pinewick.state.OpenQueries;
 import pinewick.state.OpenQuery;
 
-/** Second stage: what the mixer can't hold is turned away before any decision, as the settings say. */
+/** Second stage: rejects queries beyond the configured limit before the scheduler sees them. */
 public final class AdmissionController {
     private final Limits limits;
     private final Loop loop;
@@ -30,12 +30,13 @@
         this.responses = responses;
     }
 
-    /** Declines a query that was never taken, with advice when to come back; 0 gives none. */
+    /** Rejects a query before admission; {@code retryAfter} is in seconds, 0 gives no advice. */
     void reject(OpenQuery query, double retryAfter) {
         counters.add("taken");
         responses.rejectUnadmitted(query, retryAfter);
     }
 
+    /** Admits a query, or rejects it at the limit; IllegalArgumentException if its id is in use by an open query. */
     public void admit(OpenQuery query) {
         if (queries.query(query.id) != null) {
             throw new IllegalArgumentException("id: Req-Id is that of an open request");
@@ -48,9 +49,9 @@
         }
         queries.add(query);
         counters.peak("peak-held", queries.heldCount());
-        // Danger: a fault in the decisions must not cost a query its answer. Also catches a lost timer. Harm: where it
-        // came before the decisions' own end, a query that could be declined would be given up; so it comes after.
-        query.safetyTimer = loop.after(query.timeoutSeconds + limits.netAfter(), "the end of a client's time", () -> {
+        // Answers the query even if the scheduler fails or a timer is lost. It must fire after the scheduler's own
+        // deadline: before it, a query that could still be rejected (safe to retry) would fail instead.
+        query.safetyTimer = loop.after(query.timeoutSeconds + limits.netAfter(), "a query's safety timeout", () -> {
             counters.add("ended-by-the-net");
             responses.fail(query);
         });
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/AttemptDispatcher.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/AttemptDispatcher.java
@@ -17,7 +17,7 @@
 import pinewick.state.ReplicaDirectory;
 import pinewick.wire.SearcherLink;
 
-/** Fourth stage: what one batch launches to a searcher goes out together, over a connection with a place. */
+/** Fourth stage: sends a batch's attempts to a replica together, over a connection with free capacity. */
 public final class AttemptDispatcher {
     private final SchedulerHost.Deployment deployment;
     private final Loop loop;
@@ -47,46 +47,47 @@
         this.dialer = dialer;
     }
 
-    /** The stage to which endings go. */
-    public void setCompletionHandler(CompletionHandler completion) {
-        this.completion = completion;
+    /** Sets the stage that handles outcomes; set once before the first event. */
+    public void setCompletionHandler(CompletionHandler handler) {
+        completion = handler;
     }
 
-    /** Reads what has come of the list. */
+    /** Sets the action that reads pending updates of the replica list. */
     public void setListReader(Runnable reader) {
         listReader = reader;
     }
 
+    /** Adds an attempt to the current batch. */
     public void enqueue(InFlightAttempt attempt) {
         counters.add("launched");
         batch.computeIfAbsent(attempt.replicaId, any -> new ArrayList<>()).add(attempt);
     }
 
-    /** The end of a batch: everything that it launched goes out. */
+    /** Sends all attempts of the batch. */
     public void flush() {
         if (batch.isEmpty()) {
             return;
         }
-        Map<String, List<InFlightAttempt>> now = new LinkedHashMap<>(batch);
+        Map<String, List<InFlightAttempt>> toSend = new LinkedHashMap<>(batch);
         batch.clear();
-        now.forEach((replicaId, attempts) -> loop.guarded("sending", () -> send(replicaId, attempts)));
+        toSend.forEach((replicaId, attempts) -> loop.guarded("sending", () -> send(replicaId, attempts)));
     }
 
     private void send(String replicaId, List<InFlightAttempt> attempts) {
-        // What was taken back within its own batch, by its query's end, has ended already.
+        // An attempt withdrawn within its own batch, because its query ended, has already ended.
         attempts.removeIf(each -> each.ended || each.shardRequest.query.ended);
         for (int from = 0; from < attempts.size(); from += limits.callParts()) {
             List<InFlightAttempt> call = attempts.subList(from, Math.min(attempts.size(), from + limits.callParts()));
-            boolean notReady = !replicas.isReady(replicaId);
-            OutboundConnection connection = notReady ? null : findConnection(replicaId);
+            boolean isUnavailable = !replicas.isReady(replicaId);
+            OutboundConnection connection = isUnavailable ? null : findConnection(replicaId);
             if (connection == null) {
                 SchedulerHost.Outcome outcome =
-                        notReady ? SchedulerHost.Outcome.MOOT : SchedulerHost.Outcome.NOT_CONNECTED;
+                        isUnavailable ? SchedulerHost.Outcome.MOOT : SchedulerHost.Outcome.NOT_CONNECTED;
                 List.copyOf(call).forEach(each -> endLater(each, outcome));
                 continue;
             }
             for (InFlightAttempt each : call) {
-                each.timer = loop.timeOut(each.deadline - loop.clock(), "a time-out", () -> onTimeout(each));
+                each.timer = loop.timeOut(each.deadline - loop.clock(), "an attempt's timeout", () -> onTimeout(each));
                 limitToDedupWindow(each);
             }
             counters.add("calls");
@@ -95,9 +96,9 @@
     }
 
     /**
-     * Danger: a repeat of a deduplicated part, launched inside its window, may wait for a connection until past it,
-     * and then its effect would happen twice. So it is taken back in time, and not begun after it. Also catches a
-     * searcher that does not read. Harm: none, the decisions may launch it no more either.
+     * Withdraws a retry of a deduplicated shard request that is not written before the deduplication window ends. A
+     * retry sent inside the window may wait for a connection until after it, and its effect would then happen twice.
+     * This also covers a replica that does not read. The scheduler may not retry after the window either.
      */
     private void limitToDedupWindow(InFlightAttempt attempt) {
         SchedulerHost.ServiceClassConfig serviceClass =
@@ -111,17 +112,17 @@
                                 first.sentAt + serviceClass.dedupWindowSeconds() - deployment.timerGranularitySeconds();
                         loop.after(
                                 attempt.writeDeadline - loop.clock(),
-                                "the end of a window",
+                                "the end of a deduplication window",
                                 () -> withdraw(attempt, SchedulerHost.Outcome.MOOT));
                     });
         }
     }
 
     /**
-     * Whether a launch may begin at this moment: asked right before its first byte. Danger: between the decision and
-     * the byte lie a dial, a long batch (bad clients in hundreds) or timers that ring before the sockets are looked at,
-     * and in that time the client may have left, a window have ended, or a drain have come. Harm: a read for each
-     * launch of a query not seen for a moment, and one of the list.
+     * Whether an attempt may be started now; checked right before its first byte is written. Connecting, a long batch
+     * (hundreds of faulty clients) or timers that run before the sockets are read can delay that byte. Meanwhile the
+     * client may have left, the deduplication window may have ended, or the replica may be draining. This costs a read
+     * of the client's socket if the client was not checked recently, and one of the replica list.
      */
     boolean mayStart(InFlightAttempt attempt) {
         OpenQuery query = attempt.shardRequest.query;
@@ -143,7 +144,7 @@
         return !attempt.ended && !query.ended;
     }
 
-    /** A connection with a place: one that is up before one that is not yet, else a new one; null at limits. */
+    /** Finds a connection with free capacity, preferably an established one, or opens one; null at the limits. */
     private OutboundConnection findConnection(String replicaId) {
         OutboundConnection best = null;
         for (OutboundConnection each : List.copyOf(replicas.connections(replicaId))) {
@@ -161,7 +162,7 @@
             replicas.allConnections().stream()
                     .filter(each -> each.activeCalls() == 0)
                     .findFirst()
-                    .ifPresent(idle -> idle.close("its place is needed"));
+                    .ifPresent(idle -> idle.close("idle, closed to make room for another connection"));
         }
         if (replicas.connections(replicaId).size() >= limits.connectionsASearcher()
                 || replicas.openCount() >= limits.searcherSockets()) {
@@ -182,9 +183,9 @@
         }
         ReplicaCall call = attempt.call;
         if (call.writeState == ReplicaCall.WriteState.WRITTEN) {
-            // Danger: a machine that vanished leaves its connections open and silent, and each launch put on
-            // them would be lost until its time-out. So a silent one gets nothing new. Harm: a searcher that
-            // is only slow is dialled once more.
+            // A machine that vanished leaves its connections open and silent, and each attempt sent on them would
+            // be lost until its timeout. A silent connection therefore gets no new calls. The cost: a replica that
+            // is merely slow gets one more connection.
             if (call.connection.isSilentSince(call)) {
                 call.connection.retire("silent");
             }
@@ -197,6 +198,7 @@
         }
     }
 
+    /** Cancels an attempt; no effect if it has ended. */
     public void cancel(InFlightAttempt attempt) {
         if (!attempt.ended) {
             if (attempt.call != null) {
@@ -206,7 +208,7 @@
         }
     }
 
-    /** Takes back what has not been written yet; it never ran. */
+    /** Withdraws an attempt of which no byte was written (it never ran), or stops one that is partly written. */
     public void withdraw(InFlightAttempt attempt, SchedulerHost.Outcome outcome) {
         if (!attempt.ended && attempt.isUnwritten()) {
             if (attempt.call != null) {
@@ -218,7 +220,7 @@
         }
     }
 
-    /** The searcher takes nothing new: what waits for it goes back, its connections end with what is out. */
+    /** Withdraws the replica's unwritten attempts; its connections close once their active calls have ended. */
     public void retireConnections(String replicaId, String reason) {
         for (OutboundConnection connection : List.copyOf(replicas.connections(replicaId))) {
             for (InFlightAttempt attempt : connection.unwrittenAttempts()) {
@@ -229,9 +231,10 @@
     }
 
     private void endLater(InFlightAttempt attempt, SchedulerHost.Outcome outcome) {
-        loop.later("a launch's end", () -> completion.onAttemptEnded(attempt, outcome, null));
+        loop.later("the end of an attempt", () -> completion.onAttemptEnded(attempt, outcome, null));
     }
 
+    /** Sends a probe, or reports at once that the replica cannot be reached. */
     public void sendProbe(String replicaId) {
         long number = ++lastProbeNumber;
         probes.put(number, replicaId);
@@ -244,13 +247,13 @@
             }
             loop.timeOut(
                     limits.probeWait(),
-                    "a probe's time-out",
+                    "a probe's timeout",
                     () -> onProbeEnded(number, SchedulerHost.Outcome.TIMED_OUT, null));
             connection.sendProbe(number, true);
         });
     }
 
-    /** A probe ends once. */
+    /** Handles the outcome of a probe; outcomes after the first are ignored. The report may be null. */
     void onProbeEnded(long number, SchedulerHost.Outcome outcome, SchedulerHost.LoadReport report) {
         String replicaId = probes.remove(number);
         if (replicaId != null) {
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/CompletionHandler.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/CompletionHandler.java
@@ -12,7 +12,7 @@
 import pinewick.state.ReplicaDirectory;
 import pinewick.wire.SearcherLink;
 
-/** Last stage: books how launches, probes and queries ended, and tells the decisions. */
+/** Last stage: records the outcomes of attempts, probes and queries, and reports them to the scheduler. */
 public final class CompletionHandler implements SearcherLink.Events {
     private final Loop loop;
     private final Log log;
@@ -40,12 +40,12 @@
         this.responses = responses;
     }
 
-    /** The stage that the decisions are told through. */
-    public void setRouter(QueryRouter router) {
-        this.router = router;
+    /** Sets the stage that passes events to the scheduler; set once before the first event. */
+    public void setRouter(QueryRouter queryRouter) {
+        router = queryRouter;
     }
 
-    /** A launch is over, once. */
+    /** Handles the end of an attempt; calls after the first have no effect. The report may be null. */
     void onAttemptEnded(InFlightAttempt attempt, SchedulerHost.Outcome outcome, SchedulerHost.LoadReport report) {
         if (attempt.ended) {
             return;
@@ -71,7 +71,7 @@
         }
     }
 
-    /** The client has closed its connection. */
+    /** Handles a client that has closed its connection. */
     void onClientLeft(OpenQuery query) {
         responses.onClientLeft(query);
         if (query.handle != null) {
@@ -135,8 +135,8 @@
 
     @Override
     public void unsent(List<InFlightAttempt> attempts) {
-        attempts.forEach(
-                each -> loop.guarded("a launch unsent", () -> onAttemptEnded(each, SchedulerHost.Outcome.MOOT, null)));
+        attempts.forEach(each ->
+                loop.guarded("ending an unsent attempt", () -> onAttemptEnded(each, SchedulerHost.Outcome.MOOT, null)));
     }
 
     @Override
@@ -151,7 +151,8 @@
                     connection.replicaId());
         }
         attempts.forEach(each -> loop.guarded(
-                "a launch not connected", () -> onAttemptEnded(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
+                "ending an attempt without a connection",
+                () -> onAttemptEnded(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
     }
 
     @Override
@@ -169,8 +170,9 @@
                     connection.replicaId());
         }
         neverWritten.forEach(each -> loop.guarded(
-                "a launch not connected", () -> onAttemptEnded(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
-        written.forEach(each ->
-                loop.guarded("a launch dropped", () -> onAttemptEnded(each, SchedulerHost.Outcome.DROPPED, null)));
+                "ending an attempt without a connection",
+                () -> onAttemptEnded(each, SchedulerHost.Outcome.NOT_CONNECTED, null)));
+        written.forEach(each -> loop.guarded(
+                "ending a dropped attempt", () -> onAttemptEnded(each, SchedulerHost.Outcome.DROPPED, null)));
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/QueryRouter.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/QueryRouter.java
@@ -11,7 +11,7 @@
 import pinewick.state.OpenQueries;
 import pinewick.state.OpenQuery;
 
-/** Third stage: hands events to the decisions and passes on what they ask for. It decides nothing itself. */
+/** Third stage: passes events to the scheduler and carries out its requests. It makes no decisions itself. */
 public final class QueryRouter implements SchedulerHost {
     private final Loop loop;
     private final Log log;
@@ -41,15 +41,18 @@
         scheduler = new QueryScheduler(this, deployment, new SplittableRandom(seed));
     }
 
-    /** What the other mixers see; without them, nothing. */
+    /** Observations shared with the other routers; the default shares and knows nothing. */
     public interface PeerObservations {
+        /** Records what this router measured of a replica. */
         default void recordMeasurement(
                 String replicaId, double latencySeconds, double queueLength, int consecutiveFailures) {}
 
+        /** The latency that the other routers measured; 0 if unknown. */
         default double latencySeconds(String replicaId) {
             return 0;
         }
 
+        /** Whether other routers saw the replica fail or leave after this time, in seconds since 1970. */
         default boolean reportsFailure(String replicaId, double since) {
             return false;
         }
@@ -59,6 +62,7 @@
         peerObservations = observations;
     }
 
+    /** Submits an admitted query to the scheduler; if that throws, the query fails and the exception is rethrown. */
     public void submit(OpenQuery query) {
         try {
             query.handle = scheduler.submit(
@@ -72,7 +76,7 @@
                     .values()
                     .forEach(request -> query.handle.addShardRequest(request.id, request.shard, request.weight));
         } catch (RuntimeException e) {
-            // Whatever went wrong inside, the client gets its one answer.
+            // Whatever failed in the scheduler, the client gets its one response.
             responses.fail(query);
             if (query.handle == null) {
                 queries.remove(query);
@@ -89,18 +93,19 @@
         scheduler.onProbeResult(replicaId, outcome, report);
     }
 
-    /** So many mixers live from now on, and so many may be sending at most. */
+    /** Updates the number of live routers, and the upper bound of those that may be sending. */
     public void updateRouterCount(int count, int sending) {
         scheduler.updateRouterCount(count, sending);
     }
 
-    /** No more timers: these decisions are done with. */
+    /** Stops the timers: this scheduler is no longer in use. */
     public void stop() {
         stopped = true;
     }
 
+    /** Runs the scheduler's work at the end of a batch of events and sends its attempts. */
     public void onBatchEnd() {
-        loop.guarded("deciding at a batch's end", scheduler::onBatchEnd);
+        loop.guarded("scheduling at the end of a batch", scheduler::onBatchEnd);
         dispatcher.flush();
     }
 
@@ -120,7 +125,7 @@
 
     @Override
     public void mergeResults(String queryId, boolean complete) {
-        responses.complete(queries.query(queryId), complete);
+        responses.sendResult(queries.query(queryId), complete);
     }
 
     @Override
@@ -146,7 +151,7 @@
     @Override
     public void scheduleTimer(double delaySeconds, long timerId) {
         if (!stopped) {
-            loop.after(delaySeconds, "a timer", () -> {
+            loop.after(delaySeconds, "a scheduler timer", () -> {
                 if (!stopped) {
                     scheduler.onTimer(timerId);
                 }
@@ -156,7 +161,7 @@
 
     @Override
     public void watchReplicas(boolean enabled) {
-        // The watch is always open or about to be; asking starts nothing more.
+        // The list watch is always open or being opened, so there is nothing to do.
         counters.add("asked-to-track");
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/RequestIntake.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/RequestIntake.java
@@ -14,7 +14,7 @@
 import pinewick.wire.ClientDoor;
 import pinewick.wire.QueryText;
 
-/** First stage: makes an open query of a client's request, or says what is wrong with that. */
+/** First stage: validates a client's request and turns it into an open query. */
 public final class RequestIntake implements ClientDoor.Taker {
     private static final HttpString ID = new HttpString("Req-Id");
     private static final HttpString KIND = new HttpString("Req-Kind");
@@ -62,20 +62,20 @@
         rejectIf(!deadline.matches("[0-9]+(\\.[0-9]*)?|\\.[0-9]+"), "time: Req-Deadline is no number");
         double timeoutSeconds = Double.parseDouble(deadline);
         rejectIf(!(timeoutSeconds > 0 && timeoutSeconds <= limits.longestWait()), "time: Req-Deadline out of bounds");
-        boolean keyed =
+        boolean isDeduplicated =
                 deployment.serviceClasses().get(serviceClass).retrySafety() == SchedulerHost.RetrySafety.DEDUPLICATED;
-        String key = keyed ? header(headers, KEY) : null;
+        String key = isDeduplicated ? header(headers, KEY) : null;
         OpenQuery query = new OpenQuery(id, serviceClass, timeoutSeconds, key, client);
         query.clientSeenAt = loop.now();
         if (loop.now() + timeoutSeconds > latestEnd) {
-            // Danger: a request taken while leaving that can't end before the exit would be lost with its effects.
+            // A request accepted during shutdown that cannot end before the exit would be lost after taking effect.
             counters.add("turned-away-leaving");
             admission.reject(query, deployment.allowsRetryAfter() ? pressure.comeBack() : 0);
             return query;
         }
         if (pressure.turnsAway(
                 loop.now(), deployment.serviceClasses().get(serviceClass).value())) {
-            // Before the body is parsed: what can't be served in time should cost as little as it can.
+            // Rejected before the body is parsed: shed load should cost as little as possible.
             counters.add("turned-away-behind");
             admission.reject(query, pressure.comeBack());
             return query;
@@ -105,12 +105,12 @@
     }
 
     @Override
-    public void turnedAway(String why) {
+    public void turnedAway(String reason) {
         counters.add("bad-requests");
-        counters.add("bad-" + why.substring(0, Math.max(0, why.indexOf(':'))));
+        counters.add("bad-" + reason.substring(0, Math.max(0, reason.indexOf(':'))));
     }
 
-    /** Words that go on into frames, so nothing that would end a line or a field there. */
+    /** Reads a header that is copied into frames: characters that would end a line or a field there are refused. */
     private static String header(HeaderMap headers, HttpString name) {
         String value = headers.getFirst(name);
         rejectIf(value == null || value.isEmpty(), "field: " + name + " is missing");
