--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/CommandActions.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/CommandActions.java
@@ -10,7 +10,7 @@
 import pinewick.loop.Log;
 import sun.misc.Signal;
 
-/** What the sub-commands do. */
+/** Implements the subcommands. */
 final class CommandActions {
     private static final String WARM_UP_CONFIG =
             """
@@ -22,7 +22,7 @@
 
     private CommandActions() {}
 
-    /** Serves until a signal ends it. */
+    /** Serves until a signal stops the process; returns 2 if the configuration is invalid. */
     static int serve(String operatorFile) throws Exception {
         StartupConfig config;
         OperatorConfig operatorConfig;
@@ -38,13 +38,14 @@
         return 0;
     }
 
+    /** Checks the configuration and prints a summary; returns 2 if it is invalid. */
     static int check(String operatorFile) {
         try {
             if (operatorFile != null) {
                 OperatorConfig operatorConfig = OperatorConfig.read(Path.of(operatorFile));
                 System.out.println(
                         operatorConfig.registry() == null
-                                ? "operator's file: nothing is on"
+                                ? "operator's file: no registry configured"
                                 : "operator's file: " + operatorConfig.registry());
                 if (System.getenv("EDGE_CONFIG") == null) {
                     return 0;
@@ -53,7 +54,7 @@
             StartupConfig config = StartupConfig.read(System.getenv());
             System.out.println(config.name() + " listens at " + config.listen() + ", discovery at "
                     + config.discovery() + ", "
-                    + config.deployment().serviceClasses().size() + " service grades, "
+                    + config.deployment().serviceClasses().size() + " service classes, "
                     + config.knownReplicas().listings().size() + " searchers known at revision "
                     + config.knownReplicas().revision()
                     + "\n" + config.limits());
@@ -71,7 +72,7 @@
         log.takesOver();
         RouterServer server = new RouterServer(config, operatorConfig, log);
         AtomicLong reloads = new AtomicLong();
-        // Each signal has a thread of its own, so the file is read beside the loop, and may be read out of turn.
+        // Each signal is handled on its own thread: the file is read outside the loop, and reads may overtake another.
         Signal.handle(new Signal("HUP"), any -> {
             long number = reloads.incrementAndGet();
             try {
@@ -90,9 +91,9 @@
         return 0;
     }
 
-    /** Starts, serves nobody and stops, so that a build can keep the classes that a start loads. */
+    /** Starts, serves nobody and stops, so that a build can archive the classes that a start loads. */
     static int warmUp() throws Exception {
-        // Its own door stands in for discovery: the watch is asked for there and gets a 404.
+        // Its own listener stands in for discovery: the watch request is sent there and gets a 404.
         String ownAddress;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             ownAddress = "127.0.0.1:" + socket.getLocalPort();
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/Commands.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/Commands.java
@@ -9,7 +9,7 @@
         name = "pinewick",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class,
-        description = "Co-ordinator of queries over replicated shards.",
+        description = "Router of queries over replicated shards.",
         subcommands = {
             Commands.ServeCommand.class,
             Commands.CheckCommand.class,
@@ -21,11 +21,12 @@
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
+    /** Parses the arguments and runs the command; returns the exit code. */
     public static int run(String[] arguments) {
         return new CommandLine(new Commands()).execute(arguments);
     }
 
-    /** The commands that machines start, without loading the parser of the command line for them. */
+    /** Runs a command without options without loading the command-line parser, to start faster. */
     public static int runWithoutParser(String command, String[] arguments) {
         try {
             return switch (command) {
@@ -47,10 +48,10 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
+        throw new CommandLine.ParameterException(spec.commandLine(), "a subcommand is required");
     }
 
-    /** Read from the jar's manifest. */
+    /** Reads the version from the jar's manifest. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -60,7 +61,7 @@
 
     @Command(
             name = "serve",
-            description = "Serves as a real mixer; the environment variable EDGE_CONFIG names the " + "configuration.")
+            description = "Serves as a mixer; the environment variable EDGE_CONFIG names the " + "configuration.")
     static final class ServeCommand implements Callable<Integer> {
         @CommandLine.Option(names = "--operator", paramLabel = "FILE", description = "the operator's own file")
         private String operator;
@@ -71,12 +72,12 @@
         }
     }
 
-    @Command(name = "check", description = "Reads the configuration as serve would and says what is in it.")
+    @Command(name = "check", description = "Reads the configuration as serve would and prints a summary.")
     static final class CheckCommand implements Callable<Integer> {
         @CommandLine.Option(
                 names = "--operator",
                 paramLabel = "FILE",
-                description = "the operator's own file; alone it is " + "checked without EDGE_CONFIG")
+                description = "the operator's own file; without EDGE_CONFIG " + "only this file is checked")
         private String operator;
 
         @Override
@@ -85,7 +86,7 @@
         }
     }
 
-    @Command(name = "benchlink", description = "Speaks the bench's wire on standard input and output.")
+    @Command(name = "benchlink", description = "Speaks the benchmark's protocol on standard input and output.")
     static final class BenchCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
@@ -93,7 +94,9 @@
         }
     }
 
-    @Command(name = "rehearse", description = "Starts, serves nobody and stops; the build keeps the classes it loads.")
+    @Command(
+            name = "rehearse",
+            description = "Starts, serves nobody and stops; the build archives the classes it loads.")
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/FactReplicationService.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/FactReplicationService.java
@@ -18,7 +18,7 @@
 import pinewick.loop.Loop;
 import pinewick.pipeline.QueryRouter;
 
-/** What this mixer and the others see of the searchers, put together with the decisions, the wire and the snapshot. */
+/** Connects the replication of replica observations with the scheduler, the network and the snapshot file. */
 final class FactReplicationService implements QueryRouter.PeerObservations {
     private final Loop loop;
     private final Log log;
@@ -29,14 +29,14 @@
     private int memberCount;
     private final Map<String, Integer> keysById = new HashMap<>();
     private final Map<Integer, String> idsByKey = new HashMap<>();
-    /** Keys of several ids: nothing is told or taken of these. */
+    /** Keys shared by several replica ids: facts under these are neither sent nor used. */
     private final Set<Integer> ambiguousKeys = new HashSet<>();
 
     private double snapshotWrittenAt;
     private boolean isCatchUpLogged;
     private long malformedCount;
 
-    /** @param file null where no snapshot is kept */
+    /** @param snapshotFile null if no snapshot is kept */
     FactReplicationService(
             int memberCount,
             int self,
@@ -62,8 +62,9 @@
                 isParticipant);
     }
 
+    /** Starts replication and loads the snapshot, if there is one. */
     void start() {
-        replicator.start(loop.now()); // first, as the age of a snapshot's facts is told by its clock
+        replicator.start(loop.now()); // first: the ages of a snapshot's facts are relative to its clock
         byte[] snapshot = snapshotFile == null ? null : snapshotFile.read();
         if (snapshot != null) {
             FactSnapshotFormat.Result result =
@@ -119,12 +120,12 @@
         });
     }
 
-    /** Searchers that a list named, be it an old one. */
+    /** Registers the keys of replicas that a list names, even an outdated one. */
     void registerReplicas(List<SchedulerHost.ReplicaEntry> entries) {
         entries.forEach(each -> key(each.replicaId()));
     }
 
-    /** What the list says; those that leave are told to the others, whose own list may come later. */
+    /** Tells the other routers which replicas are leaving: their own list may be updated later. */
     void onReplicaListUpdate(List<SchedulerHost.ReplicaEntry> entries) {
         for (SchedulerHost.ReplicaEntry each : entries) {
             int key = key(each.replicaId());
@@ -166,7 +167,7 @@
     }
 
     String metrics() {
-        // What this mixer holds of each searcher, for comparing mixers: the others' pace, ms.
+        // The peers' latency (ms) and failures of each replica as this router sees them, to compare routers.
         List<String> latencies = new ArrayList<>();
         List<String> failing = new ArrayList<>();
         keysById.keySet().stream().sorted().limit(200).forEach(each -> {
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/MembershipService.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/MembershipService.java
@@ -12,18 +12,17 @@
 import pinewick.loop.Loop;
 import pinewick.wire.PeerSocket;
 
-/** The view of the other mixers, put together with its socket and the loop's clock for one mixer. */
+/** Connects this router's membership view with its UDP socket and the loop's clock. */
 final class MembershipService {
-    /** Told the counts of mixers whenever one changes. */
+    /** Receives the router counts whenever one changes. */
     interface RouterCountListener {
         /**
-         * @param live for spreading work: the best guess
-         * @param most for shares of a budget that all keep together: never too low
+         * @param live the best estimate of live routers, for spreading work
+         * @param sending the routers that may be sending, never too low, for shares of a common budget
          */
         void onRouterCount(int live, int sending);
     }
 
-    /** Looks at the clock in a period. */
     private static final double TICKS_PER_PROBE_INTERVAL = 8;
 
     private final StartupConfig.Peers peersAtStart;
@@ -33,14 +32,14 @@
     private final RouterCountListener countListener;
     private final MembershipView view;
     private final PeerSocket socket;
-    /** Null where nothing is replicated. */
+    /** Null if replication is off. */
     private final FactReplicationService facts;
 
     private int reportedLive = -1;
     private int reportedSending = -1;
     private boolean stopped;
 
-    /** @param replicated null where nothing is */
+    /** @param replication null if replication is off */
     MembershipService(
             StartupConfig.Peers peers,
             MembershipSettings settings,
@@ -93,7 +92,7 @@
                         member -> member < view.size() && view.state(member) == MemberState.ALIVE);
     }
 
-    /** What the other mixers see of the searchers; null where nothing is replicated. */
+    /** The replicated observations of replicas; null if replication is off. */
     FactReplicationService facts() {
         return facts;
     }
@@ -115,7 +114,7 @@
     }
 
     private void scheduleTick() {
-        loop.after(tickSeconds, "looking at the mixers", () -> {
+        loop.after(tickSeconds, "membership tick", () -> {
             if (!stopped) {
                 view.tick(loop.now());
                 if (facts != null) {
@@ -141,7 +140,7 @@
 
     private void onStateChanged(int member, MemberState before, MemberState after) {
         if (before == MemberState.UNHEARD && after == MemberState.ALIVE) {
-            return; // At a start all others come so, and a line each would crowd out the rest of the log.
+            return; // At start all others change this way; one line each would crowd out the rest of the log.
         }
         log.say(
                 after == MemberState.DEAD ? Log.Level.WARNING : Log.Level.INFO,
@@ -164,14 +163,14 @@
         }
     }
 
-    /** The configuration was read anew; the mixers in it are the ones from now on. */
+    /** Applies the peers of a reloaded configuration. */
     void onPeersChanged(StartupConfig.Peers peers) {
         socket.listed(peers.peers(), peers.broadcast());
         if (peers.peers().size() != view.size() || peers.self() != view.self()) {
             log.say(
                     Log.Level.INFO,
                     "fleet",
-                    "mixers listed: " + peers.peers().size() + ", " + view.size() + " before",
+                    "mixer list changed: " + peers.peers().size() + ", " + view.size() + " previously",
                     "mixers",
                     Integer.toString(peers.peers().size()));
             view.onMemberListChanged(loop.now(), peers.peers().size(), peers.self());
@@ -182,7 +181,7 @@
         }
     }
 
-    /** Tells the others that this one stops. */
+    /** Tells the other routers that this one is leaving. */
     void leave() {
         view.leave(loop.now());
         stopped = true;
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/OperatorConfig.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/OperatorConfig.java
@@ -17,12 +17,15 @@
 import pinewick.wire.ListText;
 
 /**
- * The operator's own file: what the platform's configuration does not tell. JSON, described by
- * {@code deploy/operator.schema.json}; a test holds this reader and that schema to the same verdicts. Without the file
- * all of it is off.
+ * The operator's own file: settings that the platform's configuration lacks. JSON, described by
+ * {@code deploy/operator.schema.json}; a test checks that this parser and that schema accept the same files. Without
+ * the file no registry is followed, nothing is replicated and the log has its plain form.
  */
 final class OperatorConfig {
-    /** Where and how the list of searchers is followed; times in seconds. */
+    /**
+     * How the replica list in a registry is followed; times in seconds. The check command prints this record, so its
+     * components keep their names.
+     */
     record Registry(
             List<InetSocketAddress> endpoints,
             String prefix,
@@ -37,18 +40,18 @@
             double lease,
             double lowerAfter) {}
 
-    /** What mixers replicate, and where a snapshot of it is kept, null for nowhere; every so many seconds. */
+    /** The replication of observations; the snapshot's path is null if none is kept. */
     record Replication(Path snapshot, double snapshotIntervalSeconds) {}
 
-    /** How the log looks. */
+    /** The log's format and lowest level. */
     record LogSettings(boolean json, Log.Level level) {}
 
     private final List<String> problems = new ArrayList<>();
-    /** Null where the list comes from the platform. */
+    /** Null if the replica list comes from the platform. */
     private Registry registry;
-    /** Null where the log is the plain one. */
+    /** Null if the log has its plain form. */
     private LogSettings log;
-    /** Null where the mixers don't look at each other. */
+    /** Null if the membership view is off. */
     private MembershipSettings membership = MembershipSettings.defaults();
 
     private Replication replication;
@@ -59,7 +62,7 @@
         return log;
     }
 
-    /** Null where nothing is replicated. */
+    /** Null if replication is off. */
     Replication replication() {
         return replication;
     }
@@ -72,7 +75,7 @@
         return registry;
     }
 
-    /** Throws IllegalArgumentException whose message has a line for each wrong field: its path, what was expected. */
+    /** Reads a file; IllegalArgumentException has a line for each invalid field: its path and what is expected. */
     static OperatorConfig read(Path file) {
         JsonElement root;
         try {
@@ -104,7 +107,7 @@
         membership(root.getAsJsonObject().get("fleet"));
     }
 
-    /** The view of the other mixers: on where the platform gives a way, unless said otherwise. */
+    /** Parses the membership section; the view is on by default, if the platform lets routers talk. */
     private void membership(JsonElement section) {
         if (section == null) {
             return;
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/PipelineWarmUp.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/PipelineWarmUp.java
@@ -19,12 +19,12 @@
 import pinewick.wire.SearcherLink;
 
 /**
- * Queries played through a chain of their own before the mixer is ready, so that the first real ones find all
- * classes loaded and the ordinary path compiled. Client and searchers are pipes within this process: nothing
- * reaches the network, and nothing of what the chain learned is kept.
+ * Sends queries through a separate pipeline before the router is ready, so that the first real queries find all
+ * classes loaded and the usual path compiled. Client and replicas are pipes within this process: nothing reaches the
+ * network, and nothing that the pipeline learned is kept.
  */
 final class PipelineWarmUp {
-    /** Few, since each pipe takes four descriptors. */
+    /** Few, because each pipe uses four file descriptors. */
     private static final int MAX_CELLS = 4;
 
     private final SchedulerHost.Deployment deployment;
@@ -67,11 +67,11 @@
         }
         client.getSourceChannel().setReadListener(any -> loop.event("rehearsing", this::onResponse));
         client.getSourceChannel().resumeReads();
-        loop.after(limits.rehearsal() * 3, "ending the rehearsal", this::end);
+        loop.after(limits.rehearsal() * 3, "ending the warm-up", this::end);
         sendRequest();
     }
 
-    /** Opens a pipe, hands its far end over and gives back the near one. */
+    /** Opens a pipe, passes its far end to the handler and returns the near end. */
     private StreamConnection pipe(java.util.function.Consumer<StreamConnection> farEndHandler) throws IOException {
         ChannelPipe<StreamConnection, StreamConnection> pipe = loop.thread().createFullDuplexPipeConnection();
         pipeEnds.add(pipe.getLeftSide());
@@ -81,7 +81,7 @@
     }
 
     private void dial(SearcherLink connection) {
-        loop.later("rehearsing a connection", () -> {
+        loop.later("connecting for the warm-up", () -> {
             try {
                 connection.up(pipe(farEnd -> new PretendSearcher(farEnd, loop, limits)));
             } catch (IOException e) {
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RegistryDiscovery.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RegistryDiscovery.java
@@ -23,7 +23,7 @@
 import pinewick.wire.RegistryCalls;
 import pinewick.wire.RegistryWire;
 
-/** The list of searchers from a registry: view, session, wire and kept copy put together for one mixer. */
+/** Follows the replica list in a registry: connects the view, the session, the network and the cached copy. */
 final class RegistryDiscovery {
     private static final double TICK_SECONDS = 0.02;
 
@@ -38,7 +38,7 @@
     private final double startedAt;
     private final RouterMembership routers;
 
-    /** @param mixers is told how many mixers share the searchers, whenever that changes */
+    /** @param countListener gets the number of routers that share the replicas, whenever it changes */
     RegistryDiscovery(
             OperatorConfig.Registry settings,
             StartupConfig config,
@@ -81,7 +81,7 @@
         startedAt = loop.now();
     }
 
-    /** Serves from the kept copy, marked old, until the registry tells more. */
+    /** Publishes the cached copy, marked as such, and starts following the registry. */
     void start() {
         KeptCodec.Kept cached = cache == null ? null : cache.read();
         if (cached != null) {
@@ -105,7 +105,7 @@
     }
 
     private void scheduleTick() {
-        loop.after(TICK_SECONDS, "following the registry", () -> {
+        loop.after(TICK_SECONDS, "registry tick", () -> {
             session.tick(loop.now());
             if (routers != null) {
                 routers.tick();
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Whether there is a list to serve by. Danger: a kept copy does not know of drains since; so a start waits a moment
-     * for the registry's newest. Harm: with the registry down a restart takes that much longer.
+     * Whether there is a list to serve from. The cached copy lacks drains since it was written, so a start waits
+     * briefly for the current state. The cost: while the registry is down a restart takes that much longer.
      */
     boolean canServe() {
         return view.revision() > 0 && (session.caughtUp() || loop.now() - startedAt >= settings.firstContact());
@@ -127,7 +127,7 @@
                 + session.figures().replaceAll("(?m)^", "registry-").replaceAll("registry-$", "");
     }
 
-    /** This mixer's own key, and the count of all. */
+    /** Keeps this router's own key under a lease and counts the keys of all routers. */
     private final class RouterMembership {
         private final RegistryView routersView = new RegistryView(settings.mixersPrefix());
         private final RegistrySession routersSession;
@@ -181,7 +181,7 @@
                 log.say(
                         Log.Level.INFO,
                         "registry",
-                        "registry: " + currentCount + " mixers, " + reportedCount + " before",
+                        "registry: " + currentCount + " mixers, " + reportedCount + " previously",
                         "mixers",
                         Integer.toString(currentCount));
                 reportedCount = currentCount;
@@ -239,7 +239,7 @@
                 addresses.add(ListText.address(each.addresses().get(0)));
                 entries.add(each.listing());
             } catch (IllegalArgumentException e) {
-                // Danger: passing it over would also pass over its drain, and new parts would go to the old address.
+                // Skipping the entry would also skip its drain, and new shard requests would go to the old address.
                 addresses.add(null);
                 entries.add(new SchedulerHost.ReplicaEntry(
                         each.id(),
@@ -252,7 +252,7 @@
                 log.say(
                         Log.Level.WARNING,
                         "registry",
-                        "registry: " + each.id() + ": addresses: " + e.getMessage() + "; it is not used",
+                        "registry: " + each.id() + ": addresses: " + e.getMessage() + "; replica not used",
                         "searcher",
                         each.id());
             }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RequestPipeline.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RequestPipeline.java
@@ -24,7 +24,7 @@
 import pinewick.wire.ListText;
 import pinewick.wire.SearcherLink;
 
-/** The stages of one mixer, put together, with what they keep. */
+/** Assembles the stages of a router's request pipeline with their shared state. */
 final class RequestPipeline {
     final Counters counters = new Counters();
     final OpenQueries queries = new OpenQueries();
@@ -75,7 +75,7 @@
         loop.atEndOfBatch(router::onBatchEnd);
     }
 
-    /** News of the list: the decisions are told, and what waits for a searcher that takes nothing new goes back. */
+    /** Applies a list update: informs the scheduler and withdraws attempts that wait for unavailable replicas. */
     void onReplicaListUpdate(ListText.Piece update, SchedulerHost.ListUpdateKind kind) {
         if (kind != SchedulerHost.ListUpdateKind.INCREMENTAL) {
             replicas.markAllGone();
@@ -97,33 +97,35 @@
         counters.add("list-pieces");
     }
 
-    /** Looks after connections; to be called now and then. */
+    /** Maintains connections; called periodically. */
     void housekeeping() {
         replicas.allConnections().forEach(OutboundConnection::checkIdle);
         door.look();
         counters.peak("peak-client-connections", door.connections());
     }
 
-    /** Ends a chain that was only tried out. */
+    /** Closes a pipeline that served only the warm-up. */
     void close() {
         router.stop();
-        replicas.allConnections().forEach(connection -> connection.close("end of the rehearsal"));
+        replicas.allConnections().forEach(connection -> connection.close("end of the warm-up"));
     }
 
-    /** Is handed each piece of the list that came, after the decisions. */
+    /** Sets a listener that gets the entries of each list update after the scheduler. */
     void setListListener(Consumer<List<SchedulerHost.ReplicaEntry>> listener) {
         listListener = listener;
     }
 
-    /** How to read what has come of the list, right before a launch. */
+    /** Sets the action that reads pending list updates right before an attempt is written. */
     void setListReader(Runnable reader) {
         dispatcher.setListReader(reader);
     }
 
+    /** Sets a source of further metrics, written before the pipeline's own. */
     void setExtraMetrics(Supplier<String> metrics) {
         extraMetrics = metrics;
     }
 
+    /** All metrics, one line each. */
     String metrics() {
         return extraMetrics.get() + counters.text() + "awaiting " + queries.awaitingCount() + "\nkept "
                 + queries.trackedCount()
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
@@ -20,7 +20,7 @@
 import pinewick.wire.ListWatch;
 import pinewick.wire.SearcherLink;
 
-/** One mixer from its start to its end: rehearses, opens the door, follows the list, leaves in order. */
+/** Runs one router from start to stop: warms up, follows the replica list, listens, and shuts down gracefully. */
 final class RouterServer {
     private StartupConfig config;
     private ListWatch listWatch;
@@ -39,7 +39,7 @@
     private boolean isReady;
     private boolean isStopping;
 
-    /** @param operator null where nothing of it is on */
+    /** @param operatorConfig null without an operator's file */
     RouterServer(StartupConfig config, OperatorConfig operatorConfig, Log log) throws IOException {
         this.config = config;
         this.operatorConfig = operatorConfig;
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Where the platform lets mixers talk and the operator's file does not forbid it. */
+    /** Joins the membership if the platform lets routers talk and the operator's file does not turn it off. */
     private void joinMembership() {
         MembershipSettings settings =
                 operatorConfig == null ? MembershipSettings.defaults() : operatorConfig.membership();
@@ -110,12 +110,12 @@
                 pipeline.setListListener(membership.facts()::onReplicaListUpdate);
             }
         } catch (IOException e) {
-            // Danger: without the other mixers this one serves all the same, as if the platform gave no such way.
+            // Without the other routers this one still serves, as if the platform did not let routers talk.
             log.say(
                     Log.Level.ERROR,
                     "fleet",
                     "peer_listen: can't listen at " + config.peers().listen() + ": " + e.getMessage()
-                            + "; goes on without a view of the other mixers");
+                            + "; continuing without a view of the other mixers");
         }
     }
 
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Danger: clients find an open door before it says that it is ready, and would be served by a kept copy that does
-     * not know of drains since (seen: 64 ms of that at a restart). So the door opens when the list may be served by.
+     * Listens only once the replica list may be used: clients find an open port before the router reports that it is
+     * ready, and would be served from a cached copy that lacks recent drains (seen for 64 ms at a restart).
      */
     private void awaitRegistry() {
         if (isStopping) {
@@ -142,9 +142,9 @@
     }
 
     /**
-     * Danger: the list in the configuration may be old, and what the agent holds counts as told from a process's first
-     * moment; so the door opens when that was read, or when the agent can't be had and there is nothing to be told.
-     * Harm: a start beside an agent that says nothing takes two tries longer.
+     * Follows the platform's discovery. The list in the configuration may be outdated, and what the agent holds counts
+     * as known from the process's first moment; so the router listens once that was read, or once the agent is found
+     * unreachable and can have told nothing. The cost: a start with a silent agent takes two attempts longer.
      */
     private void followDiscovery() {
         pipeline.onReplicaListUpdate(config.knownReplicas(), SchedulerHost.ListUpdateKind.CACHED);
@@ -204,7 +204,7 @@
         }
     }
 
-    /** Ready once there is a list to choose from, be it an old one. */
+    /** Reports that the router is ready, once it has a replica list, even an outdated one. */
     private void reportReady() {
         if (hasReplicaList && !isReady && !isStopping && listener != null) {
             isReady = true;
@@ -226,12 +226,12 @@
     }
 
     /**
-     * A configuration that was read anew, the so-manieth; null where it could not be. The list is followed at its
-     * address from now on; queries, connections and what the decisions learnt stay. Of two read at the same time
-     * the one asked for last counts.
+     * Applies a reloaded configuration, null if it could not be read. The replica list is followed at its address from
+     * now on; queries, connections and the scheduler's state stay. Of reloads that overlap, the one with the highest
+     * number wins.
      */
     void reload(long number, StartupConfig newConfig, String error) {
-        loop.later("taking a new configuration", () -> {
+        loop.later("applying a reloaded configuration", () -> {
             if (newConfig == null) {
                 log.say("SIGHUP: the configuration in hand stays: " + error);
                 return;
@@ -253,7 +253,7 @@
         });
     }
 
-    /** Leaves in order: nothing that was taken stays without its answer. */
+    /** Shuts down gracefully: every accepted query gets its response. */
     void stop() {
         loop.later("stopping", () -> {
             if (!isStopping) {
@@ -272,16 +272,16 @@
         if (membership != null) {
             membership.leave();
         }
-        loop.after(limits.frontNotice(), "closing the door", () -> closeListener(deadline, -1));
+        loop.after(limits.frontNotice(), "closing the listener", () -> closeListener(deadline, -1));
     }
 
     /**
-     * Danger: the listener's close resets the connections that the system has accepted for it and this program has not,
-     * as after it stood still. So it closes once a look has found none (the library's own thread accepts; a time-out
-     * gives it its turn). Harm: a crowd that goes on connecting holds the door open until half the time is up.
+     * Closes the listener once a check finds no new connections. Closing it resets connections that the system has
+     * accepted and this process has not, as after a pause. The library's own thread accepts; a zero timeout lets it
+     * run. The cost: clients that keep connecting hold the listener open until half of the shutdown time has passed.
      */
     private void closeListener(double deadline, long acceptedBefore) {
-        loop.timeOut(0, "closing the door", () -> {
+        loop.timeOut(0, "closing the listener", () -> {
             long accepted = pipeline.door.accepted();
             if (accepted != acceptedBefore && loop.now() < deadline - limits.stopMost() / 2) {
                 closeListener(deadline, accepted);
@@ -293,7 +293,7 @@
         });
     }
 
-    /** Takes what the library has accepted and not handed on yet. */
+    /** Handles connections that the library has accepted but not yet passed on. */
     private void acceptPending() {
         try {
             StreamConnection connection = listener == null ? null : listener.accept();
@@ -306,7 +306,7 @@
         }
     }
 
-    /** Ends once nobody waits for an answer and every connection is closed, which its last bytes come before. */
+    /** Exits once no query awaits a response and all connections are closed (so flushed), or at the deadline. */
     private void finish(double deadline) {
         pipeline.door.closeIdle();
         if ((pipeline.queries.awaitingCount() == 0 && pipeline.door.connections() == 0) || loop.now() >= deadline) {
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/SnapshotFile.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/SnapshotFile.java
@@ -16,12 +16,11 @@
 import java.util.function.Consumer;
 
 /**
- * The file of a mixer's snapshot, beside the loop: a thread of its own writes it, to another name first, has the disk
- * take it, renames it and reads it back. Whatever goes wrong is said once, and again only after it went well in
- * between.
+ * A router's snapshot file. A thread of its own writes it under a temporary name, forces it to disk, reads it back and
+ * renames it. A failure to write is logged once, and again only after a write has succeeded in between.
  */
 final class SnapshotFile {
-    private static final int MAX_BYTES = 16 << 20; // bytes; a longer file is nobody's snapshot
+    private static final int MAX_BYTES = 16 << 20; // no snapshot is longer
 
     private final Path file;
     private final Consumer<String> warn;
@@ -38,11 +37,11 @@
         this.warn = warn;
     }
 
-    /** What the file holds, sound or not; null where there is none or it can't be read. Blocks: for the start alone. */
+    /** The file's content, unchecked; null if it is missing, too long or unreadable. Blocks: only for use at start. */
     byte[] read() {
         try {
             if (Files.size(file) > MAX_BYTES) {
-                warn.accept("snapshot " + file + ": too long to be one; asking the other mixers");
+                warn.accept("snapshot " + file + ": longer than any snapshot; asking the other mixers");
                 return null;
             }
             return Files.readAllBytes(file);
@@ -54,7 +53,7 @@
         }
     }
 
-    /** Writes these bytes, unless the last ones are still being written. */
+    /** Writes the snapshot in the background; dropped if the previous one is still being written. */
     void write(byte[] snapshot) {
         if (!isWriting.compareAndSet(false, true)) {
             return;
@@ -66,7 +65,7 @@
             } catch (IOException e) {
                 if (!isFailing) {
                     isFailing = true;
-                    warn.accept("snapshot " + file + " can't be written: " + e + "; goes on without");
+                    warn.accept("snapshot " + file + " can't be written: " + e + "; continuing without a snapshot");
                 }
             } finally {
                 isWriting.set(false);
@@ -84,15 +83,14 @@
             }
             out.force(true);
         }
-        // Danger: a disk that lies takes bytes and gives back others. Harm: one that lies later is found at the start
-        // only.
+        // Detects a disk that returns other bytes than were written. Later corruption is found only at the next start.
         if (!Arrays.equals(Files.readAllBytes(temporary), snapshot)) {
-            throw new IOException("the disk gave back other bytes than it was given");
+            throw new IOException("bytes read back from disk differ from those written");
         }
         try {
             Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (AtomicMoveNotSupportedException e) {
-            throw new IOException("the file system can't rename at once", e);
+            throw new IOException("the file system does not support atomic renames", e);
         }
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/StartupConfig.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/StartupConfig.java
@@ -16,7 +16,7 @@
 import pinewick.loop.Limits;
 import pinewick.wire.ListText;
 
-/** What a mixer is told before it starts: the environment and the file that it names. */
+/** A router's configuration at start: the environment and the file that it names. */
 record StartupConfig(
         String name,
         InetSocketAddress listen,
@@ -28,22 +28,22 @@
         Peers peers) {
 
     /**
-     * How mixers reach each other; null where they don't.
+     * How routers reach each other.
      *
-     * @param peers every mixer's address, by place, this one's own with them
-     * @param all one address for all of them; null where there is none
-     * @param self this one's place
+     * @param peers the address of every router including this one, by index
+     * @param broadcast one address that reaches all routers; null if there is none
+     * @param self the index of this router
      */
     record Peers(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress broadcast, int self) {}
 
-    /** With what a running program takes in of another configuration: the list's address and the mixers. */
+    /** This configuration with the reloadable fields of another: the address of discovery and the peers. */
     StartupConfig withReloadable(StartupConfig other) {
         Peers nextPeers =
                 peers == null || other.peers == null || !peers.listen.equals(other.peers.listen) ? peers : other.peers;
         return new StartupConfig(name, listen, other.discovery, seed, limits, deployment, knownReplicas, nextPeers);
     }
 
-    /** The fields that differ in another configuration and cannot change in a running program. */
+    /** The names of fields that differ in another configuration and take effect only after a restart. */
     List<String> fieldsNeedingRestart(StartupConfig other) {
         List<String> fields = new ArrayList<>();
         if (!listen.equals(other.listen)) {
@@ -61,7 +61,7 @@
         return fields;
     }
 
-    /** As {@link #read}, but the file's address of discovery prevails: the variable's is that of the start. */
+    /** Like {@link #read}, but the file's discovery address takes precedence: the variable's is that of the start. */
     static StartupConfig reread(Map<String, String> environment) {
         JsonObject root = readFile(environment);
         Map<String, String> remaining = new HashMap<>(environment);
@@ -131,7 +131,7 @@
                 peers(root));
     }
 
-    /** Null where there is no peer_listen, or where the settings do not let mixers talk. */
+    /** Null without peer_listen, or if the settings do not allow routers to talk to each other. */
     private static Peers peers(JsonObject root) {
         JsonObject settings = root.getAsJsonObject("settings");
         JsonElement bounds = settings.get("bounds");
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/StructuredLog.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/StructuredLog.java
@@ -7,11 +7,11 @@
 import pinewick.loop.Log;
 
 /**
- * The log as the operator's file sets it, by tinylog: one JSON object a line, or a readable line, on standard error,
- * from a stated level on, fields kept apart. The bound on the rate stays {@link Log}'s.
+ * The log as the operator's file configures it, written by tinylog to standard error: lines of JSON with separate
+ * fields, or readable lines, from the configured level on. The rate limit is that of {@link Log}.
  */
 final class StructuredLog extends Log {
-    /** Fields that have a place of their own in a JSON line; others are put behind the message. */
+    /** Fields that are separate in a JSON line; others are appended to the message. */
     private static final List<String> JSON_FIELDS = List.of("searcher", "revision", "searchers", "mixers", "address");
 
     private static final String TIME_FORMAT = "{date: yyyy-MM-dd'T'HH:mm:ss.SSSXXX}";
--- a/query-mixer/daemon/src/test/java/pinewick/lifecycle/AttemptDispatchRaceTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/lifecycle/AttemptDispatchRaceTest.java
@@ -39,29 +39,32 @@
 import pinewick.wire.ListText;
 import pinewick.wire.SearcherLink;
 
-/** The stages of one mixer between real sockets, with a gate at the end of each batch, before its launches go out. */
+/**
+ * The request pipeline between real sockets, with a hook at the end of a batch before its attempts are sent. Guards
+ * against attempts sent for a client that left, or to a replica that started draining, while the batch was handled.
+ */
 @Timeout(30)
 class AttemptDispatchRaceTest {
-    private static final int WAIT = 10;
+    private static final int WAIT_SECONDS = 10;
     private static final String SETTINGS = "{\"settings\":{\"categories\":[{\"name\":\"any\",\"slo-ns\":1e9,"
             + "\"hard-limit-ns\":3e9,\"effect\":\"retryable\"}],\"bounds\":{\"multiplex\":10,\"try-limit\":3},"
             + "\"family-info\":{\"cells\":1,\"reach\":1,\"slabs\":1}}}";
 
     private final BlockingQueue<String> frames = new LinkedBlockingQueue<>();
-    private ServerSocket searcher;
+    private ServerSocket replica;
     private XnioWorker worker;
-    private AcceptingChannel<StreamConnection> door;
+    private AcceptingChannel<StreamConnection> listener;
     private Loop loop;
     private RequestPipeline pipeline;
 
     @BeforeEach
-    void opens() throws Exception {
-        searcher = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        Thread reads = new Thread(() -> {
+    void setUp() throws Exception {
+        replica = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
-                    Socket mixer = searcher.accept();
-                    DataInputStream in = new DataInputStream(mixer.getInputStream());
+                    Socket router = replica.accept();
+                    DataInputStream in = new DataInputStream(router.getInputStream());
                     new Thread(() -> {
                                 try {
                                     while (true) {
@@ -69,18 +72,18 @@
                                         in.readFully(frame);
                                         frames.add(new String(frame, StandardCharsets.UTF_8));
                                     }
-                                } catch (IOException over) {
-                                    // The mixer is gone.
+                                } catch (IOException e) {
+                                    // The router closed the connection.
                                 }
                             })
                             .start();
                 }
-            } catch (IOException over) {
-                // The story is over.
+            } catch (IOException e) {
+                // The test has ended.
             }
         });
-        reads.setDaemon(true);
-        reads.start();
+        acceptor.setDaemon(true);
+        acceptor.start();
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         Log log = new Log(System.err, 10);
         loop = new Loop(worker.getIoThread(), log);
@@ -94,54 +97,55 @@
                     log,
                     new DefaultByteBufferPool(true, 8 << 10, 16, 4),
                     SearcherLink::dial);
-            pipeline.onReplicaListUpdate(list(SchedulerHost.LifecycleState.READY), SchedulerHost.ListUpdateKind.FULL);
-            door = worker.createStreamConnectionServer(
+            pipeline.onReplicaListUpdate(
+                    listUpdate(SchedulerHost.LifecycleState.READY), SchedulerHost.ListUpdateKind.FULL);
+            listener = worker.createStreamConnectionServer(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                     ChannelListeners.openListenerAdapter(pipeline.door),
                     OptionMap.EMPTY);
-            door.resumeAccepts();
+            listener.resumeAccepts();
         });
     }
 
     @AfterEach
-    void close() throws Exception {
-        door.close();
-        searcher.close();
+    void tearDown() throws Exception {
+        listener.close();
+        replica.close();
         worker.shutdownNow();
     }
 
-    private ListText.Piece list(SchedulerHost.LifecycleState stage) {
+    private ListText.Piece listUpdate(SchedulerHost.LifecycleState state) {
         return new ListText.Piece(
                 1,
                 true,
-                List.of(new SchedulerHost.ReplicaEntry("a", 0, "", stage, 0)),
-                List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), searcher.getLocalPort())));
+                List.of(new SchedulerHost.ReplicaEntry("a", 0, "", state, 0)),
+                List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), replica.getLocalPort())));
     }
 
-    private interface Work {
+    private interface Action {
         void run() throws Exception;
     }
 
-    private void onLoop(Work work) throws Exception {
+    private void onLoop(Action action) throws Exception {
         CountDownLatch done = new CountDownLatch(1);
         Exception[] failed = new Exception[1];
         loop.later("a test", () -> {
             try {
-                work.run();
-            } catch (Exception wrong) {
-                failed[0] = wrong;
+                action.run();
+            } catch (Exception e) {
+                failed[0] = e;
             } finally {
                 done.countDown();
             }
         });
-        assertTrue(done.await(WAIT, TimeUnit.SECONDS));
+        assertTrue(done.await(WAIT_SECONDS, TimeUnit.SECONDS));
         assertNull(failed[0]);
     }
 
     private Socket client() throws IOException {
         return new Socket(
                 InetAddress.getLoopbackAddress(),
-                door.getLocalAddress(InetSocketAddress.class).getPort());
+                listener.getLocalAddress(InetSocketAddress.class).getPort());
     }
 
     private static void post(Socket client, String id) throws IOException {
@@ -152,17 +156,17 @@
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Runs this between the first batch that has taken a query from now on, and its launches. */
-    private void beforeLaunches(Work work) throws Exception {
+    /** Runs an action once, after the next batch that takes a query and before its attempts are sent. */
+    private void beforeDispatch(Action action) throws Exception {
         onLoop(() -> {
-            String before = figure();
+            String takenBefore = takenCount();
             loop.atEndOfBatch(() -> {
-                if (!figure().equals(before)) {
+                if (!takenCount().equals(takenBefore)) {
                     loop.atEndOfBatch(pipeline.router::onBatchEnd);
                     try {
-                        work.run();
-                    } catch (Exception wrong) {
-                        throw new IllegalStateException(wrong);
+                        action.run();
+                    } catch (Exception e) {
+                        throw new IllegalStateException(e);
                     }
                 }
                 pipeline.router.onBatchEnd();
@@ -170,53 +174,53 @@
         });
     }
 
-    private String figure() {
+    private String takenCount() {
         return pipeline.metrics().replaceAll("(?s).*\ntaken (\\d+).*|.*", "$1");
     }
 
-    /** A connection to the searcher is up, and this query's launch is out on it. */
-    private Socket firstQuery() throws Exception {
+    /** Sends a query and waits until its attempt has arrived, so that a connection to the replica is established. */
+    private Socket sendFirstQuery() throws Exception {
         Socket first = client();
         post(first, "first");
-        assertTrue(next().contains("first.0"));
+        assertTrue(nextFrame().contains("first.0"));
         return first;
     }
 
-    private String next() throws InterruptedException {
-        String frame = frames.poll(WAIT, TimeUnit.SECONDS);
+    private String nextFrame() throws InterruptedException {
+        String frame = frames.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         assertNotNull(frame);
         return frame;
     }
 
     @Test
-    void nothingBeginsForAClientThatLeftWhileItsBatchWasHandled() throws Exception {
-        try (Socket first = firstQuery();
-                Socket leaver = client();
+    void sendsNothingForAClientThatLeftDuringItsBatch() throws Exception {
+        try (Socket first = sendFirstQuery();
+                Socket leaving = client();
                 Socket last = client()) {
-            beforeLaunches(() -> {
-                leaver.setSoLinger(true, 0);
-                leaver.close();
-                // A batch that is long, as on a part of a core; nothing reads the sockets meanwhile.
+            beforeDispatch(() -> {
+                leaving.setSoLinger(true, 0);
+                leaving.close();
+                // A long batch, as on a fraction of a core; nothing reads the sockets meanwhile.
                 assertNull(frames.poll(100, TimeUnit.MILLISECONDS));
             });
-            post(leaver, "left");
-            String[] figures = {""};
-            while (!figures[0].contains("withdrawn 1\n")) {
-                onLoop(() -> figures[0] = pipeline.metrics());
+            post(leaving, "left");
+            String[] metrics = {""};
+            while (!metrics[0].contains("withdrawn 1\n")) {
+                onLoop(() -> metrics[0] = pipeline.metrics());
             }
             post(last, "last");
-            String frame = next();
+            String frame = nextFrame();
             assertTrue(frame.contains("last.0"), frame);
             assertEquals(0, frames.size());
         }
     }
 
     @Test
-    void aDrainToldInTheBatchOfALaunchComesBeforeIt() throws Exception {
-        try (Socket first = firstQuery();
+    void appliesADrainOfTheSameBatchBeforeSendingTheAttempt() throws Exception {
+        try (Socket first = sendFirstQuery();
                 Socket second = client()) {
-            beforeLaunches(() -> pipeline.onReplicaListUpdate(
-                    list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.INCREMENTAL));
+            beforeDispatch(() -> pipeline.onReplicaListUpdate(
+                    listUpdate(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.INCREMENTAL));
             post(second, "second");
             assertEquals("HTTP/1.1 503", new String(second.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
             assertEquals(0, frames.size());
@@ -224,12 +228,12 @@
     }
 
     @Test
-    void aDrainThatCameDuringALongBatchIsReadBeforeTheLaunch() throws Exception {
-        try (Socket first = firstQuery();
+    void readsADrainThatArrivedDuringALongBatchBeforeSendingTheAttempt() throws Exception {
+        try (Socket first = sendFirstQuery();
                 Socket second = client()) {
             pipeline.setListReader(() -> pipeline.onReplicaListUpdate(
-                    list(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.INCREMENTAL));
-            beforeLaunches(() -> assertNull(frames.poll(100, TimeUnit.MILLISECONDS)));
+                    listUpdate(SchedulerHost.LifecycleState.DRAINING), SchedulerHost.ListUpdateKind.INCREMENTAL));
+            beforeDispatch(() -> assertNull(frames.poll(100, TimeUnit.MILLISECONDS)));
             post(second, "second");
             assertEquals("HTTP/1.1 503", new String(second.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
             assertEquals(0, frames.size());
