--- a/query-mixer/daemon/src/main/java/pinewick/life/Commands.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/Commands.java
@@ -1,4 +1,4 @@
-package pinewick.life;
+package pinewick.lifecycle;
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
@@ -9,7 +9,7 @@
         name = "pinewick",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class,
-        description = "Co-ordinator of queries over replicated shards.",
+        description = "Router of queries over replicated shards.",
         subcommands = {
             Commands.ServeCommand.class,
             Commands.CheckCommand.class,
@@ -21,21 +21,22 @@
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    public static int run(String[] words) {
-        return new CommandLine(new Commands()).execute(words);
+    /** Parses the arguments and runs the command; returns the exit code. */
+    public static int run(String[] arguments) {
+        return new CommandLine(new Commands()).execute(arguments);
     }
 
-    /** The commands that machines start, without loading the parser of the command line for them. */
-    public static int plain(String command, String[] words) {
+    /** Runs a command without options without loading the command-line parser, to start faster. */
+    public static int runWithoutParser(String command, String[] arguments) {
         try {
             return switch (command) {
-                case "serve" -> Serving.serve(words.length > 2 ? words[2] : null);
-                case "benchlink" -> Serving.benchlink();
-                case "rehearse" -> Serving.rehearse();
-                default -> run(words);
+                case "serve" -> CommandActions.serve(arguments.length > 2 ? arguments[2] : null);
+                case "benchlink" -> CommandActions.benchlink();
+                case "rehearse" -> CommandActions.warmUp();
+                default -> run(arguments);
             };
-        } catch (Exception fault) {
-            System.err.println("pinewick: " + fault);
+        } catch (Exception e) {
+            System.err.println("pinewick: " + e);
             return 1;
         }
     }
@@ -47,10 +48,10 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
+        throw new CommandLine.ParameterException(spec.commandLine(), "a subcommand is required");
     }
 
-    /** Read from the jar's manifest. */
+    /** Reads the version from the jar's manifest. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -60,44 +61,46 @@
 
     @Command(
             name = "serve",
-            description = "Serves as a real mixer; the environment variable EDGE_CONFIG names the " + "configuration.")
+            description = "Serves as a mixer; the environment variable EDGE_CONFIG names the " + "configuration.")
     static final class ServeCommand implements Callable<Integer> {
         @CommandLine.Option(names = "--operator", paramLabel = "FILE", description = "the operator's own file")
         private String operator;
 
         @Override
         public Integer call() throws Exception {
-            return Serving.serve(operator);
+            return CommandActions.serve(operator);
         }
     }
 
-    @Command(name = "check", description = "Reads the configuration as serve would and says what is in it.")
+    @Command(name = "check", description = "Reads the configuration as serve would and prints a summary.")
     static final class CheckCommand implements Callable<Integer> {
         @CommandLine.Option(
                 names = "--operator",
                 paramLabel = "FILE",
-                description = "the operator's own file; alone it is " + "checked without EDGE_CONFIG")
+                description = "the operator's own file; without EDGE_CONFIG " + "only this file is checked")
         private String operator;
 
         @Override
         public Integer call() {
-            return Serving.check(operator);
+            return CommandActions.check(operator);
         }
     }
 
-    @Command(name = "benchlink", description = "Speaks the bench's wire on standard input and output.")
+    @Command(name = "benchlink", description = "Speaks the benchmark's protocol on standard input and output.")
     static final class BenchCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            return Serving.benchlink();
+            return CommandActions.benchlink();
         }
     }
 
-    @Command(name = "rehearse", description = "Starts, serves nobody and stops; the build keeps the classes it loads.")
+    @Command(
+            name = "rehearse",
+            description = "Starts, serves nobody and stops; the build archives the classes it loads.")
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            return Serving.rehearse();
+            return CommandActions.warmUp();
         }
     }
 
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ClientListener.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ClientListener.java
@@ -31,13 +31,13 @@
 import org.xnio.channels.StreamSourceChannel;
 import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
-import pinewick.memory.OpenQuery;
+import pinewick.state.OpenQuery;
 
 /** Accepts client connections and serves HTTP/1.1 with Undertow, entirely on the event loop thread. */
 public final class ClientListener implements ChannelListener<StreamConnection>, HttpHandler {
     /** Processes a request whose body was read completely; throws IllegalArgumentException if it is malformed. */
     public interface RequestHandler {
-        OpenQuery onRequest(HttpServerExchange request, byte[] body, OpenQuery.Asker asker);
+        OpenQuery onRequest(HttpServerExchange request, byte[] body, OpenQuery.Client asker);
 
         /** Rejects from now on every query that could end after this time, in seconds on the event loop's clock. */
         void onDrain(double deadline);
@@ -409,7 +409,7 @@
         } catch (IllegalArgumentException malformed) {
             reject(exchange, 400, malformed.getMessage());
         } catch (RuntimeException fault) {
-            pending.answer(500, 0, "fault".getBytes(StandardCharsets.US_ASCII));
+            pending.respond(500, 0, "fault".getBytes(StandardCharsets.US_ASCII));
             throw fault;
         }
     }
@@ -431,7 +431,7 @@
     }
 
     /** A client that waits for the response to its query. */
-    private final class PendingResponse implements OpenQuery.Asker {
+    private final class PendingResponse implements OpenQuery.Client {
         private final HttpServerExchange exchange;
         private final HttpServerConnection connection;
         private final InboundConnection client;
@@ -453,12 +453,12 @@
             connection
                     .getChannel()
                     .getSourceChannel()
-                    .setReadListener(any -> loop.event("checking a client connection", this::stillThere));
+                    .setReadListener(any -> loop.event("checking a client connection", this::isConnected));
             client.enableReads();
         }
 
         @Override
-        public boolean stillThere() {
+        public boolean isConnected() {
             if (answered) {
                 return true;
             }
@@ -483,7 +483,7 @@
         }
 
         @Override
-        public void answer(int status, double retryAfter, byte[] body) {
+        public void respond(int status, double retryAfter, byte[] body) {
             if (answered) {
                 return;
             }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/FrameCodec.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/FrameCodec.java
@@ -5,9 +5,9 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import pinewick.memory.Call;
-import pinewick.memory.LiveLaunch;
-import pinewick.memory.OpenQuery;
+import pinewick.state.InFlightAttempt;
+import pinewick.state.OpenQuery;
+import pinewick.state.ReplicaCall;
 
 /** The frame protocol with replicas: a 32-bit little-endian length, a type byte, the payload. */
 public final class FrameCodec {
@@ -34,15 +34,16 @@
      * Encodes a call; the time left is sent in whole milliseconds, rounded down so that it is never more than is left,
      * and at least 1.
      */
-    static ByteBuffer call(Call call, double now) {
+    static ByteBuffer call(ReplicaCall call, double now) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream(256);
-        for (LiveLaunch attempt : call.launches) {
-            OpenQuery query = attempt.piece.query;
-            long timeoutMs = Math.max(1, (long) Math.floor((attempt.until - now) * 1000));
-            String line = attempt.piece.id + ' ' + attempt.piece.shard + " d=" + timeoutMs
-                    + (query.key == null ? "" : ",k=" + query.key) + ' ' + query.text.length + '\n';
+        for (InFlightAttempt attempt : call.attempts) {
+            OpenQuery query = attempt.shardRequest.query;
+            long timeoutMs = Math.max(1, (long) Math.floor((attempt.deadline - now) * 1000));
+            String line = attempt.shardRequest.id + ' ' + attempt.shardRequest.shard + " d=" + timeoutMs
+                    + (query.idempotencyKey == null ? "" : ",k=" + query.idempotencyKey) + ' ' + query.filter.length
+                    + '\n';
             payload.writeBytes(line.getBytes(StandardCharsets.UTF_8));
-            payload.writeBytes(query.text);
+            payload.writeBytes(query.filter);
         }
         return frame(CALL, payload.toByteArray());
     }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/PendingResponses.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/PendingResponses.java
@@ -4,12 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import pinewick.loop.Limits;
-import pinewick.memory.LiveLaunch;
+import pinewick.state.InFlightAttempt;
 
 /** The responses that a replica still has to send on one connection, by part, and the parts answered recently. */
 final class PendingResponses {
     private static final class Expected {
-        LiveLaunch latest;
+        InFlightAttempt latest;
         int responseCount;
     }
 
@@ -23,9 +23,9 @@
     }
 
     /** These attempts were written completely: a response is expected for each. */
-    void onWritten(Iterable<LiveLaunch> attempts) {
-        for (LiveLaunch attempt : attempts) {
-            Expected expected = expectedByPart.computeIfAbsent(attempt.piece.id, any -> new Expected());
+    void onWritten(Iterable<InFlightAttempt> attempts) {
+        for (InFlightAttempt attempt : attempts) {
+            Expected expected = expectedByPart.computeIfAbsent(attempt.shardRequest.id, any -> new Expected());
             expected.latest = attempt;
             expected.responseCount++;
         }
@@ -36,8 +36,8 @@
     }
 
     /** The attempt has ended, for whatever reason. */
-    void onAttemptEnd(LiveLaunch attempt) {
-        Expected expected = expectedByPart.get(attempt.piece.id);
+    void onAttemptEnd(InFlightAttempt attempt) {
+        Expected expected = expectedByPart.get(attempt.shardRequest.id);
         if (expected != null && expected.latest == attempt) {
             // A response that never arrives would otherwise keep the query, and with it its client, in memory for as
             // long as the connection lives.
@@ -58,7 +58,7 @@
     }
 
     /** The attempt that waits for that part's response; null if none does. */
-    LiveLaunch waitingAttempt(String part) {
+    InFlightAttempt waitingAttempt(String part) {
         Expected expected = expectedByPart.get(part);
         return expected == null ? null : expected.latest;
     }
@@ -66,7 +66,7 @@
     /**
      * Records a response for a part that expects one; returns the attempt that it ends, null if that has ended already.
      */
-    LiveLaunch onResponse(String part) {
+    InFlightAttempt onResponse(String part) {
         Expected expected = expectedByPart.get(part);
         if (--expected.responseCount == 0) {
             expectedByPart.remove(part);
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/QueryJson.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/QueryJson.java
@@ -9,7 +9,7 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.CodingErrorAction;
 import java.nio.charset.StandardCharsets;
-import pinewick.memory.OpenQuery;
+import pinewick.state.OpenQuery;
 
 /**
  * The JSON of queries and their responses; of a query only the fields that the scheduler and the replicas need are
@@ -46,7 +46,7 @@
                     case "filter" -> {
                         rejectIf(hasText || in.peek() != JsonToken.STRING, "json: filter twice or no string");
                         hasText = true;
-                        into.text = in.nextString().getBytes(StandardCharsets.UTF_8);
+                        into.filter = in.nextString().getBytes(StandardCharsets.UTF_8);
                     }
                     default -> in.skipValue();
                 }
@@ -58,12 +58,15 @@
         } catch (IOException | IllegalStateException malformed) {
             throw new IllegalArgumentException("json: not in the form: " + malformed.getMessage());
         }
-        rejectIf(into.pieces.isEmpty(), "json: no slices");
+        rejectIf(into.shardRequests.isEmpty(), "json: no slices");
         rejectIf(!hasText, "json: no filter");
-        double sum =
-                into.pieces.values().stream().mapToDouble(piece -> piece.mass).sum();
+        double sum = into.shardRequests.values().stream()
+                .mapToDouble(piece -> piece.weight)
+                .sum();
         // Each weight is a rounded decimal fraction; some clients send few digits.
-        rejectIf(Math.abs(sum - 1) > WEIGHT_TOLERANCE * Math.max(4, into.pieces.size()), "weight: the sum is " + sum);
+        rejectIf(
+                Math.abs(sum - 1) > WEIGHT_TOLERANCE * Math.max(4, into.shardRequests.size()),
+                "weight: the sum is " + sum);
     }
 
     private static void readPart(JsonReader in, OpenQuery into, int shards) throws IOException {
@@ -92,7 +95,7 @@
         in.endObject();
         rejectIf(shard < 0 || shard >= shards, "shard: unknown " + shard);
         rejectIf(!(mass > 0 && mass <= 1), "weight: of slice " + shard + " is missing or not within 0 and 1");
-        rejectIf(!into.piece(shard, mass), "shard: " + shard + " twice");
+        rejectIf(!into.addShardRequest(shard, mass), "shard: " + shard + " twice");
     }
 
     private static void rejectIf(boolean invalid, String message) {
@@ -124,17 +127,17 @@
 
     /** Encodes the response body: each value that was received, byte for byte. */
     public static byte[] encodeResponse(OpenQuery query, boolean isComplete) {
-        ByteBuilder out = new ByteBuilder(64 + 48 * query.pieces.size());
+        ByteBuilder out = new ByteBuilder(64 + 48 * query.shardRequests.size());
         out.appendAscii("{\"entire\":")
                 .appendAscii(isComplete ? "true" : "false")
                 .appendAscii(",\"items\":[");
         boolean first = true;
-        for (OpenQuery.Piece piece : query.pieces.values()) {
-            if (piece.value != null) {
+        for (OpenQuery.ShardRequest piece : query.shardRequests.values()) {
+            if (piece.result != null) {
                 out.appendAscii(first ? "{\"slice\":" : ",{\"slice\":")
                         .appendAscii(Integer.toString(piece.shard))
                         .appendAscii(",\"body\":\"")
-                        .appendEscaped(piece.value)
+                        .appendEscaped(piece.result)
                         .appendAscii("\"}");
                 first = false;
             }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
@@ -17,15 +17,15 @@
 import pinewick.core.SchedulerHost;
 import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
-import pinewick.memory.Call;
-import pinewick.memory.Carrier;
-import pinewick.memory.LiveLaunch;
+import pinewick.state.InFlightAttempt;
+import pinewick.state.OutboundConnection;
+import pinewick.state.ReplicaCall;
 
 /** A TCP connection to one replica (searcher), from the connect request until it is closed. */
-public final class TcpReplicaConnection implements Carrier {
+public final class TcpReplicaConnection implements OutboundConnection {
     /** Events of a connection; each one is a separate event on the event loop. */
     public interface Listener {
-        void onResponse(LiveLaunch attempt, char end, SchedulerHost.LoadReport report, byte[] value);
+        void onResponse(InFlightAttempt attempt, char end, SchedulerHost.LoadReport report, byte[] value);
 
         void onProbeResult(String replicaId, long probe, boolean succeeded, SchedulerHost.LoadReport report);
 
@@ -33,26 +33,30 @@
          * A frame arrived that is not a valid response; {@code attempt} is the one that it ends, null if it cannot be
          * told.
          */
-        void onInvalidFrame(TcpReplicaConnection connection, String reason, LiveLaunch attempt);
+        void onInvalidFrame(TcpReplicaConnection connection, String reason, InFlightAttempt attempt);
 
         /**
          * Whether the first byte of that attempt may be written now; if not, the listener has withdrawn the attempt.
          */
-        boolean canStartWrite(LiveLaunch attempt);
+        boolean canStartWrite(InFlightAttempt attempt);
 
         /** These attempts were not written completely and will not be, through no fault of the replica. */
-        void onUnsent(List<LiveLaunch> attempts);
+        void onUnsent(List<InFlightAttempt> attempts);
 
         /**
          * The connection was not established in time for these attempts; it may still be established for later ones.
          */
-        void onConnectTimeout(TcpReplicaConnection connection, List<LiveLaunch> attempts);
+        void onConnectTimeout(TcpReplicaConnection connection, List<InFlightAttempt> attempts);
 
         /**
          * The connection is closed; the attempts in {@code never} were not written completely, those in {@code perhaps}
          * were and may have run.
          */
-        void onClosed(TcpReplicaConnection connection, String reason, List<LiveLaunch> never, List<LiveLaunch> perhaps);
+        void onClosed(
+                TcpReplicaConnection connection,
+                String reason,
+                List<InFlightAttempt> never,
+                List<InFlightAttempt> perhaps);
     }
 
     private final String replicaId;
@@ -62,16 +66,16 @@
     private final Listener listener;
     private final FrameCodec.Decoder decoder;
     private final Consumer<ByteBuffer> onFrame = this::handleFrame;
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    private final ArrayDeque<ReplicaCall> waiting = new ArrayDeque<>();
     private final ArrayDeque<ByteBuffer> controlFrames = new ArrayDeque<>();
     private final ArrayDeque<Long> probes = new ArrayDeque<>();
-    private final List<Call> calls = new ArrayList<>();
+    private final List<ReplicaCall> calls = new ArrayList<>();
     private final PendingResponses pending;
     private IoFuture<StreamConnection> connectFuture;
     private XnioExecutor.Key connectTimer;
     private StreamConnection connection;
     private ByteBuffer frameBeingWritten;
-    private Call callBeingWritten;
+    private ReplicaCall callBeingWritten;
     private boolean closed;
     private boolean retired;
     private boolean writesStopped;
@@ -94,7 +98,7 @@
     }
 
     @Override
-    public String searcher() {
+    public String replicaId() {
         return replicaId;
     }
 
@@ -142,7 +146,7 @@
         controlFrames.clear();
         List<Long> unsentProbes = List.copyOf(probes);
         probes.clear();
-        listener.onConnectTimeout(this, waiting());
+        listener.onConnectTimeout(this, unwrittenAttempts());
         unsentProbes.forEach(number -> listener.onProbeResult(replicaId, number, false, null));
     }
 
@@ -169,7 +173,7 @@
 
     /** Whether another call may be sent or queued on this connection now. */
     @Override
-    public boolean hasPlace() {
+    public boolean hasCapacity() {
         return !closed
                 && !retired
                 && !writesStopped
@@ -180,7 +184,7 @@
 
     /** Reads from an unused connection, to notice that the replica has closed it before a call would be lost on it. */
     @Override
-    public boolean stillThere() {
+    public boolean isStillOpen() {
         if (connection != null && calls.isEmpty()) {
             read();
         }
@@ -188,12 +192,12 @@
     }
 
     @Override
-    public boolean isUp() {
+    public boolean isConnected() {
         return connection != null && !closed;
     }
 
     @Override
-    public int calls() {
+    public int activeCalls() {
         return calls.size();
     }
 
@@ -208,7 +212,7 @@
 
     /** Closes an idle connection before the replica would; to be called periodically. */
     @Override
-    public void look() {
+    public void checkIdle() {
         if (connection != null
                 && calls.isEmpty()
                 && probes.isEmpty()
@@ -218,15 +222,15 @@
     }
 
     @Override
-    public void send(List<LiveLaunch> attempts) {
-        Call call = new Call(this, attempts);
+    public void send(List<InFlightAttempt> attempts) {
+        ReplicaCall call = new ReplicaCall(this, attempts);
         calls.add(call);
         waiting.add(call);
         write();
     }
 
     @Override
-    public void probe(long number, boolean load) {
+    public void sendProbe(long number, boolean load) {
         probes.add(number);
         controlFrames.add(FrameCodec.frame(load ? FrameCodec.LOAD : FrameCodec.PROBE, new byte[0]));
         write();
@@ -234,18 +238,18 @@
 
     /** Withdraws an attempt that has not been written, or tells the replica that it is cancelled. */
     @Override
-    public void drop(LiveLaunch attempt, boolean tell) {
-        Call call = attempt.call;
-        if (call.stage == Call.Stage.WAITING) {
-            call.launches.remove(attempt);
-        } else if (call.stage == Call.Stage.BEGUN) {
+    public void cancel(InFlightAttempt attempt, boolean tell) {
+        ReplicaCall call = attempt.call;
+        if (call.writeState == ReplicaCall.WriteState.PENDING) {
+            call.attempts.remove(attempt);
+        } else if (call.writeState == ReplicaCall.WriteState.PARTIAL) {
             // The rest of the frame would otherwise be sent after the query has its response. So nothing more is
             // written, while calls outstanding on this connection may still be answered; closing at once would lose
             // their responses.
             writesStopped = true;
             loop.later("abandoning a frame", this::abandonFrame);
         } else if (tell) {
-            controlFrames.add(FrameCodec.cancel(attempt.piece.id));
+            controlFrames.add(FrameCodec.cancel(attempt.shardRequest.id));
             write();
             if (controlFrames.size() > limits.maxQueuedControlFrames()) {
                 loop.later(
@@ -256,10 +260,11 @@
     }
 
     private void abandonFrame() {
-        List<LiveLaunch> unwritten = new ArrayList<>();
-        calls.stream().filter(call -> call.stage != Call.Stage.WRITTEN).forEach(call -> call.launches.stream()
-                .filter(each -> !each.over)
-                .forEach(unwritten::add));
+        List<InFlightAttempt> unwritten = new ArrayList<>();
+        calls.stream()
+                .filter(call -> call.writeState != ReplicaCall.WriteState.WRITTEN)
+                .forEach(call ->
+                        call.attempts.stream().filter(each -> !each.ended).forEach(unwritten::add));
         if (!closed) {
             listener.onUnsent(unwritten);
             retire("a partly written frame was abandoned");
@@ -268,18 +273,18 @@
 
     /** The attempts of which no byte has been written. */
     @Override
-    public List<LiveLaunch> waiting() {
-        List<LiveLaunch> unwritten = new ArrayList<>();
-        waiting.forEach(call -> unwritten.addAll(call.launches));
+    public List<InFlightAttempt> unwrittenAttempts() {
+        List<InFlightAttempt> unwritten = new ArrayList<>();
+        waiting.forEach(call -> unwritten.addAll(call.attempts));
         return unwritten;
     }
 
     /** An attempt on this connection has ended, for whatever reason. */
     @Override
-    public void over(LiveLaunch attempt) {
-        Call call = attempt.call;
+    public void onAttemptEnded(InFlightAttempt attempt) {
+        ReplicaCall call = attempt.call;
         pending.onAttemptEnd(attempt);
-        if (--call.out == 0) {
+        if (--call.activeCount == 0) {
             calls.remove(call);
             waiting.remove(call);
             if (retired && calls.isEmpty()) {
@@ -290,8 +295,8 @@
 
     /** Whether nothing has been received since that call was written. */
     @Override
-    public boolean silentSince(Call call) {
-        return call.stage == Call.Stage.WRITTEN && lastReceivedAt < call.writtenAt;
+    public boolean isSilentSince(ReplicaCall call) {
+        return call.writeState == ReplicaCall.WriteState.WRITTEN && lastReceivedAt < call.writtenAt;
     }
 
     private void write() {
@@ -304,8 +309,8 @@
                     connection.getSinkChannel().resumeWrites();
                     return;
                 }
-                if (callBeingWritten != null && callBeingWritten.stage == Call.Stage.WAITING) {
-                    callBeingWritten.stage = Call.Stage.BEGUN;
+                if (callBeingWritten != null && callBeingWritten.writeState == ReplicaCall.WriteState.PENDING) {
+                    callBeingWritten.writeState = ReplicaCall.WriteState.PARTIAL;
                 }
                 if (!frameBeingWritten.hasRemaining()) {
                     onFrameWritten();
@@ -323,14 +328,14 @@
             return true;
         }
         while (!waiting.isEmpty()) {
-            Call call = waiting.poll();
-            List.copyOf(call.launches).stream()
+            ReplicaCall call = waiting.poll();
+            List.copyOf(call.attempts).stream()
                     .filter(each -> !listener.canStartWrite(each))
-                    .forEach(call.launches::remove);
+                    .forEach(call.attempts::remove);
             if (writesStopped || closed) {
                 return false;
             }
-            if (!call.launches.isEmpty()) {
+            if (!call.attempts.isEmpty()) {
                 callBeingWritten = call;
                 frameBeingWritten = FrameCodec.call(call, loop.clock());
                 return true;
@@ -343,9 +348,9 @@
         frameBeingWritten = null;
         lastUsedAt = loop.now();
         if (callBeingWritten != null) {
-            callBeingWritten.stage = Call.Stage.WRITTEN;
+            callBeingWritten.writeState = ReplicaCall.WriteState.WRITTEN;
             callBeingWritten.writtenAt = lastUsedAt;
-            pending.onWritten(callBeingWritten.launches);
+            pending.onWritten(callBeingWritten.attempts);
             callBeingWritten = null;
         }
     }
@@ -422,7 +427,7 @@
             onInvalidFrame(response.part(), "malformed response");
             return;
         }
-        LiveLaunch attempt = pending.onResponse(response.part());
+        InFlightAttempt attempt = pending.onResponse(response.part());
         if (attempt != null) {
             listener.onResponse(attempt, response.end(), response.report(), response.value());
         }
@@ -435,16 +440,16 @@
      */
     private void onInvalidFrame(String part, String reason) {
         boolean namesPart = part != null && pending.isExpected(part);
-        LiveLaunch endedAttempt = namesPart ? pending.waitingAttempt(part) : null;
+        InFlightAttempt endedAttempt = namesPart ? pending.waitingAttempt(part) : null;
         if (!namesPart) {
-            List<LiveLaunch> outstanding = new ArrayList<>();
-            calls.forEach(call -> call.launches.stream()
-                    .filter(each -> !each.over && call.stage == Call.Stage.WRITTEN)
+            List<InFlightAttempt> outstanding = new ArrayList<>();
+            calls.forEach(call -> call.attempts.stream()
+                    .filter(each -> !each.ended && call.writeState == ReplicaCall.WriteState.WRITTEN)
                     .forEach(outstanding::add));
             endedAttempt = outstanding.size() == 1 ? outstanding.get(0) : null;
         }
         retired = true;
-        listener.onInvalidFrame(this, reason, endedAttempt == null || endedAttempt.over ? null : endedAttempt);
+        listener.onInvalidFrame(this, reason, endedAttempt == null || endedAttempt.ended ? null : endedAttempt);
         if (calls.isEmpty()) {
             loop.later("closing a connection after an invalid frame", () -> close("spoilt"));
         }
@@ -482,12 +487,12 @@
             connectFuture.cancel();
         }
         IoUtils.safeClose(connection);
-        List<LiveLaunch> never = new ArrayList<>();
-        List<LiveLaunch> perhaps = new ArrayList<>();
-        for (Call call : calls) {
-            for (LiveLaunch attempt : call.launches) {
-                if (!attempt.over) {
-                    (call.stage == Call.Stage.WRITTEN ? perhaps : never).add(attempt);
+        List<InFlightAttempt> never = new ArrayList<>();
+        List<InFlightAttempt> perhaps = new ArrayList<>();
+        for (ReplicaCall call : calls) {
+            for (InFlightAttempt attempt : call.attempts) {
+                if (!attempt.ended) {
+                    (call.writeState == ReplicaCall.WriteState.WRITTEN ? perhaps : never).add(attempt);
                 }
             }
         }
--- a/query-mixer/daemon/src/test/java/pinewick/protocol/TcpReplicaConnectionTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/TcpReplicaConnectionTest.java
@@ -33,9 +33,9 @@
 import pinewick.loop.EventLoop;
 import pinewick.loop.Limits;
 import pinewick.loop.Log;
-import pinewick.memory.Call;
-import pinewick.memory.LiveLaunch;
-import pinewick.memory.OpenQuery;
+import pinewick.state.InFlightAttempt;
+import pinewick.state.OpenQuery;
+import pinewick.state.ReplicaCall;
 
 /**
  * One connection to a replica over a real socket; running code on the event loop thread forces the order of two events.
@@ -55,42 +55,43 @@
     /** Records the events of the connection, and ends attempts as the last stage does. */
     private final class RecordingListener implements TcpReplicaConnection.Listener {
         @Override
-        public void onResponse(LiveLaunch launch, char end, SchedulerHost.LoadReport report, byte[] value) {
-            end(launch, "answered " + launch.piece.id);
+        public void onResponse(InFlightAttempt launch, char end, SchedulerHost.LoadReport report, byte[] value) {
+            end(launch, "answered " + launch.shardRequest.id);
         }
 
         @Override
         public void onProbeResult(String from, long probe, boolean good, SchedulerHost.LoadReport report) {}
 
         @Override
-        public void onInvalidFrame(TcpReplicaConnection from, String why, LiveLaunch launch) {
+        public void onInvalidFrame(TcpReplicaConnection from, String why, InFlightAttempt launch) {
             events.add("spoilt " + why);
         }
 
         @Override
-        public void onClosed(TcpReplicaConnection from, String why, List<LiveLaunch> never, List<LiveLaunch> perhaps) {
+        public void onClosed(
+                TcpReplicaConnection from, String why, List<InFlightAttempt> never, List<InFlightAttempt> perhaps) {
             events.add("closed, never " + never.size() + ", perhaps " + perhaps.size());
         }
 
         @Override
-        public boolean canStartWrite(LiveLaunch launch) {
+        public boolean canStartWrite(InFlightAttempt launch) {
             return true;
         }
 
         @Override
-        public void onUnsent(List<LiveLaunch> launches) {
-            launches.forEach(each -> end(each, "unsent " + each.piece.id));
+        public void onUnsent(List<InFlightAttempt> launches) {
+            launches.forEach(each -> end(each, "unsent " + each.shardRequest.id));
         }
 
         @Override
-        public void onConnectTimeout(TcpReplicaConnection from, List<LiveLaunch> launches) {
-            launches.forEach(each -> end(each, "not up " + each.piece.id));
+        public void onConnectTimeout(TcpReplicaConnection from, List<InFlightAttempt> launches) {
+            launches.forEach(each -> end(each, "not up " + each.shardRequest.id));
         }
 
-        private void end(LiveLaunch launch, String how) {
+        private void end(InFlightAttempt launch, String how) {
             events.add(how);
-            launch.over = true;
-            launch.call.link.over(launch);
+            launch.ended = true;
+            launch.call.connection.onAttemptEnded(launch);
         }
     }
 
@@ -141,11 +142,11 @@
         assertTrue(done.await(WAIT_SECONDS, TimeUnit.SECONDS));
     }
 
-    private static LiveLaunch launch(String query, int bytes) {
+    private static InFlightAttempt launch(String query, int bytes) {
         OpenQuery openQuery = new OpenQuery(query, 0, 10, null, null);
-        openQuery.text = new byte[bytes];
-        openQuery.piece(0, 1);
-        return new LiveLaunch(openQuery.pieces.get(query + ".0"), 0, "a", 0, 10);
+        openQuery.filter = new byte[bytes];
+        openQuery.addShardRequest(0, 1);
+        return new InFlightAttempt(openQuery.shardRequests.get(query + ".0"), 0, "a", 0, 10);
     }
 
     /** Reads the frame of one call at the replica. */
@@ -180,7 +181,7 @@
             replicaSocket.setSoLinger(true, 0);
             replicaSocket.close();
             for (int each = 0; each < 3; each++) {
-                connection.probe(each, false);
+                connection.sendProbe(each, false);
             }
         });
         assertEquals("answered q1.0", next());
@@ -191,17 +192,17 @@
     void abandoningAPartlyWrittenFrameLosesNoOtherCall() throws Exception {
         onLoop(() -> connection.send(List.of(launch("q1", 3))));
         readCall();
-        LiveLaunch large = launch("q2", 64 << 20);
-        LiveLaunch behind = launch("q3", 3);
+        InFlightAttempt large = launch("q2", 64 << 20);
+        InFlightAttempt behind = launch("q3", 3);
         onLoop(() -> {
             connection.send(List.of(large));
             connection.send(List.of(behind));
         });
         onLoop(() -> {
-            assertEquals(Call.Stage.BEGUN, large.call.stage);
-            connection.drop(large, false);
-            large.over = true;
-            connection.over(large);
+            assertEquals(ReplicaCall.WriteState.PARTIAL, large.call.writeState);
+            connection.cancel(large, false);
+            large.ended = true;
+            connection.onAttemptEnded(large);
         });
         assertEquals("unsent q3.0", next());
         answer("q1.0");
@@ -228,7 +229,7 @@
             second[0].send(List.of(launch("q1", 3)));
         });
         assertEquals("not up q1.0", next());
-        onLoop(() -> assertFalse(second[0].hasPlace(), "no new call may be queued on it"));
+        onLoop(() -> assertFalse(second[0].hasCapacity(), "no new call may be queued on it"));
         for (Socket each : fill) {
             server.accept().close();
             each.close();
@@ -236,7 +237,7 @@
         Socket late = server.accept();
         boolean[] up = new boolean[1];
         while (!up[0]) {
-            onLoop(() -> up[0] = second[0].hasPlace());
+            onLoop(() -> up[0] = second[0].hasCapacity());
         }
         onLoop(() -> second[0].send(List.of(launch("q2", 3))));
         replicaSocket.close();
