--- a/router-fleet/dissemination/src/main/java/pinewick/dissemination/ReplicaGossip.java
+++ b/router-fleet/dissemination/src/main/java/pinewick/dissemination/ReplicaGossip.java
@@ -17,13 +17,16 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Epidemic push of changed replica records (rumour mongering; Demers and others, 1987): a record that changed here is
- * pushed to some peers with the next tick, and its hash is sent to a few more in the following ticks, which request
- * what they lack. {@link ReplicaReconciliation} repairs what was lost. Control loop only.
+ * Epidemic push of changed replica records (rumour mongering; Demers and others, 1987): a record that changed at
+ * this process is pushed to some peers with the next tick. In the following ticks its hash is sent to a few more
+ * peers, which request the record if they lack it. {@link ReplicaReconciliation} repairs losses. Control loop only.
  */
 final class ReplicaGossip {
-    /** With more records than this in one tick, only a few peers get a push; reconciliation does the rest. */
-    private static final int BULK_RECORDS = 16;
+    /**
+     * If more records than this change within one tick, they are pushed to fewer peers and not repeated;
+     * reconciliation does the rest.
+     */
+    private static final int BULK_THRESHOLD_RECORDS = 16;
 
     private static final byte[] NO_BUCKETS = {};
 
@@ -42,14 +45,14 @@
         this.outbox = outbox;
     }
 
-    /** A record has changed, from whatever source. */
+    /** Called when a record has changed, whatever the source. */
     void onReplicaChanged(ReplicaRecord record, double nowMs) {
         if (record.state() == ReplicaState.GONE) {
             records.tombstones().recordRemoval(record.instanceId(), nowMs);
         }
     }
 
-    /** Merges a record of this process; the next tick pushes it if it concerns routers. */
+    /** Merges a record from this process; the next tick pushes it if the change concerns routers. */
     void publish(ReplicaRecord record, double nowMs) {
         if (records.apply(new GossipedReplica(record, 0), nowMs)) {
             localUpdates.add(record.instanceId());
@@ -65,14 +68,14 @@
         pushUpdates(nowMs);
     }
 
-    /** Whether the next tick has something to send. */
+    /** Whether the next tick has anything to send. */
     boolean hasPendingUpdates() {
         return !localUpdates.isEmpty()
                 || !remoteUpdates.isEmpty()
                 || recentlyPushed.stream().anyMatch(ids -> !ids.isEmpty());
     }
 
-    /** Sends the hashes of what recent ticks pushed to a few more peers, which request what they lack. */
+    /** Sends the hashes of recently pushed records to a few more peers, which request the records that they lack. */
     private void sendSummaries() {
         for (Set<String> ids : recentlyPushed) {
             if (!ids.isEmpty()) {
@@ -95,7 +98,7 @@
         Set<String> updates = new LinkedHashSet<>(localUpdates);
         updates.addAll(remoteUpdates);
         remoteUpdates.removeAll(localUpdates);
-        boolean isBulk = updates.size() > BULK_RECORDS;
+        boolean isBulk = updates.size() > BULK_THRESHOLD_RECORDS;
         if (!localUpdates.isEmpty()) {
             Set<SocketAddress> targets = new LinkedHashSet<>(peers.controllers());
             targets.addAll(peers.randomPeers(isBulk ? Fanout.RELAY_PEERS : Fanout.ORIGIN_PEERS));
@@ -106,15 +109,15 @@
         }
         localUpdates.clear();
         remoteUpdates.clear();
-        keepForRepeats(isBulk ? Set.of() : updates);
+        keepForSummaries(isBulk ? Set.of() : updates);
     }
 
-    /** Pushes a record to some peers now; the next tick does so again, with whatever else has changed by then. */
+    /** Pushes a record to some peers immediately; the next tick pushes it again, together with the other changes. */
     void pushNow(String instanceId, double nowMs) {
         push(Set.of(instanceId), peers.randomPeers(Fanout.ORIGIN_PEERS), nowMs);
     }
 
-    private void keepForRepeats(Set<String> updates) {
+    private void keepForSummaries(Set<String> updates) {
         recentlyPushed.addFirst(updates);
         while (recentlyPushed.size() > Fanout.repeats(peers.viewSize())) {
             recentlyPushed.removeLast();
@@ -126,7 +129,7 @@
         targets.forEach(target -> records.send(target, pushed));
     }
 
-    /** Merges what a peer pushed; where the record here is newer, it is sent back. */
+    /** Merges the records that a peer pushed, and sends back those that are newer at this process. */
     void onUpdate(SocketAddress sender, ReplicaUpdate update, double nowMs) {
         List<GossipedReplica> corrections = new ArrayList<>();
         for (GossipedReplica gossiped : update.records()) {
--- a/router-fleet/dissemination/src/main/java/pinewick/dissemination/ReplicaReconciliation.java
+++ b/router-fleet/dissemination/src/main/java/pinewick/dissemination/ReplicaReconciliation.java
@@ -23,16 +23,16 @@
 
 /**
  * Anti-entropy of replica records (Demers and others, "Epidemic algorithms for replicated database maintenance", 1987):
- * two processes whose digests differ find out which records differ, by hashes of buckets and then by hashes of records,
- * and exchange these. A process without any record asks for a snapshot. Control loop only.
+ * two processes whose digests differ find the differing records by comparing hashes of buckets and then hashes of
+ * records, and exchange those records. A process without any record requests a snapshot. Control loop only.
  */
 final class ReplicaReconciliation {
-    /** Up to this many records, a summary of all of them fits a datagram. */
+    /** A summary of up to this many records fits into one datagram. */
     private static final int MAX_SUMMARY_RECORDS = 45;
 
     private static final double SNAPSHOT_REQUEST_INTERVAL_MS = 400;
 
-    /** A snapshot that arrives later than this after its request is ignored. */
+    /** A snapshot that arrives more than this after its request is ignored, milliseconds. */
     private static final double MAX_SNAPSHOT_AGE_MS = 5_000;
 
     private static final int MAX_OUTSTANDING = 16;
@@ -44,12 +44,15 @@
     private final OutstandingRequests<SnapshotPurpose> snapshots;
     private double lastSnapshotRequestMs = Double.NEGATIVE_INFINITY;
 
-    /** Why a snapshot is requested. */
+    /** The reason for requesting a snapshot. */
     enum SnapshotPurpose {
-        /** The first of a process that has just started, from a peer chosen for it. */
+        /**
+         * A process that has just started requests its first snapshot, from a peer that {@link Bootstrap} has
+         * chosen.
+         */
         BOOTSTRAP,
-        /** A peer has records and this process has none. */
-        RECONCILING
+        /** A peer has records, and this process has none. */
+        RECONCILIATION
     }
 
     ReplicaReconciliation(FleetState state, GossipedReplicas records, Outbox outbox, RandomGenerator random) {
@@ -71,7 +74,7 @@
         }
     }
 
-    /** A peer's digest differs: starts the exchange of what differs. */
+    /** Starts to exchange the differing records with a peer whose digest differs. */
     void reconcile(SocketAddress peer, int peerCount, double nowMs) {
         int count = digest.count(nowMs);
         if (count == 0) {
@@ -86,11 +89,11 @@
     private void requestSnapshotIfDue(SocketAddress peer, double nowMs) {
         if (nowMs - lastSnapshotRequestMs >= SNAPSHOT_REQUEST_INTERVAL_MS) {
             lastSnapshotRequestMs = nowMs;
-            requestSnapshot(peer, SnapshotPurpose.RECONCILING, nowMs);
+            requestSnapshot(peer, SnapshotPurpose.RECONCILIATION, nowMs);
         }
     }
 
-    /** Asks a peer for all its records. */
+    /** Requests all records of a peer. */
     void requestSnapshot(SocketAddress peer, SnapshotPurpose purpose, double nowMs) {
         outbox.send(peer, new SnapshotRequest(snapshots.register(peer, purpose, nowMs)));
     }
@@ -106,7 +109,10 @@
         }
     }
 
-    /** Sends what the peer lacks and asks for what this process lacks; both where the two have different records. */
+    /**
+     * Sends the records that the peer lacks and requests those that this process lacks; does both for records that
+     * differ.
+     */
     void onSummary(SocketAddress sender, ReplicaSummary summary, double nowMs) {
         Set<String> listed = new HashSet<>();
         List<String> missing = new ArrayList<>();
@@ -134,7 +140,7 @@
         records.sendExpired(sender, expired);
     }
 
-    /** The records of some buckets that a peer's summary of these buckets does not list. */
+    /** The records in some buckets that are missing from a peer's summary of these buckets. */
     private List<GossipedReplica> notListed(BitSet buckets, Set<String> listed, double nowMs) {
         List<GossipedReplica> notListed = new ArrayList<>();
         for (ReplicaRecord record : state.replicas()) {
@@ -150,7 +156,7 @@
         return records.tombstones().belongsInDigest(record, nowMs);
     }
 
-    /** A peer knows of removals that this process has missed. */
+    /** Removes replicas whose removal this process has missed. */
     void onExpired(ExpiredReplicas expired, double nowMs) {
         for (String id : expired.instanceIds()) {
             state.findReplica(id).ifPresent(known -> {
@@ -176,9 +182,9 @@
     }
 
     /**
-     * Merges all records of a peer, as requested. They are not pushed on.
+     * Merges the requested snapshot of a peer. Its records are not pushed to other peers.
      *
-     * @return why they were requested, empty if the snapshot is ignored
+     * @return the reason why it was requested, empty if it matches no outstanding request
      */
     Optional<SnapshotPurpose> onSnapshot(SocketAddress sender, ReplicaSnapshot snapshot, double nowMs) {
         var request = snapshots.complete(snapshot.requestId(), sender, nowMs);
--- a/router-fleet/dissemination/src/main/java/pinewick/dissemination/Tombstones.java
+++ b/router-fleet/dissemination/src/main/java/pinewick/dissemination/Tombstones.java
@@ -7,17 +7,20 @@
 import pinewick.model.ReplicaState;
 
 /**
- * Since when replicas have been gone. Their records are kept as tombstones for a time, so that no stale record revives
- * them, and then removed; the ids of expired ones are remembered, so that a peer that expires them later cannot bring
- * them back. Control loop only, except for {@link #ageMs}.
+ * Tracks since when replicas have been gone. Their records are kept as tombstones for some time, so that no stale
+ * record revives them, and are then removed. The ids of expired tombstones are kept, so that a peer whose tombstones
+ * expire later cannot bring the records back. Control loop only, except for {@link #ageMs}.
  */
 final class Tombstones {
-    /** A tombstone is kept for this long. */
+    /** How long a tombstone is kept, milliseconds. */
     static final double RETENTION_MS = 60_000;
-    /** After this long it is left out of digests, since processes do not remove it at the same moment. */
+    /**
+     * How long a tombstone is included in digests, milliseconds; shorter than the retention, because processes do
+     * not remove a tombstone at the same time.
+     */
     static final double DIGEST_RETENTION_MS = 50_000;
 
-    private static final int MAX_EXPIRED = 8_192;
+    private static final int MAX_EXPIRED_IDS = 8_192;
 
     private final Map<String, Double> removedAtMs = new ConcurrentHashMap<>();
     private final Map<String, Boolean> expired = new LinkedHashMap<>() {
@@ -25,16 +28,16 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MAX_EXPIRED;
+            return size() > MAX_EXPIRED_IDS;
         }
     };
 
-    /** A replica was known to be gone at this time; the earliest time counts. */
+    /** Records that a replica was gone at this time; the earliest time is kept. */
     void recordRemoval(String instanceId, double atMs) {
         removedAtMs.merge(instanceId, atMs, Math::min);
     }
 
-    /** Whether a peer's record may be merged. */
+    /** Whether a record from a peer may be merged. */
     boolean isAcceptable(FleetMessages.GossipedReplica gossiped) {
         boolean isTooOld = gossiped.record().state() == ReplicaState.GONE && gossiped.tombstoneAgeMs() >= RETENTION_MS;
         return !isTooOld && !expired.containsKey(gossiped.record().instanceId());
@@ -53,7 +56,7 @@
         return ageMs(record, nowMs) < DIGEST_RETENTION_MS;
     }
 
-    /** Removes expired tombstones; returns whether the content of digests changed. */
+    /** Removes expired tombstones; returns whether the content of the digest may have changed. */
     boolean expire(FleetState state, double nowMs) {
         boolean changed = false;
         var entries = removedAtMs.entrySet().iterator();
--- a/router-fleet/dissemination/src/main/java/pinewick/dissemination/package-info.java
+++ b/router-fleet/dissemination/src/main/java/pinewick/dissemination/package-info.java
@@ -1,9 +1,9 @@
 /**
- * What every process of the fleet should know, the configuration and the replica records, and how it reaches them by
- * gossip: {@link pinewick.dissemination.FleetNode} is the entrance, {@link pinewick.dissemination.FleetState} the
- * knowledge. {@link pinewick.dissemination.ConfigurationGossip} and {@link pinewick.dissemination.ReplicaGossip} push
- * what is new, {@link pinewick.dissemination.ReplicaReconciliation} repairs what was missed,
- * {@link pinewick.dissemination.Bootstrap} brings a new process up to date. No I/O: time, randomness and messages are
- * handed in.
+ * Disseminates the configuration and the replica records to every process of the fleet by gossip.
+ * {@link pinewick.dissemination.FleetNode} is the entry point, {@link pinewick.dissemination.FleetState} holds the
+ * data. {@link pinewick.dissemination.ConfigurationGossip} and {@link pinewick.dissemination.ReplicaGossip} push
+ * updates, {@link pinewick.dissemination.ReplicaReconciliation} repairs missed updates by anti-entropy,
+ * {@link pinewick.dissemination.Bootstrap} brings a new process up to date. No I/O: the caller passes in time,
+ * randomness and messages.
  */
 package pinewick.dissemination;
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/BootstrapDuringPartitionTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/BootstrapDuringPartitionTest.java
@@ -31,7 +31,7 @@
 
     private static void commit(Process origin, long version) {
         origin.state.offer(TestDocuments.withRoutes(version, 40));
-        origin.node.configurationCommitted(origin.localMs());
+        origin.node.publishConfiguration(origin.localMs());
     }
 
     private static long version(Process process) {
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetFaultTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetFaultTest.java
@@ -33,7 +33,7 @@
 
     private static void commit(Process origin, ConfigurationDocument document) {
         origin.state.offer(document);
-        origin.node.configurationCommitted(origin.localMs());
+        origin.node.publishConfiguration(origin.localMs());
     }
 
     private static void publish(Process origin, ReplicaRecord record) {
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessBoundsTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessBoundsTest.java
@@ -43,7 +43,7 @@
             simulation.loss = loss;
             lead(0);
             simulation.controllers.forEach(controller -> controller.state.offer(TestDocuments.withTenants(1)));
-            simulation.controllers.get(0).node.configurationCommitted(0);
+            simulation.controllers.get(0).node.publishConfiguration(0);
             heartbeat();
             simulation.run(SETTLED_MS);
             simulation.resetCounts();
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessPropertyTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessPropertyTest.java
@@ -71,7 +71,7 @@
             newest = TestDocuments.withTenants(newest.version() + 1);
             primary.state.offer(newest);
             acknowledgedAtMs.put(newest.version(), fleet.nowMs);
-            primary.node.configurationCommitted(primary.localMs());
+            primary.node.publishConfiguration(primary.localMs());
             fleet.after(fleet.random.nextDouble() * MAX_CHANGE_INTERVAL_MS, this::change);
         }
 
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/GossipBoundsTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/GossipBoundsTest.java
@@ -70,7 +70,7 @@
     private void commit(FleetSimulation fleet, int controller, ConfigurationDocument document) {
         FleetSimulation.Process origin = fleet.controllers.get(controller);
         origin.state.offer(document);
-        origin.node.configurationCommitted(origin.localMs());
+        origin.node.publishConfiguration(origin.localMs());
         awaitAll(fleet, process -> process.state.configuration().version() >= document.version());
     }
 
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/HealedPartitionTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/HealedPartitionTest.java
@@ -31,7 +31,7 @@
 
     private static void commit(Process origin, long version) {
         origin.state.offer(TestDocuments.withRoutes(version, ROUTES, (int) (version - FIRST_VERSION)));
-        origin.node.configurationCommitted(origin.localMs());
+        origin.node.publishConfiguration(origin.localMs());
     }
 
     /** A controller and some routers are cut off while configurations change and replicas drain at either side. */
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/LargeConfigurationTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/LargeConfigurationTest.java
@@ -45,7 +45,7 @@
     private static void commit(FleetSimulation fleet, ConfigurationDocument document) {
         Process origin = fleet.controllers.get(0);
         origin.state.offer(document);
-        origin.node.configurationCommitted(origin.localMs());
+        origin.node.publishConfiguration(origin.localMs());
     }
 
     private static double untilAllHold(FleetSimulation fleet, long version) {
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/LoopbackFleetTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/LoopbackFleetTest.java
@@ -104,7 +104,7 @@
         RunningNode origin = nodes.get(0);
         origin.loop.execute(() -> {
             origin.state.offer(document);
-            origin.node.configurationCommitted(origin.loop.nowMs());
+            origin.node.publishConfiguration(origin.loop.nowMs());
         });
         awaitAll(latches);
     }
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowNode.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowNode.java
@@ -99,7 +99,7 @@
         long atNs = System.nanoTime();
         loop.execute(() -> {
             state.offer(document);
-            node.configurationCommitted(loop.nowMs());
+            node.publishConfiguration(loop.nowMs());
         });
         return atNs;
     }
