--- a/router-fleet/control/src/main/java/pinewick/control/InFlightRequests.java
+++ b/router-fleet/control/src/main/java/pinewick/control/InFlightRequests.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Counts the requests in flight. Safe for use by several threads. */
+/** Counts the requests in flight. Thread-safe. */
 final class InFlightRequests {
     private int inFlight;
 
--- a/router-fleet/control/src/main/java/pinewick/control/ReplicaRegistry.java
+++ b/router-fleet/control/src/main/java/pinewick/control/ReplicaRegistry.java
@@ -18,14 +18,14 @@
  * only once another controller has confirmed its record, because after the acknowledgement no router may send the
  * replica a request, even if this process fails.
  *
- * <p>If no other controller confirms in time, the replica gets a 503 and calls another controller. A controller that
- * has had no contact with a quorum for a while answers 503 at once: it may be partitioned from most routers, even if
- * it reaches some other controllers, and the replica may still reach a controller on the other side. Such a
- * controller acknowledges a removal only when the replica repeats it: either after another controller has confirmed
- * it or, if no message from any controller has arrived for {@code contact_ms}, on its own, because no other
+ * <p>If no other controller confirms in time, the replica is redirected: it gets a 503 and calls another controller.
+ * A controller that has had no contact with a quorum for a while redirects at once: it may be partitioned from most
+ * routers, even if it reaches some other controllers, and the replica may still reach a controller on the other side.
+ * Such a controller acknowledges a removal only when the replica repeats it: either after another controller has
+ * confirmed it or, if no message from any controller has arrived for {@code contact_ms}, on its own, because no other
  * controller can have received it then. The record is published at once in all of these cases.
  *
- * <p>A controller without a quorum also answers 503 once to a ready replica, but records its heartbeat.
+ * <p>A controller without a quorum also redirects a ready replica once, but records its heartbeat.
  *
  * <p>Control loop only.
  */
--- a/router-fleet/control/src/main/java/pinewick/control/StagePlanner.java
+++ b/router-fleet/control/src/main/java/pinewick/control/StagePlanner.java
@@ -40,7 +40,10 @@
     /** A replica and the stage that it should serve from now on. */
     record Change(ReplicaLoad replica, Stage stage) {}
 
-    /** Returns the changes that are due, at most one per service. The planner counts a returned change as made. */
+    /**
+     * Returns the changes that are due, at most one per service. The planner assumes that a returned change is
+     * carried out.
+     */
     List<Change> plan(Collection<ReplicaLoad> loads, double nowMs) {
         Map<String, List<ReplicaLoad>> byService = new TreeMap<>();
         loads.stream().filter(load -> load.stage() != Stage.NONE).forEach(load -> byService
