--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
@@ -204,7 +204,7 @@
     void shareLoadReports(Consumer<Message> send) {
         serial.execute(() -> {
             sharing.takeMessage(timers.nowMs()).ifPresent(send);
-            sharing.takePaces().ifPresent(send);
+            sharing.takeServiceTimes().ifPresent(send);
         });
     }
 
@@ -220,7 +220,7 @@
     /** Sends what this router has learnt of prefix caches and service times. */
     void sendSnapshot(Consumer<Message> send) {
         serial.execute(() -> {
-            send.accept(sharing.allPaces());
+            send.accept(sharing.allServiceTimes());
             send.accept(sharing.snapshot(timers.nowMs()));
         });
     }
@@ -230,8 +230,8 @@
      *
      * @param forward whether what is new here is sent on
      */
-    void onPaces(ServicePaces paces, boolean forward) {
-        serial.execute(() -> sharing.onPaces(paces, forward));
+    void onServiceTimes(ServiceTimesMessage serviceTimes, boolean forward) {
+        serial.execute(() -> sharing.onServiceTimes(serviceTimes, forward));
     }
 
     /** The estimates of another router arrived. */
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/FleetConnection.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/FleetConnection.java
@@ -68,7 +68,7 @@
         void onLoadReport(LoadReportMessage message);
 
         /** Service times. */
-        void onPaces(ServicePaces paces);
+        void onServiceTimes(ServiceTimesMessage serviceTimes);
 
         /** A router asks for this one's estimates of the prefix caches. */
         void onSnapshotRequest(SocketAddress sender);
@@ -97,8 +97,8 @@
     private void onMessage(SocketAddress sender, Message message, RouterMessageListener listener) {
         if (message instanceof LoadReportMessage loadReport) {
             listener.onLoadReport(loadReport);
-        } else if (message instanceof ServicePaces paces) {
-            listener.onPaces(paces);
+        } else if (message instanceof ServiceTimesMessage serviceTimes) {
+            listener.onServiceTimes(serviceTimes);
         } else if (message instanceof PrefixCacheSnapshotRequest) {
             listener.onSnapshotRequest(sender);
         } else if (message instanceof PrefixCacheSnapshot snapshot) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportExchange.java
@@ -33,13 +33,13 @@
     private final ReplicaSelector selector;
     private final Map<String, LoadReport> unsentReports = new LinkedHashMap<>();
     /** The paces that other routers know of, from this one or from others. */
-    private final Set<PaceKey> announcedPaces = new HashSet<>();
+    private final Set<ServiceTimeKey> announcedServiceTimes = new HashSet<>();
 
-    private final List<SharedServiceTime> unsentPaces = new ArrayList<>();
+    private final List<SharedServiceTime> unsentServiceTimes = new ArrayList<>();
 
-    private record PaceKey(String service, CallKind kind) {
-        static PaceKey of(SharedServiceTime pace) {
-            return new PaceKey(pace.service(), pace.kind());
+    private record ServiceTimeKey(String service, CallKind kind) {
+        static ServiceTimeKey of(SharedServiceTime serviceTime) {
+            return new ServiceTimeKey(serviceTime.service(), serviceTime.kind());
         }
     }
 
@@ -107,17 +107,17 @@
     }
 
     /** The paces to be sent now, empty if there are none: each is told when this router is the first to know it. */
-    Optional<ServicePaces> takePaces() {
-        for (SharedServiceTime pace : selector.serviceTimes()) {
-            if (announcedPaces.add(PaceKey.of(pace))) {
-                unsentPaces.add(pace);
+    Optional<ServiceTimesMessage> takeServiceTimes() {
+        for (SharedServiceTime serviceTime : selector.serviceTimes()) {
+            if (announcedServiceTimes.add(ServiceTimeKey.of(serviceTime))) {
+                unsentServiceTimes.add(serviceTime);
             }
         }
-        if (unsentPaces.isEmpty()) {
+        if (unsentServiceTimes.isEmpty()) {
             return Optional.empty();
         }
-        ServicePaces message = new ServicePaces(unsentPaces);
-        unsentPaces.clear();
+        ServiceTimesMessage message = new ServiceTimesMessage(unsentServiceTimes);
+        unsentServiceTimes.clear();
         return Optional.of(message);
     }
 
@@ -126,19 +126,19 @@
      *
      * @param forward whether what is new here is sent on
      */
-    void onPaces(ServicePaces message, boolean forward) {
-        for (SharedServiceTime pace : message.paces()) {
-            boolean isNew = selector.onSharedServiceTime(pace);
-            boolean isFirst = announcedPaces.add(PaceKey.of(pace));
+    void onServiceTimes(ServiceTimesMessage message, boolean forward) {
+        for (SharedServiceTime serviceTime : message.serviceTimes()) {
+            boolean isNew = selector.onSharedServiceTime(serviceTime);
+            boolean isFirst = announcedServiceTimes.add(ServiceTimeKey.of(serviceTime));
             if (forward && isNew && isFirst) {
-                unsentPaces.add(pace);
+                unsentServiceTimes.add(serviceTime);
             }
         }
     }
 
     /** What a router that has just started is told of service times. */
-    ServicePaces allPaces() {
-        return new ServicePaces(selector.serviceTimes());
+    ServiceTimesMessage allServiceTimes() {
+        return new ServiceTimesMessage(selector.serviceTimes());
     }
 
     /** What a router that has just started is told of the prefix caches. */
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportMessage.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportMessage.java
@@ -32,7 +32,7 @@
                 PrefixCacheSnapshot.class,
                 CallKind.class,
                 SharedServiceTime.class,
-                ServicePaces.class);
+                ServiceTimesMessage.class);
     }
 
     /**
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/QuotaAdmission.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/QuotaAdmission.java
@@ -43,7 +43,7 @@
      * @param status 429 over the limit, 503 without a decision
      * @param retryAfterSeconds when the client may come back
      */
-    record Refusal(int status, double retryAfterSeconds) {}
+    record Rejection(int status, double retryAfterSeconds) {}
 
     /**
      * @param charge what the request counts, empty without a limit
@@ -68,7 +68,7 @@
     }
 
     /** Runs one of the two, now or later, unless it is cancelled first. */
-    void begin(Runnable onGranted, Consumer<Refusal> onRefused) {
+    void begin(Runnable onGranted, Consumer<Rejection> onRefused) {
         if (charge.isEmpty()) {
             onGranted.run();
             return;
@@ -77,7 +77,7 @@
         request(onGranted, onRefused);
     }
 
-    private void request(Runnable onGranted, Consumer<Refusal> onRefused) {
+    private void request(Runnable onGranted, Consumer<Rejection> onRefused) {
         requestsLeft--;
         decided = false;
         PendingGrant requested = quotas.request(charge.get(), decision -> onDecision(decision, onGranted, onRefused));
@@ -94,7 +94,7 @@
         timer.ifPresent(Timers.Timer::cancel);
     }
 
-    private void onDecision(QuotaDecision decision, Runnable onGranted, Consumer<Refusal> onRefused) {
+    private void onDecision(QuotaDecision decision, Runnable onGranted, Consumer<Rejection> onRefused) {
         decided = true;
         timer.ifPresent(Timers.Timer::cancel);
         if (decision instanceof QuotaDecision.Granted) {
@@ -103,7 +103,7 @@
             timer = Optional.of(timers.schedule(over.retryAfterMs(), () -> request(onGranted, onRefused)));
         } else if (decision instanceof QuotaDecision.OverLimit over) {
             double seconds = Math.max(MIN_RETRY_AFTER_SECONDS, over.retryAfterMs() / MS_PER_SECOND);
-            onRefused.accept(new Refusal(HttpStatus.TOO_MANY_REQUESTS_429, withJitter(seconds)));
+            onRefused.accept(new Rejection(HttpStatus.TOO_MANY_REQUESTS_429, withJitter(seconds)));
         } else {
             onRefused.accept(withoutDecision());
         }
@@ -113,7 +113,7 @@
         return requestsLeft > 0 && timers.nowMs() + over.retryAfterMs() < waitsUntilMs;
     }
 
-    private void onTimeout(PendingGrant waiting, Runnable onGranted, Consumer<Refusal> onRefused) {
+    private void onTimeout(PendingGrant waiting, Runnable onGranted, Consumer<Rejection> onRefused) {
         decided = true;
         waiting.cancel();
         if (waiting.tryFallbackAllowance(timers.nowMs())) {
@@ -123,8 +123,8 @@
         }
     }
 
-    private Refusal withoutDecision() {
-        return new Refusal(HttpStatus.SERVICE_UNAVAILABLE_503, withJitter(RECOVERY_RETRY_AFTER_SECONDS));
+    private Rejection withoutDecision() {
+        return new Rejection(HttpStatus.SERVICE_UNAVAILABLE_503, withJitter(RECOVERY_RETRY_AFTER_SECONDS));
     }
 
     /** Clients do not return at the same time. */
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestLifecycle.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestLifecycle.java
@@ -68,7 +68,7 @@
         quota.begin(() -> attempt(this::giveUp), this::onQuotaRefused);
     }
 
-    private void onQuotaRefused(QuotaAdmission.Refusal refusal) {
+    private void onQuotaRefused(QuotaAdmission.Rejection refusal) {
         reply.reject(refusal.status(), refusal.retryAfterSeconds());
         end();
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
@@ -167,8 +167,8 @@
         }
 
         @Override
-        public void onPaces(ServicePaces paces) {
-            dataPlane.onPaces(paces, isForwarding());
+        public void onServiceTimes(ServiceTimesMessage serviceTimes) {
+            dataPlane.onServiceTimes(serviceTimes, isForwarding());
         }
 
         private boolean isForwarding() {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RouterConnector.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RouterConnector.java
@@ -53,7 +53,8 @@
     }
 
     @Override
-    public void connect(InetSocketAddress address, int timeoutMs, ConnectionMaker factory, Runnable onFailure) {
+    public void connect(
+            InetSocketAddress address, int timeoutMs, UpstreamConnectionFactory factory, Runnable onFailure) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open(StandardProtocolFamily.INET);
@@ -75,7 +76,7 @@
     }
 
     /** Marks a connection that this router opens. */
-    private record OutgoingConnection(ConnectionMaker factory, Runnable onFailure) {}
+    private record OutgoingConnection(UpstreamConnectionFactory factory, Runnable onFailure) {}
 
     private final class ClientAndUpstreamSelectorManager extends ServerConnectorManager {
         private ClientAndUpstreamSelectorManager(Executor executor, Scheduler scheduler, int selectors) {
@@ -104,7 +105,7 @@
         public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment)
                 throws IOException {
             if (attachment instanceof OutgoingConnection outgoing) {
-                return outgoing.factory().make(endPoint, getExecutor());
+                return outgoing.factory().create(endPoint, getExecutor());
             }
             return super.newConnection(channel, endPoint, attachment);
         }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamConnector.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamConnector.java
@@ -14,11 +14,11 @@
      * @param factory makes the connection once the address has accepted
      * @param onFailure run if no connection comes about
      */
-    void connect(InetSocketAddress address, int timeoutMs, ConnectionMaker factory, Runnable onFailure);
+    void connect(InetSocketAddress address, int timeoutMs, UpstreamConnectionFactory factory, Runnable onFailure);
 
     /** Makes the protocol's side of an open connection. */
     @FunctionalInterface
-    interface ConnectionMaker {
-        Connection make(EndPoint endPoint, Executor executor);
+    interface UpstreamConnectionFactory {
+        Connection create(EndPoint endPoint, Executor executor);
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/LoadReportExchangeTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/LoadReportExchangeTest.java
@@ -194,39 +194,41 @@
     }
 
     @Test
-    void whoeverLearnsAPaceFirstTellsItOnce() {
-        learnPrefillPace(selector);
+    void whoeverLearnsAServiceTimeFirstTellsItOnce() {
+        learnPrefillServiceTime(selector);
 
-        SharedServiceTime pace = exchange.takePaces().orElseThrow().paces().get(0);
+        SharedServiceTime serviceTime =
+                exchange.takeServiceTimes().orElseThrow().serviceTimes().get(0);
 
-        assertEquals(CallKind.PREFILL, pace.kind());
-        assertEquals(0.02, pace.perTokenMs(), 1e-6);
-        assertEquals(Optional.empty(), exchange.takePaces());
+        assertEquals(CallKind.PREFILL, serviceTime.kind());
+        assertEquals(0.02, serviceTime.perTokenMs(), 1e-6);
+        assertEquals(Optional.empty(), exchange.takeServiceTimes());
     }
 
     @Test
-    void aPaceOfAnotherRouterIsForwardedOnceAndNotToldAgainWhenLearntHere() {
-        ServicePaces told = new ServicePaces(List.of(new SharedServiceTime(SERVICE, CallKind.PREFILL, 5, 0.02, 4)));
+    void aServiceTimeOfAnotherRouterIsForwardedOnceAndNotToldAgainWhenLearntHere() {
+        ServiceTimesMessage told =
+                new ServiceTimesMessage(List.of(new SharedServiceTime(SERVICE, CallKind.PREFILL, 5, 0.02, 4)));
 
-        exchange.onPaces(told, true);
-        assertEquals(Optional.of(told), exchange.takePaces());
+        exchange.onServiceTimes(told, true);
+        assertEquals(Optional.of(told), exchange.takeServiceTimes());
 
-        exchange.onPaces(told, true);
-        learnPrefillPace(selector);
-        assertEquals(Optional.empty(), exchange.takePaces());
+        exchange.onServiceTimes(told, true);
+        learnPrefillServiceTime(selector);
+        assertEquals(Optional.empty(), exchange.takeServiceTimes());
     }
 
     @Test
-    void aPaceIsNotForwardedWhereAllKnowEachOther() {
-        exchange.onPaces(
-                new ServicePaces(List.of(new SharedServiceTime(SERVICE, CallKind.PREFILL, 5, 0.02, 4))), false);
+    void aServiceTimeIsNotForwardedWhereAllKnowEachOther() {
+        exchange.onServiceTimes(
+                new ServiceTimesMessage(List.of(new SharedServiceTime(SERVICE, CallKind.PREFILL, 5, 0.02, 4))), false);
 
-        assertEquals(Optional.empty(), exchange.takePaces());
-        assertEquals(1, exchange.allPaces().paces().size(), "a router that starts later is told");
+        assertEquals(Optional.empty(), exchange.takeServiceTimes());
+        assertEquals(1, exchange.allServiceTimes().serviceTimes().size(), "a router that starts later is told");
     }
 
     /** Two prompts of 10,000 and 20,000 tokens, 0.02 ms each and 5 ms besides. */
-    private static void learnPrefillPace(ReplicaSelector selector) {
+    private static void learnPrefillServiceTime(ReplicaSelector selector) {
         ReplicaRecord replica = replica(0);
         for (int each = 1; each <= 2; each++) {
             int tokens = 10_000 * each;
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReplicaConnectionsTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReplicaConnectionsTest.java
@@ -35,12 +35,13 @@
 
     /** Connections that a test lets come about, or not. */
     private final class PlayedNetwork implements UpstreamConnector {
-        private final Deque<ConnectionMaker> makers = new ArrayDeque<>();
+        private final Deque<UpstreamConnectionFactory> factories = new ArrayDeque<>();
         private final Deque<Runnable> failures = new ArrayDeque<>();
 
         @Override
-        public void connect(InetSocketAddress address, int timeoutMs, ConnectionMaker factory, Runnable onFailure) {
-            makers.add(factory);
+        public void connect(
+                InetSocketAddress address, int timeoutMs, UpstreamConnectionFactory factory, Runnable onFailure) {
+            factories.add(factory);
             failures.add(onFailure);
         }
 
@@ -51,7 +52,8 @@
         ByteArrayEndPoint accept(ByteArrayEndPoint endPoint) {
             failures.poll();
             endPoint.setGrowOutput(true);
-            UpstreamConnection connection = (UpstreamConnection) makers.poll().make(endPoint, DIRECT);
+            UpstreamConnection connection =
+                    (UpstreamConnection) factories.poll().create(endPoint, DIRECT);
             endPoint.setConnection(connection);
             endPoint.onOpen();
             connection.onOpen();
@@ -59,7 +61,7 @@
         }
 
         void refuse() {
-            makers.poll();
+            factories.poll();
             failures.poll().run();
         }
     }
@@ -198,7 +200,7 @@
         assertEquals(true, endPoint.getOutputString().contains("X-Id: q2"));
         network.refuse();
         assertEquals(List.of(), second.events);
-        assertNull(network.makers.poll());
+        assertNull(network.factories.poll());
     }
 
     @Test
@@ -218,6 +220,6 @@
         send("q1", outcome);
         network.accept(new BreakingEndPoint(1));
         assertEquals(List.of("broken"), outcome.events);
-        assertNull(network.makers.poll());
+        assertNull(network.factories.poll());
     }
 }
