--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/CallListener.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/CallListener.java
@@ -4,7 +4,7 @@
 
 /**
  * Receives the events of a call to a replica. Exactly one of {@link #onNotSent}, {@link #onComplete} and
- * {@link #onBroken} ends a call, and none follows an abort.
+ * {@link #onFailure} ends a call, and none follows an abort.
  */
 interface CallListener {
     /** Why a call did not leave this router. */
@@ -30,5 +30,5 @@
     void onComplete();
 
     /** Bytes of the request were sent, and the connection failed or delivered something that is not the response. */
-    void onBroken(String reason);
+    void onFailure(String reason);
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientConnection.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientConnection.java
@@ -17,7 +17,7 @@
  * before there is input, and a request's head must arrive within a timeout.
  */
 final class ClientConnection extends HttpConnection {
-    private static final double NANOS_A_MILLISECOND = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     private final IntSupplier headerTimeoutMs;
     private long headStartedNanos;
@@ -117,7 +117,7 @@
             headStartedNanos = 0;
         } else if (headStartedNanos == 0) {
             headStartedNanos = System.nanoTime();
-        } else if ((System.nanoTime() - headStartedNanos) / NANOS_A_MILLISECOND > headerTimeoutMs.getAsInt()) {
+        } else if ((System.nanoTime() - headStartedNanos) / NANOS_PER_MS > headerTimeoutMs.getAsInt()) {
             getEndPoint().close();
         }
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientDeadline.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientDeadline.java
@@ -10,7 +10,7 @@
     /** Least time that counts, milliseconds. */
     static final double MIN_TIMEOUT_MS = 1;
 
-    private static final Pattern MILLISECONDS = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
+    private static final Pattern MILLISECONDS_PATTERN = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
 
     private ClientDeadline() {}
 
@@ -23,7 +23,7 @@
         return values.stream()
                 .flatMap(value -> List.of(value.split(",")).stream())
                 .map(String::trim)
-                .filter(value -> MILLISECONDS.matcher(value).matches())
+                .filter(value -> MILLISECONDS_PATTERN.matcher(value).matches())
                 .mapToDouble(value -> Math.max(MIN_TIMEOUT_MS, Double.parseDouble(value)))
                 .min();
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientIntake.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientIntake.java
@@ -45,7 +45,7 @@
         this.request = request;
         this.response = response;
         this.notAdmittedCallback = callback;
-        this.callback = Callback.from(callback, () -> dataPlane.admission().release(reservedBytes));
+        this.callback = Callback.from(callback, () -> dataPlane.inFlightLimits().release(reservedBytes));
         this.maxBodyBytes = dataPlane.routingTable().limits().maxBodyBytes();
     }
 
@@ -129,7 +129,7 @@
         if (body.size() + length > maxBodyBytes) {
             return this::rejectTooLarge;
         }
-        if (!dataPlane.admission().tryReserveBody(length)) {
+        if (!dataPlane.inFlightLimits().tryReserveBody(length)) {
             return () -> rejectTemporarily(callback);
         }
         reservedBytes += length;
@@ -141,7 +141,7 @@
 
     /** Starts to read, unless too many requests are in flight. */
     void start() {
-        if (dataPlane.admission().tryAdmit()) {
+        if (dataPlane.inFlightLimits().tryAdmit()) {
             run();
         } else {
             rejectTemporarily(notAdmittedCallback);
@@ -179,14 +179,14 @@
             callback.failed(new EofException("the client has closed its connection"));
             return;
         }
-        ClientRequest read = new ClientRequest(
+        ClientRequest clientRequest = new ClientRequest(
                 ids.get(0),
                 request.getMethod(),
                 request.getHttpURI().getPathQuery(),
                 HeaderRules.requestFields(fields),
                 body == null ? UpstreamRequest.NO_BODY : body.toByteArray());
         body = null;
-        dataPlane.accept(read, request, response, callback);
+        dataPlane.accept(clientRequest, request, response, callback);
     }
 
     /** Length of the head as received, but for spaces that Jetty has removed. */
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientReply.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientReply.java
@@ -13,7 +13,7 @@
 
     private static final double MIN_RETRY_AFTER_SECONDS = 0.15;
     private static final double RETRY_AFTER_JITTER_SECONDS = 0.25;
-    private static final double MILLISECONDS = 1e3;
+    private static final double MS_PER_SECOND = 1e3;
 
     private final ClientRequest request;
     private final ClientExchange client;
@@ -87,6 +87,6 @@
     }
 
     private static String toText(double seconds) {
-        return Double.toString(Math.round(seconds * MILLISECONDS) / MILLISECONDS);
+        return Double.toString(Math.round(seconds * MS_PER_SECOND) / MS_PER_SECOND);
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
@@ -52,14 +52,14 @@
     private final Set<RequestLifecycle> activeRequests = new HashSet<>();
     private final RequestAdmission requestAdmission;
     private final TenantQuotas quotas;
-    private final FallbackAllowance runAhead;
-    private final LoadReportExchange sharing;
-    private final ReportPoller reports;
-    private final InFlightLimits admission = new InFlightLimits();
-    private final ClientDisconnectDetector disconnects;
+    private final FallbackAllowance fallbackAllowance;
+    private final LoadReportExchange loadReportExchange;
+    private final ReportPoller reportPoller;
+    private final InFlightLimits inFlightLimits = new InFlightLimits();
+    private final ClientDisconnectDetector disconnectDetector;
     private final ByteBuffer readAheadBuffer = BufferUtil.allocateDirect(JettyClientExchange.MAX_READ_AHEAD_BYTES);
-    private final List<CompletableFuture<Void>> waitingForIdle = new ArrayList<>();
-    private final Consumer<RequestLimits> onLimits;
+    private final List<CompletableFuture<Void>> idleWaiters = new ArrayList<>();
+    private final Consumer<RequestLimits> onLimitsChanged;
     private volatile RoutingTable routingTable = RoutingTable.EMPTY;
     private volatile boolean stopping;
     private boolean rejectsNew;
@@ -70,7 +70,7 @@
 
     /**
      * @param tenancy keys and limits of tenants
-     * @param onLimits called with the limits in force when they change
+     * @param onLimitsChanged called with the limits in force when they change
      */
     DataPlane(
             SerialExecutor serial,
@@ -80,22 +80,22 @@
             PairChooser chooser,
             RandomGenerator random,
             Tenancy tenancy,
-            Consumer<RequestLimits> onLimits) {
-        this.onLimits = onLimits;
+            Consumer<RequestLimits> onLimitsChanged) {
+        this.onLimitsChanged = onLimitsChanged;
         this.serial = serial;
         this.timers = timers;
         this.routing = new RequestRouting(() -> routingTable, directory, random);
-        this.disconnects = new ClientDisconnectDetector(timers);
+        this.disconnectDetector = new ClientDisconnectDetector(timers);
         this.pool = new UpstreamPool(serial, timers, directory, this::connectionLimit);
         this.services = new DataPlaneServices(
                 selector, chooser, budget, new KvTransferHealth(), directory, pool, timers, random);
-        this.runAhead = new FallbackAllowance(tenancy.quotaTerms(), timers.nowMs());
-        this.quotas =
-                new TenantQuotas(new QuotaClient(tenancy.quotaPeers(), tenancy.outbox(), runAhead, random), timers);
+        this.fallbackAllowance = new FallbackAllowance(tenancy.quotaPolicy(), timers.nowMs());
+        this.quotas = new TenantQuotas(
+                new QuotaClient(tenancy.quotaPeers(), tenancy.outbox(), fallbackAllowance, random), timers);
         this.requestAdmission = new RequestAdmission(
                 routing, () -> routingTable, services, new AdmissionControl(selector, random), tenancy, quotas);
-        this.sharing = new LoadReportExchange(selector);
-        this.reports = new ReportPoller(services, sharing::onReport);
+        this.loadReportExchange = new LoadReportExchange(selector);
+        this.reportPoller = new ReportPoller(services, loadReportExchange::onReport);
     }
 
     /** Takes over the fleet's state, and listens to its changes. */
@@ -137,7 +137,7 @@
         next.services().values().forEach(service -> service.engine()
                 .ifPresent(engine -> services.selector().setEngine(service.name(), engine)));
         if (limitsChanged) {
-            onLimits.accept(next.limits());
+            onLimitsChanged.accept(next.limits());
         }
     }
 
@@ -158,7 +158,7 @@
             routerCountUpperBound = Math.max(1, upperBound);
             services.selector().setRouterCount(Math.max(1, count));
             services.budget().setRouterCount(routerCountUpperBound);
-            runAhead.setRouterCount(routerCountUpperBound, timers.nowMs());
+            fallbackAllowance.setRouterCount(routerCountUpperBound, timers.nowMs());
         });
     }
 
@@ -184,7 +184,7 @@
 
     /** Checks for disconnected clients now, which is otherwise done periodically. */
     void checkDisconnects() {
-        serial.execute(disconnects::checkAll);
+        serial.execute(disconnectDetector::checkAll);
     }
 
     /**
@@ -195,7 +195,7 @@
     void pollReports(SocketAddress self, List<SocketAddress> otherRouters, double intervalMs) {
         serial.execute(() -> {
             if (!stopping) {
-                reports.poll(self, otherRouters, intervalMs);
+                reportPoller.poll(self, otherRouters, intervalMs);
             }
         });
     }
@@ -203,8 +203,8 @@
     /** Sends the load reports, hints and paces since the last call, if there are any. */
     void shareLoadReports(Consumer<Message> send) {
         serial.execute(() -> {
-            sharing.takeMessage(timers.nowMs()).ifPresent(send);
-            sharing.takeServiceTimes().ifPresent(send);
+            loadReportExchange.takeMessage(timers.nowMs()).ifPresent(send);
+            loadReportExchange.takeServiceTimes().ifPresent(send);
         });
     }
 
@@ -214,14 +214,14 @@
      * @param forward whether what is new here is sent on
      */
     void onLoadReport(LoadReportMessage message, boolean forward) {
-        serial.execute(() -> sharing.onMessage(message, forward, timers.nowMs()));
+        serial.execute(() -> loadReportExchange.onMessage(message, forward, timers.nowMs()));
     }
 
     /** Sends what this router has learnt of prefix caches and service times. */
     void sendSnapshot(Consumer<Message> send) {
         serial.execute(() -> {
-            send.accept(sharing.allServiceTimes());
-            send.accept(sharing.snapshot(timers.nowMs()));
+            send.accept(loadReportExchange.allServiceTimes());
+            send.accept(loadReportExchange.snapshot(timers.nowMs()));
         });
     }
 
@@ -231,12 +231,12 @@
      * @param forward whether what is new here is sent on
      */
     void onServiceTimes(ServiceTimesMessage serviceTimes, boolean forward) {
-        serial.execute(() -> sharing.onServiceTimes(serviceTimes, forward));
+        serial.execute(() -> loadReportExchange.onServiceTimes(serviceTimes, forward));
     }
 
     /** The estimates of another router arrived. */
     void onSnapshot(PrefixCacheSnapshot snapshot) {
-        serial.execute(() -> sharing.onSnapshot(snapshot, timers.nowMs()));
+        serial.execute(() -> loadReportExchange.onSnapshot(snapshot, timers.nowMs()));
     }
 
     /** Another process has sent a message about limits of tenants. */
@@ -249,17 +249,17 @@
         return requestAdmission.isServing(routingTable);
     }
 
-    InFlightLimits admission() {
-        return admission;
+    InFlightLimits inFlightLimits() {
+        return inFlightLimits;
     }
 
     // ---- requests
 
     /** Accepts a complete request. May be called on any thread. */
-    void accept(ClientRequest read, Request request, Response response, Callback callback) {
+    void accept(ClientRequest clientRequest, Request request, Response response, Callback callback) {
         serial.execute(() -> {
             openRequests++;
-            begin(read, request, response, callback);
+            begin(clientRequest, request, response, callback);
         });
     }
 
@@ -274,10 +274,11 @@
         return timers.schedule(RequestRouting.arrivedAtMs(request) + timeoutMs - timers.nowMs(), task);
     }
 
-    private void begin(ClientRequest read, Request request, Response response, Callback callback) {
+    private void begin(ClientRequest clientRequest, Request request, Response response, Callback callback) {
         JettyClientExchange client = new JettyClientExchange(
                 request, response, callback, serial, () -> stopping, readAheadBuffer, this::onResponseComplete);
-        Optional<RequestAdmission.Admitted> admitted = requestAdmission.admit(read, request, client, rejectsNew);
+        Optional<RequestAdmission.Admitted> admitted =
+                requestAdmission.admit(clientRequest, request, client, rejectsNew);
         if (admitted.isEmpty()) {
             return;
         }
@@ -286,7 +287,7 @@
                 admitted.get().request(), shape, admitted.get().quota(), client, services, activeRequests::remove);
         client.setLifecycle(lifecycle, shape.deadlineAtMs());
         activeRequests.add(lifecycle);
-        disconnects.add(client);
+        disconnectDetector.add(client);
         request.addIdleTimeoutListener(timeout -> false);
         request.addFailureListener(failure -> serial.execute(() -> client.onDisconnected(failure)));
         lifecycle.start();
@@ -303,22 +304,22 @@
     CompletableFuture<Void> whenIdle() {
         CompletableFuture<Void> idle = new CompletableFuture<>();
         serial.execute(() -> {
-            waitingForIdle.add(idle);
+            idleWaiters.add(idle);
             notifyIfIdle();
         });
         return idle;
     }
 
     private void onResponseComplete(JettyClientExchange client) {
-        disconnects.remove(client);
+        disconnectDetector.remove(client);
         openRequests--;
         notifyIfIdle();
     }
 
     private void notifyIfIdle() {
-        if (openRequests == 0 && !waitingForIdle.isEmpty()) {
-            List<CompletableFuture<Void>> waiters = List.copyOf(waitingForIdle);
-            waitingForIdle.clear();
+        if (openRequests == 0 && !idleWaiters.isEmpty()) {
+            List<CompletableFuture<Void>> waiters = List.copyOf(idleWaiters);
+            idleWaiters.clear();
             waiters.forEach(idle -> idle.complete(null));
         }
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/HttpFrontend.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/HttpFrontend.java
@@ -152,7 +152,7 @@
                 new ClientIntake(dataPlane, request, response, callback).start();
             } else {
                 request.getConnectionMetaData().getConnection().getEndPoint().close();
-                callback.failed(new EofException("a request behind the last one of its connection"));
+                callback.failed(new EofException("request received after the last one accepted on its connection"));
             }
             return true;
         }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/JettyClientExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/JettyClientExchange.java
@@ -45,7 +45,7 @@
     /**
      * @param closesConnection whether the response closes the connection
      * @param readAheadBuffer shared buffer for reading ahead when checking for a disconnect
-     * @param onAnswered called once the response is fully written, or the connection is closed
+     * @param onResponseComplete called once the response is fully written, or the connection is closed
      */
     JettyClientExchange(
             Request request,
@@ -54,10 +54,10 @@
             SerialExecutor serial,
             BooleanSupplier closesConnection,
             ByteBuffer readAheadBuffer,
-            Consumer<JettyClientExchange> onAnswered) {
+            Consumer<JettyClientExchange> onResponseComplete) {
         this.request = request;
         this.response = response;
-        this.callback = Callback.from(callback, () -> serial.execute(() -> onAnswered.accept(this)));
+        this.callback = Callback.from(callback, () -> serial.execute(() -> onResponseComplete.accept(this)));
         this.serial = serial;
         this.closesConnection = closesConnection;
         this.readAheadBuffer = readAheadBuffer;
@@ -66,11 +66,11 @@
     /**
      * Sets the lifecycle to notify of a disconnect and of written chunks.
      *
-     * @param answerDueAtMs when the client must have received the complete response
+     * @param responseDeadlineAtMs when the client must have received the complete response
      */
-    void setLifecycle(RequestLifecycle lifecycle, double answerDueAtMs) {
+    void setLifecycle(RequestLifecycle lifecycle, double responseDeadlineAtMs) {
         this.lifecycle = lifecycle;
-        this.deadlineAtMs = answerDueAtMs;
+        this.deadlineAtMs = responseDeadlineAtMs;
     }
 
     /**
@@ -155,7 +155,7 @@
         if (!finished) {
             finished = true;
             pendingChunks.clear();
-            callback.failed(new IOException("the replica broke the stream off"));
+            callback.failed(new IOException("the replica aborted the response stream"));
         }
     }
 
@@ -181,7 +181,7 @@
                 content,
                 Callback.from(
                         InvocationType.NON_BLOCKING,
-                        () -> serial.execute(() -> written(length)),
+                        () -> serial.execute(() -> onWritten(length)),
                         cause -> serial.execute(() -> onDisconnected(cause))));
     }
 
@@ -198,7 +198,7 @@
         return joined;
     }
 
-    private void written(int length) {
+    private void onWritten(int length) {
         writing = false;
         pendingBytes -= length;
         writeNext();
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/JettyTimers.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/JettyTimers.java
@@ -5,7 +5,7 @@
 
 /** Timers on Jetty's scheduler; tasks run on the data plane's executor. */
 final class JettyTimers implements Timers {
-    private static final double NANOS_A_MILLISECOND = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     private final Scheduler scheduler;
     private final SerialExecutor serial;
@@ -17,7 +17,7 @@
 
     @Override
     public double nowMs() {
-        return System.nanoTime() / NANOS_A_MILLISECOND;
+        return System.nanoTime() / NANOS_PER_MS;
     }
 
     @Override
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportTargets.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportTargets.java
@@ -42,15 +42,15 @@
         if (!isForwarding(others.size())) {
             return others.stream().map(NodeDescriptor::address).toList();
         }
-        List<SocketAddress> near = new ArrayList<>();
-        List<SocketAddress> far = new ArrayList<>();
+        List<SocketAddress> sameZone = new ArrayList<>();
+        List<SocketAddress> otherZones = new ArrayList<>();
         for (NodeDescriptor other : others) {
-            (other.zone().equals(ownZone) ? near : far).add(other.address());
+            (other.zone().equals(ownZone) ? sameZone : otherZones).add(other.address());
         }
         int targets = TARGETS_IN_ZONE + TARGETS_IN_OTHER_ZONES;
-        int fromFar = Math.max(TARGETS_IN_OTHER_ZONES, targets - near.size());
-        List<SocketAddress> chosen = new ArrayList<>(RandomChoice.draw(far, fromFar, random));
-        chosen.addAll(RandomChoice.draw(near, targets - chosen.size(), random));
+        int otherZoneTargets = Math.max(TARGETS_IN_OTHER_ZONES, targets - sameZone.size());
+        List<SocketAddress> chosen = new ArrayList<>(RandomChoice.draw(otherZones, otherZoneTargets, random));
+        chosen.addAll(RandomChoice.draw(sameZone, targets - chosen.size(), random));
         return chosen;
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefillHandle.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefillHandle.java
@@ -20,9 +20,9 @@
     private static final Pattern SAFE_ID = Pattern.compile("[A-Za-z0-9_.~-]{1,128}");
 
     /** Parses a prefill replica's response; empty if it contains no valid handle. */
-    static Optional<PrefillHandle> parse(ReplicaRecord replica, byte[] answer, double nowMs) {
+    static Optional<PrefillHandle> parse(ReplicaRecord replica, byte[] body, double nowMs) {
         try {
-            JsonElement json = JsonParser.parseString(new String(answer, StandardCharsets.UTF_8));
+            JsonElement json = JsonParser.parseString(new String(body, StandardCharsets.UTF_8));
             if (!(json instanceof JsonObject object) || !object.has("prefill_handle")) {
                 return Optional.empty();
             }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefillHandleRelease.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefillHandleRelease.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void onBroken(String reason) {
+    public void onFailure(String reason) {
         timeout.cancel();
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PromptHeaders.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PromptHeaders.java
@@ -15,7 +15,7 @@
  * @param parts parts of the prompt in order
  */
 record PromptHeaders(String model, int promptTokens, int outputTokens, List<PromptPart> parts) {
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
 
     static PromptHeaders parse(HttpFields fields) {
         String model = fields.get(HeaderNames.MODEL);
@@ -38,7 +38,7 @@
                 return List.of();
             }
             try {
-                long id = Long.parseUnsignedLong(part.substring(0, colon).trim(), HEXADECIMAL);
+                long id = Long.parseUnsignedLong(part.substring(0, colon).trim(), HEX_RADIX);
                 parts.add(new PromptPart(id, number(part.substring(colon + 1))));
             } catch (NumberFormatException e) {
                 return List.of();
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/QuotaAdmission.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/QuotaAdmission.java
@@ -68,23 +68,23 @@
     }
 
     /** Runs one of the two, now or later, unless it is cancelled first. */
-    void begin(Runnable onGranted, Consumer<Rejection> onRefused) {
+    void begin(Runnable onGranted, Consumer<Rejection> onRejected) {
         if (charge.isEmpty()) {
             onGranted.run();
             return;
         }
         waitsUntilMs = timers.nowMs() + maxWaitMs;
-        request(onGranted, onRefused);
+        request(onGranted, onRejected);
     }
 
-    private void request(Runnable onGranted, Consumer<Rejection> onRefused) {
+    private void request(Runnable onGranted, Consumer<Rejection> onRejected) {
         requestsLeft--;
         decided = false;
-        PendingGrant requested = quotas.request(charge.get(), decision -> onDecision(decision, onGranted, onRefused));
+        PendingGrant requested = quotas.request(charge.get(), decision -> onDecision(decision, onGranted, onRejected));
         if (!decided) {
             pending = Optional.of(requested);
             double remainingMs = waitsUntilMs - timers.nowMs();
-            timer = Optional.of(timers.schedule(remainingMs, () -> onTimeout(requested, onGranted, onRefused)));
+            timer = Optional.of(timers.schedule(remainingMs, () -> onTimeout(requested, onGranted, onRejected)));
         }
     }
 
@@ -94,18 +94,18 @@
         timer.ifPresent(Timers.Timer::cancel);
     }
 
-    private void onDecision(QuotaDecision decision, Runnable onGranted, Consumer<Rejection> onRefused) {
+    private void onDecision(QuotaDecision decision, Runnable onGranted, Consumer<Rejection> onRejected) {
         decided = true;
         timer.ifPresent(Timers.Timer::cancel);
         if (decision instanceof QuotaDecision.Granted) {
             onGranted.run();
         } else if (decision instanceof QuotaDecision.OverLimit over && isWorthWaiting(over)) {
-            timer = Optional.of(timers.schedule(over.retryAfterMs(), () -> request(onGranted, onRefused)));
+            timer = Optional.of(timers.schedule(over.retryAfterMs(), () -> request(onGranted, onRejected)));
         } else if (decision instanceof QuotaDecision.OverLimit over) {
             double seconds = Math.max(MIN_RETRY_AFTER_SECONDS, over.retryAfterMs() / MS_PER_SECOND);
-            onRefused.accept(new Rejection(HttpStatus.TOO_MANY_REQUESTS_429, withJitter(seconds)));
+            onRejected.accept(new Rejection(HttpStatus.TOO_MANY_REQUESTS_429, withJitter(seconds)));
         } else {
-            onRefused.accept(withoutDecision());
+            onRejected.accept(rejectionWithoutDecision());
         }
     }
 
@@ -113,17 +113,17 @@
         return requestsLeft > 0 && timers.nowMs() + over.retryAfterMs() < waitsUntilMs;
     }
 
-    private void onTimeout(PendingGrant waiting, Runnable onGranted, Consumer<Rejection> onRefused) {
+    private void onTimeout(PendingGrant timedOut, Runnable onGranted, Consumer<Rejection> onRejected) {
         decided = true;
-        waiting.cancel();
-        if (waiting.tryFallbackAllowance(timers.nowMs())) {
+        timedOut.cancel();
+        if (timedOut.tryFallbackAllowance(timers.nowMs())) {
             onGranted.run();
         } else {
-            onRefused.accept(withoutDecision());
+            onRejected.accept(rejectionWithoutDecision());
         }
     }
 
-    private Rejection withoutDecision() {
+    private Rejection rejectionWithoutDecision() {
         return new Rejection(HttpStatus.SERVICE_UNAVAILABLE_503, withJitter(RECOVERY_RETRY_AFTER_SECONDS));
     }
 
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaConnections.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaConnections.java
@@ -27,9 +27,9 @@
 
     /** Sends the request on an idle connection or a new one, within this router's limit of connections. */
     void start(UpstreamExchange exchange) {
-        UpstreamConnection resting = takeIdle();
-        if (resting != null) {
-            resting.send(exchange);
+        UpstreamConnection idleConnection = takeIdle();
+        if (idleConnection != null) {
+            idleConnection.send(exchange);
         } else if (open >= pool.connectionLimit(replica)) {
             exchange.notSent(CallListener.NotSent.NO_CONNECTION_FREE);
         } else {
@@ -51,7 +51,7 @@
     }
 
     /** A new connection is open. */
-    void connected(UpstreamConnection connection) {
+    void onConnected(UpstreamConnection connection) {
         UpstreamExchange exchange = nextWaiting();
         if (exchange == null) {
             connection.closeNow();
@@ -72,7 +72,7 @@
     }
 
     /** A connection could not be established. */
-    void connectFailed() {
+    void onConnectFailed() {
         open--;
         UpstreamExchange exchange = connecting.pollFirst();
         if (exchange != null) {
@@ -81,11 +81,11 @@
     }
 
     /** A complete response arrived on the connection, which may carry another request. */
-    void released(UpstreamConnection connection) {
+    void onReleased(UpstreamConnection connection) {
         idle.push(connection);
     }
 
-    void closed(UpstreamConnection connection) {
+    void onClosed(UpstreamConnection connection) {
         idle.remove(connection);
         open--;
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaRequests.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaRequests.java
@@ -24,7 +24,7 @@
     UpstreamRequest prefill(ReplicaRecord replica, double remainingMs, int priority) {
         HttpFields.Mutable fields = fields(replica, remainingMs, priority);
         fields.put(HeaderNames.SERVING_STAGE, PREFILL_STAGE);
-        return with(fields);
+        return toRequest(fields);
     }
 
     /**
@@ -34,7 +34,7 @@
      * @param handle handle of the KV cache to be transferred, null for aggregated serving
      * @param resumeAfter id of the event after which a stream resumes, null if the client's own field applies
      */
-    UpstreamRequest run(
+    UpstreamRequest execution(
             ReplicaRecord replica, double remainingMs, int priority, PrefillHandle handle, String resumeAfter) {
         HttpFields.Mutable fields = fields(replica, remainingMs, priority);
         if (handle != null) {
@@ -43,7 +43,7 @@
         if (resumeAfter != null) {
             fields.put(HeaderNames.LAST_EVENT_ID, resumeAfter);
         }
-        return with(fields);
+        return toRequest(fields);
     }
 
     private HttpFields.Mutable fields(ReplicaRecord replica, double remainingMs, int priority) {
@@ -54,7 +54,7 @@
         return fields;
     }
 
-    private UpstreamRequest with(HttpFields fields) {
+    private UpstreamRequest toRequest(HttpFields fields) {
         return new UpstreamRequest(request.method(), request.target(), fields, request.body(), request.id());
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReportPoller.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReportPoller.java
@@ -30,8 +30,8 @@
     /** A report younger than this fraction of the interval is another router's. */
     private static final double RECENT_REPORT_FRACTION = 0.75;
 
-    private static final long MIX = 0x9E3779B97F4A7C15L;
-    private static final int MIX_SHIFT = 32;
+    private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
+    private static final int HASH_SHIFT = 32;
 
     private final DataPlaneServices services;
     private final BiConsumer<String, LoadReport> onReport;
@@ -85,9 +85,10 @@
     }
 
     private static long rank(SocketAddress router, ReplicaRecord replica) {
-        long mixed = (router.toString().hashCode() * MIX) ^ replica.instanceId().hashCode();
-        mixed = (mixed ^ (mixed >>> MIX_SHIFT)) * MIX;
-        return mixed ^ (mixed >>> MIX_SHIFT);
+        long mixed = (router.toString().hashCode() * HASH_MULTIPLIER)
+                ^ replica.instanceId().hashCode();
+        mixed = (mixed ^ (mixed >>> HASH_SHIFT)) * HASH_MULTIPLIER;
+        return mixed ^ (mixed >>> HASH_SHIFT);
     }
 
     /** Parses a report; empty if it is invalid. */
@@ -124,7 +125,7 @@
         private final ReplicaRecord replica;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private Timers.Timer timeout;
-        private boolean usable;
+        private boolean isUsable;
 
         PendingPoll(ReplicaRecord replica) {
             this.replica = replica;
@@ -155,7 +156,7 @@
 
         @Override
         public void onHead(ResponseHead head) {
-            usable = head.status() == HttpStatus.OK_200 && head.framed();
+            isUsable = head.status() == HttpStatus.OK_200 && head.framed();
         }
 
         @Override
@@ -168,14 +169,14 @@
         @Override
         public void onComplete() {
             finish();
-            if (usable) {
+            if (isUsable) {
                 parse(body.toByteArray(), services.timers().nowMs())
                         .ifPresent(report -> onReport.accept(replica.instanceId(), report));
             }
         }
 
         @Override
-        public void onBroken(String reason) {
+        public void onFailure(String reason) {
             finish();
         }
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestAdmission.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestAdmission.java
@@ -21,7 +21,7 @@
  * lifecycle, since that may have to wait. Used on the data plane's executor only.
  */
 final class RequestAdmission {
-    private static final double MILLISECONDS = 1e3;
+    private static final double MS_PER_SECOND = 1e3;
 
     /**
      * {@code Retry-After} while this router does not know the fleet's configuration, or no replica of a service, as
@@ -44,7 +44,7 @@
     private static final double QUOTA_WAIT_RETRY_FRACTION = 0.45;
 
     private final RequestRouting routing;
-    private final Supplier<RoutingTable> table;
+    private final Supplier<RoutingTable> routingTable;
     private final DataPlaneServices services;
     private final AdmissionControl admissionControl;
     private final ConfigurationStatus configurationStatus;
@@ -60,13 +60,13 @@
 
     RequestAdmission(
             RequestRouting routing,
-            Supplier<RoutingTable> table,
+            Supplier<RoutingTable> routingTable,
             DataPlaneServices services,
             AdmissionControl admissionControl,
             Tenancy tenancy,
             TenantQuotas quotas) {
         this.routing = routing;
-        this.table = table;
+        this.routingTable = routingTable;
         this.services = services;
         this.admissionControl = admissionControl;
         this.configurationStatus = tenancy.configurationStatus();
@@ -79,54 +79,55 @@
      *
      * @param rejectsNew whether this router takes no new requests any more
      */
-    Optional<Admitted> admit(ClientRequest read, Request request, ClientExchange client, boolean rejectsNew) {
+    Optional<Admitted> admit(ClientRequest clientRequest, Request request, ClientExchange client, boolean rejectsNew) {
         if (rejectsNew) {
-            rejectNotExecuted(client, read.id(), STOPPING_RETRY_AFTER_SECONDS);
+            rejectNotExecuted(client, clientRequest.id(), STOPPING_RETRY_AFTER_SECONDS);
             return Optional.empty();
         }
         Optional<Route> route = routing.find(request);
         if (route.isEmpty()) {
-            rejectUnrouted(client, read.id());
+            rejectUnrouted(client, clientRequest.id());
             return Optional.empty();
         }
         TenantAuthenticator.Access access = authenticator.authenticate(
-                table.get(), route.get(), request.getHeaders(), configurationStatus.lastConfirmation(), nowMs());
+                routingTable.get(), route.get(), request.getHeaders(), configurationStatus.lastConfirmation(), nowMs());
         if (access instanceof TenantAuthenticator.Access.Unauthorized) {
-            respond(client, read.id(), HttpStatus.UNAUTHORIZED_401);
+            respond(client, clientRequest.id(), HttpStatus.UNAUTHORIZED_401);
             return Optional.empty();
         }
         if (access instanceof TenantAuthenticator.Access.Unconfirmed) {
-            rejectNotExecuted(client, read.id(), recoveryRetryAfterSeconds());
+            rejectNotExecuted(client, clientRequest.id(), recoveryRetryAfterSeconds());
             return Optional.empty();
         }
         Optional<Tenant> tenant = access instanceof TenantAuthenticator.Access.Authenticated known
                 ? Optional.of(known.tenant())
                 : Optional.empty();
-        return admit(read, request, client, route.get(), tenant);
+        return admit(clientRequest, request, client, route.get(), tenant);
     }
 
     /** Whether requests with a known key would be accepted now. Any thread. */
-    boolean isServing(RoutingTable newest) {
-        return authenticator.isServing(newest, configurationStatus.lastConfirmation(), nowMs());
+    boolean isServing(RoutingTable current) {
+        return authenticator.isServing(current, configurationStatus.lastConfirmation(), nowMs());
     }
 
     private Optional<Admitted> admit(
-            ClientRequest read, Request request, ClientExchange client, Route route, Optional<Tenant> tenant) {
+            ClientRequest clientRequest, Request request, ClientExchange client, Route route, Optional<Tenant> tenant) {
         Route prioritised = tenant.isPresent() && tenant.get().priority().isPresent()
                 ? route.withPriority(tenant.get().priority().getAsInt())
                 : route;
         Optional<RequestShape> shape = routing.shapeOf(prioritised, request);
         if (shape.isEmpty()) {
-            rejectUnrouted(client, read.id());
+            rejectUnrouted(client, clientRequest.id());
             return Optional.empty();
         }
         Optional<Double> retryAfterSeconds = retryAfterSeconds(shape.get());
         if (retryAfterSeconds.isPresent()) {
             services.budget().onRequest(shape.get().service(), nowMs());
-            rejectNotExecuted(client, read.id(), retryAfterSeconds.get());
+            rejectNotExecuted(client, clientRequest.id(), retryAfterSeconds.get());
             return Optional.empty();
         }
-        ClientRequest forwarded = table.get().requiresKeys() ? read.forTenant(tenant.map(Tenant::name)) : read;
+        ClientRequest forwarded =
+                routingTable.get().requiresKeys() ? clientRequest.forTenant(tenant.map(Tenant::name)) : clientRequest;
         Optional<QuotaCharge> charge = tenant.flatMap(each -> QuotaCharge.of(each, request.getHeaders()));
         QuotaAdmission quota =
                 new QuotaAdmission(charge, quotas, services.timers(), services.random(), quotaWaitMs(shape.get()));
@@ -169,7 +170,7 @@
         HttpFields.Mutable fields = HttpFields.build();
         fields.add(HeaderNames.REQUEST_ID, id);
         fields.add(
-                HttpHeader.RETRY_AFTER, Double.toString(Math.round(retryAfterSeconds * MILLISECONDS) / MILLISECONDS));
+                HttpHeader.RETRY_AFTER, Double.toString(Math.round(retryAfterSeconds * MS_PER_SECOND) / MS_PER_SECOND));
         client.respond(HttpStatus.SERVICE_UNAVAILABLE_503, fields, UpstreamRequest.NO_BODY);
     }
 
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestLifecycle.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestLifecycle.java
@@ -35,7 +35,7 @@
     private final EventStreamReader events;
     private final Set<String> excluded = new HashSet<>();
     private boolean ended;
-    private boolean mayHaveRun;
+    private boolean mayHaveExecuted;
     /** No prefill replica is used any more: serving is aggregated. */
     private boolean prefillSkipped;
 
@@ -65,11 +65,11 @@
     void start() {
         services.budget().onRequest(shape.service(), now());
         deadlineTimer = services.timers().schedule(shape.deadlineAtMs() - now(), this::onDeadline);
-        quota.begin(() -> attempt(this::giveUp), this::onQuotaRefused);
+        quota.begin(() -> attempt(this::giveUp), this::onQuotaRejected);
     }
 
-    private void onQuotaRefused(QuotaAdmission.Rejection refusal) {
-        reply.reject(refusal.status(), refusal.retryAfterSeconds());
+    private void onQuotaRejected(QuotaAdmission.Rejection rejection) {
+        reply.reject(rejection.status(), rejection.retryAfterSeconds());
         end();
     }
 
@@ -92,8 +92,8 @@
     /** The router shuts down: the request is answered now. */
     void onShutdown() {
         if (!ended) {
-            boolean mayBeRunning = cancelActive(CallOutcome.CANCELLED);
-            mayHaveRun |= mayBeRunning;
+            boolean attemptMayHaveExecuted = cancelActive(CallOutcome.CANCELLED);
+            mayHaveExecuted |= attemptMayHaveExecuted;
             giveUp();
         }
     }
@@ -102,8 +102,11 @@
         if (ended) {
             return;
         }
-        boolean mayBeRunning = cancelActive(CallOutcome.TIMED_OUT);
-        fail(mayBeRunning || mayHaveRun ? HttpStatus.GATEWAY_TIMEOUT_504 : HttpStatus.SERVICE_UNAVAILABLE_503);
+        boolean attemptMayHaveExecuted = cancelActive(CallOutcome.TIMED_OUT);
+        fail(
+                attemptMayHaveExecuted || mayHaveExecuted
+                        ? HttpStatus.GATEWAY_TIMEOUT_504
+                        : HttpStatus.SERVICE_UNAVAILABLE_503);
     }
 
     /** Cancels the active attempt; returns whether a replica may have executed the request. */
@@ -115,11 +118,11 @@
 
     // ---- choosing and calling
 
-    /** Sends the request to the next replica, or runs {@code otherwise} if that cannot be. */
-    private void attempt(Runnable otherwise) {
+    /** Sends the request to the next replica, or runs {@code fallback} if that cannot be. */
+    private void attempt(Runnable fallback) {
         Optional<ReplicaPair> pair = choose();
         if (pair.isEmpty() || !attempts.tryReserve(now())) {
-            otherwise.run();
+            fallback.run();
         } else {
             begin(pair.get());
         }
@@ -155,7 +158,7 @@
         ReplicaRecord prefillReplica = handle == null ? null : handle.replica();
         active = new UpstreamAttempt(this, services, replica, decodeKind(), prefillReplica);
         String resumeAfter = isStreaming() ? events.lastEventId() : null;
-        active.begin(priority -> requests.run(replica, remainingMs(), priority, handle, resumeAfter));
+        active.begin(priority -> requests.execution(replica, remainingMs(), priority, handle, resumeAfter));
     }
 
     private CallKind decodeKind() {
@@ -207,7 +210,7 @@
             attempt(this::giveUp);
             return;
         }
-        mayHaveRun = true;
+        mayHaveExecuted = true;
         releaseHandle();
         prefillSkipped = true;
         boolean mayContinue = isStreaming()
@@ -220,18 +223,18 @@
         }
     }
 
-    /** The replica responded with an error of its own, which {@code answer} forwards. */
-    void onErrorResponse(UpstreamAttempt call, Runnable answer) {
+    /** The replica responded with an error of its own, which {@code forwardResponse} forwards. */
+    void onErrorResponse(UpstreamAttempt call, Runnable forwardResponse) {
         active = null;
         excluded.add(call.replica().instanceId());
-        mayHaveRun = true;
+        mayHaveExecuted = true;
         releaseHandle();
         if (isStreaming()) {
             attempt(this::giveUp);
         } else if (shape.route().isRetriable() && call.head().isServerError()) {
-            attempt(answer);
+            attempt(forwardResponse);
         } else {
-            answer.run();
+            forwardResponse.run();
         }
     }
 
@@ -246,8 +249,8 @@
             excluded.remove(call.replica().instanceId());
             return false;
         }
-        boolean mayBeRunning = cancelActive(CallOutcome.TIMED_OUT);
-        mayHaveRun |= mayBeRunning;
+        boolean attemptMayHaveExecuted = cancelActive(CallOutcome.TIMED_OUT);
+        mayHaveExecuted |= attemptMayHaveExecuted;
         prefillSkipped = true;
         releaseHandle();
         begin(pair.get());
@@ -317,7 +320,7 @@
     // ---- ending
 
     private void giveUp() {
-        fail(mayHaveRun ? HttpStatus.BAD_GATEWAY_502 : HttpStatus.SERVICE_UNAVAILABLE_503);
+        fail(mayHaveExecuted ? HttpStatus.BAD_GATEWAY_502 : HttpStatus.SERVICE_UNAVAILABLE_503);
     }
 
     void failBadGateway() {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestRouting.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestRouting.java
@@ -19,26 +19,26 @@
  * for the selection.
  */
 final class RequestRouting {
-    private static final double NANOS_A_MILLISECOND = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
-    private final Supplier<RoutingTable> table;
+    private final Supplier<RoutingTable> routingTable;
     private final ReplicaDirectory directory;
     private final RandomGenerator random;
 
-    RequestRouting(Supplier<RoutingTable> table, ReplicaDirectory directory, RandomGenerator random) {
-        this.table = table;
+    RequestRouting(Supplier<RoutingTable> routingTable, ReplicaDirectory directory, RandomGenerator random) {
+        this.routingTable = routingTable;
         this.directory = directory;
         this.random = random;
     }
 
     /** When the first byte of the request arrived, on the clock of {@link JettyTimers}, milliseconds. */
     static double arrivedAtMs(Request request) {
-        return request.getBeginNanoTime() / NANOS_A_MILLISECOND;
+        return request.getBeginNanoTime() / NANOS_PER_MS;
     }
 
     /** The route in force for the request's host and path. May be called on any thread. */
     Optional<Route> find(Request request) {
-        return table.get().find(hostOf(request), request.getHttpURI().getPath());
+        return routingTable.get().find(hostOf(request), request.getHttpURI().getPath());
     }
 
     private static String hostOf(Request request) {
@@ -83,7 +83,7 @@
     private RequestShape shapeOf(Route route, String service, Request request) {
         HttpFields fields = request.getHeaders();
         boolean generation =
-                table.get().service(service).flatMap(ServiceSpec::engine).isPresent();
+                routingTable.get().service(service).flatMap(ServiceSpec::engine).isPresent();
         PromptHeaders prompt = PromptHeaders.parse(fields);
         double arrivedAtMs = arrivedAtMs(request);
         return new RequestShape(
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseHead.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseHead.java
@@ -44,7 +44,7 @@
     }
 
     /** Whether this status means that the request was not executed. */
-    boolean promisesNotRun() {
+    boolean impliesNotExecuted() {
         return status == HttpStatus.REQUEST_TIMEOUT_408
                 || status == HttpStatus.MISDIRECTED_REQUEST_421
                 || status == HttpStatus.TOO_MANY_REQUESTS_429
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseParser.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseParser.java
@@ -19,7 +19,7 @@
 final class ResponseParser implements HttpParser.ResponseHandler {
     private static final int MAX_HEADER_BYTES = 32 * 1024;
     private static final int LOWEST_FINAL_STATUS = 200;
-    private static final double MILLISECONDS = 1e3;
+    private static final double MS_PER_SECOND = 1e3;
 
     /** How long before the replica would close an idle connection this side stops using it. */
     private static final double IDLE_MARGIN_MS = 1_000;
@@ -42,7 +42,7 @@
     private boolean unusable;
     private String failure;
 
-    // of the answer being parsed
+    // state of the response being parsed
     private HttpFields.Mutable fields = HttpFields.build();
     private int status;
     private boolean keepAlive;
@@ -82,14 +82,14 @@
             return Outcome.MORE_NEEDED;
         }
         messageComplete = false;
-        boolean answered = isExpectedResponse;
+        boolean wasExpectedResponse = isExpectedResponse;
         isExpectedResponse = false;
         parser.reset();
-        if (!answered) {
+        if (!wasExpectedResponse) {
             // An interim response changes nothing; after a response to another request the connection is unusable.
             unusable |= status >= LOWEST_FINAL_STATUS;
         }
-        return answered ? Outcome.COMPLETE : Outcome.MORE_NEEDED;
+        return wasExpectedResponse ? Outcome.COMPLETE : Outcome.MORE_NEEDED;
     }
 
     /** Why parsing failed, null if it did not. */
@@ -98,7 +98,7 @@
     }
 
     /** Whether another request may follow the complete response. */
-    boolean mayReuse() {
+    boolean isReusable() {
         return keepAlive && !unusable;
     }
 
@@ -129,7 +129,7 @@
     public boolean headerComplete() {
         if (status < LOWEST_FINAL_STATUS) {
             if (status == HttpStatus.SWITCHING_PROTOCOLS_101) {
-                failure = "an upgrade nobody asked for";
+                failure = "unsolicited protocol upgrade (status 101)";
             }
             return false;
         }
@@ -139,7 +139,7 @@
             idleMs = idleMs(fields.get(HttpHeader.KEEP_ALIVE));
             exchange.head(new ResponseHead(status, fields, isFramed()));
         } else if (!fields.contains(HeaderNames.REQUEST_ID)) {
-            failure = "an answer without a request id";
+            failure = "response without a request id";
         }
         return false;
     }
@@ -170,7 +170,7 @@
                 String trimmed = parameter.trim();
                 if (trimmed.regionMatches(true, 0, "timeout=", 0, "timeout=".length())) {
                     try {
-                        double announcedMs = Double.parseDouble(trimmed.substring("timeout=".length())) * MILLISECONDS;
+                        double announcedMs = Double.parseDouble(trimmed.substring("timeout=".length())) * MS_PER_SECOND;
                         return Math.max(announcedMs / 2, announcedMs - IDLE_MARGIN_MS);
                     } catch (NumberFormatException e) {
                         return DEFAULT_IDLE_MS;
@@ -203,11 +203,11 @@
 
     @Override
     public void earlyEOF() {
-        failure = "the answer was cut off";
+        failure = "response truncated: the replica closed the connection before its end";
     }
 
     @Override
     public void badMessage(HttpException cause) {
-        failure = "not an answer: " + cause.getReason();
+        failure = "malformed response: " + cause.getReason();
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
@@ -28,8 +28,8 @@
  */
 public final class Router {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-    private static final double MILLISECONDS = 1e3;
-    private static final long REFRESH_MS = 500;
+    private static final double MS_PER_SECOND = 1e3;
+    private static final long REFRESH_INTERVAL_MS = 500;
 
     /** The platform asks for readiness every second and stops sending connections after two misses. */
     private static final long READINESS_NOTICE_MS = 2_500;
@@ -65,7 +65,7 @@
         SerialExecutor serial = new SerialExecutor();
         NodeSettings.Bounds bounds = settings.bounds();
         RetryBudget budget = new RetryBudget(
-                bounds.retryBudgetRatio(), bounds.retryBudgetSlack(), bounds.budgetWindowSeconds() * MILLISECONDS);
+                bounds.retryBudgetRatio(), bounds.retryBudgetSlack(), bounds.budgetWindowSeconds() * MS_PER_SECOND);
         ReplicaSelector selector = new ReplicaSelector(random.split());
         selector.setLocality(settings.zone(), settings.zones());
         dataPlane = new DataPlane(
@@ -88,7 +88,7 @@
         dataPlane.follow(fleet.state(), frontend.upstream());
         bootstrap = new PrefixCacheBootstrap(fleet.self().incarnation(), random.split());
         fleet.start(new RouterMessages());
-        fleet.repeat(this::refresh, REFRESH_MS);
+        fleet.repeat(this::refresh, REFRESH_INTERVAL_MS);
         fleet.repeatAtVariableInterval(this::pollReports, LoadReportIntervals::pollIntervalMs);
         fleet.repeatAtVariableInterval(
                 () -> dataPlane.shareLoadReports(fleet::sendToRouters), LoadReportIntervals::shareIntervalMs);
@@ -97,8 +97,8 @@
 
     private Tenancy tenancy() {
         NodeSettings.Bounds bounds = settings.bounds();
-        QuotaPolicy terms =
-                new QuotaPolicy(bounds.quotaWindowSeconds() * MILLISECONDS, bounds.quotaOverage(), bounds.quotaSlack());
+        QuotaPolicy quotaPolicy = new QuotaPolicy(
+                bounds.quotaWindowSeconds() * MS_PER_SECOND, bounds.quotaOverage(), bounds.quotaSlack());
         ConfigurationStatus status = new ConfigurationStatus() {
             @Override
             public boolean isConfirmedSinceStart() {
@@ -110,7 +110,7 @@
                 return fleet.node().freshness();
             }
         };
-        return new Tenancy(bounds, status, terms, fleet, fleet::send);
+        return new Tenancy(bounds, status, quotaPolicy, fleet, fleet::send);
     }
 
     private void startTimers() throws RouterException {
@@ -211,16 +211,16 @@
         if (stopping) {
             return;
         }
-        long endsAt = System.nanoTime()
+        long deadlineNanos = System.nanoTime()
                 + TimeUnit.MILLISECONDS.toNanos(
-                        (long) (settings.bounds().gracePeriodSeconds() * MILLISECONDS) - CLOSE_MARGIN_MS);
+                        (long) (settings.bounds().gracePeriodSeconds() * MS_PER_SECOND) - CLOSE_MARGIN_MS);
         stopping = true;
         dataPlane.beginStopping();
         try {
             TimeUnit.NANOSECONDS.sleep(
-                    Math.min(TimeUnit.MILLISECONDS.toNanos(READINESS_NOTICE_MS), endsAt - System.nanoTime()));
+                    Math.min(TimeUnit.MILLISECONDS.toNanos(READINESS_NOTICE_MS), deadlineNanos - System.nanoTime()));
             dataPlane.rejectNewRequests();
-            await(dataPlane.whenIdle(), endsAt - System.nanoTime());
+            await(dataPlane.whenIdle(), deadlineNanos - System.nanoTime());
             dataPlane.failRemainingRequests();
             await(frontend.closeIdle(), TimeUnit.MILLISECONDS.toNanos(CLOSE_MARGIN_MS / 2));
             fleet.leave();
@@ -235,10 +235,10 @@
         fleet.close();
     }
 
-    /** Waits for at most {@code nanos}. */
-    private static void await(Future<?> future, long nanos) throws InterruptedException {
+    /** Waits for at most {@code timeoutNanos}. */
+    private static void await(Future<?> future, long timeoutNanos) throws InterruptedException {
         try {
-            future.get(Math.max(0, nanos), TimeUnit.NANOSECONDS);
+            future.get(Math.max(0, timeoutNanos), TimeUnit.NANOSECONDS);
         } catch (ExecutionException | TimeoutException e) {
             LOGGER.atFine().withCause(e).log("shutdown step did not finish in time");
         }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/Tenancy.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/Tenancy.java
@@ -10,13 +10,13 @@
  *
  * @param bounds the platform's bounds on keys and configurations
  * @param configurationStatus how well this router knows the configuration
- * @param quotaTerms the platform's rule on limits
+ * @param quotaPolicy the platform's rule on limits
  * @param quotaPeers whom this router may request tokens from
  * @param outbox sends messages to them; any thread
  */
 record Tenancy(
         NodeSettings.Bounds bounds,
         ConfigurationStatus configurationStatus,
-        QuotaPolicy quotaTerms,
+        QuotaPolicy quotaPolicy,
         QuotaPeers quotaPeers,
         Outbox outbox) {}
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/TenantAuthenticator.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/TenantAuthenticator.java
@@ -21,8 +21,8 @@
 
     private static final String SCHEME = "Bearer ";
 
-    private final double maxAgeOfKeysMs;
-    private final double maxAgeOfRefusalMs;
+    private final double maxAgeToAcceptMs;
+    private final double maxAgeToRejectMs;
     /** Written on the data plane's executor. */
     private volatile double confirmedAtMs = Double.NEGATIVE_INFINITY;
 
@@ -43,15 +43,15 @@
 
     /** @param bounds the platform's bounds on keys and configurations */
     TenantAuthenticator(NodeSettings.Bounds bounds) {
-        maxAgeOfKeysMs = bounds.revocationClosed() ? bounds.revokeMs() - REVOCATION_MARGIN_MS : Double.MAX_VALUE;
-        maxAgeOfRefusalMs = Math.min(maxAgeOfKeysMs, bounds.configApplyMs());
+        maxAgeToAcceptMs = bounds.revocationClosed() ? bounds.revokeMs() - REVOCATION_MARGIN_MS : Double.MAX_VALUE;
+        maxAgeToRejectMs = Math.min(maxAgeToAcceptMs, bounds.configApplyMs());
     }
 
     /** Whether a request with a known key would be accepted now, or none is required. Any thread. */
     boolean isServing(RoutingTable table, Confirmation confirmation, double nowMs) {
         double latestMs =
                 isInForce(table, confirmation) ? Math.max(confirmedAtMs, confirmation.confirmedAtMs()) : confirmedAtMs;
-        return !table.requiresKeys() || nowMs - latestMs <= maxAgeOfKeysMs;
+        return !table.requiresKeys() || nowMs - latestMs <= maxAgeToAcceptMs;
     }
 
     /** The access of a request that was received before {@code nowMs}. */
@@ -60,7 +60,7 @@
             return new Access.NotRequired();
         }
         update(table, confirmation);
-        boolean mayAccept = nowMs - confirmedAtMs <= maxAgeOfKeysMs;
+        boolean mayAccept = nowMs - confirmedAtMs <= maxAgeToAcceptMs;
         Optional<Tenant> tenant = keyOf(fields).flatMap(table::tenantOfKey);
         if (tenant.isPresent() && mayAccept) {
             return new Access.Authenticated(tenant.get());
@@ -68,8 +68,8 @@
         if (route.anonymous()) {
             return new Access.NotRequired();
         }
-        boolean mayRefuse = nowMs - confirmedAtMs <= maxAgeOfRefusalMs;
-        return tenant.isEmpty() && mayRefuse ? new Access.Unauthorized() : new Access.Unconfirmed();
+        boolean mayReject = nowMs - confirmedAtMs <= maxAgeToRejectMs;
+        return tenant.isEmpty() && mayReject ? new Access.Unauthorized() : new Access.Unconfirmed();
     }
 
     private void update(RoutingTable table, Confirmation confirmation) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamAttempt.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamAttempt.java
@@ -122,10 +122,10 @@
 
     /** Cancels the attempt; returns whether the replica may have executed the request. */
     boolean cancel(CallOutcome outcome) {
-        boolean mayRun = kind != CallKind.PREFILL && mode != Mode.REJECTION && upstream.isSent();
+        boolean mayHaveExecuted = kind != CallKind.PREFILL && mode != Mode.REJECTION && upstream.isSent();
         upstream.abort();
-        ended(mode == Mode.REJECTION ? CallOutcome.REJECTED : outcome);
-        return mayRun;
+        end(mode == Mode.REJECTION ? CallOutcome.REJECTED : outcome);
+        return mayHaveExecuted;
     }
 
     void pauseReading() {
@@ -145,7 +145,7 @@
 
     @Override
     public void onNotSent(NotSent reason) {
-        ended(reason == NotSent.NOT_CONNECTED ? CallOutcome.CONNECT_FAILED : CallOutcome.CANCELLED);
+        end(reason == NotSent.NOT_CONNECTED ? CallOutcome.CONNECT_FAILED : CallOutcome.CANCELLED);
         lifecycle.onNotSent(this);
     }
 
@@ -158,11 +158,11 @@
             mode = Mode.BUFFERED;
         } else if (!isUsableSuccess()) {
             upstream.abort();
-            failed();
+            endFailed();
             return;
         } else {
             mode = kind != CallKind.PREFILL && head.isEventStream() ? Mode.EVENTS : Mode.BUFFERED;
-            successBegins();
+            onSuccessHead();
         }
         if (mode == Mode.BUFFERED) {
             bufferedBody = new ByteArrayOutputStream();
@@ -179,7 +179,7 @@
         return kind == CallKind.PREFILL || (head.isSigned() && (!lifecycle.isStreaming() || head.isEventStream()));
     }
 
-    private void successBegins() {
+    private void onSuccessHead() {
         if (kind == CallKind.DISAGGREGATED_DECODE) {
             lifecycle.onHandleAccepted();
         }
@@ -203,9 +203,9 @@
     private void buffer(ByteBuffer content) {
         bufferedBody.writeBytes(bytesOf(content));
         if (bufferedBody.size() > MAX_BUFFERED_BYTES) {
-            if (kind == CallKind.PREFILL || head.promisesNotRun()) {
+            if (kind == CallKind.PREFILL || head.impliesNotExecuted()) {
                 upstream.abort();
-                failed();
+                endFailed();
                 return;
             }
             mode = Mode.CHUNKS;
@@ -250,10 +250,10 @@
     @Override
     public void onComplete() {
         switch (mode) {
-            case REJECTION -> rejected();
+            case REJECTION -> endRejected();
             case EVENTS -> completeEvents();
             case CHUNKS -> {
-                ended(CallOutcome.COMPLETED);
+                end(CallOutcome.COMPLETED);
                 lifecycle.onStreamComplete(this);
             }
             default -> completeBuffered(bufferedBody.toByteArray());
@@ -267,10 +267,10 @@
     private void completeEvents() {
         byte[] rest = lifecycle.events().remainder();
         if (!head.framed() && (rest.length > 0 || !firstEventSeen)) {
-            failed();
+            endFailed();
             return;
         }
-        ended(CallOutcome.COMPLETED);
+        end(CallOutcome.COMPLETED);
         if (rest.length > 0) {
             lifecycle.forward(this, rest);
         }
@@ -281,13 +281,15 @@
         if (kind == CallKind.PREFILL) {
             completePrefill(body);
         } else if (head.isSuccess()) {
-            ended(CallOutcome.COMPLETED);
+            end(CallOutcome.COMPLETED);
             lifecycle.onCompleteResponse(this, body);
         } else {
-            ended(CallOutcome.FAILED);
+            end(CallOutcome.FAILED);
             lifecycle.onErrorResponse(
                     this,
-                    head.promisesNotRun() ? lifecycle::failBadGateway : () -> lifecycle.onCompleteResponse(this, body));
+                    head.impliesNotExecuted()
+                            ? lifecycle::failBadGateway
+                            : () -> lifecycle.onCompleteResponse(this, body));
         }
     }
 
@@ -295,33 +297,33 @@
         Optional<PrefillHandle> handle =
                 head.isSuccess() ? PrefillHandle.parse(replica, body, now()) : Optional.empty();
         if (handle.isPresent()) {
-            ended(CallOutcome.COMPLETED);
+            end(CallOutcome.COMPLETED);
             lifecycle.onPrefilled(handle.get());
         } else {
-            failed();
+            endFailed();
         }
     }
 
     @Override
-    public void onBroken(String reason) {
+    public void onFailure(String reason) {
         if (mode == Mode.REJECTION) {
-            rejected();
+            endRejected();
         } else {
-            failed();
+            endFailed();
         }
     }
 
-    private void rejected() {
-        ended(CallOutcome.REJECTED);
+    private void endRejected() {
+        end(CallOutcome.REJECTED);
         lifecycle.onRejected(this);
     }
 
-    private void failed() {
-        ended(CallOutcome.FAILED);
+    private void endFailed() {
+        end(CallOutcome.FAILED);
         lifecycle.onFailed(this);
     }
 
-    private void ended(CallOutcome outcome) {
+    private void end(CallOutcome outcome) {
         cancelAttemptTimeout();
         measurement.onEnd(outcome, now());
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamConnection.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamConnection.java
@@ -24,11 +24,11 @@
     private boolean opened;
     private boolean closed;
     private boolean fillInterested;
-    private boolean paused;
+    private boolean readPaused;
     /** Cleared on the writing thread, so that a response cannot overtake it. */
     private volatile boolean writing;
 
-    private boolean used;
+    private boolean hasSentRequest;
     private double idleUntilMs;
 
     UpstreamConnection(EndPoint endPoint, Executor executor, ReplicaConnections owner, SerialExecutor serial) {
@@ -50,7 +50,7 @@
         serial.execute(() -> {
             if (!closed) {
                 opened = true;
-                owner.connected(this);
+                owner.onConnected(this);
             }
         });
     }
@@ -81,13 +81,13 @@
      * unexpectedly.
      */
     boolean isUsable(double nowMs) {
-        if (closed || !getEndPoint().isOpen() || (used && nowMs >= idleUntilMs)) {
+        if (closed || !getEndPoint().isOpen() || (hasSentRequest && nowMs >= idleUntilMs)) {
             return false;
         }
         ByteBuffer buffer = owner.readBuffer();
         BufferUtil.clear(buffer);
         try {
-            return !used || getEndPoint().fill(buffer) == 0;
+            return !hasSentRequest || getEndPoint().fill(buffer) == 0;
         } catch (IOException e) {
             return false;
         }
@@ -101,7 +101,7 @@
     void send(UpstreamExchange next) {
         exchange = next;
         next.assign(this);
-        used = true;
+        hasSentRequest = true;
         writing = true;
         parser.expect(next);
         head = next.request().head();
@@ -113,7 +113,7 @@
         } else {
             getEndPoint().write(callback, head, ByteBuffer.wrap(next.request().body()));
         }
-        awaitBytes();
+        awaitInput();
     }
 
     private void writeFailed(Throwable cause) {
@@ -131,7 +131,7 @@
     /** A replica may respond and close before it has read the complete body: its response can still be read. */
     private void readRemainingInput() {
         boolean more = true;
-        while (more && exchange != null && !closed && !paused) {
+        while (more && exchange != null && !closed && !readPaused) {
             more = fillAndParse();
         }
     }
@@ -139,30 +139,30 @@
     // ---- reading
 
     /** Registers for input; an idle connection is registered too, so that its close is noticed. */
-    void awaitBytes() {
-        if (!fillInterested && !closed && !paused) {
+    void awaitInput() {
+        if (!fillInterested && !closed && !readPaused) {
             fillInterested = true;
             fillInterested();
         }
     }
 
     void pauseReading() {
-        paused = true;
+        readPaused = true;
     }
 
     void resumeReading() {
-        if (paused) {
-            paused = false;
-            awaitBytes();
+        if (readPaused) {
+            readPaused = false;
+            awaitInput();
         }
     }
 
     private void read() {
-        if (closed || paused) {
+        if (closed || readPaused) {
             return;
         }
         fillAndParse();
-        awaitBytes();
+        awaitInput();
     }
 
     /** Reads once; returns whether there was input. */
@@ -215,9 +215,9 @@
             return;
         }
         exchange = null;
-        if (parser.mayReuse() && !writing && !moreBytes) {
+        if (parser.isReusable() && !writing && !moreBytes) {
             idleUntilMs = owner.nowMs() + parser.idleMs();
-            owner.released(this);
+            owner.onReleased(this);
         } else {
             closeNow();
         }
@@ -227,11 +227,11 @@
     // ---- the end
 
     private void fail(String reason) {
-        UpstreamExchange broken = exchange;
+        UpstreamExchange failedExchange = exchange;
         exchange = null;
         closeNow();
-        if (broken != null) {
-            broken.broken(reason);
+        if (failedExchange != null) {
+            failedExchange.fail(reason);
         }
     }
 
@@ -246,9 +246,9 @@
             closed = true;
             exchange = null;
             if (opened) {
-                owner.closed(this);
+                owner.onClosed(this);
             } else {
-                owner.connectFailed();
+                owner.onConnectFailed();
             }
             super.close();
         }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamExchange.java
@@ -29,8 +29,8 @@
         return ended;
     }
 
-    void assign(UpstreamConnection carrier) {
-        connection = carrier;
+    void assign(UpstreamConnection assigned) {
+        connection = assigned;
     }
 
     @Override
@@ -88,10 +88,10 @@
         }
     }
 
-    void broken(String reason) {
+    void fail(String reason) {
         if (!ended) {
             ended = true;
-            listener.onBroken(reason);
+            listener.onFailure(reason);
         }
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamPool.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamPool.java
@@ -21,7 +21,7 @@
     private final ToIntFunction<String> connectionLimit;
     private final Map<String, ReplicaConnections> byInstance = new HashMap<>();
     private final ByteBuffer readBuffer = BufferUtil.allocateDirect(READ_BUFFER_BYTES);
-    private final ConnectTimeout connectTimes = new ConnectTimeout();
+    private final ConnectTimeout connectTimeout = new ConnectTimeout();
     private UpstreamConnector connector;
 
     /** @param connectionLimit most connections of this router to one replica of a service */
@@ -68,17 +68,17 @@
 
     void connect(ReplicaConnections connections) {
         ReplicaRecord replica = connections.replica();
-        double beganAtMs = timers.nowMs();
+        double startedAtMs = timers.nowMs();
         connector.connect(
                 new InetSocketAddress(
                         replica.address().host(), replica.address().port()),
-                connectTimes.timeoutMs(),
+                connectTimeout.timeoutMs(),
                 (endPoint, executor) -> {
-                    double tookMs = timers.nowMs() - beganAtMs;
-                    serial.execute(() -> connectTimes.onConnected(tookMs));
+                    double tookMs = timers.nowMs() - startedAtMs;
+                    serial.execute(() -> connectTimeout.onConnected(tookMs));
                     return new UpstreamConnection(endPoint, executor, connections, serial);
                 },
-                () -> serial.execute(connections::connectFailed));
+                () -> serial.execute(connections::onConnectFailed));
     }
 
     int connectionLimit(ReplicaRecord replica) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/WarmUp.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/WarmUp.java
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public void onBroken(String reason) {
+        public void onFailure(String reason) {
             atEnd.run();
         }
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/QuotaAdmissionTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/QuotaAdmissionTest.java
@@ -34,9 +34,9 @@
 
     private final VirtualTimers timers = new VirtualTimers();
     private final List<QuotaRequest> sent = new ArrayList<>();
-    private final FallbackAllowance runAhead = new FallbackAllowance(new QuotaPolicy(100, 0, 1_000), 0);
+    private final FallbackAllowance fallbackAllowance = new FallbackAllowance(new QuotaPolicy(100, 0, 1_000), 0);
     private final TenantQuotas quotas = new TenantQuotas(
-            new QuotaClient(new OnlyThePrimary(), this::send, runAhead, new SplittableRandom(1)), timers);
+            new QuotaClient(new OnlyThePrimary(), this::send, fallbackAllowance, new SplittableRandom(1)), timers);
     private final List<String> outcomes = new ArrayList<>();
 
     private static final class OnlyThePrimary implements QuotaPeers {
@@ -119,7 +119,7 @@
 
     @Test
     void withoutACoordinatorAShortRequestRunsAhead() {
-        runAhead.setRouterCount(1, 0);
+        fallbackAllowance.setRouterCount(1, 0);
         begin(200);
         timers.advance(MAX_WAIT_MS);
         assertEquals(List.of("granted"), outcomes);
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReplicaConnectionsTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReplicaConnectionsTest.java
@@ -109,7 +109,7 @@
         }
 
         @Override
-        public void onBroken(String reason) {
+        public void onFailure(String reason) {
             events.add("broken");
         }
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestLifecyclePropertyTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestLifecyclePropertyTest.java
@@ -91,7 +91,7 @@
     private static void assertKept(LifecycleTestContext world, int maxAttempts) {
         List<PlayedCall> calls = world.calls.all;
         assertTrue(calls.stream().allMatch(call -> call.over || call.isRelease()), "no call is left open");
-        long runs = calls.stream().filter(PlayedCall::mayHaveRun).count();
+        long runs = calls.stream().filter(PlayedCall::mayHaveExecuted).count();
         if (!world.route.isRetriable()) {
             assertTrue(runs <= 1, "run at most once");
         }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedUpstreamClient.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedUpstreamClient.java
@@ -40,7 +40,7 @@
         }
 
         /** Whether the replica may have run the request because of this call. */
-        boolean mayHaveRun() {
+        boolean mayHaveExecuted() {
             return sent && !rejected && !isPrefill() && !isRelease();
         }
 
@@ -119,7 +119,7 @@
         void breakOff() {
             sent = true;
             over = true;
-            listener.onBroken("played");
+            listener.onFailure("played");
         }
     }
 
