--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/AttemptTracker.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/AttemptTracker.java
@@ -6,7 +6,7 @@
 
 /**
  * Counts the attempts of one client request, within the route's maximum and the retry budget. The first prefill call
- * that a replica accepts is not counted; until it is known whether a call was accepted, it is.
+ * that a replica accepts is not counted; a call counts until it is known to have been accepted.
  */
 final class AttemptTracker {
     private final String service;
@@ -37,19 +37,22 @@
         return true;
     }
 
-    /** The attempt reserved last was not sent; what it took of the budget stays with this request until its end. */
+    /**
+     * Releases the attempt reserved last because it was not sent. What it acquired from the retry budget stays reserved
+     * for this request until the request ends.
+     */
     void release() {
         attempts--;
     }
 
-    /** The request has ended: returns what was not needed to the budget. */
+    /** Returns unused acquisitions to the retry budget after the request has ended. */
     void close() {
         while (budgetAcquiredAtMs.size() > Math.max(0, attempts - 1)) {
             budget.release(service, budgetAcquiredAtMs.pop());
         }
     }
 
-    /** A prefill call was answered with a handle. */
+    /** A prefill replica responded with a handle. */
     void onPrefillAccepted() {
         if (!prefillAccepted) {
             prefillAccepted = true;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/CallListener.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/CallListener.java
@@ -4,14 +4,14 @@
 
 /**
  * Receives the events of a call to a replica. Exactly one of {@link #onNotSent}, {@link #onComplete} and
- * {@link #onFailure} ends a call, and none follows an abort.
+ * {@link #onFailure} ends a call; after an abort no event is delivered.
  */
 interface CallListener {
-    /** Why a call did not leave this router. */
+    /** Why no byte of a call was sent. */
     enum NotSent {
         /** No connection could be made. */
         NOT_CONNECTED,
-        /** This router's share of the replica's connections is in use. */
+        /** All connections to the replica that this router may open are in use. */
         NO_CONNECTION_FREE,
         /** The replica started to drain while the connection was being established. */
         REPLICA_DRAINING
@@ -29,6 +29,10 @@
     /** The response is complete. */
     void onComplete();
 
-    /** Bytes of the request were sent, and the connection failed or delivered something that is not the response. */
+    /**
+     * Bytes of the request were sent, and the connection failed or delivered bytes that are not the response.
+     *
+     * @param reason what happened, for diagnosis
+     */
     void onFailure(String reason);
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientConnection.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientConnection.java
@@ -13,8 +13,8 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Jetty's connection to a client, with three differences: chunks are sent complete, an idle connection is not read
- * before there is input, and a request's head must arrive within a timeout.
+ * A client's HTTP/1.1 connection. It differs from Jetty's in three points: each chunk is sent with its line end, an
+ * idle connection is not read before there is input, and a request's head must arrive within a timeout.
  */
 final class ClientConnection extends HttpConnection {
     private static final double NANOS_PER_MS = 1e6;
@@ -31,7 +31,7 @@
         this.headerTimeoutMs = headerTimeoutMs;
     }
 
-    /** Makes such connections. */
+    /** Creates {@link ClientConnection}s. */
     static final class Factory extends HttpConnectionFactory {
         private final IntSupplier headerTimeoutMs;
 
@@ -58,26 +58,26 @@
     }
 
     /**
-     * Accepts no more requests from this connection. Jetty may otherwise read one between a response that closes the
-     * connection, if that is written by another thread than the reading one, and the close.
+     * Stops accepting requests on this connection. If a response that closes the connection is written by a thread
+     * other than the reading one, Jetty could otherwise read another request before the close.
      */
     void rejectFurtherRequests() {
         rejectsRequests = true;
     }
 
-    /** Whether a request that was read may be executed; Jetty delivers what is in its buffer after a close, too. */
+    /** Whether a request that was read may be executed. Jetty delivers buffered requests even after a close. */
     boolean acceptsRequests() {
         return !rejectsRequests && getEndPoint().isOpen();
     }
 
-    /** A request's head arrived; called on the reading thread. */
+    /** Records that a request's head arrived. Called on the reading thread. */
     void onRequestHead() {
         wasPipelined = continuesReading;
     }
 
     /**
-     * Whether the client had disconnected before the request that was just read started, which is possible if it was
-     * pipelined. Called on the reading thread, as it may fill the buffer.
+     * Whether the client has disconnected already when its request is read, which is possible if the request was
+     * pipelined. Called on the reading thread because it may fill the connection's buffer.
      */
     boolean hasDisconnected() {
         if (!wasPipelined || !isRequestBufferEmpty()) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** A response was completed: reads the next request. */
+    /** Reads the next request after a response was completed. */
     @Override
     public void run() {
         if (isRequestBufferEmpty() && getParser().isStart() && getEndPoint().isOpen()) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientDeadline.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientDeadline.java
@@ -5,9 +5,9 @@
 import java.util.regex.Pattern;
 import org.eclipse.jetty.http.HttpFields;
 
-/** The time within which a client wants its response, by its {@code X-Pinewick-Deadline-Ms} fields. */
+/** The time within which a client expects its response, from its {@code X-Pinewick-Deadline-Ms} header fields. */
 final class ClientDeadline {
-    /** Least time that counts, milliseconds. */
+    /** Lower bound on a client's time, milliseconds. */
     static final double MIN_TIMEOUT_MS = 1;
 
     private static final Pattern MILLISECONDS_PATTERN = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
@@ -15,8 +15,8 @@
     private ClientDeadline() {}
 
     /**
-     * The shortest time that the client sends, so that no replica is ever given a later deadline; empty if it sends
-     * none that can be parsed.
+     * The shortest time that the client sends, milliseconds, so that no replica is given a later deadline than the
+     * client's; empty if it sends none that can be parsed.
      */
     static OptionalDouble parse(HttpFields fields) {
         List<String> values = fields.getValuesList(HeaderNames.DEADLINE_MS);
@@ -28,7 +28,7 @@
                 .min();
     }
 
-    /** The time for a request: the route's timeout, or the client's if that is shorter, milliseconds. */
+    /** The timeout of a request: the route's, or the client's if that is shorter, milliseconds. */
     static double timeoutMs(HttpFields fields, int routeTimeoutMs) {
         return Math.min(routeTimeoutMs, parse(fields).orElse(routeTimeoutMs));
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientDisconnectDetector.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientDisconnectDetector.java
@@ -6,13 +6,13 @@
 
 /**
  * Checks periodically whether the clients of requests in flight have disconnected, since Jetty would not notice before
- * the next write. A request is skipped at the first check after its start: most are answered before the second. Without
- * I/O of its own; used on the data plane's executor only.
+ * the next write. A request is skipped at the first check after its start, because most requests are complete before
+ * the second. Performs no I/O itself; used on the data plane's executor only.
  */
 final class ClientDisconnectDetector {
     /**
-     * A call to a replica must end within half a second of its client's disconnect: two periods and a margin for a busy
-     * machine.
+     * Interval between two checks, milliseconds. A call to a replica must end within 500 ms of its client's disconnect;
+     * that leaves time for two intervals and a margin for a busy machine.
      */
     static final double PERIOD_MS = 150;
 
@@ -21,7 +21,7 @@
     private final Set<Client> watchedClients = new LinkedHashSet<>();
     private boolean scheduled;
 
-    /** A client that waits for a response, or for its end. */
+    /** A client that waits for a response or for the rest of one. */
     interface Client {
         /** Checks the connection, and cancels the request if the client has closed it. */
         void checkDisconnected(double nowMs);
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientIntake.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientIntake.java
@@ -15,15 +15,15 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * Reads one complete client request within the limits in force, and passes it to the data plane. An incomplete body
- * times out at the request's deadline.
+ * Reads one complete client request within the limits in force and passes it to the data plane. A body that is still
+ * incomplete at the request's deadline is answered with 408.
  */
 final class ClientIntake implements Invocable.Task {
     private static final String RETRY_AFTER_SECONDS = "0.5";
-    /** Two spaces, the version, a line end, and the empty line. */
+    /** Bytes of the head besides method, target and fields: two spaces, the version, a line end and the empty line. */
     private static final int REQUEST_LINE_BYTES = 14;
 
-    /** A colon, a space and a line end. */
+    /** Bytes of a field besides name and value: a colon, a space and a line end. */
     private static final int FIELD_BYTES = 4;
 
     private static final int DELETE_CHARACTER = 0x7f;
@@ -54,7 +54,7 @@
         return InvocationType.NON_BLOCKING;
     }
 
-    /** Reads the available content; runs again when there is more. */
+    /** Reads the available content; Jetty runs this again when there is more. */
     @Override
     public synchronized void run() {
         if (!finished) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Ends the intake, once only. */
+    /** Ends reading the request, and runs {@code outcome}. Called once. */
     private void finish(Runnable outcome) {
         finished = true;
         if (timeout != null) {
@@ -104,7 +104,7 @@
         }
     }
 
-    /** The body was not complete in time: the request has not been executed and never will be. */
+    /** Responds 408 because the body was not complete in time; the request was not executed and will not be. */
     private synchronized void onTimeout() {
         if (!finished) {
             finish(() -> {
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Appends a chunk of the body; returns the rejection, or null. */
+    /** Appends a chunk of the body; returns the rejection to run if a limit is exceeded, otherwise null. */
     private Runnable append(ByteBuffer content) {
         int length = content.remaining();
         if (length == 0) {
@@ -139,7 +139,7 @@
         return null;
     }
 
-    /** Starts to read, unless too many requests are in flight. */
+    /** Starts reading, or rejects the request if too many are in flight. */
     void start() {
         if (dataPlane.inFlightLimits().tryAdmit()) {
             run();
@@ -148,7 +148,7 @@
         }
     }
 
-    /** The request was not executed: a retry may succeed. */
+    /** Responds 503: the request was not executed, and a retry may succeed. */
     private void rejectTemporarily(Callback completion) {
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
         response.getHeaders().put(HttpHeader.RETRY_AFTER, RETRY_AFTER_SECONDS);
@@ -189,7 +189,7 @@
         dataPlane.accept(clientRequest, request, response, callback);
     }
 
-    /** Length of the head as received, but for spaces that Jetty has removed. */
+    /** Length of the head as received, except for whitespace that Jetty has removed, bytes. */
     private int headBytes(HttpFields fields) {
         int bytes = request.getMethod().length()
                 + request.getHttpURI().getPathQuery().length()
@@ -201,7 +201,10 @@
         return bytes;
     }
 
-    /** Jetty has decoded other bytes, so that they could not be forwarded as received. */
+    /**
+     * Whether the target consists of printable ASCII. Jetty decodes other bytes, so that they could not be forwarded as
+     * received.
+     */
     private static boolean isPlainText(String target) {
         return target != null && target.chars().allMatch(each -> each > ' ' && each < DELETE_CHARACTER);
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientReply.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ClientReply.java
@@ -8,7 +8,7 @@
 
 /** The response to one client request: a replica's, complete or in chunks, or an error of the router's own. */
 final class ClientReply {
-    /** Bytes pending for the client beyond which reading from the replica is paused. */
+    /** Reading from the replica is paused while more bytes than this are pending for the client. */
     static final long MAX_PENDING_BYTES = 256 * 1024;
 
     private static final double MIN_RETRY_AFTER_SECONDS = 0.15;
@@ -31,7 +31,10 @@
         return headSent;
     }
 
-    /** Forwards a chunk of a replica's response, after its head; returns whether more may be read from the replica. */
+    /**
+     * Forwards a chunk of a replica's response, preceded by its head if that was not sent yet; returns whether more may
+     * be read from the replica.
+     */
     boolean forward(ResponseHead head, byte[] chunk) {
         begin(head);
         client.forward(chunk);
@@ -74,7 +77,7 @@
         client.respond(status, fields, UpstreamRequest.NO_BODY);
     }
 
-    /** Rejects the request, of which nothing was executed. */
+    /** Rejects a request of which nothing was executed. */
     void reject(int status, double retryAfterSeconds) {
         HttpFields.Mutable fields = HttpFields.build();
         fields.put(HeaderNames.REQUEST_ID, request.id());
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/CompleteChunkGenerator.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/CompleteChunkGenerator.java
@@ -7,16 +7,16 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Sends the line end of a chunk together with the chunk. Jetty's own generator sends it with the next one, so that a
- * client that reads complete chunks would get each event only with the next. Content to be sent this way is made by
- * {@link #withLineEnd}.
+ * An HTTP generator that sends the line end of a chunk together with the chunk. Jetty's generator sends it with the
+ * next chunk, so a client that reads complete chunks would get each event only when the next one arrives. Content to be
+ * sent this way is created by {@link #withLineEnd}.
  */
 final class CompleteChunkGenerator extends HttpGenerator {
     private static final int LINE_END_BYTES = 2;
 
     private boolean lineEndSent;
 
-    /** The chunks joined, with a line end behind the limit. */
+    /** Joins the chunks into one buffer whose array has a line end after the buffer's limit. */
     static ByteBuffer withLineEnd(Iterable<byte[]> chunks, int length) {
         ByteBuffer content = ByteBuffer.allocate(length + LINE_END_BYTES);
         chunks.forEach(content::put);
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ConnectTimeout.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ConnectTimeout.java
@@ -1,9 +1,9 @@
 package pinewick.dataplane;
 
 /**
- * The connect timeout: a multiple of the longest recent connect time, within bounds, so that an unreachable replica
- * costs little. A replica whose accept queue is full drops the first packet, which is retransmitted after a second at
- * the earliest; another replica is faster.
+ * Adaptive connect timeout: a multiple of the longest recent connect time, within bounds, so that an unreachable
+ * replica delays a request only briefly. A replica whose accept queue is full drops the first packet, which is
+ * retransmitted after one second at the earliest; trying another replica is faster.
  */
 final class ConnectTimeout {
     static final int MAX_TIMEOUT_MS = 400;
@@ -14,12 +14,12 @@
 
     private double recentMaxMs = MAX_TIMEOUT_MS / RECENT_MAX_FACTOR;
 
-    /** A connection was established. */
+    /** Records the time that a successful connect took, milliseconds. */
     void onConnected(double tookMs) {
         recentMaxMs = Math.max(tookMs, recentMaxMs * DECAY);
     }
 
-    /** The timeout of the next connection, milliseconds. */
+    /** The timeout for the next connect, milliseconds. */
     int timeoutMs() {
         return (int) Math.min(MAX_TIMEOUT_MS, Math.max(MIN_TIMEOUT_MS, RECENT_MAX_FACTOR * recentMaxMs));
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ConnectionExecutor.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ConnectionExecutor.java
@@ -4,9 +4,9 @@
 import org.eclipse.jetty.io.Connection;
 
 /**
- * Jetty's executor, but for one task: a connection whose response was completed reads its next request on the thread
- * that completed it, which saves the wake-up of another thread. Nothing blocks there, and no lock is held on
- * completion.
+ * Delegates to Jetty's executor, with one exception: a connection whose response was completed reads its next request
+ * on the thread that completed the response, which avoids waking another thread. That is safe because reading does not
+ * block and no lock is held on completion.
  */
 final class ConnectionExecutor implements Executor {
     private final Executor threads;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
@@ -34,13 +34,13 @@
 import pinewick.selection.RetryBudget;
 
 /**
- * The state of the data plane that requests share: the routing table in force, the replicas, the requests in flight.
- * Follows {@link FleetState}.
+ * The state that all requests of the data plane share: the routing table in force, the replicas and the requests in
+ * flight. It is kept up to date by {@link FleetState}.
  */
 final class DataPlane implements FleetStateListener {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int MIN_CONNECTIONS = 4;
-    /** Timeout of a request's body if there is no route for it. */
+    /** Timeout for receiving the body of a request without a route. */
     private static final double BODY_TIMEOUT_WITHOUT_ROUTE_MS = 5_000;
 
     private final SerialExecutor serial;
@@ -63,13 +63,13 @@
     private volatile RoutingTable routingTable = RoutingTable.EMPTY;
     private volatile boolean stopping;
     private boolean rejectsNew;
-    /** Requests that were received completely and whose responses were not fully written. */
+    /** Number of requests that were received completely and whose responses are not fully written. */
     private int openRequests;
 
     private int routerCountUpperBound = 1;
 
     /**
-     * @param tenancy keys and limits of tenants
+     * @param tenancy what authentication and quotas of tenants need
      * @param onLimitsChanged called with the limits in force when they change
      */
     DataPlane(
@@ -98,7 +98,7 @@
         this.reportPoller = new ReportPoller(services, loadReportExchange::onReport);
     }
 
-    /** Takes over the fleet's state, and listens to its changes. */
+    /** Loads the current fleet state and subscribes to its changes. */
     void follow(FleetState state, UpstreamConnector connector) {
         pool.setConnector(connector);
         state.addListener(this);
@@ -106,7 +106,7 @@
         state.replicas().forEach(this::onReplicaChanged);
     }
 
-    // ---- what the fleet knows
+    // ---- fleet state
 
     @Override
     public void onConfigurationChanged(ConfigurationDocument document) {
@@ -152,7 +152,12 @@
         });
     }
 
-    /** How many routers share the replicas and the retry budget. */
+    /**
+     * Sets the number of routers that share the replicas and the retry budget.
+     *
+     * @param count current estimate of the number of routers
+     * @param upperBound upper bound on that number
+     */
     void setRouterCounts(int count, int upperBound) {
         serial.execute(() -> {
             routerCountUpperBound = Math.max(1, upperBound);
@@ -170,25 +175,25 @@
         return services;
     }
 
-    /** Most connections of this router to one replica of a service. */
+    /** The maximum number of connections from this router to one replica of a service. */
     private int connectionLimit(String service) {
         int limitOfAllRouters =
                 routingTable.service(service).map(ServiceSpec::maxConnections).orElse(0);
         return Math.max(MIN_CONNECTIONS, limitOfAllRouters / routerCountUpperBound);
     }
 
-    /** Closes connections to replicas that were idle too long. */
+    /** Closes connections to replicas that were idle for too long. */
     void sweep() {
         serial.execute(pool::sweep);
     }
 
-    /** Checks for disconnected clients now, which is otherwise done periodically. */
+    /** Checks for disconnected clients now, in addition to the periodic check. */
     void checkDisconnects() {
         serial.execute(disconnectDetector::checkAll);
     }
 
     /**
-     * Polls the load of those replicas that this router is responsible for.
+     * Polls the load reports of the replicas that this router is responsible for.
      *
      * @param intervalMs until the next invocation
      */
@@ -200,7 +205,7 @@
         });
     }
 
-    /** Sends the load reports, hints and paces since the last call, if there are any. */
+    /** Sends the load reports, prefix hints and service times that are new since the last call, if any. */
     void shareLoadReports(Consumer<Message> send) {
         serial.execute(() -> {
             loadReportExchange.takeMessage(timers.nowMs()).ifPresent(send);
@@ -209,15 +214,15 @@
     }
 
     /**
-     * A message of another router arrived.
+     * Applies load reports and hints of another router.
      *
-     * @param forward whether what is new here is sent on
+     * @param forward whether what is new to this router is forwarded
      */
     void onLoadReport(LoadReportMessage message, boolean forward) {
         serial.execute(() -> loadReportExchange.onMessage(message, forward, timers.nowMs()));
     }
 
-    /** Sends what this router has learnt of prefix caches and service times. */
+    /** Sends this router's estimates of prefix caches and service times to a router that has just started. */
     void sendSnapshot(Consumer<Message> send) {
         serial.execute(() -> {
             send.accept(loadReportExchange.allServiceTimes());
@@ -226,25 +231,28 @@
     }
 
     /**
-     * Another router has told of service times.
+     * Applies service times of another router.
      *
-     * @param forward whether what is new here is sent on
+     * @param forward whether what is new to this router is forwarded
      */
     void onServiceTimes(ServiceTimesMessage serviceTimes, boolean forward) {
         serial.execute(() -> loadReportExchange.onServiceTimes(serviceTimes, forward));
     }
 
-    /** The estimates of another router arrived. */
+    /** Applies the prefix cache estimates that this router has requested from another one. */
     void onSnapshot(PrefixCacheSnapshot snapshot) {
         serial.execute(() -> loadReportExchange.onSnapshot(snapshot, timers.nowMs()));
     }
 
-    /** Another process has sent a message about limits of tenants. */
+    /** Handles a message of another process about tenants' quotas. */
     void onQuotaMessage(SocketAddress sender, Message message) {
         serial.execute(() -> quotas.onMessage(sender, message));
     }
 
-    /** Whether this router knows the keys of tenants well enough to serve requests with one. Any thread. */
+    /**
+     * Whether this router's configuration is recent enough to accept requests with a tenant's key. May be called on any
+     * thread.
+     */
     boolean isServing() {
         return requestAdmission.isServing(routingTable);
     }
@@ -264,8 +272,8 @@
     }
 
     /**
-     * Runs a task at the deadline of a request, by its route and its client. May be called on any thread; the task runs
-     * on the data plane's executor.
+     * Runs a task at the deadline of a request, which its route and its client determine. May be called on any thread;
+     * the task runs on the data plane's executor.
      */
     Timers.Timer scheduleAtDeadline(Request request, Runnable task) {
         double timeoutMs = routing.find(request)
@@ -293,9 +301,9 @@
         lifecycle.start();
     }
 
-    // ---- the end
+    // ---- shutdown
 
-    /** From now on each response closes its connection. */
+    /** Makes each further response close its connection. */
     void beginStopping() {
         stopping = true;
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlaneServices.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlaneServices.java
@@ -4,7 +4,7 @@
 import pinewick.selection.ReplicaSelector;
 import pinewick.selection.RetryBudget;
 
-/** The collaborators of every request's lifecycle. All of them are used on the data plane's executor only. */
+/** The services that all requests share. They are used on the data plane's executor only. */
 record DataPlaneServices(
         ReplicaSelector selector,
         PairChooser chooser,
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/EventStreamReader.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/EventStreamReader.java
@@ -21,10 +21,10 @@
     }
 
     /**
-     * Starts with the stream of another attempt: discards a partial event.
+     * Starts reading the stream of another attempt; discards a partial event of the previous one.
      *
-     * @param isResumed whether events were forwarded before, so that those up to the last one are skipped if they are
-     *     sent again
+     * @param isResumed whether events were forwarded before; those up to the last one are then skipped if the replica
+     *     sends them again
      */
     void restart(boolean isResumed) {
         partial.reset();
@@ -35,7 +35,7 @@
         skipUpTo = last == null ? 0 : last;
     }
 
-    /** Adds a chunk of the stream; returns the bytes of the events that it completes. */
+    /** Reads a chunk of the stream; returns the bytes of the events that it completes, empty if none. */
     byte[] read(ByteBuffer chunk) {
         ByteArrayOutputStream complete = new ByteArrayOutputStream(chunk.remaining());
         while (chunk.hasRemaining()) {
@@ -55,12 +55,12 @@
         return partial.toByteArray();
     }
 
-    /** Id of the last complete event, or the one the client sent; null if neither. */
+    /** Id of the last complete event, or else the id that the client sent; null if there is neither. */
     String lastEventId() {
         return lastEventId;
     }
 
-    /** Returns whether the line was empty, so that it ends an event. */
+    /** Processes a complete line; returns whether it was empty, which ends an event. */
     private boolean endOfLine() {
         int length = line.length();
         if (length > 0 && line.charAt(length - 1) == '\r') {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/FleetConnection.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/FleetConnection.java
@@ -25,8 +25,8 @@
 import pinewick.transport.TransportException;
 
 /**
- * Connects a router to the fleet: the control loop, the transport for internal messages, and the fleet state that they
- * maintain.
+ * Connects a router to the fleet. Owns the control loop, the transport for internal messages and the fleet state that
+ * they maintain.
  */
 final class FleetConnection implements QuotaPeers {
     private final FleetState state = new FleetState();
@@ -62,25 +62,25 @@
         return types;
     }
 
-    /** Receives what other routers send for the choice of replicas, on the receiving thread. */
+    /** Receives messages of other processes that concern the data plane, on the transport's receiving thread. */
     interface RouterMessageListener {
-        /** Load reports and hints. */
+        /** Load reports and prefix hints of another router. */
         void onLoadReport(LoadReportMessage message);
 
-        /** Service times. */
+        /** Service times measured by other routers. */
         void onServiceTimes(ServiceTimesMessage serviceTimes);
 
-        /** A router asks for this one's estimates of the prefix caches. */
+        /** A router requests this router's estimates of the prefix caches. */
         void onSnapshotRequest(SocketAddress sender);
 
-        /** A router has answered with its estimates. */
+        /** A router has replied with its estimates. */
         void onSnapshot(PrefixCacheSnapshot snapshot);
 
-        /** A message about limits of tenants. */
+        /** A message about tenants' quotas. */
         void onQuotaMessage(SocketAddress sender, Message message);
     }
 
-    /** Receives and sends from now on. */
+    /** Starts receiving and sending messages. */
     void start(RouterMessageListener listener) {
         transport.start((sender, message) -> onMessage(sender, message, listener));
         loop.execute(this::tick);
@@ -178,7 +178,7 @@
         loop.execute(task);
     }
 
-    /** The control loop's steady time, milliseconds. */
+    /** The control loop's monotonic time, milliseconds. */
     double nowMs() {
         return loop.nowMs();
     }
@@ -191,7 +191,7 @@
     /**
      * Runs a task periodically on the control loop.
      *
-     * @param intervalMs the interval before the next run, by the number of other known routers, milliseconds
+     * @param intervalMs returns the interval before the next run, milliseconds, given the number of other routers known
      */
     void repeatAtVariableInterval(Runnable task, IntToLongFunction intervalMs) {
         loop.repeatAtVariableInterval(
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/HeaderNames.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/HeaderNames.java
@@ -1,6 +1,6 @@
 package pinewick.dataplane;
 
-/** Header fields of the protocol between clients, routers and replicas. */
+/** Names of the header fields used between clients, routers and replicas. */
 final class HeaderNames {
     static final String REQUEST_ID = "X-Pinewick-Request-Id";
     static final String DEADLINE_MS = "X-Pinewick-Deadline-Ms";
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/HeaderRules.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/HeaderRules.java
@@ -10,7 +10,7 @@
 
 /** Which header fields a router forwards, in either direction. */
 final class HeaderRules {
-    /** Concern one connection only; each side writes its own framing. */
+    /** Fields that apply to one connection only; each side writes its own framing. */
     private static final Set<String> HOP_BY_HOP = names(
             "Connection",
             "Keep-Alive",
@@ -23,7 +23,7 @@
             "Upgrade",
             "Content-Length");
 
-    /** Fields that only routers may send to a replica, and those that are set for each call. */
+    /** Fields that only routers may send to a replica, or that the router sets for each call. */
     private static final Set<String> SET_BY_ROUTER = names(
             "Expect",
             HeaderNames.SERVING_STAGE,
@@ -63,17 +63,20 @@
         return !HOP_BY_HOP.contains(name) && !namedByConnection.contains(name);
     }
 
-    /** Names listed in {@code Connection}; the request's id and stamp cannot be dropped that way. */
+    /**
+     * Field names listed in {@code Connection}. {@code X-Pinewick-*} and {@code Host} are excluded, so that a sender
+     * cannot have the request's id or the server's signature dropped that way.
+     */
     private static Set<String> namedByConnection(HttpFields fields) {
         if (!fields.contains(HttpHeader.CONNECTION)) {
             return Set.of();
         }
         Set<String> named = names(fields.getCSV(HttpHeader.CONNECTION, false).toArray(String[]::new));
-        named.removeIf(HeaderRules::isOfTheRequest);
+        named.removeIf(HeaderRules::isAlwaysForwarded);
         return named;
     }
 
-    private static boolean isOfTheRequest(String name) {
+    private static boolean isAlwaysForwarded(String name) {
         return name.toLowerCase(Locale.ROOT).startsWith("x-pinewick-") || name.equalsIgnoreCase("host");
     }
 
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/HttpFrontend.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/HttpFrontend.java
@@ -22,14 +22,20 @@
 import pinewick.model.SocketAddress;
 import pinewick.transport.DaemonThreadFactory;
 
-/** The Jetty server of a router: clients on one address, the platform's readiness checks on another. */
+/**
+ * The HTTP server of a router, based on Jetty. It serves clients at one address and the platform's readiness checks at
+ * another.
+ */
 final class HttpFrontend {
     private static final int MAX_THREADS = 8;
     private static final int MIN_THREADS = 2;
     private static final int THREAD_IDLE_MS = 60_000;
     private static final int OUTPUT_BUFFER_BYTES = 8 * 1024;
     private static final int RESPONSE_HEADER_BYTES = 8 * 1024;
-    /** Longest head that a connection parses; the limit in force may change while it is open. */
+    /**
+     * Connections parse request heads of at least this length, bytes: the limit in force may change while they are
+     * open.
+     */
     private static final int PARSED_HEADER_BYTES = 64 * 1024;
 
     private static final int MIN_CLIENT_CONNECTIONS = 100;
@@ -43,7 +49,10 @@
     private final ServerConnector readiness;
     private final HttpConfiguration configuration = new HttpConfiguration();
 
-    /** @param maxClientConnections connections of more clients are closed unread, so that they go to another router */
+    /**
+     * @param maxClientConnections further connections are closed before anything is read, so that their clients use
+     *     another router
+     */
     HttpFrontend(
             DataPlane dataPlane,
             BooleanSupplier ready,
@@ -92,7 +101,7 @@
         server.addConnector(connector);
     }
 
-    /** Sets the limits in force; the length of a head is checked when it is complete. */
+    /** Sets the limits in force. The length of a request head is checked when the head is complete. */
     void setLimits(RequestLimits limits) {
         configuration.setRequestHeaderSize(Math.max(PARSED_HEADER_BYTES, limits.maxHeaderBytes()));
         frontend.setIdleTimeout(limits.idleTimeoutMs());
@@ -108,7 +117,7 @@
         }
     }
 
-    /** Accepts no new connection, and closes the idle ones; completes when all are closed. */
+    /** Stops accepting connections and closes idle ones; completes when all are closed. */
     CompletableFuture<Void> closeIdle() {
         return frontend.shutdown();
     }
@@ -126,7 +135,7 @@
         return frontend;
     }
 
-    /** How many clients are connected. */
+    /** Number of open client connections. */
     long clientConnections() {
         return frontend.getConnectedEndPoints().stream()
                 .filter(endPoint -> endPoint.isOpen() && endPoint.getConnection() instanceof ClientConnection)
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/InFlightLimits.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/InFlightLimits.java
@@ -22,7 +22,9 @@
         this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Admits one more request; {@link #release} ends it. */
+    /**
+     * Admits one more request, unless the maximum is reached. An admitted request is released with {@link #release}.
+     */
     boolean tryAdmit() {
         if (requests.incrementAndGet() > maxRequests) {
             requests.decrementAndGet();
@@ -31,7 +33,9 @@
         return true;
     }
 
-    /** Reserves more bytes for a request's body; returns false, and reserves nothing, beyond the limit. */
+    /**
+     * Reserves more bytes for a request's body; returns false, and reserves nothing, if the limit would be exceeded.
+     */
     boolean tryReserveBody(int bytes) {
         if (bodyBytes.addAndGet(bytes) > maxBodyBytes) {
             bodyBytes.addAndGet(-bytes);
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/JettyClientExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/JettyClientExchange.java
@@ -17,13 +17,13 @@
 import org.eclipse.jetty.util.thread.Invocable.InvocationType;
 
 /**
- * The Jetty side of one client request. One write is in progress at a time; chunks that arrive meanwhile go with the
- * next. Used on the data plane's executor only.
+ * Responds to one client request through Jetty. One write is in progress at a time; chunks that arrive during it are
+ * sent together by the next write. Used on the data plane's executor only.
  */
 final class JettyClientExchange implements ClientExchange, ClientDisconnectDetector.Client {
     /**
-     * Bytes of a pipelined request that are read ahead while this one is in flight: far fewer than the capacity of
-     * Jetty's buffer.
+     * Maximum bytes of a pipelined request that are read ahead while this one is in flight; far fewer than the capacity
+     * of Jetty's buffer.
      */
     static final int MAX_READ_AHEAD_BYTES = 1024;
 
@@ -43,7 +43,7 @@
     private int readAheadBytes;
 
     /**
-     * @param closesConnection whether the response closes the connection
+     * @param closesConnection whether the response must close the connection
      * @param readAheadBuffer shared buffer for reading ahead when checking for a disconnect
      * @param onResponseComplete called once the response is fully written, or the connection is closed
      */
@@ -66,7 +66,7 @@
     /**
      * Sets the lifecycle to notify of a disconnect and of written chunks.
      *
-     * @param responseDeadlineAtMs when the client must have received the complete response
+     * @param responseDeadlineAtMs time by which the client must have received the complete response
      */
     void setLifecycle(RequestLifecycle lifecycle, double responseDeadlineAtMs) {
         this.lifecycle = lifecycle;
@@ -74,10 +74,9 @@
     }
 
     /**
-     * Detects whether the client has closed its connection. Bytes of a pipelined request are passed to the connection;
-     * once its buffer may be full, or if it contained bytes before, nothing more is read, and a disconnect is detected
-     * at the next write only. A client that has not received the end of its response by the deadline counts as
-     * disconnected.
+     * Checks whether the client has closed its connection. Bytes of a pipelined request are passed to the connection's
+     * buffer. Nothing is read if the buffer may be full or contained bytes before; a disconnect is then detected only
+     * at the next write. A client that has not received the end of its response by the deadline counts as disconnected.
      */
     @Override
     public void checkDisconnected(double nowMs) {
@@ -207,7 +206,7 @@
         }
     }
 
-    /** The client's connection has failed or was closed. */
+    /** Ends the request because the client's connection has failed or was closed. */
     void onDisconnected(Throwable cause) {
         if (!finished) {
             finished = true;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/KvTransferHealth.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/KvTransferHealth.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * A circuit breaker for KV transfers, by service: while decode replicas reject them, serving is aggregated, and one
- * transfer is tried per backoff period.
+ * A circuit breaker for KV transfers, one per service. After consecutive rejections by decode replicas, serving is
+ * aggregated and one transfer is tried per backoff period.
  */
 final class KvTransferHealth {
     private static final int MAX_CONSECUTIVE_REJECTIONS = 3;
@@ -36,7 +36,7 @@
         streaks.remove(service);
     }
 
-    /** A decode replica could not receive the KV cache, or had no capacity for it. */
+    /** A decode replica could not fetch the KV cache, or had no capacity for it. */
     void onRejected(String service, double nowMs) {
         RejectionStreak streak = streaks.computeIfAbsent(service, name -> new RejectionStreak());
         streak.count++;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportExchange.java
@@ -15,24 +15,27 @@
 import pinewick.selection.SharedServiceTime;
 
 /**
- * Collects load reports and hints for the other routers, and applies theirs. In a large fleet it forwards what was new
- * here ({@link LoadReportTargets}). Without I/O; used on the data plane's executor only.
+ * Collects load reports, prefix hints and service times for the other routers, and applies theirs. In a large fleet it
+ * also forwards what was new to this router ({@link LoadReportTargets}). Performs no I/O; used on the data plane's
+ * executor only.
  */
 final class LoadReportExchange {
-    /** Hints and reports in one message, which fits a datagram. */
+    /** With {@link #MAX_REPORTS_PER_MESSAGE} the bound on a message, so that it fits a datagram. */
     private static final int MAX_HINTS_PER_MESSAGE = 20;
 
     private static final int MAX_REPORTS_PER_MESSAGE = 12;
-    /** Reports older than this are not sent on: a queue of that time is gone. */
+    /** Reports older than this are not sent: the queue that they describe has drained since. */
     private static final double MAX_REPORT_AGE_MS = 1_500;
-    /** A report is new here if it is later than the one known by at least this. */
+    /** A report counts as new if it is later than the known one by at least this. */
     private static final double MIN_REPORT_ADVANCE_MS = 100;
-    /** Hints with which a router starts: the prefixes used last at all replicas. */
+    /**
+     * Maximum number of hints in a snapshot for a router that starts: the most recently used prefixes of all replicas.
+     */
     private static final int MAX_HINTS_PER_SNAPSHOT = 800;
 
     private final ReplicaSelector selector;
     private final Map<String, LoadReport> unsentReports = new LinkedHashMap<>();
-    /** The paces that other routers know of, from this one or from others. */
+    /** Service times that other routers already know, from this router or from another one. */
     private final Set<ServiceTimeKey> announcedServiceTimes = new HashSet<>();
 
     private final List<SharedServiceTime> unsentServiceTimes = new ArrayList<>();
@@ -47,7 +50,7 @@
         this.selector = selector;
     }
 
-    /** This router has polled a report. */
+    /** Applies a report that this router has polled, and enqueues it for the other routers. */
     void onReport(String instanceId, LoadReport report) {
         selector.onLoadReport(instanceId, report);
         enqueue(instanceId, report);
@@ -58,7 +61,10 @@
         unsentReports.put(instanceId, report);
     }
 
-    /** What is to be sent now: the newest reports and hints, empty if there are none. The rest waits. */
+    /**
+     * Takes the next message to be sent: unsent reports and hints up to the maximum, empty if there are none. The rest
+     * stays queued.
+     */
     Optional<LoadReportMessage> takeMessage(double nowMs) {
         List<PrefixHint> hints = selector.cacheEstimates().takeHints(MAX_HINTS_PER_MESSAGE, nowMs);
         List<LoadReportMessage.SharedReport> reports = takeReports(nowMs);
@@ -81,9 +87,9 @@
     }
 
     /**
-     * A message of another router arrived.
+     * Applies reports and hints of another router.
      *
-     * @param forward whether what is new here is sent on
+     * @param forward whether what is new to this router is forwarded
      */
     void onMessage(LoadReportMessage message, boolean forward, double nowMs) {
         for (LoadReportMessage.SharedReport shared : message.reports()) {
@@ -106,7 +112,10 @@
         }
     }
 
-    /** The paces to be sent now, empty if there are none: each is told when this router is the first to know it. */
+    /**
+     * Takes the service times to be sent now, empty if there are none. Each is announced only if this router is the
+     * first to know it.
+     */
     Optional<ServiceTimesMessage> takeServiceTimes() {
         for (SharedServiceTime serviceTime : selector.serviceTimes()) {
             if (announcedServiceTimes.add(ServiceTimeKey.of(serviceTime))) {
@@ -122,9 +131,9 @@
     }
 
     /**
-     * Another router has told of paces.
+     * Applies service times of another router.
      *
-     * @param forward whether what is new here is sent on
+     * @param forward whether what is new to this router is forwarded
      */
     void onServiceTimes(ServiceTimesMessage message, boolean forward) {
         for (SharedServiceTime serviceTime : message.serviceTimes()) {
@@ -136,17 +145,17 @@
         }
     }
 
-    /** What a router that has just started is told of service times. */
+    /** All known service times, for a router that has just started. */
     ServiceTimesMessage allServiceTimes() {
         return new ServiceTimesMessage(selector.serviceTimes());
     }
 
-    /** What a router that has just started is told of the prefix caches. */
+    /** Prefix cache estimates for a router that has just started. */
     PrefixCacheSnapshot snapshot(double nowMs) {
         return new PrefixCacheSnapshot(selector.cacheEstimates().snapshot(MAX_HINTS_PER_SNAPSHOT, nowMs));
     }
 
-    /** The snapshot that this router has asked for has arrived. */
+    /** Applies the snapshot that this router has requested. */
     void onSnapshot(PrefixCacheSnapshot snapshot, double nowMs) {
         snapshot.hints().forEach(hint -> selector.cacheEstimates().applyHint(hint, nowMs));
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportMessage.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportMessage.java
@@ -9,8 +9,8 @@
 import pinewick.selection.SharedServiceTime;
 
 /**
- * Sent by each router to other routers: the load reports that it has polled or received, and hints about prefix
- * caches. Best effort: a router that receives none decides by its own measurements.
+ * Load reports that a router has polled or received, and hints about prefix caches; sent to other routers. Best effort:
+ * a router that receives none relies on its own measurements.
  *
  * @param reports load reports since the last message
  * @param hints prompts that replicas have prefilled or received since the last message
@@ -22,7 +22,9 @@
         hints = List.copyOf(hints);
     }
 
-    /** The types of what routers send each other, in the order of their ids on the wire; new ones come last. */
+    /**
+     * The message types that routers send each other, in the order of their ids on the wire; new types are appended.
+     */
     public static List<Class<?>> types() {
         return List.of(
                 SharedReport.class,
@@ -36,7 +38,8 @@
     }
 
     /**
-     * A load report of another router, with its age in place of a time of that router's clock.
+     * A load report as sent between routers: with its age, since a timestamp of the sender's clock would mean nothing
+     * to the receiver.
      *
      * @param instanceId the replica
      * @param stage the stage that it serves
@@ -46,8 +49,8 @@
      * @param running requests in progress
      * @param kvUsed tokens of KV cache that cannot be evicted
      * @param kvTotal tokens of KV cache
-     * @param prefillHandles prefilled prompts that were not transferred yet
-     * @param ageMs how long before the message it was received
+     * @param prefillHandles prefilled prompts that were not yet transferred
+     * @param ageMs age of the report when the message was sent, milliseconds
      */
     public record SharedReport(
             String instanceId,
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportTargets.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/LoadReportTargets.java
@@ -9,26 +9,26 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Chooses the routers to which load reports and hints are sent: all others, as long as this router knows all others. In
- * a larger fleet its view is a part only ({@link PeerSampling}), and each message goes to a few drawn at random, which
- * send on what is new to them: rumor mongering with the number of rounds fixed at one (Demers and others, Epidemic
- * Algorithms for Replicated Database Maintenance, PODC 1987). With a fanout of f a fraction s of the routers is
- * reached, s = 1 - exp(-f·s): 0.98 for 4. Most of them are drawn from the sender's own zone, since bytes between zones
- * have a price; the paper's section on spatial distributions gives the reasoning. No I/O.
+ * Chooses the routers to which load reports and hints are sent: all others as long as this router knows all of them. In
+ * a larger fleet its view is partial ({@link PeerSampling}), and each message goes to a few routers drawn at random,
+ * which forward what is new to them: rumor mongering with the number of rounds fixed at one (Demers and others,
+ * Epidemic Algorithms for Replicated Database Maintenance, PODC 1987). With a fanout of f a fraction s of the routers
+ * is reached, s = 1 - exp(-f·s): 0.98 for 4. Most of them are drawn from the sender's own zone, since traffic between
+ * zones has a cost; the paper's section on spatial distributions gives the reasoning. Performs no I/O.
  */
 final class LoadReportTargets {
-    /** From this many other routers on, a view may be a part of the fleet only. */
+    /** From this many other routers on, a router's view may be partial. */
     static final int FULL_VIEW = PeerSampling.ROUTER_CAPACITY;
 
-    /** Routers of the own zone to which a message is sent in a larger fleet. */
+    /** Number of routers in the sender's zone to which a message is sent in a larger fleet. */
     static final int TARGETS_IN_ZONE = 3;
 
-    /** Routers of other zones to which a message is sent in a larger fleet. */
+    /** Number of routers in other zones to which a message is sent in a larger fleet. */
     static final int TARGETS_IN_OTHER_ZONES = 1;
 
     private LoadReportTargets() {}
 
-    /** Whether routers forward what others send them. */
+    /** Whether routers forward what others send them, given the number of other routers known. */
     static boolean isForwarding(int otherRouters) {
         return otherRouters >= FULL_VIEW;
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PairChooser.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PairChooser.java
@@ -9,15 +9,17 @@
 import pinewick.selection.RequestShape;
 
 /**
- * Chooses the replicas of a request. In production this is {@link ReplicaSelector}; tests use it to force an order of
- * events.
+ * Chooses the replicas for a request. In production this is {@link ReplicaSelector}; tests implement it to force an
+ * order of events.
  */
 interface PairChooser {
     /** The pair for a request, empty if no candidate is eligible. */
     Optional<ReplicaPair> choose(
             RequestShape request, Collection<ReplicaRecord> candidates, Set<String> excluded, double nowMs);
 
-    /** The decode replica for a prompt that was prefilled by {@code prefillReplica}. */
+    /**
+     * The decode replica for a prompt that was prefilled by {@code prefillReplica}, empty if no candidate is eligible.
+     */
     Optional<ReplicaRecord> chooseDecode(
             RequestShape request,
             ReplicaRecord prefillReplica,
@@ -25,7 +27,7 @@
             Set<String> excluded,
             double nowMs);
 
-    /** The selection's own choice. */
+    /** A chooser that delegates to the selector. */
     static PairChooser of(ReplicaSelector selector) {
         return new PairChooser() {
             @Override
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefillHandle.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefillHandle.java
@@ -13,8 +13,8 @@
  * A reference to the KV cache of a prompt at its prefill replica.
  *
  * @param replica the prefill replica
- * @param id the replica's id of it
- * @param createdAtMs when the response arrived
+ * @param id the id that the replica has given it
+ * @param createdAtMs time at which the prefill response arrived, milliseconds
  */
 record PrefillHandle(ReplicaRecord replica, String id, double createdAtMs) {
     private static final Pattern SAFE_ID = Pattern.compile("[A-Za-z0-9_.~-]{1,128}");
@@ -35,12 +35,12 @@
         }
     }
 
-    /** The value of {@code Kv-From}. */
+    /** The value of the {@code Kv-From} header field. */
     String kvFrom() {
         return replica.address() + "/" + id;
     }
 
-    /** The path at which the replica releases it. */
+    /** Path of the request that releases the KV cache at its replica. */
     String path() {
         return "/kv-handle/" + id;
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefillHandleRelease.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefillHandleRelease.java
@@ -5,8 +5,8 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /**
- * Releases the KV cache of a prompt that will not be transferred at its prefill replica. Best effort: it expires there
- * by itself.
+ * Tells a prefill replica to release the KV cache of a prompt that will not be transferred. Best effort: the KV cache
+ * expires there by itself.
  */
 final class PrefillHandleRelease implements CallListener {
     private static final double TIMEOUT_MS = 1_000;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefixCacheBootstrap.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefixCacheBootstrap.java
@@ -11,18 +11,21 @@
 
 /**
  * Decides which router a router that has just started asks for its estimates of the prefix caches: one drawn at random
- * from those that have run longer. Many may start at the same time: they have nothing to tell each other, and would all
- * ask the same one if it were the one that has run longest. Without any that has run longer there is nothing to learn.
- * No I/O; used by one thread.
+ * from those that started earlier. Many routers may start at the same time; they have no estimates to share, and would
+ * all ask the same router if the one with the longest uptime were chosen. If no router started earlier, there is
+ * nothing to ask for. Performs no I/O; used by one thread.
  */
 final class PrefixCacheBootstrap {
-    /** Another router is asked if none has answered after this time, milliseconds. */
+    /** Another router is asked if none has replied after this time, milliseconds. */
     static final double RETRY_INTERVAL_MS = 1_000;
 
-    /** Routers that are asked one after the other. */
+    /** Maximum number of routers that are asked, one after the other. */
     static final int MAX_REQUESTS = 3;
 
-    /** A router that has started this much earlier, by its own clock, has learnt something, milliseconds. */
+    /**
+     * A router is asked only if it started at least this much earlier, by its own clock, and so had time to learn;
+     * milliseconds.
+     */
     static final long MIN_EARLIER_START_MS = 2_000;
 
     private final long ownIncarnation;
@@ -31,14 +34,14 @@
     private double nextRequestAtMs = Double.NEGATIVE_INFINITY;
     private boolean done;
 
-    /** @param ownIncarnation the time at which this router has started, milliseconds */
+    /** @param ownIncarnation the time at which this router started, milliseconds since the epoch */
     PrefixCacheBootstrap(long ownIncarnation, RandomGenerator random) {
         this.ownIncarnation = ownIncarnation;
         this.random = random;
     }
 
     /**
-     * The router that is asked now, if any.
+     * The router to be asked now, empty if none.
      *
      * @param others the other routers known at this moment
      */
@@ -61,7 +64,7 @@
         return Optional.of(chosen);
     }
 
-    /** An answer has arrived; an empty one does not count. */
+    /** Records a reply; an empty one does not count. */
     void onSnapshot(PrefixCacheSnapshot snapshot) {
         done |= !snapshot.hints().isEmpty();
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefixCacheSnapshot.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefixCacheSnapshot.java
@@ -5,10 +5,10 @@
 import pinewick.selection.PrefixHint;
 
 /**
- * The answer to {@link PrefixCacheSnapshotRequest}. Best effort, as hints are: a router without it learns from its own
- * calls and from later hints.
+ * The reply to {@link PrefixCacheSnapshotRequest}. Best effort, like hints: a router that receives none learns from its
+ * own calls and from later hints.
  *
- * @param hints of each replica the prefixes that were used last, the newest first
+ * @param hints the most recently used prefixes of each replica, newest first
  */
 public record PrefixCacheSnapshot(List<PrefixHint> hints) implements Message {
     public PrefixCacheSnapshot {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefixCacheSnapshotRequest.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PrefixCacheSnapshotRequest.java
@@ -2,5 +2,5 @@
 
 import pinewick.model.Message;
 
-/** Sent by a router that has just started to one of the others: asks what replicas have cached. */
+/** Requests another router's estimates of the replicas' prefix caches; sent by a router that has just started. */
 public record PrefixCacheSnapshotRequest() implements Message {}
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PromptHeaders.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PromptHeaders.java
@@ -6,12 +6,12 @@
 import pinewick.selection.PromptPart;
 
 /**
- * The prompt of a request by its header fields. Fields that cannot be parsed count as absent: they serve the choice of
- * replicas only.
+ * The prompt of a request as described by its header fields. Fields that cannot be parsed count as absent, because they
+ * are used for the choice of replicas only.
  *
- * @param model name of the model, or empty
- * @param promptTokens tokens of the prompt
- * @param outputTokens the output limit, tokens
+ * @param model name of the model, empty if unknown
+ * @param promptTokens number of tokens of the prompt, 0 if unknown
+ * @param outputTokens maximum number of output tokens, 0 if unknown
  * @param parts parts of the prompt in order
  */
 record PromptHeaders(String model, int promptTokens, int outputTokens, List<PromptPart> parts) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/QuotaAdmission.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/QuotaAdmission.java
@@ -8,22 +8,32 @@
 import pinewick.quota.QuotaDecision;
 
 /**
- * Admission of one request by the limit of its tenant: granted at once without a limit, else decided by the
- * coordinator. Without a decision in time the router's own allowance is used, and if that does not suffice the request
- * is rejected as not executed: it is not the tenant's fault.
+ * Admission of one request by its tenant's quota. Without a limit it is granted at once, otherwise the quota
+ * coordinator decides. If no decision arrives in time, the router's fallback allowance is used. If that does not
+ * suffice, the request is rejected with 503 (not executed), not with 429, because the tenant has not exceeded its
+ * limit.
  */
 final class QuotaAdmission {
     private static final double MS_PER_SECOND = 1_000;
 
-    /** {@code Retry-After} over the limit is at least this: the bucket is about empty, and others wait for it too. */
+    /**
+     * Minimum {@code Retry-After} of a request over the limit: the token bucket is nearly empty then, and other
+     * requests wait for its tokens too.
+     */
     private static final double MIN_RETRY_AFTER_SECONDS = 0.15;
 
-    /** {@code Retry-After} without a coordinator: an election and the wait for the former lease take about as long. */
+    /**
+     * {@code Retry-After} without a decision of a coordinator; an election and the expiry of the previous lease take
+     * about as long.
+     */
     private static final double RECOVERY_RETRY_AFTER_SECONDS = 0.9;
 
     private static final double RETRY_AFTER_JITTER = 0.6;
 
-    /** How often a request asks again whose tokens come within its wait: the bucket is about empty for a moment. */
+    /**
+     * Maximum number of quota requests for one client request. It asks again if its tokens become available within its
+     * wait, since the bucket may be empty only briefly.
+     */
     private static final int MAX_REQUESTS = 3;
 
     private final Optional<QuotaCharge> charge;
@@ -38,15 +48,15 @@
     private boolean decided;
 
     /**
-     * The answer to a request that is not admitted.
+     * The response to a request that is not admitted.
      *
-     * @param status 429 over the limit, 503 without a decision
-     * @param retryAfterSeconds when the client may come back
+     * @param status 429 if over the limit, 503 without a decision
+     * @param retryAfterSeconds time after which the client may retry
      */
     record Rejection(int status, double retryAfterSeconds) {}
 
     /**
-     * @param charge what the request counts, empty without a limit
+     * @param charge the tokens or requests to be charged, empty without a limit
      * @param maxWaitMs how long to wait for a decision
      */
     QuotaAdmission(
@@ -67,7 +77,7 @@
         return new QuotaAdmission(Optional.empty(), null, timers, random, 0);
     }
 
-    /** Runs one of the two, now or later, unless it is cancelled first. */
+    /** Runs exactly one of the callbacks, during this call or later, unless cancelled first. */
     void begin(Runnable onGranted, Consumer<Rejection> onRejected) {
         if (charge.isEmpty()) {
             onGranted.run();
@@ -88,7 +98,7 @@
         }
     }
 
-    /** The request has ended otherwise. */
+    /** Cancels the admission because the request has ended for another reason. */
     void cancel() {
         pending.ifPresent(PendingGrant::cancel);
         timer.ifPresent(Timers.Timer::cancel);
@@ -127,7 +137,7 @@
         return new Rejection(HttpStatus.SERVICE_UNAVAILABLE_503, withJitter(RECOVERY_RETRY_AFTER_SECONDS));
     }
 
-    /** Clients do not return at the same time. */
+    /** Adds jitter, so that clients do not retry at the same time. */
     private double withJitter(double seconds) {
         return seconds * (1 + RETRY_AFTER_JITTER * random.nextDouble());
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/QuotaCharge.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/QuotaCharge.java
@@ -7,16 +7,16 @@
 import pinewick.model.Tenant;
 
 /**
- * What a request counts towards the limit of its tenant.
+ * The amount by which a request is charged against its tenant's quota.
  *
  * @param tenant name of the tenant
  * @param limit its limit
- * @param cost requests or tokens, as the limit counts
+ * @param cost amount in the unit of the limit: requests or tokens
  */
 record QuotaCharge(String tenant, QuotaLimit limit, int cost) {
     private static final int TOKEN_COUNTS = 2;
 
-    /** The charge of a request, empty if its tenant has no limit. */
+    /** The charge of a request; empty if its tenant has no limit. */
     static Optional<QuotaCharge> of(Tenant tenant, HttpFields fields) {
         QuotaLimit limit = tenant.limit();
         if (limit.isUnlimited()) {
@@ -26,7 +26,7 @@
         return Optional.of(new QuotaCharge(tenant.name(), limit, cost));
     }
 
-    /** The tokens of the prompt and the most of the output, or what the limit says of a request without these. */
+    /** The prompt tokens plus the output limit, or the limit's default for a request that does not state them. */
     private static int tokens(QuotaLimit limit, HttpFields fields) {
         String counts = fields.get(HeaderNames.TOKEN_COUNT);
         if (counts == null) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaConnections.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaConnections.java
@@ -6,8 +6,8 @@
 import pinewick.model.ReplicaRecord;
 
 /**
- * The connections to one replica instance: the idle ones, the most recently used first, and how many are open. No
- * request waits for a connection to become free; it waits only for one that is being established.
+ * The connections to one replica instance: the idle ones, most recently used first, and the number of open ones. A
+ * request waits only for a connection that is being established, never for one in use to become free.
  */
 final class ReplicaConnections {
     private final ReplicaRecord replica;
@@ -50,7 +50,7 @@
         return null;
     }
 
-    /** A new connection is open. */
+    /** Sends the next waiting request on a connection that was just established. */
     void onConnected(UpstreamConnection connection) {
         UpstreamExchange exchange = nextWaiting();
         if (exchange == null) {
@@ -71,7 +71,7 @@
         return exchange;
     }
 
-    /** A connection could not be established. */
+    /** Fails the next waiting request because a connection could not be established. */
     void onConnectFailed() {
         open--;
         UpstreamExchange exchange = connecting.pollFirst();
@@ -80,7 +80,7 @@
         }
     }
 
-    /** A complete response arrived on the connection, which may carry another request. */
+    /** Returns a connection to the idle ones after a complete response. */
     void onReleased(UpstreamConnection connection) {
         idle.push(connection);
     }
@@ -90,7 +90,7 @@
         open--;
     }
 
-    /** Closes what the replica is about to close. */
+    /** Closes the idle connections that the replica is about to close. */
     void sweep(double nowMs) {
         for (UpstreamConnection connection : idle.toArray(UpstreamConnection[]::new)) {
             if (connection.hasExpired(nowMs)) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaDirectory.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaDirectory.java
@@ -8,9 +8,9 @@
 import pinewick.model.ReplicaState;
 
 /**
- * The replicas that may be chosen, by service, as the fleet's records of them say. A replica that is still chosen after
- * its drain either has a record here that is older than the drain (see {@link pinewick.dissemination.ReplicaGossip}),
- * or was chosen before: {@link ReplicaConnections} checks {@link #mayReceiveRequest} again before it sends.
+ * The replicas of each service, by the fleet's replica records. A draining replica can still be chosen if its record
+ * here is older than the drain (see {@link pinewick.dissemination.ReplicaGossip}), or if it was chosen before the drain
+ * began; for the second case {@link ReplicaConnections} checks {@link #mayReceiveRequest} again before it sends.
  */
 final class ReplicaDirectory {
     private final Map<String, Map<String, ReplicaRecord>> byService = new HashMap<>();
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Replicas of a service that accept requests. If all have lapsed, those that are not draining are used: the
-     * heartbeats may fail, and not the replicas.
+     * The replicas of a service that accept requests. If all have lapsed, those that are not draining are returned,
+     * since the path of the heartbeats may have failed rather than the replicas.
      */
     List<ReplicaRecord> candidates(String service) {
         List<ReplicaRecord> candidates = new ArrayList<>();
@@ -44,14 +44,17 @@
         return candidates.isEmpty() ? lapsed : candidates;
     }
 
-    /** Every replica of every service that was not removed. */
+    /** All replicas of all services, except removed ones. */
     List<ReplicaRecord> all() {
         List<ReplicaRecord> all = new ArrayList<>();
         byService.values().forEach(ofService -> all.addAll(ofService.values()));
         return all;
     }
 
-    /** Whether a request for which this replica was chosen may still be sent: the replica is not draining. */
+    /**
+     * Whether a request may still be sent to a replica that was chosen earlier, i.e. the replica is neither draining
+     * nor removed.
+     */
     boolean mayReceiveRequest(ReplicaRecord replica) {
         ReplicaRecord now = byService.getOrDefault(replica.service(), Map.of()).get(replica.instanceId());
         return now != null && now.state() == ReplicaState.READY;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaRequests.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaRequests.java
@@ -4,7 +4,7 @@
 import pinewick.model.ReplicaRecord;
 
 /**
- * Builds the requests to replicas for one client request: the client's own fields, and those that only routers may
+ * Builds the requests to replicas for one client request: the client's header fields plus those that only routers may
  * send.
  */
 final class ReplicaRequests {
@@ -17,7 +17,7 @@
     }
 
     /**
-     * Prefill only.
+     * The prefill of the request.
      *
      * @param priority priority among the replica's calls, 0 first
      */
@@ -28,7 +28,7 @@
     }
 
     /**
-     * The complete request, or its decode.
+     * The complete request, or its decode after a prefill elsewhere.
      *
      * @param priority priority among the replica's calls, 0 first
      * @param handle handle of the KV cache to be transferred, null for aggregated serving
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReportPoller.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReportPoller.java
@@ -21,13 +21,13 @@
 import pinewick.selection.LoadReport;
 
 /**
- * Polls replicas for their load reports. Each replica is polled by one of the routers that know each other: the one
- * that ranks highest for it by rendezvous hashing (Thaler and Ravishankar, IEEE/ACM Transactions on Networking 1998).
- * Each poll has a price, so that a replica is not polled again before its response or a timeout.
+ * Polls replicas for their load reports. Among the routers that know each other, each replica is polled by the one that
+ * ranks highest for it by rendezvous hashing (Thaler and Ravishankar, IEEE/ACM Transactions on Networking 1998). Since
+ * each poll has a cost, a replica is not polled again before it has responded or the poll has timed out.
  */
 final class ReportPoller {
     private static final double TIMEOUT_MS = 1_000;
-    /** A report younger than this fraction of the interval is another router's. */
+    /** A report younger than this fraction of the poll interval was polled by another router. */
     private static final double RECENT_REPORT_FRACTION = 0.75;
 
     private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -48,7 +48,7 @@
      *
      * @param self this router
      * @param others the other routers it knows
-     * @param intervalMs until the next invocation
+     * @param intervalMs time until the next invocation
      */
     void poll(SocketAddress self, List<SocketAddress> others, double intervalMs) {
         for (ReplicaRecord replica : services.directory().all()) {
@@ -58,21 +58,27 @@
         }
     }
 
-    /** Replicas without an engine are not polled: the calls in flight there say as much, and each poll has a price. */
+    /**
+     * Whether a replica is polled. Replicas without an inference engine are not: the number of calls in flight tells as
+     * much about them, and each poll has a cost.
+     */
     private boolean shouldPoll(ReplicaRecord replica) {
         return replica.stage() != Stage.NONE
                 && replica.acceptsRequests()
                 && !polledInstances.contains(replica.instanceId());
     }
 
-    /** Whether another router has polled it: routers that do not know each other may both rank first. */
+    /**
+     * Whether another router has polled the replica recently, since routers that do not know each other may both rank
+     * first for it.
+     */
     private boolean hasRecentReport(ReplicaRecord replica, double intervalMs) {
         double ageMs = services.selector()
                 .loadReportAgeMs(replica.instanceId(), services.timers().nowMs());
         return ageMs < RECENT_REPORT_FRACTION * intervalMs;
     }
 
-    /** Whether {@code self} is the router that polls a replica. */
+    /** Whether {@code self} ranks first for a replica among the routers; ties go to the lower address. */
     static boolean ranksFirst(SocketAddress self, List<SocketAddress> others, ReplicaRecord replica) {
         long own = rank(self, replica);
         for (SocketAddress other : others) {
@@ -91,7 +97,7 @@
         return mixed ^ (mixed >>> HASH_SHIFT);
     }
 
-    /** Parses a report; empty if it is invalid. */
+    /** Parses the JSON body of a load report; empty if it is invalid. */
     static Optional<LoadReport> parse(byte[] body, double nowMs) {
         try {
             JsonElement json = JsonParser.parseString(new String(body, StandardCharsets.UTF_8));
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestAdmission.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestAdmission.java
@@ -16,31 +16,37 @@
 import pinewick.selection.RequestShape;
 
 /**
- * Decides whether a request that was received completely is admitted: by its route, its key, the replicas that there
- * are and their load. What is not admitted is answered here; the limit of the tenant is left to the request's
- * lifecycle, since that may have to wait. Used on the data plane's executor only.
+ * Decides whether a request that was received completely is admitted, based on its route, its key, the available
+ * replicas and their load. Responds to requests that are not admitted. The tenant's quota is checked later by the
+ * request's lifecycle, since that check may have to wait. Used on the data plane's executor only.
  */
 final class RequestAdmission {
     private static final double MS_PER_SECOND = 1e3;
 
     /**
-     * {@code Retry-After} while this router does not know the fleet's configuration, or no replica of a service, as
-     * after a loss of power everywhere: it takes the controllers some tenths of a second to elect a primary, and
-     * replicas report up to a heartbeat later. A client retries once, so that a shorter time would cost it the second
-     * rejection; it waits for at most a third of its time.
+     * {@code Retry-After} while this router does not know the fleet's configuration or any replica of a service, for
+     * example after a power loss of the whole fleet: the controllers need some tenths of a second to elect a primary,
+     * and replicas report up to one heartbeat interval later. A client retries once and waits for at most a third of
+     * its time, so after a shorter wait its only retry would be rejected too.
      */
     private static final double RECOVERY_RETRY_AFTER_SECONDS = 0.6;
 
-    /** Random addition to the time for recovery, so that clients do not return at the same time. */
+    /** Maximum jitter added to the recovery time, so that clients do not retry at the same time. */
     private static final double RECOVERY_RETRY_AFTER_JITTER_SECONDS = 0.5;
 
-    /** {@code Retry-After} while this router shuts down: another one takes the request. */
+    /** {@code Retry-After} while this router shuts down; another router accepts the retry. */
     private static final double STOPPING_RETRY_AFTER_SECONDS = 0.2;
 
-    /** A first attempt waits this part of its target for its limit: refused earlier, it can still be in time. */
+    /**
+     * Maximum wait of a client's first attempt for its quota, as a fraction of the target latency; after a rejection
+     * this early, a retry can still meet the deadline.
+     */
     private static final double QUOTA_WAIT_TARGET_FRACTION = 0.22;
 
-    /** A client's retry waits this part of the time it has left: a second refusal would be its end. */
+    /**
+     * Maximum wait of a client's retry for its quota, as a fraction of the time until its deadline; the client does not
+     * retry after a second rejection.
+     */
     private static final double QUOTA_WAIT_RETRY_FRACTION = 0.45;
 
     private final RequestRouting routing;
@@ -52,9 +58,11 @@
     private final TenantQuotas quotas;
 
     /**
-     * A request that may be sent, as soon as the limit of its tenant allows.
+     * A request that may be sent once its tenant's quota admits it.
      *
-     * @param request as replicas may see it
+     * @param request the request as it is forwarded to replicas
+     * @param shape what the replica selection knows of the request
+     * @param quota decides when the tenant's quota admits the request
      */
     record Admitted(ClientRequest request, RequestShape shape, QuotaAdmission quota) {}
 
@@ -75,9 +83,9 @@
     }
 
     /**
-     * Admits a request, or answers its client and returns empty.
+     * Admits a request, or responds to its client and returns empty.
      *
-     * @param rejectsNew whether this router takes no new requests any more
+     * @param rejectsNew whether this router no longer accepts new requests
      */
     Optional<Admitted> admit(ClientRequest clientRequest, Request request, ClientExchange client, boolean rejectsNew) {
         if (rejectsNew) {
@@ -105,7 +113,7 @@
         return admit(clientRequest, request, client, route.get(), tenant);
     }
 
-    /** Whether requests with a known key would be accepted now. Any thread. */
+    /** Whether requests with a known key would be accepted now. May be called on any thread. */
     boolean isServing(RoutingTable current) {
         return authenticator.isServing(current, configurationStatus.lastConfirmation(), nowMs());
     }
@@ -134,7 +142,10 @@
         return Optional.of(new Admitted(forwarded, shape.get(), quota));
     }
 
-    /** When a request may come back that is rejected because of the replicas; empty if it is admitted. */
+    /**
+     * Seconds after which the client may retry if the request is rejected for lack of replicas or capacity; empty if it
+     * is admitted.
+     */
     private Optional<Double> retryAfterSeconds(RequestShape shape) {
         Collection<ReplicaRecord> candidates = services.directory().candidates(shape.service());
         if (candidates.isEmpty()) {
@@ -152,7 +163,10 @@
                 : QUOTA_WAIT_TARGET_FRACTION * shape.route().targetLatencyMs();
     }
 
-    /** There is no route: 404 if the configuration is confirmed to be the fleet's, otherwise 503 as not executed. */
+    /**
+     * Responds to a request without a route: 404 if the configuration is confirmed to be the fleet's, otherwise 503
+     * (not executed).
+     */
     private void rejectUnrouted(ClientExchange client, String id) {
         if (configurationStatus.isConfirmedSinceStart()) {
             respond(client, id, HttpStatus.NOT_FOUND_404);
@@ -165,7 +179,7 @@
         client.respond(status, HttpFields.build().add(HeaderNames.REQUEST_ID, id), UpstreamRequest.NO_BODY);
     }
 
-    /** The request was not executed and never will be; the client may retry. */
+    /** Responds 503: the request was not executed and will not be, and the client may retry. */
     private static void rejectNotExecuted(ClientExchange client, String id, double retryAfterSeconds) {
         HttpFields.Mutable fields = HttpFields.build();
         fields.add(HeaderNames.REQUEST_ID, id);
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestLifecycle.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestLifecycle.java
@@ -15,14 +15,14 @@
 
 /**
  * The state machine of one client request, from its last byte to the end of its response: which replicas it is sent to,
- * what is retried, and how the client is answered. Without I/O: calls and the client's connection are interfaces, and
- * events arrive one at a time.
+ * what is retried, and how the client is answered. Performs no I/O itself: calls and the client's connection are
+ * interfaces, and events are delivered one at a time.
  *
- * <p>Invariant: the client is told that the request was not executed (503) only while no replica can have executed it:
- * every attempt that could execute it was rejected by the replica itself, or no byte of it was sent.
+ * <p>Invariant: 503 tells the client that the request was not executed. It is sent only if no replica can have executed
+ * the request: each attempt that could have executed it was rejected by its replica, or no byte of it was sent.
  */
 final class RequestLifecycle {
-    /** A handle older than this is not offered to a second decode replica. */
+    /** A prefill handle older than this is not offered to a second decode replica, milliseconds. */
     private static final double MAX_REOFFERED_HANDLE_AGE_MS = 1_000;
 
     private final RequestShape shape;
@@ -36,7 +36,7 @@
     private final Set<String> excluded = new HashSet<>();
     private boolean ended;
     private boolean mayHaveExecuted;
-    /** No prefill replica is used any more: serving is aggregated. */
+    /** Set once prefill replicas are no longer used for this request; serving is then aggregated. */
     private boolean prefillSkipped;
 
     private boolean handleRejected;
@@ -61,7 +61,10 @@
         this.events = new EventStreamReader(request.fields().get(HeaderNames.LAST_EVENT_ID));
     }
 
-    /** The request was received completely. Nothing is sent before its tenant's limit allows it. */
+    /**
+     * Starts the request after it was received completely. Nothing is sent to a replica before the tenant's quota
+     * admits the request.
+     */
     void start() {
         services.budget().onRequest(shape.service(), now());
         deadlineTimer = services.timers().schedule(shape.deadlineAtMs() - now(), this::onDeadline);
@@ -73,7 +76,7 @@
         end();
     }
 
-    /** The client has disconnected. */
+    /** Ends the request because its client has disconnected. */
     void onClientDisconnected() {
         if (ended) {
             return;
@@ -82,14 +85,14 @@
         end();
     }
 
-    /** All pending bytes were written to the client. */
+    /** Resumes reading from the replica once all pending bytes were written to the client. */
     void onClientDrained() {
         if (active != null) {
             active.resumeReading();
         }
     }
 
-    /** The router shuts down: the request is answered now. */
+    /** Responds with an error at once because the router shuts down. */
     void onShutdown() {
         if (!ended) {
             boolean attemptMayHaveExecuted = cancelActive(CallOutcome.CANCELLED);
@@ -118,7 +121,9 @@
 
     // ---- choosing and calling
 
-    /** Sends the request to the next replica, or runs {@code fallback} if that cannot be. */
+    /**
+     * Sends the request to the next replica, or runs {@code fallback} if no replica is eligible or no attempt is left.
+     */
     private void attempt(Runnable fallback) {
         Optional<ReplicaPair> pair = choose();
         if (pair.isEmpty() || !attempts.tryReserve(now())) {
@@ -168,9 +173,9 @@
         return shape.generation() ? CallKind.AGGREGATED_DECODE : CallKind.PLAIN;
     }
 
-    // ---- what calls report
+    // ---- events of attempts
 
-    /** No byte of the attempt was sent. */
+    /** No byte of the attempt was sent: tries the next replica without counting the attempt. */
     void onNotSent(UpstreamAttempt call) {
         active = null;
         attempts.release();
@@ -178,7 +183,7 @@
         attempt(this::giveUp);
     }
 
-    /** The replica responded that it did not execute the request. */
+    /** The replica rejected the request without executing it: tries the next replica. */
     void onRejected(UpstreamAttempt call) {
         active = null;
         excluded.add(call.replica().instanceId());
@@ -190,7 +195,10 @@
         attempt(this::giveUp);
     }
 
-    /** The decode replica was full, or the handle has expired: the response does not say which. */
+    /**
+     * Handles a decode replica's rejection of a KV transfer. Either the replica was at capacity or the handle has
+     * expired; the response does not say which.
+     */
     private void onFetchRejected() {
         services.kvTransferHealth().onRejected(shape.service(), now());
         prefillSkipped = true;
@@ -201,7 +209,7 @@
         handleRejected = true;
     }
 
-    /** Bytes were sent, and no response that may be forwarded arrived. */
+    /** The attempt failed after bytes of it were sent, without a response that may be forwarded. */
     void onFailed(UpstreamAttempt call) {
         active = null;
         excluded.add(call.replica().instanceId());
@@ -223,7 +231,10 @@
         }
     }
 
-    /** The replica responded with an error of its own, which {@code forwardResponse} forwards. */
+    /**
+     * The replica responded with an error. Tries the next replica if the route allows; otherwise
+     * {@code forwardResponse} forwards the error to the client.
+     */
     void onErrorResponse(UpstreamAttempt call, Runnable forwardResponse) {
         active = null;
         excluded.add(call.replica().instanceId());
@@ -238,7 +249,7 @@
         }
     }
 
-    /** The attempt has timed out, and another replica may be tried. Returns whether it is. */
+    /** Replaces an attempt that has timed out by one at another replica; returns false if that is not possible. */
     boolean tryNextReplica(UpstreamAttempt call) {
         if (call != active || call.isReadPaused()) {
             return false;
@@ -257,7 +268,7 @@
         return true;
     }
 
-    /** The prefill is complete. */
+    /** The prefill is complete: calls a decode replica with its handle. */
     void onPrefilled(PrefillHandle newHandle) {
         active = null;
         handle = newHandle;
@@ -271,29 +282,29 @@
         }
     }
 
-    /** A decode replica has started to respond, so that the KV cache was transferred. */
+    /** A decode replica has started to respond, which means that it has received the KV cache. */
     void onHandleAccepted() {
         services.kvTransferHealth().onTransferred(shape.service());
         handle = null;
     }
 
-    // ---- passing on
+    // ---- forwarding to the client
 
-    /** Bytes of complete events, or of a response too long to be buffered. */
+    /** Forwards bytes of complete events, or of a response too long to be buffered. */
     void forward(UpstreamAttempt call, byte[] bytes) {
         if (!reply.forward(call.head(), bytes)) {
             call.pauseReading();
         }
     }
 
-    /** The response that is being forwarded is complete. */
+    /** The response that was forwarded in chunks or events is complete. */
     void onStreamComplete(UpstreamAttempt call) {
         active = null;
         reply.endStream(call.head());
         end();
     }
 
-    /** A buffered response is complete. */
+    /** A buffered response is complete: forwards it. */
     void onCompleteResponse(UpstreamAttempt call, byte[] body) {
         active = null;
         reply.respond(call.head(), body);
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestRouting.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestRouting.java
@@ -15,8 +15,8 @@
 import pinewick.selection.RequestShape;
 
 /**
- * Finds the route of a request in the configuration in force, draws a service by its weights, and describes the request
- * for the selection.
+ * Finds the route of a request in the configuration in force, draws one of its services by weight, and builds the
+ * request's description for the replica selection.
  */
 final class RequestRouting {
     private static final double NANOS_PER_MS = 1e6;
@@ -31,7 +31,7 @@
         this.random = random;
     }
 
-    /** When the first byte of the request arrived, on the clock of {@link JettyTimers}, milliseconds. */
+    /** Time at which the first byte of the request arrived, on the clock of {@link JettyTimers}, milliseconds. */
     static double arrivedAtMs(Request request) {
         return request.getBeginNanoTime() / NANOS_PER_MS;
     }
@@ -50,12 +50,17 @@
         return (colon < 0 ? host : host.substring(0, colon)).trim().toLowerCase(Locale.ROOT);
     }
 
-    /** The shape of the request, empty if its route has no service with a weight. */
+    /**
+     * The description of the request for the replica selection; empty if no service of its route has a positive weight.
+     */
     Optional<RequestShape> shapeOf(Route route, Request request) {
         return drawService(route).map(service -> shapeOf(route, service, request));
     }
 
-    /** Draws a service by the route's weights; those without a replica are left out while another has one. */
+    /**
+     * Draws a service by the route's weights. Services without a replica are skipped as long as another service has
+     * one.
+     */
     private Optional<String> drawService(Route route) {
         if (route.split().size() == 1) {
             return Optional.of(route.split().get(0).service());
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseHead.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseHead.java
@@ -9,7 +9,8 @@
  *
  * @param status its status
  * @param fields its header fields
- * @param framed whether the end of its body is marked; otherwise the body ends with an orderly close of the connection
+ * @param framed whether the message framing marks the end of the body; otherwise the body ends with an orderly close of
+ *     the connection
  */
 record ResponseHead(int status, HttpFields fields, boolean framed) {
     private static final int LOWEST_SUCCESS = 200;
@@ -43,7 +44,7 @@
         return type != null && type.regionMatches(true, 0, "text/event-stream", 0, "text/event-stream".length());
     }
 
-    /** Whether this status means that the request was not executed. */
+    /** Whether a client takes this status to mean that the request was not executed. */
     boolean impliesNotExecuted() {
         return status == HttpStatus.REQUEST_TIMEOUT_408
                 || status == HttpStatus.MISDIRECTED_REQUEST_421
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseParser.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseParser.java
@@ -13,21 +13,22 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Parses what a replica sends on one connection, and passes the response with the request's id to its exchange. A
- * response to another request is read and discarded; the connection must not be reused after it. Without I/O.
+ * Parses the responses that a replica sends on one connection, and passes the one with the request's id to its
+ * exchange. A response to another request is read and discarded, and the connection must not be reused after it.
+ * Performs no I/O.
  */
 final class ResponseParser implements HttpParser.ResponseHandler {
     private static final int MAX_HEADER_BYTES = 32 * 1024;
     private static final int LOWEST_FINAL_STATUS = 200;
     private static final double MS_PER_SECOND = 1e3;
 
-    /** How long before the replica would close an idle connection this side stops using it. */
+    /** Margin before a replica's idle timeout at which an idle connection is no longer used, milliseconds. */
     private static final double IDLE_MARGIN_MS = 1_000;
 
-    /** Longest idle time of a connection whose replica does not announce its idle timeout. */
+    /** Maximum idle time of a connection whose replica does not announce its idle timeout. */
     private static final double DEFAULT_IDLE_MS = 500;
 
-    /** The state after some input. */
+    /** The state after parsing some input. */
     enum Outcome {
         /** The response is incomplete. */
         MORE_NEEDED,
@@ -54,7 +55,7 @@
         parser.setHeaderCacheSize(0);
     }
 
-    /** A request is sent: the next response with its id belongs to it. */
+    /** Sets the exchange of the request that is being sent; the next response with its id belongs to it. */
     void expect(UpstreamExchange next) {
         exchange = next;
         isExpectedResponse = false;
@@ -67,7 +68,7 @@
         return outcome();
     }
 
-    /** The replica has closed the connection in order, which ends a response without a length. */
+    /** Handles an orderly close by the replica, which ends a response without a length. */
     Outcome parseEnd() {
         parser.atEOF();
         parser.parseNext(BufferUtil.EMPTY_BUFFER);
@@ -97,17 +98,17 @@
         return failure;
     }
 
-    /** Whether another request may follow the complete response. */
+    /** Whether the connection may carry another request after the complete response. */
     boolean isReusable() {
         return keepAlive && !unusable;
     }
 
-    /** How long the connection may be idle after that response, milliseconds. */
+    /** Maximum idle time of the connection after that response, milliseconds. */
     double idleMs() {
         return idleMs;
     }
 
-    // ---- the parser's events
+    // ---- callbacks from HttpParser
 
     @Override
     public void messageBegin() {
@@ -163,7 +164,10 @@
         return HttpMethod.HEAD.is(exchange.request().method());
     }
 
-    /** How long a connection may be idle, by the {@code Keep-Alive} field of its last response, milliseconds. */
+    /**
+     * Maximum idle time of a connection by the {@code Keep-Alive} field of its last response, milliseconds; the field
+     * may be null.
+     */
     static double idleMs(String keepAliveField) {
         if (keepAliveField != null) {
             for (String parameter : keepAliveField.split(",")) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/Router.java
@@ -21,20 +21,23 @@
  * The router program: accepts client requests, follows the fleet's configuration and replicas, and forwards requests to
  * replicas.
  *
- * <p>A router needs controllers only to start and to learn what is new. While none can be reached it continues with
- * the configuration and the replica records that it has, learns of removals and lapses from other routers at most, and
- * stays ready. One that starts meanwhile takes both from other routers; it answers 503 in place of 404 until a
- * controller in contact with a quorum has confirmed its configuration ({@link #knowsRoutes}).
+ * <p>A router needs controllers only to start and to learn of changes. While none can be reached, it stays ready and
+ * continues with the configuration and the replica records that it has; removed and lapsed replicas it can learn of
+ * only from other routers. A router that starts during that time gets both from other routers, and responds 503 instead
+ * of 404 until a controller in contact with a quorum has confirmed its configuration ({@link #knowsRoutes}).
  */
 public final class Router {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final double MS_PER_SECOND = 1e3;
     private static final long REFRESH_INTERVAL_MS = 500;
 
-    /** The platform asks for readiness every second and stops sending connections after two misses. */
+    /**
+     * How long the platform takes to notice that a router is not ready: it checks readiness every second and stops
+     * sending connections after two failed checks.
+     */
     private static final long READINESS_NOTICE_MS = 2_500;
 
-    /** File descriptors reserved for files, peers and replicas. */
+    /** Number of file descriptors reserved for files, peers and replicas; the rest are for clients. */
     private static final int OTHER_DESCRIPTORS = 900;
 
     /** Part of the grace period that is reserved for closing after the last response. */
@@ -53,7 +56,7 @@
     }
 
     /**
-     * Starts serving: peers first, then clients; ready once synchronised with the fleet.
+     * Starts serving: first peers, then clients. The router is ready once it is synchronised with the fleet.
      *
      * @throws RouterException if an address cannot be used
      */
@@ -138,7 +141,10 @@
         return fleet.node().isSynchronised() && dataPlane.routingTable().version() > 0;
     }
 
-    /** A configuration from partitioned controllers may lack routes: 404 is answered only once it is confirmed. */
+    /**
+     * Whether a missing route is known not to exist. A configuration from partitioned controllers may lack routes, so
+     * 404 is sent only once the configuration is confirmed.
+     */
     private boolean knowsRoutes() {
         return hasConfiguration() && fleet.node().isConfigurationConfirmed();
     }
@@ -159,7 +165,7 @@
         dataPlane.pollReports(fleet.self().address(), others, LoadReportIntervals.pollIntervalMs(others.size()));
     }
 
-    /** What other routers send for the choice of replicas. */
+    /** Passes other routers' messages to the data plane. */
     private final class RouterMessages implements FleetConnection.RouterMessageListener {
         @Override
         public void onLoadReport(LoadReportMessage message) {
@@ -192,20 +198,24 @@
         }
     }
 
-    /** The settings file has changed; only the seeds may change while a process runs, and they matter at its start. */
+    /**
+     * Handles a change of the settings file. Only the seeds may change while a process runs, and a router uses them
+     * only at its start.
+     */
     public void settingsChanged(NodeSettings changed) {
         updateSeeds(changed.seedNodes());
     }
 
-    /** The seeds have changed; a running router knows its peers already. */
+    /** Logs changed seeds. A running router already knows its peers and does not use them. */
     public void updateSeeds(List<SocketAddress> seeds) {
         LOGGER.atInfo().log("settings changed: seeds are %s, in force at the next start", seeds);
     }
 
     /**
-     * Shuts down within the grace period: not ready at once; new requests are served for as long as the platform needs
-     * to notice, and rejected after that, since the platform continues to send them if it has no other router and they
-     * might not end in time; requests in flight are awaited; the rest is answered with an error.
+     * Shuts down within the grace period: the router reports not ready at once. New requests are served for as long as
+     * the platform needs to notice that. After that they are rejected: the platform continues to send them if it has no
+     * other router, and they might not end in time. Requests in flight are awaited; those that do not end in time get
+     * an error response.
      */
     public void stop() {
         if (stopping) {
@@ -229,7 +239,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (Exception e) {
-            // Boundary of the shutdown: whatever fails, the fleet connection is closed and the process ends.
+            // Whatever step of the shutdown fails, the fleet connection is closed and the process ends.
             LOGGER.atWarning().withCause(e).log("shutdown failed");
         }
         fleet.close();
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RouterConnector.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RouterConnector.java
@@ -21,8 +21,8 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Jetty's connector with one selector for clients' connections and for those to replicas, so that a response passes
- * through one thread and one wake-up.
+ * A Jetty connector that uses one selector for connections of clients and for those to replicas, so that a response
+ * needs one thread and one wake-up.
  */
 final class RouterConnector extends ServerConnector implements UpstreamConnector {
     private static final int NO_ACCEPTOR_THREAD = 0;
@@ -32,8 +32,9 @@
     private final int maxClients;
 
     /**
-     * @param maxClients a connection beyond these is closed before anything is read from it; Jetty's own limit stops
-     *     accepting, and with a selector that accepts it may lose the listening socket over it
+     * @param maxClients maximum number of client connections; a further one is closed before anything is read from it.
+     *     Jetty's own limit is not used: it stops accepting, which can lose the listening socket if the selector itself
+     *     accepts
      */
     RouterConnector(Server server, Scheduler scheduler, HttpConnectionFactory http, int maxClients) {
         super(
@@ -68,14 +69,14 @@
                 getSelectorManager().connect(channel, outgoing);
             }
         } catch (IOException | RuntimeException e) {
-            // The channel reports an unresolved or unsupported address by runtime exceptions: no connection either
-            // way.
+            // The channel throws runtime exceptions for an unresolved or unsupported address; they count as a failed
+            // connect too.
             IO.close(channel);
             onFailure.run();
         }
     }
 
-    /** Marks a connection that this router opens. */
+    /** Attachment that marks a connection opened by this router. */
     private record OutgoingConnection(UpstreamConnectionFactory factory, Runnable onFailure) {}
 
     private final class ClientAndUpstreamSelectorManager extends ServerConnectorManager {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RouterException.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RouterException.java
@@ -1,6 +1,6 @@
 package pinewick.dataplane;
 
-/** A step of a router's start or shutdown that failed, with the peer or address concerned. */
+/** Thrown when a step of a router's start or shutdown fails; names the step and the peer or address concerned. */
 public final class RouterException extends Exception {
     private static final long serialVersionUID = 1L;
     private final String step;
@@ -12,7 +12,7 @@
         this.peer = peer;
     }
 
-    /** What was being done. */
+    /** The step that failed. */
     public String step() {
         return step;
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/SerialExecutor.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/SerialExecutor.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Runs tasks one at a time and in order, on the thread that submits one while no other runs. A task submitted by a
- * running task runs after it, so that tasks never nest. Nothing that runs here may block.
+ * Runs tasks one at a time and in order, on the thread that submits a task while none is running. A task submitted by a
+ * running task runs after it, so tasks never nest. Tasks must not block.
  */
 final class SerialExecutor implements Executor {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -34,7 +34,7 @@
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            // Boundary of the data plane's executor: a task that fails must not end the tasks after it.
+            // A task that fails must not prevent the tasks after it from running.
             LOGGER.atSevere().withCause(e).log("data plane task failed");
         }
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/Tenancy.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/Tenancy.java
@@ -6,13 +6,13 @@
 import pinewick.quota.QuotaPolicy;
 
 /**
- * What the data plane needs for keys and limits of tenants.
+ * What the data plane needs to authenticate tenants and to enforce their quotas.
  *
  * @param bounds the platform's bounds on keys and configurations
- * @param configurationStatus how well this router knows the configuration
- * @param quotaPolicy the platform's rule on limits
- * @param quotaPeers whom this router may request tokens from
- * @param outbox sends messages to them; any thread
+ * @param configurationStatus whether and when this router's configuration was confirmed
+ * @param quotaPolicy the platform's policy for quotas
+ * @param quotaPeers the processes from which this router may request tokens
+ * @param outbox sends messages to them; may be used on any thread
  */
 record Tenancy(
         NodeSettings.Bounds bounds,
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/TenantAuthenticator.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/TenantAuthenticator.java
@@ -10,13 +10,14 @@
 import pinewick.model.Tenant;
 
 /**
- * Finds the tenant of a request by its key, and decides whether this router knows the keys well enough to say so. A key
- * is accepted only while the configuration here was the newest one a short while ago, by this router's own steady
- * clock: a key that was taken away is refused everywhere in time, also by a router that is partitioned or was frozen.
- * An unknown key is refused for good (401) only with an even younger configuration: it may have been added since.
+ * Finds the tenant of a request by its key, and decides whether this router's configuration is recent enough to rely
+ * on. A key is accepted only if the configuration was confirmed to be the newest within a bounded time, measured by
+ * this router's own monotonic clock. So every router rejects a revoked key in time, including one that is partitioned
+ * or was suspended. An unknown key is rejected with 401 only if the confirmation is more recent still, since the key
+ * may have been added after it.
  */
 final class TenantAuthenticator {
-    /** Subtracted from the time in which a revoked key has to be refused, milliseconds. */
+    /** Subtracted from the time within which a revoked key must be rejected, milliseconds. */
     private static final double REVOCATION_MARGIN_MS = 200;
 
     private static final String SCHEME = "Bearer ";
@@ -26,9 +27,9 @@
     /** Written on the data plane's executor. */
     private volatile double confirmedAtMs = Double.NEGATIVE_INFINITY;
 
-    /** What is known of the sender of a request. */
+    /** The result of authenticating a request. */
     sealed interface Access {
-        /** No tenant: keys are not in use, or the route is anonymous. */
+        /** The request needs no tenant: keys are not in use, or the route is anonymous. */
         record NotRequired() implements Access {}
 
         /** The key belongs to this tenant. */
@@ -47,14 +48,14 @@
         maxAgeToRejectMs = Math.min(maxAgeToAcceptMs, bounds.configApplyMs());
     }
 
-    /** Whether a request with a known key would be accepted now, or none is required. Any thread. */
+    /** Whether a request with a known key would be accepted now, or no key is required. May be called on any thread. */
     boolean isServing(RoutingTable table, Confirmation confirmation, double nowMs) {
         double latestMs =
                 isInForce(table, confirmation) ? Math.max(confirmedAtMs, confirmation.confirmedAtMs()) : confirmedAtMs;
         return !table.requiresKeys() || nowMs - latestMs <= maxAgeToAcceptMs;
     }
 
-    /** The access of a request that was received before {@code nowMs}. */
+    /** Authenticates a request that was received before {@code nowMs}. */
     Access authenticate(RoutingTable table, Route route, HttpFields fields, Confirmation confirmation, double nowMs) {
         if (!table.requiresKeys()) {
             return new Access.NotRequired();
@@ -78,7 +79,7 @@
         }
     }
 
-    /** A confirmation counts once the version that it confirms, or a later one, is in force here. */
+    /** A confirmation counts once this router has applied the version that it confirms, or a later one. */
     private static boolean isInForce(RoutingTable table, Confirmation confirmation) {
         return confirmation.version() <= table.version();
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/TenantQuotas.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/TenantQuotas.java
@@ -20,7 +20,7 @@
         this.timers = timers;
     }
 
-    /** Requests what a client request counts; the callback may run within this call. */
+    /** Requests a grant for the charge of a client request; the callback may run during this call. */
     PendingGrant request(QuotaCharge charge, Consumer<QuotaDecision> callback) {
         PendingGrant pending = client.request(charge.tenant(), charge.limit(), charge.cost(), callback, timers.nowMs());
         scheduleTick();
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Handles a message of another process about limits. */
+    /** Handles a message of another process about quotas. */
     void onMessage(SocketAddress sender, Message message) {
         client.onMessage(sender, message, timers.nowMs());
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/Timers.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/Timers.java
@@ -1,14 +1,14 @@
 package pinewick.dataplane;
 
-/** Runs tasks later, on the data plane's executor. */
+/** A monotonic clock, and timers whose tasks run on the data plane's executor. */
 interface Timers {
-    /** Steady time, milliseconds. */
+    /** Monotonic time, milliseconds. */
     double nowMs();
 
-    /** Runs a task once, unless it is cancelled first. */
+    /** Runs a task once after a delay, unless it is cancelled first. */
     Timer schedule(double delayMs, Runnable task);
 
-    /** A task that has not run yet. */
+    /** A scheduled task; cancelling it after it has run has no effect. */
     interface Timer {
         void cancel();
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamAttempt.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamAttempt.java
@@ -13,11 +13,11 @@
 import pinewick.selection.ReplicaSelector;
 
 /**
- * One attempt of a client request at a replica: classifies the response, and reports it to the selection and to the
- * request's lifecycle. The end is reported to the selection exactly once.
+ * One attempt of a client request at a replica: classifies the response, and reports it to the replica selection and to
+ * the request's lifecycle. The selection is told of the end of the attempt exactly once.
  */
 final class UpstreamAttempt implements CallListener {
-    /** Longest response that is buffered until it is complete; a longer one is forwarded in chunks. */
+    /** Longest response that is buffered until it is complete, bytes; a longer one is forwarded in chunks. */
     static final int MAX_BUFFERED_BYTES = 1024 * 1024;
 
     private static final double REMAINING_TIME_FRACTION = 0.35;
@@ -25,7 +25,7 @@
     private static final double MAX_REMAINING_TIME_FRACTION = 0.6;
     private static final double SERVICE_TIME_FACTOR = 2.5;
 
-    /** Clients abandon a stream after two seconds without an event, or more. */
+    /** Least idle timeout of a stream; clients abandon a stream after two seconds without an event, or later. */
     private static final double MIN_STREAM_IDLE_TIMEOUT_MS = 1_000;
 
     private static final double STREAM_IDLE_GAP_FACTOR = 5;
@@ -85,12 +85,16 @@
         return head;
     }
 
-    /** Whether the response is an event stream, so that it may be resumed at another replica. */
+    /** Whether the response is an event stream; only such a response can be resumed at another replica. */
     boolean isEventStream() {
         return mode == Mode.EVENTS;
     }
 
-    /** @param requestOfPriority builds the request with the priority of the call */
+    /**
+     * Sends the request to the replica.
+     *
+     * @param requestOfPriority builds the request with the priority of the call
+     */
     void begin(IntFunction<UpstreamRequest> requestOfPriority) {
         measurement = kind == CallKind.DISAGGREGATED_DECODE
                 ? services.selector().startDisaggregatedDecode(replica, prefillReplica, lifecycle.shape(), now())
@@ -102,7 +106,10 @@
         }
     }
 
-    /** The attempt timeout of a call that may be retried; long prompts take longer at any replica. */
+    /**
+     * The timeout of an attempt that may be retried, milliseconds. It grows with the expected service time, because a
+     * long prompt takes longer at any replica.
+     */
     private double attemptTimeoutMs() {
         double remainingMs = lifecycle.remainingMs();
         return attemptTimeoutMs(
@@ -110,9 +117,11 @@
     }
 
     /**
+     * The timeout of an attempt that may be retried, milliseconds.
+     *
      * @param remainingMs time until the request's deadline
      * @param targetMs target latency of its route
-     * @param expectedServiceMs what the call should take without waiting
+     * @param expectedServiceMs expected time of the call without queueing
      */
     static double attemptTimeoutMs(double remainingMs, double targetMs, double expectedServiceMs) {
         double usual = Math.max(remainingMs * REMAINING_TIME_FRACTION, targetMs * TARGET_LATENCY_FACTOR);
@@ -120,7 +129,7 @@
         return Math.max(bounded, Math.min(remainingMs, expectedServiceMs * SERVICE_TIME_FACTOR));
     }
 
-    /** Cancels the attempt; returns whether the replica may have executed the request. */
+    /** Aborts the attempt and reports {@code outcome}; returns whether the replica may have executed the request. */
     boolean cancel(CallOutcome outcome) {
         boolean mayHaveExecuted = kind != CallKind.PREFILL && mode != Mode.REJECTION && upstream.isSent();
         upstream.abort();
@@ -231,7 +240,7 @@
         lifecycle.forward(this, events);
     }
 
-    /** A resumable stream without events is resumed at another replica before its client abandons it. */
+    /** Schedules the check that resumes an idle stream at another replica before its client abandons it. */
     private void scheduleStreamIdleTimeout() {
         Route route = lifecycle.shape().route();
         if (!route.resumable() || route.kind() != RouteKind.STREAMING) {
@@ -261,8 +270,8 @@
     }
 
     /**
-     * A stream that ends with its connection is complete only if the end follows an event directly: a replica may fail
-     * within one, and a stream has at least one event.
+     * Completes an event stream. A stream whose end is marked only by the close of its connection counts as complete if
+     * it has at least one event and ends directly after one; otherwise the replica may have failed within an event.
      */
     private void completeEvents() {
         byte[] rest = lifecycle.events().remainder();
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamCall.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamCall.java
@@ -2,7 +2,7 @@
 
 /** A call to a replica in flight. */
 interface UpstreamCall {
-    /** Whether a byte of the request has left this router. */
+    /** Whether a byte of the request may have been sent. */
     boolean isSent();
 
     /** Aborts the call; its listener is not invoked again. */
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamConnection.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamConnection.java
@@ -9,10 +9,10 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * One HTTP/1.1 connection to a replica, with at most one request in flight. Only a response with the request's id
- * belongs to it: a late response to an earlier request is read and discarded. Bytes that arrive while no request is in
- * flight, or after a complete response, belong to no request, and the connection is closed. Everything but
- * {@link #onFillable} runs on the data plane's executor.
+ * One HTTP/1.1 connection to a replica, with at most one request in flight. Only a response that carries the request's
+ * id is accepted; a late response to an earlier request is read and discarded. If bytes arrive while no request is in
+ * flight, or after a complete response, the connection is closed. Everything except {@link #onFillable} runs on the
+ * data plane's executor.
  */
 final class UpstreamConnection extends AbstractConnection {
     private final ReplicaConnections owner;
@@ -25,7 +25,10 @@
     private boolean closed;
     private boolean fillInterested;
     private boolean readPaused;
-    /** Cleared on the writing thread, so that a response cannot overtake it. */
+    /**
+     * Whether the request is being written. Cleared on the writing thread, so that the end of the write is seen before
+     * its response is processed.
+     */
     private volatile boolean writing;
 
     private boolean hasSentRequest;
@@ -37,7 +40,7 @@
         this.serial = serial;
     }
 
-    // ---- Jetty's side
+    // ---- callbacks from Jetty
 
     @Override
     public InvocationType getInvocationType() {
@@ -76,10 +79,7 @@
 
     // ---- sending
 
-    /**
-     * Whether a request may be sent: the replica has not closed the connection, and has sent nothing on it
-     * unexpectedly.
-     */
+    /** Whether a request may be sent: the replica has neither closed the connection nor sent unexpected bytes on it. */
     boolean isUsable(double nowMs) {
         if (closed || !getEndPoint().isOpen() || (hasSentRequest && nowMs >= idleUntilMs)) {
             return false;
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Whether the replica is about to close it, or has. */
+    /** Whether the replica has closed the connection or is about to. */
     boolean hasExpired(double nowMs) {
         return closed || nowMs >= idleUntilMs;
     }
@@ -128,7 +128,10 @@
         }
     }
 
-    /** A replica may respond and close before it has read the complete body: its response can still be read. */
+    /**
+     * Reads a response that arrived before a write failed: a replica may respond and close before it has read the
+     * complete body.
+     */
     private void readRemainingInput() {
         boolean more = true;
         while (more && exchange != null && !closed && !readPaused) {
@@ -138,7 +141,7 @@
 
     // ---- reading
 
-    /** Registers for input; an idle connection is registered too, so that its close is noticed. */
+    /** Registers for input. Idle connections are registered too, so that their close is noticed. */
     void awaitInput() {
         if (!fillInterested && !closed && !readPaused) {
             fillInterested = true;
@@ -165,7 +168,7 @@
         awaitInput();
     }
 
-    /** Reads once; returns whether there was input. */
+    /** Reads and parses once; returns whether there was input. */
     private boolean fillAndParse() {
         ByteBuffer buffer = owner.readBuffer();
         BufferUtil.clear(buffer);
@@ -206,8 +209,8 @@
     }
 
     /**
-     * The response is complete. The connection may carry another request only if this one was sent completely, since
-     * the replica may still read the rest of its body, and if nothing followed the response.
+     * Ends the exchange. The connection is reused only if the request was sent completely, since the replica may
+     * otherwise still read the rest of its body, and if no bytes followed the response.
      */
     private void onResponseComplete(boolean moreBytes) {
         UpstreamExchange complete = exchange;
@@ -224,7 +227,7 @@
         complete.complete();
     }
 
-    // ---- the end
+    // ---- closing
 
     private void fail(String reason) {
         UpstreamExchange failedExchange = exchange;
@@ -235,7 +238,7 @@
         }
     }
 
-    /** Jetty's way to close it, on any thread. */
+    /** Called by Jetty on any thread. */
     @Override
     public void close() {
         serial.execute(this::closeNow);
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamConnector.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamConnector.java
@@ -5,18 +5,18 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 
-/** Opens connections. */
+/** Opens connections to replicas. */
 interface UpstreamConnector {
     /**
      * Opens a connection without blocking.
      *
-     * @param timeoutMs how long it may take
-     * @param factory makes the connection once the address has accepted
-     * @param onFailure run if no connection comes about
+     * @param timeoutMs connect timeout
+     * @param factory creates the connection object once the socket is connected
+     * @param onFailure run if the connect fails
      */
     void connect(InetSocketAddress address, int timeoutMs, UpstreamConnectionFactory factory, Runnable onFailure);
 
-    /** Makes the protocol's side of an open connection. */
+    /** Creates the protocol handler of a connected socket. */
     @FunctionalInterface
     interface UpstreamConnectionFactory {
         Connection create(EndPoint endPoint, Executor executor);
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamEndPoint.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamEndPoint.java
@@ -10,8 +10,8 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The socket of a connection to a replica. Jetty's own end point reports a connection that was reset as one that was
- * closed; here a reset stays an error, because a response without a length is complete only after an orderly close.
+ * The endpoint of a connection to a replica. Jetty's endpoint reports a reset connection as closed; this one reports a
+ * reset as an error, because a response without a length is complete only after an orderly close.
  */
 final class UpstreamEndPoint extends SocketChannelEndPoint {
     UpstreamEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamExchange.java
@@ -3,7 +3,10 @@
 import java.nio.ByteBuffer;
 import pinewick.model.ReplicaRecord;
 
-/** The state of one call to a replica, as its connections use it. Used on the data plane's executor only. */
+/**
+ * One call to a replica: its request, its listener and the connection that carries it. Used on the data plane's
+ * executor only.
+ */
 final class UpstreamExchange implements UpstreamCall {
     private final ReplicaRecord replica;
     private final UpstreamRequest request;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamPool.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamPool.java
@@ -9,8 +9,8 @@
 import pinewick.model.ReplicaRecord;
 
 /**
- * All connections to replicas, by instance: an address that was reassigned to another instance has connections of its
- * own.
+ * All connections to replicas, by instance, so that after an address was reassigned no connection to its former
+ * instance is used for the new one.
  */
 final class UpstreamPool implements UpstreamClient {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
@@ -24,7 +24,7 @@
     private final ConnectTimeout connectTimeout = new ConnectTimeout();
     private UpstreamConnector connector;
 
-    /** @param connectionLimit most connections of this router to one replica of a service */
+    /** @param connectionLimit maximum number of connections from this router to one replica of a service */
     UpstreamPool(
             SerialExecutor serial, Timers timers, ReplicaDirectory directory, ToIntFunction<String> connectionLimit) {
         this.serial = serial;
@@ -33,7 +33,7 @@
         this.connectionLimit = connectionLimit;
     }
 
-    /** Set once, before the first call. */
+    /** Sets the connector. Called once, before the first call to a replica. */
     void setConnector(UpstreamConnector connector) {
         this.connector = connector;
     }
@@ -51,14 +51,14 @@
         return exchange;
     }
 
-    /** Closes connections that were idle too long, and drops instances without any. */
+    /** Closes connections that were idle for too long, and removes instances without connections. */
     void sweep() {
         double now = timers.nowMs();
         byInstance.values().forEach(connections -> connections.sweep(now));
         byInstance.values().removeIf(ReplicaConnections::isEmpty);
     }
 
-    /** The instance was removed: idle connections are closed. */
+    /** Closes the idle connections to an instance that was removed. */
     void closeIdle(String instanceId) {
         ReplicaConnections connections = byInstance.get(instanceId);
         if (connections != null) {
@@ -89,7 +89,7 @@
         return directory.mayReceiveRequest(replica);
     }
 
-    /** One buffer for all connections: its content is processed before the next read. */
+    /** The read buffer that all connections share; its content is processed before the next read. */
     ByteBuffer readBuffer() {
         return readBuffer;
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamRequest.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamRequest.java
@@ -10,7 +10,7 @@
  *
  * @param method as the client sent it
  * @param target path and query as the client sent them
- * @param fields every header field but {@code Content-Length}
+ * @param fields all header fields except {@code Content-Length}
  * @param body the complete body
  * @param expectedId the request id that the response must carry, null if it must carry none
  */
@@ -19,7 +19,7 @@
 
     private static final int TYPICAL_HEAD_BYTES = 512;
 
-    /** The request line and the header fields as they go over the wire. */
+    /** The request line and the header fields, encoded as sent. */
     ByteBuffer head() {
         StringBuilder head = new StringBuilder(TYPICAL_HEAD_BYTES);
         head.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/WarmUp.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/WarmUp.java
@@ -16,8 +16,8 @@
 import pinewick.model.Stage;
 
 /**
- * Sends a request through the router once before clients connect, so that class loading does not delay the first of
- * them: a request without a route, and a call to a replica that is this router's own readiness listener.
+ * Sends requests through the router once before clients connect, so that class loading does not delay the first
+ * clients: a request without a route, and a call to a replica for which this router's own readiness listener stands in.
  */
 final class WarmUp {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
