--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/DataPlane.java
@@ -34,13 +34,13 @@
 import pinewick.selection.RetryBudget;
 
 /**
- * The state of the data plane that requests share: the routing table in force, the replicas, the requests in flight.
- * Follows {@link FleetState}.
+ * The state that all requests of the data plane share: the routing table in force, the replicas and the requests in
+ * flight. It is kept up to date by {@link FleetState}.
  */
 final class DataPlane implements FleetStateListener {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int MIN_CONNECTIONS = 4;
-    /** Timeout of a request's body if there is no route for it. */
+    /** Timeout for receiving the body of a request without a route. */
     private static final double BODY_TIMEOUT_WITHOUT_ROUTE_MS = 5_000;
 
     private final SerialExecutor serial;
@@ -52,25 +52,25 @@
     private final Set<RequestLifecycle> activeRequests = new HashSet<>();
     private final RequestAdmission requestAdmission;
     private final TenantQuotas quotas;
-    private final FallbackAllowance runAhead;
-    private final LoadReportExchange sharing;
-    private final ReportPoller reports;
-    private final InFlightLimits admission = new InFlightLimits();
-    private final ClientDisconnectDetector disconnects;
+    private final FallbackAllowance fallbackAllowance;
+    private final LoadReportExchange loadReportExchange;
+    private final ReportPoller reportPoller;
+    private final InFlightLimits inFlightLimits = new InFlightLimits();
+    private final ClientDisconnectDetector disconnectDetector;
     private final ByteBuffer readAheadBuffer = BufferUtil.allocateDirect(JettyClientExchange.MAX_READ_AHEAD_BYTES);
-    private final List<CompletableFuture<Void>> waitingForIdle = new ArrayList<>();
-    private final Consumer<RequestLimits> onLimits;
+    private final List<CompletableFuture<Void>> idleWaiters = new ArrayList<>();
+    private final Consumer<RequestLimits> onLimitsChanged;
     private volatile RoutingTable routingTable = RoutingTable.EMPTY;
     private volatile boolean stopping;
     private boolean rejectsNew;
-    /** Requests that were received completely and whose responses were not fully written. */
+    /** Number of requests that were received completely and whose responses are not fully written. */
     private int openRequests;
 
     private int routerCountUpperBound = 1;
 
     /**
-     * @param tenancy keys and limits of tenants
-     * @param onLimits called with the limits in force when they change
+     * @param tenancy what authentication and quotas of tenants need
+     * @param onLimitsChanged called with the limits in force when they change
      */
     DataPlane(
             SerialExecutor serial,
@@ -80,25 +80,25 @@
             PairChooser chooser,
             RandomGenerator random,
             Tenancy tenancy,
-            Consumer<RequestLimits> onLimits) {
-        this.onLimits = onLimits;
+            Consumer<RequestLimits> onLimitsChanged) {
+        this.onLimitsChanged = onLimitsChanged;
         this.serial = serial;
         this.timers = timers;
         this.routing = new RequestRouting(() -> routingTable, directory, random);
-        this.disconnects = new ClientDisconnectDetector(timers);
+        this.disconnectDetector = new ClientDisconnectDetector(timers);
         this.pool = new UpstreamPool(serial, timers, directory, this::connectionLimit);
         this.services = new DataPlaneServices(
                 selector, chooser, budget, new KvTransferHealth(), directory, pool, timers, random);
-        this.runAhead = new FallbackAllowance(tenancy.quotaTerms(), timers.nowMs());
-        this.quotas =
-                new TenantQuotas(new QuotaClient(tenancy.quotaPeers(), tenancy.outbox(), runAhead, random), timers);
+        this.fallbackAllowance = new FallbackAllowance(tenancy.quotaPolicy(), timers.nowMs());
+        this.quotas = new TenantQuotas(
+                new QuotaClient(tenancy.quotaPeers(), tenancy.outbox(), fallbackAllowance, random), timers);
         this.requestAdmission = new RequestAdmission(
                 routing, () -> routingTable, services, new AdmissionControl(selector, random), tenancy, quotas);
-        this.sharing = new LoadReportExchange(selector);
-        this.reports = new ReportPoller(services, sharing::onReport);
+        this.loadReportExchange = new LoadReportExchange(selector);
+        this.reportPoller = new ReportPoller(services, loadReportExchange::onReport);
     }
 
-    /** Takes over the fleet's state, and listens to its changes. */
+    /** Loads the current fleet state and subscribes to its changes. */
     void follow(FleetState state, UpstreamConnector connector) {
         pool.setConnector(connector);
         state.addListener(this);
@@ -106,7 +106,7 @@
         state.replicas().forEach(this::onReplicaChanged);
     }
 
-    // ---- what the fleet knows
+    // ---- fleet state
 
     @Override
     public void onConfigurationChanged(ConfigurationDocument document) {
@@ -137,7 +137,7 @@
         next.services().values().forEach(service -> service.engine()
                 .ifPresent(engine -> services.selector().setEngine(service.name(), engine)));
         if (limitsChanged) {
-            onLimits.accept(next.limits());
+            onLimitsChanged.accept(next.limits());
         }
     }
 
@@ -152,13 +152,18 @@
         });
     }
 
-    /** How many routers share the replicas and the retry budget. */
+    /**
+     * Sets the number of routers that share the replicas and the retry budget.
+     *
+     * @param count current estimate of the number of routers
+     * @param upperBound upper bound on that number
+     */
     void setRouterCounts(int count, int upperBound) {
         serial.execute(() -> {
             routerCountUpperBound = Math.max(1, upperBound);
             services.selector().setRouterCount(Math.max(1, count));
             services.budget().setRouterCount(routerCountUpperBound);
-            runAhead.setRouterCount(routerCountUpperBound, timers.nowMs());
+            fallbackAllowance.setRouterCount(routerCountUpperBound, timers.nowMs());
         });
     }
 
@@ -170,102 +175,105 @@
         return services;
     }
 
-    /** Most connections of this router to one replica of a service. */
+    /** The maximum number of connections from this router to one replica of a service. */
     private int connectionLimit(String service) {
         int limitOfAllRouters =
                 routingTable.service(service).map(ServiceSpec::maxConnections).orElse(0);
         return Math.max(MIN_CONNECTIONS, limitOfAllRouters / routerCountUpperBound);
     }
 
-    /** Closes connections to replicas that were idle too long. */
+    /** Closes connections to replicas that were idle for too long. */
     void sweep() {
         serial.execute(pool::sweep);
     }
 
-    /** Checks for disconnected clients now, which is otherwise done periodically. */
+    /** Checks for disconnected clients now, in addition to the periodic check. */
     void checkDisconnects() {
-        serial.execute(disconnects::checkAll);
+        serial.execute(disconnectDetector::checkAll);
     }
 
     /**
-     * Polls the load of those replicas that this router is responsible for.
+     * Polls the load reports of the replicas that this router is responsible for.
      *
      * @param intervalMs until the next invocation
      */
     void pollReports(SocketAddress self, List<SocketAddress> otherRouters, double intervalMs) {
         serial.execute(() -> {
             if (!stopping) {
-                reports.poll(self, otherRouters, intervalMs);
+                reportPoller.poll(self, otherRouters, intervalMs);
             }
         });
     }
 
-    /** Sends the load reports, hints and paces since the last call, if there are any. */
+    /** Sends the load reports, prefix hints and service times that are new since the last call, if any. */
     void shareLoadReports(Consumer<Message> send) {
         serial.execute(() -> {
-            sharing.takeMessage(timers.nowMs()).ifPresent(send);
-            sharing.takePaces().ifPresent(send);
+            loadReportExchange.takeMessage(timers.nowMs()).ifPresent(send);
+            loadReportExchange.takeServiceTimes().ifPresent(send);
         });
     }
 
     /**
-     * A message of another router arrived.
+     * Applies load reports and hints of another router.
      *
-     * @param forward whether what is new here is sent on
+     * @param forward whether what is new to this router is forwarded
      */
     void onLoadReport(LoadReportMessage message, boolean forward) {
-        serial.execute(() -> sharing.onMessage(message, forward, timers.nowMs()));
+        serial.execute(() -> loadReportExchange.onMessage(message, forward, timers.nowMs()));
     }
 
-    /** Sends what this router has learnt of prefix caches and service times. */
+    /** Sends this router's estimates of prefix caches and service times to a router that has just started. */
     void sendSnapshot(Consumer<Message> send) {
         serial.execute(() -> {
-            send.accept(sharing.allPaces());
-            send.accept(sharing.snapshot(timers.nowMs()));
+            send.accept(loadReportExchange.allServiceTimes());
+            send.accept(loadReportExchange.snapshot(timers.nowMs()));
         });
     }
 
     /**
-     * Another router has told of service times.
+     * Applies service times of another router.
      *
-     * @param forward whether what is new here is sent on
+     * @param forward whether what is new to this router is forwarded
      */
-    void onPaces(ServicePaces paces, boolean forward) {
-        serial.execute(() -> sharing.onPaces(paces, forward));
+    void onServiceTimes(ServiceTimesMessage serviceTimes, boolean forward) {
+        serial.execute(() -> loadReportExchange.onServiceTimes(serviceTimes, forward));
     }
 
-    /** The estimates of another router arrived. */
+    /** Applies the prefix cache estimates that this router has requested from another one. */
     void onSnapshot(PrefixCacheSnapshot snapshot) {
-        serial.execute(() -> sharing.onSnapshot(snapshot, timers.nowMs()));
+        serial.execute(() -> loadReportExchange.onSnapshot(snapshot, timers.nowMs()));
     }
 
-    /** Another process has sent a message about limits of tenants. */
+    /** Handles a message of another process about tenants' quotas. */
     void onQuotaMessage(SocketAddress sender, Message message) {
         serial.execute(() -> quotas.onMessage(sender, message));
     }
 
-    /** Whether this router knows the keys of tenants well enough to serve requests with one. Any thread. */
+    /**
+     * Whether this router's configuration is recent enough to accept requests with a tenant's key. May be called on any
+     * thread.
+     */
     boolean isServing() {
         return requestAdmission.isServing(routingTable);
     }
 
-    InFlightLimits admission() {
-        return admission;
+    InFlightLimits inFlightLimits() {
+        return inFlightLimits;
     }
 
     // ---- requests
 
     /** Accepts a complete request. May be called on any thread. */
-    void accept(ClientRequest read, Request request, Response response, Callback callback) {
+    void accept(ClientRequest clientRequest, Request request, Response response, Callback callback) {
         serial.execute(() -> {
             openRequests++;
-            begin(read, request, response, callback);
+            begin(clientRequest, request, response, callback);
         });
     }
 
     /**
-     * Runs a task at the deadline of a request, by its route and its client. May be called on any thread; the task runs
-     * on the data plane's executor.
+     * Runs a task at the deadline of a request, which its route and its client determine. May be called on any thread;
+     * the task runs on the data plane's executor.
      */
     Timers.Timer scheduleAtDeadline(Request request, Runnable task) {
         double timeoutMs = routing.find(request)
@@ -274,10 +282,11 @@
         return timers.schedule(RequestRouting.arrivedAtMs(request) + timeoutMs - timers.nowMs(), task);
     }
 
-    private void begin(ClientRequest read, Request request, Response response, Callback callback) {
+    private void begin(ClientRequest clientRequest, Request request, Response response, Callback callback) {
         JettyClientExchange client = new JettyClientExchange(
                 request, response, callback, serial, () -> stopping, readAheadBuffer, this::onResponseComplete);
-        Optional<RequestAdmission.Admitted> admitted = requestAdmission.admit(read, request, client, rejectsNew);
+        Optional<RequestAdmission.Admitted> admitted =
+                requestAdmission.admit(clientRequest, request, client, rejectsNew);
         if (admitted.isEmpty()) {
             return;
         }
@@ -286,15 +295,15 @@
                 admitted.get().request(), shape, admitted.get().quota(), client, services, activeRequests::remove);
         client.setLifecycle(lifecycle, shape.deadlineAtMs());
         activeRequests.add(lifecycle);
-        disconnects.add(client);
+        disconnectDetector.add(client);
         request.addIdleTimeoutListener(timeout -> false);
         request.addFailureListener(failure -> serial.execute(() -> client.onDisconnected(failure)));
         lifecycle.start();
     }
 
-    // ---- the end
+    // ---- shutdown
 
-    /** From now on each response closes its connection. */
+    /** Makes each further response close its connection. */
     void beginStopping() {
         stopping = true;
     }
@@ -303,22 +312,22 @@
     CompletableFuture<Void> whenIdle() {
         CompletableFuture<Void> idle = new CompletableFuture<>();
         serial.execute(() -> {
-            waitingForIdle.add(idle);
+            idleWaiters.add(idle);
             notifyIfIdle();
         });
         return idle;
     }
 
     private void onResponseComplete(JettyClientExchange client) {
-        disconnects.remove(client);
+        disconnectDetector.remove(client);
         openRequests--;
         notifyIfIdle();
     }
 
     private void notifyIfIdle() {
-        if (openRequests == 0 && !waitingForIdle.isEmpty()) {
-            List<CompletableFuture<Void>> waiters = List.copyOf(waitingForIdle);
-            waitingForIdle.clear();
+        if (openRequests == 0 && !idleWaiters.isEmpty()) {
+            List<CompletableFuture<Void>> waiters = List.copyOf(idleWaiters);
+            idleWaiters.clear();
             waiters.forEach(idle -> idle.complete(null));
         }
     }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/JettyClientExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/JettyClientExchange.java
@@ -17,13 +17,13 @@
 import org.eclipse.jetty.util.thread.Invocable.InvocationType;
 
 /**
- * The Jetty side of one client request. One write is in progress at a time; chunks that arrive meanwhile go with the
- * next. Used on the data plane's executor only.
+ * Responds to one client request through Jetty. One write is in progress at a time; chunks that arrive during it are
+ * sent together by the next write. Used on the data plane's executor only.
  */
 final class JettyClientExchange implements ClientExchange, ClientDisconnectDetector.Client {
     /**
-     * Bytes of a pipelined request that are read ahead while this one is in flight: far fewer than the capacity of
-     * Jetty's buffer.
+     * Maximum bytes of a pipelined request that are read ahead while this one is in flight; far fewer than the capacity
+     * of Jetty's buffer.
      */
     static final int MAX_READ_AHEAD_BYTES = 1024;
 
@@ -43,9 +43,9 @@
     private int readAheadBytes;
 
     /**
-     * @param closesConnection whether the response closes the connection
+     * @param closesConnection whether the response must close the connection
      * @param readAheadBuffer shared buffer for reading ahead when checking for a disconnect
-     * @param onAnswered called once the response is fully written, or the connection is closed
+     * @param onResponseComplete called once the response is fully written, or the connection is closed
      */
     JettyClientExchange(
             Request request,
@@ -54,10 +54,10 @@
             SerialExecutor serial,
             BooleanSupplier closesConnection,
             ByteBuffer readAheadBuffer,
-            Consumer<JettyClientExchange> onAnswered) {
+            Consumer<JettyClientExchange> onResponseComplete) {
         this.request = request;
         this.response = response;
-        this.callback = Callback.from(callback, () -> serial.execute(() -> onAnswered.accept(this)));
+        this.callback = Callback.from(callback, () -> serial.execute(() -> onResponseComplete.accept(this)));
         this.serial = serial;
         this.closesConnection = closesConnection;
         this.readAheadBuffer = readAheadBuffer;
@@ -66,18 +66,17 @@
     /**
      * Sets the lifecycle to notify of a disconnect and of written chunks.
      *
-     * @param answerDueAtMs when the client must have received the complete response
+     * @param responseDeadlineAtMs time by which the client must have received the complete response
      */
-    void setLifecycle(RequestLifecycle lifecycle, double answerDueAtMs) {
+    void setLifecycle(RequestLifecycle lifecycle, double responseDeadlineAtMs) {
         this.lifecycle = lifecycle;
-        this.deadlineAtMs = answerDueAtMs;
+        this.deadlineAtMs = responseDeadlineAtMs;
     }
 
     /**
-     * Detects whether the client has closed its connection. Bytes of a pipelined request are passed to the connection;
-     * once its buffer may be full, or if it contained bytes before, nothing more is read, and a disconnect is detected
-     * at the next write only. A client that has not received the end of its response by the deadline counts as
-     * disconnected.
+     * Checks whether the client has closed its connection. Bytes of a pipelined request are passed to the connection's
+     * buffer. Nothing is read if the buffer may be full or contained bytes before; a disconnect is then detected only
+     * at the next write. A client that has not received the end of its response by the deadline counts as disconnected.
      */
     @Override
     public void checkDisconnected(double nowMs) {
@@ -155,7 +154,7 @@
         if (!finished) {
             finished = true;
             pendingChunks.clear();
-            callback.failed(new IOException("the replica broke the stream off"));
+            callback.failed(new IOException("the replica aborted the response stream"));
         }
     }
 
@@ -181,7 +180,7 @@
                 content,
                 Callback.from(
                         InvocationType.NON_BLOCKING,
-                        () -> serial.execute(() -> written(length)),
+                        () -> serial.execute(() -> onWritten(length)),
                         cause -> serial.execute(() -> onDisconnected(cause))));
     }
 
@@ -198,7 +197,7 @@
         return joined;
     }
 
-    private void written(int length) {
+    private void onWritten(int length) {
         writing = false;
         pendingBytes -= length;
         writeNext();
@@ -207,7 +206,7 @@
         }
     }
 
-    /** The client's connection has failed or was closed. */
+    /** Ends the request because the client's connection has failed or was closed. */
     void onDisconnected(Throwable cause) {
         if (!finished) {
             finished = true;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/PromptHeaders.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/PromptHeaders.java
@@ -6,16 +6,16 @@
 import pinewick.selection.PromptPart;
 
 /**
- * The prompt of a request by its header fields. Fields that cannot be parsed count as absent: they serve the choice of
- * replicas only.
+ * The prompt of a request as described by its header fields. Fields that cannot be parsed count as absent, because they
+ * are used for the choice of replicas only.
  *
- * @param model name of the model, or empty
- * @param promptTokens tokens of the prompt
- * @param outputTokens the output limit, tokens
+ * @param model name of the model, empty if unknown
+ * @param promptTokens number of tokens of the prompt, 0 if unknown
+ * @param outputTokens maximum number of output tokens, 0 if unknown
  * @param parts parts of the prompt in order
  */
 record PromptHeaders(String model, int promptTokens, int outputTokens, List<PromptPart> parts) {
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
 
     static PromptHeaders parse(HttpFields fields) {
         String model = fields.get(HeaderNames.MODEL);
@@ -38,7 +38,7 @@
                 return List.of();
             }
             try {
-                long id = Long.parseUnsignedLong(part.substring(0, colon).trim(), HEXADECIMAL);
+                long id = Long.parseUnsignedLong(part.substring(0, colon).trim(), HEX_RADIX);
                 parts.add(new PromptPart(id, number(part.substring(colon + 1))));
             } catch (NumberFormatException e) {
                 return List.of();
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaConnections.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaConnections.java
@@ -6,8 +6,8 @@
 import pinewick.model.ReplicaRecord;
 
 /**
- * The connections to one replica instance: the idle ones, the most recently used first, and how many are open. No
- * request waits for a connection to become free; it waits only for one that is being established.
+ * The connections to one replica instance: the idle ones, most recently used first, and the number of open ones. A
+ * request waits only for a connection that is being established, never for one in use to become free.
  */
 final class ReplicaConnections {
     private final ReplicaRecord replica;
@@ -27,9 +27,9 @@
 
     /** Sends the request on an idle connection or a new one, within this router's limit of connections. */
     void start(UpstreamExchange exchange) {
-        UpstreamConnection resting = takeIdle();
-        if (resting != null) {
-            resting.send(exchange);
+        UpstreamConnection idleConnection = takeIdle();
+        if (idleConnection != null) {
+            idleConnection.send(exchange);
         } else if (open >= pool.connectionLimit(replica)) {
             exchange.notSent(CallListener.NotSent.NO_CONNECTION_FREE);
         } else {
@@ -50,8 +50,8 @@
         return null;
     }
 
-    /** A new connection is open. */
-    void connected(UpstreamConnection connection) {
+    /** Sends the next waiting request on a connection that was just established. */
+    void onConnected(UpstreamConnection connection) {
         UpstreamExchange exchange = nextWaiting();
         if (exchange == null) {
             connection.closeNow();
@@ -71,8 +71,8 @@
         return exchange;
     }
 
-    /** A connection could not be established. */
-    void connectFailed() {
+    /** Fails the next waiting request because a connection could not be established. */
+    void onConnectFailed() {
         open--;
         UpstreamExchange exchange = connecting.pollFirst();
         if (exchange != null) {
@@ -80,17 +80,17 @@
         }
     }
 
-    /** A complete response arrived on the connection, which may carry another request. */
-    void released(UpstreamConnection connection) {
+    /** Returns a connection to the idle ones after a complete response. */
+    void onReleased(UpstreamConnection connection) {
         idle.push(connection);
     }
 
-    void closed(UpstreamConnection connection) {
+    void onClosed(UpstreamConnection connection) {
         idle.remove(connection);
         open--;
     }
 
-    /** Closes what the replica is about to close. */
+    /** Closes the idle connections that the replica is about to close. */
     void sweep(double nowMs) {
         for (UpstreamConnection connection : idle.toArray(UpstreamConnection[]::new)) {
             if (connection.hasExpired(nowMs)) {
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaRequests.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReplicaRequests.java
@@ -4,7 +4,7 @@
 import pinewick.model.ReplicaRecord;
 
 /**
- * Builds the requests to replicas for one client request: the client's own fields, and those that only routers may
+ * Builds the requests to replicas for one client request: the client's header fields plus those that only routers may
  * send.
  */
 final class ReplicaRequests {
@@ -17,24 +17,24 @@
     }
 
     /**
-     * Prefill only.
+     * The prefill of the request.
      *
      * @param priority priority among the replica's calls, 0 first
      */
     UpstreamRequest prefill(ReplicaRecord replica, double remainingMs, int priority) {
         HttpFields.Mutable fields = fields(replica, remainingMs, priority);
         fields.put(HeaderNames.SERVING_STAGE, PREFILL_STAGE);
-        return with(fields);
+        return toRequest(fields);
     }
 
     /**
-     * The complete request, or its decode.
+     * The complete request, or its decode after a prefill elsewhere.
      *
      * @param priority priority among the replica's calls, 0 first
      * @param handle handle of the KV cache to be transferred, null for aggregated serving
      * @param resumeAfter id of the event after which a stream resumes, null if the client's own field applies
      */
-    UpstreamRequest run(
+    UpstreamRequest execution(
             ReplicaRecord replica, double remainingMs, int priority, PrefillHandle handle, String resumeAfter) {
         HttpFields.Mutable fields = fields(replica, remainingMs, priority);
         if (handle != null) {
@@ -43,7 +43,7 @@
         if (resumeAfter != null) {
             fields.put(HeaderNames.LAST_EVENT_ID, resumeAfter);
         }
-        return with(fields);
+        return toRequest(fields);
     }
 
     private HttpFields.Mutable fields(ReplicaRecord replica, double remainingMs, int priority) {
@@ -54,7 +54,7 @@
         return fields;
     }
 
-    private UpstreamRequest with(HttpFields fields) {
+    private UpstreamRequest toRequest(HttpFields fields) {
         return new UpstreamRequest(request.method(), request.target(), fields, request.body(), request.id());
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseParser.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ResponseParser.java
@@ -13,21 +13,22 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Parses what a replica sends on one connection, and passes the response with the request's id to its exchange. A
- * response to another request is read and discarded; the connection must not be reused after it. Without I/O.
+ * Parses the responses that a replica sends on one connection, and passes the one with the request's id to its
+ * exchange. A response to another request is read and discarded, and the connection must not be reused after it.
+ * Performs no I/O.
  */
 final class ResponseParser implements HttpParser.ResponseHandler {
     private static final int MAX_HEADER_BYTES = 32 * 1024;
     private static final int LOWEST_FINAL_STATUS = 200;
-    private static final double MILLISECONDS = 1e3;
+    private static final double MS_PER_SECOND = 1e3;
 
-    /** How long before the replica would close an idle connection this side stops using it. */
+    /** Margin before a replica's idle timeout at which an idle connection is no longer used, milliseconds. */
     private static final double IDLE_MARGIN_MS = 1_000;
 
-    /** Longest idle time of a connection whose replica does not announce its idle timeout. */
+    /** Maximum idle time of a connection whose replica does not announce its idle timeout. */
     private static final double DEFAULT_IDLE_MS = 500;
 
-    /** The state after some input. */
+    /** The state after parsing some input. */
     enum Outcome {
         /** The response is incomplete. */
         MORE_NEEDED,
@@ -42,7 +43,7 @@
     private boolean unusable;
     private String failure;
 
-    // of the answer being parsed
+    // state of the response being parsed
     private HttpFields.Mutable fields = HttpFields.build();
     private int status;
     private boolean keepAlive;
@@ -54,7 +55,7 @@
         parser.setHeaderCacheSize(0);
     }
 
-    /** A request is sent: the next response with its id belongs to it. */
+    /** Sets the exchange of the request that is being sent; the next response with its id belongs to it. */
     void expect(UpstreamExchange next) {
         exchange = next;
         isExpectedResponse = false;
@@ -67,7 +68,7 @@
         return outcome();
     }
 
-    /** The replica has closed the connection in order, which ends a response without a length. */
+    /** Handles an orderly close by the replica, which ends a response without a length. */
     Outcome parseEnd() {
         parser.atEOF();
         parser.parseNext(BufferUtil.EMPTY_BUFFER);
@@ -82,14 +83,14 @@
             return Outcome.MORE_NEEDED;
         }
         messageComplete = false;
-        boolean answered = isExpectedResponse;
+        boolean wasExpectedResponse = isExpectedResponse;
         isExpectedResponse = false;
         parser.reset();
-        if (!answered) {
+        if (!wasExpectedResponse) {
             // An interim response changes nothing; after a response to another request the connection is unusable.
             unusable |= status >= LOWEST_FINAL_STATUS;
         }
-        return answered ? Outcome.COMPLETE : Outcome.MORE_NEEDED;
+        return wasExpectedResponse ? Outcome.COMPLETE : Outcome.MORE_NEEDED;
     }
 
     /** Why parsing failed, null if it did not. */
@@ -97,17 +98,17 @@
         return failure;
     }
 
-    /** Whether another request may follow the complete response. */
-    boolean mayReuse() {
+    /** Whether the connection may carry another request after the complete response. */
+    boolean isReusable() {
         return keepAlive && !unusable;
     }
 
-    /** How long the connection may be idle after that response, milliseconds. */
+    /** Maximum idle time of the connection after that response, milliseconds. */
     double idleMs() {
         return idleMs;
     }
 
-    // ---- the parser's events
+    // ---- callbacks from HttpParser
 
     @Override
     public void messageBegin() {
@@ -129,7 +130,7 @@
     public boolean headerComplete() {
         if (status < LOWEST_FINAL_STATUS) {
             if (status == HttpStatus.SWITCHING_PROTOCOLS_101) {
-                failure = "an upgrade nobody asked for";
+                failure = "unsolicited protocol upgrade (status 101)";
             }
             return false;
         }
@@ -139,7 +140,7 @@
             idleMs = idleMs(fields.get(HttpHeader.KEEP_ALIVE));
             exchange.head(new ResponseHead(status, fields, isFramed()));
         } else if (!fields.contains(HeaderNames.REQUEST_ID)) {
-            failure = "an answer without a request id";
+            failure = "response without a request id";
         }
         return false;
     }
@@ -163,14 +164,17 @@
         return HttpMethod.HEAD.is(exchange.request().method());
     }
 
-    /** How long a connection may be idle, by the {@code Keep-Alive} field of its last response, milliseconds. */
+    /**
+     * Maximum idle time of a connection by the {@code Keep-Alive} field of its last response, milliseconds; the field
+     * may be null.
+     */
     static double idleMs(String keepAliveField) {
         if (keepAliveField != null) {
             for (String parameter : keepAliveField.split(",")) {
                 String trimmed = parameter.trim();
                 if (trimmed.regionMatches(true, 0, "timeout=", 0, "timeout=".length())) {
                     try {
-                        double announcedMs = Double.parseDouble(trimmed.substring("timeout=".length())) * MILLISECONDS;
+                        double announcedMs = Double.parseDouble(trimmed.substring("timeout=".length())) * MS_PER_SECOND;
                         return Math.max(announcedMs / 2, announcedMs - IDLE_MARGIN_MS);
                     } catch (NumberFormatException e) {
                         return DEFAULT_IDLE_MS;
@@ -203,11 +207,11 @@
 
     @Override
     public void earlyEOF() {
-        failure = "the answer was cut off";
+        failure = "response truncated: the replica closed the connection before its end";
     }
 
     @Override
     public void badMessage(HttpException cause) {
-        failure = "not an answer: " + cause.getReason();
+        failure = "malformed response: " + cause.getReason();
     }
 }
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamExchange.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamExchange.java
@@ -3,7 +3,10 @@
 import java.nio.ByteBuffer;
 import pinewick.model.ReplicaRecord;
 
-/** The state of one call to a replica, as its connections use it. Used on the data plane's executor only. */
+/**
+ * One call to a replica: its request, its listener and the connection that carries it. Used on the data plane's
+ * executor only.
+ */
 final class UpstreamExchange implements UpstreamCall {
     private final ReplicaRecord replica;
     private final UpstreamRequest request;
@@ -29,8 +32,8 @@
         return ended;
     }
 
-    void assign(UpstreamConnection carrier) {
-        connection = carrier;
+    void assign(UpstreamConnection assigned) {
+        connection = assigned;
     }
 
     @Override
@@ -88,10 +91,10 @@
         }
     }
 
-    void broken(String reason) {
+    void fail(String reason) {
         if (!ended) {
             ended = true;
-            listener.onBroken(reason);
+            listener.onFailure(reason);
         }
     }
 }
