--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/PipelineWarmUp.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/PipelineWarmUp.java
@@ -60,7 +60,7 @@
         pipeline.onReplicaListUpdate(
                 new ReplicaListJson.Update(1, true, entries, addresses), SchedulerHost.ListUpdateKind.CACHED);
         try {
-            client = pipe(pipeline.door::handleEvent);
+            client = pipe(pipeline.clientListener::handleEvent);
         } catch (IOException e) {
             end();
             return;
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RequestPipeline.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RequestPipeline.java
@@ -29,7 +29,7 @@
     final Counters counters = new Counters();
     final OpenQueries queries = new OpenQueries();
     final ReplicaDirectory replicas = new ReplicaDirectory();
-    final ClientListener door;
+    final ClientListener clientListener;
     final QueryRouter router;
     private final EventLoop loop;
     private final AttemptDispatcher dispatcher;
@@ -45,7 +45,7 @@
             ByteBufferPool buffers,
             Consumer<TcpReplicaConnection> dialer) {
         this.loop = loop;
-        door = new ClientListener(loop, limits, buffers, this::metrics);
+        clientListener = new ClientListener(loop, limits, buffers, this::metrics);
         dispatcher = new AttemptDispatcher(deployment, loop, limits, counters, replicas, dialer);
         ResponseSender responses = new ResponseSender(loop, queries, counters, dispatcher);
         CompletionHandler completion =
@@ -71,7 +71,8 @@
                 maxValue,
                 new SplittableRandom(seed));
         loop.setLoadShedder(pressure);
-        door.setRequestHandler(new RequestIntake(deployment, limits, counters, admission, completion, pressure, loop));
+        clientListener.setRequestHandler(
+                new RequestIntake(deployment, limits, counters, admission, completion, pressure, loop));
         loop.onBatchEnd(router::onBatchEnd);
     }
 
@@ -100,8 +101,8 @@
     /** Maintains connections; called periodically. */
     void housekeeping() {
         replicas.allConnections().forEach(OutboundConnection::checkIdle);
-        door.enforceTimeouts();
-        counters.peak("peak-client-connections", door.connectionCount());
+        clientListener.enforceTimeouts();
+        counters.peak("peak-client-connections", clientListener.connectionCount());
     }
 
     /** Closes a pipeline that served only the warm-up. */
@@ -132,6 +133,6 @@
                 + "\nheld " + queries.heldCount() + "\nout "
                 + queries.activeAttemptCount() + "\nsearcher-connections " + replicas.openCount()
                 + "\nclient-connections "
-                + door.connectionCount() + "\nfaults " + loop.faults() + "\n";
+                + clientListener.connectionCount() + "\nfaults " + loop.faults() + "\n";
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
@@ -188,7 +188,7 @@
         try {
             listener = worker.createStreamConnectionServer(
                     config.listen(),
-                    ChannelListeners.openListenerAdapter(pipeline.door),
+                    ChannelListeners.openListenerAdapter(pipeline.clientListener),
                     OptionMap.builder()
                             .set(Options.TCP_NODELAY, true)
                             .set(Options.REUSE_ADDRESSES, true)
@@ -208,7 +208,7 @@
     private void reportReady() {
         if (hasReplicaList && !isReady && !isStopping && listener != null) {
             isReady = true;
-            pipeline.door.setReady(true);
+            pipeline.clientListener.setReady(true);
             log.say(
                     Log.Level.INFO,
                     "mixer",
@@ -268,7 +268,7 @@
     private void shutDown() {
         log.say("stopping");
         double deadline = loop.now() + limits.maxShutdownSeconds();
-        pipeline.door.startDraining(deadline - limits.lastResponseSeconds());
+        pipeline.clientListener.startDraining(deadline - limits.lastResponseSeconds());
         if (membership != null) {
             membership.leave();
         }
@@ -282,7 +282,7 @@
      */
     private void closeListener(double deadline, long acceptedBefore) {
         loop.timeOut(0, "closing the listener", () -> {
-            long accepted = pipeline.door.acceptedCount();
+            long accepted = pipeline.clientListener.acceptedCount();
             if (accepted != acceptedBefore && loop.now() < deadline - limits.maxShutdownSeconds() / 2) {
                 closeListener(deadline, accepted);
                 return;
@@ -298,7 +298,7 @@
         try {
             StreamConnection connection = listener == null ? null : listener.accept();
             while (connection != null) {
-                pipeline.door.handleEvent(connection);
+                pipeline.clientListener.handleEvent(connection);
                 connection = listener.accept();
             }
         } catch (IOException e) {
@@ -308,8 +308,9 @@
 
     /** Exits once no query awaits a response and all connections are closed (so flushed), or at the deadline. */
     private void finish(double deadline) {
-        pipeline.door.closeIdleConnections();
-        if ((pipeline.queries.awaitingCount() == 0 && pipeline.door.connectionCount() == 0) || loop.now() >= deadline) {
+        pipeline.clientListener.closeIdleConnections();
+        if ((pipeline.queries.awaitingCount() == 0 && pipeline.clientListener.connectionCount() == 0)
+                || loop.now() >= deadline) {
             log.say("stopped; " + pipeline.metrics().replace('\n', ';'));
             log.drain(limits.logDrainSeconds());
             Runtime.getRuntime().exit(0);
--- a/query-mixer/daemon/src/main/java/pinewick/loop/Limits.java
+++ b/query-mixer/daemon/src/main/java/pinewick/loop/Limits.java
@@ -70,8 +70,8 @@
     private static final int MAX_BODY_BYTES = 64 << 10;
 
     /**
-     * Reads the limits from the configuration that a mixer is started with; throws IllegalArgumentException if they are
-     * too low.
+     * Reads the limits from the configuration that a router is started with; throws IllegalArgumentException if they
+     * are too low.
      */
     public static Limits of(JsonObject config) {
         JsonObject limits = config.getAsJsonObject("limits");
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ClientListener.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ClientListener.java
@@ -37,7 +37,7 @@
 public final class ClientListener implements ChannelListener<StreamConnection>, HttpHandler {
     /** Processes a request whose body was read completely; throws IllegalArgumentException if it is malformed. */
     public interface RequestHandler {
-        OpenQuery onRequest(HttpServerExchange request, byte[] body, OpenQuery.Client asker);
+        OpenQuery onRequest(HttpServerExchange request, byte[] body, OpenQuery.Client client);
 
         /** Rejects from now on every query that could end after this time, in seconds on the event loop's clock. */
         void onDrain(double deadline);
@@ -170,7 +170,7 @@
 
     /**
      * Whether responses should close their connection. Clients that send one request and keep their connection open
-     * would use up the connection limit, and other clients could not connect while this mixer is idle; the same
+     * would use up the connection limit, and other clients could not connect while this router is idle; the same
      * protects against bursts of connections. Cost: one extra connect per request.
      */
     private boolean isCrowded() {
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/PeerSocket.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/PeerSocket.java
@@ -16,13 +16,13 @@
 import pinewick.loop.EventLoop;
 
 /**
- * The datagram channel to the other mixers, on the event loop. It maps addresses to peer indexes and does not interpret
- * datagrams. A datagram that the operating system does not accept at once is dropped.
+ * The datagram channel to the other routers, on the event loop. It maps addresses to peer indexes and does not
+ * interpret datagrams. A datagram that the operating system does not accept at once is dropped.
  */
 public final class PeerSocket {
     /** Receives datagrams. */
     public interface DatagramHandler {
-        /** @param peerIndex of the mixer at the sender's address, -1 if the address is not in the list */
+        /** @param peerIndex of the router at the sender's address, -1 if the address is not in the list */
         void onDatagram(int peerIndex, byte[] datagram, int length);
     }
 
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Sends to every mixer; false if there is no broadcast address. */
+    /** Sends to every router; false if there is no broadcast address. */
     public boolean sendAll(byte[] datagram) {
         if (broadcastAddress != null) {
             send(broadcastAddress, datagram);
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/QueryJson.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/QueryJson.java
@@ -61,7 +61,7 @@
         rejectIf(into.shardRequests.isEmpty(), "json: no slices");
         rejectIf(!hasText, "json: no filter");
         double sum = into.shardRequests.values().stream()
-                .mapToDouble(piece -> piece.weight)
+                .mapToDouble(shardRequest -> shardRequest.weight)
                 .sum();
         // Each weight is a rounded decimal fraction; some clients send few digits.
         rejectIf(
@@ -132,12 +132,12 @@
                 .appendAscii(isComplete ? "true" : "false")
                 .appendAscii(",\"items\":[");
         boolean first = true;
-        for (OpenQuery.ShardRequest piece : query.shardRequests.values()) {
-            if (piece.result != null) {
+        for (OpenQuery.ShardRequest shardRequest : query.shardRequests.values()) {
+            if (shardRequest.result != null) {
                 out.appendAscii(first ? "{\"slice\":" : ",{\"slice\":")
-                        .appendAscii(Integer.toString(piece.shard))
+                        .appendAscii(Integer.toString(shardRequest.shard))
                         .appendAscii(",\"body\":\"")
-                        .appendEscaped(piece.result)
+                        .appendEscaped(shardRequest.result)
                         .appendAscii("\"}");
                 first = false;
             }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListFreshness.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListFreshness.java
@@ -8,7 +8,7 @@
  * <p>Guards against a watch that went silent, or one that was reopened and sends its head and nothing more: it would
  * hide a drain, which counts as announced {@value #MAX_STALENESS_SECONDS} s after discovery had it. The same covers an
  * agent that accepts connections and sends nothing, one whose objects cannot be parsed, and a changed address. Cost: a
- * mixer that was paused for a second requests a list that it has already.
+ * router that was paused for a second requests a list that it has already.
  *
  * <p>While no attempt succeeds the current list stays in force: what discovery announces counts only from when it can
  * be reached, and to stop serving would turn an outage of discovery into one of the service.
@@ -34,7 +34,7 @@
     private static final double HEARTBEAT_INTERVAL_SECONDS = 2;
     static final double MAX_STALENESS_SECONDS = 6;
 
-    /** A line may be processed late by this much on a mixer that has only part of a core. */
+    /** A line may be processed late by this much on a router that has only part of a core. */
     private static final double HEARTBEAT_SLACK_SECONDS = 1;
     /**
      * Three attempts with their backoff fit between the time the list becomes stale and the time at which a change
@@ -49,7 +49,7 @@
      * s.
      */
     private static final double MAX_BACKOFF_SECONDS = 0.5;
-    /** Backoff for an agent whose objects cannot be parsed; the complete list keeps the mixer current meanwhile. */
+    /** Backoff for an agent whose objects cannot be parsed; the complete list keeps the router current meanwhile. */
     private static final double MAX_MALFORMED_BACKOFF_SECONDS = 2;
 
     /** Number of consecutive failed attempts after which a new process serves from a list that may be old. */
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListWatch.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListWatch.java
@@ -275,7 +275,7 @@
     /**
      * Whether an update is older than the current list; it is then ignored, because an agent that lags behind would
      * revert a drain that was announced (rule 3). Cost: a registry that was created anew and counts revisions from the
-     * start is followed only after a restart of this mixer; the log says so.
+     * start is followed only after a restart of this router; the log says so.
      */
     private boolean isOlder(ReplicaListJson.Update update) {
         if (update.revision() < revision) {
--- a/query-mixer/daemon/src/test/java/pinewick/lifecycle/AttemptDispatchRaceTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/lifecycle/AttemptDispatchRaceTest.java
@@ -101,7 +101,7 @@
                     listUpdate(SchedulerHost.LifecycleState.READY), SchedulerHost.ListUpdateKind.FULL);
             listener = worker.createStreamConnectionServer(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    ChannelListeners.openListenerAdapter(pipeline.door),
+                    ChannelListeners.openListenerAdapter(pipeline.clientListener),
                     OptionMap.EMPTY);
             listener.resumeAccepts();
         });
--- a/query-mixer/daemon/src/test/java/pinewick/loop/LoadShedderTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/loop/LoadShedderTest.java
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Simulates a mixer that can serve 500 queries a second; each wake-up handles all queries that arrived since the
+     * Simulates a router that can serve 500 queries a second; each wake-up handles all queries that arrived since the
      * last one. A query counts as served if it was begun within its goal; one begun later still costs its work.
      */
     private static double servedPerSecond(double offeredPerSecond, boolean withShedding) {
