--- a/router-fleet/model/src/main/java/pinewick/model/ConfigurationChecks.java
+++ b/router-fleet/model/src/main/java/pinewick/model/ConfigurationChecks.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Parses and validates the operator's bodies. A body is rejected only for what makes a configuration invalid; fields
- * and sections that this release does not know are kept unchanged.
+ * Parses and validates the request bodies of the operator's API. A body is rejected only if it makes the configuration
+ * invalid; fields and sections that are unknown to this release are kept unchanged.
  */
 public final class ConfigurationChecks {
     private ConfigurationChecks() {}
@@ -22,12 +22,12 @@
         JsonObject json = parseObject(body);
         FaultList faults = new FaultList();
         ConfigurationDocument document = new DocumentReader(faults).readDocument(json);
-        return checked(document, faults);
+        return requireValid(document, faults);
     }
 
     /**
-     * Reads an update ({@code POST /config/update}) and applies it to {@code base}; the complete result is validated.
-     * Names to remove that do not exist are ignored; fields other than {@code upserts} and {@code removals} replace
+     * Parses an update ({@code POST /config/update}), applies it to {@code base} and validates the complete result.
+     * Removals of names that do not exist are ignored. Fields other than {@code upserts} and {@code removals} replace
      * those of {@code base}.
      *
      * @throws InvalidConfigurationException with every fault
@@ -37,11 +37,11 @@
         JsonObject json = parseObject(body);
         FaultList faults = new FaultList();
         ConfigurationDocument document = new DocumentReader(faults).readChanges(base, json);
-        return checked(document, faults);
+        return requireValid(document, faults);
     }
 
     /**
-     * Rejects a document that is not newer than the current one. Not part of the parsing, because only the store knows
+     * Rejects a document that is not newer than the current one. Separate from parsing, because only the store knows
      * the current version.
      *
      * @throws InvalidConfigurationException if the document's version is not higher than {@code currentVersion}
@@ -55,7 +55,7 @@
     }
 
     /**
-     * The typed view of a document.
+     * Builds the typed view of a document.
      *
      * @throws InvalidConfigurationException with every fault of the document
      */
@@ -67,9 +67,9 @@
     }
 
     /**
-     * The tenants of a document.
+     * Reads the tenants of a document.
      *
-     * @throws InvalidConfigurationException with every fault of them
+     * @throws InvalidConfigurationException with every fault of the tenants
      */
     public static List<Tenant> toTenants(ConfigurationDocument document) throws InvalidConfigurationException {
         FaultList faults = new FaultList();
@@ -78,7 +78,7 @@
         return tenants;
     }
 
-    /** The JSON of a document, as {@code GET /config/read} returns it: the version, the sections, the other fields. */
+    /** Encodes a document as JSON, as {@code GET /config/read} returns it: version, sections, other fields. */
     public static byte[] toJson(ConfigurationDocument document) {
         StringBuilder text = new StringBuilder();
         text.append("{\"version\":").append(document.version());
@@ -87,15 +87,15 @@
         return text.append('}').toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Encodes a delta compactly, for disks and the network; decoded by {@link #readDelta}. */
+    /** Encodes a delta in the compact binary format for disk and network; {@link #readDelta} decodes it. */
     public static byte[] writeDelta(ConfigurationDelta delta) {
         return DeltaFormat.write(delta);
     }
 
     /**
-     * Reads what {@link #writeDelta} wrote.
+     * Decodes the output of {@link #writeDelta}.
      *
-     * @throws IllegalArgumentException if the bytes are something else
+     * @throws IllegalArgumentException if the bytes are not an encoded delta, or are corrupt
      */
     public static ConfigurationDelta readDelta(byte[] bytes) {
         return DeltaFormat.read(bytes);
@@ -108,11 +108,11 @@
             }
             throw FaultList.single("", "is not a JSON object");
         } catch (JsonText.UnreadableException e) {
-            throw FaultList.single("", "cannot be read whole: " + e.getMessage());
+            throw FaultList.single("", "cannot be parsed: " + e.getMessage());
         }
     }
 
-    private static ConfigurationDocument checked(ConfigurationDocument document, FaultList faults)
+    private static ConfigurationDocument requireValid(ConfigurationDocument document, FaultList faults)
             throws InvalidConfigurationException {
         new RoutingTableBuilder(document, faults).build();
         faults.throwIfAny();
--- a/router-fleet/model/src/main/java/pinewick/model/ConfigurationDelta.java
+++ b/router-fleet/model/src/main/java/pinewick/model/ConfigurationDelta.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * The difference between two versions of the configuration. The only form in which changes are replicated, stored and
- * gossiped.
+ * The difference between two versions of the configuration. Changes are replicated, stored and gossiped only in this
+ * form.
  *
- * @param baseVersion the version it applies to; {@link #FULL_DOCUMENT} for one that applies to
+ * @param baseVersion the version that this delta applies to; {@link #FULL_DOCUMENT} if it applies to
  *     {@link ConfigurationDocument#EMPTY}
  * @param version the resulting version
  * @param upserts items to add or replace, by section and name
  * @param removals names to remove, by section
- * @param fields all other fields, as they are in the new version
+ * @param fields all other fields, with their values in the new version
  */
 public record ConfigurationDelta(
         long baseVersion,
@@ -23,12 +23,12 @@
         Map<String, Map<String, JsonObject>> upserts,
         Map<String, List<String>> removals,
         Map<String, JsonElement> fields) {
-    /** Base of a delta that carries a full document. */
+    /** Base version of a delta that contains a full document. */
     public static final long FULL_DOCUMENT = 0;
 
     /**
-     * The difference from {@code from} to {@code to}, in which items keep their exact text and their order. A section
-     * that {@code to} does not have is in the removals only; see {@link #applyTo}.
+     * Computes the difference from {@code from} to {@code to}, which preserves the exact text and the order of items. A
+     * section that {@code to} does not have appears only in the removals; see {@link #applyTo}.
      */
     public static ConfigurationDelta between(ConfigurationDocument from, ConfigurationDocument to) {
         Map<String, Map<String, JsonObject>> upserts = new LinkedHashMap<>();
@@ -53,10 +53,11 @@
     }
 
     /**
-     * Applies this to {@code base}: first the removals, then the upserts, which replace items in place or are appended.
+     * Applies this delta to {@code base}: first the removals, then the upserts, which replace items in place or append
+     * them.
      * A section that is empty after the removals and has no upserts is removed.
      *
-     * @throws IllegalArgumentException if {@code base} has another version than {@link #baseVersion}
+     * @throws IllegalArgumentException if the version of {@code base} is not {@link #baseVersion}
      */
     public ConfigurationDocument applyTo(ConfigurationDocument base) {
         if (base.version() != baseVersion) {
@@ -72,15 +73,15 @@
                 sections.remove(section);
             }
         });
-        upserts.forEach((section, changed) -> {
+        upserts.forEach((section, changedItems) -> {
             Map<String, JsonObject> items = new LinkedHashMap<>(sections.getOrDefault(section, Map.of()));
-            items.putAll(changed);
+            items.putAll(changedItems);
             sections.put(section, items);
         });
         return new ConfigurationDocument(version, sections, fields);
     }
 
-    /** The versions and the names of what changes; without the items, which may contain keys. */
+    /** The versions, and the names of sections and fields; the items are omitted because they may contain keys. */
     @Override
     public String toString() {
         return "ConfigurationDelta[baseVersion=" + baseVersion + ", version=" + version + ", upserts="
--- a/router-fleet/model/src/main/java/pinewick/model/ConfigurationDocument.java
+++ b/router-fleet/model/src/main/java/pinewick/model/ConfigurationDocument.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 
 /**
- * A full configuration as the operator sent it: lists of named items by section ({@code routes}, {@code services}, and
- * any section that a later release of the platform adds), and the remaining fields ({@code limits}). Items keep their
- * exact JSON, including fields that this release does not know, so that what is read back is what was sent. Immutable:
- * the JSON that it returns must not be modified.
+ * A full configuration as submitted by the operator: lists of named items by section ({@code routes}, {@code services},
+ * and any section that a later release of the platform adds), and the remaining fields ({@code limits}). Items keep
+ * their exact JSON, including fields that are unknown to this release, so that a read returns exactly the submitted
+ * items. Immutable: callers must not modify the returned JSON.
  */
 public final class ConfigurationDocument {
     /** The document before the first change: version 0, empty. */
@@ -23,9 +23,9 @@
     private final Map<String, JsonElement> fields;
 
     /**
-     * @param version number of this version, 0 for none
+     * @param version version number, 0 for the document before the first change
      * @param sections items by section and name, in the operator's order
-     * @param fields everything that is not a list of named items, except the version
+     * @param fields all fields that are not lists of named items, except the version
      */
     public ConfigurationDocument(
             long version, Map<String, Map<String, JsonObject>> sections, Map<String, JsonElement> fields) {
@@ -50,7 +50,7 @@
         return fields;
     }
 
-    /** Whether both have the same version, and sections and fields with the same text, items in the same order. */
+    /** Whether both have the same version, and sections and fields with the same JSON text, items in the same order. */
     @Override
     public boolean equals(Object other) {
         return other instanceof ConfigurationDocument that
@@ -59,7 +59,8 @@
                 && fields.keySet().equals(that.fields.keySet())
                 && fields.keySet().stream()
                         .allMatch(name -> JsonText.isSameText(fields.get(name), that.fields.get(name)))
-                && sections.keySet().stream().allMatch(name -> sameItems(sections.get(name), that.sections.get(name)));
+                && sections.keySet().stream()
+                        .allMatch(name -> hasSameItems(sections.get(name), that.sections.get(name)));
     }
 
     @Override
@@ -67,7 +68,7 @@
         return Long.hashCode(version) * 31 + sections.keySet().hashCode();
     }
 
-    private static boolean sameItems(Map<String, JsonObject> left, Map<String, JsonObject> right) {
+    private static boolean hasSameItems(Map<String, JsonObject> left, Map<String, JsonObject> right) {
         return left == right
                 || (List.copyOf(left.keySet()).equals(List.copyOf(right.keySet()))
                         && left.keySet().stream()
--- a/router-fleet/model/src/main/java/pinewick/model/DeltaFormat.java
+++ b/router-fleet/model/src/main/java/pinewick/model/DeltaFormat.java
@@ -17,18 +17,18 @@
 import java.util.zip.Inflater;
 
 /**
- * The binary format of deltas: a byte that names the format, a checksum of the rest, and the delta. In the format
- * {@link #PLAIN} that is JSON text; in {@link #DEFLATED} it is the length of the text and the deflated text. Texts that
- * are too short to benefit stay plain.
+ * The binary format of deltas: a format byte, a checksum of the following bytes, and the delta. In the format
+ * {@link #PLAIN} the delta is JSON text; in {@link #DEFLATED} it is the length of the JSON text followed by the
+ * deflated text. Texts that are too short to benefit from compression are stored plain.
  */
 final class DeltaFormat {
     private static final byte PLAIN = 1;
     private static final byte DEFLATED = 2;
     private static final int MIN_DEFLATED_BYTES = 600;
     private static final int MAX_TEXT_BYTES = 64 << 20;
-    /** The format and the checksum. */
+    /** Size of the format byte and the checksum. */
     private static final int HEADER_BYTES = 1 + Integer.BYTES;
-    /** An upper bound of what deflate adds to incompressible data: a few bytes for each block of thousands. */
+    /** Maximum size that deflate adds to incompressible data: a few bytes per block of several kilobytes. */
     private static final int DEFLATE_OVERHEAD = 64;
 
     private static final String BASE = "base";
@@ -44,7 +44,7 @@
         return text.length < MIN_DEFLATED_BYTES ? plain(text) : deflated(text);
     }
 
-    /** @throws IllegalArgumentException if the bytes are not what {@link #write} wrote */
+    /** @throws IllegalArgumentException if the bytes are not valid output of {@link #write} */
     static ConfigurationDelta read(byte[] bytes) {
         try {
             return fromJson((JsonObject) JsonText.parse(text(bytes)));
@@ -90,7 +90,7 @@
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         byte format = buffer.get();
         if (buffer.getInt() != checksum(buffer.duplicate())) {
-            throw new DataFormatException("the checksum does not fit");
+            throw new DataFormatException("checksum mismatch");
         }
         return switch (format) {
             case PLAIN -> Arrays.copyOfRange(bytes, HEADER_BYTES, bytes.length);
@@ -101,14 +101,14 @@
 
     private static byte[] inflated(int length, ByteBuffer deflated) throws DataFormatException {
         if (length < 0 || length > MAX_TEXT_BYTES) {
-            throw new DataFormatException("a text of " + length + " bytes");
+            throw new DataFormatException("invalid text length: " + length + " bytes");
         }
         Inflater inflater = new Inflater(true);
         try {
             inflater.setInput(deflated);
             byte[] text = new byte[length];
             if (inflater.inflate(text) != length) {
-                throw new DataFormatException("the text is cut off");
+                throw new DataFormatException("the text is truncated");
             }
             return text;
         } finally {
@@ -122,9 +122,9 @@
         json.addProperty(VERSION, delta.version());
         JsonObject upserts = new JsonObject();
         delta.upserts().forEach((section, items) -> {
-            JsonObject named = new JsonObject();
-            items.forEach(named::add);
-            upserts.add(section, named);
+            JsonObject itemsByName = new JsonObject();
+            items.forEach(itemsByName::add);
+            upserts.add(section, itemsByName);
         });
         json.add(UPSERTS, upserts);
         JsonObject removals = new JsonObject();
@@ -140,7 +140,7 @@
         return json;
     }
 
-    /** Casts, because the messages of Gson's own conversions contain the value, and with it keys. */
+    /** Uses casts, because the exceptions of Gson's own conversions contain the value, which may include keys. */
     private static ConfigurationDelta fromJson(JsonObject json) {
         Map<String, Map<String, JsonObject>> upserts = new LinkedHashMap<>();
         json.getAsJsonObject(UPSERTS).entrySet().forEach(section -> {
--- a/router-fleet/model/src/main/java/pinewick/model/DocumentReader.java
+++ b/router-fleet/model/src/main/java/pinewick/model/DocumentReader.java
@@ -14,7 +14,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Converts the operator's bodies into documents: sections, fields and version, whose contents are not validated yet.
+ * Converts request bodies into documents: sections, fields and version. The contents of items and fields are not
+ * validated here.
  */
 final class DocumentReader {
     private static final String VERSION = "version";
@@ -28,7 +29,7 @@
             Set.of(RoutingTableBuilder.ROUTES, RoutingTableBuilder.SERVICES, RoutingTableBuilder.TENANTS);
 
     /** A version that was put in quotes by mistake. */
-    private static final Pattern NUMBER_IN_QUOTES = Pattern.compile("-?[0-9]{1,19}");
+    private static final Pattern QUOTED_NUMBER = Pattern.compile("-?[0-9]{1,19}");
 
     private final FaultList faults;
 
@@ -49,7 +50,7 @@
         return new ConfigurationDocument(readVersion(body), sections, fields);
     }
 
-    /** Reads changes and applies them to {@code base}. */
+    /** Reads an update and applies it to {@code base}. */
     ConfigurationDocument readChanges(ConfigurationDocument base, JsonObject body) {
         Map<String, Map<String, JsonObject>> sections = new LinkedHashMap<>();
         base.sections().forEach((section, items) -> sections.put(section, new LinkedHashMap<>(items)));
@@ -75,7 +76,7 @@
                 return number.get().longValueExact();
             }
         } catch (ArithmeticException e) {
-            // Reported below: it has a fraction or is too large.
+            // Reported below: the number has a fraction or is too large.
         }
         faults.add(FaultList.DOCUMENT, VERSION, describe(body.get(VERSION)) + " is not a whole number above 0");
         return 0;
@@ -100,7 +101,7 @@
         }
     }
 
-    /** Whether a list that this release does not know can be stored by the names of its items. */
+    /** Whether a list that is unknown to this release consists of items with unique names, and can be a section. */
     private static boolean isListOfNamedItems(JsonElement value) {
         if (!(value instanceof JsonArray list)) {
             return false;
@@ -140,7 +141,7 @@
         if (value instanceof JsonObject object) {
             object.entrySet().forEach(entry -> changes.put(entry.getKey(), entry.getValue()));
         } else if (value != null && !value.isJsonNull()) {
-            faults.add(FaultList.DOCUMENT, field, "is not an object of lists");
+            faults.add(FaultList.DOCUMENT, field, "is not an object with one list per section");
         }
         return changes;
     }
@@ -176,11 +177,11 @@
             faults.add(UPSERTS, section, "is not a list of named items in the current configuration");
             return;
         }
-        Map<String, JsonObject> changed = readItems(section, items);
-        sections.computeIfAbsent(section, key -> new LinkedHashMap<>()).putAll(changed);
+        Map<String, JsonObject> changedItems = readItems(section, items);
+        sections.computeIfAbsent(section, key -> new LinkedHashMap<>()).putAll(changedItems);
     }
 
-    /** A value of the wrong type, as a fault prints it: in full only if it cannot contain a key. */
+    /** Describes a value of the wrong type for a fault: in full only if it cannot contain a key. */
     private static String describe(JsonElement value) {
         if (value instanceof JsonObject) {
             return "an object";
@@ -190,7 +191,7 @@
         }
         boolean isOtherText = value instanceof JsonPrimitive primitive
                 && primitive.isString()
-                && !NUMBER_IN_QUOTES.matcher(primitive.getAsString()).matches();
+                && !QUOTED_NUMBER.matcher(primitive.getAsString()).matches();
         return isOtherText ? "a text" : value.toString();
     }
 
--- a/router-fleet/model/src/main/java/pinewick/model/FaultList.java
+++ b/router-fleet/model/src/main/java/pinewick/model/FaultList.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects the faults of one document, so that all are reported at once. */
+/** Collects the faults of one document, so that all of them are reported at once. */
 final class FaultList {
-    /** The item that is named for faults of the complete document. */
+    /** Item name in faults that concern the complete document. */
     static final String DOCUMENT = "configuration";
 
     private final List<ConfigurationFault> faults = new ArrayList<>();
@@ -18,14 +18,14 @@
         return faults.isEmpty();
     }
 
-    /** Ends the reading if there is any fault. */
+    /** Throws if there is any fault. */
     void throwIfAny() throws InvalidConfigurationException {
         if (!faults.isEmpty()) {
             throw new InvalidConfigurationException(faults);
         }
     }
 
-    /** An exception with a single fault of the complete document. */
+    /** Creates an exception with a single fault that concerns the complete document. */
     static InvalidConfigurationException single(String field, String reason) {
         return new InvalidConfigurationException(List.of(new ConfigurationFault(DOCUMENT, field, reason)));
     }
--- a/router-fleet/model/src/main/java/pinewick/model/InvalidConfigurationException.java
+++ b/router-fleet/model/src/main/java/pinewick/model/InvalidConfigurationException.java
@@ -4,7 +4,7 @@
 import java.util.stream.Collectors;
 
 /**
- * A configuration that is rejected, with every fault that was found, so that the operator can correct all of them at
+ * A configuration was rejected. Contains every fault that was found, so that the operator can correct all of them at
  * once.
  */
 public final class InvalidConfigurationException extends Exception {
--- a/router-fleet/model/src/main/java/pinewick/model/Ipv4Address.java
+++ b/router-fleet/model/src/main/java/pinewick/model/Ipv4Address.java
@@ -1,36 +1,36 @@
 package pinewick.model;
 
-/** Checks of IPv4 addresses; names are not resolved. */
+/** Syntax checks of IPv4 addresses; host names are not resolved. */
 public final class Ipv4Address {
-    private static final int PARTS = 4;
-    private static final int MAX_PART = 255;
-    private static final int MAX_PART_LENGTH = 3;
+    private static final int OCTETS = 4;
+    private static final int MAX_OCTET = 255;
+    private static final int MAX_OCTET_DIGITS = 3;
 
     private Ipv4Address() {}
 
-    /** Whether {@code text} is an IPv4 address in dotted form. */
+    /** Whether {@code text} is an IPv4 address in dotted-decimal notation. */
     public static boolean isLiteral(String text) {
-        String[] parts = text.split("\\.", -1);
-        if (parts.length != PARTS) {
+        String[] octets = text.split("\\.", -1);
+        if (octets.length != OCTETS) {
             return false;
         }
-        for (String part : parts) {
-            if (!isPart(part)) {
+        for (String octet : octets) {
+            if (!isOctet(octet)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean isPart(String part) {
-        if (part.isEmpty() || part.length() > MAX_PART_LENGTH) {
+    private static boolean isOctet(String octet) {
+        if (octet.isEmpty() || octet.length() > MAX_OCTET_DIGITS) {
             return false;
         }
-        for (int i = 0; i < part.length(); i++) {
-            if (part.charAt(i) < '0' || part.charAt(i) > '9') {
+        for (int i = 0; i < octet.length(); i++) {
+            if (octet.charAt(i) < '0' || octet.charAt(i) > '9') {
                 return false;
             }
         }
-        return Integer.parseInt(part) <= MAX_PART;
+        return Integer.parseInt(octet) <= MAX_OCTET;
     }
 }
--- a/router-fleet/model/src/main/java/pinewick/model/ItemFields.java
+++ b/router-fleet/model/src/main/java/pinewick/model/ItemFields.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 
 /**
- * Typed access to the fields of one item. A field of the wrong type becomes a fault and reads as its default; {@code
- * null} counts as absent.
+ * Typed access to the fields of one item. A field of the wrong type is reported as a fault and read as its default;
+ * {@code null} counts as absent.
  */
 final class ItemFields {
     private static final int MAX_NUMBER_LENGTH = 40;
-    /** Digits that always fit into an {@code int}. */
-    private static final int MAX_PLAIN_DIGITS = 9;
+    /** Any number with at most this many digits fits into an {@code int}. */
+    private static final int MAX_SHORT_DIGITS = 9;
 
     private static final BigDecimal MAX_INT = BigDecimal.valueOf(Integer.MAX_VALUE);
     private static final BigDecimal MAX_LONG = BigDecimal.valueOf(Long.MAX_VALUE);
@@ -24,7 +24,7 @@
     private final JsonObject object;
     private final FaultList faults;
 
-    /** @param item how faults name the item, for example {@code routes/r-7} */
+    /** @param item name of the item in faults, for example {@code routes/r-7} */
     ItemFields(String item, JsonObject object, FaultList faults) {
         this.item = item;
         this.object = object;
@@ -44,7 +44,7 @@
         return value != null && !value.isJsonNull();
     }
 
-    /** A required text that must not be empty; {@code ""} after a fault. */
+    /** A required, non-empty text; {@code ""} after a fault. */
     String requiredText(String field) {
         if (!has(field)) {
             fault(field, "is missing; give a text");
@@ -57,7 +57,7 @@
         return text.orElse("");
     }
 
-    /** A text that may be absent. */
+    /** An optional text; empty if it is absent or after a fault. */
     Optional<String> text(String field) {
         if (!has(field)) {
             return Optional.empty();
@@ -91,9 +91,9 @@
     }
 
     private long clampedNumber(String field, long min, BigDecimal max, long defaultValue) {
-        int plain = plainNumber(object.get(field));
-        if (plain >= 0) {
-            return Math.max(min, plain);
+        int shortValue = shortNumber(object.get(field));
+        if (shortValue >= 0) {
+            return Math.max(min, shortValue);
         }
         Optional<BigDecimal> number = number(field);
         if (number.isEmpty()) {
@@ -107,8 +107,8 @@
         return number(field).map(BigDecimal::doubleValue).orElse(defaultValue);
     }
 
-    /** A number that may be absent; a negative one is a fault. */
-    double numberFromZero(String field, double defaultValue) {
+    /** An optional number; a negative number is a fault. */
+    double nonNegativeNumber(String field, double defaultValue) {
         double number = fraction(field, defaultValue);
         if (number < 0) {
             fault(field, "is below 0; give a number from 0 up");
@@ -116,19 +116,19 @@
         return number;
     }
 
-    /** A number of any size; a fault if the field has another type. */
+    /** An optional number; empty if it is absent or after a fault. {@link #toNumber} limits its size. */
     Optional<BigDecimal> number(String field) {
         if (!has(field)) {
             return Optional.empty();
         }
         Optional<BigDecimal> number = toNumber(object.get(field));
         if (number.isEmpty()) {
-            fault(field, "is not a number within reason");
+            fault(field, "is not a supported number");
         }
         return number;
     }
 
-    /** A list; empty if it is absent or after a fault. */
+    /** An optional list; empty if it is absent or after a fault. */
     JsonArray list(String field) {
         if (!has(field)) {
             return new JsonArray();
@@ -140,7 +140,7 @@
         return new JsonArray();
     }
 
-    /** An object that may be absent. */
+    /** An optional object; empty if it is absent or after a fault. */
     Optional<JsonObject> object(String field) {
         if (!has(field)) {
             return Optional.empty();
@@ -152,11 +152,11 @@
         return Optional.empty();
     }
 
-    /** The value of a JSON number; empty for another type or an excessively long text. */
+    /** The value of a JSON number; empty for another type, or if the text is too long or the exponent too large. */
     static Optional<BigDecimal> toNumber(JsonElement element) {
-        int plain = plainNumber(element);
-        if (plain >= 0) {
-            return Optional.of(BigDecimal.valueOf(plain));
+        int shortValue = shortNumber(element);
+        if (shortValue >= 0) {
+            return Optional.of(BigDecimal.valueOf(shortValue));
         }
         if (!(element instanceof JsonPrimitive value) || !value.isNumber()) {
             return Optional.empty();
@@ -167,20 +167,20 @@
         }
         try {
             BigDecimal number = new BigDecimal(text);
-            // An exponent in the thousands would make arithmetic on it expensive.
+            // Arithmetic on numbers with an exponent in the thousands is expensive.
             return Math.abs((long) number.scale()) > MAX_NUMBER_LENGTH ? Optional.empty() : Optional.of(number);
         } catch (NumberFormatException e) {
             return Optional.empty();
         }
     }
 
-    /** The number if it is written in a few digits only, as nearly all are; -1 for any other value. */
-    private static int plainNumber(JsonElement element) {
+    /** Fast path for numbers of at most {@link #MAX_SHORT_DIGITS} digits, as nearly all are; -1 for any other value. */
+    private static int shortNumber(JsonElement element) {
         if (!(element instanceof JsonPrimitive value) || !value.isNumber()) {
             return -1;
         }
         String text = value.getAsString();
-        if (text.isEmpty() || text.length() > MAX_PLAIN_DIGITS) {
+        if (text.isEmpty() || text.length() > MAX_SHORT_DIGITS) {
             return -1;
         }
         int number = 0;
--- a/router-fleet/model/src/main/java/pinewick/model/JsonText.java
+++ b/router-fleet/model/src/main/java/pinewick/model/JsonText.java
@@ -21,12 +21,12 @@
 
 /** Strict parsing of JSON text, and comparison of JSON by its exact text. */
 final class JsonText {
-    /** The end of the parser's messages: the path of the value, and on further lines a link to its manual. */
+    /** The end of the parser's messages: the path of the value, and on the following lines a link to its manual. */
     private static final Pattern PATH_AND_ADVICE = Pattern.compile("( path \\$|\n).*", Pattern.DOTALL);
 
     private JsonText() {}
 
-    /** Text that is not one complete JSON value. Without a cause, whose message would disclose parts of the text. */
+    /** The text is not one complete JSON value. Has no cause: its message would disclose parts of the text. */
     static final class UnreadableException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -36,16 +36,16 @@
     }
 
     /**
-     * Parses one JSON value that is all of {@code body}. Numbers keep their text.
+     * Parses {@code body} as exactly one JSON value. Numbers keep their text.
      *
-     * @throws UnreadableException if the body is truncated, has trailing text, or is not JSON in UTF-8
+     * @throws UnreadableException if the body is truncated, has trailing text, or is not valid JSON in UTF-8
      */
     static JsonElement parse(byte[] body) throws UnreadableException {
         try (JsonReader reader = new JsonReader(new StringReader(decode(body)))) {
             reader.setStrictness(Strictness.STRICT);
             JsonElement value = JsonParser.parseReader(reader);
             if (reader.peek() != JsonToken.END_DOCUMENT) {
-                throw new UnreadableException("something follows the JSON value");
+                throw new UnreadableException("unexpected data after the JSON value");
             }
             return value;
         } catch (CharacterCodingException e) {
@@ -57,7 +57,8 @@
 
     /**
      * Whether two values have the same text: the same members in the same order, and numbers with the same digits.
-     * Gson's own comparison considers 1 and 1.0 equal, and so two large numbers with the same {@code double} value.
+     * Gson's own comparison treats 1 and 1.0 as equal, and likewise two large numbers with the same {@code double}
+     * value.
      */
     static boolean isSameText(JsonElement left, JsonElement right) {
         if (left == right) {
@@ -82,10 +83,11 @@
         if (left.size() != right.size()) {
             return false;
         }
-        Iterator<Map.Entry<String, JsonElement>> others = right.entrySet().iterator();
-        for (Map.Entry<String, JsonElement> member : left.entrySet()) {
-            Map.Entry<String, JsonElement> other = others.next();
-            if (!member.getKey().equals(other.getKey()) || !isSameText(member.getValue(), other.getValue())) {
+        Iterator<Map.Entry<String, JsonElement>> rightMembers = right.entrySet().iterator();
+        for (Map.Entry<String, JsonElement> leftMember : left.entrySet()) {
+            Map.Entry<String, JsonElement> rightMember = rightMembers.next();
+            if (!leftMember.getKey().equals(rightMember.getKey())
+                    || !isSameText(leftMember.getValue(), rightMember.getValue())) {
                 return false;
             }
         }
@@ -120,8 +122,8 @@
     }
 
     /**
-     * What is wrong and at which line and column; without the path, which consists of member names and would disclose a
-     * key that stands where a name should.
+     * The parser's message with line and column, but without the path: the path consists of member names, and would
+     * disclose a key that was entered in place of a member name.
      */
     private static String reason(Exception e) {
         String message = String.valueOf(e.getMessage());
--- a/router-fleet/model/src/main/java/pinewick/model/Message.java
+++ b/router-fleet/model/src/main/java/pinewick/model/Message.java
@@ -1,4 +1,4 @@
 package pinewick.model;
 
-/** Marks a typed internal message. Implementations are immutable records, registered by the modules that own them. */
+/** Marker of typed internal messages. Implementations are immutable records, registered by their own modules. */
 public interface Message {}
--- a/router-fleet/model/src/main/java/pinewick/model/NodeSettings.java
+++ b/router-fleet/model/src/main/java/pinewick/model/NodeSettings.java
@@ -6,27 +6,27 @@
 import java.util.Optional;
 
 /**
- * The settings file of one process, validated. Unknown fields are ignored when it is read.
+ * The validated settings of one process. Unknown fields in the settings file are ignored.
  *
  * @param nodeName name of the machine
- * @param role name of the role in the deploy file
+ * @param role name of the machine's role in the deploy file
  * @param serves the interfaces that this process serves: {@code frontend}, {@code control_plane}
  * @param ipAddress the machine's own address
  * @param zone the zone of the machine
  * @param region the region of the zone
- * @param firstInternalPort first of the ports for internal messages
- * @param lastInternalPort last of these ports
+ * @param firstInternalPort first port of the range for internal messages
+ * @param lastInternalPort last port of this range
  * @param seedNodes {@code control_plane} addresses of some controllers
- * @param firstStart whether the whole system starts for the first time, with empty disks
+ * @param firstStart whether the complete system is started for the first time, with empty disks
  * @param countsForQuorum whether the loss of this machine counts towards {@link #toleratedMachines}
- * @param dataDirectory directory for persistent files, empty on machines without a disk
+ * @param dataDirectory directory for persistent files; empty on machines without a disk
  * @param heartbeatMs interval between the heartbeats of a replica, milliseconds
- * @param zones region of each zone
+ * @param zones region of each zone, by zone
  * @param frontend address for clients, if this process serves them
  * @param readiness address of the platform's readiness check
  * @param controlPlane address for replicas and operators, if this process serves them
- * @param limits resources of this process
- * @param toleratedMachines how many machines that count may be lost at once (f)
+ * @param limits resource limits of this process
+ * @param toleratedMachines number of machines counted for the quorum that may fail at the same time (f)
  * @param bounds time-outs and ratios from the platform's rules
  */
 public record NodeSettings(
@@ -57,7 +57,7 @@
         zones = Map.copyOf(zones);
     }
 
-    /** The resources that a machine grants a process. */
+    /** The resources that a machine allows a process. */
     public record MachineLimits(
             double cpuShare, int cpuCores, int memoryMb, int fileDescriptors, double linkBandwidthMbps, int diskMb) {}
 
@@ -99,7 +99,7 @@
         return firstInternalPort + 1;
     }
 
-    /** Internal addresses of the seeds. */
+    /** Internal addresses of the seed controllers. */
     public List<SocketAddress> seedControllers() {
         return seedNodes.stream()
                 .map(seed -> new SocketAddress(seed.host(), controllerPort()))
--- a/router-fleet/model/src/main/java/pinewick/model/Outbox.java
+++ b/router-fleet/model/src/main/java/pinewick/model/Outbox.java
@@ -1,6 +1,6 @@
 package pinewick.model;
 
-/** Sends messages to other processes, for classes that do no I/O themselves. Best effort, never blocks. */
+/** Sends messages to other processes on behalf of classes without I/O. Best effort; never blocks. */
 @FunctionalInterface
 public interface Outbox {
     /** Sends a message to the process that listens at {@code peer}. */
--- a/router-fleet/model/src/main/java/pinewick/model/QuotaUnit.java
+++ b/router-fleet/model/src/main/java/pinewick/model/QuotaUnit.java
@@ -1,9 +1,9 @@
 package pinewick.model;
 
-/** What the quota of a tenant counts. */
+/** The unit of a tenant's quota. */
 public enum QuotaUnit {
     /** Each request counts as one. */
     REQUESTS,
-    /** Each request counts as many as it has prompt and answer tokens. */
+    /** Each request counts as the number of its prompt and completion tokens. */
     TOKENS
 }
--- a/router-fleet/model/src/main/java/pinewick/model/ReplicaRecord.java
+++ b/router-fleet/model/src/main/java/pinewick/model/ReplicaRecord.java
@@ -10,14 +10,14 @@
  * @param instanceId id of the instance, unique for each start of the replica
  * @param service name of the service it belongs to
  * @param address address for requests
- * @param zone the zone it runs in
+ * @param zone zone in which it runs
  * @param softwareVersion version of its software
- * @param slots requests that it can run at the same time
+ * @param slots number of requests that it can run concurrently
  * @param state its lifecycle state
- * @param warmUpRemainingMs remaining warm-up time, in which it is slower, milliseconds
- * @param stage the stage that it serves, {@link Stage#NONE} for a service without an engine
+ * @param warmUpRemainingMs remaining warm-up time, during which it is slower, milliseconds
+ * @param stage the stage that it serves; {@link Stage#NONE} for a service without an engine
  * @param models the models that it serves
- * @param callSequence rises with each heartbeat of the instance
+ * @param callSequence increases with each heartbeat of the instance
  * @param lapsed whether the control plane has received no heartbeat for too long
  */
 public record ReplicaRecord(
@@ -35,8 +35,8 @@
         boolean lapsed) {
 
     /**
-     * Orders records of one instance by age. Every component but the state takes part, so that two records that a
-     * faulty replica sent with one call sequence are merged to the same result everywhere.
+     * Orders records of one instance by age. Compares every component except the state, so that two records that a
+     * faulty replica sent with the same call sequence are merged to the same result on every node.
      */
     private static final Comparator<ReplicaRecord> BY_AGE = Comparator.comparingLong(ReplicaRecord::callSequence)
             .thenComparing(ReplicaRecord::lapsed)
@@ -61,7 +61,7 @@
         return state == ReplicaState.READY && !lapsed;
     }
 
-    /** The same record with another {@code lapsed}. */
+    /** Returns a copy with another value of {@code lapsed}. */
     public ReplicaRecord withLapsed(boolean isLapsed) {
         return new ReplicaRecord(
                 instanceId,
@@ -78,8 +78,8 @@
                 isLapsed);
     }
 
-    /** The same record in another state. */
-    public ReplicaRecord withState(ReplicaState next) {
+    /** Returns a copy with another state. */
+    public ReplicaRecord withState(ReplicaState newState) {
         return new ReplicaRecord(
                 instanceId,
                 service,
@@ -87,7 +87,7 @@
                 zone,
                 softwareVersion,
                 slots,
-                next,
+                newState,
                 warmUpRemainingMs,
                 stage,
                 models,
@@ -96,8 +96,8 @@
     }
 
     /**
-     * Merges two records of one instance: the newer call wins, but a later state is never reverted. Commutative,
-     * associative and idempotent.
+     * Merges two records of one instance: the record with the higher call sequence wins, but the state never reverts to
+     * an earlier one. Commutative, associative and idempotent.
      */
     public static ReplicaRecord merge(ReplicaRecord left, ReplicaRecord right) {
         ReplicaRecord newer = BY_AGE.compare(left, right) >= 0 ? left : right;
--- a/router-fleet/model/src/main/java/pinewick/model/ReplicaState.java
+++ b/router-fleet/model/src/main/java/pinewick/model/ReplicaState.java
@@ -1,10 +1,10 @@
 package pinewick.model;
 
-/** The lifecycle of one replica instance. A state is never left for an earlier one. */
+/** The lifecycle of one replica instance. An instance never returns to an earlier state. */
 public enum ReplicaState {
     /** Accepts requests. */
     READY,
-    /** Is shutting down gracefully: it completes running requests and accepts no new ones. */
+    /** Shuts down gracefully: completes running requests and accepts no new ones. */
     DRAINING,
     /** Has deregistered. */
     GONE
--- a/router-fleet/model/src/main/java/pinewick/model/RequestLimits.java
+++ b/router-fleet/model/src/main/java/pinewick/model/RequestLimits.java
@@ -1,7 +1,7 @@
 package pinewick.model;
 
-/** Bounds of what clients may send, and how long they may take or stay idle. */
+/** Limits for clients: sizes of header and body in bytes, time-outs of header and idle connection in milliseconds. */
 public record RequestLimits(int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMs, int idleTimeoutMs) {
-    /** In force unless the operator configures others. */
+    /** Used unless the operator configures other limits. */
     public static final RequestLimits DEFAULT = new RequestLimits(16_384, 4_194_304, 3_000, 15_000);
 }
--- a/router-fleet/model/src/main/java/pinewick/model/Route.java
+++ b/router-fleet/model/src/main/java/pinewick/model/Route.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * One route of the operator's configuration, validated.
+ * A validated route of the operator's configuration.
  *
  * @param name unique name
  * @param hostname value of the {@code Host} header, without a port, in lower case
- * @param pathPrefix prefix of the path, starts and ends with a slash
+ * @param pathPrefix prefix of the path; starts and ends with a slash
  * @param kind which requests may be retried
  * @param timeoutMs time-out of a request, milliseconds
  * @param targetLatencyMs latency target (SLO), milliseconds
- * @param priority 0 is the most urgent
+ * @param priority priority of requests; 0 is the highest
  * @param split services and their weights; one entry of weight 1 for a plain {@code service}
- * @param maxAttempts to how many replicas one request may be sent at most
- * @param sessionAffinity whether requests name the parts of their prompt, for prefix-cache affinity
- * @param resumable whether an interrupted stream may be resumed at another replica
+ * @param maxAttempts maximum number of replicas to which one request may be sent
+ * @param sessionAffinity whether requests list the parts of their prompt, for prefix-cache affinity
+ * @param resumable whether an interrupted stream may be resumed on another replica
  * @param targetGapMs target for the longest gap between events, milliseconds; 0 for none
- * @param anonymous whether requests need no key where the configuration has tenants
+ * @param anonymous whether requests need no API key even if the configuration has tenants
  */
 public record Route(
         String name,
@@ -41,7 +41,7 @@
     /** A service and its weight among a route's requests. */
     public record WeightedService(String service, int weight) {}
 
-    /** This route with another priority. */
+    /** Returns a copy with another priority. */
     public Route withPriority(int newPriority) {
         return new Route(
                 name,
@@ -59,7 +59,7 @@
                 anonymous);
     }
 
-    /** Whether a request that may have been executed can be sent again. */
+    /** Whether a request that may already have been executed can be sent again. */
     public boolean isRetriable() {
         return kind == RouteKind.IDEMPOTENT || (kind == RouteKind.STREAMING && resumable);
     }
--- a/router-fleet/model/src/main/java/pinewick/model/RouteBuilder.java
+++ b/router-fleet/model/src/main/java/pinewick/model/RouteBuilder.java
@@ -13,10 +13,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Builds a {@link Route} from the operator's item, and reports every fault of it. */
+/** Builds a {@link Route} from an item of the configuration and reports all its faults. */
 final class RouteBuilder {
     private static final int MIN_TIMEOUT_MS = 1;
-    /** The sum to which weights that are not integers are scaled. */
+    /** Weights that are not integers are scaled to this sum. */
     private static final BigDecimal SCALED_SUM = BigDecimal.valueOf(1_000_000);
 
     private static final Map<String, RouteKind> KINDS = Map.of(
@@ -34,7 +34,7 @@
         this.services = services;
     }
 
-    /** The route; after faults with defaults, and the caller rejects the document. */
+    /** Builds the route. Faulty fields have defaults; the caller rejects the document if there are faults. */
     Route build() {
         String name = fields.requiredText("name");
         String hostname = fields.requiredText("hostname").toLowerCase(Locale.ROOT);
@@ -73,7 +73,7 @@
             return kind;
         }
         if (!text.isEmpty()) {
-            fields.fault("route_kind", "'" + text + "' is none of idempotent, non_idempotent, streaming");
+            fields.fault("route_kind", "'" + text + "' is not one of idempotent, non_idempotent, streaming");
         }
         return RouteKind.NON_IDEMPOTENT;
     }
@@ -126,7 +126,9 @@
             sum = sum.add(weight);
         }
         if (sum.signum() <= 0) {
-            fields.fault("traffic_split", "has weights that add up to " + sum.toPlainString() + "; give one above 0");
+            fields.fault(
+                    "traffic_split",
+                    "has weights that add up to " + sum.toPlainString() + "; at least one must be above 0");
             return List.of();
         }
         return toIntegerWeights(names, weights, sum);
@@ -141,9 +143,9 @@
         }
         Optional<BigDecimal> weight = ItemFields.toNumber(object.get("weight"));
         if (weight.isEmpty()) {
-            fields.fault(position + ".weight", "is missing or no number; give one from 0 up");
+            fields.fault(position + ".weight", "is missing or not a number; give a weight from 0 up");
         } else if (weight.get().signum() < 0) {
-            fields.fault(position + ".weight", "is below 0; give one from 0 up");
+            fields.fault(position + ".weight", "is below 0; give a weight from 0 up");
         }
         names.add(service);
         weights.add(weight.orElse(BigDecimal.ZERO));
@@ -151,14 +153,14 @@
 
     private static List<Route.WeightedService> toIntegerWeights(
             List<String> names, List<BigDecimal> weights, BigDecimal sum) {
-        boolean isWhole = sum.compareTo(MAX_SUM) <= 0;
+        boolean isInteger = sum.compareTo(MAX_SUM) <= 0;
         for (BigDecimal weight : weights) {
-            isWhole &= weight.scale() <= 0 || weight.remainder(BigDecimal.ONE).signum() == 0;
+            isInteger &= weight.scale() <= 0 || weight.remainder(BigDecimal.ONE).signum() == 0;
         }
         List<Route.WeightedService> split = new ArrayList<>();
         for (int index = 0; index < names.size(); index++) {
             BigDecimal weight = weights.get(index);
-            int scaledWeight = isWhole
+            int scaledWeight = isInteger
                     ? weight.intValue()
                     : weight.multiply(SCALED_SUM)
                             .divide(sum, 0, RoundingMode.CEILING)
--- a/router-fleet/model/src/main/java/pinewick/model/RouteKind.java
+++ b/router-fleet/model/src/main/java/pinewick/model/RouteKind.java
@@ -1,10 +1,10 @@
 package pinewick.model;
 
-/** Which requests of a route may be retried. */
+/** Determines which requests of a route may be retried. */
 public enum RouteKind {
-    /** May be executed more than once. */
+    /** Requests may be executed more than once. */
     IDEMPOTENT,
-    /** May be executed at most once for each request id. */
+    /** Requests may be executed at most once per request id. */
     NON_IDEMPOTENT,
     /** The response is a stream of events; like {@link #NON_IDEMPOTENT} unless the route is resumable. */
     STREAMING
--- a/router-fleet/model/src/main/java/pinewick/model/RoutingTable.java
+++ b/router-fleet/model/src/main/java/pinewick/model/RoutingTable.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The validated, typed view of one configuration version, in which the data plane finds routes. Immutable. */
+/** The validated, typed view of one configuration version, used by the data plane to look up routes. Immutable. */
 public final class RoutingTable {
-    /** No routes. */
+    /** A table without routes. */
     public static final RoutingTable EMPTY = new RoutingTable(0, List.of(), List.of(), RequestLimits.DEFAULT);
 
     private final long version;
@@ -22,7 +22,7 @@
     private final Map<ApiKeyDigest, Tenant> tenantsByKey = new HashMap<>();
 
     /**
-     * A table of a configuration without tenants.
+     * Creates the table of a configuration without tenants.
      *
      * @param routes routes whose prefixes start and end with a slash, with unique pairs of host and prefix
      */
@@ -33,7 +33,7 @@
     /**
      * @param routes routes whose prefixes start and end with a slash, with unique pairs of host and prefix
      * @param requiresKeys whether the configuration has tenants, even if the list of them is empty
-     * @param tenants tenants of different names, no two of which share a key
+     * @param tenants tenants with unique names, no two of which share a key
      */
     public RoutingTable(
             long version,
@@ -50,9 +50,9 @@
                     .computeIfAbsent(route.hostname(), host -> new HostRoutes())
                     .add(route);
         }
-        Map<String, ServiceSpec> byName = new HashMap<>();
-        services.forEach(service -> byName.put(service.name(), service));
-        this.services = Collections.unmodifiableMap(byName);
+        Map<String, ServiceSpec> servicesByName = new HashMap<>();
+        services.forEach(service -> servicesByName.put(service.name(), service));
+        this.services = Collections.unmodifiableMap(servicesByName);
         Map<String, Tenant> tenantsByName = new LinkedHashMap<>();
         for (Tenant tenant : tenants) {
             tenantsByName.put(tenant.name(), tenant);
@@ -70,8 +70,8 @@
     }
 
     /**
-     * The route of {@code host} with the longest prefix of {@code path}. Because prefixes end with a slash, only the
-     * parts of the path up to each of its slashes are looked up.
+     * Finds the route of {@code host} with the longest prefix of {@code path}. Prefixes end with a slash, so only the
+     * substrings of the path up to each slash are looked up.
      */
     public Optional<Route> find(String host, String path) {
         return Optional.ofNullable(routesByHost.get(host)).flatMap(routes -> routes.find(path));
@@ -86,17 +86,17 @@
         return services;
     }
 
-    /** Whether every request needs a key, unless its route is anonymous. */
+    /** Whether requests need an API key unless their route is anonymous. */
     public boolean requiresKeys() {
         return requiresKeys;
     }
 
-    /** The tenant that holds a key. */
+    /** The tenant that owns an API key; empty if there is none. */
     public Optional<Tenant> tenantOfKey(String key) {
         return Optional.ofNullable(tenantsByKey.get(ApiKeyDigest.of(key)));
     }
 
-    /** The tenant of a name. */
+    /** The tenant with this name; empty if there is none. */
     public Optional<Tenant> tenant(String name) {
         return Optional.ofNullable(tenants.get(name));
     }
@@ -108,18 +108,18 @@
 
     /** The routes of one host. */
     private static final class HostRoutes {
-        private final Map<String, Route> byPrefix = new HashMap<>();
-        private int longestPrefix;
+        private final Map<String, Route> routesByPrefix = new HashMap<>();
+        private int maxPrefixLength;
 
         void add(Route route) {
-            byPrefix.put(route.pathPrefix(), route);
-            longestPrefix = Math.max(longestPrefix, route.pathPrefix().length());
+            routesByPrefix.put(route.pathPrefix(), route);
+            maxPrefixLength = Math.max(maxPrefixLength, route.pathPrefix().length());
         }
 
         Optional<Route> find(String path) {
-            int slash = path.lastIndexOf('/', longestPrefix - 1);
+            int slash = path.lastIndexOf('/', maxPrefixLength - 1);
             while (slash >= 0) {
-                Route route = byPrefix.get(path.substring(0, slash + 1));
+                Route route = routesByPrefix.get(path.substring(0, slash + 1));
                 if (route != null) {
                     return Optional.of(route);
                 }
--- a/router-fleet/model/src/main/java/pinewick/model/RoutingTableBuilder.java
+++ b/router-fleet/model/src/main/java/pinewick/model/RoutingTableBuilder.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds the typed view of a document, and reports every fault of it. */
+/** Builds the typed view of a document and reports all faults of the document. */
 final class RoutingTableBuilder {
     /** Section with the routes. */
     static final String ROUTES = "routes";
     /** Section with the services. */
     static final String SERVICES = "services";
-    /** Section with the tenants, which a configuration may leave out. */
+    /** Section with the tenants; optional. */
     static final String TENANTS = "tenants";
-    /** Field with the limits of what clients may send. */
+    /** Field with the limits for clients. */
     static final String LIMITS = "limits";
 
     private final ConfigurationDocument document;
@@ -26,7 +26,7 @@
         this.faults = faults;
     }
 
-    /** The table; only to be used if no fault was reported. */
+    /** Builds the table; valid only if no fault was reported. */
     RoutingTable build() {
         List<Route> routes = routes();
         List<ServiceSpec> services = new ArrayList<>();
@@ -44,27 +44,28 @@
 
     private List<Route> routes() {
         List<Route> routes = new ArrayList<>();
-        Map<String, String> ownerOfPrefix = new HashMap<>();
+        Map<String, String> routeNamesByPrefix = new HashMap<>();
         items(ROUTES).forEach((name, item) -> {
             ItemFields fields = new ItemFields(ROUTES + "/" + name, item, faults);
             Route route = new RouteBuilder(fields, items(SERVICES).keySet()).build();
-            String earlier = ownerOfPrefix.putIfAbsent(route.hostname() + " " + route.pathPrefix(), name);
-            if (earlier != null
+            String earlierRoute = routeNamesByPrefix.putIfAbsent(route.hostname() + " " + route.pathPrefix(), name);
+            if (earlierRoute != null
                     && !route.hostname().isEmpty()
                     && !route.pathPrefix().isEmpty()) {
-                fields.fault("path_prefix", "has the host and prefix of route '" + earlier + "'; change one of them");
+                fields.fault(
+                        "path_prefix", "has the host and prefix of route '" + earlierRoute + "'; change one of them");
             }
             routes.add(route);
         });
         return routes;
     }
 
-    /** The tenants; only to be used if no fault was reported. */
+    /** Builds the tenants; valid only if no fault was reported. */
     List<Tenant> tenants() {
         JsonElement field = document.fields().get(TENANTS);
         if (field != null && !field.isJsonNull()) {
-            // Only a release that did not know the section has stored such a document.
-            faults.add(TENANTS, "", "is not a list of items with names of their own");
+            // Only a release without support for tenants can have stored such a document.
+            faults.add(TENANTS, "", "is not a list of items with unique names");
         }
         List<Tenant> tenants = new ArrayList<>();
         items(TENANTS)
--- a/router-fleet/model/src/main/java/pinewick/model/SectionDifference.java
+++ b/router-fleet/model/src/main/java/pinewick/model/SectionDifference.java
@@ -10,43 +10,43 @@
 import java.util.Set;
 
 /**
- * The difference between the items of two versions of a section, including their order: names to remove first, then
- * items that replace those of the same name in place or are appended.
+ * The difference between the items of two versions of a section, including their order. The removals are applied first;
+ * each upsert then replaces the item of the same name in place, or is appended.
  */
 record SectionDifference(List<String> removals, Map<String, JsonObject> upserts) {
 
-    /** The difference from {@code before} to {@code after}. */
+    /** Computes the difference from {@code before} to {@code after}. */
     static SectionDifference between(Map<String, JsonObject> before, Map<String, JsonObject> after) {
-        Set<String> retained = retainedInPlace(before, after);
+        Set<String> retainedNames = namesRetainedInPlace(before, after);
         List<String> removals = new ArrayList<>();
         for (String name : before.keySet()) {
-            if (!retained.contains(name)) {
+            if (!retainedNames.contains(name)) {
                 removals.add(name);
             }
         }
         Map<String, JsonObject> upserts = new LinkedHashMap<>();
         after.forEach((name, item) -> {
-            if (!retained.contains(name) || !JsonText.isSameText(item, before.get(name))) {
+            if (!retainedNames.contains(name) || !JsonText.isSameText(item, before.get(name))) {
                 upserts.put(name, item);
             }
         });
         return new SectionDifference(removals, upserts);
     }
 
-    /** The leading names of {@code after} that are in {@code before} in the same order; all others are appended. */
-    private static Set<String> retainedInPlace(Map<String, JsonObject> before, Map<String, JsonObject> after) {
-        Set<String> retained = new HashSet<>();
-        Iterator<String> rest = before.keySet().iterator();
+    /** The leading names of {@code after} that {@code before} has in the same order; all others have to be appended. */
+    private static Set<String> namesRetainedInPlace(Map<String, JsonObject> before, Map<String, JsonObject> after) {
+        Set<String> retainedNames = new HashSet<>();
+        Iterator<String> remainingNames = before.keySet().iterator();
         for (String name : after.keySet()) {
-            if (!before.containsKey(name) || !advanceTo(name, rest)) {
+            if (!before.containsKey(name) || !advanceTo(name, remainingNames)) {
                 break;
             }
-            retained.add(name);
+            retainedNames.add(name);
         }
-        return retained;
+        return retainedNames;
     }
 
-    /** The names of what changes; without the items, which may contain keys. */
+    /** The names of the changed items; their contents are omitted because they may contain keys. */
     @Override
     public String toString() {
         return "SectionDifference[removals=" + removals + ", upserts=" + upserts.keySet() + "]";
--- a/router-fleet/model/src/main/java/pinewick/model/ServiceBuilder.java
+++ b/router-fleet/model/src/main/java/pinewick/model/ServiceBuilder.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonObject;
 
-/** Builds a {@link ServiceSpec} from the operator's item, and reports every fault of it. */
+/** Builds a {@link ServiceSpec} from an item of the configuration and reports all its faults. */
 final class ServiceBuilder {
     private static final String DEFAULT_HEALTH_CHECK_PATH = "/health";
     private static final int DEFAULT_MAX_CONNECTIONS = 64;
@@ -21,7 +21,7 @@
         this.faults = faults;
     }
 
-    /** The service; after faults with defaults, and the caller rejects the document. */
+    /** Builds the service. Faulty fields have defaults; the caller rejects the document if there are faults. */
     ServiceSpec build() {
         return new ServiceSpec(
                 fields.requiredText("name"),
--- a/router-fleet/model/src/main/java/pinewick/model/ServiceSpec.java
+++ b/router-fleet/model/src/main/java/pinewick/model/ServiceSpec.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * One service of the operator's configuration, validated.
+ * A validated service of the operator's configuration.
  *
  * @param name unique name
  * @param healthCheckPath path of its health check
- * @param maxConnections connections that one replica accepts from all routers together
- * @param engine its engine, empty for a plain service
+ * @param maxConnections maximum number of connections that one replica accepts from all routers together
+ * @param engine its engine; empty for a service without an engine
  */
 public record ServiceSpec(String name, String healthCheckPath, int maxConnections, Optional<EngineSpec> engine) {}
--- a/router-fleet/model/src/main/java/pinewick/model/SocketAddress.java
+++ b/router-fleet/model/src/main/java/pinewick/model/SocketAddress.java
@@ -7,7 +7,7 @@
     /**
      * Parses {@code HOST:PORT}.
      *
-     * @throws IllegalArgumentException if the text has no port, or one out of range
+     * @throws IllegalArgumentException if the text has no port, or a port that is not a number or out of range
      */
     public static SocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -18,7 +18,7 @@
         try {
             port = Integer.parseInt(text.substring(colon + 1));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("'" + text + "' has no number as its port", e);
+            throw new IllegalArgumentException("'" + text + "' has a port that is not a number", e);
         }
         if (port < 1 || port > MAX_PORT) {
             throw new IllegalArgumentException("'" + text + "' has a port out of range");
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Written out because the generated methods of a record are linked at their first use, which is expensive at the
-     * start of a process.
+     * Implemented explicitly: the generated methods of a record are linked at their first use, which is expensive
+     * during process start-up.
      */
     @Override
     public boolean equals(Object other) {
@@ -47,7 +47,7 @@
 
     @Override
     public int compareTo(SocketAddress other) {
-        int byHost = host.compareTo(other.host);
-        return byHost != 0 ? byHost : Integer.compare(port, other.port);
+        int hostOrder = host.compareTo(other.host);
+        return hostOrder != 0 ? hostOrder : Integer.compare(port, other.port);
     }
 }
--- a/router-fleet/model/src/main/java/pinewick/model/Stage.java
+++ b/router-fleet/model/src/main/java/pinewick/model/Stage.java
@@ -3,11 +3,11 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** The stage of a generation that a replica serves. */
+/** The stage of text generation that a replica serves. */
 public enum Stage {
-    /** Reads prompts (prefill) and keeps their KV cache until a decode replica fetches it. */
+    /** Processes prompts (prefill) and keeps their KV cache until a decode replica fetches it. */
     PREFILL,
-    /** Generates tokens (decode), and prefills short prompts itself. */
+    /** Generates tokens (decode), and prefills short prompts without a prefill replica. */
     DECODE,
     /** The replica belongs to a service without an engine. */
     NONE;
@@ -17,7 +17,7 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Parses a name from the wire; an absent name means {@link #NONE}. */
+    /** Parses a name from the wire. A null or empty name means {@link #NONE}; an unknown name gives an empty result. */
     public static Optional<Stage> parse(String wireName) {
         if (wireName == null || wireName.isEmpty()) {
             return Optional.of(NONE);
--- a/router-fleet/model/src/main/java/pinewick/model/Tenant.java
+++ b/router-fleet/model/src/main/java/pinewick/model/Tenant.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /**
- * One tenant of the operator's configuration, validated: a client organisation with keys and a quota of its own.
+ * A validated tenant of the operator's configuration: a client organisation with its own API keys and quota.
  *
  * @param name unique name
- * @param keys digests of its API keys, in the operator's order; no other tenant has any of them
- * @param priority takes precedence over that of the route; 0 is the most urgent; empty for the route's
+ * @param keys digests of its API keys, in the operator's order; not shared with other tenants
+ * @param priority overrides the priority of the route; 0 is the highest; empty to use the route's
  * @param limit its quota
  */
 public record Tenant(String name, Set<ApiKeyDigest> keys, OptionalInt priority, QuotaLimit limit) {
--- a/router-fleet/model/src/main/java/pinewick/model/TenantBuilder.java
+++ b/router-fleet/model/src/main/java/pinewick/model/TenantBuilder.java
@@ -6,9 +6,9 @@
 import java.util.OptionalInt;
 import java.util.Set;
 
-/** Builds a {@link Tenant} from the operator's item, and reports every fault of it, none of which contains a key. */
+/** Builds a {@link Tenant} from an item of the configuration and reports all its faults; none contains a key. */
 final class TenantBuilder {
-    /** Field with the keys of a tenant. */
+    /** Field with the API keys of a tenant. */
     static final String API_KEYS = "api_keys";
 
     private static final String UNIT = "unit";
@@ -20,7 +20,7 @@
         this.fields = fields;
     }
 
-    /** The tenant; after faults with defaults, and the caller rejects the document. */
+    /** Builds the tenant. Faulty fields have defaults; the caller rejects the document if there are faults. */
     Tenant build() {
         return new Tenant(fields.requiredText("name"), keys(), priority(), limit());
     }
@@ -48,13 +48,13 @@
     private QuotaLimit limit() {
         QuotaLimit defaults = QuotaLimit.UNLIMITED;
         return new QuotaLimit(
-                fields.numberFromZero("rate_per_s", defaults.ratePerSecond()),
-                fields.numberFromZero("burst_size", defaults.burstSize()),
+                fields.nonNegativeNumber("rate_per_s", defaults.ratePerSecond()),
+                fields.nonNegativeNumber("burst_size", defaults.burstSize()),
                 unit(),
                 fields.intNumber("uncached_tokens", 0, defaults.uncachedTokens()));
     }
 
-    /** Any unit but tokens counts requests: that makes no configuration invalid. */
+    /** An unknown unit counts requests; it does not make the configuration invalid. */
     private QuotaUnit unit() {
         return fields.text(UNIT).filter(TOKEN_UNIT::equals).isPresent() ? QuotaUnit.TOKENS : QuotaUnit.REQUESTS;
     }
--- a/router-fleet/model/src/main/java/pinewick/model/WireName.java
+++ b/router-fleet/model/src/main/java/pinewick/model/WireName.java
@@ -7,15 +7,15 @@
 import java.lang.annotation.Target;
 
 /**
- * The name under which a component of a {@link Message} is ordered on the wire, where that is not the component's own.
- * The codec writes the components of a record in the alphabetical order of these names, so a component that is renamed
- * keeps its first name here: without it the bytes would change, and processes of two releases would not understand each
- * other during a rolling restart.
+ * The name that determines the position of a {@link Message} component on the wire, if it differs from the component's
+ * own name. The codec writes the components of a record in alphabetical order of these names, so a renamed component
+ * keeps its original name here. Otherwise the encoding would change, and processes of two releases could not
+ * communicate during a rolling restart.
  */
 @Documented
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface WireName {
-    /** The component's name in the first release that wrote it. */
+    /** The component's name in the first release that encoded it. */
     String value();
 }
--- a/router-fleet/model/src/main/java/pinewick/model/package-info.java
+++ b/router-fleet/model/src/main/java/pinewick/model/package-info.java
@@ -1,7 +1,6 @@
 /**
- * The documents that the complete fleet shares: the operator's configuration ({@link
+ * The data model that all processes of the fleet share: the operator's configuration ({@link
  * pinewick.model.ConfigurationDocument}, validated by {@link pinewick.model.ConfigurationChecks}), its typed view
- * {@link pinewick.model.RoutingTable}, the records of replicas and the settings of a process. Immutable; no I/O, no
- * threads.
+ * {@link pinewick.model.RoutingTable}, replica records and process settings. Immutable types; no I/O, no threads.
  */
 package pinewick.model;
--- a/router-fleet/model/src/test/java/pinewick/model/AcceptedConfigurationTest.java
+++ b/router-fleet/model/src/test/java/pinewick/model/AcceptedConfigurationTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Documents that are odd but legal, which must not be refused. */
+/** Unusual but valid configurations are accepted. */
 class AcceptedConfigurationTest {
     @ParameterizedTest
     @CsvSource(
@@ -39,8 +39,9 @@
                 "/b/|/a/b/",
                 "/b/|/",
             })
-    void takesWhatThePagesDoNotCallInvalid(String original, String replacement) throws InvalidConfigurationException {
-        String body = SampleDocuments.WHOLE.replace(original, replacement).replace("\n", "");
+    void acceptsUnusualButValidConfigurations(String original, String replacement)
+            throws InvalidConfigurationException {
+        String body = SampleDocuments.FULL.replace(original, replacement).replace("\n", "");
 
         assertEquals(List.of(), SampleDocuments.faultsOf(body));
         ConfigurationDocument document = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(body));
@@ -55,8 +56,8 @@
     }
 
     @Test
-    void readsNumbersBeyondTheirRangeAsTheNearestInIt() throws InvalidConfigurationException {
-        String body = SampleDocuments.WHOLE
+    void clampsNumbersToTheirRange() throws InvalidConfigurationException {
+        String body = SampleDocuments.FULL
                 .replace("\"timeout_ms\":3000", "\"timeout_ms\":99999999999")
                 .replace("\"max_attempts\":1", "\"max_attempts\":0")
                 .replace("\"timeout_ms\":5000", "\"timeout_ms\":0.25");
@@ -71,8 +72,8 @@
     }
 
     @Test
-    void scalesWeightsThatAreFractions() throws InvalidConfigurationException {
-        String body = SampleDocuments.WHOLE
+    void scalesFractionalWeights() throws InvalidConfigurationException {
+        String body = SampleDocuments.FULL
                 .replace("\"weight\":90", "\"weight\":0.75")
                 .replace("\"weight\":10", "\"weight\":0.25");
         RoutingTable table =
--- a/router-fleet/model/src/test/java/pinewick/model/ConfigurationDeltaPropertyTest.java
+++ b/router-fleet/model/src/test/java/pinewick/model/ConfigurationDeltaPropertyTest.java
@@ -21,38 +21,39 @@
     }
 
     @Property
-    void turnsAnyDocumentIntoAnyOther(
+    void convertsAnyDocumentIntoAnyOther(
             @ForAll("older") ConfigurationDocument from, @ForAll("newer") ConfigurationDocument to) {
         assertEquals(to, ConfigurationDelta.between(from, to).applyTo(from));
     }
 
     @Property
-    void survivesItsBytes(@ForAll("older") ConfigurationDocument from, @ForAll("newer") ConfigurationDocument to) {
+    void isUnchangedByEncodingAndDecoding(
+            @ForAll("older") ConfigurationDocument from, @ForAll("newer") ConfigurationDocument to) {
         ConfigurationDelta delta = ConfigurationDelta.between(from, to);
-        ConfigurationDelta read = ConfigurationChecks.readDelta(ConfigurationChecks.writeDelta(delta));
+        ConfigurationDelta decoded = ConfigurationChecks.readDelta(ConfigurationChecks.writeDelta(delta));
 
-        assertEquals(to, read.applyTo(from));
-        assertEquals(delta.baseVersion(), read.baseVersion());
+        assertEquals(to, decoded.applyTo(from));
+        assertEquals(delta.baseVersion(), decoded.baseVersion());
     }
 
     @Property
-    void carriesAWholeDocument(@ForAll("newer") ConfigurationDocument to) {
+    void containsAFullDocument(@ForAll("newer") ConfigurationDocument to) {
         ConfigurationDelta delta = ConfigurationDelta.between(ConfigurationDocument.EMPTY, to);
-        ConfigurationDelta read = ConfigurationChecks.readDelta(ConfigurationChecks.writeDelta(delta));
+        ConfigurationDelta decoded = ConfigurationChecks.readDelta(ConfigurationChecks.writeDelta(delta));
 
-        assertEquals(ConfigurationDelta.FULL_DOCUMENT, read.baseVersion());
-        assertEquals(to, read.applyTo(ConfigurationDocument.EMPTY));
+        assertEquals(ConfigurationDelta.FULL_DOCUMENT, decoded.baseVersion());
+        assertEquals(to, decoded.applyTo(ConfigurationDocument.EMPTY));
     }
 
     @Property
-    void isEmptyBetweenDocumentsThatAreAlike(@ForAll("newer") ConfigurationDocument document) {
+    void isEmptyBetweenEqualDocuments(@ForAll("newer") ConfigurationDocument document) {
         ConfigurationDelta delta = ConfigurationDelta.between(document, document);
 
         assertEquals(0, delta.upserts().size() + delta.removals().size());
     }
 
     @Property
-    void leavesItsBaseAsItWas(@ForAll("older") ConfigurationDocument from, @ForAll("newer") ConfigurationDocument to) {
+    void doesNotModifyItsBase(@ForAll("older") ConfigurationDocument from, @ForAll("newer") ConfigurationDocument to) {
         String before = SampleDocuments.json(from);
         ConfigurationDelta.between(from, to).applyTo(from);
 
@@ -60,11 +61,11 @@
     }
 
     @Property(tries = 100)
-    void isNotReadFromBytesThatAreCutOff(@ForAll("newer") ConfigurationDocument to) {
+    void rejectsTruncatedBytes(@ForAll("newer") ConfigurationDocument to) {
         byte[] bytes = ConfigurationChecks.writeDelta(ConfigurationDelta.between(ConfigurationDocument.EMPTY, to));
         for (int length = 0; length < bytes.length; length++) {
-            byte[] cut = Arrays.copyOf(bytes, length);
-            assertThrows(IllegalArgumentException.class, () -> ConfigurationChecks.readDelta(cut));
+            byte[] truncated = Arrays.copyOf(bytes, length);
+            assertThrows(IllegalArgumentException.class, () -> ConfigurationChecks.readDelta(truncated));
         }
     }
 }
--- a/router-fleet/model/src/test/java/pinewick/model/ConfigurationDeltaTest.java
+++ b/router-fleet/model/src/test/java/pinewick/model/ConfigurationDeltaTest.java
@@ -13,12 +13,12 @@
 
 class ConfigurationDeltaTest {
     @Test
-    void carriesOnlyTheItemThatChanged() throws InvalidConfigurationException {
-        ConfigurationDocument from = SampleDocuments.whole();
-        String changed = SampleDocuments.WHOLE
+    void containsOnlyTheChangedItem() throws InvalidConfigurationException {
+        ConfigurationDocument from = SampleDocuments.full();
+        String changedBody = SampleDocuments.FULL
                 .replace("\"version\":7", "\"version\":9")
                 .replace("3000,\"target", "3000.0,\"target");
-        ConfigurationDocument to = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(changed));
+        ConfigurationDocument to = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(changedBody));
         ConfigurationDelta delta = ConfigurationDelta.between(from, to);
 
         assertNotEquals(from, to);
@@ -28,9 +28,9 @@
     }
 
     @Test
-    void keepsTheOrderOfAReplacementThatTurnsTheItemsRound() throws InvalidConfigurationException {
-        ConfigurationDocument from = SampleDocuments.whole();
-        ConfigurationDocument to = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(SampleDocuments.WHOLE
+    void preservesTheOrderOfAReplacementThatSwapsItems() throws InvalidConfigurationException {
+        ConfigurationDocument from = SampleDocuments.full();
+        ConfigurationDocument to = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(SampleDocuments.FULL
                 .replace("\"version\":7", "\"version\":9")
                 .replace("r-1", "r-x")
                 .replace("r-2", "r-1")
@@ -42,31 +42,32 @@
     }
 
     @Test
-    void doesNotApplyToAnotherVersion() throws InvalidConfigurationException {
-        ConfigurationDocument document = SampleDocuments.whole();
+    void rejectsABaseOfAnotherVersion() throws InvalidConfigurationException {
+        ConfigurationDocument document = SampleDocuments.full();
         ConfigurationDelta delta = ConfigurationDelta.between(document, document);
 
         assertThrows(IllegalArgumentException.class, () -> delta.applyTo(ConfigurationDocument.EMPTY));
     }
 
     @Test
-    void isShorterThanItsText() throws InvalidConfigurationException {
-        ConfigurationDelta delta = ConfigurationDelta.between(ConfigurationDocument.EMPTY, SampleDocuments.whole());
+    void isEncodedInLessSpaceThanTheDocument() throws InvalidConfigurationException {
+        ConfigurationDelta delta = ConfigurationDelta.between(ConfigurationDocument.EMPTY, SampleDocuments.full());
 
-        assertTrue(ConfigurationChecks.writeDelta(delta).length < SampleDocuments.WHOLE.length() * 2 / 3);
+        assertTrue(ConfigurationChecks.writeDelta(delta).length < SampleDocuments.FULL.length() * 2 / 3);
     }
 
     @Test
-    void isNotReadFromCorruptBytes() throws InvalidConfigurationException {
-        ConfigurationDocument whole = SampleDocuments.whole();
+    void rejectsCorruptBytes() throws InvalidConfigurationException {
+        ConfigurationDocument fullDocument = SampleDocuments.full();
         for (ConfigurationDelta delta : List.of(
-                ConfigurationDelta.between(ConfigurationDocument.EMPTY, whole),
-                ConfigurationDelta.between(whole, whole))) {
-            byte[] sound = ConfigurationChecks.writeDelta(delta);
-            for (int bit = 0; bit < sound.length * Byte.SIZE; bit++) {
-                byte[] spoilt = Arrays.copyOf(sound, sound.length);
-                spoilt[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
-                assertThrows(IllegalArgumentException.class, () -> ConfigurationChecks.readDelta(spoilt), "bit " + bit);
+                ConfigurationDelta.between(ConfigurationDocument.EMPTY, fullDocument),
+                ConfigurationDelta.between(fullDocument, fullDocument))) {
+            byte[] intact = ConfigurationChecks.writeDelta(delta);
+            for (int bit = 0; bit < intact.length * Byte.SIZE; bit++) {
+                byte[] corrupt = Arrays.copyOf(intact, intact.length);
+                corrupt[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
+                assertThrows(
+                        IllegalArgumentException.class, () -> ConfigurationChecks.readDelta(corrupt), "bit " + bit);
             }
         }
     }
--- a/router-fleet/model/src/test/java/pinewick/model/ConfigurationDocumentTest.java
+++ b/router-fleet/model/src/test/java/pinewick/model/ConfigurationDocumentTest.java
@@ -29,22 +29,22 @@
                 "{\"a\":1,\"b\":2}|{\"b\":2,\"a\":1}",
                 "[]|[null]",
             })
-    void tellsValuesApartThatAreWrittenDifferently(String left, String right) throws InvalidConfigurationException {
+    void distinguishesValuesWithDifferentText(String left, String right) throws InvalidConfigurationException {
         assertNotEquals(withExtra(left), withExtra(right));
         assertEquals(withExtra(left), withExtra(left));
         assertEquals(withExtra(left).hashCode(), withExtra(left).hashCode());
     }
 
     @Test
-    void countsTheOrderOfItemsButNotOfSections() throws InvalidConfigurationException {
-        ConfigurationDocument one = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(
+    void comparesTheOrderOfItemsButNotOfSections() throws InvalidConfigurationException {
+        ConfigurationDocument original = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(
                 "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"},{\"name\":\"t\"}]}"));
-        ConfigurationDocument sectionsTurned = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(
+        ConfigurationDocument withReorderedSections = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(
                 "{\"services\":[{\"name\":\"s\"},{\"name\":\"t\"}],\"routes\":[],\"version\":1}"));
-        ConfigurationDocument itemsTurned = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(
+        ConfigurationDocument withReorderedItems = ConfigurationChecks.parseReplacement(SampleDocuments.bytes(
                 "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"t\"},{\"name\":\"s\"}]}"));
 
-        assertEquals(one, sectionsTurned);
-        assertNotEquals(one, itemsTurned);
+        assertEquals(original, withReorderedSections);
+        assertNotEquals(original, withReorderedItems);
     }
 }
--- a/router-fleet/model/src/test/java/pinewick/model/GeneratedDocuments.java
+++ b/router-fleet/model/src/test/java/pinewick/model/GeneratedDocuments.java
@@ -9,9 +9,9 @@
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 
-/** Documents of few names and values, so that two of them often share items, and with values that look alike. */
+/** Random documents with few different names and values, so that two documents often share items or similar values. */
 final class GeneratedDocuments {
-    private static final int MOST_ITEMS = 6;
+    private static final int MAX_ITEMS = 6;
     private static final List<String> VALUES = List.of(
             "1",
             "1.0",
@@ -32,13 +32,14 @@
 
     private GeneratedDocuments() {}
 
-    /** Documents of any section, of {@code version}. */
+    /** Documents of version {@code version} with any sections. */
     static Arbitrary<ConfigurationDocument> ofVersion(long version) {
         Arbitrary<Map<String, Map<String, JsonObject>>> sections =
                 Arbitraries.maps(Arbitraries.of("routes", "services", "tenants", "mirrors"), items());
         Arbitrary<Map<String, JsonElement>> fields = Arbitraries.maps(Arbitraries.of("limits", "notes"), values());
         return Combinators.combine(sections, fields)
-                .as((inSections, beside) -> new ConfigurationDocument(version, inSections, beside));
+                .as((generatedSections, otherFields) ->
+                        new ConfigurationDocument(version, generatedSections, otherFields));
     }
 
     private static Arbitrary<JsonElement> values() {
@@ -49,15 +50,17 @@
         Arbitrary<List<String>> names = Arbitraries.of("a", "b", "c", "d", "e", "f")
                 .list()
                 .uniqueElements()
-                .ofMaxSize(MOST_ITEMS);
-        return names.flatMap(
-                chosen -> Arbitraries.of(VALUES).list().ofSize(chosen.size()).map(values -> {
+                .ofMaxSize(MAX_ITEMS);
+        return names.flatMap(chosenNames -> Arbitraries.of(VALUES)
+                .list()
+                .ofSize(chosenNames.size())
+                .map(values -> {
                     Map<String, JsonObject> items = new LinkedHashMap<>();
-                    for (int index = 0; index < chosen.size(); index++) {
+                    for (int index = 0; index < chosenNames.size(); index++) {
                         JsonObject item = new JsonObject();
-                        item.addProperty("name", chosen.get(index));
+                        item.addProperty("name", chosenNames.get(index));
                         item.add("value", parse(values.get(index)));
-                        items.put(chosen.get(index), item);
+                        items.put(chosenNames.get(index), item);
                     }
                     return items;
                 }));
--- a/router-fleet/model/src/test/java/pinewick/model/KeySecrecyTest.java
+++ b/router-fleet/model/src/test/java/pinewick/model/KeySecrecyTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** No text that a log or an answer may show contains a key, even one that stands at a wrong place. */
+/** No text that may appear in a log or response contains an API key, even if the key was entered in the wrong field. */
 class KeySecrecyTest {
     private static final String KEY = "sk-alpha-2718";
     private static final String BODY = "{\"version\":3,\"routes\":[],\"services\":[],\"tenants\":[{\"name\":\"alpha\","
@@ -34,21 +34,21 @@
                 "\"version\":\"sk-alpha-2718\"|configuration.version: a text is not a whole number above 0",
                 "\"version\":[\"sk-alpha-2718\"]|configuration.version: a list is not a whole number above 0",
                 "\"version\":4,\"tenants\":[{\"api_keys\":{\"sk-alpha-2718\":}}]|"
-                        + "configuration: cannot be read whole: com.google.gson.stream.MalformedJsonException: "
+                        + "configuration: cannot be parsed: com.google.gson.stream.MalformedJsonException: "
                         + "Expected value at line 1 column 54",
             })
-    void isKeptByFaults(String fields, String fault) throws InvalidConfigurationException {
+    void faultsDoNotContainKeys(String fields, String fault) throws InvalidConfigurationException {
         ConfigurationDocument base = document();
-        InvalidConfigurationException refusal = assertThrows(
+        InvalidConfigurationException rejection = assertThrows(
                 InvalidConfigurationException.class,
                 () -> ConfigurationChecks.parseUpdate(base, SampleDocuments.bytes("{" + fields + "}")));
 
-        assertEquals(fault, refusal.getMessage());
-        assertFalse(refusal.toString().contains(KEY));
+        assertEquals(fault, rejection.getMessage());
+        assertFalse(rejection.toString().contains(KEY));
     }
 
     @Test
-    void isKeptByEveryTruncatedBody() {
+    void faultsOfTruncatedBodiesDoNotContainKeys() {
         String body = BODY.replace("[\"" + KEY + "\"]", "{\"" + KEY + "\":{\"" + KEY + "\":[1]}}");
         for (int length = 0; length < body.length(); length++) {
             List<String> faults = SampleDocuments.faultsOf(body.substring(0, length));
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void isKeptByTypedObjectsAndDeltas() throws InvalidConfigurationException {
+    void printedObjectsAndDeltasDoNotContainKeys() throws InvalidConfigurationException {
         ConfigurationDocument document = document();
         ConfigurationDelta delta = ConfigurationDelta.between(ConfigurationDocument.EMPTY, document);
         SectionDifference difference =
@@ -77,15 +77,15 @@
     }
 
     @Test
-    void isKeptByTheRefusalOfADelta() throws InvalidConfigurationException {
+    void rejectionsOfTruncatedDeltasDoNotContainKeys() throws InvalidConfigurationException {
         byte[] bytes =
                 ConfigurationChecks.writeDelta(ConfigurationDelta.between(ConfigurationDocument.EMPTY, document()));
         for (int length = 0; length < bytes.length; length++) {
-            byte[] cut = Arrays.copyOf(bytes, length);
-            IllegalArgumentException refusal =
-                    assertThrows(IllegalArgumentException.class, () -> ConfigurationChecks.readDelta(cut));
+            byte[] truncated = Arrays.copyOf(bytes, length);
+            IllegalArgumentException rejection =
+                    assertThrows(IllegalArgumentException.class, () -> ConfigurationChecks.readDelta(truncated));
 
-            assertFalse(refusal.toString().contains(KEY));
+            assertFalse(rejection.toString().contains(KEY));
         }
     }
 }
--- a/router-fleet/model/src/test/java/pinewick/model/RejectedConfigurationTest.java
+++ b/router-fleet/model/src/test/java/pinewick/model/RejectedConfigurationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What makes a configuration invalid, and how each fault names its item and field. */
+/** Invalid configurations are rejected, and each fault names its item and field. */
 class RejectedConfigurationTest {
     @ParameterizedTest
     @CsvSource(
@@ -27,12 +27,12 @@
                 "\"timeout_ms\":3000|\"timeout_ms\":0|routes/r-2.timeout_ms: is 0; give a time above 0",
                 "\"timeout_ms\":3000|\"timeout_ms\":-5|routes/r-2.timeout_ms: is -5; give a time above 0",
                 "\"timeout_ms\":3000|\"timeout_ms\":null|routes/r-2.timeout_ms: is missing; give a time above 0",
-                "\"timeout_ms\":3000|\"timeout_ms\":\"x\"|routes/r-2.timeout_ms: is not a number within reason",
-                "\"timeout_ms\":3000|\"timeout_ms\":1e999999999|routes/r-2.timeout_ms: is not a number within reason",
+                "\"timeout_ms\":3000|\"timeout_ms\":\"x\"|routes/r-2.timeout_ms: is not a supported number",
+                "\"timeout_ms\":3000|\"timeout_ms\":1e999999999|routes/r-2.timeout_ms: is not a supported number",
                 "/b/|/b|routes/r-2.path_prefix: '/b' does not begin and end with a slash",
                 "/b/|b/|routes/r-2.path_prefix: 'b/' does not begin and end with a slash",
                 "non_idempotent|sometimes|"
-                        + "routes/r-2.route_kind: 'sometimes' is none of idempotent, non_idempotent, streaming",
+                        + "routes/r-2.route_kind: 'sometimes' is not one of idempotent, non_idempotent, streaming",
                 "\"name\":\"r-2\"|\"name\":\"r-1\"|routes/r-1.name: is used twice; give each item a name of its own",
                 "\"name\":\"s-2\"|\"name\":\"s-1\"|services/s-1.name: is used twice; give each item a name of its own",
                 "\"name\":\"r-2\"|\"name\":7|routes[1].name: is missing or no text; give each item a name",
@@ -45,21 +45,21 @@
                 "\"version\":7,|\"edition\":7,|configuration.version: is missing; give a whole number above 0",
                 "\"services\":|\"servers\":|configuration.services: is missing; give a list, which may be empty",
                 "\"max_connections\":110|\"max_connections\":true|"
-                        + "services/s-2.max_connections: is not a number within reason",
-                "\"slots\":24|\"slots\":[]|services/s-1.engine.slots: is not a number within reason",
+                        + "services/s-2.max_connections: is not a supported number",
+                "\"slots\":24|\"slots\":[]|services/s-1.engine.slots: is not a supported number",
                 "\"max_body_bytes\":4194304|\"max_body_bytes\":\"4M\"|"
-                        + "limits.max_body_bytes: is not a number within reason",
+                        + "limits.max_body_bytes: is not a supported number",
             })
-    void tellsTheItemTheFieldAndTheRemedy(String original, String replacement, String fault) {
-        String body = SampleDocuments.WHOLE.replace(original, replacement);
+    void reportsTheItemTheFieldAndTheCorrection(String original, String replacement, String fault) {
+        String body = SampleDocuments.FULL.replace(original, replacement);
 
-        assertFalse(body.equals(SampleDocuments.WHOLE), "the replacement changes nothing");
+        assertFalse(body.equals(SampleDocuments.FULL), "the replacement changes nothing");
         assertEquals(fault, SampleDocuments.faultsOf(body).get(0));
     }
 
     @Test
-    void rejectsTheSameHostInOtherCase() {
-        String body = SampleDocuments.WHOLE.replace("/b/", "/a/").replaceFirst("shop.example", "SHOP.example");
+    void rejectsADuplicateHostInADifferentCase() {
+        String body = SampleDocuments.FULL.replace("/b/", "/a/").replaceFirst("shop.example", "SHOP.example");
 
         assertEquals(
                 List.of("routes/r-2.path_prefix: has the host and prefix of route 'r-1'; change one of them"),
@@ -68,8 +68,8 @@
 
     @ParameterizedTest
     @CsvSource({"0, 0", "-90, 100", "0, -10", "null, 10", "'\"90\"', 10"})
-    void refusesWeightsThatNoRequestCanBeSplitBy(String first, String second) {
-        String body = SampleDocuments.WHOLE
+    void rejectsInvalidWeights(String first, String second) {
+        String body = SampleDocuments.FULL
                 .replace("\"weight\":90", "\"weight\":" + first)
                 .replace("\"weight\":10", "\"weight\":" + second);
 
@@ -78,7 +78,7 @@
 
     @Test
     void rejectsARouteWithoutAnyService() {
-        String body = SampleDocuments.WHOLE.replace("\"service\":\"s-2\",\"max", "\"max");
+        String body = SampleDocuments.FULL.replace("\"service\":\"s-2\",\"max", "\"max");
 
         assertEquals(
                 List.of("routes/r-2.service: is missing, and so is traffic_split; name a service"),
@@ -87,7 +87,7 @@
 
     @Test
     void reportsEveryErrorAtOnce() {
-        String body = SampleDocuments.WHOLE
+        String body = SampleDocuments.FULL
                 .replace("\"version\":7", "\"version\":0")
                 .replace("\"timeout_ms\":5000", "\"timeout_ms\":0")
                 .replace("\"service\":\"s-2\",\"max", "\"service\":\"s-9\",\"max")
@@ -104,21 +104,22 @@
 
     @Test
     void rejectsEveryTruncatedBody() {
-        byte[] whole = SampleDocuments.bytes(SampleDocuments.WHOLE);
-        for (int length = 0; length < whole.length; length++) {
-            byte[] cut = Arrays.copyOf(whole, length);
+        byte[] complete = SampleDocuments.bytes(SampleDocuments.FULL);
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
             assertThrows(
                     InvalidConfigurationException.class,
-                    () -> ConfigurationChecks.parseReplacement(cut),
-                    "cut after " + cut.length + " bytes");
+                    () -> ConfigurationChecks.parseReplacement(truncated),
+                    "truncated after " + truncated.length + " bytes");
         }
-        assertDoesNotThrow(() -> ConfigurationChecks.parseReplacement(whole));
+        assertDoesNotThrow(() -> ConfigurationChecks.parseReplacement(complete));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"}", "x", "{}", "[", ",", "\u0000", "// done", "null"})
-    void refusesWhatGoesOnAfterItsEnd(String more) {
-        assertEquals(1, SampleDocuments.faultsOf(SampleDocuments.WHOLE + more).size());
+    void rejectsTrailingData(String trailingData) {
+        assertEquals(
+                1, SampleDocuments.faultsOf(SampleDocuments.FULL + trailingData).size());
     }
 
     @ParameterizedTest
@@ -140,39 +141,42 @@
                 "{\"version\":1,/* */\"routes\":[],\"services\":[]}",
                 "{\"version\":01,\"routes\":[],\"services\":[]}"
             })
-    void refusesWhatIsNotStrictlyJson(String body) {
+    void rejectsBodiesThatAreNotStrictJson(String body) {
         assertEquals(1, SampleDocuments.faultsOf(body).size());
     }
 
     @Test
-    void refusesBytesThatAreNotUtf8() {
-        byte[] body = SampleDocuments.bytes(SampleDocuments.WHOLE.replace("/health", "/h\u00e9"));
-        byte[] cutInsideACharacter = Arrays.copyOf(body, body.length);
+    void rejectsBytesThatAreNotUtf8() {
+        byte[] body = SampleDocuments.bytes(SampleDocuments.FULL.replace("/health", "/h\u00e9"));
+        byte[] bodyWithTruncatedCharacter = Arrays.copyOf(body, body.length);
         for (int index = 0; index < body.length; index++) {
             if (body[index] == (byte) 0xC3) {
-                cutInsideACharacter[index + 1] = '"';
+                bodyWithTruncatedCharacter[index + 1] = '"';
             }
         }
 
-        InvalidConfigurationException refusal = assertThrows(
-                InvalidConfigurationException.class, () -> ConfigurationChecks.parseReplacement(cutInsideACharacter));
-        assertEquals("configuration: cannot be read whole: the text is not UTF-8", refusal.getMessage());
+        InvalidConfigurationException rejection = assertThrows(
+                InvalidConfigurationException.class,
+                () -> ConfigurationChecks.parseReplacement(bodyWithTruncatedCharacter));
+        assertEquals("configuration: cannot be parsed: the text is not UTF-8", rejection.getMessage());
     }
 
     @Test
     void rejectsUnboundedNesting() {
-        String deep = "[".repeat(100_000);
+        String deeplyNested = "[".repeat(100_000);
 
-        assertEquals(1, SampleDocuments.faultsOf("{\"version\":1,\"x\":" + deep).size());
+        assertEquals(
+                1,
+                SampleDocuments.faultsOf("{\"version\":1,\"x\":" + deeplyNested).size());
     }
 
     @Test
     void rejectsAVersionThatIsNotHigher() throws InvalidConfigurationException {
-        ConfigurationDocument document = SampleDocuments.whole();
+        ConfigurationDocument document = SampleDocuments.full();
 
         ConfigurationChecks.requireNewer(document, 6);
-        InvalidConfigurationException refusal =
+        InvalidConfigurationException rejection =
                 assertThrows(InvalidConfigurationException.class, () -> ConfigurationChecks.requireNewer(document, 7));
-        assertEquals("configuration.version: 7 is not higher than the current version 7", refusal.getMessage());
+        assertEquals("configuration.version: 7 is not higher than the current version 7", rejection.getMessage());
     }
 }
--- a/router-fleet/model/src/test/java/pinewick/model/ReplacementTest.java
+++ b/router-fleet/model/src/test/java/pinewick/model/ReplacementTest.java
@@ -9,7 +9,7 @@
 class ReplacementTest {
     @Test
     void readsRoutesServicesAndLimits() throws InvalidConfigurationException {
-        RoutingTable table = ConfigurationChecks.toRoutingTable(SampleDocuments.whole());
+        RoutingTable table = ConfigurationChecks.toRoutingTable(SampleDocuments.full());
 
         Route route = table.find("shop.example", "/a/x").orElseThrow();
         assertEquals(7, table.version());
@@ -26,8 +26,8 @@
 
     @Test
     void returnsTheDocumentAsSubmitted() throws InvalidConfigurationException {
-        String sent = SampleDocuments.WHOLE.replace("\n", "");
+        String submitted = SampleDocuments.FULL.replace("\n", "");
 
-        assertEquals(sent, SampleDocuments.json(SampleDocuments.whole()));
+        assertEquals(submitted, SampleDocuments.json(SampleDocuments.full()));
     }
 }
--- a/router-fleet/model/src/test/java/pinewick/model/ReplicaRecordPropertyTest.java
+++ b/router-fleet/model/src/test/java/pinewick/model/ReplicaRecordPropertyTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Records of one instance, few enough that they often meet under one call number. */
+/** Records of one instance. They use few call sequence numbers, so that two records often have the same one. */
 class ReplicaRecordPropertyTest {
     @Provide
     Arbitrary<ReplicaRecord> records() {
@@ -22,7 +22,7 @@
                         Arbitraries.integers().between(0, 1),
                         Arbitraries.of(Stage.class),
                         Arbitraries.integers().between(1, 2))
-                .as((sequence, state, lapsed, coldMs, stage, modelVersion) -> new ReplicaRecord(
+                .as((callSequence, state, lapsed, warmUpMs, stage, modelVersion) -> new ReplicaRecord(
                         "i-1",
                         "s-1",
                         new SocketAddress("10.0.0.1", 8080),
@@ -30,20 +30,20 @@
                         "v1",
                         8,
                         state,
-                        coldMs,
+                        warmUpMs,
                         stage,
                         List.of(new ReplicaRecord.ModelVersion("m", modelVersion)),
-                        sequence,
+                        callSequence,
                         lapsed));
     }
 
     @Property
-    void mergesTheSameInEitherOrder(@ForAll("records") ReplicaRecord left, @ForAll("records") ReplicaRecord right) {
+    void mergeIsCommutative(@ForAll("records") ReplicaRecord left, @ForAll("records") ReplicaRecord right) {
         assertEquals(ReplicaRecord.merge(left, right), ReplicaRecord.merge(right, left));
     }
 
     @Property
-    void mergesTheSameInAnyGrouping(
+    void mergeIsAssociative(
             @ForAll("records") ReplicaRecord first,
             @ForAll("records") ReplicaRecord second,
             @ForAll("records") ReplicaRecord third) {
@@ -53,12 +53,13 @@
     }
 
     @Property
-    void mergesARecordWithItselfToItself(@ForAll("records") ReplicaRecord record) {
+    void mergeIsIdempotent(@ForAll("records") ReplicaRecord record) {
         assertEquals(record, ReplicaRecord.merge(record, record));
     }
 
     @Property
-    void neverTakesAnAnnouncedEndBack(@ForAll("records") ReplicaRecord left, @ForAll("records") ReplicaRecord right) {
+    void mergeNeverRevertsToAnEarlierStateOrCall(
+            @ForAll("records") ReplicaRecord left, @ForAll("records") ReplicaRecord right) {
         ReplicaRecord merged = ReplicaRecord.merge(left, right);
 
         assertFalse(merged.state().compareTo(left.state()) < 0 || merged.state().compareTo(right.state()) < 0);
--- a/router-fleet/model/src/test/java/pinewick/model/SampleDocuments.java
+++ b/router-fleet/model/src/test/java/pinewick/model/SampleDocuments.java
@@ -5,8 +5,8 @@
 
 /** Bodies and documents for the tests of this module. */
 final class SampleDocuments {
-    /** A whole configuration with two routes and two services. */
-    static final String WHOLE =
+    /** A full configuration with two routes and two services. */
+    static final String FULL =
             """
             {"version":7,"routes":[
             {"name":"r-1","hostname":"shop.example","path_prefix":"/a/","route_kind":"streaming","timeout_ms":5000,
@@ -27,11 +27,11 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    static ConfigurationDocument whole() throws InvalidConfigurationException {
-        return ConfigurationChecks.parseReplacement(bytes(WHOLE));
+    static ConfigurationDocument full() throws InvalidConfigurationException {
+        return ConfigurationChecks.parseReplacement(bytes(FULL));
     }
 
-    /** The faults for which a whole configuration is refused, as texts; none if it is taken. */
+    /** Returns the faults of a full configuration as texts; empty if it is accepted. */
     static List<String> faultsOf(String body) {
         try {
             ConfigurationChecks.parseReplacement(bytes(body));
--- a/router-fleet/model/src/test/java/pinewick/model/TenantsTest.java
+++ b/router-fleet/model/src/test/java/pinewick/model/TenantsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The section with the tenants: what it means, and what makes it invalid. No fault may contain a key. */
+/** Reading and validation of the tenants section. No fault may contain a key. */
 class TenantsTest {
     private static final String KEY = "sk-alpha-2718";
     private static final String OTHER_KEY = "sk-beta-3141";
@@ -24,7 +24,7 @@
             "uncached_tokens":200,"rate_per_s":349718,"burst_size":1000.5}"""
                     .formatted(KEY);
     private static final String BETA = "{\"name\":\"beta\",\"api_keys\":[\"" + OTHER_KEY + "\"]}";
-    private static final String SHARED = "'; give each tenant keys of its own";
+    private static final String SHARED_KEY_CORRECTION = "'; give each tenant keys of its own";
 
     private static String withTenants(String value) {
         return "{\"version\":3,\"routes\":[],\"services\":[],\"tenants\":" + value + "}";
@@ -44,9 +44,9 @@
     }
 
     private static List<String> faultsOfUpdate(String base, String changes) {
-        InvalidConfigurationException refusal =
+        InvalidConfigurationException rejection =
                 assertThrows(InvalidConfigurationException.class, () -> updated(base, changes));
-        return refusal.faults().stream().map(ConfigurationFault::toString).toList();
+        return rejection.faults().stream().map(ConfigurationFault::toString).toList();
     }
 
     @Test
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void readsATenantOfItsNameOnly() throws InvalidConfigurationException {
+    void readsATenantWithOnlyAName() throws InvalidConfigurationException {
         Tenant tenant = table("[{\"name\":\"alpha\"}]").tenant("alpha").orElseThrow();
 
         assertEquals(new Tenant("alpha", Set.of(), OptionalInt.empty(), QuotaLimit.UNLIMITED), tenant);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void takesARateOfZeroForNoLimit() throws InvalidConfigurationException {
+    void treatsARateOfZeroAsUnlimited() throws InvalidConfigurationException {
         RoutingTable table = table("[{\"name\":\"a\",\"rate_per_s\":0,\"burst_size\":5},"
                 + "{\"name\":\"b\",\"rate_per_s\":0.5},{\"name\":\"c\",\"rate_per_s\":null}]");
 
@@ -90,20 +90,20 @@
     }
 
     @Test
-    void requiresKeysWithASectionOfTenantsEvenAnEmptyOne() throws InvalidConfigurationException {
+    void requiresKeysIfThereIsATenantsSectionEvenIfItIsEmpty() throws InvalidConfigurationException {
         assertTrue(table("[" + ALPHA + "]").requiresKeys());
         assertTrue(table("[]").requiresKeys());
         assertTrue(
                 ConfigurationChecks.toRoutingTable(updated("[" + ALPHA + "]", "\"removals\":{\"tenants\":[\"alpha\"]}"))
                         .requiresKeys());
         assertFalse(table("null").requiresKeys());
-        assertFalse(ConfigurationChecks.toRoutingTable(SampleDocuments.whole()).requiresKeys());
+        assertFalse(ConfigurationChecks.toRoutingTable(SampleDocuments.full()).requiresKeys());
         assertFalse(RoutingTable.EMPTY.requiresKeys());
     }
 
     @Test
     void readsWhichRoutesAreAnonymous() throws InvalidConfigurationException {
-        String body = SampleDocuments.WHOLE.replace("\"name\":\"r-1\"", "\"name\":\"r-1\",\"anonymous\":true");
+        String body = SampleDocuments.FULL.replace("\"name\":\"r-1\"", "\"name\":\"r-1\",\"anonymous\":true");
         RoutingTable table =
                 ConfigurationChecks.toRoutingTable(ConfigurationChecks.parseReplacement(SampleDocuments.bytes(body)));
 
@@ -120,7 +120,7 @@
                 "[{\"name\":\"a\",\"api_keys\":[\"sk-1\",\"sk-1\"]}]",
                 "[{\"name\":\"a\",\"priority\":-1,\"uncached_tokens\":-1,\"title\":{\"x\":1.0}}]",
             })
-    void givesBackWhatWasSent(String tenants) throws InvalidConfigurationException {
+    void returnsTheDocumentAsSubmitted(String tenants) throws InvalidConfigurationException {
         assertEquals(withTenants(tenants), SampleDocuments.json(document(tenants)));
     }
 
@@ -140,15 +140,14 @@
                         + "tenants/a.api_keys[0]: is empty or no text; give each key as a text",
                 "[{\"name\":\"a\",\"api_keys\":[[\"sk-alpha-2718\"]]}]|"
                         + "tenants/a.api_keys[0]: is empty or no text; give each key as a text",
-                "[{\"name\":\"a\",\"priority\":\"sk-alpha-2718\"}]|tenants/a.priority: is not a number within reason",
+                "[{\"name\":\"a\",\"priority\":\"sk-alpha-2718\"}]|tenants/a.priority: is not a supported number",
                 "[{\"name\":\"a\",\"rate_per_s\":-0.5}]|tenants/a.rate_per_s: is below 0; give a number from 0 up",
                 "[{\"name\":\"a\",\"burst_size\":-1}]|tenants/a.burst_size: is below 0; give a number from 0 up",
-                "[{\"name\":\"a\",\"rate_per_s\":\"9\"}]|tenants/a.rate_per_s: is not a number within reason",
-                "[{\"name\":\"a\",\"uncached_tokens\":[]}]|"
-                        + "tenants/a.uncached_tokens: is not a number within reason",
+                "[{\"name\":\"a\",\"rate_per_s\":\"9\"}]|tenants/a.rate_per_s: is not a supported number",
+                "[{\"name\":\"a\",\"uncached_tokens\":[]}]|" + "tenants/a.uncached_tokens: is not a supported number",
                 "[{\"name\":\"a\",\"unit\":7}]|tenants/a.unit: is not a text; put it in quotes",
             })
-    void tellsTheTenantTheFieldAndTheRemedy(String tenants, String fault) {
+    void reportsTheTenantTheFieldAndTheCorrection(String tenants, String fault) {
         List<String> faults = SampleDocuments.faultsOf(withTenants(tenants));
 
         assertEquals(List.of(fault), faults);
@@ -156,22 +155,24 @@
     }
 
     @Test
-    void rejectsASharedKeyAtEachHolder() {
+    void reportsASharedKeyForEachTenant() {
         String fingerprint = ApiKeyDigest.of(KEY).fingerprint();
         List<String> faults = SampleDocuments.faultsOf(withTenants(
                 "[" + ALPHA + "," + BETA.replace(OTHER_KEY, KEY) + "," + ALPHA.replace("alpha\"", "c\"") + "]"));
 
-        String second = ApiKeyDigest.of("sk-alpha-2").fingerprint();
+        String secondFingerprint = ApiKeyDigest.of("sk-alpha-2").fingerprint();
         assertEquals(
                 List.of(
                         "tenants/alpha.api_keys: shares a key (fingerprint " + fingerprint + ") with tenant 'beta"
-                                + SHARED,
-                        "tenants/alpha.api_keys: shares a key (fingerprint " + second + ") with tenant 'c" + SHARED,
+                                + SHARED_KEY_CORRECTION,
+                        "tenants/alpha.api_keys: shares a key (fingerprint " + secondFingerprint + ") with tenant 'c"
+                                + SHARED_KEY_CORRECTION,
                         "tenants/beta.api_keys: shares a key (fingerprint " + fingerprint + ") with tenant 'alpha"
-                                + SHARED,
+                                + SHARED_KEY_CORRECTION,
                         "tenants/c.api_keys: shares a key (fingerprint " + fingerprint + ") with tenant 'alpha"
-                                + SHARED,
-                        "tenants/c.api_keys: shares a key (fingerprint " + second + ") with tenant 'alpha" + SHARED),
+                                + SHARED_KEY_CORRECTION,
+                        "tenants/c.api_keys: shares a key (fingerprint " + secondFingerprint + ") with tenant 'alpha"
+                                + SHARED_KEY_CORRECTION),
                 faults);
     }
 
@@ -182,16 +183,16 @@
         assertEquals(
                 List.of(
                         "tenants/alpha.api_keys: shares a key (fingerprint " + fingerprint + ") with tenant 'beta"
-                                + SHARED,
+                                + SHARED_KEY_CORRECTION,
                         "tenants/beta.api_keys: shares a key (fingerprint " + fingerprint + ") with tenant 'alpha"
-                                + SHARED),
+                                + SHARED_KEY_CORRECTION),
                 faultsOfUpdate(
                         "[" + ALPHA + "," + BETA + "]",
                         "\"upserts\":{\"tenants\":[" + BETA.replace(OTHER_KEY, KEY) + "]}"));
     }
 
     @Test
-    void aKeyMayMoveToAnotherTenant() throws InvalidConfigurationException {
+    void acceptsMovingAKeyToAnotherTenant() throws InvalidConfigurationException {
         ConfigurationDocument next = updated(
                 "[" + ALPHA + "," + BETA + "]",
                 "\"upserts\":{\"tenants\":[" + BETA.replace(OTHER_KEY, KEY)
@@ -204,7 +205,7 @@
     }
 
     @Test
-    void isChangedByUpsertsAndRemovals() throws InvalidConfigurationException {
+    void appliesUpsertsAndRemovals() throws InvalidConfigurationException {
         ConfigurationDocument next = updated(
                 "[" + ALPHA + "," + BETA + "]",
                 "\"upserts\":{\"tenants\":[{\"name\":\"gamma\"},"
@@ -217,26 +218,26 @@
     }
 
     @Test
-    void survivesADelta() throws InvalidConfigurationException {
+    void isReproducedByADelta() throws InvalidConfigurationException {
         ConfigurationDocument from = document("[" + ALPHA + "," + BETA + "]");
         for (ConfigurationDocument to : List.of(
                 document("[" + BETA + "," + ALPHA + "]"),
                 document("[" + ALPHA + "]"),
                 document("[]"),
                 document("null"),
-                SampleDocuments.whole())) {
+                SampleDocuments.full())) {
             byte[] bytes = ConfigurationChecks.writeDelta(ConfigurationDelta.between(from, to));
-            ConfigurationDocument read = ConfigurationChecks.readDelta(bytes).applyTo(from);
+            ConfigurationDocument applied = ConfigurationChecks.readDelta(bytes).applyTo(from);
 
-            assertEquals(SampleDocuments.json(to), SampleDocuments.json(read));
+            assertEquals(SampleDocuments.json(to), SampleDocuments.json(applied));
             assertEquals(
                     ConfigurationChecks.toRoutingTable(to).requiresKeys(),
-                    ConfigurationChecks.toRoutingTable(read).requiresKeys());
+                    ConfigurationChecks.toRoutingTable(applied).requiresKeys());
         }
     }
 
     @Test
-    void anyUnitButTokensCountsRequestsAndIsNoFault() throws InvalidConfigurationException {
+    void treatsAnyUnitExceptTokensAsRequests() throws InvalidConfigurationException {
         String body = "{\"version\":1,\"routes\":[],\"services\":[],\"tenants\":["
                 + "{\"name\":\"a\",\"unit\":\"requests\"},{\"name\":\"b\",\"unit\":\"token_accounting\"}]}";
         ConfigurationDocument document = ConfigurationChecks.parseReplacement(body.getBytes(StandardCharsets.UTF_8));
--- a/router-fleet/model/src/test/java/pinewick/model/UpdateTest.java
+++ b/router-fleet/model/src/test/java/pinewick/model/UpdateTest.java
@@ -14,17 +14,18 @@
             + "\"route_kind\":\"idempotent\",\"timeout_ms\":1000,\"service\":\"s-2\"}";
 
     private static ConfigurationDocument updated(String body) throws InvalidConfigurationException {
-        return ConfigurationChecks.parseUpdate(SampleDocuments.whole(), SampleDocuments.bytes(body));
+        return ConfigurationChecks.parseUpdate(SampleDocuments.full(), SampleDocuments.bytes(body));
     }
 
     private static List<String> faultsOf(String body) {
-        InvalidConfigurationException refusal = assertThrows(InvalidConfigurationException.class, () -> updated(body));
-        return refusal.faults().stream().map(ConfigurationFault::toString).toList();
+        InvalidConfigurationException rejection =
+                assertThrows(InvalidConfigurationException.class, () -> updated(body));
+        return rejection.faults().stream().map(ConfigurationFault::toString).toList();
     }
 
     @Test
     void addsReplacesAndRemovesItemsByName() throws InvalidConfigurationException {
-        ConfigurationDocument base = SampleDocuments.whole();
+        ConfigurationDocument base = SampleDocuments.full();
         ConfigurationDocument next = updated("{\"version\":9,\"upserts\":{\"routes\":[" + ROUTE_3 + ","
                 + ROUTE_3.replace("r-3", "r-1").replace("/c/", "/d/")
                 + "]},\"removals\":{\"routes\":[\"r-2\",\"r-old\"]}}");
@@ -40,16 +41,16 @@
     }
 
     @Test
-    void leavesTheBaseAsItWas() throws InvalidConfigurationException {
-        ConfigurationDocument base = SampleDocuments.whole();
+    void doesNotModifyTheBase() throws InvalidConfigurationException {
+        ConfigurationDocument base = SampleDocuments.full();
         ConfigurationChecks.parseUpdate(
                 base, SampleDocuments.bytes("{\"version\":9,\"removals\":{\"routes\":[\"r-1\",\"r-2\"]}}"));
 
-        assertEquals(SampleDocuments.whole(), base);
+        assertEquals(SampleDocuments.full(), base);
     }
 
     @Test
-    void replacesOtherFieldsAndWholeSections() throws InvalidConfigurationException {
+    void replacesOtherFieldsAndCompleteSections() throws InvalidConfigurationException {
         ConfigurationDocument next = updated("{\"version\":9,\"limits\":{\"max_body_bytes\":10},\"routes\":[" + ROUTE_3
                 + "],\"mirrors\":[{\"name\":\"m\"}]}");
 
@@ -67,7 +68,7 @@
     }
 
     @Test
-    void addsToASectionThatWasNull() throws InvalidConfigurationException {
+    void addsItemsToASectionThatWasNull() throws InvalidConfigurationException {
         ConfigurationDocument base = ConfigurationChecks.parseReplacement(
                 SampleDocuments.bytes("{\"version\":1,\"routes\":null,\"services\":[{\"name\":\"s-2\"}]}"));
         ConfigurationDocument next = ConfigurationChecks.parseUpdate(
@@ -84,12 +85,12 @@
                 "{\"version\":9,\"upserts\":null,\"removals\":{}}",
                 "{\"version\":9,\"upserts\":{\"routes\":null},\"removals\":{\"routes\":null,\"mirrors\":[\"m\"]}}")) {
             ConfigurationDocument next = updated(body);
-            assertEquals(SampleDocuments.whole().sections(), next.sections());
+            assertEquals(SampleDocuments.full().sections(), next.sections());
         }
     }
 
     @Test
-    void rejectsARemovalOfAServiceInUse() {
+    void rejectsRemovingAServiceInUse() {
         assertEquals(
                 List.of(
                         "routes/r-1.traffic_split[1].service: 's-2' is not a service of this configuration",
@@ -98,7 +99,7 @@
     }
 
     @Test
-    void rejectsItemsAndNamesOfTheWrongForm() {
+    void rejectsItemsAndNamesOfTheWrongType() {
         assertEquals(
                 List.of(
                         "removals.routes: 7 is not a name",
@@ -125,7 +126,7 @@
     }
 
     @Test
-    void aRouteMayTakeThePrefixOfARemovedRoute() throws InvalidConfigurationException {
+    void acceptsThePrefixOfARemovedRoute() throws InvalidConfigurationException {
         ConfigurationDocument next = updated("{\"version\":9,\"upserts\":{\"routes\":[" + ROUTE_3.replace("/c/", "/a/")
                 + "]},\"removals\":{\"routes\":[\"r-1\"]}}");
 
@@ -139,7 +140,7 @@
 
     @Test
     void reusesUnchangedItems() throws InvalidConfigurationException {
-        ConfigurationDocument base = SampleDocuments.whole();
+        ConfigurationDocument base = SampleDocuments.full();
         ConfigurationDocument next = ConfigurationChecks.parseUpdate(
                 base, SampleDocuments.bytes("{\"version\":9,\"upserts\":{\"routes\":[" + ROUTE_3 + "]}}"));
 
