--- a/router-fleet/storage/src/main/java/pinewick/storage/StoreDirectory.java
+++ b/router-fleet/storage/src/main/java/pinewick/storage/StoreDirectory.java
@@ -12,14 +12,14 @@
 import java.util.stream.Stream;
 import pinewick.replication.StorageException;
 
-/** The folder of a store: the live files, and at most one set of files that could not be read. */
+/** The directory of a store: the live files, and at most one set of quarantined files that could not be read. */
 final class StoreDirectory {
     private static final String LIVE = "live";
     private static final String DAMAGED = "damaged";
     private static final String WRITE_TEST_FILE = "probe";
     private static final int WRITE_TEST_BYTES = 4_096;
 
-    /** Damaged files beyond this size are deleted: the disk is small. */
+    /** Damaged files above this total size are deleted instead of kept, because the disk is small. */
     private static final long MAX_DAMAGED_BYTES = 16L << 20;
 
     private final Path directory;
@@ -32,7 +32,7 @@
         return directory.resolve(LIVE);
     }
 
-    /** Creates the folder of the live files, and syncs its parents so that it survives a power failure. */
+    /** Creates the directory of the live files and syncs its parents, so that it survives a power failure. */
     void prepare() throws IOException {
         if (!Files.exists(live())) {
             Files.createDirectories(live());
@@ -44,12 +44,12 @@
         }
     }
 
-    /** Whether files were ever quarantined here. */
+    /** Whether damaged files have ever been quarantined in this directory. */
     boolean hasDamaged() {
         return Files.exists(directory.resolve(DAMAGED));
     }
 
-    /** Fails if the disk cannot be written at all. */
+    /** Throws if the disk cannot be written; {@code step} is the operation named in the exception. */
     void requireWritable(String step) throws StorageException {
         Path testFile = directory.resolve(WRITE_TEST_FILE);
         try {
@@ -68,49 +68,49 @@
         }
     }
 
-    /** Moves the live files away, so that the store starts empty. */
+    /** Moves or deletes the live files, so that the store starts empty. */
     void quarantine() throws StorageException {
-        Path damaged = directory.resolve(DAMAGED);
+        Path quarantined = directory.resolve(DAMAGED);
         try {
-            delete(damaged);
+            delete(quarantined);
             if (sizeOf(live()) <= MAX_DAMAGED_BYTES) {
-                Files.move(live(), damaged, StandardCopyOption.ATOMIC_MOVE);
+                Files.move(live(), quarantined, StandardCopyOption.ATOMIC_MOVE);
             } else {
-                Files.createDirectories(damaged);
+                Files.createDirectories(quarantined);
                 delete(live());
             }
             syncDirectory(directory);
         } catch (IOException e) {
-            throw new StorageException(DiskErrorClassifier.kindOf(e), "set aside", e);
+            throw new StorageException(DiskErrorClassifier.kindOf(e), "quarantine", e);
         }
     }
 
-    private static void syncDirectory(Path folder) throws IOException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+    private static void syncDirectory(Path path) throws IOException {
+        try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
 
-    private static long sizeOf(Path folder) throws IOException {
+    private static long sizeOf(Path path) throws IOException {
         long bytes = 0;
-        for (Path file : filesUnder(folder)) {
+        for (Path file : filesUnder(path)) {
             bytes += Files.isRegularFile(file) ? Files.size(file) : 0;
         }
         return bytes;
     }
 
-    private static void delete(Path folder) throws IOException {
-        for (Path file : filesUnder(folder)) {
+    private static void delete(Path path) throws IOException {
+        for (Path file : filesUnder(path)) {
             Files.delete(file);
         }
     }
 
-    /** Deepest first. */
-    private static List<Path> filesUnder(Path folder) throws IOException {
-        if (!Files.exists(folder)) {
+    /** All files and directories under {@code path} including itself, deepest first; empty if it does not exist. */
+    private static List<Path> filesUnder(Path path) throws IOException {
+        if (!Files.exists(path)) {
             return List.of();
         }
-        try (Stream<Path> files = Files.walk(folder)) {
+        try (Stream<Path> files = Files.walk(path)) {
             return files.sorted(Comparator.reverseOrder()).toList();
         }
     }
--- a/router-fleet/storage/src/main/java/pinewick/storage/StoredFormat.java
+++ b/router-fleet/storage/src/main/java/pinewick/storage/StoredFormat.java
@@ -17,13 +17,13 @@
 import pinewick.replication.StoredChange;
 import pinewick.replication.StoredHead;
 
-/** The binary format of stored records. Each value starts with the version of the format. */
+/** The binary format of stored records. Each value starts with the format version. */
 final class StoredFormat {
     private static final int FORMAT_VERSION = 1;
 
     private StoredFormat() {}
 
-    /** Writes one value. */
+    /** Encodes one value. */
     private interface Writer {
         void write(DataOutputStream out) throws IOException;
     }
@@ -117,7 +117,7 @@
             out.writeByte(FORMAT_VERSION);
             writer.write(out);
         } catch (IOException e) {
-            throw new UncheckedIOException("memory does not fail", e);
+            throw new UncheckedIOException("writing to memory failed", e);
         }
         return bytes.toByteArray();
     }
@@ -126,7 +126,7 @@
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int version = in.readByte();
         if (version != FORMAT_VERSION) {
-            throw new IOException("format " + version + " is not known here; this release reads " + FORMAT_VERSION);
+            throw new IOException("unknown format " + version + "; this release reads " + FORMAT_VERSION);
         }
         return in;
     }
--- a/router-fleet/storage/src/main/java/pinewick/storage/TornWriteRepair.java
+++ b/router-fleet/storage/src/main/java/pinewick/storage/TornWriteRepair.java
@@ -9,13 +9,13 @@
 import java.util.stream.Stream;
 
 /**
- * Truncates the log at a write that was interrupted by a power failure. Sectors of it that did not reach the disk read
- * as zeros, after which Xodus takes the log for damaged. No intact log has that many zeros in a row, and what was
- * synced does not turn into zeros: so the first zero sector is part of a write that was never confirmed, provided that
- * no more than one write would be truncated.
+ * Truncates the log at a write that was interrupted by a power failure. Sectors of this write that did not reach the
+ * disk are read as zeros, and Xodus then treats the log as damaged. An intact log never contains a full sector of
+ * consecutive zeros, and synced data does not turn into zeros. The first zero sector therefore belongs to a write that
+ * was never confirmed, provided that the truncation removes at most one write.
  */
 final class TornWriteRepair {
-    /** The smallest unit that a disk writes. */
+    /** The smallest unit of a disk write. */
     private static final int SECTOR_BYTES = 512;
 
     private static final String LOG_FILES = "*.xd";
@@ -26,38 +26,38 @@
         this.live = live;
     }
 
-    /** Truncates the log before the first zero sector; returns whether there was one, in the last write. */
+    /** Truncates the log at the first zero sector. Returns whether there is one that belongs to the last write. */
     boolean truncate() throws IOException {
         List<Path> files = logFiles();
-        for (int number = 0; number < files.size(); number++) {
-            int from = firstZeroSector(Files.readAllBytes(files.get(number)));
-            if (from >= 0) {
-                return truncate(files.subList(number, files.size()), from);
+        for (int fileIndex = 0; fileIndex < files.size(); fileIndex++) {
+            int offset = firstZeroSector(Files.readAllBytes(files.get(fileIndex)));
+            if (offset >= 0) {
+                return truncate(files.subList(fileIndex, files.size()), offset);
             }
         }
         return false;
     }
 
-    private static boolean truncate(List<Path> files, int from) throws IOException {
-        int writes = 0;
+    private static boolean truncate(List<Path> files, int offset) throws IOException {
+        int writeCount = 0;
         for (Path file : files) {
             byte[] bytes = Files.readAllBytes(file);
-            writes += countMarkers(bytes, file.equals(files.get(0)) ? from : 0);
+            writeCount += countMarkers(bytes, file.equals(files.get(0)) ? offset : 0);
         }
-        if (writes > 1) {
+        if (writeCount > 1) {
             return false;
         }
-        for (Path later : files.subList(1, files.size())) {
-            Files.delete(later);
+        for (Path laterFile : files.subList(1, files.size())) {
+            Files.delete(laterFile);
         }
         try (FileChannel first = FileChannel.open(files.get(0), StandardOpenOption.WRITE)) {
-            first.truncate(from);
+            first.truncate(offset);
             first.force(true);
         }
         return true;
     }
 
-    /** In the order of their log addresses, which are their names. */
+    /** The log files in the order of their log addresses, which are their names. */
     private List<Path> logFiles() throws IOException {
         try (Stream<Path> files = Files.list(live)) {
             return files.filter(file -> file.getFileSystem()
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Where the first sector of zeros starts, -1 if there is none. */
+    /** Offset of the first {@value #SECTOR_BYTES} consecutive zeros; -1 if there are none. */
     private static int firstZeroSector(byte[] bytes) {
         int zeros = 0;
         for (int index = 0; index < bytes.length; index++) {
@@ -80,17 +80,17 @@
         return -1;
     }
 
-    private static int countMarkers(byte[] bytes, int from) {
+    private static int countMarkers(byte[] bytes, int offset) {
         int markers = 0;
-        for (int index = from; index + WriteChecksum.MARKER.length <= bytes.length; index++) {
+        for (int index = offset; index + WriteChecksum.MARKER.length <= bytes.length; index++) {
             markers += isMarker(bytes, index) ? 1 : 0;
         }
         return markers;
     }
 
-    private static boolean isMarker(byte[] bytes, int at) {
+    private static boolean isMarker(byte[] bytes, int offset) {
         for (int index = 0; index < WriteChecksum.MARKER.length; index++) {
-            if (bytes[at + index] != WriteChecksum.MARKER[index]) {
+            if (bytes[offset + index] != WriteChecksum.MARKER[index]) {
                 return false;
             }
         }
--- a/router-fleet/storage/src/main/java/pinewick/storage/WriteChecksum.java
+++ b/router-fleet/storage/src/main/java/pinewick/storage/WriteChecksum.java
@@ -7,23 +7,23 @@
 import pinewick.replication.StoredSnapshot;
 
 /**
- * A checksum over everything that is stored, updated with each write: a chain over the snapshot and the changes, closed
- * by the head.
+ * A checksum over the complete stored state, updated with each write: a checksum chain over the snapshot, the changes
+ * and finally the head.
  */
 final class WriteChecksum {
-    /** Appears once in each write, so that the writes in a part of the log can be counted. */
+    /** Appears exactly once in each write, so that the writes in a section of the log can be counted. */
     static final byte[] MARKER = {(byte) 0x9E, 0x37, 0x79, (byte) 0xB9, 0x7F, 0x4A, 0x7C, 0x15};
 
     private WriteChecksum() {}
 
-    /** The checksum of a snapshot without changes after it. */
+    /** The checksum of a snapshot without subsequent changes. */
     static int ofSnapshot(StoredSnapshot snapshot) {
         return chain(chain(0, snapshot.document()), snapshot.changes());
     }
 
-    /** The checksum after one more change, as it is stored. */
-    static int withChange(int before, byte[] change) {
-        return chain(before, change);
+    /** The checksum after another change, given in its stored encoding. */
+    static int withChange(int previous, byte[] change) {
+        return chain(previous, change);
     }
 
     static int ofContent(StoredSnapshot snapshot, List<StoredChange> changes) {
@@ -34,17 +34,17 @@
         return checksum;
     }
 
-    /** The entry that is stored beside a head. */
-    static byte[] entry(int content, byte[] head) {
+    /** The checksum entry that is stored together with a head. */
+    static byte[] entry(int contentChecksum, byte[] head) {
         return ByteBuffer.allocate(MARKER.length + Integer.BYTES)
                 .put(MARKER)
-                .putInt(chain(content, head))
+                .putInt(chain(contentChecksum, head))
                 .array();
     }
 
-    private static int chain(int before, byte[] bytes) {
+    private static int chain(int previous, byte[] bytes) {
         CRC32C checksum = new CRC32C();
-        checksum.update(ByteBuffer.allocate(Integer.BYTES).putInt(before).flip());
+        checksum.update(ByteBuffer.allocate(Integer.BYTES).putInt(previous).flip());
         checksum.update(bytes);
         return (int) checksum.getValue();
     }
--- a/router-fleet/storage/src/main/java/pinewick/storage/XodusDatabase.java
+++ b/router-fleet/storage/src/main/java/pinewick/storage/XodusDatabase.java
@@ -26,16 +26,17 @@
 import pinewick.replication.StoredState;
 
 /**
- * An open Xodus environment and the layout of its stores. Each write is one durable transaction. Storage thread only.
+ * An open Xodus environment and the layout of its stores. Each write is one durable transaction. Used
+ * only by the storage thread.
  */
 final class XodusDatabase {
     private static final long MAX_MEMORY_BYTES = 8L << 20;
     private static final long LOG_FILE_KIB = 1_024;
 
-    /** Longer values are split: Xodus cannot store a value that is longer than one of its log files. */
+    /** Longer values are split into chunks: Xodus cannot store a value that is longer than one of its log files. */
     private static final int MAX_VALUE_BYTES = 64 * 1024;
 
-    /** Garbage is collected at this interval and this soon, because successive snapshots produce much of it. */
+    /** Interval and initial delay of garbage collection; short, because successive snapshots produce much garbage. */
     private static final int GC_INTERVAL_MS = 1_000;
 
     private static final ByteIterable HEAD = key("head");
@@ -57,7 +58,7 @@
         this.changes = openStore(environment, "changes", transaction);
     }
 
-    static XodusDatabase open(Path folder) {
+    static XodusDatabase open(Path directory) {
         EnvironmentConfig config = new EnvironmentConfig()
                 .setLogDurableWrite(true)
                 .setLogFileSize(LOG_FILE_KIB)
@@ -72,12 +73,12 @@
                 .setGcFilesDeletionDelay(GC_INTERVAL_MS)
                 .setEnvGatherStatistics(false)
                 .setManagementEnabled(false);
-        // Only one thread of one process uses the folder. A lock would be left behind when opening fails, and the next
-        // attempt would fail because of it.
-        LogConfig logConfig = new LogConfig().setLocation(folder.toString());
+        // Only one thread of one process uses the directory. If opening fails, Xodus does not release its lock, and the
+        // next attempt would fail.
+        LogConfig logConfig = new LogConfig().setLocation(directory.toString());
         logConfig.setLockIgnored(true);
         Environment environment = Environments.newInstance(logConfig, config);
-        // All stores are opened in one transaction, so that a new disk is synced only once.
+        // Opens all stores in one transaction, so that a new disk is synced only once.
         return environment.computeInTransaction(transaction -> new XodusDatabase(environment, transaction));
     }
 
@@ -85,7 +86,7 @@
         return environment.openStore(name, StoreConfig.WITHOUT_DUPLICATES, transaction);
     }
 
-    /** Everything that was written, empty before the first write. */
+    /** Reads the complete stored state; empty before the first write. */
     Optional<StoredState> read() throws IOException {
         Transaction transaction = environment.beginReadonlyTransaction();
         try {
@@ -96,40 +97,41 @@
             StoredHead head = StoredFormat.readHead(bytesOf(headBytes));
             StoredSnapshot snapshot =
                     new StoredSnapshot(readChunks(documents, transaction), readChunks(keys, transaction));
-            List<StoredChange> stored = new ArrayList<>();
+            List<StoredChange> storedChanges = new ArrayList<>();
             for (byte[] change : valuesOf(changes, transaction)) {
-                stored.add(StoredFormat.readChange(change));
+                storedChanges.add(StoredFormat.readChange(change));
             }
-            nextChange = stored.size();
-            contentChecksum = WriteChecksum.ofContent(snapshot, stored);
+            nextChange = storedChanges.size();
+            contentChecksum = WriteChecksum.ofContent(snapshot, storedChanges);
             requireChecksum(bytesOf(headBytes), heads.get(transaction, CHECKSUM));
-            return Optional.of(new StoredState(head, snapshot, stored));
+            return Optional.of(new StoredState(head, snapshot, storedChanges));
         } finally {
             transaction.abort();
         }
     }
 
-    /** Disks of earlier releases have no checksum before their next write. */
-    private void requireChecksum(byte[] head, ByteIterable stored) throws IOException {
-        if (stored != null && !Arrays.equals(bytesOf(stored), WriteChecksum.entry(contentChecksum, head))) {
-            throw new IOException("what is stored does not have its checksum");
+    /** Accepts a missing checksum: disks of earlier releases have none before their next write. */
+    private void requireChecksum(byte[] head, ByteIterable storedChecksum) throws IOException {
+        if (storedChecksum != null
+                && !Arrays.equals(bytesOf(storedChecksum), WriteChecksum.entry(contentChecksum, head))) {
+            throw new IOException("checksum mismatch in the stored state");
         }
     }
 
     /** Writes head and content in one durable transaction. */
     void write(StableWrite write) {
-        ContentSummary next = environment.computeInTransaction(transaction -> {
+        ContentSummary summary = environment.computeInTransaction(transaction -> {
             ContentSummary written = writeContent(write.content(), transaction);
             byte[] head = StoredFormat.writeHead(write.head());
             heads.put(transaction, HEAD, new ArrayByteIterable(head));
             heads.put(transaction, CHECKSUM, new ArrayByteIterable(WriteChecksum.entry(written.checksum, head)));
             return written;
         });
-        nextChange = next.changes;
-        contentChecksum = next.checksum;
+        nextChange = summary.changes;
+        contentChecksum = summary.checksum;
     }
 
-    /** How many changes follow the snapshot, and the checksum of both. */
+    /** The number of changes after the snapshot, and the checksum of the snapshot and these changes. */
     private record ContentSummary(int changes, int checksum) {}
 
     private ContentSummary writeContent(StableWrite.Content content, Transaction transaction) {
--- a/router-fleet/storage/src/main/java/pinewick/storage/XodusStore.java
+++ b/router-fleet/storage/src/main/java/pinewick/storage/XodusStore.java
@@ -18,53 +18,53 @@
 import pinewick.replication.StoredState;
 
 /**
- * {@link StableStore} on Xodus, in a folder of its own. One thread, {@code storage}, reads and writes; callbacks run on
- * the given executor, which is the control loop. A torn write is truncated; other files that cannot be read twice in a
- * row are quarantined, and the disk counts as empty.
+ * {@link StableStore} on Xodus, in its own directory. One thread, {@code storage}, reads and writes; callbacks run
+ * on the given executor, which is the control loop. A torn write is truncated. Files that fail to be read twice in a
+ * row for other reasons are quarantined, and the disk is treated as empty.
  *
- * <p>A failing disk is logged here and nowhere else: {@code disk read failed}, {@code disk write failed}, {@code torn
- * write removed}, {@code torn write not removed} and {@code store unreadable}. What follows from it, such as a primary
- * that steps down, is an event of the replication.
+ * <p>Disk failures are logged only by this class: {@code disk read failed}, {@code disk write failed}, {@code torn
+ * write removed}, {@code torn write not removed} and {@code store unreadable}. Their consequences, such as a primary
+ * that steps down, are events of the replication module.
  */
 public final class XodusStore implements StableStore, AutoCloseable {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-    /** A failing disk is logged at most once in this time. */
+    /** Write failures are logged at most once per this interval. */
     private static final int LOG_INTERVAL_SECONDS = 5;
 
-    private final StoreDirectory folder;
+    private final StoreDirectory storeDirectory;
     private final Executor completions;
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(task -> {
-        Thread writer = new Thread(task, "storage");
-        writer.setDaemon(true);
-        return writer;
+    private final ExecutorService storageThread = Executors.newSingleThreadExecutor(task -> {
+        Thread thread = new Thread(task, "storage");
+        thread.setDaemon(true);
+        return thread;
     });
     private Optional<XodusDatabase> database = Optional.empty();
-    private boolean damageSeen;
+    private boolean hasReadFailed;
 
     /**
-     * @param directory folder of the store alone; created if it does not exist
-     * @param completions runs the callbacks
+     * @param directory directory used only by this store; created if it does not exist
+     * @param completions executor that runs the callbacks
      */
     public XodusStore(Path directory, Executor completions) {
-        this.folder = new StoreDirectory(directory);
+        this.storeDirectory = new StoreDirectory(directory);
         this.completions = completions;
-        thread.execute(this::openEagerly);
+        storageThread.execute(this::openEagerly);
     }
 
-    /** Opens the files early: this takes a large part of a process's start, and needs nothing else of it. */
+    /** Opens the files early: this takes a large part of a process's start-up time and is independent of the rest. */
     private void openEagerly() {
         try {
             open();
         } catch (ExodusException | IOException e) {
-            LOGGER.atFine().withCause(e).log("store not opened eagerly, will be opened when it is read");
+            LOGGER.atFine().withCause(e).log("store could not be opened early; it is opened again when it is read");
             closeDatabase();
         }
     }
 
     @Override
     public void load(Consumer<LoadedState> onLoaded, Consumer<StorageException> onFailed) {
-        thread.execute(() -> {
+        storageThread.execute(() -> {
             try {
                 LoadedState loaded = load();
                 completions.execute(() -> onLoaded.accept(loaded));
@@ -77,7 +77,7 @@
 
     @Override
     public void persist(StableWrite write, Runnable onDone, Consumer<StorageException> onFailed) {
-        thread.execute(() -> {
+        storageThread.execute(() -> {
             try {
                 write(write);
                 completions.execute(onDone);
@@ -89,16 +89,16 @@
         });
     }
 
-    /** Ends the thread after the pending reads and writes; the files are closed. */
+    /** Closes the files and stops the thread, both after the pending reads and writes. */
     @Override
     public void close() {
-        thread.execute(this::closeDatabase);
-        thread.shutdown();
+        storageThread.execute(this::closeDatabase);
+        storageThread.shutdown();
     }
 
-    /** After {@link #close}, waits until the files are closed; returns whether they are. */
+    /** Waits after {@link #close} until the files are closed, at most this long; returns whether they are. */
     boolean awaitClosed(long milliseconds) throws InterruptedException {
-        return thread.awaitTermination(milliseconds, TimeUnit.MILLISECONDS);
+        return storageThread.awaitTermination(milliseconds, TimeUnit.MILLISECONDS);
     }
 
     private LoadedState load() throws StorageException {
@@ -112,14 +112,14 @@
 
     private LoadedState read() throws IOException {
         Optional<StoredState> stored = open().read();
-        damageSeen = false;
-        return new LoadedState(stored, folder.hasDamaged());
+        hasReadFailed = false;
+        return new LoadedState(stored, storeDirectory.hasDamaged());
     }
 
-    /** Terminates: each repair shortens the log. */
+    /** Returns whether the log was truncated. Repeated repairs terminate, because each one shortens the log. */
     private boolean repairTornWrite() {
         try {
-            boolean isRepaired = new TornWriteRepair(folder.live()).truncate();
+            boolean isRepaired = new TornWriteRepair(storeDirectory.live()).truncate();
             if (isRepaired) {
                 LOGGER.atWarning().log("torn write removed: power was lost during the last write");
             }
@@ -130,15 +130,15 @@
         }
     }
 
-    /** Only a disk that can be written and fails to be read twice in a row is quarantined. */
+    /** Quarantines the files only if the disk can be written and reading has failed twice in a row. */
     private LoadedState onUnreadable(Exception cause) throws StorageException {
-        folder.requireWritable("open");
-        if (!damageSeen) {
-            damageSeen = true;
+        storeDirectory.requireWritable("open");
+        if (!hasReadFailed) {
+            hasReadFailed = true;
             throw new StorageException(Kind.FAILED, "open", cause);
         }
         LOGGER.atSevere().withCause(cause).log("store unreadable: moved to folder damaged, this disk counts as empty");
-        folder.quarantine();
+        storeDirectory.quarantine();
         return new LoadedState(Optional.empty(), true);
     }
 
@@ -156,8 +156,8 @@
 
     private XodusDatabase open() throws IOException {
         if (database.isEmpty()) {
-            folder.prepare();
-            database = Optional.of(XodusDatabase.open(folder.live()));
+            storeDirectory.prepare();
+            database = Optional.of(XodusDatabase.open(storeDirectory.live()));
         }
         return database.get();
     }
--- a/router-fleet/storage/src/main/java/pinewick/storage/package-info.java
+++ b/router-fleet/storage/src/main/java/pinewick/storage/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The disk of a controller, on Xodus: {@link pinewick.storage.XodusStore} implements {@code StableStore} of replication
- * with a thread of its own, {@link pinewick.storage.XodusDatabase} is the layout and
- * {@link pinewick.storage.StoredFormat} the bytes, which releases must keep. {@link pinewick.storage.TornWriteRepair}
- * and {@link pinewick.storage.WriteChecksum} find what a power failure or a fault of the disk has spoilt.
+ * The durable store of a controller, on Xodus. {@link pinewick.storage.XodusStore} implements the replication module's
+ * {@code StableStore} with its own thread. {@link pinewick.storage.XodusDatabase} defines the layout, and
+ * {@link pinewick.storage.StoredFormat} the encoding, which must remain compatible between releases.
+ * {@link pinewick.storage.TornWriteRepair} and {@link pinewick.storage.WriteChecksum} detect data that was corrupted
+ * by a power failure or a disk fault.
  */
 package pinewick.storage;
--- a/router-fleet/storage/src/test/java/pinewick/storage/EarlierReleaseStoreTest.java
+++ b/router-fleet/storage/src/test/java/pinewick/storage/EarlierReleaseStoreTest.java
@@ -25,23 +25,23 @@
 import pinewick.replication.StoredHead;
 
 /**
- * A disk that an earlier release wrote (revision 85990c0: {@value #CHANGES} changes, with a snapshot among them) is
- * opened by this one, and the bytes of each record on disk are the same.
+ * This release opens a store that an earlier release wrote (revision 85990c0: {@value #CHANGES} changes, including a
+ * snapshot), and the encoding of each record on disk is unchanged.
  */
 class EarlierReleaseStoreTest {
     private static final int CHANGES = 260;
     private static final int ROUTES = 3;
 
-    /** Set to a folder's path, a store of this build is written there. */
-    private static final String RECORD_TO = System.getProperty("pinewick.record-store", "");
+    /** If set to the path of a directory, the test writes a store of this build there. */
+    private static final String RECORD_DIRECTORY = System.getProperty("pinewick.record-store", "");
 
     @TempDir
     Path directory;
 
     @Test
-    void aStoreOfTheEarlierReleaseIsOpenedAtTheSameVersionWithItsChanges() throws Exception {
-        if (!RECORD_TO.isEmpty()) {
-            writeStore(Path.of(RECORD_TO));
+    void opensAStoreOfAnEarlierReleaseWithItsVersionAndChanges() throws Exception {
+        if (!RECORD_DIRECTORY.isEmpty()) {
+            writeStore(Path.of(RECORD_DIRECTORY));
         }
         unpackStore();
         try (SingleController controller = new SingleController(directory)) {
@@ -49,47 +49,47 @@
             assertEquals(
                     CHANGES,
                     controller.accept(SampleChanges.update(CHANGES - 1, ROUTES)),
-                    "a resent change is answered as the first time");
+                    "a resent change gets the response of the first submission");
             assertInstanceOf(
                     ChangeOutcome.VersionConflict.class,
                     controller.submit(SampleChanges.replacement(CHANGES - 1, ROUTES)),
-                    "a stale change is refused");
+                    "a stale change is rejected");
             assertEquals(
                     CHANGES + 1, controller.accept(SampleChanges.update(CHANGES, ROUTES)), "a new change is accepted");
         }
     }
 
     @Test
-    void everyRecordOnDiskHasTheBytesOfTheEarlierRelease() throws IOException {
-        Member first = new Member("identity-a", new SocketAddress("10.0.0.1", 7_721));
-        Member second = new Member("identity-b", new SocketAddress("10.0.0.2", 7_722));
+    void encodesEveryRecordLikeTheEarlierRelease() throws IOException {
+        Member firstMember = new Member("identity-a", new SocketAddress("10.0.0.1", 7_721));
+        Member secondMember = new Member("identity-b", new SocketAddress("10.0.0.2", 7_722));
         EpochRecord record = new EpochRecord(
                 new EpochNumber(7, "identity-a"),
                 "identity-a",
                 List.of("identity-a", "identity-b"),
-                List.of(first, second),
-                List.of(first));
+                List.of(firstMember, secondMember),
+                List.of(firstMember));
         StoredHead head =
                 new StoredHead("identity-a", new EpochNumber(8, "identity-b"), record, new StateVersion(7, 42));
         StoredChange change = new StoredChange(new byte[] {1, 2, 3}, new ChangeKey(41, 42, "digest"));
         HexFormat hex = HexFormat.of();
-        List<String> written = List.of(
+        List<String> encodedRecords = List.of(
                 "head " + hex.formatHex(StoredFormat.writeHead(head)),
                 "change " + hex.formatHex(StoredFormat.writeChange(change)));
-        if (!RECORD_TO.isEmpty()) {
-            Files.write(Path.of(RECORD_TO).resolveSibling("disk-record-bytes.txt"), written);
+        if (!RECORD_DIRECTORY.isEmpty()) {
+            Files.write(Path.of(RECORD_DIRECTORY).resolveSibling("disk-record-bytes.txt"), encodedRecords);
         }
         try (InputStream in = EarlierReleaseStoreTest.class.getResourceAsStream("/disk-record-bytes.txt")) {
             assertEquals(
                     new String(in.readAllBytes(), StandardCharsets.UTF_8)
                             .lines()
                             .toList(),
-                    written);
+                    encodedRecords);
         }
     }
 
-    private static void writeStore(Path folder) throws Exception {
-        try (SingleController controller = new SingleController(folder)) {
+    private static void writeStore(Path storeDirectory) throws Exception {
+        try (SingleController controller = new SingleController(storeDirectory)) {
             controller.accept(SampleChanges.replacement(0, ROUTES));
             for (long version = 1; version < CHANGES; version++) {
                 controller.accept(SampleChanges.update(version, ROUTES));
--- a/router-fleet/storage/src/test/java/pinewick/storage/ManyChangesTest.java
+++ b/router-fleet/storage/src/test/java/pinewick/storage/ManyChangesTest.java
@@ -18,51 +18,53 @@
 import pinewick.replication.ChangeOutcome;
 import pinewick.replication.ConfigurationChange;
 
-/** Thousands of changes, as fast as the disk takes them: the most space ever taken, and the cost of each. */
+/** Thousands of changes at the maximum rate of the disk: checks the peak disk usage and the cost per change. */
 class ManyChangesTest {
     private static final long DISK_BYTES = 128L << 20;
     private static final int ROUTES = 2_000;
     private static final int DELTAS = 3_000;
-    private static final int WHOLE_DOCUMENTS = 300;
-    private static final int MIXED = 2_000;
-    private static final int WHOLE_EVERY = 10;
-    private static final int WINDOW = 200;
+    private static final int FULL_DOCUMENTS = 300;
+    private static final int MIXED_CHANGES = 2_000;
+    private static final int FULL_DOCUMENT_INTERVAL = 10;
+    private static final int MEDIAN_WINDOW = 200;
 
     @TempDir
     Path directory;
 
-    private long mostBytes;
+    private long maxBytes;
 
     @Test
-    void theCostOfAChangeDoesNotGrowWithTheNumberOfChanges() throws Exception {
+    void changeCostDoesNotGrowWithTheNumberOfChanges() throws Exception {
         double[] cpuMs = new double[DELTAS];
         double[] wallMs = new double[DELTAS];
         try (SingleController controller = new SingleController(directory)) {
             long version = controller.accept(SampleChanges.replacement(0, ROUTES));
-            for (int number = 0; number < DELTAS; number++) {
+            for (int index = 0; index < DELTAS; index++) {
                 ConfigurationChange change = SampleChanges.update(version, ROUTES);
                 long cpuNs = cpuNs();
                 long startNs = System.nanoTime();
                 version = controller.accept(change);
-                wallMs[number] = (System.nanoTime() - startNs) / 1e6;
-                cpuMs[number] = (cpuNs() - cpuNs) / 1e6;
-                noteSize();
+                wallMs[index] = (System.nanoTime() - startNs) / 1e6;
+                cpuMs[index] = (cpuNs() - cpuNs) / 1e6;
+                updateMaxBytes();
             }
         }
-        System.out.printf("storage: %d deltas of %d routes, at most %d KB on disk%n", DELTAS, ROUTES, mostBytes >> 10);
-        for (int upTo : new int[] {WINDOW, 1_000, DELTAS}) {
+        System.out.printf("storage: %d deltas of %d routes, at most %d KB on disk%n", DELTAS, ROUTES, maxBytes >> 10);
+        for (int changeCount : new int[] {MEDIAN_WINDOW, 1_000, DELTAS}) {
             System.out.printf(
-                    "  median of the %d changes before the %d.: %.3f ms of the control loop, %.3f ms in all%n",
-                    WINDOW, upTo, median(cpuMs, upTo), median(wallMs, upTo));
+                    "  median of the %d changes up to change %d: %.3f ms CPU of the control loop, %.3f ms in total%n",
+                    MEDIAN_WINDOW, changeCount, median(cpuMs, changeCount), median(wallMs, changeCount));
         }
-        assertTrue(mostBytes < DISK_BYTES / 4, "took " + mostBytes);
-        assertTrue(median(cpuMs, DELTAS) < 2 * median(cpuMs, 1_000), "the cost grows");
+        assertTrue(maxBytes < DISK_BYTES / 4, "disk usage in bytes: " + maxBytes);
+        assertTrue(
+                median(cpuMs, DELTAS) < 2 * median(cpuMs, 1_000),
+                "the cost of a change grows with the number of changes");
     }
 
-    private static double median(double[] values, int upTo) {
-        double[] window = Arrays.copyOfRange(values, upTo - WINDOW, upTo);
+    private static double median(double[] values, int changeCount) {
+        double[] window = Arrays.copyOfRange(values, changeCount - MEDIAN_WINDOW, changeCount);
         Arrays.sort(window);
-        return window[WINDOW / 2];
+        return window[MEDIAN_WINDOW / 2];
     }
 
     private static long cpuNs() {
@@ -74,50 +76,55 @@
         try (SingleController controller = new SingleController(directory)) {
             long version = 0;
             long startNs = System.nanoTime();
-            for (int number = 0; number < WHOLE_DOCUMENTS; number++) {
+            for (int index = 0; index < FULL_DOCUMENTS; index++) {
                 version = controller.accept(SampleChanges.replacement(version, ROUTES));
-                noteSize();
+                updateMaxBytes();
             }
             double seconds = (System.nanoTime() - startNs) / 1e9;
             System.out.printf(
-                    "storage: %d whole documents of %d routes in %.1f s, at most %d KB on disk%n",
-                    WHOLE_DOCUMENTS, ROUTES, seconds, mostBytes >> 10);
+                    "storage: %d full documents of %d routes in %.1f s, at most %d KB on disk%n",
+                    FULL_DOCUMENTS, ROUTES, seconds, maxBytes >> 10);
         }
-        assertTrue(mostBytes < DISK_BYTES / 4, "took " + mostBytes);
+        assertTrue(maxBytes < DISK_BYTES / 4, "disk usage in bytes: " + maxBytes);
     }
 
     @Test
-    void afterTwoThousandChangesANewProcessHasTheLastAndRecognisesTheFirst() throws Exception {
+    void restartAfterTwoThousandChangesRestoresTheLastAndRecognisesResentChanges() throws Exception {
         ConfigurationChange first = SampleChanges.replacement(0, ROUTES);
         ConfigurationDocument last;
         try (SingleController controller = new SingleController(directory)) {
             long version = controller.accept(first);
-            for (int number = 1; number < MIXED; number++) {
-                boolean whole = number % WHOLE_EVERY == 0;
+            for (int index = 1; index < MIXED_CHANGES; index++) {
+                boolean isFullDocument = index % FULL_DOCUMENT_INTERVAL == 0;
                 version = controller.accept(
-                        whole ? SampleChanges.replacement(version, ROUTES) : SampleChanges.update(version, ROUTES));
-                noteSize();
+                        isFullDocument
+                                ? SampleChanges.replacement(version, ROUTES)
+                                : SampleChanges.update(version, ROUTES));
+                updateMaxBytes();
             }
             last = controller.read().orElseThrow();
-            System.out.printf("storage: %d mixed changes, at most %d KB on disk%n", MIXED, mostBytes >> 10);
+            System.out.printf("storage: %d mixed changes, at most %d KB on disk%n", MIXED_CHANGES, maxBytes >> 10);
         }
-        assertTrue(mostBytes < DISK_BYTES / 4, "took " + mostBytes);
+        assertTrue(maxBytes < DISK_BYTES / 4, "disk usage in bytes: " + maxBytes);
         try (SingleController controller = new SingleController(directory)) {
             assertEquals(last, controller.read().orElseThrow());
-            assertEquals(1, controller.accept(first), "a resent change is answered as the first time");
-            ConfigurationChange other = SampleChanges.update(1, ROUTES);
-            assertInstanceOf(ChangeOutcome.Accepted.class, controller.submit(other), "accepted once, so again");
+            assertEquals(1, controller.accept(first), "a resent change gets the response of the first submission");
+            ConfigurationChange resent = SampleChanges.update(1, ROUTES);
+            assertInstanceOf(
+                    ChangeOutcome.Accepted.class,
+                    controller.submit(resent),
+                    "a change that was accepted is accepted again");
             ConfigurationChange stale = SampleChanges.replacement(1, ROUTES);
             assertInstanceOf(ChangeOutcome.VersionConflict.class, controller.submit(stale));
         }
     }
 
-    private void noteSize() throws IOException {
+    private void updateMaxBytes() throws IOException {
         try (Stream<Path> files = Files.walk(directory)) {
             long bytes = files.filter(Files::isRegularFile)
                     .mapToLong(ManyChangesTest::sizeOf)
                     .sum();
-            mostBytes = Math.max(mostBytes, bytes);
+            maxBytes = Math.max(maxBytes, bytes);
         }
     }
 
--- a/router-fleet/storage/src/test/java/pinewick/storage/PowerLossTest.java
+++ b/router-fleet/storage/src/test/java/pinewick/storage/PowerLossTest.java
@@ -37,8 +37,8 @@
 import pinewick.replication.StoredState;
 
 /**
- * Loss of power within a write that folds changes into a snapshot: what was written before is there afterwards, and the
- * write itself either as a whole or not at all, whatever part of its bytes reached the disk.
+ * Power failure during a write that compacts changes into a snapshot. Earlier writes survive, and the interrupted write
+ * is either complete or absent, regardless of which of its bytes reached the disk.
  */
 class PowerLossTest {
     private static final SocketAddress ADDRESS = SocketAddress.parse("10.0.0.1:7721");
@@ -47,18 +47,18 @@
     private static final int DOCUMENT_BYTES = 300_000;
     private static final int KEYS_BYTES = 144_000;
     private static final int CHANGE_BYTES = 600;
-    private static final int CHANGES_BETWEEN = 20;
-    private static final int FOLDINGS = 4;
-    private static final int CUTS = 24;
+    private static final int CHANGES_PER_COMPACTION = 20;
+    private static final int COMPACTIONS = 4;
+    private static final int CUT_POINTS = 24;
     private static final int SECTOR_BYTES = 512;
 
-    /** What the disk shows of a write that it was told to make durable, but had no time to. */
+    /** State of the files on disk after a write that was interrupted before it was durable. */
     private enum TornWrite {
-        /** Bytes up to some point are there; later files are missing. */
+        /** The files are truncated at some point; later files are missing. */
         TRUNCATED,
-        /** All files have their length, but from some point on they hold zeros. */
+        /** All files have their full length, but contain zeros from some point on. */
         ZEROS_AFTER,
-        /** Files have their length; the first part of the write holds zeros, the rest is there. */
+        /** All files have their full length; the first part of the write contains zeros, the rest is intact. */
         ZEROS_BEFORE
     }
 
@@ -79,53 +79,54 @@
         }
     }
 
-    /** The files of a store just before and just after one write, while the store is open. */
+    /** The files of an open store immediately before and after one write. */
     private record Write(Map<String, byte[]> before, Map<String, byte[]> after) {}
 
     @Test
     void earlierWritesSurviveAPowerLossAtEachPointOfACompaction() throws Exception {
-        boolean newFile = false;
-        for (int foldings = 1; foldings <= FOLDINGS; foldings++) {
-            Write write = fold(directory.resolve("store-" + foldings), foldings);
-            newFile |= write.after.size() > write.before.size();
-            StoredContent before = load(copy(write.before, "before-" + foldings));
-            StoredContent after = load(copy(write.after, "after-" + foldings));
+        boolean hasNewFile = false;
+        for (int compactions = 1; compactions <= COMPACTIONS; compactions++) {
+            Write write = compact(directory.resolve("store-" + compactions), compactions);
+            hasNewFile |= write.after.size() > write.before.size();
+            StoredContent before = load(copy(write.before, "before-" + compactions));
+            StoredContent after = load(copy(write.after, "after-" + compactions));
             assertNotEquals(before, after);
-            for (TornWrite loss : TornWrite.values()) {
-                for (int cut = 0; cut <= CUTS; cut++) {
-                    String name = loss + "-" + cut + "-of-" + CUTS + "-folding-" + foldings;
-                    StoredContent found = load(copy(remains(write, loss, (double) cut / CUTS), name));
-                    assertTrue(found.equals(before) || found.equals(after), name + " shows another state");
+            for (TornWrite tornWrite : TornWrite.values()) {
+                for (int cutPoint = 0; cutPoint <= CUT_POINTS; cutPoint++) {
+                    String name = tornWrite + "-" + cutPoint + "-of-" + CUT_POINTS + "-compaction-" + compactions;
+                    StoredContent found =
+                            load(copy(survivingFiles(write, tornWrite, (double) cutPoint / CUT_POINTS), name));
+                    assertTrue(found.equals(before) || found.equals(after), name + " shows a different state");
                 }
             }
         }
-        assertTrue(newFile, "no folding began a new file");
+        assertTrue(hasNewFile, "no compaction started a new log file");
     }
 
     @Test
-    void zerosBeforeTheLastWriteAreCorruption() throws Exception {
-        Write write = fold(directory.resolve("store"), 1);
-        Map<String, byte[]> spoilt = new TreeMap<>(write.before);
-        byte[] log = spoilt.values().iterator().next().clone();
+    void doesNotRepairZerosBeforeTheLastWrite() throws Exception {
+        Write write = compact(directory.resolve("store"), 1);
+        Map<String, byte[]> corrupt = new TreeMap<>(write.before);
+        byte[] log = corrupt.values().iterator().next().clone();
         int middle = log.length / 2;
         Arrays.fill(log, middle, middle + SECTOR_BYTES, (byte) 0);
-        spoilt.put(spoilt.keySet().iterator().next(), log);
-        assertFalse(new TornWriteRepair(copy(spoilt, "spoilt").resolve(LIVE)).truncate());
+        corrupt.put(corrupt.keySet().iterator().next(), log);
+        assertFalse(new TornWriteRepair(copy(corrupt, "corrupt").resolve(LIVE)).truncate());
         assertArrayEquals(
                 log,
-                filesIn(directory.resolve("spoilt"))
-                        .get(spoilt.keySet().iterator().next()));
+                filesIn(directory.resolve("corrupt"))
+                        .get(corrupt.keySet().iterator().next()));
     }
 
     @Test
-    void aStateWithAnotherChecksumIsNotReturned() throws Exception {
-        Write write = fold(directory.resolve("store"), 1);
-        Map<String, byte[]> spoilt = new TreeMap<>(write.before);
+    void rejectsAStateWithAWrongChecksum() throws Exception {
+        Write write = compact(directory.resolve("store"), 1);
+        Map<String, byte[]> corrupt = new TreeMap<>(write.before);
         String last = write.before.keySet().stream().max(String::compareTo).orElseThrow();
-        byte[] log = spoilt.get(last).clone();
+        byte[] log = corrupt.get(last).clone();
         log[indexOf(log, lastChange)] ^= 1;
-        spoilt.put(last, log);
-        try (XodusStore store = new XodusStore(copy(spoilt, "spoilt"), completions::add)) {
+        corrupt.put(last, log);
+        try (XodusStore store = new XodusStore(copy(corrupt, "corrupt"), completions::add)) {
             AtomicReference<Object> result = new AtomicReference<>();
             store.load(result::set, result::set);
             runNext();
@@ -133,39 +134,39 @@
         }
     }
 
-    private static int indexOf(byte[] log, byte[] part) {
-        for (int index = log.length - part.length; index >= 0; index--) {
-            if (Arrays.equals(log, index, index + part.length, part, 0, part.length)) {
+    private static int indexOf(byte[] log, byte[] searched) {
+        for (int index = log.length - searched.length; index >= 0; index--) {
+            if (Arrays.equals(log, index, index + searched.length, searched, 0, searched.length)) {
                 return index;
             }
         }
-        throw new AssertionError("the log does not hold it");
+        throw new AssertionError("the log does not contain the bytes");
     }
 
-    /** Writes snapshots with changes after each; what is returned is the last snapshot's write. */
-    private Write fold(Path folder, int foldings) throws Exception {
-        try (XodusStore store = new XodusStore(folder, completions::add)) {
+    /** Writes snapshots, each followed by changes; returns the write of the last snapshot. */
+    private Write compact(Path storeDirectory, int compactions) throws Exception {
+        try (XodusStore store = new XodusStore(storeDirectory, completions::add)) {
             store.load(loaded -> {}, failure -> {});
             runNext();
             persist(store, snapshot());
-            for (int folding = 0; folding < foldings; folding++) {
+            for (int compaction = 0; compaction < compactions; compaction++) {
                 persist(store, snapshot());
-                for (int change = 0; change < CHANGES_BETWEEN; change++) {
-                    lastChange = noise(CHANGE_BYTES);
+                for (int change = 0; change < CHANGES_PER_COMPACTION; change++) {
+                    lastChange = randomBytes(CHANGE_BYTES);
                     persist(store, new StableWrite.Appended(new StoredChange(lastChange, key())));
                 }
             }
-            Map<String, byte[]> before = filesIn(folder);
+            Map<String, byte[]> before = filesIn(storeDirectory);
             persist(store, snapshot());
-            return new Write(before, filesIn(folder));
+            return new Write(before, filesIn(storeDirectory));
         }
     }
 
     private StableWrite.Replaced snapshot() {
-        return new StableWrite.Replaced(new StoredSnapshot(noise(DOCUMENT_BYTES), noise(KEYS_BYTES)));
+        return new StableWrite.Replaced(new StoredSnapshot(randomBytes(DOCUMENT_BYTES), randomBytes(KEYS_BYTES)));
     }
 
-    private byte[] noise(int length) {
+    private byte[] randomBytes(int length) {
         byte[] bytes = new byte[length];
         new Random(sequence).nextBytes(bytes);
         return bytes;
@@ -184,57 +185,59 @@
         assertNull(failure.get());
     }
 
-    private StoredContent load(Path folder) throws InterruptedException {
-        try (XodusStore store = new XodusStore(folder, completions::add)) {
+    private StoredContent load(Path storeDirectory) throws InterruptedException {
+        try (XodusStore store = new XodusStore(storeDirectory, completions::add)) {
             AtomicReference<Object> result = new AtomicReference<>();
             store.load(result::set, result::set);
             runNext();
-            LoadedState loaded = assertInstanceOf(LoadedState.class, result.get(), folder::toString);
+            LoadedState loaded = assertInstanceOf(LoadedState.class, result.get(), storeDirectory::toString);
             assertFalse(loaded.damaged());
-            return StoredContent.of(loaded.stored().orElseThrow(() -> new AssertionError(folder + " shows nothing")));
+            return StoredContent.of(
+                    loaded.stored().orElseThrow(() -> new AssertionError(storeDirectory + " contains no state")));
         }
     }
 
     private void runNext() throws InterruptedException {
         Runnable completion = completions.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-        assertNotNull(completion, "the store did not answer");
+        assertNotNull(completion, "the store ran no callback in time");
         completion.run();
     }
 
-    /** What a loss of power leaves of a write of which a share had reached the disk. */
-    private static Map<String, byte[]> remains(Write write, TornWrite loss, double share) {
-        long written = write.after.entrySet().stream()
-                .mapToLong(file -> file.getValue().length - oldLength(write, file.getKey()))
+    /** The files after a power failure at which the given share of a write had reached the disk. */
+    private static Map<String, byte[]> survivingFiles(Write write, TornWrite tornWrite, double share) {
+        long writtenBytes = write.after.entrySet().stream()
+                .mapToLong(file -> file.getValue().length - previousLengthOf(write, file.getKey()))
                 .sum();
-        long cut = Math.round(written * share);
-        Map<String, byte[]> remains = new TreeMap<>();
-        long passed = 0;
+        long cutPoint = Math.round(writtenBytes * share);
+        Map<String, byte[]> survivingFiles = new TreeMap<>();
+        long precedingBytes = 0;
         for (Map.Entry<String, byte[]> file : write.after.entrySet()) {
-            int old = oldLength(write, file.getKey());
+            int previousLength = previousLengthOf(write, file.getKey());
             byte[] bytes = file.getValue().clone();
-            int whole = old + (int) Math.max(0, Math.min(bytes.length - old, cut - passed));
-            passed += bytes.length - old;
-            switch (loss) {
-                case TRUNCATED -> bytes = Arrays.copyOf(bytes, whole);
-                case ZEROS_AFTER -> Arrays.fill(bytes, whole, bytes.length, (byte) 0);
-                case ZEROS_BEFORE -> Arrays.fill(bytes, old, whole, (byte) 0);
+            int intactLength = previousLength
+                    + (int) Math.max(0, Math.min(bytes.length - previousLength, cutPoint - precedingBytes));
+            precedingBytes += bytes.length - previousLength;
+            switch (tornWrite) {
+                case TRUNCATED -> bytes = Arrays.copyOf(bytes, intactLength);
+                case ZEROS_AFTER -> Arrays.fill(bytes, intactLength, bytes.length, (byte) 0);
+                case ZEROS_BEFORE -> Arrays.fill(bytes, previousLength, intactLength, (byte) 0);
             }
-            boolean missing = loss == TornWrite.TRUNCATED && bytes.length == 0;
-            if (!missing) {
-                remains.put(file.getKey(), bytes);
+            boolean isMissing = tornWrite == TornWrite.TRUNCATED && bytes.length == 0;
+            if (!isMissing) {
+                survivingFiles.put(file.getKey(), bytes);
             }
         }
-        return remains;
+        return survivingFiles;
     }
 
-    private static int oldLength(Write write, String file) {
-        byte[] old = write.before.get(file);
-        return old == null ? 0 : old.length;
+    private static int previousLengthOf(Write write, String file) {
+        byte[] previous = write.before.get(file);
+        return previous == null ? 0 : previous.length;
     }
 
-    private static Map<String, byte[]> filesIn(Path folder) throws IOException {
+    private static Map<String, byte[]> filesIn(Path storeDirectory) throws IOException {
         Map<String, byte[]> files = new TreeMap<>();
-        try (Stream<Path> paths = Files.list(folder.resolve(LIVE))) {
+        try (Stream<Path> paths = Files.list(storeDirectory.resolve(LIVE))) {
             for (Path path : paths.toList()) {
                 files.put(path.getFileName().toString(), Files.readAllBytes(path));
             }
@@ -243,11 +246,11 @@
     }
 
     private Path copy(Map<String, byte[]> files, String name) throws IOException {
-        Path folder = directory.resolve(name);
-        Path live = Files.createDirectories(folder.resolve(LIVE));
+        Path storeDirectory = directory.resolve(name);
+        Path live = Files.createDirectories(storeDirectory.resolve(LIVE));
         for (Map.Entry<String, byte[]> file : files.entrySet()) {
             Files.write(live.resolve(file.getKey()), file.getValue());
         }
-        return folder;
+        return storeDirectory;
     }
 }
--- a/router-fleet/storage/src/test/java/pinewick/storage/SampleChanges.java
+++ b/router-fleet/storage/src/test/java/pinewick/storage/SampleChanges.java
@@ -4,17 +4,17 @@
 import java.util.SplittableRandom;
 import pinewick.replication.ConfigurationChange;
 
-/** Changes of a configuration like those that operators send. */
+/** Configuration changes similar to those of operators. */
 final class SampleChanges {
     private static final int FIRST_UPDATED_TIMEOUT_MS = 5_000;
     private static final int FIRST_REPLACED_TIMEOUT_MS = 1_000;
-    private static final int MOST_TIMEOUT_DIFFERENCE_MS = 1_000;
-    private static final int DISTANCE = 7;
-    private static final long MOST_WORDS = 1L << 40;
+    private static final int MAX_TIMEOUT_DIFFERENCE_MS = 1_000;
+    private static final int ROUTE_DISTANCE = 7;
+    private static final long DISTINCT_WORDS = 1L << 40;
 
     private SampleChanges() {}
 
-    /** A whole document in which every route differs from that of the version before. */
+    /** A full document in which every route differs from the previous version. */
     static ConfigurationChange replacement(long base, int routes) {
         long version = base + 1;
         StringBuilder body = new StringBuilder("{\"version\":" + version + ",\"routes\":[");
@@ -26,27 +26,28 @@
                 ConfigurationChange.Kind.REPLACE, base, body.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A change of two of the routes. */
+    /** An update of two routes. */
     static ConfigurationChange update(long base, int routes) {
         int first = (int) (base % routes);
-        int second = (first + DISTANCE) % routes;
+        int second = (first + ROUTE_DISTANCE) % routes;
         long timeoutMs = FIRST_UPDATED_TIMEOUT_MS + base;
         String body = "{\"version\":" + (base + 1) + ",\"upserts\":{\"routes\":[" + route(first, timeoutMs) + ","
                 + route(second, timeoutMs) + "]}}";
         return new ConfigurationChange(ConfigurationChange.Kind.UPDATE, base, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Names and paths hold as much chance as those of operators, so that compression gains no more on them. */
+    /** Names and paths have as much entropy as those of operators, so that they are not more compressible. */
     private static String route(int index, long timeoutMs) {
         SplittableRandom random = new SplittableRandom(index);
-        return "{\"name\":\"r-" + word(random) + "\",\"hostname\":\"" + word(random) + ".example\",\"path_prefix\":\"/"
-                + word(random) + "/\",\"route_kind\":\"streaming\",\"timeout_ms\":"
-                + (timeoutMs + random.nextInt(MOST_TIMEOUT_DIFFERENCE_MS))
+        return "{\"name\":\"r-" + randomWord(random) + "\",\"hostname\":\"" + randomWord(random)
+                + ".example\",\"path_prefix\":\"/"
+                + randomWord(random) + "/\",\"route_kind\":\"streaming\",\"timeout_ms\":"
+                + (timeoutMs + random.nextInt(MAX_TIMEOUT_DIFFERENCE_MS))
                 + ",\"target_latency_ms\":500,\"priority\":1,\"service\":\"s\",\"max_attempts\":1,"
                 + "\"session_affinity\":true,\"resumable\":false,\"gap_aim_ms\":150}";
     }
 
-    private static String word(SplittableRandom random) {
-        return Long.toString(random.nextLong(MOST_WORDS), Character.MAX_RADIX);
+    private static String randomWord(SplittableRandom random) {
+        return Long.toString(random.nextLong(DISTINCT_WORDS), Character.MAX_RADIX);
     }
 }
--- a/router-fleet/storage/src/test/java/pinewick/storage/SingleController.java
+++ b/router-fleet/storage/src/test/java/pinewick/storage/SingleController.java
@@ -20,18 +20,18 @@
 import pinewick.replication.ReplicationNode;
 import pinewick.replication.ReplicationSettings;
 
-/** A controller that is the only one and leads, on a real store; its control loop is the thread of the test. */
+/** A primary that is the only controller, with a real store. Its control loop runs on the test thread. */
 final class SingleController implements AutoCloseable {
     private static final SocketAddress ADDRESS = SocketAddress.parse("10.0.0.1:7721");
     private static final long WAIT_SECONDS = 30;
     private static final double TICK_MS = 1;
-    private static final double LONGEST_START_MS = 20_000;
+    private static final double MAX_START_MS = 20_000;
 
     private final BlockingQueue<Runnable> completions = new LinkedBlockingQueue<>();
     private final XodusStore store;
     private final ReplicationNode node;
 
-    /** Starts on what the folder holds; returns once it leads. */
+    /** Starts with the stored state of the directory; returns once this controller is the primary. */
     SingleController(Path directory) throws InterruptedException {
         store = new XodusStore(directory, completions::add);
         ReplicationSettings settings =
@@ -41,10 +41,10 @@
             public void onCommitted(ConfigurationDocument document) {}
         });
         node.start(0);
-        awaitLeadership();
+        awaitPrimaryRole();
     }
 
-    private void awaitLeadership() throws InterruptedException {
+    private void awaitPrimaryRole() throws InterruptedException {
         double nowMs = 0;
         while (read().isEmpty()) {
             nowMs += TICK_MS;
@@ -53,11 +53,11 @@
             if (completion != null) {
                 completion.run();
             }
-            assertTrue(nowMs < LONGEST_START_MS, "does not lead");
+            assertTrue(nowMs < MAX_START_MS, "the controller did not become primary in time");
         }
     }
 
-    /** The configuration in force; empty while this controller does not lead. */
+    /** The current configuration; empty while this controller is not the primary. */
     Optional<ConfigurationDocument> read() {
         AtomicReference<ReadOutcome> outcome = new AtomicReference<>();
         node.read(outcome::set);
@@ -66,19 +66,19 @@
                 : Optional.empty();
     }
 
-    /** Submits a change and waits for its end. */
+    /** Submits a change and waits for its outcome. */
     ChangeOutcome submit(ConfigurationChange change) throws InterruptedException {
         AtomicReference<ChangeOutcome> outcome = new AtomicReference<>();
         node.submit(change, outcome::set);
         while (outcome.get() == null) {
             Runnable completion = completions.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-            assertTrue(completion != null, "the store did not answer");
+            assertTrue(completion != null, "the store ran no callback in time");
             completion.run();
         }
         return outcome.get();
     }
 
-    /** Submits a change that is to be accepted; returns the version it led to. */
+    /** Submits a change that must be accepted; returns the resulting version. */
     long accept(ConfigurationChange change) throws InterruptedException {
         return assertInstanceOf(ChangeOutcome.Accepted.class, submit(change)).version();
     }
@@ -86,6 +86,6 @@
     @Override
     public void close() throws InterruptedException {
         store.close();
-        assertTrue(store.awaitClosed(TimeUnit.SECONDS.toMillis(WAIT_SECONDS)), "the store does not close");
+        assertTrue(store.awaitClosed(TimeUnit.SECONDS.toMillis(WAIT_SECONDS)), "the store did not close in time");
     }
 }
--- a/router-fleet/storage/src/test/java/pinewick/storage/XodusStoreTest.java
+++ b/router-fleet/storage/src/test/java/pinewick/storage/XodusStoreTest.java
@@ -49,7 +49,7 @@
 
     private void runNext() throws InterruptedException {
         Runnable completion = completions.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-        assertTrue(completion != null, "the store did not answer");
+        assertTrue(completion != null, "the store ran no callback in time");
         completion.run();
     }
 
@@ -64,7 +64,7 @@
         return result.get();
     }
 
-    private StoredState loaded(XodusStore store) throws InterruptedException {
+    private StoredState loadStored(XodusStore store) throws InterruptedException {
         return assertInstanceOf(LoadedState.class, load(store)).stored().orElseThrow();
     }
 
@@ -93,14 +93,14 @@
     }
 
     @Test
-    void anEmptyDiskHoldsNothing() throws InterruptedException {
+    void loadsNoStateFromAnEmptyDisk() throws InterruptedException {
         try (XodusStore store = newStore()) {
             assertEquals(LoadedState.EMPTY, load(store));
         }
     }
 
     @Test
-    void whatWasWrittenIsReadBackByTheNextProcess() throws InterruptedException {
+    void restoresTheWrittenStateAfterARestart() throws InterruptedException {
         try (XodusStore store = newStore()) {
             load(store);
             persist(store, snapshot(300_000));
@@ -109,7 +109,7 @@
             persist(store, new StableWrite(head(3), new StableWrite.Unchanged()));
         }
         try (XodusStore store = newStore()) {
-            StoredState stored = loaded(store);
+            StoredState stored = loadStored(store);
             assertEquals(head(3), stored.head());
             assertEquals(300_000, stored.snapshot().document().length);
             assertEquals(150_000, stored.snapshot().changes().length);
@@ -117,7 +117,7 @@
             assertArrayEquals(
                     change(2, 100_000).delta(), stored.changes().get(1).delta());
             persist(store, new StableWrite(head(4), new StableWrite.Appended(change(3, 10))));
-            assertEquals(3, loaded(store).changes().size());
+            assertEquals(3, loadStored(store).changes().size());
         }
     }
 
@@ -126,57 +126,57 @@
     }
 
     @Test
-    void aSnapshotDropsTheChangesBeforeIt() throws InterruptedException {
+    void snapshotReplacesEarlierChanges() throws InterruptedException {
         try (XodusStore store = newStore()) {
             load(store);
             persist(store, snapshot(1_000));
             persist(store, new StableWrite(head(1), new StableWrite.Appended(change(1, 500))));
             persist(store, snapshot(200_000));
             persist(store, new StableWrite(head(2), new StableWrite.Appended(change(9, 500))));
-            StoredState stored = loaded(store);
+            StoredState stored = loadStored(store);
             assertEquals(List.of(change(9, 0).key()), keys(stored));
             assertEquals(200_000, stored.snapshot().document().length);
         }
     }
 
     @Test
-    void unreadableFilesAreMovedAndTheDiskCountsAsDamaged() throws Exception {
+    void quarantinesUnreadableFilesAndReportsTheDiskAsDamaged() throws Exception {
         try (XodusStore store = newStore()) {
             load(store);
             persist(store, snapshot(100_000));
         }
-        spoil(directory.resolve("store").resolve("live"));
+        overwriteWithRandomBytes(directory.resolve("store").resolve("live"));
         try (XodusStore store = newStore()) {
-            assertInstanceOf(StorageException.class, load(store), "the first time it may be a trouble that passes");
+            assertInstanceOf(StorageException.class, load(store), "the first failure may be transient");
             assertEquals(new LoadedState(Optional.empty(), true), load(store));
             persist(store, snapshot(1_000));
         }
         try (XodusStore store = newStore()) {
             assertTrue(assertInstanceOf(LoadedState.class, load(store)).damaged());
-            assertEquals(head(0), loaded(store).head());
+            assertEquals(head(0), loadStored(store).head());
         }
     }
 
-    private static void spoil(Path folder) throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
+    private static void overwriteWithRandomBytes(Path liveDirectory) throws IOException {
+        try (Stream<Path> files = Files.list(liveDirectory)) {
             for (Path file :
                     files.filter(path -> path.toString().endsWith(".xd")).toList()) {
-                byte[] noise = new byte[(int) Files.size(file)];
-                new Random(3).nextBytes(noise);
-                Files.write(file, noise);
+                byte[] randomBytes = new byte[(int) Files.size(file)];
+                new Random(3).nextBytes(randomBytes);
+                Files.write(file, randomBytes);
             }
         }
     }
 
     @Test
-    void aFoundingMemberWithDamagedFilesDoesNotCountAsOne() throws Exception {
+    void doesNotTreatAMemberWithDamagedFilesAsAFoundingMember() throws Exception {
         new SingleController(directory.resolve("store")).close();
-        spoil(directory.resolve("store").resolve("live"));
+        overwriteWithRandomBytes(directory.resolve("store").resolve("live"));
         try (XodusStore store = newStore()) {
             load(store);
             load(store);
             persist(store, snapshot(10));
-            assertNotEquals("", loaded(store).head().identity());
+            assertNotEquals("", loadStored(store).head().identity());
         }
         try (XodusStore store = newStore()) {
             assertTrue(assertInstanceOf(LoadedState.class, load(store)).damaged());
@@ -184,30 +184,32 @@
     }
 
     @Test
-    void aThousandChangesOfALargeConfigurationTakeLittleOfTheDisk() throws Exception {
+    void limitsTheDiskUsageOfAThousandChangesOfALargeConfiguration() throws Exception {
         ConfigurationDocument last;
         try (SingleController controller = new SingleController(directory.resolve("store"))) {
             long version = controller.accept(SampleChanges.replacement(0, ROUTES));
-            long firstBytes = size();
-            long begin = System.nanoTime();
+            long firstBytes = diskUsage();
+            long startNs = System.nanoTime();
             for (int number = 0; number < CHANGES; number++) {
-                boolean whole = number % 10 == 9;
+                boolean isFullDocument = number % 10 == 9;
                 version = controller.accept(
-                        whole ? SampleChanges.replacement(version, ROUTES) : SampleChanges.update(version, ROUTES));
+                        isFullDocument
+                                ? SampleChanges.replacement(version, ROUTES)
+                                : SampleChanges.update(version, ROUTES));
             }
-            double milliseconds = (System.nanoTime() - begin) / 1e6 / CHANGES;
+            double msPerChange = (System.nanoTime() - startNs) / 1e6 / CHANGES;
             last = controller.read().orElseThrow();
             System.out.printf(
                     "storage: %d KB after the first change, %d KB after %d more, %.2f ms each%n",
-                    firstBytes / 1024, size() / 1024, CHANGES, milliseconds);
+                    firstBytes / 1024, diskUsage() / 1024, CHANGES, msPerChange);
         }
-        assertTrue(size() < DISK_BYTES / 4, "takes " + size());
+        assertTrue(diskUsage() < DISK_BYTES / 4, "disk usage in bytes: " + diskUsage());
         try (SingleController controller = new SingleController(directory.resolve("store"))) {
             assertEquals(last, controller.read().orElseThrow());
         }
     }
 
-    private long size() throws IOException {
+    private long diskUsage() throws IOException {
         try (Stream<Path> files = Files.walk(directory)) {
             return files.filter(Files::isRegularFile)
                     .mapToLong(XodusStoreTest::sizeOf)
@@ -226,7 +228,7 @@
     }
 
     @Test
-    void aFullDiskIsDistinguishedFromAFailingOne() {
+    void distinguishesAFullDiskFromAFailingOne() {
         assertEquals(
                 StorageException.Kind.FULL,
                 DiskErrorClassifier.kindOf(new RuntimeException(new IOException("No space left on device"))));
