--- a/router-fleet/system/src/test/java/pinewick/system/FleetQuotaTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/FleetQuotaTest.java
@@ -73,14 +73,14 @@
     private record PlannedRequest(String id, long atMicros, int router, int tokens, String tokenCount) {}
 
     /** What became of it; the moment it was sent by {@link System#nanoTime}. */
-    private record Answered(PlannedRequest request, long sentNanos, HttpResponse<Void> response) {
+    private record CompletedRequest(PlannedRequest request, long sentNanos, HttpResponse<Void> response) {
         int status() {
             return response.statusCode();
         }
     }
 
     /** One run of a request by the replica. */
-    private record CountedRun(long sentNanos, long ranNanos, int tokens) {}
+    private record ExecutedRequest(long sentNanos, long ranNanos, int tokens) {}
 
     @BeforeEach
     void start() throws Exception {
@@ -120,7 +120,7 @@
 
     @Test
     void allRoutersTogetherServeATenantUpToItsLimitAndNoFurther() throws Exception {
-        List<Answered> answers = send(plannedRequests());
+        List<CompletedRequest> answers = send(plannedRequests());
 
         double most = mostTokensInAWindow(countedRuns(answers));
         assertTrue(
@@ -136,8 +136,8 @@
         assertTrue(served >= owed, "%d tokens were served, owed are %.0f (seed %d)".formatted(served, owed, SEED));
     }
 
-    private static void assertOthersAreToldToWait(List<Answered> answers) {
-        for (Answered answer : answers) {
+    private static void assertOthersAreToldToWait(List<CompletedRequest> answers) {
+        for (CompletedRequest answer : answers) {
             if (answer.status() != OK) {
                 assertEquals(TOO_MANY_REQUESTS, answer.status());
                 String retryAfter =
@@ -165,15 +165,15 @@
         return planned;
     }
 
-    private List<Answered> send(List<PlannedRequest> planned) throws Exception {
-        List<CompletableFuture<Answered>> answers =
+    private List<CompletedRequest> send(List<PlannedRequest> planned) throws Exception {
+        List<CompletableFuture<CompletedRequest>> answers =
                 planned.stream().map(this::send).toList();
         CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
                 .get(LOAD_S + ANSWER_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         return answers.stream().map(CompletableFuture::join).toList();
     }
 
-    private CompletableFuture<Answered> send(PlannedRequest planned) {
+    private CompletableFuture<CompletedRequest> send(PlannedRequest planned) {
         HttpRequest.Builder builder = call(planned.router(), planned.id(), LIMITED_KEY);
         if (!planned.tokenCount().isEmpty()) {
             builder.header("X-Pinewick-Token-Count", planned.tokenCount());
@@ -182,7 +182,7 @@
         Executor whenDue = CompletableFuture.delayedExecutor(planned.atMicros(), TimeUnit.MICROSECONDS, threads);
         return CompletableFuture.supplyAsync(System::nanoTime, whenDue)
                 .thenCompose(sentNanos -> clients.sendAsync(request, HttpResponse.BodyHandlers.discarding())
-                        .thenApply(response -> new Answered(planned, sentNanos, response)));
+                        .thenApply(response -> new CompletedRequest(planned, sentNanos, response)));
     }
 
     private HttpRequest.Builder call(int router, String id, String key) {
@@ -201,8 +201,8 @@
     }
 
     /** The runs of the tenant with a limit; a request that was run twice is there twice. */
-    private List<CountedRun> countedRuns(List<Answered> answers) {
-        Map<String, Answered> sent = new HashMap<>();
+    private List<ExecutedRequest> countedRuns(List<CompletedRequest> answers) {
+        Map<String, CompletedRequest> sent = new HashMap<>();
         answers.forEach(answer -> sent.put(answer.request().id(), answer));
         return replica.runs().stream()
                 .filter(run -> sent.containsKey(run.requestId()))
@@ -210,19 +210,19 @@
                 .toList();
     }
 
-    private static CountedRun counted(Answered answer, CountingReplica.Run run) {
-        return new CountedRun(
+    private static ExecutedRequest counted(CompletedRequest answer, CountingReplica.Run run) {
+        return new ExecutedRequest(
                 answer.sentNanos(), run.atNanos(), answer.request().tokens());
     }
 
     /** The most tokens of requests that were both sent and run within one window, which begins with some request. */
-    private static double mostTokensInAWindow(List<CountedRun> runs) {
+    private static double mostTokensInAWindow(List<ExecutedRequest> runs) {
         long windowNanos = TimeUnit.SECONDS.toNanos(QUOTA_WINDOW_S);
         return runs.stream()
                 .mapToLong(first -> runs.stream()
                         .filter(run -> run.sentNanos() >= first.sentNanos()
                                 && run.ranNanos() <= first.sentNanos() + windowNanos)
-                        .mapToLong(CountedRun::tokens)
+                        .mapToLong(ExecutedRequest::tokens)
                         .sum())
                 .max()
                 .orElse(0);
--- a/router-fleet/system/src/test/java/pinewick/system/LogLineTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/LogLineFormatterTest.java
@@ -8,7 +8,7 @@
 import java.util.logging.LogRecord;
 import org.junit.jupiter.api.Test;
 
-class LogLineTest {
+class LogLineFormatterTest {
     private static LogRecord record(Level level, String message) {
         LogRecord record = new LogRecord(level, message);
         record.setLoggerName("pinewick.control.ApiServer");
--- a/router-fleet/system/src/test/java/pinewick/system/ProgramRunnerTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/ProgramRunnerTest.java
@@ -22,10 +22,10 @@
     private final BlockingQueue<ProcessEvent> events = new LinkedBlockingQueue<>();
 
     /** Notes what it is asked, and fails at one step. */
-    private final class NotingProgram implements Program {
+    private final class RecordingProgram implements Program {
         private final String failingStep;
 
-        NotingProgram(String failingStep) {
+        RecordingProgram(String failingStep) {
             this.failingStep = failingStep;
         }
 
@@ -54,7 +54,8 @@
 
     private int run(String settings, String failingStep) throws IOException {
         Path file = Files.writeString(folder.resolve("node.toml"), settings);
-        return new ProgramRunner(file, "frontend", (NodeSettings read) -> new NotingProgram(failingStep), events).run();
+        return new ProgramRunner(file, "frontend", (NodeSettings read) -> new RecordingProgram(failingStep), events)
+                .run();
     }
 
     @Test
@@ -72,7 +73,7 @@
         events.add(ProcessEvent.STOP);
         Program.Factory factory = settings -> {
             rewrite(file, SampleSettings.ROUTER.replaceFirst("seed_nodes = .*", "seed_nodes = [\"10.9.9.9:8166\"]"));
-            return new NotingProgram("");
+            return new RecordingProgram("");
         };
 
         assertEquals(0, new ProgramRunner(file, "frontend", factory, events).run());
--- a/router-fleet/system/src/test/java/pinewick/system/RehearsalStageTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/TrainingEnvironmentTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import pinewick.model.NodeSettings;
 
-class RehearsalStageTest {
+class TrainingEnvironmentTest {
     @TempDir
     private Path folder;
 
--- a/router-fleet/transport/src/main/java/pinewick/transport/MessageCodec.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/MessageCodec.java
@@ -67,10 +67,10 @@
         Kryo kryo = new ListAwareKryo();
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
-        kryo.register(String.class, new Serializers.OfText());
-        kryo.register(ArrayList.class, new Serializers.OfList(), LIST_ID);
-        kryo.register(byte[].class, new Serializers.OfBytes(), BYTES_ID);
-        kryo.register(SocketAddress.class, new Serializers.OfSocketAddress(), ADDRESS_ID);
+        kryo.register(String.class, new Serializers.StringSerializer());
+        kryo.register(ArrayList.class, new Serializers.ListSerializer(), LIST_ID);
+        kryo.register(byte[].class, new Serializers.ByteArraySerializer(), BYTES_ID);
+        kryo.register(SocketAddress.class, new Serializers.SocketAddressSerializer(), ADDRESS_ID);
         int id = FIRST_TYPE_ID;
         for (Class<?> type : types) {
             register(kryo, type, id++);
--- a/router-fleet/transport/src/main/java/pinewick/transport/Serializers.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/Serializers.java
@@ -28,8 +28,8 @@
     }
 
     /** Any list, read back as one that cannot be modified. */
-    static final class OfList extends Serializer<List<?>> {
-        OfList() {
+    static final class ListSerializer extends Serializer<List<?>> {
+        ListSerializer() {
             super(true, true);
         }
 
@@ -61,8 +61,8 @@
     }
 
     /** Text as UTF-8 with its length in front. */
-    static final class OfText extends Serializer<String> {
-        OfText() {
+    static final class StringSerializer extends Serializer<String> {
+        StringSerializer() {
             super(true, true);
         }
 
@@ -89,8 +89,8 @@
     }
 
     /** Bytes with their length in front. */
-    static final class OfBytes extends Serializer<byte[]> {
-        OfBytes() {
+    static final class ByteArraySerializer extends Serializer<byte[]> {
+        ByteArraySerializer() {
             super(true, true);
         }
 
@@ -112,14 +112,14 @@
     }
 
     /** An address in 7 bytes where its host is an IPv4 number, else as text. */
-    static final class OfSocketAddress extends Serializer<SocketAddress> {
+    static final class SocketAddressSerializer extends Serializer<SocketAddress> {
         private static final int NULL = 0;
         private static final int IPV4 = 1;
         private static final int TEXT = 2;
         private static final int IPV4_BYTES = 4;
         private static final int MAX_BYTE = 255;
 
-        OfSocketAddress() {
+        SocketAddressSerializer() {
             super(true, true);
         }
 
--- a/router-fleet/transport/src/test/java/pinewick/transport/MessageCodecTest.java
+++ b/router-fleet/transport/src/test/java/pinewick/transport/MessageCodecTest.java
@@ -133,9 +133,9 @@
 
     @Test
     void anUnregisteredTypeIsRejectedAndTheCodecStaysUsable() throws MalformedFrameException {
-        record Stranger(int number) implements Message {}
+        record UnregisteredMessage(int number) implements Message {}
 
-        assertThrows(IllegalArgumentException.class, () -> codec.encode(PORT, new Stranger(1)));
+        assertThrows(IllegalArgumentException.class, () -> codec.encode(PORT, new UnregisteredMessage(1)));
         assertSame(sample(), throughTheCodec(sample()));
     }
 
