--- a/router-fleet/transport/src/main/java/pinewick/transport/ChannelHandler.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/ChannelHandler.java
@@ -1,8 +1,8 @@
 package pinewick.transport;
 
-/** Handles the events of one channel, on the selector's thread. */
+/** Handles the events of one channel. Called on the selector thread only. */
 interface ChannelHandler {
-    /** The channel is ready for an operation for which it was registered. */
+    /** Called when the channel is ready for an operation for which it is registered. */
     void onReady(double nowMs);
 
     /** Closes the channel. */
--- a/router-fleet/transport/src/main/java/pinewick/transport/ControlLoop.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/ControlLoop.java
@@ -7,8 +7,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one thread that owns membership, dissemination and replication of a process. A task that throws is logged; the
- * loop and the task's later runs continue.
+ * The single thread that owns the membership, dissemination and replication state of a process. An exception thrown by
+ * a task is logged; the loop and later runs of the task continue.
  */
 public final class ControlLoop implements AutoCloseable {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -24,23 +24,23 @@
         executor.setRemoveOnCancelPolicy(true);
     }
 
-    /** Steady time, milliseconds. */
+    /** Monotonic time in milliseconds. */
     public double nowMs() {
         return System.nanoTime() / NANOS_PER_MILLISECOND;
     }
 
-    /** Runs a task on the loop, soon. */
+    /** Runs a task on the loop as soon as the loop is free. */
     public void execute(Runnable task) {
         executor.execute(() -> run(task));
     }
 
-    /** Runs a task on the loop after a delay. */
+    /** Runs a task once on the loop, after a delay. */
     public void schedule(Runnable task, long delayMs) {
         executor.schedule(() -> run(task), delayMs, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Runs a task on the loop at a time that may be changed.
+     * Creates a timer that runs a task on the loop at a time that can be changed.
      *
      * @see ReschedulableTimer
      */
@@ -48,7 +48,7 @@
         return new ReschedulableTimer(this, task);
     }
 
-    /** Runs a task once on the loop, at a time as {@link #nowMs} counts; may be cancelled. */
+    /** Runs a task once on the loop, at a time on the clock of {@link #nowMs}; the returned future cancels it. */
     Future<?> runAt(Runnable task, double atMs) {
         long delayNs = (long) (Math.max(0, atMs - nowMs()) * NANOS_PER_MILLISECOND);
         return executor.schedule(() -> run(task), delayNs, TimeUnit.NANOSECONDS);
@@ -59,7 +59,10 @@
         executor.scheduleWithFixedDelay(() -> run(task), periodMs, periodMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs a task on the loop periodically; the delay is asked for, on the loop, before each run. */
+    /**
+     * Runs a task on the loop periodically. The delay is read from {@code intervalMs} before each run: on the calling
+     * thread before the first run, on the loop before the others.
+     */
     public void repeatAtVariableInterval(Runnable task, LongSupplier intervalMs) {
         if (isClosed()) {
             return;
@@ -80,7 +83,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            // Boundary of the loop: the executor would drop a periodic task that throws.
+            // Boundary of the loop: the executor cancels a periodic task that throws.
             LOGGER.atSevere().withCause(e).log("task of the control loop failed");
         }
     }
--- a/router-fleet/transport/src/main/java/pinewick/transport/DaemonThreadFactory.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/DaemonThreadFactory.java
@@ -5,20 +5,20 @@
 
 /**
  * Creates named daemon threads for a pool. Jetty's own factory creates threads through method handles, whose linking
- * takes time at each start of a process.
+ * slows down every start of a process.
  */
 public final class DaemonThreadFactory implements ThreadFactory {
-    private final String name;
-    private final AtomicInteger created = new AtomicInteger();
+    private final String poolName;
+    private final AtomicInteger createdThreads = new AtomicInteger();
 
-    /** @param name of the pool; its threads are named after it, with a number */
-    public DaemonThreadFactory(String name) {
-        this.name = name;
+    /** @param poolName the name of the pool; its threads have this name with a number appended */
+    public DaemonThreadFactory(String poolName) {
+        this.poolName = poolName;
     }
 
     @Override
     public Thread newThread(Runnable task) {
-        Thread thread = new Thread(task, name + "-" + created.incrementAndGet());
+        Thread thread = new Thread(task, poolName + "-" + createdThreads.incrementAndGet());
         thread.setDaemon(true);
         return thread;
     }
--- a/router-fleet/transport/src/main/java/pinewick/transport/FrameReceiver.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/FrameReceiver.java
@@ -2,9 +2,9 @@
 
 import java.net.InetSocketAddress;
 
-/** Receives frames. */
+/** Receives the frames that arrive over connections. */
 @FunctionalInterface
 interface FrameReceiver {
-    /** One complete frame from a peer; the bytes may be reused after the call. */
+    /** Handles one complete frame from a peer. The array may be reused after the call. */
     void receive(InetSocketAddress remote, byte[] bytes, int offset, int length);
 }
--- a/router-fleet/transport/src/main/java/pinewick/transport/IncomingConnection.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/IncomingConnection.java
@@ -6,17 +6,17 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A connection that a peer opened: frames are read from it. A byte is written back as an acknowledgement when frames
- * have been read, so that the peer can tell a process that reads from one that is frozen or dead, whose machine may
- * still accept bytes. Selector's thread only.
+ * A connection opened by a peer, from which frames are read. Once frames have been read, one byte is written back as an
+ * acknowledgement. It lets the peer distinguish a process that reads from one that is frozen or dead, whose machine may
+ * still accept bytes. Selector thread only.
  */
 final class IncomingConnection implements ChannelHandler {
-    /** A peer closes an idle connection after a shorter time; one that did not is dead. */
+    /** Longer than the idle time-out of the peer: a peer that has not closed the connection by then is dead. */
     static final double IDLE_TIMEOUT_MS = 30_000;
 
     private static final byte[] ACKNOWLEDGEMENT = {1};
     private static final int INITIAL_BUFFER_BYTES = 4_096;
-    /** While a long frame arrives, it is acknowledged at this interval. */
+    /** Interval of the acknowledgements while a long frame is arriving. */
     private static final double ACKNOWLEDGEMENT_INTERVAL_MS = 250;
 
     private final SocketChannel channel;
@@ -44,8 +44,8 @@
         lastReadMs = nowMs;
         try {
             long framesBefore = framesRead;
-            int count = channel.read(buffer);
-            if (count < 0 || !readFrames()) {
+            int bytesRead = channel.read(buffer);
+            if (bytesRead < 0 || !readFrames()) {
                 close();
             } else if (framesRead > framesBefore || nowMs - acknowledgedAtMs >= ACKNOWLEDGEMENT_INTERVAL_MS) {
                 acknowledgedAtMs = nowMs;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Passes on every complete frame; returns whether the bytes are valid. */
+    /** Passes every complete frame to the receiver; returns whether the bytes are valid. */
     private boolean readFrames() {
         buffer.flip();
         while (buffer.remaining() >= Integer.BYTES) {
@@ -80,22 +80,22 @@
     }
 
     /**
-     * Moves the remaining bytes to the front of a buffer that can grow to {@code requiredBytes}, by doubling as they
+     * Moves the remaining bytes to the front of a buffer that grows towards {@code requiredBytes} by doubling as bytes
      * arrive.
      */
     private void ensureCapacity(int requiredBytes) {
-        int left = buffer.remaining();
+        int remainingBytes = buffer.remaining();
         int capacity = INITIAL_BUFFER_BYTES;
-        while (capacity < requiredBytes && capacity <= left) {
+        while (capacity < requiredBytes && capacity <= remainingBytes) {
             capacity *= 2;
         }
-        if (capacity == buffer.capacity() || (capacity < buffer.capacity() && left > 0)) {
+        if (capacity == buffer.capacity() || (capacity < buffer.capacity() && remainingBytes > 0)) {
             buffer.compact();
             return;
         }
-        ByteBuffer next = ByteBuffer.allocate(capacity);
-        next.put(buffer);
-        buffer = next;
+        ByteBuffer resized = ByteBuffer.allocate(capacity);
+        resized.put(buffer);
+        buffer = resized;
     }
 
     boolean isOpen() {
--- a/router-fleet/transport/src/main/java/pinewick/transport/MalformedFrameException.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/MalformedFrameException.java
@@ -1,8 +1,8 @@
 package pinewick.transport;
 
 /**
- * Bytes that are no frame of this protocol version, or that carry no known message. The frame is ignored and counted;
- * many of them mean that processes of incompatible releases run together.
+ * Thrown for bytes that are not a frame of this protocol version or do not contain a registered message. The frame is
+ * ignored and counted; a high count means that processes of incompatible releases run together.
  */
 public final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/router-fleet/transport/src/main/java/pinewick/transport/MessageCodec.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/MessageCodec.java
@@ -12,25 +12,25 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Turns messages into frames and back. A frame is a byte with the protocol version, two bytes with the sender's
- * listening port, and the message as Kryo writes it. Only registered types are written and read; a type's id is its
- * position in the list, so that all processes must use the same list. Thread-safe.
+ * Encodes messages as frames and decodes frames. A frame consists of one byte with the protocol version, two bytes with
+ * the sender's listening port, and the message as written by Kryo. Only registered types are written and read. The id
+ * of a type is its position in the list, so all processes must use the same list. Thread-safe.
  */
 public final class MessageCodec {
-    /** Version of the protocol; a frame with another one is not read. */
+    /** Version of the protocol; a frame with a different version is rejected. */
     public static final byte PROTOCOL_VERSION = 2;
 
-    /** Bytes in front of the message. */
+    /** Bytes that precede the message in a frame. */
     static final int HEADER_BYTES = 3;
 
-    /** Longest frame, bytes. */
+    /** Maximum length of a frame in bytes. */
     static final int MAX_FRAME_BYTES = 8 << 20;
 
     private static final int LIST_ID = 10;
     private static final int BYTES_ID = 11;
     private static final int ADDRESS_ID = 12;
     private static final int FIRST_TYPE_ID = 16;
-    /** Id of the first later type; up to here the types of a program have room. */
+    /** Id of the first later type; the ids below it are reserved for the types of a program. */
     private static final int FIRST_LATER_TYPE_ID = 96;
 
     private static final int INITIAL_BUFFER_BYTES = 4_096;
@@ -41,8 +41,8 @@
     private Output output = new Output(INITIAL_BUFFER_BYTES, MAX_FRAME_BYTES);
 
     /**
-     * @param types every type that messages are made of: the messages, the records within them, enums; text, numbers,
-     *     byte arrays, lists and {@link SocketAddress} are known already. A type named twice counts once.
+     * @param types every type that occurs in messages: the messages, the records within them, enums. Strings, numbers,
+     *     byte arrays, lists and {@link SocketAddress} are always registered. Duplicates are ignored.
      */
     public MessageCodec(List<Class<?>> types) {
         this(types, List.of());
@@ -50,17 +50,17 @@
 
     /**
      * @param types as for the other constructor
-     * @param laterTypes types with ids of their own, by their position in this list: programs that share only the front
-     *     of {@code types} add a common type here without moving the ids behind
+     * @param laterTypes types with a separate range of ids, assigned by their position in this list. Programs whose
+     *     {@code types} have only a prefix in common add a common type here without changing any other id.
      */
     public MessageCodec(List<Class<?>> types, List<Class<?>> laterTypes) {
-        Set<Class<?>> distinct = new LinkedHashSet<>(types);
-        distinct.remove(SocketAddress.class);
-        if (distinct.size() > FIRST_LATER_TYPE_ID - FIRST_TYPE_ID) {
-            throw new IllegalArgumentException(distinct.size() + " types reach the ids of later types");
+        Set<Class<?>> distinctTypes = new LinkedHashSet<>(types);
+        distinctTypes.remove(SocketAddress.class);
+        if (distinctTypes.size() > FIRST_LATER_TYPE_ID - FIRST_TYPE_ID) {
+            throw new IllegalArgumentException(distinctTypes.size() + " types overlap the ids of later types");
         }
-        writer = newKryo(distinct, laterTypes);
-        reader = newKryo(distinct, laterTypes);
+        writer = newKryo(distinctTypes, laterTypes);
+        reader = newKryo(distinctTypes, laterTypes);
     }
 
     private static Kryo newKryo(Set<Class<?>> types, List<Class<?>> laterTypes) {
@@ -91,9 +91,9 @@
     }
 
     /**
-     * The frame of a message.
+     * Encodes a message as a frame.
      *
-     * @throws IllegalArgumentException if the message holds a type that is not registered, or is too long
+     * @throws IllegalArgumentException if the message contains an unregistered type or exceeds the maximum frame length
      */
     public synchronized byte[] encode(int senderPort, Message message) {
         try {
@@ -103,10 +103,10 @@
             writer.writeClassAndObject(output, message);
             return output.toBytes();
         } catch (RuntimeException e) {
-            // Kryo reports unregistered types and overflows by runtime exceptions of several kinds.
+            // Kryo reports unregistered types and buffer overflows by various runtime exceptions.
             writer.reset();
             throw new IllegalArgumentException(
-                    "cannot write " + message.getClass().getSimpleName(), e);
+                    "cannot encode " + message.getClass().getSimpleName(), e);
         } finally {
             if (output.getBuffer().length > INITIAL_BUFFER_BYTES) {
                 output = new Output(INITIAL_BUFFER_BYTES, MAX_FRAME_BYTES);
@@ -115,30 +115,30 @@
     }
 
     /**
-     * Reads one frame.
+     * Decodes one frame.
      *
-     * @throws MalformedFrameException if the bytes are no frame of this protocol version
+     * @throws MalformedFrameException if the bytes are not a valid frame of this protocol version
      */
     public Frame decode(byte[] bytes, int offset, int length) throws MalformedFrameException {
         synchronized (reader) {
             if (length < HEADER_BYTES) {
-                throw new MalformedFrameException("frame of " + length + " bytes");
+                throw new MalformedFrameException("frame of " + length + " bytes is shorter than its header");
             }
             if (bytes[offset] != PROTOCOL_VERSION) {
-                throw new MalformedFrameException("protocol version " + bytes[offset]);
+                throw new MalformedFrameException("unsupported protocol version " + bytes[offset]);
             }
             try {
                 input.setBuffer(bytes, offset + 1, length - 1);
                 int port = input.readShortUnsigned();
                 Object message = reader.readClassAndObject(input);
-                if (message instanceof Message typed && input.end()) {
-                    return new Frame(port, typed);
+                if (message instanceof Message decoded && input.end()) {
+                    return new Frame(port, decoded);
                 }
-                throw new MalformedFrameException("no message, or bytes after it");
+                throw new MalformedFrameException("not a message, or trailing bytes");
             } catch (RuntimeException e) {
-                // Boundary to the network: Kryo reports malformed bytes by runtime exceptions of several kinds.
+                // Boundary to the network: Kryo reports malformed bytes by various runtime exceptions.
                 reader.reset();
-                throw new MalformedFrameException("unreadable message", e);
+                throw new MalformedFrameException("message cannot be decoded", e);
             } finally {
                 input.setBuffer(NO_BYTES);
             }
@@ -148,14 +148,14 @@
     private static final byte[] NO_BYTES = {};
 
     /**
-     * A frame that was read.
+     * A decoded frame.
      *
-     * @param senderPort the port at which its sender listens
-     * @param message what it carried
+     * @param senderPort the listening port of the sender
+     * @param message the message in the frame
      */
     public record Frame(int senderPort, Message message) {}
 
-    /** Writes every kind of list under one id. */
+    /** Uses the registration of {@link ArrayList} for every implementation of {@link List}. */
     private static final class ListAwareKryo extends Kryo {
         @Override
         public Registration getRegistration(Class type) {
--- a/router-fleet/transport/src/main/java/pinewick/transport/MessageRecordSerializer.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/MessageRecordSerializer.java
@@ -15,18 +15,18 @@
 import pinewick.model.WireName;
 
 /**
- * Writes the components of a record in the alphabetical order of their wire names ({@link WireName}), and reads them
- * back into its canonical constructor. The bytes are those of Kryo's own {@code RecordSerializer}, which orders by the
- * component's name and so ties the protocol to the names in the source.
+ * Writes the components of a record in the alphabetical order of their wire names ({@link WireName}) and reads them
+ * back through its canonical constructor. The bytes equal those of Kryo's {@code RecordSerializer}, which orders
+ * components by their names in the source and so makes the protocol depend on them.
  */
 final class MessageRecordSerializer<T> extends ImmutableSerializer<T> {
-    /** One component, and its position in the canonical constructor. */
+    /** A component and its position in the canonical constructor. */
     private record Component(String wireName, Class<?> type, Method accessor, int position) {}
 
     private final Constructor<T> constructor;
     private final List<Component> componentsInWireOrder;
 
-    /** @param type a record */
+    /** @param type a record type */
     MessageRecordSerializer(Class<T> type) {
         RecordComponent[] declared = type.getRecordComponents();
         Class<?>[] parameterTypes = new Class<?>[declared.length];
--- a/router-fleet/transport/src/main/java/pinewick/transport/NetworkTransport.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/NetworkTransport.java
@@ -23,12 +23,12 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Messages over sockets: by UDP if they fit a datagram, else over a TCP connection that is kept to each peer. One
- * thread, the selector's, accepts, reads and writes connections and calls the receiver; datagrams are sent by the
- * caller's thread. A peer that does not read blocks only its own bounded queue.
+ * Sends messages over UDP if they fit a datagram, and otherwise over a TCP connection to the peer, which is kept open.
+ * The selector thread accepts, reads and writes connections and calls the receiver; datagrams are sent on the caller's
+ * thread. A peer that does not read blocks only its own bounded queue.
  */
 public final class NetworkTransport implements Transport {
-    /** Longest frame that is sent as a datagram, bytes. */
+    /** Maximum length in bytes of a frame that is sent as a datagram. */
     public static final int MAX_DATAGRAM_BYTES = 1_200;
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -43,13 +43,13 @@
     private final MessageCodec codec;
     private final TransportCounters counters = new TransportCounters();
     private final Selector selector;
-    private final ServerSocketChannel server;
-    private final DatagramChannel datagrams;
+    private final ServerSocketChannel serverChannel;
+    private final DatagramChannel datagramChannel;
     private final SocketAddress local;
     private final ByteBuffer receiveBuffer = ByteBuffer.allocate(RECEIVE_BUFFER_BYTES);
     private final Map<SocketAddress, OutgoingConnection> outgoing = new ConcurrentHashMap<>();
-    private final Map<SocketAddress, InetSocketAddress> resolved = new ConcurrentHashMap<>();
-    private final Map<InetSocketAddress, SocketAddress> senders = new HashMap<>();
+    private final Map<SocketAddress, InetSocketAddress> resolvedAddresses = new ConcurrentHashMap<>();
+    private final Map<InetSocketAddress, SocketAddress> senderAddresses = new HashMap<>();
     private final Queue<OutgoingConnection> pendingConnections = new ConcurrentLinkedQueue<>();
     private final List<IncomingConnection> incoming = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "transport");
@@ -60,32 +60,32 @@
     /**
      * Binds both sockets.
      *
-     * @param local where to listen; port 0 chooses any that is free for both
+     * @param local the address to listen at; port 0 selects a TCP port that is free, and binds UDP to the same port
      * @throws TransportException if the address cannot be used
      */
     public NetworkTransport(SocketAddress local, MessageCodec codec) throws TransportException {
         this.codec = codec;
         try {
             selector = Selector.open();
-            server = ServerSocketChannel.open();
-            server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            server.bind(new InetSocketAddress(local.host(), local.port()), BACKLOG);
-            int port = ((InetSocketAddress) server.getLocalAddress()).getPort();
+            serverChannel = ServerSocketChannel.open();
+            serverChannel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            serverChannel.bind(new InetSocketAddress(local.host(), local.port()), BACKLOG);
+            int port = ((InetSocketAddress) serverChannel.getLocalAddress()).getPort();
             this.local = new SocketAddress(local.host(), port);
-            datagrams = DatagramChannel.open();
-            datagrams.bind(new InetSocketAddress(local.host(), port));
-            server.configureBlocking(false);
-            datagrams.configureBlocking(false);
-            server.register(selector, SelectionKey.OP_ACCEPT, new Acceptor());
-            datagrams.register(selector, SelectionKey.OP_READ, new DatagramReader());
+            datagramChannel = DatagramChannel.open();
+            datagramChannel.bind(new InetSocketAddress(local.host(), port));
+            serverChannel.configureBlocking(false);
+            datagramChannel.configureBlocking(false);
+            serverChannel.register(selector, SelectionKey.OP_ACCEPT, new Acceptor());
+            datagramChannel.register(selector, SelectionKey.OP_READ, new DatagramReader());
         } catch (IOException | RuntimeException e) {
-            // An unresolved or unsupported address is a runtime exception.
+            // An unresolved or unsupported address causes a runtime exception.
             throw new TransportException("bind", local, e);
         }
         thread.setDaemon(true);
     }
 
-    /** Counts of what was sent, received and dropped. */
+    /** Counts of the messages sent, received and dropped. */
     public TransportCounters counters() {
         return counters;
     }
@@ -128,7 +128,7 @@
     }
 
     /**
-     * The frame of a message; empty for one that cannot be encoded, a programming error that costs that message only.
+     * Encodes a message. Returns empty if that fails, which is a programming error; only this message is dropped.
      */
     private Optional<byte[]> encode(SocketAddress peer, Message message) {
         try {
@@ -142,12 +142,12 @@
 
     private void sendDatagram(SocketAddress peer, byte[] frame) {
         try {
-            if (datagrams.send(ByteBuffer.wrap(frame), resolve(peer)) > 0) {
+            if (datagramChannel.send(ByteBuffer.wrap(frame), resolve(peer)) > 0) {
                 counters.datagramsSent.increment();
                 return;
             }
         } catch (IOException | RuntimeException e) {
-            // An unresolved address is a runtime exception; datagrams are best effort.
+            // An unresolved address causes a runtime exception; datagrams are best effort.
             LOGGER.atFine().withCause(e).log("datagram to %s dropped", peer);
         }
         counters.dropped.increment();
@@ -162,17 +162,18 @@
     }
 
     private InetSocketAddress resolve(SocketAddress peer) {
-        if (resolved.size() > MAX_CACHED_ADDRESSES) {
-            resolved.clear();
+        if (resolvedAddresses.size() > MAX_CACHED_ADDRESSES) {
+            resolvedAddresses.clear();
         }
-        return resolved.computeIfAbsent(peer, address -> new InetSocketAddress(address.host(), address.port()));
+        return resolvedAddresses.computeIfAbsent(
+                peer, address -> new InetSocketAddress(address.host(), address.port()));
     }
 
     private void run() {
         while (!closed) {
             try {
                 selector.select(NetworkTransport::handleReady, checkIntervalMs());
-                serviceQueued();
+                processPendingConnections();
                 checkConnectionsIfDue();
             } catch (IOException | RuntimeException e) {
                 // Boundary of the transport thread: it must outlive any failure of one connection.
@@ -188,14 +189,14 @@
         ((ChannelHandler) key.attachment()).onReady(nowMs());
     }
 
-    private void serviceQueued() {
+    private void processPendingConnections() {
         double nowMs = nowMs();
         for (OutgoingConnection next = pendingConnections.poll(); next != null; next = pendingConnections.poll()) {
-            next.service(nowMs);
+            next.connectOrWrite(nowMs);
         }
     }
 
-    /** How long the thread may sleep, milliseconds: 0, without limit, if there is no connection. */
+    /** Maximum time in milliseconds for which the thread sleeps; 0, meaning no limit, if there is no connection. */
     private long checkIntervalMs() {
         boolean hasConnections = !incoming.isEmpty();
         for (OutgoingConnection connection : outgoing.values()) {
@@ -238,15 +239,15 @@
     }
 
     private SocketAddress sender(InetSocketAddress remote, int listeningPort) {
-        SocketAddress known = senders.get(remote);
-        if (known != null && known.port() == listeningPort) {
-            return known;
+        SocketAddress cachedAddress = senderAddresses.get(remote);
+        if (cachedAddress != null && cachedAddress.port() == listeningPort) {
+            return cachedAddress;
         }
-        if (senders.size() > MAX_CACHED_ADDRESSES) {
-            senders.clear();
+        if (senderAddresses.size() > MAX_CACHED_ADDRESSES) {
+            senderAddresses.clear();
         }
         SocketAddress sender = new SocketAddress(remote.getAddress().getHostAddress(), listeningPort);
-        senders.put(remote, sender);
+        senderAddresses.put(remote, sender);
         return sender;
     }
 
@@ -263,8 +264,8 @@
         outgoing.values().forEach(OutgoingConnection::close);
         incoming.forEach(IncomingConnection::close);
         try {
-            server.close();
-            datagrams.close();
+            serverChannel.close();
+            datagramChannel.close();
             selector.close();
         } catch (IOException e) {
             LOGGER.atWarning().withCause(e).log("closing the transport at %s failed", local);
@@ -275,12 +276,14 @@
         return System.nanoTime() / NANOS_PER_MILLISECOND;
     }
 
-    /** Accepts connections of peers. */
+    /** Accepts connections from peers. */
     private final class Acceptor implements ChannelHandler {
         @Override
         public void onReady(double nowMs) {
             try {
-                for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
+                for (SocketChannel channel = serverChannel.accept();
+                        channel != null;
+                        channel = serverChannel.accept()) {
                     channel.configureBlocking(false);
                     IncomingConnection connection =
                             new IncomingConnection(channel, NetworkTransport.this::receive, counters, nowMs);
@@ -296,14 +299,14 @@
         public void close() {}
     }
 
-    /** Receives datagrams, a bounded number at a time. */
+    /** Receives datagrams, at most {@link #MAX_DATAGRAMS_PER_SELECT} at a time. */
     private final class DatagramReader implements ChannelHandler {
         @Override
         public void onReady(double nowMs) {
             for (int i = 0; i < MAX_DATAGRAMS_PER_SELECT; i++) {
                 receiveBuffer.clear();
                 try {
-                    InetSocketAddress remote = (InetSocketAddress) datagrams.receive(receiveBuffer);
+                    InetSocketAddress remote = (InetSocketAddress) datagramChannel.receive(receiveBuffer);
                     if (remote == null) {
                         return;
                     }
--- a/router-fleet/transport/src/main/java/pinewick/transport/OutgoingConnection.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/OutgoingConnection.java
@@ -9,12 +9,13 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * The connection on which this process writes to one peer: opened when there is something to write, closed when it is
- * idle, and reopened after a failure. A frame that was written in part is sent again completely on the next connection;
- * the peer cannot have read it. The peer writes a byte back when it has read: if none arrives in time, its machine may
- * be partitioned or without power while the local buffers still accept bytes, and retransmissions become ever rarer; a
- * new connection notices its return sooner. Selector's thread only, except for {@link #enqueue}. {@code channel},
- * {@code key}, {@code currentFrame} and {@code currentBuffers} are null while there is none.
+ * The connection on which this process writes to one peer: opened when there is a frame to write, closed when idle, and
+ * reopened after a failure. A partially written frame is sent again in full on the next connection, because the peer
+ * cannot have read it. The peer writes back one byte as an acknowledgement when it has read frames. If none arrives in
+ * time, the peer's machine may be partitioned or without power while the local buffers still accept bytes. Since TCP
+ * retransmits at ever longer intervals, a new connection detects the peer's return sooner. Selector thread only, except
+ * for {@link #enqueue}. {@code channel}, {@code key}, {@code currentFrame} and {@code currentBuffers} are null while
+ * there is none.
  */
 final class OutgoingConnection implements ChannelHandler {
     static final double CONNECT_TIMEOUT_MS = 700;
@@ -22,7 +23,7 @@
     static final double ACKNOWLEDGEMENT_TIMEOUT_MS = 1_500;
     static final double IDLE_TIMEOUT_MS = 10_000;
     static final double RECONNECT_DELAY_MS = 100;
-    /** A frame that waited for a connection for longer is dropped. */
+    /** A frame that has waited longer than this for a connection is dropped. */
     static final double MAX_QUEUE_TIME_MS = 2_000;
 
     private static final int MAX_QUEUED_FRAMES = 512;
@@ -41,7 +42,7 @@
     private ByteBuffer[] currentBuffers;
     private double connectingSinceMs;
     private double lastProgressMs;
-    /** When the first unacknowledged frame was written, NaN if there is none. */
+    /** Time at which the first unacknowledged frame was written; NaN if there is none. */
     private double unacknowledgedSinceMs = Double.NaN;
 
     private double reconnectAtMs = Double.NEGATIVE_INFINITY;
@@ -52,13 +53,13 @@
         this.counters = counters;
     }
 
-    /** Queues a frame; any thread. */
+    /** Queues a frame. May be called from any thread. */
     void enqueue(byte[] frame, double nowMs) {
         counters.dropped.add(queue.add(frame, nowMs));
     }
 
-    /** Writes what it can, after connecting if there is no connection. */
-    void service(double nowMs) {
+    /** Writes queued frames as far as the socket accepts them, or starts to connect if there is no connection. */
+    void connectOrWrite(double nowMs) {
         if (channel == null) {
             connectIfNeeded(nowMs);
         } else if (connected && currentFrame == null) {
@@ -82,7 +83,7 @@
                 onConnected(nowMs);
             }
         } catch (IOException | RuntimeException e) {
-            // An unresolved address is a runtime exception; the connection is retried either way.
+            // An unresolved address causes a runtime exception; the connection attempt is retried in either case.
             onFailure(nowMs);
         }
     }
@@ -112,7 +113,7 @@
         }
     }
 
-    /** Reads the peer's acknowledgements; returns false at the end of the connection. */
+    /** Reads acknowledgements of the peer; returns false if the peer has closed the connection. */
     private boolean readAcknowledgement() throws IOException {
         readBuffer.clear();
         unacknowledgedSinceMs = Double.NaN;
@@ -151,7 +152,7 @@
         return currentFrame != null;
     }
 
-    /** Checks time-outs; to be called at intervals while {@link #isActive}. */
+    /** Checks time-outs. To be called periodically while {@link #isActive}. */
     void checkDeadlines(double nowMs) {
         if (channel == null) {
             connectIfNeeded(nowMs);
@@ -196,7 +197,7 @@
         }
     }
 
-    /** Whether it is connecting, or has frames that wait to be written or acknowledged. */
+    /** Whether it is connecting, or has frames that are not yet written or acknowledged. */
     boolean hasPendingWork() {
         boolean isConnecting = channel != null && !connected;
         return isConnecting || currentFrame != null || !queue.isEmpty() || !Double.isNaN(unacknowledgedSinceMs);
--- a/router-fleet/transport/src/main/java/pinewick/transport/ReschedulableTimer.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/ReschedulableTimer.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.Future;
 
 /**
- * Runs one task on a control loop at a time that may be changed, so that the loop sleeps until something is due.
- * Control loop only.
+ * Runs one task on a control loop at a time that can be changed, so that the loop sleeps until a task is due. Used on
+ * the control loop only.
  */
 public final class ReschedulableTimer {
     private final ControlLoop loop;
@@ -17,7 +17,7 @@
         this.task = task;
     }
 
-    /** The task runs at this time, instead of the time that was set before. */
+    /** Sets the time at which the task runs; it replaces the time that was set before. */
     public void reschedule(double atMs) {
         if (loop.isClosed() || (scheduled != null && scheduledAtMs == atMs)) {
             return;
--- a/router-fleet/transport/src/main/java/pinewick/transport/Serializers.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/Serializers.java
@@ -13,21 +13,21 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Serializers for the values that messages are made of. Each checks a length against the remaining bytes before it
- * allocates, so that a malformed frame cannot exhaust the memory.
+ * Serializers for the values in messages. Each validates a length against the remaining bytes before allocating, so
+ * that a malformed frame cannot exhaust the memory.
  */
 final class Serializers {
     private Serializers() {}
 
-    private static int checkedLength(Input input, int length) {
+    private static int requireLengthInRange(Input input, int length) {
         int remaining = input.limit() - input.position();
         if (length < 0 || length > remaining) {
-            throw new KryoException("length " + length + " with " + remaining + " bytes left");
+            throw new KryoException("length " + length + " out of range: " + remaining + " bytes remain");
         }
         return length;
     }
 
-    /** Any list, read back as one that cannot be modified. */
+    /** Serializes any list; it is read back as an unmodifiable list. */
     static final class ListSerializer extends Serializer<List<?>> {
         ListSerializer() {
             super(true, true);
@@ -47,20 +47,20 @@
 
         @Override
         public List<?> read(Kryo kryo, Input input, Class<? extends List<?>> type) {
-            int stored = input.readVarInt(true);
-            if (stored == 0) {
+            int lengthPlusOne = input.readVarInt(true);
+            if (lengthPlusOne == 0) {
                 return null;
             }
-            int size = checkedLength(input, stored - 1);
+            int size = requireLengthInRange(input, lengthPlusOne - 1);
             List<Object> list = new ArrayList<>(size);
-            for (int i = 0; i < size; i++) {
+            for (int index = 0; index < size; index++) {
                 list.add(kryo.readClassAndObject(input));
             }
             return Collections.unmodifiableList(list);
         }
     }
 
-    /** Text as UTF-8 with its length in front. */
+    /** Serializes a string as UTF-8 with a length prefix. */
     static final class StringSerializer extends Serializer<String> {
         StringSerializer() {
             super(true, true);
@@ -79,16 +79,16 @@
 
         @Override
         public String read(Kryo kryo, Input input, Class<? extends String> type) {
-            int stored = input.readVarInt(true);
-            if (stored == 0) {
+            int lengthPlusOne = input.readVarInt(true);
+            if (lengthPlusOne == 0) {
                 return null;
             }
-            int length = checkedLength(input, stored - 1);
+            int length = requireLengthInRange(input, lengthPlusOne - 1);
             return new String(input.readBytes(length), StandardCharsets.UTF_8);
         }
     }
 
-    /** Bytes with their length in front. */
+    /** Serializes a byte array with a length prefix. */
     static final class ByteArraySerializer extends Serializer<byte[]> {
         ByteArraySerializer() {
             super(true, true);
@@ -106,18 +106,18 @@
 
         @Override
         public byte[] read(Kryo kryo, Input input, Class<? extends byte[]> type) {
-            int stored = input.readVarInt(true);
-            return stored == 0 ? null : input.readBytes(checkedLength(input, stored - 1));
+            int lengthPlusOne = input.readVarInt(true);
+            return lengthPlusOne == 0 ? null : input.readBytes(requireLengthInRange(input, lengthPlusOne - 1));
         }
     }
 
-    /** An address in 7 bytes where its host is an IPv4 number, else as text. */
+    /** Serializes an address in 7 bytes if its host is an IPv4 literal, and with the host as a string otherwise. */
     static final class SocketAddressSerializer extends Serializer<SocketAddress> {
         private static final int NULL = 0;
         private static final int IPV4 = 1;
-        private static final int TEXT = 2;
-        private static final int IPV4_BYTES = 4;
-        private static final int MAX_BYTE = 255;
+        private static final int STRING = 2;
+        private static final int IPV4_OCTETS = 4;
+        private static final int MAX_OCTET = 255;
 
         SocketAddressSerializer() {
             super(true, true);
@@ -134,7 +134,7 @@
                 output.writeByte(IPV4);
                 output.writeBytes(ipv4.get());
             } else {
-                output.writeByte(TEXT);
+                output.writeByte(STRING);
                 kryo.writeObject(output, address.host());
             }
             output.writeShort(address.port());
@@ -142,18 +142,18 @@
 
         @Override
         public SocketAddress read(Kryo kryo, Input input, Class<? extends SocketAddress> type) {
-            int form = input.readByte();
-            if (form == NULL) {
+            int encoding = input.readByte();
+            if (encoding == NULL) {
                 return null;
             }
-            String host = form == IPV4 ? readIpv4(input) : kryo.readObject(input, String.class);
+            String host = encoding == IPV4 ? readIpv4(input) : kryo.readObject(input, String.class);
             return new SocketAddress(host, input.readShortUnsigned());
         }
 
         private static String readIpv4(Input input) {
             StringBuilder host = new StringBuilder();
-            for (int part = 0; part < IPV4_BYTES; part++) {
-                if (part > 0) {
+            for (int octetIndex = 0; octetIndex < IPV4_OCTETS; octetIndex++) {
+                if (octetIndex > 0) {
                     host.append('.');
                 }
                 host.append(input.readByteUnsigned());
@@ -161,29 +161,29 @@
             return host.toString();
         }
 
-        /** The four bytes of a host such as {@code 10.1.0.9}; empty if it is written in any other way. */
+        /** The four bytes of an IPv4 literal such as {@code 10.1.0.9}; empty for any other host. */
         private static Optional<byte[]> parseIpv4(String host) {
-            byte[] bytes = new byte[IPV4_BYTES];
-            int part = 0;
-            int value = -1;
-            for (int i = 0; i <= host.length(); i++) {
-                char c = i < host.length() ? host.charAt(i) : '.';
-                if (c == '.') {
-                    if (value < 0 || part == IPV4_BYTES) {
+            byte[] bytes = new byte[IPV4_OCTETS];
+            int octetIndex = 0;
+            int octet = -1;
+            for (int index = 0; index <= host.length(); index++) {
+                char character = index < host.length() ? host.charAt(index) : '.';
+                if (character == '.') {
+                    if (octet < 0 || octetIndex == IPV4_OCTETS) {
                         return Optional.empty();
                     }
-                    bytes[part++] = (byte) value;
-                    value = -1;
-                } else if (c < '0' || c > '9' || value == 0) {
+                    bytes[octetIndex++] = (byte) octet;
+                    octet = -1;
+                } else if (character < '0' || character > '9' || octet == 0) {
                     return Optional.empty();
                 } else {
-                    value = Math.max(value, 0) * 10 + (c - '0');
-                    if (value > MAX_BYTE) {
+                    octet = Math.max(octet, 0) * 10 + (character - '0');
+                    if (octet > MAX_OCTET) {
                         return Optional.empty();
                     }
                 }
             }
-            return part == IPV4_BYTES ? Optional.of(bytes) : Optional.empty();
+            return octetIndex == IPV4_OCTETS ? Optional.of(bytes) : Optional.empty();
         }
     }
 }
--- a/router-fleet/transport/src/main/java/pinewick/transport/TransportCounters.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/TransportCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts of what a transport has sent, received and dropped since its start. Thread-safe. */
+/** Counts of the messages that a transport has sent, received and dropped since its start. Thread-safe. */
 public final class TransportCounters {
     final LongAdder datagramsSent = new LongAdder();
     final LongAdder datagramsReceived = new LongAdder();
@@ -32,12 +32,12 @@
         return framesReceived.sum();
     }
 
-    /** Frames that could not be read. */
+    /** Received frames that could not be decoded. */
     public long malformed() {
         return malformed.sum();
     }
 
-    /** Messages dropped before they were sent: full queue, full buffer, or too late. */
+    /** Messages dropped before they were sent: queue full, send buffer full, or queued for too long. */
     public long dropped() {
         return dropped.sum();
     }
--- a/router-fleet/transport/src/main/java/pinewick/transport/TransportException.java
+++ b/router-fleet/transport/src/main/java/pinewick/transport/TransportException.java
@@ -3,8 +3,8 @@
 import pinewick.model.SocketAddress;
 
 /**
- * The transport could not be started. An operator has to check that the address is of this machine and that no other
- * process listens there.
+ * Thrown if the transport cannot be started. The operator has to check that the address belongs to this machine and
+ * that no other process listens at it.
  */
 public final class TransportException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/router-fleet/transport/src/test/java/pinewick/transport/ControlLoopTest.java
+++ b/router-fleet/transport/src/test/java/pinewick/transport/ControlLoopTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Tasks that run over and over on the control loop. */
+/** Tests tasks that run repeatedly on the control loop. */
 class ControlLoopTest {
-    private static final long LIMIT_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     private final ControlLoop loop = new ControlLoop();
 
@@ -23,38 +23,38 @@
     }
 
     @Test
-    void aTaskRunsAgainAfterTheIntervalSuppliedBeforeEachRun() throws InterruptedException {
-        Queue<Double> runsAtMs = new ConcurrentLinkedQueue<>();
+    void repeatsATaskAfterTheIntervalReadBeforeEachRun() throws InterruptedException {
+        Queue<Double> runTimesMs = new ConcurrentLinkedQueue<>();
         CountDownLatch threeRuns = new CountDownLatch(3);
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger intervalReads = new AtomicInteger();
         loop.repeatAtVariableInterval(
                 () -> {
-                    runsAtMs.add(loop.nowMs());
+                    runTimesMs.add(loop.nowMs());
                     threeRuns.countDown();
                 },
-                () -> asked.incrementAndGet() * 20L);
-        assertTrue(threeRuns.await(LIMIT_SECONDS, TimeUnit.SECONDS));
-        double first = runsAtMs.remove();
-        double second = runsAtMs.remove();
-        double third = runsAtMs.remove();
-        assertTrue(second - first >= 40, "second pause " + (second - first));
-        assertTrue(third - second >= 60, "third pause " + (third - second));
+                () -> intervalReads.incrementAndGet() * 20L);
+        assertTrue(threeRuns.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        double firstRunMs = runTimesMs.remove();
+        double secondRunMs = runTimesMs.remove();
+        double thirdRunMs = runTimesMs.remove();
+        assertTrue(secondRunMs - firstRunMs >= 40, "delay before the second run, ms: " + (secondRunMs - firstRunMs));
+        assertTrue(thirdRunMs - secondRunMs >= 60, "delay before the third run, ms: " + (thirdRunMs - secondRunMs));
     }
 
     @Test
-    void aTaskThatThrowsIsRunAgain() throws InterruptedException {
+    void repeatsATaskThatThrows() throws InterruptedException {
         CountDownLatch runs = new CountDownLatch(3);
         loop.repeatAtVariableInterval(
                 () -> {
                     runs.countDown();
-                    throw new IllegalStateException("for the test");
+                    throw new IllegalStateException("expected by the test");
                 },
                 () -> 1);
-        assertTrue(runs.await(LIMIT_SECONDS, TimeUnit.SECONDS));
+        assertTrue(runs.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     @Test
-    void aClosedLoopTakesNoTask() {
+    void ignoresATaskAfterItIsClosed() {
         loop.close();
         AtomicInteger runs = new AtomicInteger();
         loop.repeatAtVariableInterval(runs::incrementAndGet, () -> 0);
--- a/router-fleet/transport/src/test/java/pinewick/transport/MessageCodecTest.java
+++ b/router-fleet/transport/src/test/java/pinewick/transport/MessageCodecTest.java
@@ -35,13 +35,13 @@
                 TestMessage.Colour.RED);
     }
 
-    private TestMessage throughTheCodec(TestMessage message) throws MalformedFrameException {
+    private TestMessage roundTrip(TestMessage message) throws MalformedFrameException {
         byte[] frame = codec.encode(PORT, message);
-        byte[] inTheMiddle = new byte[frame.length + 9];
-        System.arraycopy(frame, 0, inTheMiddle, 4, frame.length);
-        MessageCodec.Frame read = codec.decode(inTheMiddle, 4, frame.length);
-        assertEquals(PORT, read.senderPort());
-        return (TestMessage) read.message();
+        byte[] paddedFrame = new byte[frame.length + 9];
+        System.arraycopy(frame, 0, paddedFrame, 4, frame.length);
+        MessageCodec.Frame decoded = codec.decode(paddedFrame, 4, frame.length);
+        assertEquals(PORT, decoded.senderPort());
+        return (TestMessage) decoded.message();
     }
 
     private static void assertSame(TestMessage expected, TestMessage actual) {
@@ -54,26 +54,28 @@
     }
 
     @Test
-    void laterTypesHaveIdsThatDoNotDependOnTheTypesBefore() throws MalformedFrameException {
-        List<Class<?>> later = List.of(LaterMessage.class);
-        MessageCodec one = new MessageCodec(TestMessage.types(), later);
-        MessageCodec other = new MessageCodec(List.of(), later);
-        byte[] frame = one.encode(PORT, new LaterMessage(9));
-        assertEquals(new LaterMessage(9), other.decode(frame, 0, frame.length).message());
-        assertArrayEquals(codec.encode(PORT, sample()), one.encode(PORT, sample()));
+    void idsOfLaterTypesDoNotDependOnTheOtherTypes() throws MalformedFrameException {
+        List<Class<?>> laterTypes = List.of(LaterMessage.class);
+        MessageCodec withOtherTypes = new MessageCodec(TestMessage.types(), laterTypes);
+        MessageCodec withoutOtherTypes = new MessageCodec(List.of(), laterTypes);
+        byte[] frame = withOtherTypes.encode(PORT, new LaterMessage(9));
+        assertEquals(
+                new LaterMessage(9),
+                withoutOtherTypes.decode(frame, 0, frame.length).message());
+        assertArrayEquals(codec.encode(PORT, sample()), withOtherTypes.encode(PORT, sample()));
     }
 
     private record LaterMessage(long number) implements Message {}
 
     @Test
-    void whatIsWrittenIsRead() throws MalformedFrameException {
-        assertSame(sample(), throughTheCodec(sample()));
+    void decodesWhatItEncodes() throws MalformedFrameException {
+        assertSame(sample(), roundTrip(sample()));
         TestMessage nulls = new TestMessage(0, null, null, null, null, null);
-        assertSame(nulls, throughTheCodec(nulls));
+        assertSame(nulls, roundTrip(nulls));
     }
 
     @Property(tries = 300)
-    void numbersTextsAndBytesComeBack(
+    void decodesTheNumbersStringsAndBytesItEncodes(
             @ForAll long number,
             @ForAll String text,
             @ForAll @Size(max = 3_000) byte[] body,
@@ -81,16 +83,16 @@
             throws MalformedFrameException {
         TestMessage message = new TestMessage(
                 number, text, new SocketAddress("10.0.0.1", port), List.of(), body, TestMessage.Colour.GREEN);
-        String encodable = new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.UTF_8);
-        TestMessage read = throughTheCodec(message);
-        assertEquals(encodable, read.text());
-        assertEquals(number, read.number());
-        assertEquals(port, read.address().port());
-        assertArrayEquals(body, read.body());
+        String expectedText = new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.UTF_8);
+        TestMessage decoded = roundTrip(message);
+        assertEquals(expectedText, decoded.text());
+        assertEquals(number, decoded.number());
+        assertEquals(port, decoded.address().port());
+        assertArrayEquals(body, decoded.body());
     }
 
     @Test
-    void anyListImplementationHasTheSameBytes() throws MalformedFrameException {
+    void encodesEveryListImplementation() throws MalformedFrameException {
         TestMessage.Part part = new TestMessage.Part(1, 2, true, "p");
         List<List<TestMessage.Part>> lists = List.of(
                 new ArrayList<>(List.of(part)),
@@ -101,12 +103,12 @@
                 Collections.unmodifiableList(new ArrayList<>(List.of(part))));
         for (List<TestMessage.Part> list : lists) {
             TestMessage message = new TestMessage(1, "", null, list, null, null);
-            assertEquals(List.of(part), throughTheCodec(message).parts());
+            assertEquals(List.of(part), roundTrip(message).parts());
         }
     }
 
     @Test
-    void hostNamesAreWrittenAsText() throws MalformedFrameException {
+    void decodesHostsThatAreNotIpv4Literals() throws MalformedFrameException {
         for (String host : List.of(
                 "localhost",
                 "10.1.2",
@@ -120,53 +122,53 @@
                 "255.255.255.255",
                 "1.2.3.4.")) {
             TestMessage message = new TestMessage(1, "", new SocketAddress(host, 1), List.of(), null, null);
-            assertEquals(host, throughTheCodec(message).address().host());
+            assertEquals(host, roundTrip(message).address().host());
         }
     }
 
     @Test
-    void largeMessagesLeaveNoLargeBufferBehind() throws MalformedFrameException {
+    void largeMessagesDoNotAffectLaterFrames() throws MalformedFrameException {
         TestMessage large = TestMessage.withBody(1, 4 << 20);
-        assertSame(large, throughTheCodec(large));
+        assertSame(large, roundTrip(large));
         assertTrue(codec.encode(PORT, TestMessage.numbered(2)).length < 30);
     }
 
     @Test
-    void anUnregisteredTypeIsRejectedAndTheCodecStaysUsable() throws MalformedFrameException {
+    void rejectsAnUnregisteredTypeAndStaysUsable() throws MalformedFrameException {
         record UnregisteredMessage(int number) implements Message {}
 
         assertThrows(IllegalArgumentException.class, () -> codec.encode(PORT, new UnregisteredMessage(1)));
-        assertSame(sample(), throughTheCodec(sample()));
+        assertSame(sample(), roundTrip(sample()));
     }
 
     @Test
-    void anOversizedMessageIsRejectedAndTheCodecStaysUsable() throws MalformedFrameException {
-        TestMessage tooLong = TestMessage.withBody(1, MessageCodec.MAX_FRAME_BYTES);
-        assertThrows(IllegalArgumentException.class, () -> codec.encode(PORT, tooLong));
-        assertSame(sample(), throughTheCodec(sample()));
+    void rejectsAnOversizedMessageAndStaysUsable() throws MalformedFrameException {
+        TestMessage oversized = TestMessage.withBody(1, MessageCodec.MAX_FRAME_BYTES);
+        assertThrows(IllegalArgumentException.class, () -> codec.encode(PORT, oversized));
+        assertSame(sample(), roundTrip(sample()));
     }
 
     @Test
-    void anotherProtocolVersionIsRejected() {
+    void rejectsAnotherProtocolVersion() {
         byte[] frame = codec.encode(PORT, sample());
         frame[0] = MessageCodec.PROTOCOL_VERSION + 1;
         assertThrows(MalformedFrameException.class, () -> codec.decode(frame, 0, frame.length));
     }
 
     @Test
-    void everyTruncatedFrameIsRejected() {
+    void rejectsEveryTruncatedFrame() {
         byte[] frame = codec.encode(PORT, sample());
         for (int length = 0; length < frame.length; length++) {
-            int shortened = length;
-            assertThrows(MalformedFrameException.class, () -> codec.decode(frame, 0, shortened));
+            int truncatedLength = length;
+            assertThrows(MalformedFrameException.class, () -> codec.decode(frame, 0, truncatedLength));
         }
     }
 
     @Property(tries = 2_000)
-    void damagedFramesAreReadOrRefusedButNeverBreakTheCodec(@ForAll long seed) throws MalformedFrameException {
+    void decodesOrRejectsDamagedFramesAndStaysUsable(@ForAll long seed) throws MalformedFrameException {
         Random random = new Random(seed);
         byte[] frame = codec.encode(PORT, sample());
-        for (int i = 0; i < 1 + random.nextInt(4); i++) {
+        for (int damagedBytes = 0; damagedBytes < 1 + random.nextInt(4); damagedBytes++) {
             frame[random.nextInt(frame.length)] = (byte) random.nextInt();
         }
         try {
@@ -174,6 +176,6 @@
         } catch (MalformedFrameException e) {
             assertTrue(e.getMessage() != null);
         }
-        assertSame(sample(), throughTheCodec(sample()));
+        assertSame(sample(), roundTrip(sample()));
     }
 }
--- a/router-fleet/transport/src/test/java/pinewick/transport/NetworkTransportTest.java
+++ b/router-fleet/transport/src/test/java/pinewick/transport/NetworkTransportTest.java
@@ -23,16 +23,16 @@
 import org.junit.jupiter.api.Test;
 import pinewick.model.SocketAddress;
 
-/** Transports over the loopback, beside raw sockets that do not behave. */
+/** Tests transports on loopback, together with misbehaving raw sockets. */
 class NetworkTransportTest {
-    private static final long LIMIT_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
     private static final int LARGE_BYTES = 200_000;
 
     private final List<AutoCloseable> resources = new ArrayList<>();
-    private Endpoint here;
-    private Endpoint there;
+    private Endpoint sender;
+    private Endpoint receiver;
 
-    /** A transport whose messages are kept. */
+    /** A transport that records the messages it receives. */
     private static final class Endpoint {
         private final NetworkTransport transport;
         private final BlockingQueue<TestMessage> received = new LinkedBlockingQueue<>();
@@ -41,8 +41,8 @@
         Endpoint(int port) throws TransportException {
             transport =
                     new NetworkTransport(new SocketAddress("127.0.0.1", port), new MessageCodec(TestMessage.types()));
-            transport.start((sender, message) -> {
-                senders.add(sender);
+            transport.start((senderAddress, message) -> {
+                senders.add(senderAddress);
                 received.add((TestMessage) message);
             });
         }
@@ -52,8 +52,8 @@
         }
 
         TestMessage take() throws InterruptedException {
-            TestMessage message = received.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
-            assertNotNull(message, "a message within the limit");
+            TestMessage message = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            assertNotNull(message, "no message within the time-out");
             return message;
         }
     }
@@ -64,15 +64,15 @@
         return endpoint;
     }
 
-    private <T extends AutoCloseable> T closedLater(T resource) {
+    private <T extends AutoCloseable> T closeAfterTest(T resource) {
         resources.add(resource);
         return resource;
     }
 
     @BeforeEach
     void start() throws TransportException {
-        here = endpoint(0);
-        there = endpoint(0);
+        sender = endpoint(0);
+        receiver = endpoint(0);
     }
 
     @AfterEach
@@ -86,109 +86,109 @@
         return new SocketAddress("127.0.0.1", server.getLocalPort());
     }
 
-    /** Sends messages between the two until something holds; each is answered before the next. */
+    /** Sends messages from the sender to the receiver, one at a time, until the condition is true. */
     private void exchangeUntil(BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "within the limit");
-            here.transport.sendOrdered(there.address(), TestMessage.numbered(1));
-            there.take();
+            assertTrue(System.nanoTime() < deadlineNanos, "condition not met within the time-out");
+            sender.transport.sendOrdered(receiver.address(), TestMessage.numbered(1));
+            receiver.take();
         }
     }
 
     @Test
-    void smallMessagesGoAsDatagramsAndCarryTheSendersListeningAddress() throws InterruptedException {
-        here.transport.send(there.address(), TestMessage.numbered(7));
-        assertEquals(7, there.take().number());
-        assertEquals(here.address(), there.senders.take());
-        assertEquals(1, there.transport.counters().datagramsReceived());
+    void sendsSmallMessagesAsDatagramsWithTheListeningAddress() throws InterruptedException {
+        sender.transport.send(receiver.address(), TestMessage.numbered(7));
+        assertEquals(7, receiver.take().number());
+        assertEquals(sender.address(), receiver.senders.take());
+        assertEquals(1, receiver.transport.counters().datagramsReceived());
     }
 
     @Test
-    void largeMessagesGoOverAConnectionAndCarryTheSendersListeningAddress() throws InterruptedException {
-        here.transport.send(there.address(), TestMessage.withBody(8, 4 << 20));
-        TestMessage message = there.take();
+    void sendsLargeMessagesOverAConnectionWithTheListeningAddress() throws InterruptedException {
+        sender.transport.send(receiver.address(), TestMessage.withBody(8, 4 << 20));
+        TestMessage message = receiver.take();
         assertEquals(8, message.number());
         assertEquals(4 << 20, message.body().length);
-        assertEquals(here.address(), there.senders.take());
-        assertEquals(1, there.transport.counters().framesReceived());
+        assertEquals(sender.address(), receiver.senders.take());
+        assertEquals(1, receiver.transport.counters().framesReceived());
     }
 
     @Test
-    void messagesSentInOrderArriveInOrderWhateverTheirSize() throws InterruptedException {
+    void deliversOrderedMessagesOfAnySizeInOrder() throws InterruptedException {
         for (int i = 0; i < 300; i++) {
-            here.transport.sendOrdered(there.address(), TestMessage.withBody(i, i % 10 == 0 ? 20_000 : 0));
+            sender.transport.sendOrdered(receiver.address(), TestMessage.withBody(i, i % 10 == 0 ? 20_000 : 0));
         }
         for (int i = 0; i < 300; i++) {
-            assertEquals(i, there.take().number());
+            assertEquals(i, receiver.take().number());
         }
-        assertEquals(0, there.transport.counters().datagramsReceived());
+        assertEquals(0, receiver.transport.counters().datagramsReceived());
     }
 
     @Test
-    void aMessageToSeveralPeersReachesEachOfThemOnce() throws Exception {
-        Endpoint third = endpoint(0);
-        here.transport.sendToAll(List.of(there.address(), third.address()), TestMessage.numbered(5));
-        assertEquals(5, there.take().number());
-        assertEquals(5, third.take().number());
-        assertEquals(2, here.transport.counters().datagramsSent());
+    void deliversAMessageToSeveralPeersOnceEach() throws Exception {
+        Endpoint secondReceiver = endpoint(0);
+        sender.transport.sendToAll(List.of(receiver.address(), secondReceiver.address()), TestMessage.numbered(5));
+        assertEquals(5, receiver.take().number());
+        assertEquals(5, secondReceiver.take().number());
+        assertEquals(2, sender.transport.counters().datagramsSent());
     }
 
     @Test
-    void messagesToTheSenderItselfArrive() throws InterruptedException {
-        here.transport.send(here.address(), TestMessage.numbered(1));
-        here.transport.sendOrdered(here.address(), TestMessage.numbered(2));
-        assertEquals(3, here.take().number() + here.take().number());
+    void deliversMessagesToItself() throws InterruptedException {
+        sender.transport.send(sender.address(), TestMessage.numbered(1));
+        sender.transport.sendOrdered(sender.address(), TestMessage.numbered(2));
+        assertEquals(3, sender.take().number() + sender.take().number());
     }
 
     @Test
-    void aPeerThatDoesNotReadDelaysNoOtherAndIsReconnected() throws Exception {
-        ServerSocket server = closedLater(new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1")));
-        server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_SECONDS));
+    void reconnectsAPeerThatDoesNotReadWithoutDelayingOthers() throws Exception {
+        ServerSocket server = closeAfterTest(new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1")));
+        server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         for (int i = 0; i < 200; i++) {
-            here.transport.send(addressOf(server), TestMessage.withBody(i, LARGE_BYTES));
+            sender.transport.send(addressOf(server), TestMessage.withBody(i, LARGE_BYTES));
         }
-        Socket stuck = closedLater(server.accept());
-        here.transport.send(there.address(), TestMessage.withBody(1, LARGE_BYTES));
-        assertEquals(1, there.take().number());
-        assertTrue(here.transport.counters().dropped() > 0, "the queue of the stuck peer is bounded");
-        here.transport.send(addressOf(server), TestMessage.withBody(201, LARGE_BYTES));
-        exchangeUntil(() -> here.transport.counters().failedConnections() > 0);
-        here.transport.send(addressOf(server), TestMessage.withBody(202, LARGE_BYTES));
-        closedLater(server.accept());
-        assertTrue(stuck.isConnected());
+        Socket stalledSocket = closeAfterTest(server.accept());
+        sender.transport.send(receiver.address(), TestMessage.withBody(1, LARGE_BYTES));
+        assertEquals(1, receiver.take().number());
+        assertTrue(sender.transport.counters().dropped() > 0, "the queue of the stalled peer is bounded");
+        sender.transport.send(addressOf(server), TestMessage.withBody(201, LARGE_BYTES));
+        exchangeUntil(() -> sender.transport.counters().failedConnections() > 0);
+        sender.transport.send(addressOf(server), TestMessage.withBody(202, LARGE_BYTES));
+        closeAfterTest(server.accept());
+        assertTrue(stalledSocket.isConnected());
     }
 
     @Test
-    void aPeerThatDoesNotAcceptTimesOutAndDelaysNoOther() throws Exception {
-        ServerSocket full = closedLater(new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")));
+    void timesOutAPeerThatDoesNotAcceptWithoutDelayingOthers() throws Exception {
+        ServerSocket fullServer = closeAfterTest(new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")));
         for (int i = 0; i < 4; i++) {
-            SocketChannel filler = closedLater(SocketChannel.open());
+            SocketChannel filler = closeAfterTest(SocketChannel.open());
             filler.configureBlocking(false);
-            filler.connect(full.getLocalSocketAddress());
+            filler.connect(fullServer.getLocalSocketAddress());
         }
-        here.transport.send(addressOf(full), TestMessage.withBody(1, LARGE_BYTES));
-        exchangeUntil(() -> here.transport.counters().failedConnections() > 0);
+        sender.transport.send(addressOf(fullServer), TestMessage.withBody(1, LARGE_BYTES));
+        exchangeUntil(() -> sender.transport.counters().failedConnections() > 0);
     }
 
     @Test
-    void aRestartedPeerIsReconnected() throws Exception {
-        here.transport.sendOrdered(there.address(), TestMessage.numbered(1));
-        assertEquals(1, there.take().number());
-        int port = there.address().port();
-        long failures = here.transport.counters().failedConnections();
-        there.transport.close();
-        there = endpoint(0);
-        exchangeUntil(() -> here.transport.counters().failedConnections() > failures);
-        Endpoint again = endpoint(port);
-        here.transport.sendOrdered(again.address(), TestMessage.numbered(2));
-        assertEquals(2, again.take().number());
+    void reconnectsARestartedPeer() throws Exception {
+        sender.transport.sendOrdered(receiver.address(), TestMessage.numbered(1));
+        assertEquals(1, receiver.take().number());
+        int port = receiver.address().port();
+        long failuresBefore = sender.transport.counters().failedConnections();
+        receiver.transport.close();
+        receiver = endpoint(0);
+        exchangeUntil(() -> sender.transport.counters().failedConnections() > failuresBefore);
+        Endpoint restarted = endpoint(port);
+        sender.transport.sendOrdered(restarted.address(), TestMessage.numbered(2));
+        assertEquals(2, restarted.take().number());
     }
 
     @Test
-    void malformedFramesAreCountedAndTheLoopContinues() throws Exception {
+    void countsMalformedFramesAndContinues() throws Exception {
         InetAddress host = InetAddress.getByName("127.0.0.1");
-        int port = there.address().port();
+        int port = receiver.address().port();
         try (DatagramSocket socket = new DatagramSocket()) {
             for (byte[] bytes : List.of(new byte[0], new byte[] {1}, new byte[] {9, 9, 9, 9}, new byte[500])) {
                 socket.send(new DatagramPacket(bytes, bytes.length, host, port));
@@ -200,56 +200,58 @@
             out.write(new byte[5]);
             out.writeInt(Integer.MAX_VALUE);
             out.flush();
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_SECONDS));
-            byte[] confirmations = socket.getInputStream().readAllBytes();
-            assertTrue(confirmations.length <= 1, "a frame of an absurd length ends the connection, unconfirmed");
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
+            byte[] acknowledgements = socket.getInputStream().readAllBytes();
+            assertTrue(
+                    acknowledgements.length <= 1,
+                    "a frame length above the maximum closes the connection without an acknowledgement");
         }
-        exchangeUntil(() -> there.transport.counters().malformed() == 6);
+        exchangeUntil(() -> receiver.transport.counters().malformed() == 6);
     }
 
     @Test
-    void aFrameThatArrivesInChunksIsReassembled() throws Exception {
+    void reassemblesAFrameThatArrivesInChunks() throws Exception {
         byte[] frame = new MessageCodec(TestMessage.types()).encode(4_000, TestMessage.withBody(3, 30));
-        try (Socket socket = new Socket("127.0.0.1", there.address().port())) {
+        try (Socket socket = new Socket("127.0.0.1", receiver.address().port())) {
             socket.setTcpNoDelay(true);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             for (int copy = 0; copy < 3; copy++) {
                 out.writeInt(frame.length);
-                for (byte piece : frame) {
-                    out.write(piece);
+                for (byte singleByte : frame) {
+                    out.write(singleByte);
                     out.flush();
                 }
             }
             for (int copy = 0; copy < 3; copy++) {
-                assertEquals(3, there.take().number());
+                assertEquals(3, receiver.take().number());
             }
         }
-        assertEquals(new SocketAddress("127.0.0.1", 4_000), there.senders.take());
+        assertEquals(new SocketAddress("127.0.0.1", 4_000), receiver.senders.take());
     }
 
     @Test
-    void aReceiverThatThrowsDoesNotEndTheLoop() throws Exception {
-        BlockingQueue<Long> numbers = new LinkedBlockingQueue<>();
-        NetworkTransport throwing = closedLater(
+    void continuesAfterAnExceptionInTheReceiver() throws Exception {
+        BlockingQueue<Long> receivedNumbers = new LinkedBlockingQueue<>();
+        NetworkTransport throwingTransport = closeAfterTest(
                 new NetworkTransport(new SocketAddress("127.0.0.1", 0), new MessageCodec(TestMessage.types())));
-        throwing.start((sender, message) -> {
-            numbers.add(((TestMessage) message).number());
-            throw new IllegalStateException("on purpose");
+        throwingTransport.start((senderAddress, message) -> {
+            receivedNumbers.add(((TestMessage) message).number());
+            throw new IllegalStateException("expected by the test");
         });
         for (int i = 0; i < 3; i++) {
-            here.transport.sendOrdered(throwing.localAddress(), TestMessage.numbered(i));
+            sender.transport.sendOrdered(throwingTransport.localAddress(), TestMessage.numbered(i));
         }
         for (long i = 0; i < 3; i++) {
-            assertEquals(i, numbers.poll(LIMIT_SECONDS, TimeUnit.SECONDS));
+            assertEquals(i, receivedNumbers.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void anAddressInUseIsReportedWithTheStep() {
+    void reportsAnAddressInUseWithTheFailedStep() {
         TransportException failure = assertThrows(
                 TransportException.class,
-                () -> new NetworkTransport(here.address(), new MessageCodec(TestMessage.types())));
-        assertEquals(here.address(), failure.address());
+                () -> new NetworkTransport(sender.address(), new MessageCodec(TestMessage.types())));
+        assertEquals(sender.address(), failure.address());
         assertTrue(failure.getMessage().startsWith("bind at 127.0.0.1:"));
     }
 }
--- a/router-fleet/transport/src/test/java/pinewick/transport/OutgoingConnectionTest.java
+++ b/router-fleet/transport/src/test/java/pinewick/transport/OutgoingConnectionTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Deadlines of a connection: the sockets are real, the time is handed in. */
+/** Tests the time-outs of a connection with real sockets and a simulated clock. */
 class OutgoingConnectionTest {
     private static final byte[] SMALL = {1, 2, 3};
     private static final int MEGABYTE = 1 << 20;
@@ -45,7 +45,7 @@
         selector.close();
     }
 
-    /** Handles what the selector reports, at one moment, until something holds. */
+    /** Handles the events of the selector at the given time until the condition is true. */
     private void selectUntil(BooleanSupplier condition, double nowMs) throws IOException {
         while (!condition.getAsBoolean()) {
             selector.select(key -> ((ChannelHandler) key.attachment()).onReady(nowMs));
@@ -53,10 +53,10 @@
     }
 
     private void sendSmall(double nowMs) throws IOException {
-        long sent = counters.framesSent();
+        long framesSentBefore = counters.framesSent();
         connection.enqueue(SMALL, nowMs);
-        connection.service(nowMs);
-        selectUntil(() -> counters.framesSent() > sent, nowMs);
+        connection.connectOrWrite(nowMs);
+        selectUntil(() -> counters.framesSent() > framesSentBefore, nowMs);
     }
 
     private static byte[] readFrame(DataInputStream in) throws IOException {
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aFrameIsWrittenWithItsLengthInFront() throws IOException {
+    void writesAFrameWithALengthPrefix() throws IOException {
         sendSmall(0);
         try (Socket accepted = server.accept()) {
             assertArrayEquals(SMALL, readFrame(new DataInputStream(accepted.getInputStream())));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void anIdleConnectionIsClosed() throws IOException {
+    void closesAnIdleConnection() throws IOException {
         sendSmall(0);
         server.accept().getOutputStream().write(1);
         selectUntil(() -> !connection.hasPendingWork(), 1);
@@ -86,23 +86,23 @@
     }
 
     @Test
-    void aPeerThatAcknowledgesNothingIsReconnected() throws IOException {
+    void closesAnUnacknowledgedConnectionWithoutResendingTheFrame() throws IOException {
         sendSmall(0);
         connection.checkDeadlines(OutgoingConnection.ACKNOWLEDGEMENT_TIMEOUT_MS);
         assertEquals(0, counters.failedConnections());
         assertTrue(connection.hasPendingWork());
         connection.checkDeadlines(OutgoingConnection.ACKNOWLEDGEMENT_TIMEOUT_MS + 1);
         assertEquals(1, counters.failedConnections());
-        assertFalse(connection.isActive(), "a frame that was written whole is not sent twice");
+        assertFalse(connection.isActive(), "a completely written frame is not sent again");
     }
 
     @Test
-    void aStuckWriteEndsTheConnectionAndTheFrameIsSentAgainWhole() throws IOException {
+    void closesAStalledConnectionAndResendsTheCompleteFrame() throws IOException {
         byte[] large = new byte[8 * MEGABYTE];
         Arrays.fill(large, (byte) 7);
         connection.enqueue(large, 0);
-        connection.service(0);
-        Socket stuck = server.accept();
+        connection.connectOrWrite(0);
+        Socket stalled = server.accept();
         selectUntil(() -> selector.keys().stream().anyMatch(key -> key.isValid() && key.interestOps() == 5), 0);
         connection.checkDeadlines(OutgoingConnection.WRITE_TIMEOUT_MS - 1);
         assertEquals(0, counters.failedConnections());
@@ -110,11 +110,11 @@
         assertEquals(1, counters.failedConnections());
         assertTrue(connection.hasPendingWork());
 
-        double againAtMs = OutgoingConnection.WRITE_TIMEOUT_MS + OutgoingConnection.RECONNECT_DELAY_MS + 2;
-        connection.checkDeadlines(againAtMs);
+        double reconnectAtMs = OutgoingConnection.WRITE_TIMEOUT_MS + OutgoingConnection.RECONNECT_DELAY_MS + 2;
+        connection.checkDeadlines(reconnectAtMs);
         Thread writer = new Thread(() -> {
             try {
-                selectUntil(() -> counters.framesSent() == 1, againAtMs);
+                selectUntil(() -> counters.framesSent() == 1, reconnectAtMs);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -123,31 +123,31 @@
         try (Socket accepted = server.accept()) {
             assertArrayEquals(large, readFrame(new DataInputStream(accepted.getInputStream())));
         }
-        DataInputStream fromStuck = new DataInputStream(stuck.getInputStream());
-        assertThrows(EOFException.class, () -> readFrame(fromStuck));
-        stuck.close();
+        DataInputStream stalledInput = new DataInputStream(stalled.getInputStream());
+        assertThrows(EOFException.class, () -> readFrame(stalledInput));
+        stalled.close();
     }
 
     @Test
-    void aConnectionAttemptWithoutResponseTimesOut() throws IOException {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+    void timesOutAConnectionAttemptWithoutResponse() throws IOException {
+        try (ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             SocketChannel[] fillers = new SocketChannel[4];
             for (int i = 0; i < fillers.length; i++) {
                 fillers[i] = SocketChannel.open();
                 fillers[i].configureBlocking(false);
-                fillers[i].connect(full.getLocalSocketAddress());
+                fillers[i].connect(fullServer.getLocalSocketAddress());
             }
-            OutgoingConnection hanging =
-                    new OutgoingConnection((InetSocketAddress) full.getLocalSocketAddress(), selector, counters);
-            hanging.enqueue(SMALL, 0);
-            hanging.service(0);
-            hanging.checkDeadlines(OutgoingConnection.CONNECT_TIMEOUT_MS);
+            OutgoingConnection connecting =
+                    new OutgoingConnection((InetSocketAddress) fullServer.getLocalSocketAddress(), selector, counters);
+            connecting.enqueue(SMALL, 0);
+            connecting.connectOrWrite(0);
+            connecting.checkDeadlines(OutgoingConnection.CONNECT_TIMEOUT_MS);
             assertEquals(0, counters.failedConnections());
-            hanging.checkDeadlines(OutgoingConnection.CONNECT_TIMEOUT_MS + 1);
+            connecting.checkDeadlines(OutgoingConnection.CONNECT_TIMEOUT_MS + 1);
             assertEquals(1, counters.failedConnections());
-            assertTrue(hanging.hasPendingWork(), "the frame waits for the next dial");
-            hanging.checkDeadlines(OutgoingConnection.MAX_QUEUE_TIME_MS + 1);
-            assertFalse(hanging.isActive(), "a stale frame is not sent any more");
+            assertTrue(connecting.hasPendingWork(), "the frame stays queued for the next connection attempt");
+            connecting.checkDeadlines(OutgoingConnection.MAX_QUEUE_TIME_MS + 1);
+            assertFalse(connecting.isActive(), "a frame that has waited too long is dropped");
             assertEquals(1, counters.dropped());
             for (SocketChannel filler : fillers) {
                 filler.close();
@@ -156,14 +156,14 @@
     }
 
     @Test
-    void aPeerThatStartsShortlyAfterGetsTheQueuedFrames() throws IOException {
+    void sendsQueuedFramesToAPeerThatStartsAfterTheFirstAttempt() throws IOException {
         int port = server.getLocalPort();
         server.close();
         connection.enqueue(SMALL, 0);
-        connection.service(0);
+        connection.connectOrWrite(0);
         selectUntil(() -> counters.failedConnections() == 1, 0);
-        connection.service(1);
-        assertEquals(1, counters.failedConnections(), "no dial right after a failed one");
+        connection.connectOrWrite(1);
+        assertEquals(1, counters.failedConnections(), "no connection attempt within the reconnect delay");
         server = new ServerSocket(port, 5, InetAddress.getByName("127.0.0.1"));
         connection.checkDeadlines(OutgoingConnection.RECONNECT_DELAY_MS + 1);
         selectUntil(() -> counters.framesSent() == 1, OutgoingConnection.RECONNECT_DELAY_MS + 1);
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void aClosedPeerIsNoticedAndTheNextFrameGoesOverANewConnection() throws IOException {
+    void sendsTheNextFrameOverANewConnectionAfterThePeerCloses() throws IOException {
         sendSmall(0);
         server.accept().close();
         selectUntil(() -> counters.failedConnections() == 1, 1);
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void theOldestFramesAreDroppedWhenTheQueueIsFull() {
+    void dropsTheOldestFramesWhenTheQueueIsFull() {
         PeerQueue queue = new PeerQueue(3, 100);
         for (byte i = 0; i < 5; i++) {
             queue.add(new byte[] {i}, i);
@@ -192,7 +192,7 @@
         assertEquals(2, queue.poll().orElseThrow().frame()[0]);
         assertEquals(1, queue.add(new byte[99], 5));
         assertEquals(4, queue.poll().orElseThrow().frame()[0]);
-        assertEquals(1, queue.add(new byte[5_000], 6), "a frame above the bound stands alone");
+        assertEquals(1, queue.add(new byte[5_000], 6), "a frame above the limit is queued alone");
         PeerQueue.QueuedFrame large = queue.poll().orElseThrow();
         assertFalse(queue.requeue(large));
         assertTrue(queue.isEmpty());
--- a/router-fleet/transport/src/test/java/pinewick/transport/TestMessage.java
+++ b/router-fleet/transport/src/test/java/pinewick/transport/TestMessage.java
@@ -4,7 +4,7 @@
 import pinewick.model.Message;
 import pinewick.model.SocketAddress;
 
-/** A message with everything that real ones are made of. */
+/** A message with a field of every kind that occurs in real messages. */
 record TestMessage(long number, String text, SocketAddress address, List<Part> parts, byte[] body, Colour colour)
         implements Message {
     /** A record within a message. */
