--- a/router-fleet/system/src/main/java/pinewick/system/Commands.java
+++ b/router-fleet/system/src/main/java/pinewick/system/Commands.java
@@ -15,7 +15,7 @@
 import pinewick.model.NodeSettings;
 import pinewick.model.SocketAddress;
 
-/** The command line. */
+/** The commands of the command line. */
 @Command(
         name = "pinewick-system",
         mixinStandardHelpOptions = true,
@@ -26,18 +26,18 @@
     private CommandLine.Model.CommandSpec spec;
 
     /** Runs one command and returns its exit code. */
-    static int run(String... words) {
-        return line().execute(words);
+    static int run(String... args) {
+        return newCommandLine().execute(args);
     }
 
-    /** The parser of the command line. */
-    static CommandLine line() {
+    /** Creates the command-line parser. */
+    static CommandLine newCommandLine() {
         return new CommandLine(new Commands());
     }
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing command");
     }
 
     @Command(name = "router", description = "Runs a router with the settings file that PINEWICK_CONFIG names.")
@@ -50,13 +50,15 @@
         return ProgramRunner.run(Program.Kind.CONTROLLER);
     }
 
-    @Command(name = "check-settings", description = "Reads a settings file as a program would, and tells every fault.")
+    @Command(
+            name = "check-settings",
+            description = "Validates a settings file as a program would and prints every fault.")
     int checkSettings(@Parameters(paramLabel = "FILE") Path file) {
         try {
             NodeSettings settings = SettingsReader.read(file);
             spec.commandLine()
                     .getOut()
-                    .println("settings of " + settings.nodeName() + " in " + settings.zone() + " are sound");
+                    .println("settings of " + settings.nodeName() + " in " + settings.zone() + " are valid");
             return ProgramRunner.EXIT_OK;
         } catch (InvalidSettingsException e) {
             e.faults().forEach(spec.commandLine().getErr()::println);
@@ -64,20 +66,20 @@
         }
     }
 
-    @Command(name = "check-config", description = "Checks a whole configuration as a controller would.")
+    @Command(name = "check-config", description = "Validates a complete configuration as a controller would.")
     int checkConfiguration(@Parameters(paramLabel = "FILE") Path file) {
         try {
             ConfigurationDocument document = ConfigurationChecks.parseReplacement(Files.readAllBytes(file));
             spec.commandLine()
                     .getOut()
-                    .println("configuration " + document.version() + " is sound: " + count(document, "routes")
+                    .println("configuration " + document.version() + " is valid: " + count(document, "routes")
                             + " routes, " + count(document, "services") + " services");
             return ProgramRunner.EXIT_OK;
         } catch (InvalidConfigurationException e) {
             e.faults().forEach(spec.commandLine().getErr()::println);
             return ProgramRunner.EXIT_USAGE;
         } catch (IOException e) {
-            spec.commandLine().getErr().println(file + " can't be read: " + e + "; name a readable file");
+            spec.commandLine().getErr().println(file + " cannot be read: " + e + "; name a readable file");
             return ProgramRunner.EXIT_USAGE;
         }
     }
@@ -86,42 +88,45 @@
         return document.sections().getOrDefault(section, Map.of()).size();
     }
 
-    @Command(name = "status", description = "Asks a controller for its state, or a router whether it is ready.")
+    @Command(name = "status", description = "Prints the state of a controller or the readiness of a router.")
     int status(
-            @Parameters(paramLabel = "ADDRESS", description = "HOST:PORT of its readiness or control_plane address")
+            @Parameters(paramLabel = "ADDRESS", description = "HOST:PORT of the readiness or control_plane address")
                     String address) {
-        SocketAddress process;
+        SocketAddress processAddress;
         try {
-            process = SocketAddress.parse(address);
+            processAddress = SocketAddress.parse(address);
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage());
         }
         try {
-            HttpCall.Response answer = HttpCall.get(process, "/status").send();
-            if (answer.status() == HttpURLConnection.HTTP_NOT_FOUND) {
-                answer = HttpCall.get(process, "/ready").send();
+            HttpCall.Response response = HttpCall.get(processAddress, "/status").send();
+            if (response.status() == HttpURLConnection.HTTP_NOT_FOUND) {
+                response = HttpCall.get(processAddress, "/ready").send();
             }
-            spec.commandLine().getOut().println(answer.status() + " " + answer.body());
-            return answer.status() == HttpURLConnection.HTTP_OK ? ProgramRunner.EXIT_OK : ProgramRunner.EXIT_FAILED;
+            spec.commandLine().getOut().println(response.status() + " " + response.body());
+            return response.status() == HttpURLConnection.HTTP_OK ? ProgramRunner.EXIT_OK : ProgramRunner.EXIT_FAILED;
         } catch (IOException e) {
-            spec.commandLine().getErr().println(address + " does not answer: " + e);
+            spec.commandLine().getErr().println(address + " does not respond: " + e);
             return ProgramRunner.EXIT_FAILED;
         }
     }
 
-    @Command(name = "version", description = "Tells the version.")
+    @Command(name = "version", description = "Prints the version.")
     int version() {
         spec.commandLine().getOut().println(new ManifestVersion().getVersion()[0]);
         return ProgramRunner.EXIT_OK;
     }
 
-    @Command(name = "rehearse", hidden = true, description = "Plays a short life of both programs.")
-    int rehearse(@Option(names = "--strict", description = "fail if a step of it fails") boolean strict) {
-        int code = new TrainingRun().run();
-        return strict ? code : ProgramRunner.EXIT_OK;
+    @Command(
+            name = "rehearse",
+            hidden = true,
+            description = "Runs both programs briefly to record the classes they load.")
+    int rehearse(@Option(names = "--strict", description = "exit with an error if a step fails") boolean strict) {
+        int exitCode = new TrainingRun().run();
+        return strict ? exitCode : ProgramRunner.EXIT_OK;
     }
 
-    /** The version in the jar's manifest. */
+    /** Reads the version from the manifest of the jar. */
     static final class ManifestVersion implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/router-fleet/system/src/main/java/pinewick/system/FakeReplica.java
+++ b/router-fleet/system/src/main/java/pinewick/system/FakeReplica.java
@@ -14,8 +14,8 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Answers like a replica, for the {@link TrainingRun}: health and load reports, prefill, streams of two events, and
- * plain bodies; one request per connection at a time.
+ * Responds like a replica in the {@link TrainingRun}: to health checks and load reports, with prefill handles, streams
+ * of two events, and plain bodies. Serves one request per connection at a time.
  */
 final class FakeReplica implements Closeable {
     private static final String SIGNATURE = "X-Pinewick-Server-Signature: rehearsal\r\n";
@@ -25,12 +25,12 @@
     private final String stage;
     private final ServerSocket server;
 
-    /** @param stage the stage that it serves, empty for a plain service */
+    /** @param stage the serving stage of the replica; empty for a plain service */
     FakeReplica(String instanceId, String stage, InetAddress host) throws IOException {
         this.instanceId = instanceId;
         this.stage = stage;
         this.server = new ServerSocket(0, MAX_BACKLOG, host);
-        startThread(this::acceptAll);
+        startThread(this::acceptConnections);
     }
 
     String instanceId() {
@@ -56,14 +56,14 @@
         thread.start();
     }
 
-    private void acceptAll() {
+    private void acceptConnections() {
         try {
             while (true) {
                 Socket socket = server.accept();
                 startThread(() -> serve(socket));
             }
         } catch (IOException e) {
-            // Closed: the training run has ended.
+            // The socket has been closed at the end of the training run.
         }
     }
 
@@ -78,12 +78,12 @@
                 requestLine = readLine(input);
             }
         } catch (IOException | NumberFormatException e) {
-            // The caller has closed the connection, or sent what this fake does not understand.
+            // The caller has closed the connection or sent a request that is not supported here.
         }
     }
 
     private String responseTo(String requestLine, Map<String, String> headers) {
-        String id = "X-Pinewick-Request-Id: " + headers.getOrDefault("x-pinewick-request-id", "") + "\r\n";
+        String requestIdHeader = "X-Pinewick-Request-Id: " + headers.getOrDefault("x-pinewick-request-id", "") + "\r\n";
         if (requestLine.startsWith("GET /report ")) {
             return fullResponse(
                     "",
@@ -98,25 +98,25 @@
             return fullResponse("", "");
         }
         if (headers.containsKey("x-pinewick-serving-stage")) {
-            return fullResponse(id + SIGNATURE, "{\"prefill_handle\":\"1\",\"tokens\":30,\"version\":1}");
+            return fullResponse(requestIdHeader + SIGNATURE, "{\"prefill_handle\":\"1\",\"tokens\":30,\"version\":1}");
         }
         if (headers.containsKey("x-pinewick-model")) {
-            return stream(id);
+            return eventStreamResponse(requestIdHeader);
         }
-        return fullResponse(id + SIGNATURE, "plain");
+        return fullResponse(requestIdHeader + SIGNATURE, "plain");
     }
 
     private static String fullResponse(String headers, String body) {
         return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static String stream(String id) {
-        return "HTTP/1.1 200 OK\r\n" + id + SIGNATURE
+    private static String eventStreamResponse(String requestIdHeader) {
+        return "HTTP/1.1 200 OK\r\n" + requestIdHeader + SIGNATURE
                 + "Versions: 1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + chunk("id: 1\ndata: a\n\n") + chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n";
+                + encodeChunk("id: 1\ndata: a\n\n") + encodeChunk("id: 2\ndata: b\n\n") + "0\r\n\r\n";
     }
 
-    private static String chunk(String text) {
+    private static String encodeChunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
--- a/router-fleet/system/src/main/java/pinewick/system/HttpCall.java
+++ b/router-fleet/system/src/main/java/pinewick/system/HttpCall.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import pinewick.model.SocketAddress;
 
-/** One HTTP request of the command-line tools, on a connection of its own. */
+/** An HTTP request of the command-line tools, sent on a separate connection. */
 record HttpCall(SocketAddress address, String method, String path, Map<String, String> headers, String body) {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     private static final int READ_TIMEOUT_MS = 5_000;
 
-    /** A status and a body. */
+    /** The status and the body of a response. */
     record Response(int status, String body) {}
 
     static HttpCall get(SocketAddress address, String path) {
@@ -24,7 +24,7 @@
     /**
      * Sends the request and reads the complete response.
      *
-     * @throws IOException if there is no connection, or no complete response in time
+     * @throws IOException if the connection fails or the complete response does not arrive in time
      */
     Response send() throws IOException {
         URL url = new URL("http", address.host(), address.port(), path);
--- a/router-fleet/system/src/main/java/pinewick/system/InvalidSettingsException.java
+++ b/router-fleet/system/src/main/java/pinewick/system/InvalidSettingsException.java
@@ -4,8 +4,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A settings file with which a program cannot start, with every fault that was found, so that an operator can correct
- * all of them at once.
+ * Thrown for a settings file with which a program cannot start. It lists every fault that was found, so that an
+ * operator can correct all of them at once.
  */
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/router-fleet/system/src/main/java/pinewick/system/LogLineFormatter.java
+++ b/router-fleet/system/src/main/java/pinewick/system/LogLineFormatter.java
@@ -5,8 +5,8 @@
 import java.util.logging.LogRecord;
 
 /**
- * One line per record: the time of day (UTC), the level's first letter, the class, the message, and for an exception
- * its chain of causes with the stack frame where the last one occurred.
+ * Formats each record as one line: the time of day (UTC), the first letter of the level, the class and the message. An
+ * exception is appended with its chain of causes and the top stack frame of the last cause.
  */
 final class LogLineFormatter extends Formatter {
     private static final long MILLIS_PER_DAY = 86_400_000L;
@@ -16,12 +16,12 @@
     public String format(LogRecord record) {
         StringBuilder line = new StringBuilder(160);
         appendTime(line, Math.floorMod(record.getMillis(), MILLIS_PER_DAY));
-        line.append(' ').append(letter(record.getLevel())).append(' ');
+        line.append(' ').append(levelLetter(record.getLevel())).append(' ');
         String name = String.valueOf(record.getLoggerName());
         line.append(name, name.lastIndexOf('.') + 1, name.length()).append(": ");
         appendOnOneLine(line, String.valueOf(formatMessage(record)));
         if (record.getThrown() != null) {
-            appendChain(line, record.getThrown());
+            appendCauses(line, record.getThrown());
         }
         return line.append('\n').toString();
     }
@@ -45,20 +45,20 @@
         line.append(text);
     }
 
-    private static char letter(Level level) {
+    private static char levelLetter(Level level) {
         return level == Level.SEVERE ? 'E' : level.getName().charAt(0);
     }
 
-    private static void appendChain(StringBuilder line, Throwable thrown) {
-        Throwable last = thrown;
+    private static void appendCauses(StringBuilder line, Throwable thrown) {
+        Throwable lastCause = thrown;
         Throwable cause = thrown;
-        for (int length = 0; cause != null && length < MAX_CAUSES; length++) {
+        for (int causes = 0; cause != null && causes < MAX_CAUSES; causes++) {
             appendOnOneLine(line.append(" | "), cause.toString());
-            last = cause;
+            lastCause = cause;
             cause = cause.getCause();
         }
-        if (last.getStackTrace().length > 0) {
-            line.append(" at ").append(last.getStackTrace()[0]);
+        if (lastCause.getStackTrace().length > 0) {
+            line.append(" at ").append(lastCause.getStackTrace()[0]);
         }
     }
 
--- a/router-fleet/system/src/main/java/pinewick/system/LoggingSetup.java
+++ b/router-fleet/system/src/main/java/pinewick/system/LoggingSetup.java
@@ -12,31 +12,32 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Sends the log to standard output, one line and one write per record. */
+/** Configures logging to standard output, with one line and one write per record. */
 final class LoggingSetup {
     /**
-     * Libraries with verbose logs. Referenced here, because the log manager forgets loggers without a strong reference.
+     * Loggers of libraries with verbose logs. Kept here because the log manager holds its loggers by weak references
+     * only.
      */
-    private static final List<Logger> LIBRARIES =
+    private static final List<Logger> LIBRARY_LOGGERS =
             List.of(Logger.getLogger("org.eclipse.jetty"), Logger.getLogger("jetbrains.exodus"));
 
     private LoggingSetup() {}
 
-    /** Replaces whatever handlers there are. */
+    /** Replaces all existing handlers. */
     static void install() {
         LogManager.getLogManager().reset();
         Logger root = Logger.getLogger("");
         root.setLevel(Level.INFO);
         root.addHandler(new LineHandler(new FileOutputStream(FileDescriptor.out)));
-        for (Logger library : LIBRARIES) {
+        for (Logger library : LIBRARY_LOGGERS) {
             library.setLevel(Level.WARNING);
         }
     }
 
-    /** Writes each record as a line of its own. */
+    /** Writes each record as one line. */
     static final class LineHandler extends Handler {
         private final OutputStream output;
-        private final LogLineFormatter line = new LogLineFormatter();
+        private final LogLineFormatter formatter = new LogLineFormatter();
 
         LineHandler(OutputStream output) {
             this.output = output;
@@ -45,9 +46,9 @@
         @Override
         public synchronized void publish(LogRecord record) {
             try {
-                output.write(line.format(record).getBytes(StandardCharsets.UTF_8));
+                output.write(formatter.format(record).getBytes(StandardCharsets.UTF_8));
             } catch (IOException e) {
-                // Standard output is closed; there is nowhere to report it.
+                // Standard output is closed; the failure cannot be reported anywhere.
             }
         }
 
--- a/router-fleet/system/src/main/java/pinewick/system/Main.java
+++ b/router-fleet/system/src/main/java/pinewick/system/Main.java
@@ -4,23 +4,23 @@
 public final class Main {
     private Main() {}
 
-    /** Runs a command and ends the process with its exit code. */
-    public static void main(String[] words) {
-        System.exit(run(words));
+    /** Runs a command and exits the process with its exit code. */
+    public static void main(String[] args) {
+        System.exit(run(args));
     }
 
-    /** The commands of the deploy file bypass the command-line parser, which is slow to load. */
-    private static int run(String[] words) {
-        String command = words.length == 1 ? words[0] : "";
+    /** Runs the commands of the deploy file without the command-line parser, which is slow to load. */
+    private static int run(String[] args) {
+        String command = args.length == 1 ? args[0] : "";
         return switch (command) {
             case "router" -> ProgramRunner.run(Program.Kind.ROUTER);
             case "controller" -> ProgramRunner.run(Program.Kind.CONTROLLER);
             case "rehearse" -> rehearse();
-            default -> Commands.run(words);
+            default -> Commands.run(args);
         };
     }
 
-    /** The build continues even if it fails: the archive only makes the start faster. */
+    /** Returns success even if a step fails, so that the build continues: the archive only speeds up the start. */
     private static int rehearse() {
         new TrainingRun().run();
         return ProgramRunner.EXIT_OK;
--- a/router-fleet/system/src/main/java/pinewick/system/ProcessEvent.java
+++ b/router-fleet/system/src/main/java/pinewick/system/ProcessEvent.java
@@ -1,9 +1,9 @@
 package pinewick.system;
 
-/** Requests of the platform to a running process. */
+/** Requests from the platform to a running process. */
 enum ProcessEvent {
     /** The settings file has changed (SIGHUP). */
-    REREAD_SETTINGS,
-    /** The process is to end (SIGTERM, SIGINT). */
+    RELOAD_SETTINGS,
+    /** The process has to stop (SIGTERM, SIGINT). */
     STOP
 }
--- a/router-fleet/system/src/main/java/pinewick/system/Program.java
+++ b/router-fleet/system/src/main/java/pinewick/system/Program.java
@@ -6,15 +6,15 @@
 import pinewick.model.NodeSettings;
 import pinewick.model.SocketAddress;
 
-/** The two programs as the command line runs them. */
+/** A program that the command line can run: the router or the controller. */
 interface Program {
-    /** Starts serving. */
+    /** Starts to serve. Throws if the program cannot start. */
     void start() throws Exception;
 
-    /** Completes requests in flight within the grace period, and returns when everything has stopped. */
+    /** Completes requests in flight within the grace period and returns when the program has stopped. */
     void stop() throws Exception;
 
-    /** The seeds have changed. */
+    /** Replaces the seed nodes after a change of the settings. */
     void updateSeeds(List<SocketAddress> seeds);
 
     /** Creates a program from its settings. */
@@ -36,7 +36,7 @@
             this.factory = factory;
         }
 
-        /** The interface that it serves, by its name in the settings. */
+        /** The name in the settings of the interface that the program serves. */
         String service() {
             return service;
         }
--- a/router-fleet/system/src/main/java/pinewick/system/ProgramRunner.java
+++ b/router-fleet/system/src/main/java/pinewick/system/ProgramRunner.java
@@ -9,11 +9,11 @@
 import pinewick.model.NodeSettings;
 import sun.misc.Signal;
 
-/** Runs one program with its settings file until SIGTERM. The calling thread waits for signals and watches the file. */
+/** Runs a program with its settings file until SIGTERM. The calling thread waits for signals and polls the file. */
 final class ProgramRunner {
     /** Success. */
     static final int EXIT_OK = 0;
-    /** The program could not start or stop properly. */
+    /** The program failed to start or to stop. */
     static final int EXIT_FAILED = 1;
     /** The settings or the command line are invalid. */
     static final int EXIT_USAGE = 2;
@@ -27,10 +27,11 @@
     private final BlockingQueue<ProcessEvent> events;
 
     /**
-     * @param settingsFile read once at the start, and watched
-     * @param service the interface that the program serves; settings that do not name it are rejected
+     * @param settingsFile the settings file, read at the start and polled for changes
+     * @param service the interface that the program serves; settings whose {@code serves} does not contain it are
+     *     rejected
      * @param factory creates the program
-     * @param events requests of the platform
+     * @param events the requests from the platform
      */
     ProgramRunner(Path settingsFile, String service, Program.Factory factory, BlockingQueue<ProcessEvent> events) {
         this.settingsFile = settingsFile;
@@ -39,7 +40,7 @@
         this.events = events;
     }
 
-    /** Runs a program with the settings file of the environment, and returns its exit code. */
+    /** Runs a program with the settings file named by the environment and returns its exit code. */
     static int run(Program.Kind kind) {
         LoggingSetup.install();
         BlockingQueue<ProcessEvent> events = new LinkedBlockingQueue<>();
@@ -47,14 +48,14 @@
         return new ProgramRunner(SettingsReader.pathFromEnvironment(), kind.service(), kind.factory(), events).run();
     }
 
-    /** Turns the signals of the platform into events. */
+    /** Adds an event to {@code events} for each signal from the platform. */
     static void installSignalHandlers(BlockingQueue<ProcessEvent> events) {
         Signal.handle(new Signal("TERM"), signal -> events.add(ProcessEvent.STOP));
         Signal.handle(new Signal("INT"), signal -> events.add(ProcessEvent.STOP));
-        Signal.handle(new Signal("HUP"), signal -> events.add(ProcessEvent.REREAD_SETTINGS));
+        Signal.handle(new Signal("HUP"), signal -> events.add(ProcessEvent.RELOAD_SETTINGS));
     }
 
-    /** Starts the program, waits for its end, and returns the exit code. */
+    /** Starts the program, waits until it has stopped, and returns the exit code. */
     int run() {
         String settingsText;
         NodeSettings settings;
@@ -75,7 +76,7 @@
             LOGGER.atInfo().log("process stopped");
             return EXIT_OK;
         } catch (Exception e) {
-            // Boundary of the process: any failure is logged with its cause and becomes the exit code.
+            // Boundary of the process: every failure is logged with its cause and reported by the exit code.
             LOGGER.atSevere().withCause(e).log("process ends with an error: node %s", settings.nodeName());
             return EXIT_FAILED;
         }
@@ -94,8 +95,8 @@
             if (event == ProcessEvent.STOP) {
                 return;
             }
-            if (event == ProcessEvent.REREAD_SETTINGS) {
-                watcher.reread();
+            if (event == ProcessEvent.RELOAD_SETTINGS) {
+                watcher.reload();
             } else {
                 watcher.poll();
             }
--- a/router-fleet/system/src/main/java/pinewick/system/SettingsFault.java
+++ b/router-fleet/system/src/main/java/pinewick/system/SettingsFault.java
@@ -1,10 +1,10 @@
 package pinewick.system;
 
 /**
- * One fault of a settings file.
+ * A fault in a settings file.
  *
- * @param field the field by its name in the file, or the file's path for the complete file
- * @param reason what is wrong and how to correct it
+ * @param field the name of the field in the file, or the path of the file if the fault concerns the complete file
+ * @param reason the fault and how to correct it
  */
 public record SettingsFault(String field, String reason) {
     @Override
--- a/router-fleet/system/src/main/java/pinewick/system/SettingsReader.java
+++ b/router-fleet/system/src/main/java/pinewick/system/SettingsReader.java
@@ -18,13 +18,13 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Reads and validates the settings file of a process. Unknown fields are ignored; values of rules that are not in force
+ * Reads and validates the settings file of a process. Unknown fields are ignored. Values of rules that are not enabled
  * may be absent and have defaults.
  */
 public final class SettingsReader {
     /** The environment variable that names the settings file. */
     public static final String PATH_VARIABLE = "PINEWICK_CONFIG";
-    /** The path of the settings file unless the variable is set. */
+    /** The path of the settings file if the variable is not set. */
     public static final Path DEFAULT_PATH = Path.of("/etc/pinewick/node.toml");
 
     private static final int MAX_PORT = 65_535;
@@ -37,16 +37,16 @@
 
     private SettingsReader() {}
 
-    /** The path that the environment gives. */
+    /** The path of the settings file according to the environment. */
     public static Path pathFromEnvironment() {
         String path = System.getenv(PATH_VARIABLE);
         return path == null || path.isEmpty() ? DEFAULT_PATH : Path.of(path);
     }
 
     /**
-     * Reads a settings file.
+     * Reads and validates a settings file.
      *
-     * @throws InvalidSettingsException with every fault
+     * @throws InvalidSettingsException if the file is unreadable or invalid, with every fault
      */
     public static NodeSettings read(Path file) throws InvalidSettingsException {
         return parse(readText(file), file.toString());
@@ -55,13 +55,13 @@
     /**
      * Reads the text of a settings file.
      *
-     * @throws InvalidSettingsException if it cannot be read
+     * @throws InvalidSettingsException if the file cannot be read
      */
     static String readText(Path file) throws InvalidSettingsException {
         try {
             return Files.readString(file);
         } catch (IOException e) {
-            String reason = "can't be read: " + e + "; name a readable file in " + PATH_VARIABLE;
+            String reason = "cannot be read: " + e + "; name a readable file in " + PATH_VARIABLE;
             throw new InvalidSettingsException(List.of(new SettingsFault(file.toString(), reason)));
         }
     }
@@ -69,9 +69,9 @@
     /**
      * Validates the text of a settings file.
      *
-     * @param text the text
-     * @param source its origin, for the faults
-     * @throws InvalidSettingsException with every fault
+     * @param text the text of the file
+     * @param source the origin of the text, named in faults
+     * @throws InvalidSettingsException if the text is invalid, with every fault
      */
     public static NodeSettings parse(String text, String source) throws InvalidSettingsException {
         List<SettingsFault> faults = new ArrayList<>();
@@ -83,8 +83,9 @@
     }
 
     /**
-     * Parses with the parser that loads fast, since every start of a process pays for it; it ends at the first error.
-     * Only a text that it rejects is read by the parser that reports every error with its position.
+     * Parses with the parser whose classes load faster, because its loading time is part of every start of a process.
+     * It stops at the first error; a text that it rejects is parsed again by the parser that reports every error with
+     * its position.
      */
     private static UnmodifiableConfig parseToml(String text, String source) throws InvalidSettingsException {
         try {
@@ -108,35 +109,35 @@
     }
 
     private static NodeSettings settings(TomlFields root) {
-        List<String> serves = root.texts("serves");
+        List<String> serves = root.strings("serves");
         PortRange ports = internalPorts(root);
         TomlFields listen = root.table("listen_addresses");
-        Map<String, String> zones = root.table("zones").textsByKey();
-        String zone = root.requiredText("zone", "name the zone of this machine");
+        Map<String, String> zones = root.table("zones").stringsByKey();
+        String zone = root.requiredString("zone", "name the zone of this machine");
         return new NodeSettings(
-                root.requiredText("node_name", "name this machine"),
-                root.text("role", ""),
+                root.requiredString("node_name", "name this machine"),
+                root.string("role", ""),
                 serves,
                 ipAddress(root),
                 zone,
-                root.text("region", zones.getOrDefault(zone, "")),
+                root.string("region", zones.getOrDefault(zone, "")),
                 ports.first,
                 ports.last,
                 seedNodes(root),
-                root.flag("first_start", false),
-                root.flag("counts_for_quorum", false),
+                root.bool("first_start", false),
+                root.bool("counts_for_quorum", false),
                 dataDirectory(root),
-                root.intNumber("heartbeat_ms", DEFAULT_HEARTBEAT_MS),
+                root.integer("heartbeat_ms", DEFAULT_HEARTBEAT_MS),
                 zones,
                 listenAddress(listen, "frontend", serves.contains("frontend")),
                 listenAddress(listen, "readiness", serves.contains("frontend")),
                 listenAddress(listen, "control_plane", serves.contains("control_plane")),
                 limits(root.table("limits")),
-                root.table("fault_tolerance").intNumber("machines", 0),
+                root.table("fault_tolerance").integer("machines", 0),
                 bounds(root.table("bounds")));
     }
 
-    /** The ports of a range, both ends included. */
+    /** A range of ports; {@code first} and {@code last} are included. */
     private record PortRange(int first, int last) {}
 
     private static PortRange internalPorts(TomlFields root) {
@@ -152,14 +153,14 @@
         }
         root.fault(
                 key,
-                "is " + root.written(key) + "; give the first and the last of at least " + MIN_INTERNAL_PORTS
+                "is " + root.valueText(key) + "; give the first and the last of at least " + MIN_INTERNAL_PORTS
                         + " free ports, as [7720,7735]");
         return new PortRange(0, 0);
     }
 
     private static String ipAddress(TomlFields root) {
         String remedy = "give this machine's IPv4 address";
-        String address = root.requiredText("ip_address", remedy);
+        String address = root.requiredString("ip_address", remedy);
         if (!address.isEmpty() && !Ipv4Address.isLiteral(address)) {
             root.fault("ip_address", "is '" + address + "'; " + remedy);
         }
@@ -170,18 +171,19 @@
         String key = "seed_nodes";
         List<SocketAddress> seeds = root.addresses(key);
         if (!root.has(key) || root.list(key).map(List::isEmpty).orElse(false)) {
-            root.fault(key, "names nobody; give control_plane addresses of controllers, as [\"10.1.0.13:8166\"]");
+            root.fault(
+                    key, "is missing or empty; give control_plane addresses of controllers, as [\"10.1.0.13:8166\"]");
         }
         return seeds;
     }
 
     private static Optional<Path> dataDirectory(TomlFields root) {
-        String directory = root.text("data_directory", "");
+        String directory = root.string("data_directory", "");
         return directory.isEmpty() ? Optional.empty() : Optional.of(Path.of(directory));
     }
 
-    private static Optional<SocketAddress> listenAddress(TomlFields listen, String key, boolean needed) {
-        if (needed && !listen.has(key)) {
+    private static Optional<SocketAddress> listenAddress(TomlFields listen, String key, boolean isRequired) {
+        if (isRequired && !listen.has(key)) {
             listen.fault(key, "is missing; give the address to listen on, as \"10.1.0.10:8161\"");
         }
         return listen.address(key);
@@ -190,11 +192,11 @@
     private static MachineLimits limits(TomlFields limits) {
         return new MachineLimits(
                 limits.number("cpu_share", DEFAULT_LIMITS.cpuShare()),
-                limits.intNumber("cpu_cores", DEFAULT_LIMITS.cpuCores()),
-                limits.intNumber("memory_mb", DEFAULT_LIMITS.memoryMb()),
-                limits.intNumber("file_descriptors", DEFAULT_LIMITS.fileDescriptors()),
+                limits.integer("cpu_cores", DEFAULT_LIMITS.cpuCores()),
+                limits.integer("memory_mb", DEFAULT_LIMITS.memoryMb()),
+                limits.integer("file_descriptors", DEFAULT_LIMITS.fileDescriptors()),
                 limits.number("link_bandwidth_mbps", DEFAULT_LIMITS.linkBandwidthMbps()),
-                limits.intNumber("disk_mb", DEFAULT_LIMITS.diskMb()));
+                limits.integer("disk_mb", DEFAULT_LIMITS.diskMb()));
     }
 
     private static Bounds bounds(TomlFields bounds) {
@@ -202,26 +204,26 @@
         return new Bounds(
                 bounds.number("seed_lag_s", defaults.seedLagSeconds()),
                 bounds.number("address_reuse_s", defaults.addressReuseSeconds()),
-                bounds.intNumber("contact_ms", defaults.contactMs()),
-                bounds.intNumber("ack_ms", defaults.ackMs()),
+                bounds.integer("contact_ms", defaults.contactMs()),
+                bounds.integer("ack_ms", defaults.ackMs()),
                 bounds.number("catch_up_s", defaults.catchUpSeconds()),
-                bounds.intNumber("drain_ms", defaults.drainMs()),
+                bounds.integer("drain_ms", defaults.drainMs()),
                 bounds.number("grace_period_s", defaults.gracePeriodSeconds()),
-                bounds.intNumber("loss_slack_ms", defaults.lossSlackMs()),
-                bounds.intNumber("config_apply_ms", defaults.configApplyMs()),
-                bounds.intNumber("rollback_slack_ms", defaults.rollbackSlackMs()),
+                bounds.integer("loss_slack_ms", defaults.lossSlackMs()),
+                bounds.integer("config_apply_ms", defaults.configApplyMs()),
+                bounds.integer("rollback_slack_ms", defaults.rollbackSlackMs()),
                 bounds.number("retry_budget_ratio", defaults.retryBudgetRatio()),
                 bounds.number("budget_window_s", defaults.budgetWindowSeconds()),
                 bounds.number("retry_budget_slack", defaults.retryBudgetSlack()),
                 bounds.number("recovery_s", defaults.recoverySeconds()),
-                bounds.intNumber("transit_ms", defaults.transitMs()),
+                bounds.integer("transit_ms", defaults.transitMs()),
                 bounds.number("again_s", defaults.againSeconds()),
-                bounds.flag("fencing_enabled", defaults.fencingEnabled()),
-                bounds.intNumber("lease_ms", defaults.leaseMs()),
-                bounds.intNumber("thaw_slack_ms", defaults.thawSlackMs()),
-                bounds.intNumber("max_stretch_ms", defaults.maxStretchMs()),
-                bounds.flag("revocation_closed", defaults.revocationClosed()),
-                bounds.intNumber("revoke_ms", defaults.revokeMs()),
+                bounds.bool("fencing_enabled", defaults.fencingEnabled()),
+                bounds.integer("lease_ms", defaults.leaseMs()),
+                bounds.integer("thaw_slack_ms", defaults.thawSlackMs()),
+                bounds.integer("max_stretch_ms", defaults.maxStretchMs()),
+                bounds.bool("revocation_closed", defaults.revocationClosed()),
+                bounds.integer("revoke_ms", defaults.revokeMs()),
                 bounds.number("quota_window_s", defaults.quotaWindowSeconds()),
                 bounds.number("quota_overage", defaults.quotaOverage()),
                 bounds.number("quota_slack", defaults.quotaSlack()));
--- a/router-fleet/system/src/main/java/pinewick/system/SettingsWatcher.java
+++ b/router-fleet/system/src/main/java/pinewick/system/SettingsWatcher.java
@@ -10,55 +10,56 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Detects changes of the settings file and passes on its seeds. The file's time and size are checked on each poll;
- * every few polls, and after a signal, the file itself is read, because a time may be too coarse to distinguish two
- * writes. An invalid file is logged once and ignored: the current settings stay in force. Used by one thread.
+ * Detects changes of the settings file and reports changed seed nodes. Each poll checks the modification time and the
+ * size of the file. Every few polls, and after a signal, the file itself is read, because a modification time may be
+ * too coarse to distinguish two writes. An invalid file is logged once and ignored: the current settings stay in force.
+ * Used by one thread.
  */
 final class SettingsWatcher {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-    /** After this many polls the file is read, even if its time has not changed. */
+    /** After this number of polls the file is read even if its modification time and size have not changed. */
     private static final int MAX_POLLS_BETWEEN_READS = 15;
 
     private final Path file;
-    private final Consumer<List<SocketAddress>> onSeeds;
+    private final Consumer<List<SocketAddress>> onSeedsChanged;
     private List<SocketAddress> seeds;
-    private String lastStamp = "";
+    private String lastFingerprint = "";
     private String lastText;
     private int pollsSinceRead;
     private boolean unreadable;
 
     /**
      * @param file the settings file
-     * @param text the text of the file with which the process has started; it is not parsed again
-     * @param current the settings that the text gave
-     * @param onSeeds receives seeds that differ from the last ones, on the polling thread
+     * @param text the text of the file at the start of the process; it is not parsed again
+     * @param current the settings parsed from {@code text}
+     * @param onSeedsChanged called on the polling thread with the seed nodes if they differ from the previous ones
      */
-    SettingsWatcher(Path file, String text, NodeSettings current, Consumer<List<SocketAddress>> onSeeds) {
+    SettingsWatcher(Path file, String text, NodeSettings current, Consumer<List<SocketAddress>> onSeedsChanged) {
         this.file = file;
         this.lastText = text;
         this.seeds = current.seedNodes();
-        this.onSeeds = onSeeds;
+        this.onSeedsChanged = onSeedsChanged;
     }
 
-    /** Checks whether the file has changed. To be called about once a second. */
+    /** Checks whether the file has changed. To be called about once per second. */
     void poll() {
         pollsSinceRead++;
-        String now = currentStamp();
-        if (!now.equals(lastStamp) || pollsSinceRead >= MAX_POLLS_BETWEEN_READS) {
-            lastStamp = now;
-            reread();
+        String fingerprint = currentFingerprint();
+        if (!fingerprint.equals(lastFingerprint) || pollsSinceRead >= MAX_POLLS_BETWEEN_READS) {
+            lastFingerprint = fingerprint;
+            reload();
         }
     }
 
-    /** Reads the file, even if its time has not changed. */
-    void reread() {
+    /** Reads the file even if its modification time and size have not changed. */
+    void reload() {
         pollsSinceRead = 0;
         try {
-            String now = Files.readString(file);
+            String currentText = Files.readString(file);
             unreadable = false;
-            if (!now.equals(lastText)) {
-                lastText = now;
-                notifyIfSeedsChanged(SettingsReader.parse(now, file.toString()));
+            if (!currentText.equals(lastText)) {
+                lastText = currentText;
+                notifyIfSeedsChanged(SettingsReader.parse(currentText, file.toString()));
             }
         } catch (IOException e) {
             if (!unreadable) {
@@ -74,11 +75,11 @@
         if (!settings.seedNodes().equals(seeds)) {
             seeds = settings.seedNodes();
             LOGGER.atInfo().log("settings changed: seeds are %s", seeds);
-            onSeeds.accept(seeds);
+            onSeedsChanged.accept(seeds);
         }
     }
 
-    private String currentStamp() {
+    private String currentFingerprint() {
         try {
             return Files.getLastModifiedTime(file).toMillis() + "/" + Files.size(file);
         } catch (IOException e) {
--- a/router-fleet/system/src/main/java/pinewick/system/TomlFields.java
+++ b/router-fleet/system/src/main/java/pinewick/system/TomlFields.java
@@ -9,8 +9,8 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Typed access to one table of a settings file. A field that is missing or of the wrong type becomes a fault and reads
- * as a default, so that all faults are reported at once.
+ * Typed access to a table of a settings file. A field that is missing or has the wrong type is recorded as a fault and
+ * its default is returned, so that all faults are reported at once.
  */
 final class TomlFields {
     private final String path;
@@ -27,11 +27,11 @@
         return new TomlFields("", root, faults);
     }
 
-    /** A table inside this one; all its fields are absent if it is. */
+    /** A nested table; if it is absent, so are all its fields. */
     TomlFields table(String key) {
         Object value = value(key);
-        if (value instanceof UnmodifiableConfig inner) {
-            return new TomlFields(path + key + ".", inner, faults);
+        if (value instanceof UnmodifiableConfig innerTable) {
+            return new TomlFields(path + key + ".", innerTable, faults);
         }
         if (value != null) {
             fault(key, "is not a table; write it as [" + path + key + "]");
@@ -39,8 +39,8 @@
         return new TomlFields(path + key + ".", null, faults);
     }
 
-    /** The text of a field's value, {@code missing} if it is absent. */
-    String written(String key) {
+    /** The value of a field as text for a fault; {@code missing} if it is absent. */
+    String valueText(String key) {
         Object value = value(key);
         return value == null ? "missing" : value.toString();
     }
@@ -53,19 +53,19 @@
         return value(key) != null;
     }
 
-    String requiredText(String key, String remedy) {
+    String requiredString(String key, String remedy) {
         if (!has(key)) {
             fault(key, "is missing; " + remedy);
             return "";
         }
-        String text = text(key, "");
+        String text = string(key, "");
         if (text.isEmpty() && value(key) instanceof String) {
             fault(key, "is empty; " + remedy);
         }
         return text;
     }
 
-    String text(String key, String defaultValue) {
+    String string(String key, String defaultValue) {
         Object value = value(key);
         if (value == null) {
             return defaultValue;
@@ -73,11 +73,11 @@
         if (value instanceof String text) {
             return text;
         }
-        fault(key, "is " + value + "; put a text in quotes");
+        fault(key, "is " + value + "; put a string in quotes");
         return defaultValue;
     }
 
-    boolean flag(String key, boolean defaultValue) {
+    boolean bool(String key, boolean defaultValue) {
         Object value = value(key);
         if (value == null) {
             return defaultValue;
@@ -89,12 +89,12 @@
         return defaultValue;
     }
 
-    /** A number from 0 up, rounded to the nearest integer. */
-    int intNumber(String key, int defaultValue) {
+    /** A finite number of at least 0, rounded to the nearest integer and limited to {@link Integer#MAX_VALUE}. */
+    int integer(String key, int defaultValue) {
         return (int) Math.min(Integer.MAX_VALUE, Math.round(number(key, defaultValue)));
     }
 
-    /** A number from 0 up. */
+    /** A finite number of at least 0. */
     double number(String key, double defaultValue) {
         Object value = value(key);
         if (value == null) {
@@ -107,24 +107,24 @@
         return defaultValue;
     }
 
-    List<String> texts(String key) {
-        List<String> texts = new ArrayList<>();
+    List<String> strings(String key) {
+        List<String> strings = new ArrayList<>();
         if (has(key) && list(key).isEmpty()) {
-            fault(key, "is " + written(key) + "; give a list of texts");
+            fault(key, "is " + valueText(key) + "; give a list of strings");
         }
         for (Object element : list(key).orElse(List.of())) {
             if (element instanceof String text) {
-                texts.add(text);
+                strings.add(text);
             } else {
-                fault(key, "holds " + element + "; put a text in quotes");
+                fault(key, "contains " + element + "; put a string in quotes");
             }
         }
-        return texts;
+        return strings;
     }
 
     List<SocketAddress> addresses(String key) {
         List<SocketAddress> addresses = new ArrayList<>();
-        for (String text : texts(key)) {
+        for (String text : strings(key)) {
             parse(key, text).ifPresent(addresses::add);
         }
         return addresses;
@@ -134,29 +134,29 @@
         if (value(key) instanceof String text) {
             return parse(key, text);
         }
-        text(key, "");
+        string(key, "");
         return Optional.empty();
     }
 
-    /** The elements of a list, as they are; empty if it is absent or something else. */
+    /** The elements of a list, of any type; empty if the field is absent or not a list. */
     Optional<List<Object>> list(String key) {
         return value(key) instanceof List<?> elements ? Optional.of(List.copyOf(elements)) : Optional.empty();
     }
 
-    /** Every text of this table by its key. */
-    Map<String, String> textsByKey() {
-        Map<String, String> texts = new LinkedHashMap<>();
+    /** The strings of this table by their keys. */
+    Map<String, String> stringsByKey() {
+        Map<String, String> strings = new LinkedHashMap<>();
         if (table != null) {
-            table.valueMap().keySet().forEach(key -> texts.put(key, text(key, "")));
+            table.valueMap().keySet().forEach(key -> strings.put(key, string(key, "")));
         }
-        return texts;
+        return strings;
     }
 
     private Optional<SocketAddress> parse(String key, String text) {
         try {
             return Optional.of(SocketAddress.parse(text));
         } catch (IllegalArgumentException e) {
-            fault(key, "is wrong: " + e.getMessage() + "; give an IPv4 address and a port from 1 to 65535");
+            fault(key, "is invalid: " + e.getMessage() + "; give an IPv4 address and a port from 1 to 65535");
             return Optional.empty();
         }
     }
--- a/router-fleet/system/src/main/java/pinewick/system/TrainingEnvironment.java
+++ b/router-fleet/system/src/main/java/pinewick/system/TrainingEnvironment.java
@@ -14,8 +14,8 @@
 import pinewick.model.SocketAddress;
 
 /**
- * The environment of the {@link TrainingRun}: free ports and fake replicas on loopback, a folder, and settings for both
- * programs. The owner closes it, which removes the folder.
+ * The environment of the {@link TrainingRun}: free ports and fake replicas on loopback, a temporary directory, and
+ * settings for both programs. Closing it removes the directory.
  */
 final class TrainingEnvironment implements Closeable {
     private static final int MAX_PORT_ATTEMPTS = 50;
@@ -27,12 +27,12 @@
     private final SocketAddress frontend = freeAddress();
     private final SocketAddress readiness = freeAddress();
     private final SocketAddress controlPlane = freeAddress();
-    private final Path folder;
+    private final Path directory;
     private final List<FakeReplica> replicas;
 
-    /** @param parent where the folder is created, removed by {@link #close} */
+    /** @param parent where the temporary directory is created; {@link #close} removes it */
     TrainingEnvironment(Path parent) throws IOException {
-        folder = Files.createTempDirectory(parent, "rehearsal");
+        directory = Files.createTempDirectory(parent, "rehearsal");
         replicas = List.of(
                 new FakeReplica("i-prefill", "prefill", host),
                 new FakeReplica("i-decode", "decode", host),
@@ -65,12 +65,12 @@
 
     /** Writes the settings file of the router. */
     Path routerSettingsFile() throws IOException {
-        return Files.writeString(folder.resolve("router.toml"), routerText());
+        return Files.writeString(directory.resolve("router.toml"), routerText());
     }
 
     /** Writes the settings file of the controller. */
     Path controllerSettingsFile() throws IOException {
-        return Files.writeString(folder.resolve("controller.toml"), controllerText());
+        return Files.writeString(directory.resolve("controller.toml"), controllerText());
     }
 
     private String routerText() {
@@ -80,15 +80,15 @@
 
     private String controllerText() {
         String listen = "control_plane = \"" + controlPlane + "\"\n";
-        return settingsText("controller", "control_plane", "data_directory = '" + folder + "'\n", listen);
+        return settingsText("controller", "control_plane", "data_directory = '" + directory + "'\n", listen);
     }
 
-    private String settingsText(String role, String serves, String more, String listen) {
+    private String settingsText(String role, String serves, String additionalFields, String listen) {
         return "node_name = \"rehearsal\"\nrole = \"" + role + "\"\nserves = [\"" + serves + "\"]\n"
                 + "ip_address = \"" + host.getHostAddress() + "\"\nzone = \"z\"\nregion = \"r\"\n"
                 + "internal_port_range = [" + internalPort + "," + (internalPort + 1) + "]\n"
                 + "seed_nodes = [\"" + controlPlane + "\"]\nfirst_start = true\n"
-                + "counts_for_quorum = " + !more.isEmpty() + "\nheartbeat_ms = 1000\n" + more
+                + "counts_for_quorum = " + !additionalFields.isEmpty() + "\nheartbeat_ms = 1000\n" + additionalFields
                 + "[zones]\nz = \"r\"\n[listen_addresses]\n" + listen + "[limits]\nfile_descriptors = 1024\n"
                 + "[bounds]\ngrace_period_s = 1\nretry_budget_slack = 20\nrevocation_closed = true\n"
                 + "quota_slack = 100000\n";
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Two consecutive free ports, below the kernel's ephemeral range. */
+    /** Returns the first of two consecutive free ports below the kernel's ephemeral range. */
     private int freePortPair() throws IOException {
         for (int attempts = 0; attempts < MAX_PORT_ATTEMPTS; attempts++) {
             int port = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
@@ -108,7 +108,7 @@
                 return port;
             }
         }
-        throw new IOException("no two neighbouring ports are free on " + host);
+        throw new IOException("no two consecutive free ports found on " + host);
     }
 
     private boolean isFree(int port) {
@@ -124,7 +124,7 @@
         for (FakeReplica replica : replicas) {
             replica.close();
         }
-        try (Stream<Path> files = Files.walk(folder)) {
+        try (Stream<Path> files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(file);
             }
--- a/router-fleet/system/src/main/java/pinewick/system/TrainingRun.java
+++ b/router-fleet/system/src/main/java/pinewick/system/TrainingRun.java
@@ -11,9 +11,9 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Runs both programs on loopback for a short time, so that the classes they use are loaded and the virtual machine
- * writes them to its class-data-sharing archive at exit ({@code -XX:ArchiveClassesAtExit}). Used by the build only. A
- * failed step is logged and skipped, which costs the programs some time at their start and nothing else.
+ * Runs both programs on loopback for a short time to load the classes they use, which the virtual machine writes to its
+ * class-data-sharing archive at exit ({@code -XX:ArchiveClassesAtExit}). Used by the build only. A failed step is
+ * logged and skipped; the only effect is a slower start of the programs.
  */
 final class TrainingRun {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -36,7 +36,8 @@
     }
 
     /**
-     * Runs all steps; returns {@link ProgramRunner#EXIT_OK}, or {@link ProgramRunner#EXIT_FAILED} if some step failed.
+     * Runs all steps. Returns {@link ProgramRunner#EXIT_OK}, or {@link ProgramRunner#EXIT_FAILED} if a step failed or
+     * the run did not complete in time.
      */
     int run() {
         LoggingSetup.install();
@@ -48,9 +49,9 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        boolean complete = completed && !failed;
-        LOGGER.atInfo().log(complete ? "training run complete" : "training run incomplete");
-        return complete ? ProgramRunner.EXIT_OK : ProgramRunner.EXIT_FAILED;
+        boolean succeeded = completed && !failed;
+        LOGGER.atInfo().log(succeeded ? "training run complete" : "training run incomplete");
+        return succeeded ? ProgramRunner.EXIT_OK : ProgramRunner.EXIT_FAILED;
     }
 
     private void runPrograms() {
@@ -65,12 +66,12 @@
             controller.stop();
             completed = true;
         } catch (Exception | LinkageError e) {
-            // Boundary of the training run: without a class archive the programs only start more slowly.
+            // Boundary of the training run: without a complete class archive the programs only start more slowly.
             LOGGER.atSevere().withCause(e).log("training run aborted");
         }
     }
 
-    /** A program that runs as in its own process, from its settings file to its end. */
+    /** A program that runs as it does in a separate process, from reading its settings file until it stops. */
     private record RunningProgram(Thread thread, BlockingQueue<ProcessEvent> events) {
         static RunningProgram start(Program.Kind kind, Path settingsFile) {
             BlockingQueue<ProcessEvent> events = new LinkedBlockingQueue<>();
@@ -90,45 +91,45 @@
 
     private void runSteps(TrainingEnvironment environment) throws InterruptedException {
         String configuration = fullConfiguration(environment);
-        step(
+        runStep(
                 environment,
                 "configuration",
                 () -> post(environment.controlPlane(), "/config/replace", 0, configuration) == OK);
-        step(environment, "heartbeats", () -> heartbeats(environment));
-        step(
+        runStep(environment, "heartbeats", () -> sendHeartbeats(environment));
+        runStep(
                 environment,
                 "readiness",
                 () -> HttpCall.get(environment.readiness(), "/ready").send().status() == OK);
-        step(environment, "plain request", () -> plainRequest(environment, "first") == OK);
-        step(environment, "generation", () -> generation(environment, "first") == OK);
+        runStep(environment, "plain request", () -> sendPlainRequest(environment, "first") == OK);
+        runStep(environment, "generation", () -> sendGenerationRequest(environment, "first") == OK);
         for (int number = 0; number < REQUESTS_PER_KIND; number++) {
             String id = "again-" + number;
-            succeeds(() -> plainRequest(environment, id) == OK && generation(environment, id) == OK);
+            succeeds(() -> sendPlainRequest(environment, id) == OK && sendGenerationRequest(environment, id) == OK);
         }
-        step(
+        runStep(
                 environment,
                 "update",
                 () -> post(environment.controlPlane(), "/config/update", 1, "{\"version\":2}") == OK);
-        step(
+        runStep(
                 environment,
                 "read",
                 () -> HttpCall.get(environment.controlPlane(), "/config/read")
                                 .send()
                                 .status()
                         == OK);
-        step(environment, "second heartbeats", () -> heartbeats(environment));
+        runStep(environment, "second heartbeats", () -> sendHeartbeats(environment));
     }
 
-    /** Retries a step; meanwhile the replicas send further heartbeats. */
-    private void step(TrainingEnvironment environment, String name, Step step) throws InterruptedException {
-        for (int attempts = 0; attempts < MAX_ATTEMPTS_PER_STEP; attempts++) {
+    /** Runs a step until it succeeds; between attempts the replicas continue to send heartbeats. */
+    private void runStep(TrainingEnvironment environment, String name, Step step) throws InterruptedException {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS_PER_STEP; attempt++) {
             if (succeeds(step)) {
                 LOGGER.atInfo().log("training step done: %s", name);
                 return;
             }
             Thread.sleep(RETRY_INTERVAL_MS);
-            if (attempts % ATTEMPTS_PER_HEARTBEAT == 0) {
-                succeeds(() -> heartbeats(environment));
+            if (attempt % ATTEMPTS_PER_HEARTBEAT == 0) {
+                succeeds(() -> sendHeartbeats(environment));
             }
         }
         failed = true;
@@ -149,7 +150,7 @@
         return new HttpCall(address, "POST", path, headers, body).send().status();
     }
 
-    private boolean heartbeats(TrainingEnvironment environment) throws IOException {
+    private boolean sendHeartbeats(TrainingEnvironment environment) throws IOException {
         callSequence++;
         boolean acknowledged = true;
         for (FakeReplica replica : environment.replicas()) {
@@ -167,7 +168,7 @@
         return acknowledged;
     }
 
-    private static int plainRequest(TrainingEnvironment environment, String id) throws IOException {
+    private static int sendPlainRequest(TrainingEnvironment environment, String id) throws IOException {
         Map<String, String> headers = Map.of(
                 "X-Pinewick-Request-Id",
                 "plain-" + id,
@@ -180,7 +181,7 @@
                 .status();
     }
 
-    private static int generation(TrainingEnvironment environment, String id) throws IOException {
+    private static int sendGenerationRequest(TrainingEnvironment environment, String id) throws IOException {
         Map<String, String> headers = Map.of(
                 "X-Pinewick-Request-Id", "generation-" + id,
                 "X-Pinewick-Deadline-Ms", "4000",
--- a/router-fleet/system/src/test/java/pinewick/system/CommandsTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/CommandsTest.java
@@ -16,32 +16,32 @@
 
 class CommandsTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
-    private int run(String... words) {
-        CommandLine line = Commands.line();
-        line.setOut(new PrintWriter(out, true));
-        line.setErr(new PrintWriter(err, true));
-        return line.execute(words);
+    private int run(String... args) {
+        CommandLine commandLine = Commands.newCommandLine();
+        commandLine.setOut(new PrintWriter(out, true));
+        commandLine.setErr(new PrintWriter(err, true));
+        return commandLine.execute(args);
     }
 
     private String file(String text) throws IOException {
-        return Files.writeString(folder.resolve("file"), text).toString();
+        return Files.writeString(directory.resolve("file"), text).toString();
     }
 
     @Test
     void checksSettings() throws IOException {
         assertEquals(0, run("check-settings", file(SampleSettings.ROUTER)));
         assertEquals(
-                "settings of frontend-sala-mi-1 in sala-mi are sound",
+                "settings of frontend-sala-mi-1 in sala-mi are valid",
                 out.toString().strip());
     }
 
     @Test
-    void reportsEverySettingsErrorOnALineOfItsOwn() throws IOException {
+    void reportsEverySettingsErrorOnASeparateLine() throws IOException {
         String text = SampleSettings.ROUTER
                 .replace("heartbeat_ms = 1200", "heartbeat_ms = true")
                 .replace("zone = ", "zone_ = ");
@@ -56,7 +56,7 @@
     void checksAConfiguration() throws IOException {
         assertEquals(0, run("check-config", file("{\"version\":3,\"routes\":[],\"services\":[{\"name\":\"s\"}]}")));
         assertEquals(
-                "configuration 3 is sound: 0 routes, 1 services", out.toString().strip());
+                "configuration 3 is valid: 0 routes, 1 services", out.toString().strip());
     }
 
     @Test
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void reportsTheErrorsOfTenantsWithoutTheirKeys() throws IOException {
+    void reportsTheErrorsOfTenantsWithoutRevealingKeys() throws IOException {
         String tenants = "{'name':'a','api_keys':['sk-secret-1']},{'name':'a','api_keys':'sk-secret-2'},"
                 + "{'name':'b','api_keys':['sk-secret-1',''],'unit':7,'rate_per_s':-1,'burst_size':-1},7";
         String body = "{'version':3,'routes':[],'services':[],'tenants':[" + tenants + "]}";
@@ -103,25 +103,25 @@
 
     @Test
     void reportsAnUnreadableFile() {
-        assertEquals(2, run("check-config", folder.resolve("none").toString()));
+        assertEquals(2, run("check-config", directory.resolve("none").toString()));
         assertTrue(err.toString().strip().endsWith("; name a readable file"), err.toString());
     }
 
     @Test
     void queriesTheStatusOfAProcess() throws IOException {
-        try (FakeReplica process = new FakeReplica("i", "", InetAddress.getByName("127.0.0.1"))) {
-            assertEquals(0, run("status", process.address().toString()));
+        try (FakeReplica fakeProcess = new FakeReplica("i", "", InetAddress.getByName("127.0.0.1"))) {
+            assertEquals(0, run("status", fakeProcess.address().toString()));
         }
         assertEquals("200 plain", out.toString().strip());
     }
 
     @Test
     void reportsAProcessThatDoesNotRespond() throws IOException {
-        FakeReplica process = new FakeReplica("i", "", InetAddress.getByName("127.0.0.1"));
-        process.close();
+        FakeReplica fakeProcess = new FakeReplica("i", "", InetAddress.getByName("127.0.0.1"));
+        fakeProcess.close();
 
-        assertEquals(1, run("status", process.address().toString()));
-        assertTrue(err.toString().startsWith(process.address() + " does not answer: "), err.toString());
+        assertEquals(1, run("status", fakeProcess.address().toString()));
+        assertTrue(err.toString().startsWith(fakeProcess.address() + " does not respond: "), err.toString());
         assertEquals(2, run("status", "nowhere"));
     }
 
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void rejectsUnknownArgumentsAndHidesTheRehearsal() {
+    void rejectsUnknownArgumentsAndHidesTheRehearseCommand() {
         assertEquals(2, run("dance"));
         assertEquals(2, run());
         assertEquals(0, run("--help"));
--- a/router-fleet/system/src/test/java/pinewick/system/CountingReplica.java
+++ b/router-fleet/system/src/test/java/pinewick/system/CountingReplica.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Executors;
 import pinewick.model.SocketAddress;
 
-/** A replica of a plain service that runs every request at once, and notes which request it ran when. */
+/** A replica of a plain service that executes every request immediately and records its id and time. */
 final class CountingReplica implements AutoCloseable {
     static final String REQUEST_ID = "X-Pinewick-Request-Id";
 
@@ -22,48 +22,48 @@
     private final String instanceId;
     private final HttpServer server =
             HttpServer.create(new InetSocketAddress(InetAddress.getByName("127.0.3.1"), 0), 0);
-    private final ExecutorService threads = Executors.newCachedThreadPool();
+    private final ExecutorService executor = Executors.newCachedThreadPool();
     private final List<Run> runs = new CopyOnWriteArrayList<>();
 
-    /** A request that was run, by {@link System#nanoTime}. */
+    /** An executed request and the time of its execution, by {@link System#nanoTime}. */
     record Run(String requestId, long atNanos) {}
 
     CountingReplica(String instanceId) throws IOException {
         this.instanceId = instanceId;
         server.createContext("/", this::run);
-        server.createContext("/health", this::answerHealth);
-        server.createContext("/report", exchange -> answer(exchange));
-        server.setExecutor(threads);
+        server.createContext("/health", this::respondToHealthCheck);
+        server.createContext("/report", exchange -> respond(exchange));
+        server.setExecutor(executor);
         server.start();
     }
 
     private void run(HttpExchange exchange) throws IOException {
         String requestId = exchange.getRequestHeaders().getFirst(REQUEST_ID);
         runs.add(new Run(requestId, System.nanoTime()));
-        Headers answered = exchange.getResponseHeaders();
-        answered.set(REQUEST_ID, requestId);
-        answered.set("X-Pinewick-Server-Signature", instanceId + "." + requestId);
-        answer(exchange);
+        Headers responseHeaders = exchange.getResponseHeaders();
+        responseHeaders.set(REQUEST_ID, requestId);
+        responseHeaders.set("X-Pinewick-Server-Signature", instanceId + "." + requestId);
+        respond(exchange);
     }
 
-    private void answerHealth(HttpExchange exchange) throws IOException {
+    private void respondToHealthCheck(HttpExchange exchange) throws IOException {
         exchange.getResponseHeaders().set("X-Pinewick-Instance-Id", instanceId);
-        answer(exchange);
+        respond(exchange);
     }
 
-    private static void answer(HttpExchange exchange) throws IOException {
+    private static void respond(HttpExchange exchange) throws IOException {
         try (exchange) {
             exchange.getRequestBody().readAllBytes();
             exchange.sendResponseHeaders(OK, NO_BODY);
         }
     }
 
-    /** All requests that it has run so far, of whatever tenant. */
+    /** All executed requests so far, of any tenant. */
     List<Run> runs() {
         return List.copyOf(runs);
     }
 
-    /** The body of its heartbeats. */
+    /** The body of a heartbeat of this replica. */
     String heartbeat(String service, long callSequence) {
         SocketAddress address = new SocketAddress(
                 server.getAddress().getAddress().getHostAddress(),
@@ -77,6 +77,6 @@
     @Override
     public void close() {
         server.stop(0);
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/router-fleet/system/src/test/java/pinewick/system/DeployFileTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/DeployFileTest.java
@@ -20,7 +20,7 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlTable;
 
-/** The deploy files name programs, machines, files and packages that exist. */
+/** Tests that the deploy files refer to existing programs, machines, files and packages. */
 class DeployFileTest {
     private static final Pattern FLAG = Pattern.compile("-(X[^ ]*|D[^ ]*)");
     private static final Pattern PACKAGE_NAME = Pattern.compile("[a-z0-9][a-z0-9+.-]+");
@@ -40,29 +40,32 @@
     void runsEachProgramOnItsMachines(String role, String machineClass, String serves) throws IOException {
         TomlTable program = deploy().getTable(List.of("roles", role));
 
-        assertTrue(program.getString("run").startsWith("java -"), "no shell and no helper");
+        assertTrue(program.getString("run").startsWith("java -"), "the program is run directly, without a shell");
         assertTrue(program.getString("run").endsWith(" -jar target/pinewick-system.jar " + role));
         assertEquals(machineClass, program.getString("on"));
         assertEquals(1.0, program.getDouble("share"));
         assertEquals(List.of(serves), program.getArray("serves").toList());
     }
 
-    /** An archive is only used by a machine whose flags for memory are those it was made with. */
+    /**
+     * The virtual machine uses a class archive only if its memory flags equal those with which the archive was created.
+     */
     @ParameterizedTest
     @CsvSource({"router", "controller"})
-    void recordsTheArchiveWithTheFlagsItIsUsedWith(String role) throws IOException {
-        List<String> made = flags(deploy().getString("build"));
-        List<String> used = flags(deploy().getTable(List.of("roles", role)).getString("run"));
+    void createsTheArchiveWithTheFlagsItIsUsedWith(String role) throws IOException {
+        List<String> archiveFlags = flags(deploy().getString("build"));
+        List<String> runFlags = flags(deploy().getTable(List.of("roles", role)).getString("run"));
 
-        assertTrue(made.contains("-XX:ArchiveClassesAtExit=target/pinewick-system.jsa"), made.toString());
-        assertTrue(used.contains("-XX:SharedArchiveFile=target/pinewick-system.jsa"), used.toString());
+        assertTrue(
+                archiveFlags.contains("-XX:ArchiveClassesAtExit=target/pinewick-system.jsa"), archiveFlags.toString());
+        assertTrue(runFlags.contains("-XX:SharedArchiveFile=target/pinewick-system.jsa"), runFlags.toString());
         for (String flag : List.of("-XX:+UseSerialGC", "-Djava.net.preferIPv4Stack=true")) {
-            assertTrue(made.contains(flag) && used.contains(flag), flag);
+            assertTrue(archiveFlags.contains(flag) && runFlags.contains(flag), flag);
         }
     }
 
     @Test
-    void buildsNothingOutsideTheTargetFolder() throws IOException {
+    void buildsOnlyInTheTargetDirectory() throws IOException {
         String build = deploy().getString("build");
 
         assertTrue(build.startsWith("mvn -q -DskipTests -pl :pinewick-system -am package && java "), build);
@@ -70,10 +73,10 @@
         assertFalse(build.contains("/tmp"), build);
     }
 
-    /** A machine for builds has the essential packages of Debian and those named here, and nothing else. */
+    /** A build machine has only the essential packages of Debian and those listed in the deploy file. */
     @ParameterizedTest
     @ValueSource(strings = {"system.toml", "balancer.toml"})
-    void namesThePackageOfEachProgramThatTheBuildCalls(String fileName) throws IOException {
+    void listsThePackageOfEachProgramThatTheBuildCalls(String fileName) throws IOException {
         Map<String, String> packageOfProgram =
                 Map.of("mvn", "maven", "java", "openjdk-" + javaRelease() + "-jdk-headless");
         TomlTable deploy = deploy(fileName);
@@ -81,17 +84,19 @@
 
         for (String command : deploy.getString("build").split("&&|\\|\\||;|\\|")) {
             String program = command.strip().split(" ")[0];
-            String needed = packageOfProgram.get(program);
-            assertTrue(needed != null, "nobody has said which package holds " + program);
-            assertTrue(packages.contains(needed), program + " needs " + needed + ", not only " + packages);
+            String requiredPackage = packageOfProgram.get(program);
+            assertTrue(requiredPackage != null, "no package is known for the program " + program);
+            assertTrue(
+                    packages.contains(requiredPackage),
+                    program + " requires " + requiredPackage + "; listed: " + packages);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"system.toml", "balancer.toml"})
-    void namesEachPackageOnceInALineOfItsOwnAtTheTopLevel(String fileName) throws IOException {
+    void listsEachPackageOnceOnASingleTopLevelLine(String fileName) throws IOException {
         List<String> packages = packages(deploy(fileName));
-        String firstLine = Files.readAllLines(Path.of("..", "..", "deploy", fileName)).stream()
+        String packagesLine = Files.readAllLines(Path.of("..", "..", "deploy", fileName)).stream()
                 .takeWhile(line -> !line.startsWith("["))
                 .filter(line -> line.startsWith("packages = [\""))
                 .findFirst()
@@ -99,7 +104,7 @@
 
         assertEquals(packages.size(), new HashSet<>(packages).size(), packages.toString());
         packages.forEach(name -> assertTrue(PACKAGE_NAME.matcher(name).matches(), name));
-        assertEquals(packages, quoted(firstLine), "the whole list stands in one line");
+        assertEquals(packages, quotedWords(packagesLine), "the complete list is on one line");
     }
 
     private static List<String> packages(TomlTable deploy) {
@@ -109,7 +114,7 @@
                 .toList();
     }
 
-    private static List<String> quoted(String line) {
+    private static List<String> quotedWords(String line) {
         return Arrays.stream(line.replaceAll("^[^\\[]*\\[|\\]$", "").split(", "))
                 .map(word -> word.replace("\"", ""))
                 .toList();
@@ -117,7 +122,7 @@
 
     private static String javaRelease() throws IOException {
         Matcher release = JAVA_RELEASE.matcher(Files.readString(Path.of("..", "..", "pom.xml")));
-        assertTrue(release.find(), "the build names its release of Java");
+        assertTrue(release.find(), "the build specifies the Java release");
         return release.group(1);
     }
 
--- a/router-fleet/system/src/test/java/pinewick/system/DocsTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/DocsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** What the documents say of the code is there: classes, members of classes, and log lines as the code writes them. */
+/** Tests that the documentation matches the code: named classes and members exist, quoted log lines are logged. */
 class DocsTest {
     private static final Path ROOT = Path.of("..", "..");
     private static final List<String> PAGES = List.of(
@@ -33,10 +33,10 @@
             "docs/on-call.md",
             "docs/operators/router-fleet.md",
             "docs/operators/system-settings.md");
-    /** Types of libraries and protocols that the pages name. */
-    private static final Set<String> NOT_OURS =
+    /** Types of libraries and protocols that are named on the pages. */
+    private static final Set<String> EXTERNAL_TYPES =
             Set.of("HttpClient", "HttpParser", "HttpContinueReadHandler", "CompileThresholdScaling");
-    /** Settings of the Java virtual machine, which look like types. */
+    /** Prefix of Java virtual machine options, whose names look like types. */
     private static final String JVM_FLAG = "-XX:";
 
     private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
@@ -48,9 +48,9 @@
     private static final Pattern PLACEHOLDER = Pattern.compile("\\b(?:[A-Z]{2,}|N)\\b|%[sd]");
     private static final Pattern DECLARATION =
             Pattern.compile("\\b(?:class|interface|enum|record|@interface)\\s+([A-Z]\\w*)");
-    private static final int SHORTEST_TEXT = 4;
+    private static final int MIN_LITERAL_LENGTH = 4;
 
-    /** By type, the source files that declare a type of this name. */
+    /** The text of the source files that declare a type, by the type's simple name. */
     private static final Map<String, String> SOURCES = new TreeMap<>();
 
     @BeforeAll
@@ -58,12 +58,12 @@
         for (String folder : List.of("router-fleet", "query-mixer", "testing")) {
             try (Stream<Path> files = Files.walk(ROOT.resolve(folder))) {
                 for (Path file :
-                        files.filter(each -> each.toString().endsWith(".java")).toList()) {
+                        files.filter(path -> path.toString().endsWith(".java")).toList()) {
                     String text = Files.readString(file);
                     DECLARATION
                             .matcher(text)
                             .results()
-                            .map(found -> found.group(1))
+                            .map(match -> match.group(1))
                             .forEach(type -> SOURCES.merge(type, text, String::concat));
                 }
             }
@@ -71,15 +71,15 @@
     }
 
     @Test
-    void everyTypeThatAPageNamesExists() throws IOException {
+    void everyTypeNamedOnAPageExists() throws IOException {
         List<String> missing = new ArrayList<>();
         for (String page : PAGES) {
             for (String span : codeSpans(page)) {
                 TYPE_NAME
                         .matcher(span.contains(JVM_FLAG) ? "" : span)
                         .results()
-                        .map(found -> found.group(1))
-                        .filter(name -> !SOURCES.containsKey(name) && !NOT_OURS.contains(name))
+                        .map(match -> match.group(1))
+                        .filter(name -> !SOURCES.containsKey(name) && !EXTERNAL_TYPES.contains(name))
                         .forEach(name -> missing.add(page + ": " + name));
             }
         }
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void everyMemberThatAPageNamesExists() throws IOException {
+    void everyMemberNamedOnAPageExists() throws IOException {
         List<String> missing = new ArrayList<>();
         for (String page : PAGES) {
             for (String span : codeSpans(page)) {
@@ -101,46 +101,50 @@
     }
 
     private static boolean hasMember(MatchResult member) {
-        String end = member.group(3) == null ? "\\b" : "";
+        String boundary = member.group(3) == null ? "\\b" : "";
         String source = SOURCES.get(member.group(1));
-        return Pattern.compile("\\b" + member.group(2) + end).matcher(source).find();
+        return Pattern.compile("\\b" + member.group(2) + boundary)
+                .matcher(source)
+                .find();
     }
 
     @Test
-    void everyLogLineThatAPageQuotesIsWrittenByTheClassItNames() throws IOException {
+    void everyLogLineQuotedOnAPageIsLoggedByTheClassItNames() throws IOException {
         List<String> missing = new ArrayList<>();
-        int checked = 0;
+        int checkedLines = 0;
         for (String page : List.of("docs/on-call.md", "docs/operators/router-fleet.md")) {
             for (String span : codeSpans(page)) {
-                Matcher line = LOG_LINE.matcher(span);
-                if (line.matches() && SOURCES.containsKey(line.group(1))) {
-                    checked++;
-                    if (!isWritten(line.group(1), line.group(2))) {
+                Matcher logLine = LOG_LINE.matcher(span);
+                if (logLine.matches() && SOURCES.containsKey(logLine.group(1))) {
+                    checkedLines++;
+                    if (!isLoggedBy(logLine.group(1), logLine.group(2))) {
                         missing.add(page + ": " + span);
                     }
                 }
             }
         }
         assertEquals(List.of(), missing);
-        assertTrue(checked > 0, "no log line found on the pages");
+        assertTrue(checkedLines > 0, "no log line found on the pages");
     }
 
-    /** Whether each part of the text between its values is in the class, or in the events of the replication. */
-    private static boolean isWritten(String type, String text) {
+    /** Whether each part of the text between placeholders occurs in the class or in the events of the replication. */
+    private static boolean isLoggedBy(String type, String text) {
         String source = SOURCES.get(type);
-        String events = "CommittedConfigurationListener".equals(type) ? replicationSources() : "";
+        String replicationEvents = "CommittedConfigurationListener".equals(type) ? replicationSources() : "";
         for (String part : PLACEHOLDER.split(text)) {
             String literal = part.strip();
-            if (literal.length() >= SHORTEST_TEXT && !source.contains(literal) && !isEvent(events, literal)) {
+            if (literal.length() >= MIN_LITERAL_LENGTH
+                    && !source.contains(literal)
+                    && !isReplicationEvent(replicationEvents, literal)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean isEvent(String events, String literal) {
-        String event = literal.startsWith("replication: ") ? literal.substring("replication: ".length()) : literal;
-        return events.contains(event);
+    private static boolean isReplicationEvent(String replicationEvents, String literal) {
+        String eventText = literal.startsWith("replication: ") ? literal.substring("replication: ".length()) : literal;
+        return replicationEvents.contains(eventText);
     }
 
     private static String replicationSources() {
@@ -155,7 +159,7 @@
         return CODE_SPAN
                 .matcher(Files.readString(ROOT.resolve(page)))
                 .results()
-                .map(found -> found.group(1))
+                .map(match -> match.group(1))
                 .toList();
     }
 }
--- a/router-fleet/system/src/test/java/pinewick/system/FakeReplicaTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/FakeReplicaTest.java
@@ -28,13 +28,13 @@
     }
 
     @Test
-    void reportsItsLoadAndItsHealth() throws IOException {
+    void reportsItsLoadAndHealth() throws IOException {
         assertTrue(HttpCall.get(replica.address(), "/report").send().body().startsWith("{\"stage\":\"decode\","));
         assertEquals(200, HttpCall.get(replica.address(), "/health").send().status());
     }
 
     @Test
-    void answersPlainRequestsPromptsAndGenerations() throws IOException {
+    void respondsToPlainPrefillAndGenerationRequests() throws IOException {
         assertEquals("plain", post(Map.of()).body());
         assertEquals(
                 "{\"prefill_handle\":\"1\",\"tokens\":30,\"version\":1}",
--- a/router-fleet/system/src/test/java/pinewick/system/FleetQuotaTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/FleetQuotaTest.java
@@ -28,13 +28,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The limit of a tenant holds for the whole fleet: all routers together let through what one tenant may have. */
+/** Tests that the limit of a tenant applies to the fleet: all routers together admit no more than that limit allows. */
 class FleetQuotaTest {
     private static final long SEED = 67;
     private static final String SERVICE = "plain";
     private static final String INSTANCE = "i-67";
 
-    /** Of the tenant with a limit, and of one without, which asks whether the fleet is ready. */
+    /** API keys of a tenant with a limit and of one without, which is used to probe whether the fleet is ready. */
     private static final String LIMITED_KEY = "k67limited";
 
     private static final String UNLIMITED_KEY = "k67unlimited";
@@ -46,41 +46,41 @@
     private static final double QUOTA_OVERAGE = 0.1;
     private static final int QUOTA_SLACK_TOKENS = 2_000;
 
-    /** What the rule allows in any window. */
+    /** Maximum number of tokens that the quota rule allows in any window. */
     private static final double ALLOWED_TOKENS =
             (RATE_TOKENS_PER_S * QUOTA_WINDOW_S + BURST_TOKENS) * (1 + QUOTA_OVERAGE) + QUOTA_SLACK_TOKENS;
 
     private static final int LOAD_S = 3;
     private static final int REQUESTS_PER_S = 180;
-    private static final double LEAST_SERVED_SHARE = 0.9;
+    private static final double MIN_SERVED_SHARE = 0.9;
     private static final double MICROS_PER_S = 1e6;
     private static final long HEARTBEAT_MS = 400;
-    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(10);
     private static final int OK = 200;
     private static final int TOO_MANY_REQUESTS = 429;
 
     @TempDir
     private Path folder;
 
-    private final ScheduledExecutorService threads = Executors.newScheduledThreadPool(4);
-    private final HttpClient clients =
+    private final ScheduledExecutorService executor = Executors.newScheduledThreadPool(4);
+    private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private LoopbackFleet fleet;
     private CountingReplica replica;
     private ScheduledFuture<?> heartbeats;
 
-    /** A request of the tenant with a limit; one with {@code tokenCount} says how many tokens it takes. */
+    /** A request of the tenant with a limit; a non-empty {@code tokenCount} declares its number of tokens. */
     private record PlannedRequest(String id, long atMicros, int router, int tokens, String tokenCount) {}
 
-    /** What became of it; the moment it was sent by {@link System#nanoTime}. */
+    /** A request with its response and the time at which it was sent, by {@link System#nanoTime}. */
     private record CompletedRequest(PlannedRequest request, long sentNanos, HttpResponse<Void> response) {
         int status() {
             return response.statusCode();
         }
     }
 
-    /** One run of a request by the replica. */
-    private record ExecutedRequest(long sentNanos, long ranNanos, int tokens) {}
+    /** One execution of a request by the replica. */
+    private record ExecutedRequest(long sentNanos, long executedNanos, int tokens) {}
 
     @BeforeEach
     void start() throws Exception {
@@ -98,96 +98,105 @@
         fleet.start();
         fleet.configure(configuration());
         AtomicLong callSequence = new AtomicLong();
-        heartbeats = threads.scheduleAtFixedRate(
+        heartbeats = executor.scheduleAtFixedRate(
                 () -> fleet.sendHeartbeat(INSTANCE, replica.heartbeat(SERVICE, callSequence.incrementAndGet())),
                 0,
                 HEARTBEAT_MS,
                 TimeUnit.MILLISECONDS);
         fleet.awaitReady();
         for (int router = 0; router < LoopbackFleet.ROUTERS; router++) {
-            int each = router;
-            LoopbackFleet.await("a router to serve", () -> isServing(each));
+            int routerIndex = router;
+            LoopbackFleet.await("a router to serve", () -> isServing(routerIndex));
         }
     }
 
     @AfterEach
     void stop() throws Exception {
         heartbeats.cancel(true);
-        threads.shutdownNow();
+        executor.shutdownNow();
         fleet.close();
         replica.close();
     }
 
     @Test
-    void allRoutersTogetherServeATenantUpToItsLimitAndNoFurther() throws Exception {
-        List<CompletedRequest> answers = send(plannedRequests());
+    void routersTogetherServeATenantUpToItsLimit() throws Exception {
+        List<CompletedRequest> completedRequests = send(plannedRequests());
 
-        double most = mostTokensInAWindow(countedRuns(answers));
+        double maxTokens = maxTokensInAWindow(executedRequests(completedRequests));
         assertTrue(
-                most <= ALLOWED_TOKENS,
-                "%.0f tokens were run in a window of %d s; allowed are %.0f (seed %d)"
-                        .formatted(most, QUOTA_WINDOW_S, ALLOWED_TOKENS, SEED));
-        assertOthersAreToldToWait(answers);
-        long served = answers.stream()
-                .filter(answer -> answer.status() == OK)
-                .mapToLong(answer -> answer.request().tokens())
+                maxTokens <= ALLOWED_TOKENS,
+                "%.0f tokens executed in a window of %d s; limit: %.0f (seed %d)"
+                        .formatted(maxTokens, QUOTA_WINDOW_S, ALLOWED_TOKENS, SEED));
+        assertRejectedRequestsHaveRetryAfter(completedRequests);
+        long servedTokens = completedRequests.stream()
+                .filter(completed -> completed.status() == OK)
+                .mapToLong(completed -> completed.request().tokens())
                 .sum();
-        double owed = LEAST_SERVED_SHARE * RATE_TOKENS_PER_S * LOAD_S;
-        assertTrue(served >= owed, "%d tokens were served, owed are %.0f (seed %d)".formatted(served, owed, SEED));
+        double minServedTokens = MIN_SERVED_SHARE * RATE_TOKENS_PER_S * LOAD_S;
+        assertTrue(
+                servedTokens >= minServedTokens,
+                "%d tokens served; minimum: %.0f (seed %d)".formatted(servedTokens, minServedTokens, SEED));
     }
 
-    private static void assertOthersAreToldToWait(List<CompletedRequest> answers) {
-        for (CompletedRequest answer : answers) {
-            if (answer.status() != OK) {
-                assertEquals(TOO_MANY_REQUESTS, answer.status());
+    private static void assertRejectedRequestsHaveRetryAfter(List<CompletedRequest> completedRequests) {
+        for (CompletedRequest completed : completedRequests) {
+            if (completed.status() != OK) {
+                assertEquals(TOO_MANY_REQUESTS, completed.status());
                 String retryAfter =
-                        answer.response().headers().firstValue("Retry-After").orElse("0");
+                        completed.response().headers().firstValue("Retry-After").orElse("0");
                 assertTrue(Double.parseDouble(retryAfter) > 0, "Retry-After is " + retryAfter);
             }
         }
     }
 
-    /** Many times the limit, at random moments, through all routers alike; a part of the requests tell their tokens. */
+    /**
+     * Load of many times the limit, at random times, uniformly over the routers; some requests declare their tokens.
+     */
     private static List<PlannedRequest> plannedRequests() {
         SplittableRandom random = new SplittableRandom(SEED);
         List<PlannedRequest> planned = new ArrayList<>();
         for (int number = 0; number < REQUESTS_PER_S * LOAD_S; number++) {
             long atMicros = (long) (random.nextDouble() * LOAD_S * MICROS_PER_S);
             int router = random.nextInt(LoopbackFleet.ROUTERS);
-            int prompt = 50 + random.nextInt(300);
-            int output = 1 + random.nextInt(20);
+            int promptTokens = 50 + random.nextInt(300);
+            int outputTokens = 1 + random.nextInt(20);
             planned.add(
                     random.nextBoolean()
                             ? new PlannedRequest("q" + number, atMicros, router, UNCOUNTED_TOKENS, "")
                             : new PlannedRequest(
-                                    "q" + number, atMicros, router, prompt + output, prompt + "," + output));
+                                    "q" + number,
+                                    atMicros,
+                                    router,
+                                    promptTokens + outputTokens,
+                                    promptTokens + "," + outputTokens));
         }
         return planned;
     }
 
     private List<CompletedRequest> send(List<PlannedRequest> planned) throws Exception {
-        List<CompletableFuture<CompletedRequest>> answers =
+        List<CompletableFuture<CompletedRequest>> completedRequests =
                 planned.stream().map(this::send).toList();
-        CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
-                .get(LOAD_S + ANSWER_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
-        return answers.stream().map(CompletableFuture::join).toList();
+        CompletableFuture.allOf(completedRequests.toArray(CompletableFuture[]::new))
+                .get(LOAD_S + RESPONSE_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
+        return completedRequests.stream().map(CompletableFuture::join).toList();
     }
 
     private CompletableFuture<CompletedRequest> send(PlannedRequest planned) {
-        HttpRequest.Builder builder = call(planned.router(), planned.id(), LIMITED_KEY);
+        HttpRequest.Builder builder = requestBuilder(planned.router(), planned.id(), LIMITED_KEY);
         if (!planned.tokenCount().isEmpty()) {
             builder.header("X-Pinewick-Token-Count", planned.tokenCount());
         }
         HttpRequest request = builder.build();
-        Executor whenDue = CompletableFuture.delayedExecutor(planned.atMicros(), TimeUnit.MICROSECONDS, threads);
-        return CompletableFuture.supplyAsync(System::nanoTime, whenDue)
-                .thenCompose(sentNanos -> clients.sendAsync(request, HttpResponse.BodyHandlers.discarding())
+        Executor delayedExecutor =
+                CompletableFuture.delayedExecutor(planned.atMicros(), TimeUnit.MICROSECONDS, executor);
+        return CompletableFuture.supplyAsync(System::nanoTime, delayedExecutor)
+                .thenCompose(sentNanos -> client.sendAsync(request, HttpResponse.BodyHandlers.discarding())
                         .thenApply(response -> new CompletedRequest(planned, sentNanos, response)));
     }
 
-    private HttpRequest.Builder call(int router, String id, String key) {
+    private HttpRequest.Builder requestBuilder(int router, String id, String key) {
         return HttpRequest.newBuilder(URI.create("http://" + fleet.frontend(router) + "/plain/x"))
-                .timeout(ANSWER_TIMEOUT)
+                .timeout(RESPONSE_TIMEOUT)
                 .header(CountingReplica.REQUEST_ID, id)
                 .header("X-Pinewick-Deadline-Ms", "8000")
                 .header("Authorization", "Bearer " + key)
@@ -195,40 +204,41 @@
     }
 
     private boolean isServing(int router) throws Exception {
-        HttpRequest probe =
-                call(router, "probe-" + System.nanoTime(), UNLIMITED_KEY).build();
-        return clients.send(probe, HttpResponse.BodyHandlers.discarding()).statusCode() == OK;
+        HttpRequest probe = requestBuilder(router, "probe-" + System.nanoTime(), UNLIMITED_KEY)
+                .build();
+        return client.send(probe, HttpResponse.BodyHandlers.discarding()).statusCode() == OK;
     }
 
-    /** The runs of the tenant with a limit; a request that was run twice is there twice. */
-    private List<ExecutedRequest> countedRuns(List<CompletedRequest> answers) {
-        Map<String, CompletedRequest> sent = new HashMap<>();
-        answers.forEach(answer -> sent.put(answer.request().id(), answer));
+    /** Executions of the requests of the limited tenant; a request that was executed twice occurs twice. */
+    private List<ExecutedRequest> executedRequests(List<CompletedRequest> completedRequests) {
+        Map<String, CompletedRequest> requestsById = new HashMap<>();
+        completedRequests.forEach(
+                completed -> requestsById.put(completed.request().id(), completed));
         return replica.runs().stream()
-                .filter(run -> sent.containsKey(run.requestId()))
-                .map(run -> counted(sent.get(run.requestId()), run))
+                .filter(run -> requestsById.containsKey(run.requestId()))
+                .map(run -> executedRequest(requestsById.get(run.requestId()), run))
                 .toList();
     }
 
-    private static ExecutedRequest counted(CompletedRequest answer, CountingReplica.Run run) {
+    private static ExecutedRequest executedRequest(CompletedRequest completed, CountingReplica.Run run) {
         return new ExecutedRequest(
-                answer.sentNanos(), run.atNanos(), answer.request().tokens());
+                completed.sentNanos(), run.atNanos(), completed.request().tokens());
     }
 
-    /** The most tokens of requests that were both sent and run within one window, which begins with some request. */
-    private static double mostTokensInAWindow(List<ExecutedRequest> runs) {
+    /** Maximum number of tokens of requests both sent and executed within one window that starts with a request. */
+    private static double maxTokensInAWindow(List<ExecutedRequest> runs) {
         long windowNanos = TimeUnit.SECONDS.toNanos(QUOTA_WINDOW_S);
         return runs.stream()
-                .mapToLong(first -> runs.stream()
-                        .filter(run -> run.sentNanos() >= first.sentNanos()
-                                && run.ranNanos() <= first.sentNanos() + windowNanos)
+                .mapToLong(windowStart -> runs.stream()
+                        .filter(run -> run.sentNanos() >= windowStart.sentNanos()
+                                && run.executedNanos() <= windowStart.sentNanos() + windowNanos)
                         .mapToLong(ExecutedRequest::tokens)
                         .sum())
                 .max()
                 .orElse(0);
     }
 
-    /** One route for each router, since clients name the router's own address as their host. */
+    /** One route per router, because clients send the address of the router as the host name. */
     private static String configuration() {
         String routes = IntStream.range(0, LoopbackFleet.ROUTERS)
                 .mapToObj(router ->
--- a/router-fleet/system/src/test/java/pinewick/system/InternalMessageBytesTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/InternalMessageBytesTest.java
@@ -26,31 +26,32 @@
 import pinewick.transport.MessageCodec;
 
 /**
- * The bytes of every internal message, against those that an earlier release wrote: processes of two releases run side
- * by side during a rolling restart and have to understand each other. A message is found by its place in the list of
- * registered types, and its fields are filled by their position, so that a rename alone changes nothing here.
+ * Compares the bytes of every internal message with those recorded from an earlier release, because processes of two
+ * releases run concurrently during a rolling restart and have to understand each other. A message is identified by its
+ * position in the list of registered types, and its fields are filled by position, so that a rename alone does not
+ * affect this test.
  */
 class InternalMessageBytesTest {
-    /** Set to a file's path, the bytes of this build are written there. */
-    private static final String RECORD_TO = System.getProperty("pinewick.record-message-bytes", "");
+    /** If this property names a directory, the bytes of this build are written to files in it. */
+    private static final String RECORDING_DIRECTORY = System.getProperty("pinewick.record-message-bytes", "");
 
     private static final int SENDER_PORT = 7_721;
 
     @Test
-    void controllersWriteTheBytesOfTheEarlierRelease() throws IOException {
+    void controllersEncodeTheBytesOfTheEarlierRelease() throws IOException {
         List<Class<?>> types = new ArrayList<>(FleetMessages.types());
         types.addAll(ReplicationMessages.types());
         assertSameBytes("controller", types);
     }
 
     @Test
-    void routersWriteTheBytesOfTheEarlierRelease() throws IOException {
+    void routersEncodeTheBytesOfTheEarlierRelease() throws IOException {
         List<Class<?>> types = new ArrayList<>(FleetMessages.types());
         types.addAll(LoadReportMessage.types());
         assertSameBytes("router", types);
     }
 
-    /** These have ids of their own, the same in every program. */
+    /** Later types have a separate range of ids, which is the same in every program. */
     @Test
     void laterMessagesHaveTheSameBytesInEveryProgram() throws IOException {
         List<Class<?>> controllerTypes = new ArrayList<>(FleetMessages.types());
@@ -59,20 +60,20 @@
         routerTypes.addAll(LoadReportMessage.types());
         List<Class<?>> laterTypes = new ArrayList<>(FleetMessages.laterTypes());
         laterTypes.addAll(QuotaMessages.types());
-        List<String> written = encodeAll(new MessageCodec(controllerTypes, laterTypes), laterTypes);
-        assertEquals(written, encodeAll(new MessageCodec(routerTypes, laterTypes), laterTypes));
-        assertSameLines("message-bytes-later.txt", written);
+        List<String> encodedFrames = encodeAll(new MessageCodec(controllerTypes, laterTypes), laterTypes);
+        assertEquals(encodedFrames, encodeAll(new MessageCodec(routerTypes, laterTypes), laterTypes));
+        assertSameLines("message-bytes-later.txt", encodedFrames);
     }
 
     private static void assertSameBytes(String program, List<Class<?>> types) throws IOException {
         assertSameLines("message-bytes-" + program + ".txt", encodeAll(new MessageCodec(types), types));
     }
 
-    private static void assertSameLines(String file, List<String> written) throws IOException {
-        if (!RECORD_TO.isEmpty()) {
-            Files.write(Path.of(RECORD_TO, file), written);
+    private static void assertSameLines(String fileName, List<String> encodedFrames) throws IOException {
+        if (!RECORDING_DIRECTORY.isEmpty()) {
+            Files.write(Path.of(RECORDING_DIRECTORY, fileName), encodedFrames);
         }
-        assertEquals(String.join("\n", read(file)), String.join("\n", written));
+        assertEquals(String.join("\n", readLines(fileName)), String.join("\n", encodedFrames));
     }
 
     private static List<String> encodeAll(MessageCodec codec, List<Class<?>> types) {
@@ -81,7 +82,7 @@
             Class<?> type = types.get(index);
             if (Message.class.isAssignableFrom(type)) {
                 byte[] frame = codec.encode(SENDER_PORT, (Message) sample(type, index));
-                assertArrayEquals(frame, reencode(codec, frame), "read back and written again");
+                assertArrayEquals(frame, reencode(codec, frame), "a decoded message is encoded to the same bytes");
                 lines.add(index + " " + HexFormat.of().formatHex(frame));
             }
         }
@@ -97,38 +98,38 @@
         }
     }
 
-    private static List<String> read(String file) throws IOException {
-        try (InputStream in = InternalMessageBytesTest.class.getResourceAsStream("/" + file)) {
+    private static List<String> readLines(String fileName) throws IOException {
+        try (InputStream in = InternalMessageBytesTest.class.getResourceAsStream("/" + fileName)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
         }
     }
 
-    /** A value of the type that differs with the seed. */
+    /** A value of the given type that depends on the seed. */
     private static Object sample(Type type, int seed) {
-        if (type instanceof ParameterizedType list) {
-            Type element = list.getActualTypeArguments()[0];
+        if (type instanceof ParameterizedType listType) {
+            Type element = listType.getActualTypeArguments()[0];
             return List.of(sample(element, seed), sample(element, seed + 1));
         }
-        Class<?> plain = (Class<?>) type;
-        if (plain == long.class) {
+        Class<?> rawType = (Class<?>) type;
+        if (rawType == long.class) {
             return 1_000L + seed;
-        } else if (plain == int.class) {
+        } else if (rawType == int.class) {
             return 300 + seed;
-        } else if (plain == double.class) {
+        } else if (rawType == double.class) {
             return seed + 0.5;
-        } else if (plain == boolean.class) {
+        } else if (rawType == boolean.class) {
             return seed % 2 == 0;
-        } else if (plain == String.class) {
+        } else if (rawType == String.class) {
             return "text-" + seed;
-        } else if (plain == byte[].class) {
+        } else if (rawType == byte[].class) {
             return new byte[] {(byte) seed, 1, 2};
-        } else if (plain == SocketAddress.class) {
+        } else if (rawType == SocketAddress.class) {
             return new SocketAddress("10.0.0." + seed, 7_000 + seed);
-        } else if (plain.isEnum()) {
-            Object[] constants = plain.getEnumConstants();
+        } else if (rawType.isEnum()) {
+            Object[] constants = rawType.getEnumConstants();
             return constants[seed % constants.length];
         }
-        return sampleRecord(plain, seed);
+        return sampleRecord(rawType, seed);
     }
 
     private static Object sampleRecord(Class<?> type, int seed) {
@@ -143,7 +144,7 @@
             constructor.setAccessible(true);
             return constructor.newInstance(values);
         } catch (ReflectiveOperationException e) {
-            throw new AssertionError("cannot make a sample of " + type.getSimpleName(), e);
+            throw new AssertionError("cannot create a sample of " + type.getSimpleName(), e);
         }
     }
 }
--- a/router-fleet/system/src/test/java/pinewick/system/LogLineFormatterTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/LogLineFormatterTest.java
@@ -17,13 +17,13 @@
     }
 
     @Test
-    void putsARecordOnOneLine() {
+    void formatsARecordAsOneLine() {
         assertEquals("09:05:07.042 I ApiServer: ready\n", new LogLineFormatter().format(record(Level.INFO, "ready")));
         assertEquals("09:05:07.042 W ApiServer: a / b\n", new LogLineFormatter().format(record(Level.WARNING, "a\nb")));
     }
 
     @Test
-    void namesEveryCauseAndTheStackFrameOfTheFirst() {
+    void appendsEveryCauseAndTheStackFrameOfTheLastCause() {
         LogRecord record = record(Level.SEVERE, "ends");
         IOException cause = new IOException("reset\nby peer");
         cause.setStackTrace(new StackTraceElement[] {new StackTraceElement("Peer", "read", "Peer.java", 7)});
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void takesARecordWithoutAName() {
+    void formatsARecordWithoutLoggerNameAndMessage() {
         LogRecord record = record(Level.INFO, null);
         record.setLoggerName(null);
 
--- a/router-fleet/system/src/test/java/pinewick/system/LoopbackFleet.java
+++ b/router-fleet/system/src/test/java/pinewick/system/LoopbackFleet.java
@@ -17,48 +17,51 @@
 import org.junit.jupiter.api.function.ThrowingSupplier;
 import pinewick.model.SocketAddress;
 
-/** Three controllers and three routers in this process, each with a loopback address of its own. */
+/** Three controllers and three routers in this process, each with a separate loopback address. */
 final class LoopbackFleet implements AutoCloseable {
     static final int CONTROLLERS = 3;
     static final int ROUTERS = 3;
 
-    private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(20);
+    private static final long AWAIT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(20);
     private static final int MIN_PORT = 20_000;
     private static final int MAX_PORT = 30_000;
-    private static final int PORTS = 5;
-    private static final int FRONTEND = 2;
-    private static final int READINESS = 3;
-    private static final int CONTROL_PLANE = 4;
+    private static final int PORT_COUNT = 5;
+    private static final int FRONTEND_OFFSET = 2;
+    private static final int READINESS_OFFSET = 3;
+    private static final int CONTROL_PLANE_OFFSET = 4;
     private static final int OK = 200;
 
-    private final Path folder;
+    private final Path directory;
     private final String bounds;
-    private final int firstPort = freePorts();
+    private final int firstPort = findFreePorts();
     private final List<Program> running = new ArrayList<>();
 
     /**
-     * @param folder for the controllers' disks
-     * @param bounds lines of the section {@code bounds} of all settings files
+     * @param directory parent of the data directories of the controllers
+     * @param bounds additional lines for the section {@code bounds} of every settings file
      */
-    LoopbackFleet(Path folder, String bounds) {
-        this.folder = folder;
+    LoopbackFleet(Path directory, String bounds) {
+        this.directory = directory;
         this.bounds = bounds;
     }
 
-    /** The first of some ports in a row that are free on all addresses, below those that the kernel hands out. */
-    private static int freePorts() {
+    /**
+     * Returns the first of {@link #PORT_COUNT} consecutive ports that are free on all addresses, below the ephemeral
+     * range.
+     */
+    private static int findFreePorts() {
         int first = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
-        while (!IntStream.range(first, first + PORTS).allMatch(LoopbackFleet::isFree)) {
+        while (!IntStream.range(first, first + PORT_COUNT).allMatch(LoopbackFleet::isFree)) {
             first = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
         }
         return first;
     }
 
     private static boolean isFree(int port) {
-        InetSocketAddress everywhere = new InetSocketAddress("0.0.0.0", port);
-        try (DatagramSocket datagrams = new DatagramSocket(everywhere);
+        InetSocketAddress wildcardAddress = new InetSocketAddress("0.0.0.0", port);
+        try (DatagramSocket datagrams = new DatagramSocket(wildcardAddress);
                 ServerSocket server = new ServerSocket()) {
-            server.bind(everywhere);
+            server.bind(wildcardAddress);
             return datagrams.isBound();
         } catch (IOException e) {
             return false;
@@ -66,11 +69,11 @@
     }
 
     void start() throws Exception {
-        for (int number = 0; number < CONTROLLERS; number++) {
-            start(Program.Kind.CONTROLLER, controllerText(number));
+        for (int index = 0; index < CONTROLLERS; index++) {
+            start(Program.Kind.CONTROLLER, controllerText(index));
         }
-        for (int number = 0; number < ROUTERS; number++) {
-            start(Program.Kind.ROUTER, routerText(number));
+        for (int index = 0; index < ROUTERS; index++) {
+            start(Program.Kind.ROUTER, routerText(index));
         }
     }
 
@@ -80,14 +83,14 @@
         program.start();
     }
 
-    /** Where replicas and the operator call. */
+    /** The address to which replicas and the operator send requests. */
     private SocketAddress controlPlane(int controller) {
-        return new SocketAddress(controllerHost(controller), firstPort + CONTROL_PLANE);
+        return new SocketAddress(controllerHost(controller), firstPort + CONTROL_PLANE_OFFSET);
     }
 
-    /** Where clients call. */
+    /** The address to which clients send requests. */
     SocketAddress frontend(int router) {
-        return new SocketAddress(routerHost(router), firstPort + FRONTEND);
+        return new SocketAddress(routerHost(router), firstPort + FRONTEND_OFFSET);
     }
 
     static String routerHost(int router) {
@@ -98,7 +101,7 @@
         return "127.0.1." + (1 + controller);
     }
 
-    /** Puts the first configuration in force; returns once a controller has acknowledged it. */
+    /** Installs the first configuration; returns when a controller has acknowledged it. */
     void configure(String json) {
         await("a configuration to be acknowledged", () -> anyControllerAccepts("/config/replace", json));
     }
@@ -111,20 +114,20 @@
     private boolean anyControllerAccepts(String path, String json) {
         Map<String, String> headers = Map.of("Content-Type", "application/json", "X-Pinewick-Base-Version", "0");
         return IntStream.range(0, CONTROLLERS)
-                .mapToObj(number -> new HttpCall(controlPlane(number), "POST", path, headers, json))
-                .anyMatch(call -> statusOf(call) == OK);
+                .mapToObj(index -> new HttpCall(controlPlane(index), "POST", path, headers, json))
+                .anyMatch(call -> statusOrZero(call) == OK);
     }
 
     /** Waits until every router is ready. */
     void awaitReady() {
-        for (int number = 0; number < ROUTERS; number++) {
-            SocketAddress readiness = new SocketAddress(routerHost(number), firstPort + READINESS);
-            await("a router to be ready", () -> statusOf(HttpCall.get(readiness, "/ready")) == OK);
+        for (int index = 0; index < ROUTERS; index++) {
+            SocketAddress readiness = new SocketAddress(routerHost(index), firstPort + READINESS_OFFSET);
+            await("a router to be ready", () -> statusOrZero(HttpCall.get(readiness, "/ready")) == OK);
         }
     }
 
-    /** The status of the answer, 0 for none. */
-    static int statusOf(HttpCall call) {
+    /** The status of the response, or 0 if there is none. */
+    static int statusOrZero(HttpCall call) {
         try {
             return call.send().status();
         } catch (IOException e) {
@@ -132,38 +135,38 @@
         }
     }
 
-    /** Tries again and again until it succeeds. */
-    static void await(String what, ThrowingSupplier<Boolean> succeeds) {
-        long endNanos = System.nanoTime() + PATIENCE_NANOS;
+    /** Polls a condition until it is met; fails the test after a time-out. */
+    static void await(String condition, ThrowingSupplier<Boolean> isMet) {
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
         try {
-            while (!succeeds.get()) {
-                if (System.nanoTime() > endNanos) {
-                    throw new AssertionError("waited in vain for " + what);
+            while (!isMet.get()) {
+                if (System.nanoTime() > deadlineNanos) {
+                    throw new AssertionError("timed out waiting for " + condition);
                 }
                 Thread.onSpinWait();
             }
         } catch (Throwable e) {
-            throw e instanceof AssertionError failed ? failed : new AssertionError(what, e);
+            throw e instanceof AssertionError assertionError ? assertionError : new AssertionError(condition, e);
         }
     }
 
-    private String controllerText(int number) throws IOException {
-        Path disk = Files.createDirectories(folder.resolve("core-" + number));
-        return "serves = [\"control_plane\"]\ncounts_for_quorum = true\ndata_directory = '" + disk + "'\n"
-                + commonText("core-" + number, controllerHost(number))
-                + "[listen_addresses]\ncontrol_plane = \"" + controlPlane(number) + "\"\n";
+    private String controllerText(int index) throws IOException {
+        Path dataDirectory = Files.createDirectories(directory.resolve("core-" + index));
+        return "serves = [\"control_plane\"]\ncounts_for_quorum = true\ndata_directory = '" + dataDirectory + "'\n"
+                + commonText("core-" + index, controllerHost(index))
+                + "[listen_addresses]\ncontrol_plane = \"" + controlPlane(index) + "\"\n";
     }
 
-    private String routerText(int number) {
+    private String routerText(int index) {
         return "serves = [\"frontend\"]\ncounts_for_quorum = false\n"
-                + commonText("frontend-" + number, routerHost(number))
-                + "[listen_addresses]\nfrontend = \"" + frontend(number) + "\"\nreadiness = \""
-                + new SocketAddress(routerHost(number), firstPort + READINESS) + "\"\n";
+                + commonText("frontend-" + index, routerHost(index))
+                + "[listen_addresses]\nfrontend = \"" + frontend(index) + "\"\nreadiness = \""
+                + new SocketAddress(routerHost(index), firstPort + READINESS_OFFSET) + "\"\n";
     }
 
     private String commonText(String name, String host) {
         String seeds = IntStream.range(0, CONTROLLERS)
-                .mapToObj(number -> "\"" + controlPlane(number) + "\"")
+                .mapToObj(index -> "\"" + controlPlane(index) + "\"")
                 .collect(Collectors.joining(","));
         return """
                 node_name = "%s"
--- a/router-fleet/system/src/test/java/pinewick/system/ProgramRunnerTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/ProgramRunnerTest.java
@@ -16,12 +16,12 @@
 
 class ProgramRunnerTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private final List<String> calls = new ArrayList<>();
     private final BlockingQueue<ProcessEvent> events = new LinkedBlockingQueue<>();
 
-    /** Notes what it is asked, and fails at one step. */
+    /** Records the calls it receives and fails at the given step. */
     private final class RecordingProgram implements Program {
         private final String failingStep;
 
@@ -31,12 +31,12 @@
 
         @Override
         public void start() throws IOException {
-            note("start");
+            recordCall("start");
         }
 
         @Override
         public void stop() throws IOException {
-            note("stop");
+            recordCall("stop");
         }
 
         @Override
@@ -44,22 +44,23 @@
             calls.add("seeds " + seeds);
         }
 
-        private void note(String step) throws IOException {
+        private void recordCall(String step) throws IOException {
             calls.add(step);
             if (step.equals(failingStep)) {
-                throw new IOException(step + " (10.1.0.10:8161) fails");
+                throw new IOException(step + " (10.1.0.10:8161) failed");
             }
         }
     }
 
     private int run(String settings, String failingStep) throws IOException {
-        Path file = Files.writeString(folder.resolve("node.toml"), settings);
-        return new ProgramRunner(file, "frontend", (NodeSettings read) -> new RecordingProgram(failingStep), events)
+        Path file = Files.writeString(directory.resolve("node.toml"), settings);
+        return new ProgramRunner(
+                        file, "frontend", (NodeSettings parsedSettings) -> new RecordingProgram(failingStep), events)
                 .run();
     }
 
     @Test
-    void startsAndStopsAtTheSignal() throws IOException {
+    void startsAndStopsOnASignal() throws IOException {
         events.add(ProcessEvent.STOP);
 
         assertEquals(0, run(SampleSettings.ROUTER, ""));
@@ -67,9 +68,9 @@
     }
 
     @Test
-    void reportsChangedSeedsBeforeItStops() throws IOException {
-        Path file = Files.writeString(folder.resolve("node.toml"), SampleSettings.ROUTER);
-        events.add(ProcessEvent.REREAD_SETTINGS);
+    void updatesChangedSeedsBeforeItStops() throws IOException {
+        Path file = Files.writeString(directory.resolve("node.toml"), SampleSettings.ROUTER);
+        events.add(ProcessEvent.RELOAD_SETTINGS);
         events.add(ProcessEvent.STOP);
         Program.Factory factory = settings -> {
             rewrite(file, SampleSettings.ROUTER.replaceFirst("seed_nodes = .*", "seed_nodes = [\"10.9.9.9:8166\"]"));
@@ -89,7 +90,7 @@
     }
 
     @Test
-    void exitsWithTwoForInvalidSettings() throws IOException {
+    void exitsWithUsageErrorForInvalidSettings() throws IOException {
         assertEquals(2, run("node_name = 1", ""));
         assertEquals(List.of(), calls);
     }
@@ -101,7 +102,7 @@
     }
 
     @Test
-    void exitsWithOneWhenTheProgramCannotStartOrStop() throws IOException {
+    void exitsWithFailureWhenTheProgramCannotStartOrStop() throws IOException {
         events.add(ProcessEvent.STOP);
 
         assertEquals(1, run(SampleSettings.ROUTER, "start"));
--- a/router-fleet/system/src/test/java/pinewick/system/SampleSettings.java
+++ b/router-fleet/system/src/test/java/pinewick/system/SampleSettings.java
@@ -1,6 +1,6 @@
 package pinewick.system;
 
-/** Settings files for the tests, with every field that the pages name. */
+/** Settings files for the tests, with every documented field. */
 final class SampleSettings {
     private static final String COMMON =
             """
@@ -53,7 +53,7 @@
             thaw_slack_ms = 300
             """;
 
-    /** A machine without a disk that serves clients. */
+    /** Settings of a router: a machine without a disk that serves clients. */
     static final String ROUTER =
             """
             node_name = "frontend-sala-mi-1"
@@ -72,7 +72,7 @@
             readiness = "10.1.0.10:8167"
             """;
 
-    /** A machine with a disk that serves replicas and the operator. */
+    /** Settings of a controller: a machine with a disk that serves replicas and the operator. */
     static final String CONTROLLER =
             """
             node_name = "core-sala-mi-1"
--- a/router-fleet/system/src/test/java/pinewick/system/SettingsReaderTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/SettingsReaderTest.java
@@ -21,8 +21,8 @@
     }
 
     private static List<String> faultsOf(String text) {
-        InvalidSettingsException refusal = assertThrows(InvalidSettingsException.class, () -> parse(text));
-        return refusal.faults().stream().map(SettingsFault::toString).toList();
+        InvalidSettingsException exception = assertThrows(InvalidSettingsException.class, () -> parse(text));
+        return exception.faults().stream().map(SettingsFault::toString).toList();
     }
 
     @Test
@@ -61,14 +61,14 @@
     }
 
     @Test
-    void ignoresWhatItDoesNotKnow() throws InvalidSettingsException {
-        String more = "galaxy = \"\"\nempty = []\n" + SampleSettings.ROUTER + "\n[weather]\nrain = true\n";
+    void ignoresUnknownFields() throws InvalidSettingsException {
+        String withUnknownFields = "galaxy = \"\"\nempty = []\n" + SampleSettings.ROUTER + "\n[weather]\nrain = true\n";
 
-        assertEquals(parse(SampleSettings.ROUTER), parse(more));
+        assertEquals(parse(SampleSettings.ROUTER), parse(withUnknownFields));
     }
 
     @Test
-    void doesWithoutTheFiguresOfRulesThatAreNotInForce() throws InvalidSettingsException {
+    void usesDefaultsForValuesOfRulesThatAreNotEnabled() throws InvalidSettingsException {
         NodeSettings settings = parse(
                 """
                 node_name = "n"
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void takesTheRegionFromTheZones() throws InvalidSettingsException {
+    void derivesTheRegionFromTheZones() throws InvalidSettingsException {
         assertEquals(
                 "pianura",
                 parse(SampleSettings.ROUTER.replace("region = \"pianura\"", "")).region());
@@ -99,14 +99,14 @@
             value = {
                 "node_name = \"frontend-sala-mi-1\"||node_name is missing; name this machine",
                 "node_name = \"frontend-sala-mi-1\"|node_name = \"\"|node_name is empty; name this machine",
-                "node_name = \"frontend-sala-mi-1\"|node_name = 7|node_name is 7; put a text in quotes",
+                "node_name = \"frontend-sala-mi-1\"|node_name = 7|node_name is 7; put a string in quotes",
                 "zone = \"sala-mi\"||zone is missing; name the zone of this machine",
                 "ip_address = \"10.1.0.10\"||ip_address is missing; give this machine's IPv4 address",
                 "ip_address = \"10.1.0.10\"|ip_address = \"::1\"|ip_address is '::1'; give this machine's IPv4 address",
                 "ip_address = \"10.1.0.10\"|ip_address = \"10.1.0.256\"|"
                         + "ip_address is '10.1.0.256'; give this machine's IPv4 address",
-                "serves = [\"frontend\"]|serves = \"frontend\"|serves is frontend; give a list of texts",
-                "serves = [\"frontend\"]|serves = [\"frontend\", 1]|serves holds 1; put a text in quotes",
+                "serves = [\"frontend\"]|serves = \"frontend\"|serves is frontend; give a list of strings",
+                "serves = [\"frontend\"]|serves = [\"frontend\", 1]|serves contains 1; put a string in quotes",
                 "[7720,7735]|[7720]|internal_port_range is [7720]; give the first and the last of "
                         + "at least 2 free ports, "
                         + "as [7720,7735]",
@@ -119,9 +119,9 @@
                 "internal_port_range = [7720,7735]||internal_port_range is missing; give the first "
                         + "and the last of at least 2 "
                         + "free ports, as [7720,7735]",
-                "10.2.0.43:8166|10.2.0.43|seed_nodes is wrong: '10.2.0.43' is not HOST:PORT; "
+                "10.2.0.43:8166|10.2.0.43|seed_nodes is invalid: '10.2.0.43' is not HOST:PORT; "
                         + "give an IPv4 address and a port from 1 to 65535",
-                "10.2.0.43:8166|10.2.0.43:0|seed_nodes is wrong: '10.2.0.43:0' has a port out of range; "
+                "10.2.0.43:8166|10.2.0.43:0|seed_nodes is invalid: '10.2.0.43:0' has a port out of range; "
                         + "give an IPv4 address and a port from 1 to 65535",
                 "first_start = true|first_start = \"yes\"|first_start is yes; write true or false",
                 "heartbeat_ms = 1200|heartbeat_ms = \"soon\"|heartbeat_ms is soon; give a number from 0 up",
@@ -133,10 +133,10 @@
                 "readiness = \"10.1.0.10:8167\"||listen_addresses.readiness is missing; "
                         + "give the address to listen on, as \"10.1.0.10:8161\"",
                 "readiness = \"10.1.0.10:8167\"|readiness = 8167|listen_addresses.readiness is "
-                        + "8167; put a text in quotes",
-                "sala-mi = \"pianura\"|sala-mi = 1|zones.sala-mi is 1; put a text in quotes",
+                        + "8167; put a string in quotes",
+                "sala-mi = \"pianura\"|sala-mi = 1|zones.sala-mi is 1; put a string in quotes",
             })
-    void tellsTheFieldAndTheRemedy(String original, String replacement, String fault) {
+    void reportsTheFieldAndHowToCorrectIt(String original, String replacement, String fault) {
         String text = SampleSettings.ROUTER.replace(original, replacement == null ? "" : replacement);
 
         assertFalse(text.equals(SampleSettings.ROUTER), "the replacement changes nothing");
@@ -148,7 +148,7 @@
         String text = SampleSettings.ROUTER.replaceFirst("seed_nodes = .*", "seed_nodes = []");
 
         assertEquals(
-                List.of("seed_nodes names nobody; give control_plane addresses of controllers, "
+                List.of("seed_nodes is missing or empty; give control_plane addresses of controllers, "
                         + "as [\"10.1.0.13:8166\"]"),
                 faultsOf(text));
     }
@@ -166,13 +166,13 @@
                         "internal_port_range is 7720; give the first and the last of at least 2 free ports, "
                                 + "as [7720,7735]",
                         "zone is missing; name the zone of this machine",
-                        "seed_nodes is wrong: 'x' is not HOST:PORT; give an IPv4 address and a port from 1 to 65535",
+                        "seed_nodes is invalid: 'x' is not HOST:PORT; give an IPv4 address and a port from 1 to 65535",
                         "bounds.drain_ms is 2000; give a number from 0 up"),
                 faultsOf(text));
     }
 
     @Test
-    void reportsWhereAFileIsNotToml() {
+    void reportsThePositionsOfTomlSyntaxErrors() {
         List<String> faults = faultsOf("zone = \"a\"\nzone = \"b\"\nrole = \"a\"\nrole = \"b\"\n");
 
         assertEquals(2, faults.size(), faults.toString());
@@ -182,10 +182,11 @@
     }
 
     @Test
-    void tellsOfAFileThatCannotBeRead(@org.junit.jupiter.api.io.TempDir Path folder) {
-        InvalidSettingsException refusal =
-                assertThrows(InvalidSettingsException.class, () -> SettingsReader.read(folder.resolve("none.toml")));
+    void reportsAFileThatCannotBeRead(@org.junit.jupiter.api.io.TempDir Path directory) {
+        InvalidSettingsException exception =
+                assertThrows(InvalidSettingsException.class, () -> SettingsReader.read(directory.resolve("none.toml")));
 
-        assertTrue(refusal.getMessage().endsWith("; name a readable file in PINEWICK_CONFIG"), refusal.getMessage());
+        assertTrue(
+                exception.getMessage().endsWith("; name a readable file in PINEWICK_CONFIG"), exception.getMessage());
     }
 }
--- a/router-fleet/system/src/test/java/pinewick/system/SettingsWatcherTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/SettingsWatcherTest.java
@@ -18,17 +18,18 @@
     private static final int ENOUGH_POLLS = 20;
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
-    private final List<List<SocketAddress>> told = new ArrayList<>();
+    private final List<List<SocketAddress>> reportedSeeds = new ArrayList<>();
     private Path file;
     private SettingsWatcher watcher;
 
     @BeforeEach
     void start() throws IOException, InvalidSettingsException {
-        file = folder.resolve("node.toml");
+        file = directory.resolve("node.toml");
         write(SampleSettings.ROUTER, 1_000);
-        watcher = new SettingsWatcher(file, SettingsReader.readText(file), SettingsReader.read(file), told::add);
+        watcher =
+                new SettingsWatcher(file, SettingsReader.readText(file), SettingsReader.read(file), reportedSeeds::add);
         watcher.poll();
     }
 
@@ -37,66 +38,66 @@
         Files.setLastModifiedTime(file, FileTime.fromMillis(timeMs));
     }
 
-    private static String otherSeed() {
+    private static String settingsWithOtherSeed() {
         return SampleSettings.ROUTER.replace("10.3.0.10:8166", OTHER_SEED);
     }
 
     @Test
-    void anUnchangedFileIsNotReported() {
+    void doesNotReportAnUnchangedFile() {
         for (int poll = 0; poll < ENOUGH_POLLS; poll++) {
             watcher.poll();
         }
-        watcher.reread();
+        watcher.reload();
 
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), reportedSeeds);
     }
 
     @Test
-    void changedSeedsAreReportedAtTheNextPoll() throws IOException {
-        write(otherSeed(), 2_000);
+    void reportsChangedSeedsAtTheNextPoll() throws IOException {
+        write(settingsWithOtherSeed(), 2_000);
         watcher.poll();
         watcher.poll();
 
-        assertEquals(1, told.size());
-        assertEquals(SocketAddress.parse(OTHER_SEED), told.get(0).get(2));
+        assertEquals(1, reportedSeeds.size());
+        assertEquals(SocketAddress.parse(OTHER_SEED), reportedSeeds.get(0).get(2));
     }
 
     @Test
-    void changedSeedsAreReportedAtASignal() throws IOException {
-        write(otherSeed(), 1_000);
-        watcher.reread();
+    void reportsChangedSeedsOnReload() throws IOException {
+        write(settingsWithOtherSeed(), 1_000);
+        watcher.reload();
 
-        assertEquals(1, told.size());
+        assertEquals(1, reportedSeeds.size());
     }
 
     @Test
-    void noticesAFileOfTheSameTimeAndSizeAfterSomePolls() throws IOException {
+    void detectsAChangeThatKeepsTimeAndSizeAfterSomePolls() throws IOException {
         write(SampleSettings.ROUTER.replace("10.3.0.10:8166", "10.3.0.77:8166"), 1_000);
         for (int poll = 0; poll < ENOUGH_POLLS; poll++) {
             watcher.poll();
         }
 
-        assertEquals(1, told.size());
+        assertEquals(1, reportedSeeds.size());
     }
 
     @Test
-    void changesOtherThanSeedsAreNotReported() throws IOException {
+    void doesNotReportChangesOtherThanSeeds() throws IOException {
         write(SampleSettings.ROUTER.replace("drain_ms = 2000", "drain_ms = 1"), 2_000);
         watcher.poll();
 
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), reportedSeeds);
     }
 
     @Test
-    void theLastSeedsStayInForceWhenTheFileIsInvalidOrMissing() throws IOException {
+    void keepsTheSeedsWhenTheFileIsInvalidOrMissing() throws IOException {
         write("seed_nodes = [", 2_000);
         watcher.poll();
         Files.delete(file);
         watcher.poll();
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), reportedSeeds);
 
-        write(otherSeed(), 3_000);
+        write(settingsWithOtherSeed(), 3_000);
         watcher.poll();
-        assertEquals(1, told.size());
+        assertEquals(1, reportedSeeds.size());
     }
 }
--- a/router-fleet/system/src/test/java/pinewick/system/TrainingEnvironmentTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/TrainingEnvironmentTest.java
@@ -15,33 +15,33 @@
 
 class TrainingEnvironmentTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     @Test
     void writesValidConsistentSettingsForBothPrograms() throws IOException, InvalidSettingsException {
-        try (TrainingEnvironment stage = new TrainingEnvironment(folder)) {
-            NodeSettings router = stage.routerSettings();
-            NodeSettings controller = stage.controllerSettings();
+        try (TrainingEnvironment environment = new TrainingEnvironment(directory)) {
+            NodeSettings router = environment.routerSettings();
+            NodeSettings controller = environment.controllerSettings();
 
-            assertEquals(Optional.of(stage.frontend()), router.frontend());
-            assertEquals(Optional.of(stage.readiness()), router.readiness());
-            assertEquals(Optional.of(stage.controlPlane()), controller.controlPlane());
-            assertEquals(List.of(stage.controlPlane()), router.seedNodes());
+            assertEquals(Optional.of(environment.frontend()), router.frontend());
+            assertEquals(Optional.of(environment.readiness()), router.readiness());
+            assertEquals(Optional.of(environment.controlPlane()), controller.controlPlane());
+            assertEquals(List.of(environment.controlPlane()), router.seedNodes());
             assertEquals(router.controllerPort(), controller.controllerPort());
             assertTrue(Files.isDirectory(controller.dataDirectory().orElseThrow()));
-            assertEquals(3, stage.replicas().size());
+            assertEquals(3, environment.replicas().size());
         }
     }
 
     @Test
-    void leavesNothingBehind() throws IOException, InvalidSettingsException {
-        TrainingEnvironment stage = new TrainingEnvironment(folder);
+    void removesItsFilesWhenClosed() throws IOException, InvalidSettingsException {
+        TrainingEnvironment environment = new TrainingEnvironment(directory);
         Files.writeString(
-                stage.controllerSettings().dataDirectory().orElseThrow().resolve("store"), "x");
-        stage.close();
+                environment.controllerSettings().dataDirectory().orElseThrow().resolve("store"), "x");
+        environment.close();
 
-        try (Stream<Path> left = Files.list(folder)) {
-            assertEquals(0, left.count());
+        try (Stream<Path> remainingFiles = Files.list(directory)) {
+            assertEquals(0, remainingFiles.count());
         }
     }
 }
