--- a/router-fleet/system/src/main/java/pinewick/system/TomlFields.java
+++ b/router-fleet/system/src/main/java/pinewick/system/TomlFields.java
@@ -73,7 +73,7 @@
         if (value instanceof String text) {
             return text;
         }
-        fault(key, "is " + value + "; put a string in quotes");
+        fault(key, "is " + value + "; give a string in quotes");
         return defaultValue;
     }
 
@@ -116,7 +116,7 @@
             if (element instanceof String text) {
                 strings.add(text);
             } else {
-                fault(key, "contains " + element + "; put a string in quotes");
+                fault(key, "contains " + element + "; give a string in quotes");
             }
         }
         return strings;
--- a/router-fleet/system/src/test/java/pinewick/system/SettingsReaderTest.java
+++ b/router-fleet/system/src/test/java/pinewick/system/SettingsReaderTest.java
@@ -99,14 +99,14 @@
             value = {
                 "node_name = \"frontend-sala-mi-1\"||node_name is missing; name this machine",
                 "node_name = \"frontend-sala-mi-1\"|node_name = \"\"|node_name is empty; name this machine",
-                "node_name = \"frontend-sala-mi-1\"|node_name = 7|node_name is 7; put a string in quotes",
+                "node_name = \"frontend-sala-mi-1\"|node_name = 7|node_name is 7; give a string in quotes",
                 "zone = \"sala-mi\"||zone is missing; name the zone of this machine",
                 "ip_address = \"10.1.0.10\"||ip_address is missing; give this machine's IPv4 address",
                 "ip_address = \"10.1.0.10\"|ip_address = \"::1\"|ip_address is '::1'; give this machine's IPv4 address",
                 "ip_address = \"10.1.0.10\"|ip_address = \"10.1.0.256\"|"
                         + "ip_address is '10.1.0.256'; give this machine's IPv4 address",
                 "serves = [\"frontend\"]|serves = \"frontend\"|serves is frontend; give a list of strings",
-                "serves = [\"frontend\"]|serves = [\"frontend\", 1]|serves contains 1; put a string in quotes",
+                "serves = [\"frontend\"]|serves = [\"frontend\", 1]|serves contains 1; give a string in quotes",
                 "[7720,7735]|[7720]|internal_port_range is [7720]; give the first and the last of "
                         + "at least 2 free ports, "
                         + "as [7720,7735]",
@@ -133,8 +133,8 @@
                 "readiness = \"10.1.0.10:8167\"||listen_addresses.readiness is missing; "
                         + "give the address to listen on, as \"10.1.0.10:8161\"",
                 "readiness = \"10.1.0.10:8167\"|readiness = 8167|listen_addresses.readiness is "
-                        + "8167; put a string in quotes",
-                "sala-mi = \"pianura\"|sala-mi = 1|zones.sala-mi is 1; put a string in quotes",
+                        + "8167; give a string in quotes",
+                "sala-mi = \"pianura\"|sala-mi = 1|zones.sala-mi is 1; give a string in quotes",
             })
     void reportsTheFieldAndHowToCorrectIt(String original, String replacement, String fault) {
         String text = SampleSettings.ROUTER.replace(original, replacement == null ? "" : replacement);
