--- a/router-fleet/replication/src/test/java/pinewick/replication/AcceptedChangesTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/AcceptedChangesTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void survivesBytes() {
+    void restoresFromBytes() {
         AcceptedChanges changes = AcceptedChanges.NONE.with(key(1)).with(key(2));
         AcceptedChanges read = AcceptedChanges.fromBytes(changes.toBytes());
         assertEquals(OptionalLong.of(2), read.versionOf(1, key(1).digest()));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void kindAndBodyMakeTheDigest() {
+    void computesTheDigestFromKindAndBody() {
         String replaced = ChangeKey.digestOf(new ConfigurationChange(ConfigurationChange.Kind.REPLACE, 1, BODY));
         String updated = ChangeKey.digestOf(new ConfigurationChange(ConfigurationChange.Kind.UPDATE, 1, BODY));
         assertNotEquals(replaced, updated);
--- a/router-fleet/replication/src/test/java/pinewick/replication/CatchUpTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/CatchUpTest.java
@@ -9,60 +9,60 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A member that missed many changes comes back while more of them go on. */
+/** A member that missed many changes returns while more changes are submitted. */
 class CatchUpTest {
     private static final int SEEDS = 20;
-    private static final double FOUNDED_MS = 4_000;
-    private static final double AWAY_MS = 10_000;
+    private static final double BOOTSTRAP_MS = 4_000;
+    private static final double ABSENCE_MS = 10_000;
     private static final double BOUND_MS = 3_000;
-    private static final double RETRY_MS = 20;
-    private static final int MISSED = 2_000;
-    private static final double MISSED_EVERY_MS = 5;
+    private static final double RETRY_INTERVAL_MS = 20;
+    private static final int MISSED_CHANGES = 2_000;
+    private static final double MISSED_INTERVAL_MS = 5;
 
-    /** Changes one after the other, each to the present primary until it is acknowledged. */
+    /** Submits changes one after the other, each to the current primary until it is acknowledged. */
     private static final class ChangeLoad {
         private final SimulatedCluster cluster;
-        private double everyMs;
+        private double intervalMs;
         private int acknowledged;
 
-        ChangeLoad(SimulatedCluster cluster, double everyMs) {
+        ChangeLoad(SimulatedCluster cluster, double intervalMs) {
             this.cluster = cluster;
-            this.everyMs = everyMs;
-            cluster.after(0, this::next);
+            this.intervalMs = intervalMs;
+            cluster.scheduleAfter(0, this::sendNext);
         }
 
-        private void next() {
-            double dueMs = cluster.nowMs() + everyMs;
-            send(new Operator(cluster).properChange(), new boolean[1], dueMs);
+        private void sendNext() {
+            double dueMs = cluster.nowMs() + intervalMs;
+            send(new Operator(cluster).validChange(), new boolean[1], dueMs);
         }
 
-        private void send(Change change, boolean[] done, double dueMs) {
-            if (done[0]) {
+        private void send(Change change, boolean[] completed, double dueMs) {
+            if (completed[0]) {
                 return;
             }
             Machine primary = cluster.primary();
             if (primary != null) {
                 primary.submit(change, outcome -> {
-                    cluster.checker.answered(change, outcome);
-                    if (outcome instanceof ChangeOutcome.Accepted && !done[0]) {
-                        done[0] = true;
+                    cluster.checker.onChangeOutcome(change, outcome);
+                    if (outcome instanceof ChangeOutcome.Accepted && !completed[0]) {
+                        completed[0] = true;
                         acknowledged++;
-                        cluster.at(dueMs, this::next);
+                        cluster.scheduleAt(dueMs, this::sendNext);
                     }
                 });
             }
-            cluster.after(RETRY_MS, () -> send(change, done, dueMs));
+            cluster.scheduleAfter(RETRY_INTERVAL_MS, () -> send(change, completed, dueMs));
         }
     }
 
-    private static SimulatedCluster founded(long seed) {
+    private static SimulatedCluster bootstrapped(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 1);
-        cluster.found(3);
-        cluster.runUntil(FOUNDED_MS);
+        cluster.bootstrap(3);
+        cluster.runUntil(BOOTSTRAP_MS);
         return cluster;
     }
 
-    private static Machine backup(SimulatedCluster cluster) {
+    private static Machine follower(SimulatedCluster cluster) {
         return cluster.machines.stream()
                 .filter(machine -> machine != cluster.primary())
                 .findFirst()
@@ -76,68 +76,68 @@
 
     @ParameterizedTest
     @CsvSource({"200, 150", "200, 500", "33, 150", "33, 500"})
-    void aMemberComesIntoSyncWhileChangesGoOn(double everyMs, double wholeStateMs) {
-        double longest = 0;
+    void bringsAMemberIntoSyncWhileChangesContinue(double intervalMs, double snapshotTransferMs) {
+        double maxMs = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed);
-            cluster.wholeStateMs = wholeStateMs;
-            ChangeLoad changes = new ChangeLoad(cluster, everyMs);
-            Machine away = backup(cluster);
-            away.kill();
-            cluster.runUntil(cluster.nowMs() + AWAY_MS);
+            SimulatedCluster cluster = bootstrapped(seed);
+            cluster.snapshotTransferMs = snapshotTransferMs;
+            ChangeLoad changes = new ChangeLoad(cluster, intervalMs);
+            Machine absent = follower(cluster);
+            absent.kill();
+            cluster.runUntil(cluster.nowMs() + ABSENCE_MS);
             assertFalse(allInSync(cluster));
-            away.start(false);
-            longest = Math.max(longest, cluster.runUntil(() -> allInSync(cluster), BOUND_MS));
-            int before = changes.acknowledged;
+            absent.start(false);
+            maxMs = Math.max(maxMs, cluster.runUntil(() -> allInSync(cluster), BOUND_MS));
+            int acknowledgedBefore = changes.acknowledged;
             cluster.runUntil(cluster.nowMs() + 1_000);
-            assertTrue(changes.acknowledged > before, "changes go on");
-            assertTrue(allInSync(cluster), "it stays in sync");
+            assertTrue(changes.acknowledged > acknowledgedBefore, "changes are still acknowledged");
+            assertTrue(allInSync(cluster), "the member stays in sync");
         }
         System.out.printf(
-                "a change every %.0f ms, a whole state takes %.0f ms: in sync after %.0f ms at most%n",
-                everyMs, wholeStateMs, longest);
+                "change interval %.0f ms, snapshot transfer %.0f ms: in sync within %.0f ms%n",
+                intervalMs, snapshotTransferMs, maxMs);
     }
 
-    /** It holds an old, whole state, and its own record says that it was in sync. */
+    /** The member has an old but complete state, and by its own epoch record it was in sync. */
     @Test
-    void aMemberThatMissedTwoThousandChangesNeverLeadsBeforeItHasThem() {
-        SimulatedCluster cluster = founded(1);
-        Machine away = backup(cluster);
-        away.kill();
-        ChangeLoad changes = new ChangeLoad(cluster, MISSED_EVERY_MS);
-        cluster.runUntil(() -> changes.acknowledged >= MISSED, MISSED * 4 * MISSED_EVERY_MS);
-        changes.everyMs = Double.POSITIVE_INFINITY;
+    void doesNotElectAMemberThatMissedChanges() {
+        SimulatedCluster cluster = bootstrapped(1);
+        Machine absent = follower(cluster);
+        absent.kill();
+        ChangeLoad changes = new ChangeLoad(cluster, MISSED_INTERVAL_MS);
+        cluster.runUntil(() -> changes.acknowledged >= MISSED_CHANGES, MISSED_CHANGES * 4 * MISSED_INTERVAL_MS);
+        changes.intervalMs = Double.POSITIVE_INFINITY;
         cluster.runUntil(cluster.nowMs() + 1_000);
-        long newest = cluster.checker.newestAcknowledged();
-        cluster.machines.stream().filter(machine -> machine != away).forEach(Machine::kill);
-        away.start(false);
-        cluster.runUntil(cluster.nowMs() + AWAY_MS);
-        assertNotEquals(away, cluster.primary(), "alone");
-        Machine other = cluster.machines.stream()
-                .filter(machine -> machine != away)
+        long newestVersion = cluster.checker.newestAcknowledged();
+        cluster.machines.stream().filter(machine -> machine != absent).forEach(Machine::kill);
+        absent.start(false);
+        cluster.runUntil(cluster.nowMs() + ABSENCE_MS);
+        assertNotEquals(absent, cluster.primary(), "a primary without a quorum");
+        Machine otherMachine = cluster.machines.stream()
+                .filter(machine -> machine != absent)
                 .findFirst()
                 .orElseThrow();
-        other.start(false);
-        cluster.runUntil(() -> away.newest().version() >= newest, BOUND_MS);
-        assertEquals(newest, other.newest().version());
+        otherMachine.start(false);
+        cluster.runUntil(() -> absent.newestConfiguration().version() >= newestVersion, BOUND_MS);
+        assertEquals(newestVersion, otherMachine.newestConfiguration().version());
         cluster.runUntil(() -> cluster.primary().node().report().inSync() == 2, BOUND_MS);
     }
 
-    /** The state is being sent, or written, when the process ends; it is sent again. */
+    /** The process ends while the state is sent or written; the state is sent again. */
     @Test
-    void aRestartWhileAStateIsReceivedLosesNothing() {
-        for (int atMs = 10; atMs <= 700; atMs += 30) {
-            SimulatedCluster cluster = founded(atMs);
-            cluster.wholeStateMs = 150;
+    void receivesTheStateAgainAfterARestartDuringTheTransfer() {
+        for (int restartAtMs = 10; restartAtMs <= 700; restartAtMs += 30) {
+            SimulatedCluster cluster = bootstrapped(restartAtMs);
+            cluster.snapshotTransferMs = 150;
             ChangeLoad changes = new ChangeLoad(cluster, 200);
-            Machine away = backup(cluster);
-            away.wipe();
-            cluster.runUntil(cluster.nowMs() + AWAY_MS);
-            away.start(false);
-            cluster.runUntil(cluster.nowMs() + atMs);
-            away.kill();
+            Machine absent = follower(cluster);
+            absent.wipe();
+            cluster.runUntil(cluster.nowMs() + ABSENCE_MS);
+            absent.start(false);
+            cluster.runUntil(cluster.nowMs() + restartAtMs);
+            absent.kill();
             cluster.runUntil(cluster.nowMs() + 100);
-            away.start(false);
+            absent.start(false);
             cluster.runUntil(() -> allInSync(cluster), BOUND_MS);
             assertTrue(changes.acknowledged > 0);
         }
--- a/router-fleet/replication/src/test/java/pinewick/replication/Change.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/Change.java
@@ -10,16 +10,16 @@
 /**
  * A change that a simulated operator sends.
  *
- * @param mark stands in the document, so that it is known whose it is
+ * @param marker number of the change. It is written into the document, so that the change can be identified there
  */
-record Change(int mark, ConfigurationChange.Kind kind, long base, long version, boolean valid, byte[] body) {
-    /** Field of the document that holds the mark. */
-    static final String MARK = "mark";
+record Change(int marker, ConfigurationChange.Kind kind, long base, long version, boolean valid, byte[] body) {
+    /** Field of the document that contains the marker. */
+    static final String MARKER_FIELD = "mark";
 
-    static Change make(int mark, ConfigurationChange.Kind kind, long base, long version, boolean wellFormed) {
+    static Change create(int marker, ConfigurationChange.Kind kind, long base, long version, boolean wellFormed) {
         JsonObject service = new JsonObject();
-        service.addProperty("name", "s" + mark % 7);
-        service.addProperty("health_check_path", "/health/" + mark);
+        service.addProperty("name", "s" + marker % 7);
+        service.addProperty("health_check_path", "/health/" + marker);
         JsonArray services = new JsonArray();
         services.add(service);
         JsonObject sections = new JsonObject();
@@ -27,7 +27,7 @@
         sections.add("routes", new JsonArray());
         JsonObject body = kind == ConfigurationChange.Kind.REPLACE ? sections : new JsonObject();
         body.addProperty("version", version);
-        body.addProperty(MARK, mark);
+        body.addProperty(MARKER_FIELD, marker);
         if (kind == ConfigurationChange.Kind.UPDATE) {
             body.add("upserts", sections);
         }
@@ -35,7 +35,7 @@
             body.addProperty("limits", "none");
         }
         boolean valid = wellFormed && version > base;
-        return new Change(mark, kind, base, version, valid, body.toString().getBytes(StandardCharsets.UTF_8));
+        return new Change(marker, kind, base, version, valid, body.toString().getBytes(StandardCharsets.UTF_8));
     }
 
     ConfigurationChange asSubmitted() {
--- a/router-fleet/replication/src/test/java/pinewick/replication/ChangeHandlingTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/ChangeHandlingTest.java
@@ -15,40 +15,40 @@
 import pinewick.replication.ChangeOutcome.Unknown;
 import pinewick.replication.ChangeOutcome.VersionConflict;
 
-/** What becomes of a change, by what state the system is in. */
+/** The outcome of a change in various states of the system. */
 class ChangeHandlingTest {
-    private static final double FOUNDED_MS = 3_000;
-    private static final double SOON_MS = 100;
+    private static final double BOOTSTRAP_MS = 3_000;
+    private static final double SHORT_WAIT_MS = 100;
 
     private final SimulatedCluster cluster = new SimulatedCluster(11, 1);
     private final List<ChangeOutcome> outcomes = new ArrayList<>();
     private Machine primary;
-    private Machine backup;
+    private Machine follower;
 
     @BeforeEach
-    void found() {
-        cluster.found(3);
-        cluster.runUntil(FOUNDED_MS);
+    void bootstrap() {
+        cluster.bootstrap(3);
+        cluster.runUntil(BOOTSTRAP_MS);
         primary = cluster.primary();
-        backup = cluster.machines.stream()
+        follower = cluster.machines.stream()
                 .filter(machine -> machine != primary)
                 .findFirst()
                 .orElseThrow();
     }
 
     private Change change(long base, long version) {
-        return cluster.checker.make(ConfigurationChange.Kind.REPLACE, base, version, true);
+        return cluster.checker.newChange(ConfigurationChange.Kind.REPLACE, base, version, true);
     }
 
     private void submit(Machine machine, Change change) {
         machine.submit(change, outcome -> {
-            cluster.checker.answered(change, outcome);
+            cluster.checker.onChangeOutcome(change, outcome);
             outcomes.add(outcome);
         });
     }
 
-    private void pass(double forMs) {
-        cluster.runUntil(cluster.nowMs() + forMs);
+    private void runFor(double durationMs) {
+        cluster.runUntil(cluster.nowMs() + durationMs);
     }
 
     private long count(Class<? extends ChangeOutcome> kind) {
@@ -56,81 +56,81 @@
     }
 
     @Test
-    void ofEightConcurrentChangesOfOneVersionOneWins() {
+    void acceptsOneOfEightConcurrentChangesOnOneVersion() {
         for (int operator = 0; operator < 8; operator++) {
             submit(primary, change(0, 1 + operator));
         }
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         assertEquals(1, count(Accepted.class));
         assertEquals(7, count(VersionConflict.class));
     }
 
     @Test
-    void theSameChangeSentTwiceAtATimeIsAcknowledgedTwice() {
+    void acknowledgesTheSameChangeEachTimeItIsSent() {
         Change change = change(0, 5);
         submit(primary, change);
         submit(primary, change);
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         submit(primary, change);
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         assertEquals(List.of(new Accepted(5), new Accepted(5), new Accepted(5)), outcomes);
     }
 
     @Test
-    void aResentChangeIsAcknowledgedAfterLaterChanges() {
+    void acknowledgesAResentChangeAfterLaterChanges() {
         Change first = change(0, 5);
         submit(primary, first);
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         submit(primary, change(5, 6));
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         submit(primary, first);
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         assertEquals(3, count(Accepted.class));
     }
 
     @Test
-    void aVersionThatDoesNotRiseIsInvalid() {
+    void rejectsAVersionThatDoesNotIncrease() {
         submit(primary, change(0, 5));
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         submit(primary, change(5, 5));
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         assertInstanceOf(Invalid.class, outcomes.get(1));
     }
 
     @Test
-    void aFollowerNamesThePrimaryAtOnce() {
-        submit(backup, change(0, 1));
+    void redirectsFromAFollowerToThePrimaryAtOnce() {
+        submit(follower, change(0, 1));
         assertEquals(List.of(new NotPrimary(Optional.of(primary.operatorApi))), outcomes);
     }
 
     @Test
-    void aChangeWithoutAnOutcomeExpiresAtItsDeadline() {
+    void reportsAnUnknownOutcomeAtTheDeadline() {
         cluster.machines.stream().filter(machine -> machine != primary).forEach(Machine::freeze);
         submit(primary, change(0, 1));
-        pass(cluster.ackMs - SOON_MS);
+        runFor(cluster.ackMs - SHORT_WAIT_MS);
         assertEquals(1, outcomes.size());
         assertInstanceOf(Unknown.class, outcomes.get(0));
     }
 
     @Test
-    void aChangeInFlightWhenTheDiskFillsIsUnknownAndCanBeResent() {
+    void reportsAnUnknownOutcomeWhenTheDiskIsFullAndAcceptsTheResentChange() {
         primary.disk.mode = SimulatedDisk.Mode.FULL;
         Change change = change(0, 1);
         submit(primary, change);
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         assertInstanceOf(Unknown.class, outcomes.get(0));
         Machine next = cluster.primary();
-        assertTrue(next != primary && next != null, "another leads by now");
+        assertTrue(next != primary && next != null, "another process is the primary by now");
         submit(next, change);
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         assertEquals(new Accepted(1), outcomes.get(1));
     }
 
     @Test
-    void aPrimaryWithoutConfirmationRejectsNothing() {
+    void doesNotRejectAChangeWithoutConfirmation() {
         cluster.machines.stream().filter(machine -> machine != primary).forEach(Machine::freeze);
         submit(primary, change(3, 4));
-        pass(cluster.ackMs);
+        runFor(cluster.ackMs);
         assertEquals(0, count(VersionConflict.class));
         assertEquals(1, outcomes.size());
     }
--- a/router-fleet/replication/src/test/java/pinewick/replication/ChangeQueueTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/ChangeQueueTest.java
@@ -7,18 +7,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who is answered by which decision when the same change comes again. */
+/** Which decision determines the outcome when the same change is submitted again. */
 class ChangeQueueTest {
     private static final double DEADLINE_MS = 4_000;
     private static final ChangeOutcome CONFLICT = new ChangeOutcome.VersionConflict(3);
 
     private final ChangeQueue queue = new ChangeQueue();
-    private final List<String> answered = new ArrayList<>();
+    private final List<String> outcomes = new ArrayList<>();
     private final ConfigurationChange change =
             new ConfigurationChange(ConfigurationChange.Kind.REPLACE, 7, "{}".getBytes(StandardCharsets.UTF_8));
 
     private void send(String name) {
-        queue.add(change, DEADLINE_MS, outcome -> answered.add(name + " " + outcome));
+        queue.add(change, DEADLINE_MS, outcome -> outcomes.add(name + " " + outcome));
     }
 
     private void rejectNext() {
@@ -26,21 +26,21 @@
     }
 
     @Test
-    void aSubmissionAfterTheRejectionIsProcessedOnItsOwn() {
+    void processesASubmissionAfterTheRejectionSeparately() {
         send("first");
         rejectNext();
         queue.onHeartbeatSent(1);
         send("second");
         queue.onHeartbeatConfirmed(1);
-        assertEquals(List.of("first " + CONFLICT), answered, "round 1 began before the second came");
+        assertEquals(List.of("first " + CONFLICT), outcomes, "round 1 started before the second submission");
         rejectNext();
         queue.onHeartbeatSent(2);
         queue.onHeartbeatConfirmed(2);
-        assertEquals(List.of("first " + CONFLICT, "second " + CONFLICT), answered);
+        assertEquals(List.of("first " + CONFLICT, "second " + CONFLICT), outcomes);
     }
 
     @Test
-    void bothAreProcessedAgainInANewEpoch() {
+    void processesBothAgainInANewEpoch() {
         send("first");
         rejectNext();
         send("second");
@@ -48,25 +48,25 @@
         rejectNext();
         queue.onHeartbeatSent(1);
         queue.onHeartbeatConfirmed(1);
-        assertEquals(2, answered.size());
+        assertEquals(2, outcomes.size());
     }
 
     @Test
-    void bothExpireAtTheirDeadline() {
+    void expiresBothAtTheirDeadline() {
         send("first");
         rejectNext();
         send("second");
         queue.expire(DEADLINE_MS);
-        assertEquals(2, answered.size());
+        assertEquals(2, outcomes.size());
         assertEquals(true, queue.isEmpty());
     }
 
     @Test
-    void bothFailWhenThePrimaryStepsDown() {
+    void failsBothWhenThePrimaryStepsDown() {
         send("first");
         rejectNext();
         send("second");
         queue.failAll(new ChangeOutcome.NotPrimary(java.util.Optional.empty()));
-        assertEquals(2, answered.size());
+        assertEquals(2, outcomes.size());
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/EarlierIncarnationTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/EarlierIncarnationTest.java
@@ -17,7 +17,7 @@
 import pinewick.replication.ReplicationMessages.Promise;
 import pinewick.replication.ReplicationMessages.Status;
 
-/** Answers to questions of an earlier life reach the process that has started again; they count for nothing. */
+/** Replies to requests of an earlier incarnation reach the restarted process, which ignores them. */
 class EarlierIncarnationTest {
     private static final SocketAddress SELF = SocketAddress.parse("10.0.0.1:7721");
     private static final SocketAddress OTHER = SocketAddress.parse("10.0.0.2:7721");
@@ -29,7 +29,7 @@
 
     private final SimulatedDisk disk = new SimulatedDisk();
 
-    /** One life of the process: what it sent, and writes that end when the test says so. */
+    /** One incarnation of the process: the messages it sent, and writes that complete when the test requires it. */
     private final class Incarnation implements StableStore {
         final List<Message> sent = new ArrayList<>();
         final List<Runnable> writes = new ArrayList<>();
@@ -82,26 +82,26 @@
             return sent.stream().filter(type::isInstance).map(type::cast).toList();
         }
 
-        <T extends Message> T last(Class<T> type) {
+        <T extends Message> T lastSent(Class<T> type) {
             List<T> all = sent(type);
             return all.get(all.size() - 1);
         }
 
-        /** Ticks, with the other one answering each question, until this one stands for election. */
-        Prepare stand() {
+        /** Ticks, with a reply of the other process to each status request, until this process starts a proposal. */
+        Prepare becomeCandidate() {
             while (sent(Prepare.class).isEmpty()) {
                 tick();
                 sent(Status.class).stream()
                         .filter(Status::replyRequested)
-                        .forEach(question -> deliver(answerTo(question)));
+                        .forEach(incoming -> deliver(replyTo(incoming)));
             }
-            return last(Prepare.class);
+            return lastSent(Prepare.class);
         }
     }
 
-    private static Status answerTo(Status question) {
+    private static Status replyTo(Status incoming) {
         return new Status(
-                question.request(),
+                incoming.request(),
                 new Member(OTHER.toString(), OTHER),
                 EpochNumber.FOUNDING,
                 FOUNDING,
@@ -112,10 +112,10 @@
                 false);
     }
 
-    private static Promise answerTo(Prepare question) {
+    private static Promise replyTo(Prepare incoming) {
         return new Promise(
-                question.request(),
-                question.number(),
+                incoming.request(),
+                incoming.number(),
                 new Member(OTHER.toString(), OTHER),
                 FOUNDING,
                 StateVersion.FOUNDING,
@@ -123,34 +123,34 @@
     }
 
     @Test
-    void aStatusDoesNotCountForAnElection() {
+    void ignoresALateStatusInAnElection() {
         Incarnation first = new Incarnation(1);
         first.tick();
-        Status late = answerTo(first.last(Status.class));
+        Status lateReply = replyTo(first.lastSent(Status.class));
         Incarnation second = new Incarnation(2);
         for (double waitedMs = 0; waitedMs < LONG_MS; waitedMs += TICK_MS) {
             second.tick();
-            second.deliver(late);
+            second.deliver(lateReply);
         }
-        assertTrue(second.sent(Prepare.class).isEmpty(), "nobody has answered this life");
-        second.stand();
+        assertTrue(second.sent(Prepare.class).isEmpty(), "no reply to this incarnation");
+        second.becomeCandidate();
     }
 
-    /** The first life ends before its own promise is on disk, so the second asks for the same number. */
+    /** The first incarnation ends before its own promise is durable, so the second one prepares the same number. */
     @Test
-    void aPromiseDoesNotCountForAnEpoch() {
+    void ignoresALatePromiseForAnEpoch() {
         Incarnation first = new Incarnation(1);
-        Promise late = answerTo(first.stand());
+        Promise lateReply = replyTo(first.becomeCandidate());
         Incarnation second = new Incarnation(2);
-        Prepare prepare = second.stand();
-        assertEquals(late.number(), prepare.number());
+        Prepare prepare = second.becomeCandidate();
+        assertEquals(lateReply.number(), prepare.number());
         second.finishWrites();
-        second.deliver(late);
+        second.deliver(lateReply);
         second.tick();
         second.tick();
         second.tick();
-        assertTrue(second.sent(Accept.class).isEmpty(), "its promise was to an earlier question");
-        second.deliver(answerTo(prepare));
+        assertTrue(second.sent(Accept.class).isEmpty(), "the promise is a reply to an earlier request");
+        second.deliver(replyTo(prepare));
         second.tick();
         assertEquals(1, second.sent(Accept.class).stream().distinct().count());
     }
--- a/router-fleet/replication/src/test/java/pinewick/replication/ExpectedPromiseTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/ExpectedPromiseTest.java
@@ -5,36 +5,36 @@
 import org.junit.jupiter.api.Test;
 import pinewick.replication.ReplicationMessages.Promise;
 
-/** A lost message of a ballot does not cost a store its place in the in-sync set. */
+/** A store stays in the in-sync set although one of its messages of a ballot is lost. */
 class ExpectedPromiseTest {
     private static final int SEEDS = 20;
-    private static final double CALM_MS = 4_000;
-    private static final double DOWN_MS = 1_500;
-    private static final double REPAIRED_MS = 400;
+    private static final double STABLE_MS = 4_000;
+    private static final double DOWNTIME_MS = 1_500;
+    private static final double REPAIR_BOUND_MS = 400;
 
     @Test
-    void aLostPromiseIsAskedForAgainBeforeTheRecordIsProposed() {
+    void requestsALostPromiseAgainBeforeProposingTheRecord() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, 2);
-            cluster.found(5);
-            cluster.runUntil(CALM_MS);
+            cluster.bootstrap(5);
+            cluster.runUntil(STABLE_MS);
             Machine primary = cluster.primary();
             Machine returning = otherThan(cluster, primary, primary);
-            Machine steady = otherThan(cluster, primary, returning);
+            Machine promiser = otherThan(cluster, primary, returning);
             returning.kill();
-            cluster.runUntil(cluster.nowMs() + DOWN_MS);
-            boolean[] lost = new boolean[1];
-            cluster.tamper = (sender, message) -> {
-                if (sender == steady && message instanceof Promise && !lost[0]) {
-                    lost[0] = true;
+            cluster.runUntil(cluster.nowMs() + DOWNTIME_MS);
+            boolean[] dropped = new boolean[1];
+            cluster.messageInterceptor = (sender, message) -> {
+                if (sender == promiser && message instanceof Promise && !dropped[0]) {
+                    dropped[0] = true;
                     return null;
                 }
                 return message;
             };
             long epochBefore = primary.epoch();
             returning.start(false);
-            cluster.runUntil(() -> primary.leads() && primary.epoch() > epochBefore, REPAIRED_MS);
-            assertEquals(5, primary.node().report().inSync(), "in the epoch that takes the store in");
+            cluster.runUntil(() -> primary.isPrimary() && primary.epoch() > epochBefore, REPAIR_BOUND_MS);
+            assertEquals(5, primary.node().report().inSync(), "in the epoch that admits the store");
         }
     }
 
--- a/router-fleet/replication/src/test/java/pinewick/replication/FailoverTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/FailoverTest.java
@@ -10,374 +10,387 @@
 import org.junit.jupiter.api.Test;
 import pinewick.replication.ReplicationMessages.Status;
 
-/** How long changes wait when something breaks, one trouble at a time, over several seeds each. */
+/** How long changes are delayed by a fault, one fault at a time, over several seeds each. */
 class FailoverTest {
     private static final int SEEDS = 40;
-    private static final double CALM_MS = 4_000;
-    private static final double ASK_AGAIN_MS = 20;
+    private static final double STABLE_MS = 4_000;
+    private static final double RETRY_INTERVAL_MS = 20;
 
-    /** A founded cluster that has taken a change. */
-    private static SimulatedCluster founded(long seed, int machines, int tolerated) {
-        SimulatedCluster cluster = new SimulatedCluster(seed, tolerated);
-        cluster.found(machines);
+    /** A running cluster that has accepted a change. */
+    private static SimulatedCluster bootstrapped(long seed, int machines, int toleratedMachines) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, toleratedMachines);
+        cluster.bootstrap(machines);
         cluster.runUntil(1_500);
-        accept(cluster, 2_000);
-        cluster.runUntil(CALM_MS);
+        awaitAcknowledgement(cluster, 2_000);
+        cluster.runUntil(STABLE_MS);
         return cluster;
     }
 
-    /** Sends a proper change to every machine over and over; returns how long it took to be acknowledged. */
-    private static double accept(SimulatedCluster cluster, double boundMs) {
-        boolean[] done = new boolean[1];
-        ask(cluster, new Operator(cluster).properChange(), done);
-        return cluster.runUntil(() -> done[0], boundMs);
+    /** Submits a valid change to every machine repeatedly; returns the time until it is acknowledged. */
+    private static double awaitAcknowledgement(SimulatedCluster cluster, double boundMs) {
+        boolean[] acknowledged = new boolean[1];
+        submitRepeatedly(cluster, new Operator(cluster).validChange(), acknowledged);
+        return cluster.runUntil(() -> acknowledged[0], boundMs);
     }
 
-    private static void ask(SimulatedCluster cluster, Change change, boolean[] done) {
-        if (done[0]) {
+    private static void submitRepeatedly(SimulatedCluster cluster, Change change, boolean[] acknowledged) {
+        if (acknowledged[0]) {
             return;
         }
         for (Machine machine : cluster.machines) {
             machine.submit(change, outcome -> {
-                cluster.checker.answered(change, outcome);
-                done[0] |= outcome instanceof ChangeOutcome.Accepted;
+                cluster.checker.onChangeOutcome(change, outcome);
+                acknowledged[0] |= outcome instanceof ChangeOutcome.Accepted;
             });
         }
-        cluster.after(ASK_AGAIN_MS, () -> ask(cluster, change, done));
+        cluster.scheduleAfter(RETRY_INTERVAL_MS, () -> submitRepeatedly(cluster, change, acknowledged));
     }
 
-    /** The longest time from the trouble to the next acknowledgement over all seeds. */
-    private static double longest(String what, double boundMs, Consumer<SimulatedCluster> trouble) {
-        double longest = 0;
+    /** The longest time over all seeds from the fault to the next acknowledgement. */
+    private static double maxMs(String scenario, double boundMs, Consumer<SimulatedCluster> fault) {
+        double maxMs = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed, 3, 1);
-            trouble.accept(cluster);
-            longest = Math.max(longest, accept(cluster, boundMs));
+            SimulatedCluster cluster = bootstrapped(seed, 3, 1);
+            fault.accept(cluster);
+            maxMs = Math.max(maxMs, awaitAcknowledgement(cluster, boundMs));
             cluster.runUntil(cluster.nowMs() + 6_000);
-            accept(cluster, 1_000);
+            awaitAcknowledgement(cluster, 1_000);
         }
-        System.out.printf("%s: acknowledged after %.0f ms at most%n", what, longest);
-        return longest;
+        System.out.printf("%s: acknowledged within %.0f ms%n", scenario, maxMs);
+        return maxMs;
     }
 
-    private static Machine backup(SimulatedCluster cluster) {
+    private static Machine follower(SimulatedCluster cluster) {
         return cluster.machines.stream()
                 .filter(machine -> machine != cluster.primary())
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static void disk(SimulatedCluster cluster, Machine machine, SimulatedDisk.Mode mode, double forMs) {
+    private static void degradeDisk(
+            SimulatedCluster cluster, Machine machine, SimulatedDisk.Mode mode, double durationMs) {
         machine.disk.mode = mode;
-        cluster.after(forMs, () -> machine.disk.mode = SimulatedDisk.Mode.HEALTHY);
+        cluster.scheduleAfter(durationMs, () -> machine.disk.mode = SimulatedDisk.Mode.HEALTHY);
     }
 
-    private static void cut(
-            SimulatedCluster cluster, Machine machine, boolean inbound, boolean outbound, double forMs) {
+    private static void disconnect(
+            SimulatedCluster cluster, Machine machine, boolean inbound, boolean outbound, double durationMs) {
         for (Machine other : cluster.machines) {
             if (inbound) {
-                cluster.cut(other, machine);
+                cluster.cutLink(other, machine);
             }
             if (outbound) {
-                cluster.cut(machine, other);
+                cluster.cutLink(machine, other);
             }
         }
-        cluster.after(forMs, cluster::joinAll);
+        cluster.scheduleAfter(durationMs, cluster::restoreAllLinks);
     }
 
     @Test
-    void calm() {
-        assertTrue(longest("nothing", 100, cluster -> {}) < 60);
+    void acknowledgesWithoutAFault() {
+        assertTrue(maxMs("no fault", 100, cluster -> {}) < 60);
     }
 
     @Test
-    void primaryKilled() {
-        longest("primary killed", 2_000, cluster -> {
+    void acknowledgesAfterThePrimaryIsKilled() {
+        maxMs("primary killed", 2_000, cluster -> {
             Machine primary = cluster.primary();
             primary.kill();
-            cluster.after(2_500, () -> primary.start(false));
+            cluster.scheduleAfter(2_500, () -> primary.start(false));
         });
     }
 
     @Test
-    void primaryRestartsAtOnce() {
-        longest("primary restarts within 100 ms", 2_000, cluster -> {
+    void acknowledgesAfterThePrimaryRestartsAtOnce() {
+        maxMs("primary restarts within 100 ms", 2_000, cluster -> {
             Machine primary = cluster.primary();
             primary.kill();
-            cluster.after(100, () -> primary.start(false));
+            cluster.scheduleAfter(100, () -> primary.start(false));
         });
     }
 
     @Test
-    void followerKilled() {
-        longest("backup killed", 2_000, cluster -> {
-            Machine backup = backup(cluster);
-            backup.kill();
-            cluster.after(2_500, () -> backup.start(false));
+    void acknowledgesAfterAFollowerIsKilled() {
+        maxMs("follower killed", 2_000, cluster -> {
+            Machine follower = follower(cluster);
+            follower.kill();
+            cluster.scheduleAfter(2_500, () -> follower.start(false));
         });
     }
 
     @Test
-    void primaryDiskStalls() {
-        longest(
+    void acknowledgesAfterThePrimarysDiskStalls() {
+        maxMs(
                 "primary's disk stalls",
                 2_000,
-                cluster -> disk(cluster, cluster.primary(), SimulatedDisk.Mode.STALLED, 3_000));
+                cluster -> degradeDisk(cluster, cluster.primary(), SimulatedDisk.Mode.STALLED, 3_000));
     }
 
     @Test
-    void primaryDiskFull() {
-        longest(
+    void acknowledgesAfterThePrimarysDiskIsFull() {
+        maxMs(
                 "primary's disk full",
                 2_000,
-                cluster -> disk(cluster, cluster.primary(), SimulatedDisk.Mode.FULL, 3_000));
+                cluster -> degradeDisk(cluster, cluster.primary(), SimulatedDisk.Mode.FULL, 3_000));
     }
 
     @Test
-    void primaryDiskSlow() {
-        longest("primary's disk takes 900 ms a write", 3_000, cluster -> {
+    void acknowledgesAfterThePrimarysDiskBecomesSlow() {
+        maxMs("primary's disk takes 900 ms a write", 3_000, cluster -> {
             cluster.primary().disk.slowMs = 900;
-            disk(cluster, cluster.primary(), SimulatedDisk.Mode.SLOW, 3_000);
+            degradeDisk(cluster, cluster.primary(), SimulatedDisk.Mode.SLOW, 3_000);
         });
     }
 
     @Test
-    void followerDiskStalls() {
-        longest(
-                "backup's disk stalls",
+    void acknowledgesAfterAFollowersDiskStalls() {
+        maxMs(
+                "follower's disk stalls",
                 2_000,
-                cluster -> disk(cluster, backup(cluster), SimulatedDisk.Mode.STALLED, 3_000));
+                cluster -> degradeDisk(cluster, follower(cluster), SimulatedDisk.Mode.STALLED, 3_000));
     }
 
     @Test
-    void followerDiskFull() {
-        longest("backup's disk full", 2_000, cluster -> disk(cluster, backup(cluster), SimulatedDisk.Mode.FULL, 3_000));
+    void acknowledgesAfterAFollowersDiskIsFull() {
+        maxMs(
+                "follower's disk full",
+                2_000,
+                cluster -> degradeDisk(cluster, follower(cluster), SimulatedDisk.Mode.FULL, 3_000));
     }
 
     @Test
-    void primaryFrozen() {
-        longest("primary frozen", 2_500, cluster -> {
+    void acknowledgesAfterThePrimaryIsFrozen() {
+        maxMs("primary frozen", 2_500, cluster -> {
             Machine primary = cluster.primary();
             primary.freeze();
-            cluster.after(3_000, primary::thaw);
+            cluster.scheduleAfter(3_000, primary::thaw);
         });
     }
 
     @Test
-    void followerFrozen() {
-        longest("backup frozen", 2_000, cluster -> {
-            Machine backup = backup(cluster);
-            backup.freeze();
-            cluster.after(3_000, backup::thaw);
+    void acknowledgesAfterAFollowerIsFrozen() {
+        maxMs("follower frozen", 2_000, cluster -> {
+            Machine follower = follower(cluster);
+            follower.freeze();
+            cluster.scheduleAfter(3_000, follower::thaw);
         });
     }
 
     @Test
-    void primaryCutOff() {
-        longest("primary cut off", 3_500, cluster -> cut(cluster, cluster.primary(), true, true, 3_000));
+    void acknowledgesAfterThePrimaryIsIsolated() {
+        maxMs("primary isolated", 3_500, cluster -> disconnect(cluster, cluster.primary(), true, true, 3_000));
     }
 
     @Test
-    void primarysMessagesAreLost() {
-        longest("primary not heard", 3_500, cluster -> cut(cluster, cluster.primary(), false, true, 3_000));
+    void acknowledgesWhileMessagesFromThePrimaryAreLost() {
+        maxMs(
+                "messages from the primary lost",
+                3_500,
+                cluster -> disconnect(cluster, cluster.primary(), false, true, 3_000));
     }
 
     @Test
-    void messagesToThePrimaryAreLost() {
-        longest("primary hears nothing", 3_500, cluster -> cut(cluster, cluster.primary(), true, false, 3_000));
+    void acknowledgesWhileMessagesToThePrimaryAreLost() {
+        maxMs(
+                "messages to the primary lost",
+                3_500,
+                cluster -> disconnect(cluster, cluster.primary(), true, false, 3_000));
     }
 
     @Test
-    void aFollowerThatReceivesNothingDisturbsNoElection() {
+    void keepsThePrimaryWhileAFollowerReceivesNothing() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed, 3, 1);
+            SimulatedCluster cluster = bootstrapped(seed, 3, 1);
             Machine primary = cluster.primary();
-            cut(cluster, backup(cluster), true, false, 3_000);
-            accept(cluster, 2_000);
+            disconnect(cluster, follower(cluster), true, false, 3_000);
+            awaitAcknowledgement(cluster, 2_000);
             cluster.runUntil(cluster.nowMs() + 2_000);
             assertEquals(primary, cluster.primary());
-            assertTrue(accept(cluster, 1_000) < 60);
+            assertTrue(awaitAcknowledgement(cluster, 1_000) < 60);
         }
     }
 
     @Test
-    void plannedTransferTakesNoTime() {
-        double longest = longest("primary ends on purpose", 500, cluster -> {
+    void transfersThePrimaryRoleQuicklyOnShutdown() {
+        double maxMs = maxMs("primary shuts down", 500, cluster -> {
             Machine primary = cluster.primary();
-            primary.leave();
-            cluster.after(800, primary::kill);
-            cluster.after(2_000, () -> primary.start(false));
+            primary.beginShutdown();
+            cluster.scheduleAfter(800, primary::kill);
+            cluster.scheduleAfter(2_000, () -> primary.start(false));
         });
-        assertTrue(longest < 400, "took " + longest);
+        assertTrue(maxMs < 400, "took " + maxMs);
     }
 
     @Test
-    void followerShutsDownWithoutAnInterruption() {
-        double longest = longest("backup ends on purpose", 500, cluster -> {
-            Machine backup = backup(cluster);
-            backup.leave();
-            cluster.after(300, backup::kill);
-            cluster.after(2_000, () -> backup.start(false));
+    void acknowledgesWithoutAnInterruptionWhenAFollowerShutsDown() {
+        double maxMs = maxMs("follower shuts down", 500, cluster -> {
+            Machine follower = follower(cluster);
+            follower.beginShutdown();
+            cluster.scheduleAfter(300, follower::kill);
+            cluster.scheduleAfter(2_000, () -> follower.start(false));
         });
-        assertTrue(longest < 100, "took " + longest);
+        assertTrue(maxMs < 100, "took " + maxMs);
     }
 
     @Test
-    void everyProcessKilledAndStartedAgain() {
-        longest(
-                "all killed, back within 1 s",
+    void acknowledgesAfterAllProcessesRestart() {
+        maxMs(
+                "all killed, restarted within 1 s",
                 2_500,
                 cluster -> cluster.machines.forEach(machine -> {
                     machine.kill();
-                    cluster.after(cluster.between(50, 1_000), () -> machine.start(false));
+                    cluster.scheduleAfter(cluster.randomBetween(50, 1_000), () -> machine.start(false));
                 }));
     }
 
     @Test
-    void aWipedMachineIsInSyncAgainSoon() {
-        returns("wiped", 2_000, cluster -> {
-            Machine wiped = backup(cluster);
-            wiped.wipe();
-            cluster.after(500, () -> wiped.start(false));
-            return wiped;
+    void bringsAWipedFollowerBackInSync() {
+        requireBackInSync("wiped", 2_000, cluster -> {
+            Machine wipedMachine = follower(cluster);
+            wipedMachine.wipe();
+            cluster.scheduleAfter(500, () -> wipedMachine.start(false));
+            return wipedMachine;
         });
     }
 
     @Test
-    void aWipedPrimaryIsInSyncAgainSoon() {
-        returns("wiped primary", 2_500, cluster -> {
-            Machine wiped = cluster.primary();
-            wiped.wipe();
-            cluster.after(500, () -> wiped.start(false));
-            return wiped;
+    void bringsAWipedPrimaryBackInSync() {
+        requireBackInSync("wiped primary", 2_500, cluster -> {
+            Machine wipedMachine = cluster.primary();
+            wipedMachine.wipe();
+            cluster.scheduleAfter(500, () -> wipedMachine.start(false));
+            return wipedMachine;
         });
     }
 
     @Test
-    void aKilledMachineIsInSyncAgainSoon() {
-        returns("killed", 3_000, cluster -> {
-            Machine killed = backup(cluster);
-            killed.kill();
-            accept(cluster, 2_000);
-            cluster.after(1_000, () -> killed.start(false));
-            return killed;
+    void bringsAKilledFollowerBackInSync() {
+        requireBackInSync("killed", 3_000, cluster -> {
+            Machine killedMachine = follower(cluster);
+            killedMachine.kill();
+            awaitAcknowledgement(cluster, 2_000);
+            cluster.scheduleAfter(1_000, () -> killedMachine.start(false));
+            return killedMachine;
         });
     }
 
     @Test
-    void aMachineWithAStalledDiskIsInSyncAgainSoon() {
-        returns("disk stalled for 2 s", 3_500, cluster -> {
-            Machine stalled = backup(cluster);
-            disk(cluster, stalled, SimulatedDisk.Mode.STALLED, 2_000);
-            accept(cluster, 2_000);
-            return stalled;
+    void bringsAFollowerWithAStalledDiskBackInSync() {
+        requireBackInSync("disk stalled for 2 s", 3_500, cluster -> {
+            Machine stalledMachine = follower(cluster);
+            degradeDisk(cluster, stalledMachine, SimulatedDisk.Mode.STALLED, 2_000);
+            awaitAcknowledgement(cluster, 2_000);
+            return stalledMachine;
         });
     }
 
     @Test
-    void aReplacedMachineIsAdmittedSoon() {
-        returns("replaced", 3_000, cluster -> replace(cluster, backup(cluster), 600));
+    void admitsTheReplacementOfAFollower() {
+        requireBackInSync("replaced", 3_000, cluster -> replace(cluster, follower(cluster), 600));
     }
 
     @Test
-    void aReplacedPrimaryIsAdmittedSoon() {
-        returns("replaced primary", 3_500, cluster -> replace(cluster, cluster.primary(), 600));
+    void admitsTheReplacementOfAPrimary() {
+        requireBackInSync("replaced primary", 3_500, cluster -> replace(cluster, cluster.primary(), 600));
     }
 
-    private static Machine replace(SimulatedCluster cluster, Machine gone, double afterMs) {
-        gone.kill();
-        gone.removed = true;
+    private static Machine replace(SimulatedCluster cluster, Machine replaced, double startDelayMs) {
+        replaced.kill();
+        replaced.removed = true;
         Machine successor = cluster.addMachine();
-        successor.seeds = gone.seeds;
-        cluster.after(afterMs, () -> successor.start(false));
+        successor.seeds = replaced.seeds;
+        cluster.scheduleAfter(startDelayMs, () -> successor.start(false));
         return successor;
     }
 
-    /** Until a machine is in sync again after its trouble. */
-    private static void returns(
-            String what, double boundMs, java.util.function.Function<SimulatedCluster, Machine> trouble) {
-        double longest = 0;
+    /** Requires that a machine is in sync again within a bound after a fault. */
+    private static void requireBackInSync(
+            String scenario, double boundMs, java.util.function.Function<SimulatedCluster, Machine> fault) {
+        double maxMs = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed, 3, 1);
-            Machine machine = trouble.apply(cluster);
-            longest = Math.max(longest, cluster.runUntil(() -> inSync(cluster, machine), boundMs));
-            accept(cluster, 500);
+            SimulatedCluster cluster = bootstrapped(seed, 3, 1);
+            Machine machine = fault.apply(cluster);
+            maxMs = Math.max(maxMs, cluster.runUntil(() -> isInSync(cluster, machine), boundMs));
+            awaitAcknowledgement(cluster, 500);
         }
-        System.out.printf("%s: in sync again after %.0f ms at most%n", what, longest);
+        System.out.printf("%s: in sync again within %.0f ms%n", scenario, maxMs);
     }
 
-    private static boolean inSync(SimulatedCluster cluster, Machine machine) {
+    private static boolean isInSync(SimulatedCluster cluster, Machine machine) {
         Machine primary = cluster.primary();
         if (primary == null || !machine.running()) {
             return false;
         }
-        Status leading = primary.node().status(false);
-        Status held = machine.node().status(false);
-        return leading.accepted().inSync().contains(held.self().identity())
-                && leading.stateVersion().equals(held.stateVersion());
+        Status primaryStatus = primary.node().status(false);
+        Status machineStatus = machine.node().status(false);
+        return primaryStatus.accepted().inSync().contains(machineStatus.self().identity())
+                && primaryStatus.stateVersion().equals(machineStatus.stateVersion());
     }
 
     @Test
-    void everyMemberReplacedOneAfterTheOther() {
+    void replacesEveryMemberOneAfterTheOther() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed, 3, 1);
+            SimulatedCluster cluster = bootstrapped(seed, 3, 1);
             for (int round = 0; round < 7; round++) {
-                Machine gone = cluster.machines.get(cluster.machines.size() - 3);
-                boolean planned = cluster.chance(0.5);
-                if (planned) {
-                    gone.leave();
+                Machine replaced = cluster.machines.get(cluster.machines.size() - 3);
+                boolean graceful = cluster.randomBoolean(0.5);
+                if (graceful) {
+                    replaced.beginShutdown();
                     cluster.runUntil(cluster.nowMs() + 500);
                 }
-                Machine successor = replace(cluster, gone, 500);
-                cluster.runUntil(() -> inSync(cluster, successor), 4_000);
-                accept(cluster, 1_000);
+                Machine successor = replace(cluster, replaced, 500);
+                cluster.runUntil(() -> isInSync(cluster, successor), 4_000);
+                awaitAcknowledgement(cluster, 1_000);
             }
         }
     }
 
     @Test
-    void fiveControllersWithThreeSeedsAreAllAdmitted() {
+    void admitsFiveControllersWithThreeSeeds() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed, 5, 2);
+            SimulatedCluster cluster = bootstrapped(seed, 5, 2);
             List<Member> members =
                     cluster.primary().node().status(false).accepted().members();
             assertEquals(5, members.size());
             cluster.machines.get(0).kill();
             cluster.machines.get(1).kill();
-            accept(cluster, 3_000);
+            awaitAcknowledgement(cluster, 3_000);
         }
     }
 
     @Test
-    void aNewMachineWhoseSeedsAreLostFindsTheOthers() {
-        SimulatedCluster cluster = founded(1, 3, 1);
+    void admitsANewMachineWhoseSeedsAreLost() {
+        SimulatedCluster cluster = bootstrapped(1, 3, 1);
         List<Machine> founders = List.copyOf(cluster.machines);
         for (Machine founder : founders) {
             Machine successor = replace(cluster, founder, 300);
-            cluster.runUntil(() -> inSync(cluster, successor), 4_000);
+            cluster.runUntil(() -> isInSync(cluster, successor), 4_000);
             cluster.runUntil(cluster.nowMs() + 1_000);
         }
-        accept(cluster, 500);
+        awaitAcknowledgement(cluster, 500);
     }
 
     @Test
-    void onlyThePrimaryHasTheLeaseAndAfterADelay() {
-        SimulatedCluster cluster = founded(1, 3, 1);
+    void grantsTheLeaseToThePrimaryOnlyAndAfterADelay() {
+        SimulatedCluster cluster = bootstrapped(1, 3, 1);
         Machine primary = cluster.primary();
         assertTrue(primary.node().leadingEpoch().isPresent());
-        Machine other = backup(cluster);
+        Machine other = follower(cluster);
         assertEquals(Optional.empty(), other.node().leadingEpoch());
         primary.freeze();
         double electedMs = cluster.runUntil(
-                () -> other.leads() || backupOf(cluster, primary, other).leads(), 2_000);
+                () -> other.isPrimary()
+                        || otherFollower(cluster, primary, other).isPrimary(),
+                2_000);
         assertTrue(electedMs > 500);
-        Machine next = cluster.primary() == primary ? backupOf(cluster, primary, other) : cluster.primary();
-        assertFalse(next.node().leadingEpoch().isPresent());
-        double heldMs = cluster.runUntil(() -> next.node().leadingEpoch().isPresent(), 4_000);
-        assertTrue(heldMs > cluster.leaseMs, "held after " + heldMs);
+        Machine newPrimary = cluster.primary() == primary ? otherFollower(cluster, primary, other) : cluster.primary();
+        assertFalse(newPrimary.node().leadingEpoch().isPresent());
+        double leaseDelayMs =
+                cluster.runUntil(() -> newPrimary.node().leadingEpoch().isPresent(), 4_000);
+        assertTrue(leaseDelayMs > cluster.leaseMs, "lease granted after " + leaseDelayMs);
     }
 
-    private static Machine backupOf(SimulatedCluster cluster, Machine primary, Machine other) {
+    private static Machine otherFollower(SimulatedCluster cluster, Machine primary, Machine other) {
         return cluster.machines.stream()
                 .filter(machine -> machine != primary && machine != other)
                 .findFirst()
@@ -385,13 +398,13 @@
     }
 
     @Test
-    void everyRunningProcessIsNotifiedOfACommittedConfiguration() {
-        SimulatedCluster cluster = founded(3, 3, 1);
-        accept(cluster, 200);
+    void notifiesEveryRunningProcessOfACommittedConfiguration() {
+        SimulatedCluster cluster = bootstrapped(3, 3, 1);
+        awaitAcknowledgement(cluster, 200);
         long version = cluster.checker.newestAcknowledged();
         cluster.runUntil(cluster.nowMs() + 50);
         for (Machine machine : cluster.machines) {
-            assertEquals(version, machine.newest().version());
+            assertEquals(version, machine.newestConfiguration().version());
         }
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/FaultPlan.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/FaultPlan.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Troubles of a day, drawn by chance. Disks are lost only within what the deployment says is tolerated. */
+/** Random faults during a run. No more disks are lost at a time than the deployment tolerates. */
 final class FaultPlan {
-    /** A machine counts as lost for so long after its return. */
+    /** How long a machine still counts as lost after its return. */
     private static final double CATCH_UP_MS = 4_000;
 
     private final SimulatedCluster cluster;
     private final double endMs;
     boolean eventTriggers;
-    /** Whether troubles that spare the disks come to any number of machines at once. */
-    boolean wild;
+    /** Whether faults that keep the disk may affect any number of machines at once. */
+    boolean unlimitedTransientFaults;
 
     private int seenAcknowledged;
     private long seenEpoch;
@@ -22,134 +22,137 @@
         this.endMs = endMs;
     }
 
-    void begin(double firstMs) {
-        cluster.at(firstMs, this::strike);
-        cluster.at(firstMs, this::watch);
+    void start(double firstMs) {
+        cluster.scheduleAt(firstMs, this::injectRandomFault);
+        cluster.scheduleAt(firstMs, this::pollAcknowledgements);
     }
 
-    private void strike() {
+    private void injectRandomFault() {
         if (cluster.nowMs() >= endMs) {
             return;
         }
-        trouble(cluster.random.nextInt(wild ? 19 : 17));
-        cluster.after(cluster.between(50, 2_500), this::strike);
+        injectFault(cluster.random.nextInt(unlimitedTransientFaults ? 19 : 17));
+        cluster.scheduleAfter(cluster.randomBetween(50, 2_500), this::injectRandomFault);
     }
 
-    /** Some faults come right after an acknowledgement. */
-    private void watch() {
+    /** Injects some faults right after an acknowledgement. */
+    private void pollAcknowledgements() {
         if (cluster.nowMs() >= endMs) {
             return;
         }
-        if (eventTriggers && cluster.checker.acknowledged > seenAcknowledged && cluster.chance(0.2)) {
+        if (eventTriggers && cluster.checker.acknowledged > seenAcknowledged && cluster.randomBoolean(0.2)) {
             switch (cluster.random.nextInt(4)) {
-                case 0, 1 -> wipeWhileTheOthersLosePower();
+                case 0, 1 -> wipeWhileOthersLosePower();
                 case 2 -> killAll();
                 default -> killPrimary();
             }
         }
         seenAcknowledged = cluster.checker.acknowledged;
-        watchEpochs();
-        cluster.after(1, this::watch);
+        pollEpochs();
+        cluster.scheduleAfter(1, this::pollAcknowledgements);
     }
 
-    /** Others come right after an epoch has begun. */
-    private void watchEpochs() {
+    /** Injects some faults right after an epoch has started. */
+    private void pollEpochs() {
         Machine primary = cluster.primary();
         if (primary == null || primary.epoch() == seenEpoch) {
             return;
         }
         seenEpoch = primary.epoch();
-        if (!eventTriggers || !cluster.chance(0.3)) {
+        if (!eventTriggers || !cluster.randomBoolean(0.3)) {
             return;
         }
-        double delayMs = cluster.between(0, 6);
+        double delayMs = cluster.randomBetween(0, 6);
         switch (cluster.random.nextInt(5)) {
-            case 0 -> cluster.after(delayMs, () -> kill(sparing(primary)));
-            case 1 -> cluster.after(delayMs, this::killAll);
-            case 2 -> cluster.after(delayMs, () -> cutOff(sparing(primary)));
-            case 3 -> cluster.after(delayMs, () -> freeze(sparing(primary)));
-            default -> cluster.after(delayMs, () -> disk(sparing(primary), SimulatedDisk.Mode.FULL));
+            case 0 -> cluster.scheduleAfter(delayMs, () -> kill(eligibleForTransientFault(primary)));
+            case 1 -> cluster.scheduleAfter(delayMs, this::killAll);
+            case 2 -> cluster.scheduleAfter(delayMs, () -> isolate(eligibleForTransientFault(primary)));
+            case 3 -> cluster.scheduleAfter(delayMs, () -> freeze(eligibleForTransientFault(primary)));
+            default -> cluster.scheduleAfter(
+                    delayMs, () -> degradeDisk(eligibleForTransientFault(primary), SimulatedDisk.Mode.FULL));
         }
     }
 
-    private void trouble(int kind) {
+    private void injectFault(int kind) {
         switch (kind) {
-            case 0, 1 -> kill(sparing(anyone()));
+            case 0, 1 -> kill(eligibleForTransientFault(randomMachine()));
             case 2 -> killPrimary();
             case 3 -> killAll();
-            case 4 -> wipe(calm(anyone()));
-            case 5 -> wipeWhileTheOthersLosePower();
-            case 6 -> freeze(sparing(anyone()));
-            case 7 -> freeze(sparing(cluster.primary()));
-            case 8 -> disk(sparing(anyone()), SimulatedDisk.Mode.SLOW);
-            case 9 -> disk(sparing(anyone()), SimulatedDisk.Mode.STALLED);
-            case 10 -> disk(sparing(anyone()), SimulatedDisk.Mode.FULL);
-            case 11 -> disk(sparing(cluster.primary()), SimulatedDisk.Mode.STALLED);
-            case 12 -> cutOff(sparing(anyone()));
-            case 13 -> cutOneWay();
-            case 14 -> replace(calm(anyone()), cluster.chance(0.5));
-            case 15 -> restartGracefully(sparing(anyone()));
-            case 16 -> replace(calm(cluster.primary()), cluster.chance(0.5));
-            default -> cutInTwo();
+            case 4 -> wipe(eligibleForAnyFault(randomMachine()));
+            case 5 -> wipeWhileOthersLosePower();
+            case 6 -> freeze(eligibleForTransientFault(randomMachine()));
+            case 7 -> freeze(eligibleForTransientFault(cluster.primary()));
+            case 8 -> degradeDisk(eligibleForTransientFault(randomMachine()), SimulatedDisk.Mode.SLOW);
+            case 9 -> degradeDisk(eligibleForTransientFault(randomMachine()), SimulatedDisk.Mode.STALLED);
+            case 10 -> degradeDisk(eligibleForTransientFault(randomMachine()), SimulatedDisk.Mode.FULL);
+            case 11 -> degradeDisk(eligibleForTransientFault(cluster.primary()), SimulatedDisk.Mode.STALLED);
+            case 12 -> isolate(eligibleForTransientFault(randomMachine()));
+            case 13 -> cutOneDirection();
+            case 14 -> replace(eligibleForAnyFault(randomMachine()), cluster.randomBoolean(0.5));
+            case 15 -> restartGracefully(eligibleForTransientFault(randomMachine()));
+            case 16 -> replace(eligibleForAnyFault(cluster.primary()), cluster.randomBoolean(0.5));
+            default -> partition();
         }
     }
 
-    private List<Machine> present() {
+    private List<Machine> remainingMachines() {
         return cluster.machines.stream().filter(machine -> !machine.removed).toList();
     }
 
-    private long lost() {
-        return present().stream()
-                .filter(machine -> machine.troubledUntilMs > cluster.nowMs())
+    private long countLost() {
+        return remainingMachines().stream()
+                .filter(machine -> machine.faultyUntilMs > cluster.nowMs())
                 .count();
     }
 
-    private Machine anyone() {
-        List<Machine> present = present();
-        return present.get(cluster.random.nextInt(present.size()));
+    private Machine randomMachine() {
+        List<Machine> remainingMachines = remainingMachines();
+        return remainingMachines.get(cluster.random.nextInt(remainingMachines.size()));
     }
 
-    /** The machine, if it may get into trouble that spares its disk. */
-    private Machine sparing(Machine machine) {
-        boolean allowed = wild && machine != null && machine.running() && !machine.frozen();
-        return allowed ? machine : calm(machine);
+    /** The machine, if it may be affected by a fault that keeps its disk; otherwise null. */
+    private Machine eligibleForTransientFault(Machine machine) {
+        boolean allowed = unlimitedTransientFaults && machine != null && machine.running() && !machine.frozen();
+        return allowed ? machine : eligibleForAnyFault(machine);
     }
 
-    /** The machine, if it may get into any trouble: no more of them than are tolerated are lost. */
-    private Machine calm(Machine machine) {
+    /**
+     * The machine, if it may be affected by any fault; otherwise null. At most the tolerated number may count as lost.
+     */
+    private Machine eligibleForAnyFault(Machine machine) {
         boolean allowed = machine != null
                 && machine.running()
-                && machine.troubledUntilMs <= cluster.nowMs()
-                && lost() < cluster.toleratedMachines;
+                && machine.faultyUntilMs <= cluster.nowMs()
+                && countLost() < cluster.toleratedMachines;
         return allowed ? machine : null;
     }
 
-    private void troubled(Machine machine, double forMs) {
-        machine.troubledUntilMs = Math.max(machine.troubledUntilMs, cluster.nowMs() + forMs + CATCH_UP_MS);
+    private void markFaulty(Machine machine, double durationMs) {
+        machine.faultyUntilMs = Math.max(machine.faultyUntilMs, cluster.nowMs() + durationMs + CATCH_UP_MS);
     }
 
-    private void restartLater(Machine machine, double delayMs) {
-        troubled(machine, delayMs);
-        cluster.after(delayMs, () -> machine.start(false));
+    private void scheduleRestart(Machine machine, double delayMs) {
+        markFaulty(machine, delayMs);
+        cluster.scheduleAfter(delayMs, () -> machine.start(false));
     }
 
     private void kill(Machine machine) {
         if (machine != null) {
             machine.kill();
-            restartLater(machine, cluster.between(50, 3_000));
+            scheduleRestart(machine, cluster.randomBetween(50, 3_000));
         }
     }
 
     private void killPrimary() {
-        kill(sparing(cluster.primary()));
+        kill(eligibleForTransientFault(cluster.primary()));
     }
 
-    /** Whatever is tolerated, every process may be killed, or lose power, at once; the disks stay. */
+    /** Kills all processes at once, as on a power loss. This is always allowed, because the disks are not lost. */
     private void killAll() {
-        for (Machine machine : present()) {
+        for (Machine machine : remainingMachines()) {
             machine.thaw();
             machine.kill();
-            restartLater(machine, cluster.between(50, 1_000));
+            scheduleRestart(machine, cluster.randomBetween(50, 1_000));
         }
     }
 
@@ -158,16 +161,16 @@
             return;
         }
         machine.wipe();
-        double delayMs = cluster.between(50, 2_000);
-        troubled(machine, delayMs);
-        cluster.after(delayMs, () -> machine.start(false));
+        double delayMs = cluster.randomBetween(50, 2_000);
+        markFaulty(machine, delayMs);
+        cluster.scheduleAfter(delayMs, () -> machine.start(false));
     }
 
-    private void wipeWhileTheOthersLosePower() {
-        if (lost() > 0) {
+    private void wipeWhileOthersLosePower() {
+        if (countLost() > 0) {
             return;
         }
-        List<Machine> machines = new ArrayList<>(present());
+        List<Machine> machines = new ArrayList<>(remainingMachines());
         java.util.Collections.shuffle(machines, cluster.random);
         int wiped = 1 + cluster.random.nextInt(Math.max(1, cluster.toleratedMachines));
         for (int index = 0; index < machines.size(); index++) {
@@ -176,124 +179,128 @@
                 wipe(machine);
             } else {
                 machine.kill();
-                restartLater(machine, cluster.between(50, 1_500));
+                scheduleRestart(machine, cluster.randomBetween(50, 1_500));
             }
         }
     }
 
     private void freeze(Machine machine) {
         if (machine != null) {
-            double forMs = cluster.between(100, 4_000);
-            troubled(machine, forMs);
+            double durationMs = cluster.randomBetween(100, 4_000);
+            markFaulty(machine, durationMs);
             machine.freeze();
-            cluster.after(forMs, machine::thaw);
+            cluster.scheduleAfter(durationMs, machine::thaw);
         }
     }
 
-    private void disk(Machine machine, SimulatedDisk.Mode mode) {
+    private void degradeDisk(Machine machine, SimulatedDisk.Mode mode) {
         if (machine == null) {
             return;
         }
-        double forMs = cluster.between(200, 4_000);
-        troubled(machine, forMs);
-        cluster.note(machine + " disk " + mode);
-        machine.disk.slowMs = cluster.between(20, 900);
+        double durationMs = cluster.randomBetween(200, 4_000);
+        markFaulty(machine, durationMs);
+        cluster.logEvent(machine + " disk " + mode);
+        machine.disk.slowMs = cluster.randomBetween(20, 900);
         machine.disk.mode = mode;
-        cluster.after(forMs, () -> {
-            cluster.note(machine + " disk good");
+        cluster.scheduleAfter(durationMs, () -> {
+            cluster.logEvent(machine + " disk healthy");
             machine.disk.mode = SimulatedDisk.Mode.HEALTHY;
         });
     }
 
-    private void cutOff(Machine machine) {
+    private void isolate(Machine machine) {
         if (machine == null) {
             return;
         }
-        double forMs = cluster.between(100, 4_000);
-        troubled(machine, forMs);
-        boolean inbound = cluster.chance(0.7);
-        boolean outbound = !inbound || cluster.chance(0.6);
-        cluster.note(machine + " cut off, inbound " + inbound + ", outbound " + outbound);
-        for (Machine other : present()) {
-            cutLater(other, machine, inbound, forMs);
-            cutLater(machine, other, outbound, forMs);
+        double durationMs = cluster.randomBetween(100, 4_000);
+        markFaulty(machine, durationMs);
+        boolean inbound = cluster.randomBoolean(0.7);
+        boolean outbound = !inbound || cluster.randomBoolean(0.6);
+        cluster.logEvent(machine + " isolated, inbound " + inbound + ", outbound " + outbound);
+        for (Machine other : remainingMachines()) {
+            cutTemporarily(other, machine, inbound, durationMs);
+            cutTemporarily(machine, other, outbound, durationMs);
         }
     }
 
-    private void cutLater(Machine from, Machine to, boolean wanted, double forMs) {
-        if (wanted) {
-            cluster.cut(from, to);
-            cluster.after(forMs, () -> cluster.join(from, to));
+    private void cutTemporarily(Machine from, Machine to, boolean enabled, double durationMs) {
+        if (enabled) {
+            cluster.cutLink(from, to);
+            cluster.scheduleAfter(durationMs, () -> cluster.restoreLink(from, to));
         }
     }
 
-    private void cutOneWay() {
-        Machine machine = sparing(anyone());
+    private void cutOneDirection() {
+        Machine machine = eligibleForTransientFault(randomMachine());
         if (machine != null) {
-            List<Machine> present = present();
-            Machine other = present.get(cluster.random.nextInt(present.size()));
-            double forMs = cluster.between(100, 5_000);
-            troubled(machine, forMs);
-            cluster.note("cut from " + machine + " to " + other);
-            cutLater(machine, other, true, forMs);
+            List<Machine> remainingMachines = remainingMachines();
+            Machine other = remainingMachines.get(cluster.random.nextInt(remainingMachines.size()));
+            double durationMs = cluster.randomBetween(100, 5_000);
+            markFaulty(machine, durationMs);
+            cluster.logEvent("link cut from " + machine + " to " + other);
+            cutTemporarily(machine, other, true, durationMs);
         }
     }
 
-    private void cutInTwo() {
-        double forMs = cluster.between(100, 5_000);
-        cluster.note("the core is cut in two");
-        List<Machine> left =
-                present().stream().filter(machine -> cluster.chance(0.5)).toList();
-        for (Machine machine : present()) {
-            troubled(machine, forMs);
-            for (Machine other : present()) {
-                if (left.contains(machine) != left.contains(other)) {
-                    cutLater(machine, other, true, forMs);
+    private void partition() {
+        double durationMs = cluster.randomBetween(100, 5_000);
+        cluster.logEvent("network partition");
+        List<Machine> firstSide = remainingMachines().stream()
+                .filter(machine -> cluster.randomBoolean(0.5))
+                .toList();
+        for (Machine machine : remainingMachines()) {
+            markFaulty(machine, durationMs);
+            for (Machine other : remainingMachines()) {
+                if (firstSide.contains(machine) != firstSide.contains(other)) {
+                    cutTemporarily(machine, other, true, durationMs);
                 }
             }
         }
     }
 
-    /** Taken away forever; an empty machine at another address takes its place. */
-    private void replace(Machine machine, boolean planned) {
+    /** Removes a machine forever and replaces it by an empty one at another address. */
+    private void replace(Machine machine, boolean graceful) {
         if (machine == null) {
             return;
         }
-        double leaveMs = planned ? cluster.between(100, 1_500) : 0;
-        double startMs = leaveMs + cluster.between(0, 1_500);
-        troubled(machine, startMs);
-        if (planned) {
-            machine.leave();
+        double shutdownMs = graceful ? cluster.randomBetween(100, 1_500) : 0;
+        double startMs = shutdownMs + cluster.randomBetween(0, 1_500);
+        markFaulty(machine, startMs);
+        if (graceful) {
+            machine.beginShutdown();
         }
         Machine successor = cluster.addMachine();
-        successor.troubledUntilMs = cluster.nowMs() + startMs + CATCH_UP_MS;
-        successor.seeds = cluster.chance(0.5)
+        successor.faultyUntilMs = cluster.nowMs() + startMs + CATCH_UP_MS;
+        successor.seeds = cluster.randomBoolean(0.5)
                 ? machine.seeds
-                : present().stream().limit(3).map(present -> present.address).toList();
-        cluster.after(leaveMs, () -> {
-            cluster.note(machine + " removed, " + successor + " in its place");
+                : remainingMachines().stream()
+                        .limit(3)
+                        .map(seed -> seed.address)
+                        .toList();
+        cluster.scheduleAfter(shutdownMs, () -> {
+            cluster.logEvent(machine + " removed, " + successor + " takes its place");
             machine.kill();
             machine.removed = true;
         });
-        cluster.after(startMs, () -> successor.start(false));
+        cluster.scheduleAfter(startMs, () -> successor.start(false));
     }
 
     private void restartGracefully(Machine machine) {
         if (machine != null) {
-            double leaveMs = cluster.between(50, 1_500);
-            double downMs = cluster.between(50, 1_500);
-            troubled(machine, leaveMs + downMs);
-            machine.leave();
-            cluster.after(leaveMs, machine::kill);
-            cluster.after(leaveMs + downMs, () -> machine.start(false));
+            double shutdownMs = cluster.randomBetween(50, 1_500);
+            double downMs = cluster.randomBetween(50, 1_500);
+            markFaulty(machine, shutdownMs + downMs);
+            machine.beginShutdown();
+            cluster.scheduleAfter(shutdownMs, machine::kill);
+            cluster.scheduleAfter(shutdownMs + downMs, () -> machine.start(false));
         }
     }
 
-    /** Ends every trouble. */
-    void heal() {
-        cluster.note("all troubles end");
-        cluster.joinAll();
-        for (Machine machine : present()) {
+    /** Ends all faults and starts all machines. */
+    void endAllFaults() {
+        cluster.logEvent("all faults end");
+        cluster.restoreAllLinks();
+        for (Machine machine : remainingMachines()) {
             machine.disk.mode = SimulatedDisk.Mode.HEALTHY;
             machine.thaw();
             machine.start(false);
--- a/router-fleet/replication/src/test/java/pinewick/replication/FaultToleranceTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/FaultToleranceTest.java
@@ -8,24 +8,24 @@
 import org.junit.jupiter.api.Test;
 import pinewick.replication.ReplicationReport.FaultTolerance;
 
-/** What a primary tells of the losses that the system bears, through a loss and its repair. */
+/** The number of losses that the primary reports as tolerable, before and after a loss and its repair. */
 class FaultToleranceTest {
-    private static final double FOUNDED_MS = 4_000;
-    private static final double LATE_MS = 900;
-    private static final double UNTIL_NOTICED_MS = 1_500;
+    private static final double BOOTSTRAP_MS = 4_000;
+    private static final double REPLY_DELAY_MS = 900;
+    private static final double DETECTION_MS = 1_500;
 
     private static FaultTolerance atPrimary(SimulatedCluster cluster) {
         return cluster.primary().node().report().faultTolerance();
     }
 
-    private static SimulatedCluster founded(int machines, int tolerated) {
-        SimulatedCluster cluster = new SimulatedCluster(5, tolerated);
-        cluster.found(machines);
-        cluster.runUntil(FOUNDED_MS);
+    private static SimulatedCluster bootstrapped(int machines, int toleratedMachines) {
+        SimulatedCluster cluster = new SimulatedCluster(5, toleratedMachines);
+        cluster.bootstrap(machines);
+        cluster.runUntil(BOOTSTRAP_MS);
         return cluster;
     }
 
-    private static Machine backup(SimulatedCluster cluster) {
+    private static Machine follower(SimulatedCluster cluster) {
         return cluster.machines.stream()
                 .filter(machine -> machine != cluster.primary())
                 .findFirst()
@@ -33,22 +33,22 @@
     }
 
     @Test
-    void threeStoresTolerateOneLoss() {
-        FaultTolerance tolerance = atPrimary(founded(3, 1));
+    void toleratesOneLossWithThreeStores() {
+        FaultTolerance tolerance = atPrimary(bootstrapped(3, 1));
         assertEquals(OptionalInt.of(3), tolerance.currentStores());
         assertEquals(OptionalInt.of(1), tolerance.tolerableLosses());
         assertTrue(tolerance.sufficientForMs().orElseThrow() > 0);
     }
 
     @Test
-    void fiveStoresTolerateTwoLosses() {
-        assertEquals(OptionalInt.of(2), atPrimary(founded(5, 2)).tolerableLosses());
+    void toleratesTwoLossesWithFiveStores() {
+        assertEquals(OptionalInt.of(2), atPrimary(bootstrapped(5, 2)).tolerableLosses());
     }
 
     @Test
-    void followersNameTheReasonAndThePrimary() {
-        SimulatedCluster cluster = founded(3, 1);
-        ReplicationReport report = backup(cluster).node().report();
+    void reportsTheReasonAndThePrimaryOnAFollower() {
+        SimulatedCluster cluster = bootstrapped(3, 1);
+        ReplicationReport report = follower(cluster).node().report();
         assertEquals(OptionalInt.empty(), report.faultTolerance().tolerableLosses());
         assertFalse(report.faultTolerance().unknownReason().isEmpty());
         assertEquals(cluster.primary().operatorApi, report.primary().orElseThrow());
@@ -57,42 +57,42 @@
     }
 
     @Test
-    void afterALossNoneIsTolerableUntilTheRepair() {
-        SimulatedCluster cluster = founded(3, 1);
-        Machine wiped = backup(cluster);
-        wiped.wipe();
-        cluster.runUntil(cluster.nowMs() + UNTIL_NOTICED_MS);
+    void toleratesNoLossUntilTheRepairOfALostStore() {
+        SimulatedCluster cluster = bootstrapped(3, 1);
+        Machine wipedMachine = follower(cluster);
+        wipedMachine.wipe();
+        cluster.runUntil(cluster.nowMs() + DETECTION_MS);
         assertEquals(OptionalInt.of(2), atPrimary(cluster).currentStores());
         assertEquals(OptionalInt.of(0), atPrimary(cluster).tolerableLosses());
         assertTrue(atPrimary(cluster).sufficientForMs().isEmpty());
-        wiped.start(false);
+        wipedMachine.start(false);
         cluster.runUntil(() -> atPrimary(cluster).tolerableLosses().equals(OptionalInt.of(1)), 2_000);
         assertTrue(atPrimary(cluster).sufficientForMs().isPresent());
     }
 
-    /** The model's finding: answers that were long on their way kept a lost store among the copies. */
+    /** Guards against a fault found by the model: delayed replies made a lost store count as a copy. */
     @Test
-    void aLostMemberWhoseRepliesAreDelayedDoesNotCount() {
-        SimulatedCluster cluster = founded(3, 1);
-        Machine lost = backup(cluster);
+    void doesNotCountALostMemberWhoseRepliesAreDelayed() {
+        SimulatedCluster cluster = bootstrapped(3, 1);
+        Machine lostMachine = follower(cluster);
         Machine primary = cluster.primary();
-        cluster.tamper = (sender, message) -> {
-            if (sender == lost && message instanceof ReplicationMessages.HeartbeatReply) {
-                cluster.after(LATE_MS, () -> primary.deliver(lost.address, message));
+        cluster.messageInterceptor = (sender, message) -> {
+            if (sender == lostMachine && message instanceof ReplicationMessages.HeartbeatReply) {
+                cluster.scheduleAfter(REPLY_DELAY_MS, () -> primary.deliver(lostMachine.address, message));
                 return null;
             }
             return message;
         };
-        cluster.runUntil(cluster.nowMs() + LATE_MS);
-        lost.wipe();
-        cluster.runUntil(cluster.nowMs() + LATE_MS);
+        cluster.runUntil(cluster.nowMs() + REPLY_DELAY_MS);
+        lostMachine.wipe();
+        cluster.runUntil(cluster.nowMs() + REPLY_DELAY_MS);
         assertEquals(OptionalInt.of(0), atPrimary(cluster).tolerableLosses());
     }
 
     @Test
-    void aMemberThatIsShuttingDownDoesNotCount() {
-        SimulatedCluster cluster = founded(3, 1);
-        backup(cluster).leave();
+    void doesNotCountAMemberThatIsShuttingDown() {
+        SimulatedCluster cluster = bootstrapped(3, 1);
+        follower(cluster).beginShutdown();
         cluster.runUntil(cluster.nowMs() + 100);
         assertEquals(OptionalInt.of(0), atPrimary(cluster).tolerableLosses());
     }
--- a/router-fleet/replication/src/test/java/pinewick/replication/FirstCallTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/FirstCallTest.java
@@ -7,90 +7,89 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An operator's call waits one second for an answer. A change that it sends to the primary once, at any moment after
- * backups have come to a standstill, is acknowledged within that call: the backups leave the in-sync set meanwhile.
+ * An operator's call waits one second for a response. A change that it sends to the primary once, at any time after a
+ * fault of followers, is acknowledged within that call: the followers leave the in-sync set meanwhile.
  */
 class FirstCallTest {
     private static final int SEEDS = 60;
-    private static final double CALM_MS = 4_000;
-    private static final double STANDSTILL_MS = 3_000;
+    private static final double STABLE_MS = 4_000;
+    private static final double FAULT_MS = 3_000;
     private static final double MAX_CALL_AFTER_MS = 700;
 
-    /** What is left of the second for the way to the primary and back, and a redirection. */
-    private static final double ANSWERED_MS = 800;
+    /** The rest of the second is left for a redirect and for the round trip to the primary. */
+    private static final double ACKNOWLEDGEMENT_BOUND_MS = 800;
 
-    /** The longest time from the call to its acknowledgement, with as many backups affected as may be lost. */
-    private static double longest(int machines, int tolerated, BiConsumer<SimulatedCluster, Machine> standstill) {
-        double longest = 0;
+    /** The longest time from the call to its acknowledgement, with a fault of as many followers as may be lost. */
+    private static double maxMs(int machines, int toleratedMachines, BiConsumer<SimulatedCluster, Machine> fault) {
+        double maxMs = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = new SimulatedCluster(seed, tolerated);
-            cluster.found(machines);
-            cluster.runUntil(CALM_MS);
+            SimulatedCluster cluster = new SimulatedCluster(seed, toleratedMachines);
+            cluster.bootstrap(machines);
+            cluster.runUntil(STABLE_MS);
             Machine primary = cluster.primary();
-            List<Machine> backups = cluster.machines.stream()
+            List<Machine> followers = cluster.machines.stream()
                     .filter(machine -> machine != primary)
-                    .limit(tolerated)
+                    .limit(toleratedMachines)
                     .toList();
-            backups.forEach(backup -> standstill.accept(cluster, backup));
+            followers.forEach(follower -> fault.accept(cluster, follower));
             cluster.runUntil(cluster.nowMs() + MAX_CALL_AFTER_MS * seed / SEEDS);
-            longest = Math.max(longest, callOnce(cluster, primary));
+            maxMs = Math.max(maxMs, submitOnce(cluster, primary));
         }
-        return longest;
+        return maxMs;
     }
 
-    private static double callOnce(SimulatedCluster cluster, Machine primary) {
-        Change change = new Operator(cluster).properChange();
+    private static double submitOnce(SimulatedCluster cluster, Machine primary) {
+        Change change = new Operator(cluster).validChange();
         boolean[] acknowledged = new boolean[1];
         primary.submit(change, outcome -> {
-            cluster.checker.answered(change, outcome);
+            cluster.checker.onChangeOutcome(change, outcome);
             acknowledged[0] = outcome instanceof ChangeOutcome.Accepted;
         });
-        return cluster.runUntil(() -> acknowledged[0], STANDSTILL_MS);
+        return cluster.runUntil(() -> acknowledged[0], FAULT_MS);
     }
 
-    private static void requireAnsweredWithin(String what, BiConsumer<SimulatedCluster, Machine> standstill) {
-        double oneOfThree = longest(3, 1, standstill);
-        double twoOfFive = longest(5, 2, standstill);
+    private static void requireAcknowledgedInTime(String scenario, BiConsumer<SimulatedCluster, Machine> fault) {
+        double oneOfThree = maxMs(3, 1, fault);
+        double twoOfFive = maxMs(5, 2, fault);
         System.out.printf(
-                "%s: first call acknowledged after %.0f ms at most, two of five %.0f ms%n",
-                what, oneOfThree, twoOfFive);
-        assertTrue(oneOfThree < ANSWERED_MS, "one of three took " + oneOfThree);
-        assertTrue(twoOfFive < ANSWERED_MS, "two of five took " + twoOfFive);
+                "%s: first call acknowledged within %.0f ms, two of five %.0f ms%n", scenario, oneOfThree, twoOfFive);
+        assertTrue(oneOfThree < ACKNOWLEDGEMENT_BOUND_MS, "one of three took " + oneOfThree);
+        assertTrue(twoOfFive < ACKNOWLEDGEMENT_BOUND_MS, "two of five took " + twoOfFive);
     }
 
-    private static void stallDisk(SimulatedCluster cluster, Machine backup) {
-        backup.disk.mode = SimulatedDisk.Mode.STALLED;
-        cluster.after(STANDSTILL_MS, () -> backup.disk.mode = SimulatedDisk.Mode.HEALTHY);
+    private static void stallDisk(SimulatedCluster cluster, Machine follower) {
+        follower.disk.mode = SimulatedDisk.Mode.STALLED;
+        cluster.scheduleAfter(FAULT_MS, () -> follower.disk.mode = SimulatedDisk.Mode.HEALTHY);
     }
 
-    private static void cutOff(SimulatedCluster cluster, Machine backup) {
+    private static void isolate(SimulatedCluster cluster, Machine follower) {
         for (Machine other : cluster.machines) {
-            cluster.cut(other, backup);
-            cluster.cut(backup, other);
+            cluster.cutLink(other, follower);
+            cluster.cutLink(follower, other);
         }
-        cluster.after(STANDSTILL_MS, cluster::joinAll);
+        cluster.scheduleAfter(FAULT_MS, cluster::restoreAllLinks);
     }
 
     @Test
-    void besideFrozenBackups() {
-        requireAnsweredWithin("backup frozen", (cluster, backup) -> {
-            backup.freeze();
-            cluster.after(STANDSTILL_MS, backup::thaw);
+    void acknowledgesTheFirstCallWhileFollowersAreFrozen() {
+        requireAcknowledgedInTime("follower frozen", (cluster, follower) -> {
+            follower.freeze();
+            cluster.scheduleAfter(FAULT_MS, follower::thaw);
         });
     }
 
     @Test
-    void besideBackupsThatAreKilled() {
-        requireAnsweredWithin("backup killed", (cluster, backup) -> backup.kill());
+    void acknowledgesTheFirstCallAfterFollowersAreKilled() {
+        requireAcknowledgedInTime("follower killed", (cluster, follower) -> follower.kill());
     }
 
     @Test
-    void besideBackupsWhoseDisksStall() {
-        requireAnsweredWithin("backup's disk stalls", FirstCallTest::stallDisk);
+    void acknowledgesTheFirstCallWhileFollowersDisksStall() {
+        requireAcknowledgedInTime("follower's disk stalls", FirstCallTest::stallDisk);
     }
 
     @Test
-    void besideBackupsThatAreCutOff() {
-        requireAnsweredWithin("backup cut off", FirstCallTest::cutOff);
+    void acknowledgesTheFirstCallWhileFollowersAreIsolated() {
+        requireAcknowledgedInTime("follower isolated", FirstCallTest::isolate);
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/GracefulShutdownTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/GracefulShutdownTest.java
@@ -12,38 +12,38 @@
 import pinewick.replication.ReplicationMessages.ShutdownPermitted;
 
 /**
- * A controller that leaves as planned, with its successor there, ends only once a disk that is lost at that moment
- * leaves a quorum. The orders are those that the model found.
+ * A controller that shuts down gracefully while its successor runs ends only once the loss of another disk at that
+ * moment would leave a quorum. The orders of events are those found by the model.
  */
 class GracefulShutdownTest {
     private static final int SEEDS = 40;
-    private static final double CALM_MS = 4_000;
+    private static final double STABLE_MS = 4_000;
     private static final double SUCCESSOR_LEAD_MS = 1_500;
-    private static final double UNHEARD_MS = 1_000;
-    private static final double WAITING_MS = 1_000;
-    private static final double GRACE_MS = 4_500;
-    private static final double GIVEN_UP_MS = 10_000;
+    private static final double MESSAGE_LOSS_MS = 1_000;
+    private static final double OBSERVATION_MS = 1_000;
+    private static final double SHUTDOWN_BOUND_MS = 4_500;
+    private static final double TIMEOUT_MS = 10_000;
 
     private SimulatedCluster cluster;
-    private Machine leaving;
+    private Machine departing;
     private Machine successor;
 
-    private void found(long seed, boolean primaryLeaves) {
+    private void bootstrap(long seed, boolean primaryShutsDown) {
         cluster = new SimulatedCluster(seed, 1);
-        cluster.knownControllerShare = 1;
-        cluster.found(3);
-        cluster.runUntil(CALM_MS);
+        cluster.knownControllerProbability = 1;
+        cluster.bootstrap(3);
+        cluster.runUntil(STABLE_MS);
         Machine primary = cluster.primary();
-        leaving = primaryLeaves
+        departing = primaryShutsDown
                 ? primary
                 : cluster.machines.stream()
                         .filter(machine -> machine != primary)
                         .findFirst()
                         .orElseThrow();
         successor = cluster.addMachine();
-        successor.seeds = leaving.seeds;
+        successor.seeds = departing.seeds;
         successor.start(false);
-        cluster.runUntil(CALM_MS + SUCCESSOR_LEAD_MS);
+        cluster.runUntil(STABLE_MS + SUCCESSOR_LEAD_MS);
     }
 
     private boolean isMember(Machine machine) {
@@ -53,90 +53,91 @@
                         .anyMatch(member -> member.member().address().equals(machine.address));
     }
 
-    /** The leaver is gone for good and another disk is lost in the same moment; a change is still accepted. */
-    private void loseADiskAndChange() {
-        leaving.kill();
-        leaving.removed = true;
-        Machine lost = cluster.machines.stream()
+    /** Removes the departing machine and loses another disk at the same time; a change must still be accepted. */
+    private void loseADiskAndSubmitAChange() {
+        departing.kill();
+        departing.removed = true;
+        Machine lostMachine = cluster.machines.stream()
                 .filter(machine -> machine.running() && machine != successor)
                 .findFirst()
                 .orElseThrow();
-        lost.wipe();
-        boolean[] taken = new boolean[1];
-        new Operator(cluster).submit(new Operator(cluster).properChange(), () -> taken[0] = true);
-        cluster.runUntil(() -> taken[0], GIVEN_UP_MS);
+        lostMachine.wipe();
+        boolean[] acknowledged = new boolean[1];
+        new Operator(cluster).submit(new Operator(cluster).validChange(), () -> acknowledged[0] = true);
+        cluster.runUntil(() -> acknowledged[0], TIMEOUT_MS);
     }
 
     @Test
-    void aRecordThatWasAcceptedButNotChosenDoesNotLetTheLeaverEnd() {
+    void doesNotPermitTheShutdownByARecordThatIsNotChosen() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            found(seed, false);
-            cluster.tamper = (sender, message) -> message instanceof Accepted && sender != leaving ? null : message;
-            leaving.leave();
-            cluster.runUntil(cluster.nowMs() + WAITING_MS);
-            assertFalse(leaving.node().isDetached(), "no majority has accepted the record without it");
-            cluster.tamper = (sender, message) -> message;
-            cluster.runUntil(() -> leaving.node().isDetached(), GRACE_MS);
-            loseADiskAndChange();
+            bootstrap(seed, false);
+            cluster.messageInterceptor =
+                    (sender, message) -> message instanceof Accepted && sender != departing ? null : message;
+            departing.beginShutdown();
+            cluster.runUntil(cluster.nowMs() + OBSERVATION_MS);
+            assertFalse(departing.node().isDetached(), "no majority has accepted the record that removes it");
+            cluster.messageInterceptor = (sender, message) -> message;
+            cluster.runUntil(() -> departing.node().isDetached(), SHUTDOWN_BOUND_MS);
+            loseADiskAndSubmitAChange();
         }
     }
 
     @Test
-    void anElectionWithoutTheLeaversPromiseDoesNotLetItEnd() {
+    void doesNotPermitTheShutdownByAnElectionWithoutTheDepartingStore() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            found(seed, true);
-            double unheardUntilMs = cluster.nowMs() + UNHEARD_MS;
-            cluster.tamper = (sender, message) -> {
-                boolean isPromise = sender == leaving && message instanceof Promise;
-                boolean isLost = isPromise || (sender == successor && cluster.nowMs() < unheardUntilMs);
+            bootstrap(seed, true);
+            double messagesLostUntilMs = cluster.nowMs() + MESSAGE_LOSS_MS;
+            cluster.messageInterceptor = (sender, message) -> {
+                boolean isPromise = sender == departing && message instanceof Promise;
+                boolean isLost = isPromise || (sender == successor && cluster.nowMs() < messagesLostUntilMs);
                 return isLost ? null : message;
             };
-            leaving.leave();
-            cluster.runUntil(() -> leaving.node().isDetached(), GRACE_MS);
-            assertTrue(isMember(successor), "its successor has not taken its place");
-            loseADiskAndChange();
+            departing.beginShutdown();
+            cluster.runUntil(() -> departing.node().isDetached(), SHUTDOWN_BOUND_MS);
+            assertTrue(isMember(successor), "the successor is not a member");
+            loseADiskAndSubmitAChange();
         }
     }
 
-    /** The successor runs, by gossip, but its messages to the primary are lost at first. */
+    /** Gossip reports that the successor runs, but its messages are lost at first. */
     @Test
-    void aSuccessorThatIsOnlyKnownByGossipIsWaitedFor() {
+    void waitsForASuccessorThatIsOnlyKnownByGossip() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            found(seed, seed % 2 == 0);
-            double unheardUntilMs = cluster.nowMs() + UNHEARD_MS;
-            cluster.tamper =
-                    (sender, message) -> sender == successor && cluster.nowMs() < unheardUntilMs ? null : message;
-            leaving.leave();
-            cluster.runUntil(() -> leaving.node().isDetached(), GRACE_MS);
-            assertTrue(isMember(successor), "its successor has not taken its place");
+            bootstrap(seed, seed % 2 == 0);
+            double messagesLostUntilMs = cluster.nowMs() + MESSAGE_LOSS_MS;
+            cluster.messageInterceptor =
+                    (sender, message) -> sender == successor && cluster.nowMs() < messagesLostUntilMs ? null : message;
+            departing.beginShutdown();
+            cluster.runUntil(() -> departing.node().isDetached(), SHUTDOWN_BOUND_MS);
+            assertTrue(isMember(successor), "the successor is not a member");
         }
     }
 
-    /** In a later epoch the store may be in sync again. */
+    /** In a later epoch the store may be needed again, because it is in sync again. */
     @Test
-    void aPermitOfAnEarlierEpochDoesNotCount() {
-        found(1, false);
-        List<Message> held = new ArrayList<>();
-        cluster.tamper = (sender, message) -> {
+    void ignoresAPermitOfAnEarlierEpoch() {
+        bootstrap(1, false);
+        List<Message> permits = new ArrayList<>();
+        cluster.messageInterceptor = (sender, message) -> {
             if (message instanceof ShutdownPermitted) {
-                held.add(message);
+                permits.add(message);
                 return null;
             }
             return message;
         };
-        leaving.leave();
-        cluster.runUntil(() -> !held.isEmpty(), GRACE_MS);
-        ShutdownPermitted early = (ShutdownPermitted) held.get(0);
-        Machine former = cluster.primary();
-        former.kill();
-        cluster.runUntil(() -> newest(held).isAfter(early.number()), GRACE_MS);
-        leaving.deliver(former.address, early);
-        assertFalse(leaving.node().isDetached(), "the permit is of epoch " + early.number());
-        leaving.deliver(former.address, new ShutdownPermitted(newest(held)));
-        assertTrue(leaving.node().isDetached());
+        departing.beginShutdown();
+        cluster.runUntil(() -> !permits.isEmpty(), SHUTDOWN_BOUND_MS);
+        ShutdownPermitted earlierPermit = (ShutdownPermitted) permits.get(0);
+        Machine formerPrimary = cluster.primary();
+        formerPrimary.kill();
+        cluster.runUntil(() -> lastNumber(permits).isAfter(earlierPermit.number()), SHUTDOWN_BOUND_MS);
+        departing.deliver(formerPrimary.address, earlierPermit);
+        assertFalse(departing.node().isDetached(), "the permit is for epoch " + earlierPermit.number());
+        departing.deliver(formerPrimary.address, new ShutdownPermitted(lastNumber(permits)));
+        assertTrue(departing.node().isDetached());
     }
 
-    private static EpochNumber newest(List<Message> permits) {
+    private static EpochNumber lastNumber(List<Message> permits) {
         return ((ShutdownPermitted) permits.get(permits.size() - 1)).number();
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/HistoryChecker.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/HistoryChecker.java
@@ -9,37 +9,37 @@
 import java.util.function.DoubleSupplier;
 import pinewick.model.ConfigurationDocument;
 
-/** Holds everything the operators and processes saw against what must hold. */
+/** Checks the invariants of the system against everything that operators and processes observe. */
 final class HistoryChecker {
-    /** What must hold does not. */
+    /** An invariant is violated. */
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1L;
 
-        Violation(String what) {
-            super(what);
+        Violation(String message) {
+            super(message);
         }
     }
 
     private enum Verdict {
         NONE,
         ACCEPTED,
-        REFUSED
+        REJECTED
     }
 
     private final DoubleSupplier clock;
     private final List<Change> changes = new ArrayList<>();
-    private final List<Verdict> answers = new ArrayList<>();
+    private final List<Verdict> verdicts = new ArrayList<>();
     private final Map<Long, ConfigurationDocument> committed = new HashMap<>();
     private final Map<Long, Long> successors = new HashMap<>();
-    private final Map<Long, Machine> acknowledgers = new HashMap<>();
-    private final Map<Long, Machine> holders = new HashMap<>();
+    private final Map<Long, Machine> acknowledgersByEpoch = new HashMap<>();
+    private final Map<Long, Machine> leaseHoldersByToken = new HashMap<>();
     private final TreeMap<Long, Double> acknowledgedAtMs = new TreeMap<>();
-    private Machine holder;
+    private Machine lastLeaseHolder;
     private long highestToken = -1;
-    private double heldMs;
+    private double lastLeaseMs;
     private long newestAcknowledged;
     int acknowledged;
-    int refused;
+    int rejected;
     int reads;
 
     /** @param clock simulated time */
@@ -48,10 +48,10 @@
         committed.put(0L, ConfigurationDocument.EMPTY);
     }
 
-    Change make(ConfigurationChange.Kind kind, long base, long version, boolean valid) {
-        Change change = Change.make(changes.size(), kind, base, version, valid);
+    Change newChange(ConfigurationChange.Kind kind, long base, long version, boolean valid) {
+        Change change = Change.create(changes.size(), kind, base, version, valid);
         changes.add(change);
-        answers.add(Verdict.NONE);
+        verdicts.add(Verdict.NONE);
         return change;
     }
 
@@ -63,104 +63,118 @@
         return committed.keySet().stream().mapToLong(Long::longValue).max().orElse(0);
     }
 
-    private static void require(boolean holds, String what) {
-        if (!holds) {
-            throw new Violation(what);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new Violation(message);
         }
     }
 
-    /** Some process says that a document is in force. */
-    void committed(Machine machine, ConfigurationDocument document) {
-        ConfigurationDocument known = committed.get(document.version());
-        if (known != null) {
-            require(known.equals(document), machine + ": two contents of version " + document.version());
+    /** A process reports that a document is committed. */
+    void onCommitted(Machine machine, ConfigurationDocument document) {
+        ConfigurationDocument knownDocument = committed.get(document.version());
+        if (knownDocument != null) {
+            require(knownDocument.equals(document), machine + ": different contents of version " + document.version());
             return;
         }
-        Change change = changes.get(document.fields().get(Change.MARK).getAsInt());
-        require(change.version() == document.version(), "version " + document.version() + " is not the change's");
-        require(change.valid(), machine + ": an invalid change is in force, " + change.mark());
+        Change change = changes.get(document.fields().get(Change.MARKER_FIELD).getAsInt());
+        require(change.version() == document.version(), "version " + document.version() + " is not that of the change");
+        require(change.valid(), machine + ": an invalid change is committed, " + change.marker());
         require(
-                answers.get(change.mark()) != Verdict.REFUSED,
-                machine + ": a refused change is in force, " + change.mark());
+                verdicts.get(change.marker()) != Verdict.REJECTED,
+                machine + ": a rejected change is committed, " + change.marker());
         ConfigurationDocument base = committed.get(change.base());
-        require(base != null, machine + ": in force upon a version that never was, " + change.base());
-        require(change.version() > change.base(), machine + ": the version did not rise");
-        require(change.applyTo(base).equals(document), machine + ": not what was sent as " + change.mark());
-        Long before = successors.put(change.base(), change.version());
-        require(before == null, machine + ": two winners upon " + change.base() + ", also " + change.version());
+        require(base != null, machine + ": committed on a base version that was never committed, " + change.base());
+        require(change.version() > change.base(), machine + ": the version did not increase");
+        require(
+                change.applyTo(base).equals(document),
+                machine + ": the document differs from the change as sent, " + change.marker());
+        Long previous = successors.put(change.base(), change.version());
+        require(
+                previous == null,
+                machine + ": two changes committed on base version " + change.base() + ", also " + change.version());
         committed.put(document.version(), document);
     }
 
-    private boolean inForce(Change change) {
+    private boolean isCommitted(Change change) {
         ConfigurationDocument document = committed.get(change.version());
         return document != null
                 && document.version() > 0
-                && document.fields().get(Change.MARK).getAsInt() == change.mark();
+                && document.fields().get(Change.MARKER_FIELD).getAsInt() == change.marker();
     }
 
-    /** An operator got an answer to a change. */
-    void answered(Change change, ChangeOutcome outcome) {
+    /** An operator received the outcome of a change. */
+    void onChangeOutcome(Change change, ChangeOutcome outcome) {
         if (outcome instanceof ChangeOutcome.Accepted accepted) {
-            require(accepted.version() == change.version(), "acknowledged under another version: " + change.mark());
-            require(inForce(change), "acknowledged and not in force: " + change.mark());
-            answers.set(change.mark(), Verdict.ACCEPTED);
+            require(accepted.version() == change.version(), "acknowledged with another version: " + change.marker());
+            require(isCommitted(change), "acknowledged but not committed: " + change.marker());
+            verdicts.set(change.marker(), Verdict.ACCEPTED);
             acknowledgedAtMs.putIfAbsent(change.version(), clock.getAsDouble());
             newestAcknowledged = Math.max(newestAcknowledged, change.version());
             acknowledged++;
         } else if (outcome instanceof ChangeOutcome.VersionConflict || outcome instanceof ChangeOutcome.Invalid) {
-            require(!inForce(change), "in force and refused: " + change.mark() + " " + outcome);
-            require(answers.get(change.mark()) != Verdict.ACCEPTED, "acknowledged, then refused: " + change.mark());
-            boolean proper = change.valid() && change.base() == newestCommitted();
-            require(!proper, "a valid change upon the newest version refused: " + change.mark() + " " + outcome);
-            answers.set(change.mark(), Verdict.REFUSED);
-            refused++;
+            require(!isCommitted(change), "committed but rejected: " + change.marker() + " " + outcome);
+            require(
+                    verdicts.get(change.marker()) != Verdict.ACCEPTED,
+                    "acknowledged, then rejected: " + change.marker());
+            boolean applicable = change.valid() && change.base() == newestCommitted();
+            require(
+                    !applicable,
+                    "a valid change on the newest version was rejected: " + change.marker() + " " + outcome);
+            verdicts.set(change.marker(), Verdict.REJECTED);
+            rejected++;
         }
     }
 
-    /** A process acknowledged a change in an epoch. */
-    void acknowledgedBy(Machine machine, long epoch) {
-        Machine before = acknowledgers.putIfAbsent(epoch, machine);
-        require(before == null || before == machine, "two primaries acknowledge in epoch " + epoch);
+    /** A process acknowledged a change in an epoch. Each epoch has one primary at most. */
+    void onAcknowledged(Machine machine, long epoch) {
+        Machine previous = acknowledgersByEpoch.putIfAbsent(epoch, machine);
+        require(previous == null || previous == machine, "two primaries acknowledged changes in epoch " + epoch);
     }
 
-    /** An operator read the configuration, which it asked for when this much had been acknowledged. */
-    void read(ConfigurationDocument document, long acknowledgedBefore) {
+    /**
+     * An operator read the configuration.
+     *
+     * @param acknowledgedBefore newest acknowledged version at the time of the request
+     */
+    void onRead(ConfigurationDocument document, long acknowledgedBefore) {
         require(
                 document.version() >= acknowledgedBefore,
                 "read " + document.version() + " after " + acknowledgedBefore + " was acknowledged");
-        ConfigurationDocument known = committed.get(document.version());
-        require(document.equals(known), "read what was never in force, version " + document.version());
+        ConfigurationDocument knownDocument = committed.get(document.version());
+        require(
+                document.equals(knownDocument),
+                "read a document that was never committed, version " + document.version());
         reads++;
     }
 
-    /** A process that has put a version in force says that no higher one was acknowledged before a time. */
-    void confirmed(Machine machine, long version, double confirmedAtMs) {
+    /** A process with this committed version claims that no higher one was acknowledged before a time. */
+    void onConfirmed(Machine machine, long version, double confirmedAtMs) {
         acknowledgedAtMs
                 .tailMap(version, false)
-                .forEach((later, atMs) -> require(
+                .forEach((laterVersion, atMs) -> require(
                         atMs >= confirmedAtMs,
-                        machine + " confirms " + version + " as of " + confirmedAtMs + ", but " + later
+                        machine + " confirmed version " + version + " as of " + confirmedAtMs + ", but " + laterVersion
                                 + " was acknowledged at " + atMs));
     }
 
-    /** Processes that say at one moment that nobody else is the primary. */
-    static void soleAuthorities(List<Machine> machines) {
-        require(machines.size() <= 1, "at once: " + machines);
+    /** Checks the processes that claim, at the same time, that no other process is the primary. */
+    static void requireSoleAuthority(List<Machine> machines) {
+        require(machines.size() <= 1, "several sole authorities at the same time: " + machines);
     }
 
-    /** A process says whether it holds the lease. */
-    void lease(Machine machine, Optional<Long> token, double nowMs, double leaseMs) {
+    /** A process reports whether it holds the lease. */
+    void onLeaseStatus(Machine machine, Optional<Long> token, double nowMs, double leaseMs) {
         if (token.isEmpty()) {
             return;
         }
-        Machine before = holders.putIfAbsent(token.get(), machine);
-        require(before == null || before == machine, "two holders share token " + token.get());
+        Machine previous = leaseHoldersByToken.putIfAbsent(token.get(), machine);
+        require(previous == null || previous == machine, "two lease holders share token " + token.get());
         require(token.get() >= highestToken, "token " + token.get() + " follows " + highestToken);
-        if (holder != machine && holder != null) {
-            require(nowMs - heldMs >= leaseMs, "holders take turns after " + (nowMs - heldMs) + " ms");
+        if (lastLeaseHolder != machine && lastLeaseHolder != null) {
+            require(nowMs - lastLeaseMs >= leaseMs, "the lease holder changed after " + (nowMs - lastLeaseMs) + " ms");
         }
         highestToken = token.get();
-        holder = machine;
-        heldMs = nowMs;
+        lastLeaseHolder = machine;
+        lastLeaseMs = nowMs;
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/Machine.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/Machine.java
@@ -13,15 +13,15 @@
 import pinewick.replication.ReplicationMessages.Promise;
 import pinewick.replication.ReplicationMessages.Status;
 
-/** One simulated machine: a disk, and a process that may be down or frozen. */
+/** A simulated machine: a disk, and a process that may be stopped or frozen. */
 final class Machine {
     final SimulatedCluster cluster;
     final SocketAddress address;
     final SocketAddress operatorApi;
     final SimulatedDisk disk = new SimulatedDisk();
     List<SocketAddress> seeds = List.of();
-    /** Until then this machine counts as lost. */
-    double troubledUntilMs;
+    /** Until this time the machine counts as lost, milliseconds. */
+    double faultyUntilMs;
 
     boolean removed;
     private ReplicationNode node;
@@ -29,8 +29,8 @@
     private int generation;
     private boolean running;
     private boolean frozen;
-    private final Deque<Runnable> held = new ArrayDeque<>();
-    private ConfigurationDocument newest = ConfigurationDocument.EMPTY;
+    private final Deque<Runnable> deferredTasks = new ArrayDeque<>();
+    private ConfigurationDocument newestConfiguration = ConfigurationDocument.EMPTY;
 
     Machine(SimulatedCluster cluster, SocketAddress address, SocketAddress operatorApi) {
         this.cluster = cluster;
@@ -46,26 +46,26 @@
         return frozen;
     }
 
-    boolean isGeneration(int asked) {
-        return running && generation == asked;
+    boolean isCurrentGeneration(int expected) {
+        return running && generation == expected;
     }
 
-    /** Whom this process names to a caller now. */
-    Optional<SocketAddress> named() {
+    /** The primary to which this process currently redirects a caller. */
+    Optional<SocketAddress> redirectTarget() {
         node.advanceClock(cluster.nowMs());
         return node.primary();
     }
 
-    /** The newest configuration that this process was told to be committed. */
-    ConfigurationDocument newest() {
-        return newest;
+    /** The newest configuration of whose commit this process was notified. */
+    ConfigurationDocument newestConfiguration() {
+        return newestConfiguration;
     }
 
     ReplicationNode node() {
         return node;
     }
 
-    boolean leads() {
+    boolean isPrimary() {
         return running && node.leadingNumber().isPresent();
     }
 
@@ -80,8 +80,8 @@
         generation++;
         running = true;
         frozen = false;
-        held.clear();
-        newest = ConfigurationDocument.EMPTY;
+        deferredTasks.clear();
+        newestConfiguration = ConfigurationDocument.EMPTY;
         int current = generation;
         store = new SimulatedStore(cluster, this, current);
         ReplicationSettings settings = new ReplicationSettings(
@@ -94,60 +94,60 @@
                 new ReplicationListener() {
                     @Override
                     public void onCommitted(ConfigurationDocument document) {
-                        newest = document;
-                        cluster.checker.committed(Machine.this, document);
+                        newestConfiguration = document;
+                        cluster.checker.onCommitted(Machine.this, document);
                     }
 
                     @Override
                     public void onEvent(String event) {
-                        cluster.note(address + " " + event);
+                        cluster.logEvent(address + " " + event);
                     }
                 });
-        cluster.note(address + " starts, first " + firstStart);
+        cluster.logEvent(address + " started, first start " + firstStart);
         node.start(cluster.nowMs());
-        cluster.after(cluster.between(0, 50), () -> tick(current));
-        cluster.after(500, () -> learnControllers(current));
+        cluster.scheduleAfter(cluster.randomBetween(0, 50), () -> tick(current));
+        cluster.scheduleAfter(500, () -> updateKnownControllers(current));
     }
 
-    /** Membership tells of some controllers, now and then. */
-    private void learnControllers(int current) {
-        if (!isGeneration(current)) {
+    /** Periodically reports a random part of the other controllers, as the membership protocol does. */
+    private void updateKnownControllers(int current) {
+        if (!isCurrentGeneration(current)) {
             return;
         }
-        List<SocketAddress> known = new ArrayList<>();
+        List<SocketAddress> knownControllers = new ArrayList<>();
         for (Machine other : cluster.machines) {
-            if (other != this && !other.removed && cluster.chance(cluster.knownControllerShare)) {
-                known.add(other.address);
+            if (other != this && !other.removed && cluster.randomBoolean(cluster.knownControllerProbability)) {
+                knownControllers.add(other.address);
             }
         }
-        run(current, () -> node.setKnownControllers(known));
-        cluster.after(500, () -> learnControllers(current));
+        run(current, () -> node.setKnownControllers(knownControllers));
+        cluster.scheduleAfter(500, () -> updateKnownControllers(current));
     }
 
     private void tick(int current) {
-        if (!isGeneration(current)) {
+        if (!isCurrentGeneration(current)) {
             return;
         }
         run(current, () -> {
             node.onTick(cluster.nowMs());
-            cluster.checker.lease(this, node.leadingEpoch(), cluster.nowMs(), cluster.leaseMs);
+            cluster.checker.onLeaseStatus(this, node.leadingEpoch(), cluster.nowMs(), cluster.leaseMs);
             node.configurationConfirmedAtMs()
-                    .ifPresent(atMs -> cluster.checker.confirmed(this, newest.version(), atMs));
-            HistoryChecker.soleAuthorities(cluster.soleAuthorities());
+                    .ifPresent(atMs -> cluster.checker.onConfirmed(this, newestConfiguration.version(), atMs));
+            HistoryChecker.requireSoleAuthority(cluster.soleAuthorities());
         });
-        cluster.after(frozen ? 50 : cluster.between(49, 53), () -> tick(current));
+        cluster.scheduleAfter(frozen ? 50 : cluster.randomBetween(49, 53), () -> tick(current));
     }
 
-    /** Runs something in the process; later, if it is frozen. */
+    /** Runs a task in the process; if the process is frozen, once it thaws. */
     void run(int current, Runnable task) {
-        if (!isGeneration(current)) {
+        if (!isCurrentGeneration(current)) {
             return;
         }
         if (!frozen) {
             task.run();
-        } else if (held.size() < 2_000) {
-            held.add(() -> {
-                if (isGeneration(current)) {
+        } else if (deferredTasks.size() < 2_000) {
+            deferredTasks.add(() -> {
+                if (isCurrentGeneration(current)) {
                     task.run();
                 }
             });
@@ -156,7 +156,7 @@
 
     void deliver(SocketAddress sender, Message message) {
         run(generation, () -> {
-            if (message instanceof Prepare prepare && cluster.variant == Mutant.PROMISES_WITHOUT_REMEMBERING) {
+            if (message instanceof Prepare prepare && cluster.mutant == Mutant.LOSES_A_PROMISE) {
                 Status status = node.status(false);
                 Promise promise = new Promise(
                         prepare.request(),
@@ -172,10 +172,10 @@
         });
     }
 
-    /** The process ends without a word; what it had asked the disk for may be there. */
+    /** Stops the process abruptly. Its pending write may have reached the disk. */
     void kill() {
         if (running) {
-            cluster.note(address + " killed");
+            cluster.logEvent(address + " killed");
             running = false;
             store.crash();
         }
@@ -183,8 +183,8 @@
 
     void wipe() {
         kill();
-        cluster.note(address + " loses its disk");
-        if (cluster.variant == Mutant.VOTES_ON_AN_EMPTY_DISK) {
+        cluster.logEvent(address + " lost its disk");
+        if (cluster.mutant == Mutant.VOTES_ON_AN_EMPTY_DISK) {
             disk.wipeContent();
         } else {
             disk.wipe();
@@ -192,7 +192,7 @@
     }
 
     void freeze() {
-        cluster.note(address + " frozen");
+        cluster.logEvent(address + " frozen");
         frozen = true;
     }
 
@@ -200,52 +200,52 @@
         if (!frozen) {
             return;
         }
-        cluster.note(address + " thaws");
+        cluster.logEvent(address + " thawed");
         frozen = false;
-        List<Runnable> backlog = new ArrayList<>(held);
-        held.clear();
+        List<Runnable> backlog = new ArrayList<>(deferredTasks);
+        deferredTasks.clear();
         backlog.forEach(Runnable::run);
     }
 
-    void leave() {
+    void beginShutdown() {
         if (running) {
-            cluster.note(address + " is asked to end");
+            cluster.logEvent(address + " begins to shut down");
             run(generation, () -> node.beginShutdown(cluster.nowMs()));
         }
     }
 
-    /** As the operator's connection brings it: nothing happens at a machine that is down, and late at a frozen one. */
+    /** Submits a change as over a connection: it is lost if the machine is stopped, and delayed if it is frozen. */
     void submit(Change change, Consumer<ChangeOutcome> callback) {
         run(generation, () -> {
             node.advanceClock(cluster.nowMs());
             boolean leading = node.leadingNumber().isPresent();
             long epoch = leading ? epoch() : -1;
-            if (leading && newest.version() > 0 && refusesWrongly(change)) {
-                callback.accept(new ChangeOutcome.VersionConflict(newest.version()));
+            if (leading && newestConfiguration.version() > 0 && rejectsWrongly(change)) {
+                callback.accept(new ChangeOutcome.VersionConflict(newestConfiguration.version()));
                 return;
             }
             node.submit(change.asSubmitted(), outcome -> {
                 if (outcome instanceof ChangeOutcome.Accepted) {
-                    cluster.checker.acknowledgedBy(this, leads() ? epoch() : epoch);
+                    cluster.checker.onAcknowledged(this, isPrimary() ? epoch() : epoch);
                 }
                 callback.accept(outcome);
             });
         });
     }
 
-    private boolean refusesWrongly(Change change) {
-        return switch (cluster.variant) {
-            case REFUSES_A_RESENT_CHANGE -> change.base() != newest.version();
-            case REFUSES_WITHOUT_CONFIRMATION -> change.base() > newest.version();
+    private boolean rejectsWrongly(Change change) {
+        return switch (cluster.mutant) {
+            case REJECTS_A_RESENT_CHANGE -> change.base() != newestConfiguration.version();
+            case REJECTS_WITHOUT_CONFIRMATION -> change.base() > newestConfiguration.version();
             default -> false;
         };
     }
 
     void read(Consumer<ReadOutcome> callback) {
         run(generation, () -> {
-            boolean careless = cluster.variant == Mutant.READS_WITHOUT_CONFIRMATION;
-            if (careless && leads() && newest.version() > 0) {
-                callback.accept(new ReadOutcome.Current(newest));
+            boolean readsUnconfirmed = cluster.mutant == Mutant.READS_FROM_MEMORY;
+            if (readsUnconfirmed && isPrimary() && newestConfiguration.version() > 0) {
+                callback.accept(new ReadOutcome.Current(newestConfiguration));
                 return;
             }
             node.advanceClock(cluster.nowMs());
--- a/router-fleet/replication/src/test/java/pinewick/replication/MembershipChangeTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/MembershipChangeTest.java
@@ -9,44 +9,45 @@
 import org.junit.jupiter.api.Test;
 import pinewick.replication.ReplicationMessages.Accept;
 
-/** A core that is cut in two in the middle of a change of members goes on at one side at most. */
+/** After a network partition in the middle of a membership change, at most one side continues. */
 class MembershipChangeTest {
     private static final double BOUND_MS = 6_000;
 
     /**
-     * The primary takes a new store in for one that is silent. Just when it asks for acceptance, it is left alone with
-     * the new store; the two old ones come together. Both sides then try to have a change of their own accepted.
+     * The primary replaces an isolated store by a new one. When it sends the first Accept message with the new member,
+     * the network is partitioned: the primary and the new store on one side, the two old stores on the other. Then a
+     * change is submitted on each side.
      */
-    private static SimulatedCluster playCut(UnaryOperator<EpochRecord> onItsWay) {
+    private static SimulatedCluster runWithPartition(UnaryOperator<EpochRecord> inTransit) {
         SimulatedCluster cluster = new SimulatedCluster(7, 1);
-        cluster.found(3);
+        cluster.bootstrap(3);
         cluster.runUntil(3_000);
         Machine primary = cluster.primary();
-        List<Machine> backups =
+        List<Machine> followers =
                 cluster.machines.stream().filter(machine -> machine != primary).toList();
-        Machine silent = backups.get(1);
-        isolate(cluster, silent);
+        Machine isolated = followers.get(1);
+        isolate(cluster, isolated);
         Machine newcomer = cluster.addMachine();
-        newcomer.seeds = silent.seeds;
-        cluster.cut(silent, newcomer);
-        cluster.cut(newcomer, silent);
-        boolean[] cut = new boolean[1];
-        cluster.tamper = (sender, message) -> {
-            if (message instanceof Accept accept && accept.record().hasMember(identity(newcomer)) && !cut[0]) {
-                cut[0] = true;
-                split(cluster, List.of(primary, newcomer), backups);
+        newcomer.seeds = isolated.seeds;
+        cluster.cutLink(isolated, newcomer);
+        cluster.cutLink(newcomer, isolated);
+        boolean[] partitioned = new boolean[1];
+        cluster.messageInterceptor = (sender, message) -> {
+            if (message instanceof Accept accept && accept.record().hasMember(identity(newcomer)) && !partitioned[0]) {
+                partitioned[0] = true;
+                partition(cluster, List.of(primary, newcomer), followers);
             }
             return message instanceof Accept accept
-                    ? new Accept(accept.request(), onItsWay.apply(accept.record()))
+                    ? new Accept(accept.request(), inTransit.apply(accept.record()))
                     : message;
         };
         newcomer.start(false);
-        cluster.runUntil(() -> cut[0], BOUND_MS);
-        tryAt(cluster, backups, 4_000);
-        tryAt(cluster, List.of(primary, newcomer), 4_000);
-        cluster.joinAll();
+        cluster.runUntil(() -> partitioned[0], BOUND_MS);
+        submitRepeatedly(cluster, followers, 4_000);
+        submitRepeatedly(cluster, List.of(primary, newcomer), 4_000);
+        cluster.restoreAllLinks();
         cluster.runUntil(cluster.nowMs() + 4_000);
-        assertEquals(1, cluster.machines.stream().filter(Machine::leads).count());
+        assertEquals(1, cluster.machines.stream().filter(Machine::isPrimary).count());
         return cluster;
     }
 
@@ -55,29 +56,29 @@
     }
 
     private static void isolate(SimulatedCluster cluster, Machine machine) {
-        for (Machine other : cluster.machines) {
-            cluster.cut(machine, other);
-            cluster.cut(other, machine);
+        for (Machine otherMachine : cluster.machines) {
+            cluster.cutLink(machine, otherMachine);
+            cluster.cutLink(otherMachine, machine);
         }
     }
 
-    private static void split(SimulatedCluster cluster, List<Machine> left, List<Machine> right) {
-        cluster.joinAll();
-        for (Machine one : left) {
-            for (Machine other : right) {
-                cluster.cut(one, other);
-                cluster.cut(other, one);
+    private static void partition(SimulatedCluster cluster, List<Machine> firstSide, List<Machine> secondSide) {
+        cluster.restoreAllLinks();
+        for (Machine firstMachine : firstSide) {
+            for (Machine otherMachine : secondSide) {
+                cluster.cutLink(firstMachine, otherMachine);
+                cluster.cutLink(otherMachine, firstMachine);
             }
         }
     }
 
-    /** Sends one change upon what is in force, over and over, to some machines only. */
-    private static void tryAt(SimulatedCluster cluster, List<Machine> machines, double forMs) {
-        Change change = new Operator(cluster).properChange();
-        for (double waitedMs = 0; waitedMs < forMs; waitedMs += 50) {
+    /** Submits one change on the newest committed version, repeatedly, to some machines only. */
+    private static void submitRepeatedly(SimulatedCluster cluster, List<Machine> machines, double durationMs) {
+        Change change = new Operator(cluster).validChange();
+        for (double waitedMs = 0; waitedMs < durationMs; waitedMs += 50) {
             machines.forEach(machine -> machine.submit(change, outcome -> {
                 if (outcome instanceof ChangeOutcome.Accepted) {
-                    cluster.checker.answered(change, outcome);
+                    cluster.checker.onChangeOutcome(change, outcome);
                 }
             }));
             cluster.runUntil(cluster.nowMs() + 50);
@@ -85,13 +86,13 @@
     }
 
     @Test
-    void atMostOneSideContinues() {
-        SimulatedCluster cluster = playCut(record -> record);
-        assertTrue(cluster.checker.acknowledged > 0, "the old members are a majority and go on");
+    void continuesOnOneSideOfAPartitionAtMost() {
+        SimulatedCluster cluster = runWithPartition(record -> record);
+        assertTrue(cluster.checker.acknowledged > 0, "the old members are a majority and continue");
     }
 
     @Test
-    void withoutJointConsensusBothSidesContinue() {
-        assertThrows(HistoryChecker.Violation.class, () -> playCut(EpochRecord::withoutPreviousMembers));
+    void continuesOnBothSidesWithoutJointConsensus() {
+        assertThrows(HistoryChecker.Violation.class, () -> runWithPartition(EpochRecord::withoutPreviousMembers));
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/Operator.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/Operator.java
@@ -4,172 +4,176 @@
 import java.util.Optional;
 import pinewick.model.SocketAddress;
 
-/** Sends changes and reads to the machines, over links that lose answers, and sends again what got no clear answer. */
+/** Sends changes and reads to the machines over links that may lose responses; retries until a response is definite. */
 final class Operator {
-    private static final int MOST_TRIES = 25;
-    private static final double TIME_OUT_MS = 1_000;
+    private static final int MAX_ATTEMPTS = 25;
+    private static final double TIMEOUT_MS = 1_000;
 
     private final SimulatedCluster cluster;
-    private long believedCurrent;
-    double answerLossShare = 0.02;
+    private long lastKnownVersion;
+    double responseLossProbability = 0.02;
     boolean stopped;
 
     Operator(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
-    /** Sends changes over and over. */
-    void work(double untilMs) {
+    /** Sends changes and reads repeatedly. */
+    void sendChanges(double untilMs) {
         if (cluster.nowMs() >= untilMs || stopped) {
             return;
         }
         submit(nextChange(), () -> {});
-        if (cluster.chance(0.2)) {
+        if (cluster.randomBoolean(0.2)) {
             read(() -> {});
         }
-        double pauseMs = cluster.chance(0.3) ? cluster.between(1, 30) : cluster.between(50, 900);
-        cluster.after(pauseMs, () -> work(untilMs));
+        double pauseMs = cluster.randomBoolean(0.3) ? cluster.randomBetween(1, 30) : cluster.randomBetween(50, 900);
+        cluster.scheduleAfter(pauseMs, () -> sendChanges(untilMs));
     }
 
     private Change nextChange() {
-        long current = Math.max(believedCurrent, cluster.chance(0.8) ? cluster.checker.newestAcknowledged() : 0);
-        long base = cluster.chance(0.9) ? current : Math.max(0, current - cluster.random.nextInt(4));
-        long version = base + (cluster.chance(0.95) ? 1 + cluster.random.nextInt(3) : 0);
+        long current =
+                Math.max(lastKnownVersion, cluster.randomBoolean(0.8) ? cluster.checker.newestAcknowledged() : 0);
+        long base = cluster.randomBoolean(0.9) ? current : Math.max(0, current - cluster.random.nextInt(4));
+        long version = base + (cluster.randomBoolean(0.95) ? 1 + cluster.random.nextInt(3) : 0);
         ConfigurationChange.Kind kind =
-                cluster.chance(0.5) ? ConfigurationChange.Kind.REPLACE : ConfigurationChange.Kind.UPDATE;
-        return cluster.checker.make(kind, base, version, cluster.chance(0.95));
+                cluster.randomBoolean(0.5) ? ConfigurationChange.Kind.REPLACE : ConfigurationChange.Kind.UPDATE;
+        return cluster.checker.newChange(kind, base, version, cluster.randomBoolean(0.95));
     }
 
-    /** A proper change upon what is in force. */
-    Change properChange() {
+    /** A valid change based on the newest committed version. */
+    Change validChange() {
         long base = cluster.checker.newestCommitted();
-        return cluster.checker.make(ConfigurationChange.Kind.REPLACE, base, base + 1, true);
+        return cluster.checker.newChange(ConfigurationChange.Kind.REPLACE, base, base + 1, true);
     }
 
-    void submit(Change change, Runnable accepted) {
-        new Submission(change, accepted).tryAt(anyMachine());
-        if (cluster.chance(0.1)) {
-            cluster.after(cluster.between(0, 3_000), () -> new Submission(change, () -> {}).tryAt(anyMachine()));
+    void submit(Change change, Runnable onAccepted) {
+        new Submission(change, onAccepted).sendTo(randomMachine());
+        if (cluster.randomBoolean(0.1)) {
+            cluster.scheduleAfter(
+                    cluster.randomBetween(0, 3_000), () -> new Submission(change, () -> {}).sendTo(randomMachine()));
         }
     }
 
-    void read(Runnable done) {
-        new Read(done).tryAt(anyMachine());
+    void read(Runnable onComplete) {
+        new Read(onComplete).sendTo(randomMachine());
     }
 
-    private Machine anyMachine() {
+    private Machine randomMachine() {
         List<Machine> present =
                 cluster.machines.stream().filter(machine -> !machine.removed).toList();
         return present.get(cluster.random.nextInt(present.size()));
     }
 
-    /** A caller whose call has timed out moves to another machine. */
-    private Machine anyMachineBut(Machine silent) {
+    /** A machine for the retry of a call that has timed out. */
+    private Machine randomMachineExcept(Machine excluded) {
         List<Machine> others = cluster.machines.stream()
-                .filter(machine -> !machine.removed && machine != silent)
+                .filter(machine -> !machine.removed && machine != excluded)
                 .toList();
-        return others.isEmpty() ? silent : others.get(cluster.random.nextInt(others.size()));
+        return others.isEmpty() ? excluded : others.get(cluster.random.nextInt(others.size()));
     }
 
-    private Machine follow(Optional<SocketAddress> operatorApi) {
+    private Machine resolve(Optional<SocketAddress> operatorApi) {
         return operatorApi
                 .flatMap(address -> cluster.machines.stream()
                         .filter(machine -> machine.operatorApi.equals(address))
                         .findFirst())
-                .orElseGet(this::anyMachine);
+                .orElseGet(this::randomMachine);
     }
 
-    /** One change until it gets a clear answer. */
+    /** A change that is sent until it gets a definite response. */
     private final class Submission {
         private final Change change;
-        private final Runnable accepted;
-        private int tries;
+        private final Runnable onAccepted;
+        private int attempts;
 
-        Submission(Change change, Runnable accepted) {
+        Submission(Change change, Runnable onAccepted) {
             this.change = change;
-            this.accepted = accepted;
+            this.onAccepted = onAccepted;
         }
 
-        void tryAt(Machine machine) {
-            int current = ++tries;
-            if (current > MOST_TRIES) {
+        void sendTo(Machine machine) {
+            int current = ++attempts;
+            if (current > MAX_ATTEMPTS) {
                 return;
             }
-            cluster.after(cluster.between(0.5, 2), () -> machine.submit(change, outcome -> answer(current, outcome)));
-            cluster.after(TIME_OUT_MS, () -> {
-                if (tries == current) {
-                    tryAt(anyMachineBut(machine));
+            cluster.scheduleAfter(
+                    cluster.randomBetween(0.5, 2),
+                    () -> machine.submit(change, outcome -> onOutcome(current, outcome)));
+            cluster.scheduleAfter(TIMEOUT_MS, () -> {
+                if (attempts == current) {
+                    sendTo(randomMachineExcept(machine));
                 }
             });
         }
 
-        private void answer(int current, ChangeOutcome outcome) {
-            if (cluster.chance(answerLossShare)) {
+        private void onOutcome(int current, ChangeOutcome outcome) {
+            if (cluster.randomBoolean(responseLossProbability)) {
                 return;
             }
-            // The answer counts as given when it leaves: nothing that follows may contradict it.
-            cluster.checker.answered(change, outcome);
-            cluster.after(cluster.between(0.5, 2), () -> {
-                if (tries != current) {
+            // The response counts from when it is sent: nothing that follows may contradict it.
+            cluster.checker.onChangeOutcome(change, outcome);
+            cluster.scheduleAfter(cluster.randomBetween(0.5, 2), () -> {
+                if (attempts != current) {
                     return;
                 }
                 if (outcome instanceof ChangeOutcome.Accepted) {
-                    tries = MOST_TRIES + 1;
-                    believedCurrent = Math.max(believedCurrent, change.version());
-                    accepted.run();
+                    attempts = MAX_ATTEMPTS + 1;
+                    lastKnownVersion = Math.max(lastKnownVersion, change.version());
+                    onAccepted.run();
                 } else if (outcome instanceof ChangeOutcome.VersionConflict conflict) {
-                    tries = MOST_TRIES + 1;
-                    believedCurrent = Math.max(believedCurrent, conflict.currentVersion());
-                } else if (outcome instanceof ChangeOutcome.NotPrimary elsewhere) {
-                    double pauseMs = elsewhere.primary().isPresent() ? 1 : cluster.between(30, 200);
-                    cluster.after(pauseMs, () -> tryAt(follow(elsewhere.primary())));
+                    attempts = MAX_ATTEMPTS + 1;
+                    lastKnownVersion = Math.max(lastKnownVersion, conflict.currentVersion());
+                } else if (outcome instanceof ChangeOutcome.NotPrimary notPrimary) {
+                    double pauseMs = notPrimary.primary().isPresent() ? 1 : cluster.randomBetween(30, 200);
+                    cluster.scheduleAfter(pauseMs, () -> sendTo(resolve(notPrimary.primary())));
                 } else if (outcome instanceof ChangeOutcome.Unknown) {
-                    cluster.after(cluster.between(10, 300), () -> tryAt(anyMachine()));
+                    cluster.scheduleAfter(cluster.randomBetween(10, 300), () -> sendTo(randomMachine()));
                 }
             });
         }
     }
 
-    /** One read until it is answered. */
+    /** A read that is sent until it gets a definite response. */
     private final class Read {
-        private final Runnable done;
-        private int tries;
+        private final Runnable onComplete;
+        private int attempts;
 
-        Read(Runnable done) {
-            this.done = done;
+        Read(Runnable onComplete) {
+            this.onComplete = onComplete;
         }
 
-        void tryAt(Machine machine) {
-            int current = ++tries;
-            if (current > MOST_TRIES) {
+        void sendTo(Machine machine) {
+            int current = ++attempts;
+            if (current > MAX_ATTEMPTS) {
                 return;
             }
             long acknowledgedBefore = cluster.checker.newestAcknowledged();
-            cluster.after(
-                    cluster.between(0.5, 2),
-                    () -> machine.read(outcome -> answer(current, outcome, acknowledgedBefore)));
-            cluster.after(TIME_OUT_MS, () -> {
-                if (tries == current) {
-                    tryAt(anyMachineBut(machine));
+            cluster.scheduleAfter(
+                    cluster.randomBetween(0.5, 2),
+                    () -> machine.read(outcome -> onOutcome(current, outcome, acknowledgedBefore)));
+            cluster.scheduleAfter(TIMEOUT_MS, () -> {
+                if (attempts == current) {
+                    sendTo(randomMachineExcept(machine));
                 }
             });
         }
 
-        private void answer(int current, ReadOutcome outcome, long acknowledgedBefore) {
+        private void onOutcome(int current, ReadOutcome outcome, long acknowledgedBefore) {
             if (outcome instanceof ReadOutcome.Current read) {
-                cluster.checker.read(read.document(), acknowledgedBefore);
+                cluster.checker.onRead(read.document(), acknowledgedBefore);
             }
-            if (tries != current) {
+            if (attempts != current) {
                 return;
             }
             if (outcome instanceof ReadOutcome.Current) {
-                tries = MOST_TRIES + 1;
-                done.run();
-            } else if (outcome instanceof ReadOutcome.NotPrimary elsewhere) {
-                double pauseMs = elsewhere.primary().isPresent() ? 2 : cluster.between(30, 200);
-                cluster.after(pauseMs, () -> tryAt(follow(elsewhere.primary())));
+                attempts = MAX_ATTEMPTS + 1;
+                onComplete.run();
+            } else if (outcome instanceof ReadOutcome.NotPrimary notPrimary) {
+                double pauseMs = notPrimary.primary().isPresent() ? 2 : cluster.randomBetween(30, 200);
+                cluster.scheduleAfter(pauseMs, () -> sendTo(resolve(notPrimary.primary())));
             } else {
-                cluster.after(cluster.between(10, 300), () -> tryAt(anyMachine()));
+                cluster.scheduleAfter(cluster.randomBetween(10, 300), () -> sendTo(randomMachine()));
             }
         }
     }
--- a/router-fleet/replication/src/test/java/pinewick/replication/PrimaryRedirectTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/PrimaryRedirectTest.java
@@ -9,144 +9,145 @@
 import org.junit.jupiter.api.Test;
 import pinewick.replication.ReplicationMessages.Heartbeat;
 
-/** Whom a process that is not the primary names to callers, and for how long after it was last heard. */
+/** Where a process that is not the primary redirects callers, and for how long after the last heartbeat. */
 class PrimaryRedirectTest {
-    private static final double FOUNDED_MS = 3_000;
-    /** How old the knowledge behind a redirection may be, and what it takes to travel. */
-    private static final double OLDEST_MS = 460;
+    private static final double BOOTSTRAP_MS = 3_000;
+    /** The maximum age of the information behind a redirect, including its transit time. */
+    private static final double MAX_AGE_MS = 460;
 
-    private static final double LONG_CUT_MS = 20_000;
+    private static final double LONG_INTERVAL_MS = 20_000;
 
     private final SimulatedCluster cluster = new SimulatedCluster(23, 1);
     private Machine primary;
-    private List<Machine> backups;
+    private List<Machine> followers;
     private Heartbeat lastHeartbeat;
 
     @BeforeEach
-    void found() {
-        cluster.tamper = (sender, message) -> {
+    void bootstrap() {
+        cluster.messageInterceptor = (sender, message) -> {
             if (message instanceof Heartbeat heartbeat) {
                 lastHeartbeat = heartbeat;
             }
             return message;
         };
-        cluster.found(3);
-        cluster.runUntil(FOUNDED_MS);
+        cluster.bootstrap(3);
+        cluster.runUntil(BOOTSTRAP_MS);
         primary = cluster.primary();
-        backups =
+        followers =
                 cluster.machines.stream().filter(machine -> machine != primary).toList();
     }
 
-    private void pass(double forMs) {
-        cluster.runUntil(cluster.nowMs() + forMs);
+    private void runFor(double durationMs) {
+        cluster.runUntil(cluster.nowMs() + durationMs);
     }
 
-    private void cutOff(Machine machine) {
+    private void isolate(Machine machine) {
         for (Machine other : cluster.machines) {
-            cluster.cut(machine, other);
-            cluster.cut(other, machine);
+            cluster.cutLink(machine, other);
+            cluster.cutLink(other, machine);
         }
     }
 
     @Test
-    void aPrimaryWithoutHeartbeatsIsNamedForHalfASecondAtMost() {
+    void redirectsToASilentPrimaryForHalfASecondAtMost() {
         primary.freeze();
-        pass(OLDEST_MS);
-        for (Machine backup : backups) {
-            assertEquals(Optional.empty(), backup.named(), backup + " names a silent primary");
+        runFor(MAX_AGE_MS);
+        for (Machine follower : followers) {
+            assertEquals(Optional.empty(), follower.redirectTarget(), follower + " redirects to a silent primary");
         }
     }
 
     @Test
-    void aHintDoesNotGetYoungerOnTheWay() {
-        cluster.cut(primary, backups.get(0));
-        pass(OLDEST_MS);
+    void doesNotExtendTheValidityOfAHintInTransit() {
+        cluster.cutLink(primary, followers.get(0));
+        runFor(MAX_AGE_MS);
         primary.freeze();
-        pass(OLDEST_MS);
-        assertNotEquals(Optional.of(primary.operatorApi), backups.get(0).named());
+        runFor(MAX_AGE_MS);
+        assertNotEquals(Optional.of(primary.operatorApi), followers.get(0).redirectTarget());
     }
 
     @Test
-    void aFollowerCutOffFromThePrimaryOnlyNamesItWhileOthersHaveContact() {
-        cluster.cut(primary, backups.get(0));
-        pass(2 * OLDEST_MS);
-        assertEquals(Optional.of(primary.operatorApi), backups.get(0).named());
+    void redirectsWithoutPrimaryContactWhileOthersHaveContact() {
+        cluster.cutLink(primary, followers.get(0));
+        runFor(2 * MAX_AGE_MS);
+        assertEquals(Optional.of(primary.operatorApi), followers.get(0).redirectTarget());
     }
 
     @Test
-    void aFollowerThatWasFrozenNamesNoPrimaryBeforeAHeartbeat() {
-        Machine frozen = backups.get(0);
-        frozen.freeze();
-        cutOff(frozen);
+    void doesNotRedirectAfterAFreezeBeforeAHeartbeat() {
+        Machine frozenFollower = followers.get(0);
+        frozenFollower.freeze();
+        isolate(frozenFollower);
         primary.kill();
-        pass(LONG_CUT_MS);
-        frozen.thaw();
-        assertEquals(Optional.empty(), frozen.named(), "what it knew is 20 s old");
+        runFor(LONG_INTERVAL_MS);
+        frozenFollower.thaw();
+        assertEquals(Optional.empty(), frozenFollower.redirectTarget(), "its information is 20 s old");
     }
 
     @Test
-    void aProcessThatWasFrozenIsUpToDateOnlyAfterAHeartbeat() {
-        Change change = new Operator(cluster).properChange();
+    void isUpToDateAfterAFreezeOnlyAfterAHeartbeat() {
+        Change change = new Operator(cluster).validChange();
         primary.submit(change, outcome -> {});
-        pass(OLDEST_MS);
+        runFor(MAX_AGE_MS);
         cluster.machines.forEach(machine -> assertEquals(true, machine.node().isUpToDate()));
         for (Machine machine : cluster.machines) {
             machine.freeze();
         }
-        pass(LONG_CUT_MS);
+        runFor(LONG_INTERVAL_MS);
         for (Machine machine : cluster.machines) {
             machine.node().advanceClock(cluster.nowMs());
-            assertEquals(false, machine.node().isUpToDate(), machine + " takes what is 20 s old for the newest");
+            assertEquals(
+                    false, machine.node().isUpToDate(), machine + " claims that a state of 20 s ago is the newest");
         }
         cluster.machines.forEach(Machine::thaw);
-        pass(FOUNDED_MS);
+        runFor(BOOTSTRAP_MS);
         cluster.machines.forEach(machine -> assertEquals(true, machine.node().isUpToDate()));
     }
 
-    /** The model's finding: what waited in the buffers during a freeze was taken for news. */
+    /** Guards against a fault found by the model: messages buffered during a freeze were treated as new. */
     @Test
-    void heartbeatsBufferedDuringAFreezeAreIgnored() {
-        Machine frozen = backups.get(0);
-        frozen.freeze();
-        pass(OLDEST_MS);
+    void ignoresHeartbeatsBufferedDuringAFreeze() {
+        Machine frozenFollower = followers.get(0);
+        frozenFollower.freeze();
+        runFor(MAX_AGE_MS);
         primary.kill();
-        pass(FOUNDED_MS);
-        frozen.thaw();
-        assertNotEquals(Optional.of(primary.operatorApi), frozen.named());
-        pass(5);
-        assertNotEquals(Optional.of(primary.operatorApi), frozen.named());
+        runFor(BOOTSTRAP_MS);
+        frozenFollower.thaw();
+        assertNotEquals(Optional.of(primary.operatorApi), frozenFollower.redirectTarget());
+        runFor(5);
+        assertNotEquals(Optional.of(primary.operatorApi), frozenFollower.redirectTarget());
     }
 
     @Test
-    void aPrimaryThatWasFrozenHasNoLeaseWhateverEventComesFirst() {
-        pass(FOUNDED_MS);
+    void hasNoLeaseAfterAFreezeWhateverEventComesFirst() {
+        runFor(BOOTSTRAP_MS);
         assertEquals(true, primary.node().leadingEpoch().isPresent());
         primary.freeze();
-        pass(LONG_CUT_MS);
+        runFor(LONG_INTERVAL_MS);
         primary.node().advanceClock(cluster.nowMs());
-        assertEquals(Optional.empty(), primary.node().leadingEpoch(), "asked before anything that was held up");
+        assertEquals(Optional.empty(), primary.node().leadingEpoch(), "checked before any delayed event is processed");
     }
 
     @Test
-    void aDelayedHeartbeatOfAResignedPrimaryChangesNothing() {
-        Machine backup = backups.get(0);
-        cluster.cut(backups.get(0), backups.get(1));
-        cluster.cut(backups.get(1), backups.get(0));
-        Heartbeat late = lastHeartbeat;
-        primary.leave();
-        pass(5);
-        backup.deliver(primary.address, late);
-        assertNotEquals(Optional.of(primary.operatorApi), backup.named());
+    void ignoresADelayedHeartbeatOfAResignedPrimary() {
+        Machine follower = followers.get(0);
+        cluster.cutLink(followers.get(0), followers.get(1));
+        cluster.cutLink(followers.get(1), followers.get(0));
+        Heartbeat delayedHeartbeat = lastHeartbeat;
+        primary.beginShutdown();
+        runFor(5);
+        follower.deliver(primary.address, delayedHeartbeat);
+        assertNotEquals(Optional.of(primary.operatorApi), follower.redirectTarget());
     }
 
     @Test
-    void noPrimaryIsNamedAfterAPromiseToAnotherProposer() {
-        Machine backup = backups.get(0);
-        cutOff(primary);
-        EpochNumber later = new EpochNumber(lastHeartbeat.number().counter() + 1, identity(backups.get(1)));
-        backup.deliver(backups.get(1).address, new ReplicationMessages.Prepare(RequestId.NONE, later, true));
-        pass(20);
-        assertEquals(Optional.empty(), backup.named());
+    void doesNotRedirectAfterAPromiseToAnotherProposer() {
+        Machine follower = followers.get(0);
+        isolate(primary);
+        EpochNumber laterEpoch = new EpochNumber(lastHeartbeat.number().counter() + 1, identity(followers.get(1)));
+        follower.deliver(followers.get(1).address, new ReplicationMessages.Prepare(RequestId.NONE, laterEpoch, true));
+        runFor(20);
+        assertEquals(Optional.empty(), follower.redirectTarget());
     }
 
     private static String identity(Machine machine) {
--- a/router-fleet/replication/src/test/java/pinewick/replication/QuorumContactTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/QuorumContactTest.java
@@ -8,30 +8,30 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which controllers may say that their configuration is the newest. */
+/** Which controllers may claim that their configuration is the newest. */
 class QuorumContactTest {
     /** A primary without a quorum resigns after 900 ms; its last heartbeat counts for 450 ms. */
-    private static final double LOST_MS = 1_400;
+    private static final double QUORUM_LOSS_MS = 1_400;
 
     private static final double BOUND_MS = 6_000;
 
     private final SimulatedCluster cluster = new SimulatedCluster(11, 1);
 
     @BeforeEach
-    void found() {
-        cluster.found(3);
+    void bootstrap() {
+        cluster.bootstrap(3);
         cluster.runUntil(3_000);
     }
 
-    private List<Machine> backups() {
+    private List<Machine> followers() {
         Machine primary = cluster.primary();
         return cluster.machines.stream().filter(machine -> machine != primary).toList();
     }
 
     private void isolate(Machine machine) {
         for (Machine other : cluster.machines) {
-            cluster.cut(machine, other);
-            cluster.cut(other, machine);
+            cluster.cutLink(machine, other);
+            cluster.cutLink(other, machine);
         }
     }
 
@@ -39,65 +39,65 @@
         cluster.runUntil(cluster.nowMs() + durationMs);
     }
 
-    private static boolean holdsNewest(Machine machine) {
+    private static boolean isUpToDate(Machine machine) {
         return machine.node().isUpToDate();
     }
 
     @Test
-    void everyControllerOfAHealthyQuorumIsUpToDate() {
-        cluster.machines.forEach(machine -> assertTrue(holdsNewest(machine)));
+    void reportsAllControllersOfAHealthyQuorumAsUpToDate() {
+        cluster.machines.forEach(machine -> assertTrue(isUpToDate(machine)));
     }
 
     @Test
-    void aFollowerThatIsCutOffIsNot() {
-        Machine alone = backups().get(0);
-        isolate(alone);
-        runFor(LOST_MS);
-        assertFalse(holdsNewest(alone));
-        runFor(20_000 - LOST_MS);
-        assertFalse(holdsNewest(alone));
-        long others = cluster.machines.stream()
-                .filter(machine -> machine != alone && holdsNewest(machine))
+    void reportsAnIsolatedFollowerAsNotUpToDate() {
+        Machine isolatedMachine = followers().get(0);
+        isolate(isolatedMachine);
+        runFor(QUORUM_LOSS_MS);
+        assertFalse(isUpToDate(isolatedMachine));
+        runFor(20_000 - QUORUM_LOSS_MS);
+        assertFalse(isUpToDate(isolatedMachine));
+        long upToDateOthers = cluster.machines.stream()
+                .filter(machine -> machine != isolatedMachine && isUpToDate(machine))
                 .count();
-        assertEquals(2, others);
-        cluster.joinAll();
-        assertTrue(cluster.runUntil(() -> holdsNewest(alone), BOUND_MS) < BOUND_MS);
+        assertEquals(2, upToDateOthers);
+        cluster.restoreAllLinks();
+        assertTrue(cluster.runUntil(() -> isUpToDate(isolatedMachine), BOUND_MS) < BOUND_MS);
     }
 
     @Test
-    void aPrimaryThatIsCutOffIsNot() {
-        Machine alone = cluster.primary();
-        isolate(alone);
-        runFor(LOST_MS);
-        assertFalse(holdsNewest(alone));
-        runFor(20_000 - LOST_MS);
-        assertFalse(holdsNewest(alone));
+    void reportsAnIsolatedPrimaryAsNotUpToDate() {
+        Machine isolatedMachine = cluster.primary();
+        isolate(isolatedMachine);
+        runFor(QUORUM_LOSS_MS);
+        assertFalse(isUpToDate(isolatedMachine));
+        runFor(20_000 - QUORUM_LOSS_MS);
+        assertFalse(isUpToDate(isolatedMachine));
     }
 
     @Test
-    void aPrimaryThatSendsButReceivesNothingIsNot() {
+    void reportsAPrimaryThatReceivesNothingAsNotUpToDate() {
         Machine primary = cluster.primary();
-        for (Machine other : backups()) {
-            cluster.cut(other, primary);
+        for (Machine other : followers()) {
+            cluster.cutLink(other, primary);
         }
-        runFor(LOST_MS);
-        assertFalse(holdsNewest(primary));
+        runFor(QUORUM_LOSS_MS);
+        assertFalse(isUpToDate(primary));
     }
 
     @Test
-    void aStoreWhoseDiskWasLostIsUpToDateOnlyOnceItHasTheState() {
-        Change change = new Operator(cluster).properChange();
+    void reportsAWipedStoreAsUpToDateOnlyOnceItHasTheState() {
+        Change change = new Operator(cluster).validChange();
         cluster.primary().submit(change, outcome -> {});
         runFor(1_000);
-        Machine wiped = backups().get(0);
-        wiped.wipe();
+        Machine wipedMachine = followers().get(0);
+        wipedMachine.wipe();
         runFor(500);
-        wiped.start(false);
-        assertFalse(holdsNewest(wiped));
-        cluster.runUntil(() -> holdsNewest(wiped), BOUND_MS);
+        wipedMachine.start(false);
+        assertFalse(isUpToDate(wipedMachine));
+        cluster.runUntil(() -> isUpToDate(wipedMachine), BOUND_MS);
         Machine primary = cluster.primary();
         assertEquals(
                 primary.node().status(false).stateVersion(),
-                wiped.node().status(false).stateVersion());
+                wipedMachine.node().status(false).stateVersion());
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/RepairTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/RepairTest.java
@@ -10,224 +10,230 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** How long after a disk's return, or a replacement's start, as many losses are borne as before. */
+/** How long after the return of a process, or the start of a replacement, the full fault tolerance is restored. */
 class RepairTest {
     private static final int SEEDS = 40;
-    private static final double CALM_MS = 4_000;
-    private static final double DOWN_MS = 1_500;
-    private static final double AT_ONCE_MS = 50;
-    private static final double SOON_MS = 600;
-    private static final double GIVEN_UP_MS = 10_000;
+    private static final double STABLE_MS = 4_000;
+    private static final double DOWNTIME_MS = 1_500;
+    private static final double SHORT_DELAY_MS = 50;
+    private static final double REMOVAL_BOUND_MS = 600;
+    private static final double TIMEOUT_MS = 10_000;
 
-    /** From the start of a process with a disk to be filled, with nothing in the way. */
+    /** From the start of a process whose disk has to be filled, if nothing delays the repair. */
     private static final double REPAIR_BOUND_MS = 300;
 
-    /** A lost member's place is vacant after this silence. */
-    private static final double VACANT_MS = 900;
+    /** After this time without contact the membership of a lost member is vacant. */
+    private static final double VACANCY_DELAY_MS = 900;
 
-    private static SimulatedCluster founded(long seed, int machines, int tolerated) {
-        SimulatedCluster cluster = new SimulatedCluster(seed, tolerated);
-        cluster.found(machines);
-        cluster.runUntil(CALM_MS);
+    private static SimulatedCluster bootstrapped(long seed, int machines, int toleratedMachines) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, toleratedMachines);
+        cluster.bootstrap(machines);
+        cluster.runUntil(STABLE_MS);
         return cluster;
     }
 
-    private static Machine backup(SimulatedCluster cluster) {
+    private static Machine follower(SimulatedCluster cluster) {
         return cluster.machines.stream()
                 .filter(machine -> machine.running() && machine != cluster.primary())
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static Machine backup(SimulatedCluster cluster, Machine except) {
+    private static Machine follower(SimulatedCluster cluster, Machine excluded) {
         return cluster.machines.stream()
-                .filter(machine -> machine.running() && machine != cluster.primary() && machine != except)
+                .filter(machine -> machine.running() && machine != cluster.primary() && machine != excluded)
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Has a change acknowledged. */
-    private static void take(SimulatedCluster cluster) {
-        Change change = new Operator(cluster).properChange();
-        boolean[] taken = new boolean[1];
+    /** Submits a change and waits for its acknowledgement. */
+    private static void submitChange(SimulatedCluster cluster) {
+        Change change = new Operator(cluster).validChange();
+        boolean[] acknowledged = new boolean[1];
         cluster.primary().submit(change, outcome -> {
-            cluster.checker.answered(change, outcome);
-            taken[0] = outcome instanceof ChangeOutcome.Accepted;
+            cluster.checker.onChangeOutcome(change, outcome);
+            acknowledged[0] = outcome instanceof ChangeOutcome.Accepted;
         });
-        cluster.runUntil(() -> taken[0], DOWN_MS);
+        cluster.runUntil(() -> acknowledged[0], DOWNTIME_MS);
     }
 
-    /** Whether the primary counts this machine's store in sync and says that enough losses are borne. */
-    private static boolean repaired(SimulatedCluster cluster, Machine returned) {
+    /** Whether the primary reports this machine's store as in sync and enough losses as tolerable. */
+    private static boolean isRepaired(SimulatedCluster cluster, Machine returnedMachine) {
         Machine primary = cluster.primary();
-        if (primary == null || !returned.running()) {
+        if (primary == null || !returnedMachine.running()) {
             return false;
         }
         ReplicationReport report = primary.node().report();
         boolean inSync = report.members().stream()
-                .anyMatch(member -> member.inSync() && member.member().address().equals(returned.address));
-        OptionalInt borne = report.faultTolerance().tolerableLosses();
-        return inSync && borne.isPresent() && borne.getAsInt() >= cluster.toleratedMachines;
+                .anyMatch(member -> member.inSync() && member.member().address().equals(returnedMachine.address));
+        OptionalInt tolerableLosses = report.faultTolerance().tolerableLosses();
+        return inSync && tolerableLosses.isPresent() && tolerableLosses.getAsInt() >= cluster.toleratedMachines;
     }
 
-    /** Plays a trouble that ends with a start; returns the longest time from there to the repair. */
-    private static double longest(
-            String what, int machines, int tolerated, Function<SimulatedCluster, Machine> untilStart) {
-        double longest = 0;
+    /** Runs a fault that ends with the start of a process; returns the longest time from that start to the repair. */
+    private static double maxRepairMs(
+            String scenario, int machines, int toleratedMachines, Function<SimulatedCluster, Machine> faultAndRestart) {
+        double maxRepairMs = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed, machines, tolerated);
-            Machine returned = untilStart.apply(cluster);
-            longest = Math.max(longest, cluster.runUntil(() -> repaired(cluster, returned), GIVEN_UP_MS));
+            SimulatedCluster cluster = bootstrapped(seed, machines, toleratedMachines);
+            Machine returnedMachine = faultAndRestart.apply(cluster);
+            maxRepairMs =
+                    Math.max(maxRepairMs, cluster.runUntil(() -> isRepaired(cluster, returnedMachine), TIMEOUT_MS));
         }
-        System.out.printf("%s: repaired after %.0f ms at most%n", what, longest);
-        return longest;
+        System.out.printf("%s: repaired within %.0f ms%n", scenario, maxRepairMs);
+        return maxRepairMs;
     }
 
-    private static Machine wipedAndStarted(SimulatedCluster cluster, Machine machine, double downMs) {
+    private static Machine wipeAndRestart(SimulatedCluster cluster, Machine machine, double downMs) {
         machine.wipe();
         cluster.runUntil(cluster.nowMs() + downMs);
         machine.start(false);
         return machine;
     }
 
-    private static Machine replaced(SimulatedCluster cluster, Machine gone, double downMs) {
-        gone.kill();
-        gone.removed = true;
+    private static Machine replace(SimulatedCluster cluster, Machine replacedMachine, double downMs) {
+        replacedMachine.kill();
+        replacedMachine.removed = true;
         Machine successor = cluster.addMachine();
-        successor.seeds = gone.seeds;
+        successor.seeds = replacedMachine.seeds;
         cluster.runUntil(cluster.nowMs() + downMs);
         successor.start(false);
         return successor;
     }
 
     @Test
-    void aWipedFollower() {
-        assertTrue(longest("wiped", 3, 1, cluster -> wipedAndStarted(cluster, backup(cluster), DOWN_MS))
+    void repairsAWipedFollower() {
+        assertTrue(maxRepairMs("wiped", 3, 1, cluster -> wipeAndRestart(cluster, follower(cluster), DOWNTIME_MS))
                 < REPAIR_BOUND_MS);
     }
 
     @Test
-    void aWipedPrimary() {
-        double ms = longest("wiped primary", 3, 1, cluster -> wipedAndStarted(cluster, cluster.primary(), DOWN_MS));
-        assertTrue(ms < REPAIR_BOUND_MS);
+    void repairsAWipedPrimary() {
+        double elapsedMs =
+                maxRepairMs("wiped primary", 3, 1, cluster -> wipeAndRestart(cluster, cluster.primary(), DOWNTIME_MS));
+        assertTrue(elapsedMs < REPAIR_BOUND_MS);
     }
 
     @Test
-    void aKilledFollower() {
-        double ms = longest("killed", 3, 1, cluster -> {
-            Machine killed = backup(cluster);
-            killed.kill();
-            cluster.runUntil(cluster.nowMs() + DOWN_MS);
-            killed.start(false);
-            return killed;
+    void repairsAKilledFollower() {
+        double elapsedMs = maxRepairMs("killed", 3, 1, cluster -> {
+            Machine killedMachine = follower(cluster);
+            killedMachine.kill();
+            cluster.runUntil(cluster.nowMs() + DOWNTIME_MS);
+            killedMachine.start(false);
+            return killedMachine;
         });
-        assertTrue(ms < REPAIR_BOUND_MS);
+        assertTrue(elapsedMs < REPAIR_BOUND_MS);
     }
 
     @Test
-    void aReplacedFollowerOnceItsMembershipIsVacant() {
-        double ms = longest("replaced", 3, 1, cluster -> replaced(cluster, backup(cluster), DOWN_MS));
-        assertTrue(ms < REPAIR_BOUND_MS);
+    void repairsAReplacedFollowerOnceItsMembershipIsVacant() {
+        double elapsedMs = maxRepairMs("replaced", 3, 1, cluster -> replace(cluster, follower(cluster), DOWNTIME_MS));
+        assertTrue(elapsedMs < REPAIR_BOUND_MS);
     }
 
     @Test
-    void aReplacedFollowerWhoseSuccessorStartsAtOnce() {
-        double ms = longest("replaced at once", 3, 1, cluster -> replaced(cluster, backup(cluster), AT_ONCE_MS));
-        assertTrue(ms < VACANT_MS + REPAIR_BOUND_MS);
+    void repairsAReplacedFollowerWhoseSuccessorStartsAtOnce() {
+        double elapsedMs =
+                maxRepairMs("replaced at once", 3, 1, cluster -> replace(cluster, follower(cluster), SHORT_DELAY_MS));
+        assertTrue(elapsedMs < VACANCY_DELAY_MS + REPAIR_BOUND_MS);
     }
 
     @Test
-    void aPlannedReplacementWithTheNewOneThereFirst() {
-        double ms = longest("planned, new one first", 3, 1, cluster -> {
-            Machine leaving = backup(cluster);
+    void replacesAFollowerGracefullyIfTheSuccessorStartsFirst() {
+        double elapsedMs = maxRepairMs("graceful, successor first", 3, 1, cluster -> {
+            Machine departing = follower(cluster);
             Machine successor = cluster.addMachine();
-            successor.seeds = leaving.seeds;
+            successor.seeds = departing.seeds;
             successor.start(false);
-            cluster.runUntil(cluster.nowMs() + DOWN_MS);
-            leaving.leave();
+            cluster.runUntil(cluster.nowMs() + DOWNTIME_MS);
+            departing.beginShutdown();
             return successor;
         });
-        assertTrue(ms < REPAIR_BOUND_MS, "the place is taken before the other ends");
+        assertTrue(elapsedMs < REPAIR_BOUND_MS, "the successor is admitted before the other member ends");
     }
 
     @Test
-    void aPlannedReplacementOfThePrimaryWithTheNewOneThereFirst() {
-        double ms = longest("planned primary, new one first", 3, 1, cluster -> {
-            Machine leaving = cluster.primary();
+    void replacesThePrimaryGracefullyIfTheSuccessorStartsFirst() {
+        double elapsedMs = maxRepairMs("graceful primary, successor first", 3, 1, cluster -> {
+            Machine departing = cluster.primary();
             Machine successor = cluster.addMachine();
-            successor.seeds = leaving.seeds;
+            successor.seeds = departing.seeds;
             successor.start(false);
-            cluster.runUntil(cluster.nowMs() + DOWN_MS);
-            leaving.leave();
+            cluster.runUntil(cluster.nowMs() + DOWNTIME_MS);
+            departing.beginShutdown();
             return successor;
         });
-        assertTrue(ms < 2 * REPAIR_BOUND_MS);
+        assertTrue(elapsedMs < 2 * REPAIR_BOUND_MS);
     }
 
     @Test
-    void twoOfFiveReplacedInARow() {
-        double ms = longest("two of five replaced", 5, 2, cluster -> {
-            replaced(cluster, backup(cluster), AT_ONCE_MS);
-            return replaced(cluster, backup(cluster), AT_ONCE_MS);
+    void repairsTwoOfFiveReplacedInARow() {
+        double elapsedMs = maxRepairMs("two of five replaced", 5, 2, cluster -> {
+            replace(cluster, follower(cluster), SHORT_DELAY_MS);
+            return replace(cluster, follower(cluster), SHORT_DELAY_MS);
         });
-        assertTrue(ms < VACANT_MS + 2 * REPAIR_BOUND_MS);
+        assertTrue(elapsedMs < VACANCY_DELAY_MS + 2 * REPAIR_BOUND_MS);
     }
 
     @Test
-    void anObserverBesideAllMembersTakesTheFirstVacancy() {
-        double ms = longest("newcomer that waits", 3, 1, cluster -> {
-            Machine waiting = cluster.addMachine();
-            waiting.seeds = cluster.machines.get(0).seeds;
-            waiting.start(false);
-            cluster.runUntil(cluster.nowMs() + DOWN_MS);
-            assertFalse(repaired(cluster, waiting), "all places are taken");
-            take(cluster);
-            backup(cluster, waiting).wipe();
-            return waiting;
+    void admitsAnObserverAtTheFirstVacancy() {
+        double elapsedMs = maxRepairMs("waiting observer", 3, 1, cluster -> {
+            Machine observer = cluster.addMachine();
+            observer.seeds = cluster.machines.get(0).seeds;
+            observer.start(false);
+            cluster.runUntil(cluster.nowMs() + DOWNTIME_MS);
+            assertFalse(isRepaired(cluster, observer), "there is no vacancy");
+            submitChange(cluster);
+            follower(cluster, observer).wipe();
+            return observer;
         });
-        assertTrue(ms < VACANT_MS + REPAIR_BOUND_MS);
+        assertTrue(elapsedMs < VACANCY_DELAY_MS + REPAIR_BOUND_MS);
     }
 
     @Test
-    void bothSeedsOfThreeReplaced() {
-        double ms = longest("seeds replaced", 3, 1, cluster -> {
-            Machine first = replaced(cluster, cluster.machines.get(0), DOWN_MS);
-            cluster.runUntil(() -> repaired(cluster, first), GIVEN_UP_MS);
-            return replaced(cluster, cluster.machines.get(1), DOWN_MS);
+    void repairsTwoReplacedSeedsOfThree() {
+        double elapsedMs = maxRepairMs("seeds replaced", 3, 1, cluster -> {
+            Machine firstReplacement = replace(cluster, cluster.machines.get(0), DOWNTIME_MS);
+            cluster.runUntil(() -> isRepaired(cluster, firstReplacement), TIMEOUT_MS);
+            return replace(cluster, cluster.machines.get(1), DOWNTIME_MS);
         });
-        assertTrue(ms < REPAIR_BOUND_MS);
+        assertTrue(elapsedMs < REPAIR_BOUND_MS);
     }
 
-    /** The model's finding: the leaver ended with its place not taken, and a disk lost then left no majority. */
+    /**
+     * Guards against a fault found by the model: a departing member ended before its successor was admitted, and the
+     * loss of a disk at that time left no majority.
+     */
     @Test
-    void aMemberThatShutsDownStaysUntilItsSuccessorIsAMember() {
+    void keepsADepartingMemberUntilItsSuccessorIsAMember() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed, 3, 1);
-            Machine leaving = seed % 2 == 0 ? cluster.primary() : backup(cluster);
+            SimulatedCluster cluster = bootstrapped(seed, 3, 1);
+            Machine departing = seed % 2 == 0 ? cluster.primary() : follower(cluster);
             Machine successor = cluster.addMachine();
-            successor.seeds = leaving.seeds;
+            successor.seeds = departing.seeds;
             successor.start(false);
-            cluster.runUntil(cluster.nowMs() + AT_ONCE_MS);
-            leaving.leave();
-            cluster.runUntil(() -> leaving.node().isDetached(), GIVEN_UP_MS);
-            leaving.kill();
-            leaving.removed = true;
-            backup(cluster).wipe();
-            Change change = new Operator(cluster).properChange();
-            boolean[] taken = new boolean[1];
-            new Operator(cluster).submit(change, () -> taken[0] = true);
-            cluster.runUntil(() -> taken[0], GIVEN_UP_MS);
+            cluster.runUntil(cluster.nowMs() + SHORT_DELAY_MS);
+            departing.beginShutdown();
+            cluster.runUntil(() -> departing.node().isDetached(), TIMEOUT_MS);
+            departing.kill();
+            departing.removed = true;
+            follower(cluster).wipe();
+            Change change = new Operator(cluster).validChange();
+            boolean[] acknowledged = new boolean[1];
+            new Operator(cluster).submit(change, () -> acknowledged[0] = true);
+            cluster.runUntil(() -> acknowledged[0], TIMEOUT_MS);
         }
     }
 
     @Test
-    void withoutASuccessorAMemberThatShutsDownIsRemovedSoon() {
+    void removesADepartingMemberSoonWithoutASuccessor() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed, 3, 1);
-            Machine leaving = seed % 2 == 0 ? cluster.primary() : backup(cluster);
-            leaving.leave();
-            double ms = cluster.runUntil(() -> leaving.node().isDetached(), GIVEN_UP_MS);
-            assertTrue(ms < SOON_MS, "took " + ms);
+            SimulatedCluster cluster = bootstrapped(seed, 3, 1);
+            Machine departing = seed % 2 == 0 ? cluster.primary() : follower(cluster);
+            departing.beginShutdown();
+            double elapsedMs = cluster.runUntil(() -> departing.node().isDetached(), TIMEOUT_MS);
+            assertTrue(elapsedMs < REMOVAL_BOUND_MS, "took " + elapsedMs);
         }
     }
 
@@ -235,89 +241,89 @@
     @EnumSource(
             value = SimulatedDisk.Mode.class,
             names = {"FULL", "STALLED", "SLOW"})
-    void theHolderOfTheOnlyOtherCopyStaysUntilAnotherHasIt(SimulatedDisk.Mode trouble) {
+    void keepsTheOnlyOtherCopyUntilAnotherStoreHasIt(SimulatedDisk.Mode mode) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed, 3, 1);
-            Machine slow = backup(cluster);
-            slow.disk.slowMs = DOWN_MS;
-            slow.disk.mode = trouble;
-            take(cluster);
-            cluster.runUntil(cluster.nowMs() + DOWN_MS);
-            Machine leaving = cluster.machines.stream()
-                    .filter(machine -> machine != slow && machine != cluster.primary())
+            SimulatedCluster cluster = bootstrapped(seed, 3, 1);
+            Machine slowMachine = follower(cluster);
+            slowMachine.disk.slowMs = DOWNTIME_MS;
+            slowMachine.disk.mode = mode;
+            submitChange(cluster);
+            cluster.runUntil(cluster.nowMs() + DOWNTIME_MS);
+            Machine departing = cluster.machines.stream()
+                    .filter(machine -> machine != slowMachine && machine != cluster.primary())
                     .findFirst()
                     .orElseThrow();
-            leaving.leave();
-            cluster.runUntil(cluster.nowMs() + DOWN_MS);
-            assertFalse(leaving.node().isDetached(), "there would be one copy only");
-            slow.disk.mode = SimulatedDisk.Mode.HEALTHY;
-            double ms = cluster.runUntil(() -> leaving.node().isDetached(), GIVEN_UP_MS);
-            assertTrue(ms < DOWN_MS + 2 * SOON_MS, "took " + ms);
+            departing.beginShutdown();
+            cluster.runUntil(cluster.nowMs() + DOWNTIME_MS);
+            assertFalse(departing.node().isDetached(), "only one copy would remain");
+            slowMachine.disk.mode = SimulatedDisk.Mode.HEALTHY;
+            double elapsedMs = cluster.runUntil(() -> departing.node().isDetached(), TIMEOUT_MS);
+            assertTrue(elapsedMs < DOWNTIME_MS + 2 * REMOVAL_BOUND_MS, "took " + elapsedMs);
         }
     }
 
     @Test
-    void withNoLossToleratedTheLastOfAMajorityStays() {
-        SimulatedCluster cluster = founded(3, 3, 0);
-        Machine dead = backup(cluster);
-        dead.kill();
-        cluster.runUntil(cluster.nowMs() + DOWN_MS);
-        Machine leaving = backup(cluster);
-        leaving.leave();
-        cluster.runUntil(cluster.nowMs() + DOWN_MS);
-        assertFalse(leaving.node().isDetached(), "the primary alone is no majority of three");
-        dead.start(false);
-        cluster.runUntil(() -> leaving.node().isDetached(), 2 * SOON_MS);
+    void keepsTheLastMemberOfAMajorityIfNoLossIsTolerated() {
+        SimulatedCluster cluster = bootstrapped(3, 3, 0);
+        Machine killedMachine = follower(cluster);
+        killedMachine.kill();
+        cluster.runUntil(cluster.nowMs() + DOWNTIME_MS);
+        Machine departing = follower(cluster);
+        departing.beginShutdown();
+        cluster.runUntil(cluster.nowMs() + DOWNTIME_MS);
+        assertFalse(departing.node().isDetached(), "the primary alone is not a majority of three");
+        killedMachine.start(false);
+        cluster.runUntil(() -> departing.node().isDetached(), 2 * REMOVAL_BOUND_MS);
     }
 
     @Test
-    void aMemberThatWasOnlyCutOffAndIsReplacedMeanwhileHasNoVoteAnyMore() {
-        SimulatedCluster cluster = founded(3, 3, 1);
-        Machine cutOff = backup(cluster);
+    void ignoresVotesOfAnIsolatedMemberThatWasReplaced() {
+        SimulatedCluster cluster = bootstrapped(3, 3, 1);
+        Machine isolatedMachine = follower(cluster);
         for (Machine other : cluster.machines) {
-            cluster.cut(cutOff, other);
-            cluster.cut(other, cutOff);
+            cluster.cutLink(isolatedMachine, other);
+            cluster.cutLink(other, isolatedMachine);
         }
         Machine successor = cluster.addMachine();
-        cluster.cut(cutOff, successor);
-        cluster.cut(successor, cutOff);
-        successor.seeds = cutOff.seeds;
+        cluster.cutLink(isolatedMachine, successor);
+        cluster.cutLink(successor, isolatedMachine);
+        successor.seeds = isolatedMachine.seeds;
         successor.start(false);
-        cluster.runUntil(() -> repaired(cluster, successor), GIVEN_UP_MS);
-        cluster.joinAll();
-        cluster.runUntil(cluster.nowMs() + DOWN_MS);
-        assertTrue(repaired(cluster, successor));
-        assertFalse(repaired(cluster, cutOff));
+        cluster.runUntil(() -> isRepaired(cluster, successor), TIMEOUT_MS);
+        cluster.restoreAllLinks();
+        cluster.runUntil(cluster.nowMs() + DOWNTIME_MS);
+        assertTrue(isRepaired(cluster, successor));
+        assertFalse(isRepaired(cluster, isolatedMachine));
         cluster.primary().kill();
         successor.kill();
-        cluster.runUntil(cluster.nowMs() + CALM_MS);
-        assertEquals(null, cluster.primary(), "the replaced one and one member are no majority");
+        cluster.runUntil(cluster.nowMs() + STABLE_MS);
+        assertEquals(null, cluster.primary(), "the replaced machine and one member are not a majority");
     }
 
     @Test
-    void aChangeOfMembersWhosePrimaryDiesTwiceGoesThrough() {
+    void completesAMembershipChangeAfterTwoCrashesOfThePrimary() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedCluster cluster = founded(seed, 3, 1);
-            Machine gone = backup(cluster);
-            gone.kill();
-            gone.removed = true;
+            SimulatedCluster cluster = bootstrapped(seed, 3, 1);
+            Machine replacedMachine = follower(cluster);
+            replacedMachine.kill();
+            replacedMachine.removed = true;
             Machine successor = cluster.addMachine();
-            successor.seeds = gone.seeds;
-            int[] deaths = new int[1];
-            cluster.tamper = (sender, message) -> {
-                boolean changes = message instanceof ReplicationMessages.Accept accept
+            successor.seeds = replacedMachine.seeds;
+            int[] crashes = new int[1];
+            cluster.messageInterceptor = (sender, message) -> {
+                boolean isReconfiguration = message instanceof ReplicationMessages.Accept accept
                         && !accept.record().hasSingleQuorum()
                         && sender.running();
-                if (changes && deaths[0] < 2) {
-                    deaths[0]++;
+                if (isReconfiguration && crashes[0] < 2) {
+                    crashes[0]++;
                     sender.kill();
-                    cluster.after(DOWN_MS, () -> sender.start(false));
-                    return cluster.chance(0.5) ? message : null;
+                    cluster.scheduleAfter(DOWNTIME_MS, () -> sender.start(false));
+                    return cluster.randomBoolean(0.5) ? message : null;
                 }
                 return message;
             };
             successor.start(false);
-            cluster.runUntil(() -> deaths[0] == 2 && repaired(cluster, successor), GIVEN_UP_MS);
+            cluster.runUntil(() -> crashes[0] == 2 && isRepaired(cluster, successor), TIMEOUT_MS);
         }
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/ReplicationMessagesTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/ReplicationMessagesTest.java
@@ -11,7 +11,7 @@
 
 class ReplicationMessagesTest {
     @Test
-    void everyMessageAndEverythingInItIsRegistered() {
+    void registersEveryMessageAndItsComponentTypes() {
         Set<Class<?>> registered = new HashSet<>(ReplicationMessages.types());
         assertEquals(registered.size(), ReplicationMessages.types().size(), "registered twice");
         for (Class<?> message : ReplicationMessages.class.getDeclaredClasses()) {
@@ -26,14 +26,14 @@
 
     private static void requireComponents(Class<?> type, Set<Class<?>> registered) {
         for (RecordComponent component : type.getRecordComponents()) {
-            Class<?> held = component.getType();
-            boolean basic = held.isPrimitive() || held == String.class || held == List.class;
-            assertTrue(basic || registered.contains(held), type + " holds " + held);
+            Class<?> componentType = component.getType();
+            boolean basic = componentType.isPrimitive() || componentType == String.class || componentType == List.class;
+            assertTrue(basic || registered.contains(componentType), type + " has a component of type " + componentType);
         }
     }
 
     @Test
-    void listsOfEveryLengthAreRegistered() {
+    void registersListsOfEveryLength() {
         List<Class<?>> types = ReplicationMessages.types();
         for (int length = 0; length <= 5; length++) {
             List<Integer> list = List.copyOf(
--- a/router-fleet/replication/src/test/java/pinewick/replication/ReplicationSimulationTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/ReplicationSimulationTest.java
@@ -7,100 +7,100 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Plays many days of trouble, each from a seed, and holds what was seen against what must hold. */
+/** Runs many simulations with random faults, each with its own seed, and checks the invariants. */
 class ReplicationSimulationTest {
-    /** How many days are played; more with {@code -Dreplication.seeds=N}, from {@code -Dreplication.first=N} on. */
+    /** The number of runs, set by {@code -Dreplication.seeds=N}; {@code -Dreplication.first=N} sets the first seed. */
     private static final int SEEDS = Integer.getInteger("replication.seeds", 2_000);
 
-    private static final int FIRST = Integer.getInteger("replication.first", 0);
-    private static final int SEEDS_FOR_A_VARIANT = 10_000;
-    private static final double TROUBLE_FROM_MS = 2_000;
-    private static final double TROUBLE_UNTIL_MS = 14_000;
-    private static final double CALM_AT_MS = 20_000;
-    private static final double ANSWER_MS = 3_000;
+    private static final int FIRST_SEED = Integer.getInteger("replication.first", 0);
+    private static final int SEEDS_PER_MUTANT = 10_000;
+    private static final double FAULTS_FROM_MS = 2_000;
+    private static final double FAULTS_UNTIL_MS = 14_000;
+    private static final double RECOVERED_AT_MS = 20_000;
+    private static final double RESPONSE_BOUND_MS = 3_000;
 
     @Test
-    void acknowledgedChangesStayAndRejectedOnesNeverTakeEffect() {
+    void keepsAcknowledgedChangesAndNeverCommitsRejectedOnes() {
         long acknowledged = 0;
-        long refused = 0;
+        long rejected = 0;
         long reads = 0;
-        for (int seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            SimulatedCluster cluster = play(seed, Mutant.NONE);
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
+            SimulatedCluster cluster = run(seed, Mutant.NONE);
             acknowledged += cluster.checker.acknowledged;
-            refused += cluster.checker.refused;
+            rejected += cluster.checker.rejected;
             reads += cluster.checker.reads;
         }
-        System.out.printf("days %d, acknowledged %d, refused %d, reads %d%n", SEEDS, acknowledged, refused, reads);
-        assertTrue(acknowledged > 5L * SEEDS, "too little happened: " + acknowledged);
+        System.out.printf("runs %d, acknowledged %d, rejected %d, reads %d%n", SEEDS, acknowledged, rejected, reads);
+        assertTrue(acknowledged > 5L * SEEDS, "too few acknowledged changes: " + acknowledged);
     }
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aBrokenVariantIsCaught(Mutant variant) {
-        for (int seed = 0; seed < SEEDS_FOR_A_VARIANT; seed++) {
+    void detectsMutant(Mutant mutant) {
+        for (int seed = 0; seed < SEEDS_PER_MUTANT; seed++) {
             try {
-                play(seed, variant);
-            } catch (AssertionError caught) {
-                if (!(caught.getCause() instanceof HistoryChecker.Violation)) {
+                run(seed, mutant);
+            } catch (AssertionError error) {
+                if (!(error.getCause() instanceof HistoryChecker.Violation)) {
                     continue;
                 }
-                String what = caught.getMessage().lines().findFirst().orElse("");
-                System.out.println(variant + " caught by seed " + seed + ": " + what);
+                String violation = error.getMessage().lines().findFirst().orElse("");
+                System.out.println(mutant + " detected with seed " + seed + ": " + violation);
                 return;
             }
         }
-        fail(variant + " was not caught");
+        fail(mutant + " was not detected");
     }
 
-    static SimulatedCluster play(long seed, Mutant variant) {
+    static SimulatedCluster run(long seed, Mutant mutant) {
         SimulatedCluster cluster = null;
         try {
-            cluster = newWorld(seed, variant);
-            FaultPlan faults = new FaultPlan(cluster, TROUBLE_UNTIL_MS);
-            faults.eventTriggers = cluster.chance(0.5);
-            faults.wild = cluster.chance(0.4);
-            faults.begin(TROUBLE_FROM_MS);
-            Operator first = new Operator(cluster);
-            Operator second = new Operator(cluster);
-            cluster.at(500, () -> first.work(TROUBLE_UNTIL_MS));
-            if (cluster.chance(0.6)) {
-                cluster.at(700, () -> second.work(TROUBLE_UNTIL_MS));
+            cluster = newCluster(seed, mutant);
+            FaultPlan faults = new FaultPlan(cluster, FAULTS_UNTIL_MS);
+            faults.eventTriggers = cluster.randomBoolean(0.5);
+            faults.unlimitedTransientFaults = cluster.randomBoolean(0.4);
+            faults.start(FAULTS_FROM_MS);
+            Operator firstOperator = new Operator(cluster);
+            Operator secondOperator = new Operator(cluster);
+            cluster.scheduleAt(500, () -> firstOperator.sendChanges(FAULTS_UNTIL_MS));
+            if (cluster.randomBoolean(0.6)) {
+                cluster.scheduleAt(700, () -> secondOperator.sendChanges(FAULTS_UNTIL_MS));
             }
-            cluster.runUntil(TROUBLE_UNTIL_MS);
-            faults.heal();
-            cluster.lossShare = 0;
-            cluster.runUntil(CALM_AT_MS);
-            faults.heal();
-            endCalmly(cluster, first);
+            cluster.runUntil(FAULTS_UNTIL_MS);
+            faults.endAllFaults();
+            cluster.lossProbability = 0;
+            cluster.runUntil(RECOVERED_AT_MS);
+            faults.endAllFaults();
+            requireNormalOperation(cluster, firstOperator);
             return cluster;
         } catch (HistoryChecker.Violation violation) {
             throw new AssertionError(violation.getMessage() + "; seed " + seed + "\n" + cluster.history(), violation);
-        } catch (AssertionError | RuntimeException stuck) {
-            throw new AssertionError(stuck + "; seed " + seed + "\n" + cluster.history(), stuck);
+        } catch (AssertionError | RuntimeException failure) {
+            throw new AssertionError(failure + "; seed " + seed + "\n" + cluster.history(), failure);
         }
     }
 
-    private static SimulatedCluster newWorld(long seed, Mutant variant) {
+    private static SimulatedCluster newCluster(long seed, Mutant mutant) {
         boolean large = seed % 4 == 3;
         SimulatedCluster cluster = new SimulatedCluster(seed, large ? 2 : 1);
-        cluster.variant = variant;
-        cluster.lossShare = cluster.chance(0.5) ? 0 : cluster.between(0, 0.05);
-        cluster.duplicateShare = cluster.between(0, 0.05);
-        cluster.lateShare = cluster.chance(0.5) ? 0 : cluster.between(0, 0.05);
-        cluster.found(large ? 5 : 3 + (seed % 8 == 5 ? 1 : 0));
+        cluster.mutant = mutant;
+        cluster.lossProbability = cluster.randomBoolean(0.5) ? 0 : cluster.randomBetween(0, 0.05);
+        cluster.duplicateProbability = cluster.randomBetween(0, 0.05);
+        cluster.delayProbability = cluster.randomBoolean(0.5) ? 0 : cluster.randomBetween(0, 0.05);
+        cluster.bootstrap(large ? 5 : 3 + (seed % 8 == 5 ? 1 : 0));
         return cluster;
     }
 
-    /** When nothing is amiss any more, a change is taken and read back. */
-    private static void endCalmly(SimulatedCluster cluster, Operator operator) {
-        operator.answerLossShare = 0;
-        boolean[] ended = new boolean[2];
-        operator.read(() -> ended[0] = true);
-        cluster.runUntil(() -> ended[0], ANSWER_MS);
-        operator.submit(operator.properChange(), () -> ended[1] = true);
-        cluster.runUntil(() -> ended[1], ANSWER_MS);
-        ended[0] = false;
-        operator.read(() -> ended[0] = true);
-        cluster.runUntil(() -> ended[0], ANSWER_MS);
+    /** Without faults a change is accepted and read back. */
+    private static void requireNormalOperation(SimulatedCluster cluster, Operator operator) {
+        operator.responseLossProbability = 0;
+        boolean[] completed = new boolean[2];
+        operator.read(() -> completed[0] = true);
+        cluster.runUntil(() -> completed[0], RESPONSE_BOUND_MS);
+        operator.submit(operator.validChange(), () -> completed[1] = true);
+        cluster.runUntil(() -> completed[1], RESPONSE_BOUND_MS);
+        completed[0] = false;
+        operator.read(() -> completed[0] = true);
+        cluster.runUntil(() -> completed[0], RESPONSE_BOUND_MS);
     }
 }
