--- a/router-fleet/replication/src/test/java/pinewick/replication/ReplyMatchingTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/ReplyMatchingTest.java
@@ -15,37 +15,37 @@
 import pinewick.replication.ReplicationMessages.ReplicationReply;
 import pinewick.replication.ReplicationMessages.Status;
 
-/** Answers that bear the number of a question of another life count for nothing, whatever their kind. */
+/** Replies of every kind are ignored if they carry the request ID of another incarnation. */
 class ReplyMatchingTest {
-    private static final double FOUNDED_MS = 3_000;
+    private static final double BOOTSTRAP_MS = 3_000;
 
-    private static RequestId another(RequestId request) {
+    private static RequestId withOtherIncarnation(RequestId request) {
         return new RequestId(request.incarnation() + 1, request.sequence());
     }
 
-    /** Whether a system whose answers are changed on their way takes a change. */
-    private static boolean works(UnaryOperator<Message> onItsWay) {
+    /** Whether a cluster whose replies are altered in transit accepts a change. */
+    private static boolean acceptsChange(UnaryOperator<Message> inTransit) {
         SimulatedCluster cluster = new SimulatedCluster(41, 1);
-        cluster.tamper = (sender, message) -> onItsWay.apply(message);
-        cluster.found(3);
-        cluster.runUntil(FOUNDED_MS);
+        cluster.messageInterceptor = (sender, message) -> inTransit.apply(message);
+        cluster.bootstrap(3);
+        cluster.runUntil(BOOTSTRAP_MS);
         List<ChangeOutcome> outcomes = new ArrayList<>();
-        Change change = cluster.checker.make(ConfigurationChange.Kind.REPLACE, 0, 1, true);
+        Change change = cluster.checker.newChange(ConfigurationChange.Kind.REPLACE, 0, 1, true);
         cluster.machines.forEach(machine -> machine.submit(change, outcomes::add));
         cluster.runUntil(cluster.nowMs() + cluster.ackMs);
         return outcomes.contains(new ChangeOutcome.Accepted(1));
     }
 
     @Test
-    void withUnalteredRepliesAChangeIsAccepted() {
-        assertTrue(works(message -> message));
+    void acceptsAChangeWithUnalteredReplies() {
+        assertTrue(acceptsChange(message -> message));
     }
 
     @Test
-    void statuses() {
-        assertFalse(works(message -> message instanceof Status status && !status.replyRequested()
+    void ignoresStatusesOfOtherIncarnations() {
+        assertFalse(acceptsChange(message -> message instanceof Status status && !status.replyRequested()
                 ? new Status(
-                        another(status.request()),
+                        withOtherIncarnation(status.request()),
                         status.self(),
                         status.promised(),
                         status.accepted(),
@@ -58,10 +58,10 @@
     }
 
     @Test
-    void promises() {
-        assertFalse(works(message -> message instanceof Promise promise
+    void ignoresPromisesOfOtherIncarnations() {
+        assertFalse(acceptsChange(message -> message instanceof Promise promise
                 ? new Promise(
-                        another(promise.request()),
+                        withOtherIncarnation(promise.request()),
                         promise.number(),
                         promise.self(),
                         promise.accepted(),
@@ -71,18 +71,21 @@
     }
 
     @Test
-    void acceptances() {
-        assertFalse(works(message -> message instanceof Accepted accepted
-                ? new Accepted(another(accepted.request()), accepted.number(), accepted.identity())
+    void ignoresAcceptancesOfOtherIncarnations() {
+        assertFalse(acceptsChange(message -> message instanceof Accepted accepted
+                ? new Accepted(withOtherIncarnation(accepted.request()), accepted.number(), accepted.identity())
                 : message));
     }
 
-    /** Without them no round is confirmed, so nothing is read; a change may be taken by what the states tell. */
+    /**
+     * Without heartbeat replies no round is confirmed, so no read succeeds. A change may still be accepted, because
+     * replication replies report the state versions.
+     */
     @Test
-    void heartbeatReplies() {
+    void ignoresHeartbeatRepliesOfOtherIncarnations() {
         SimulatedCluster cluster = new SimulatedCluster(41, 1);
-        cluster.tamper = (sender, message) -> ofAnotherLife(message);
-        cluster.found(3);
+        cluster.messageInterceptor = (sender, message) -> heartbeatReplyOfOtherIncarnation(message);
+        cluster.bootstrap(3);
         List<ReadOutcome> outcomes = new ArrayList<>();
         for (int count = 0; count < 20; count++) {
             cluster.runUntil(cluster.nowMs() + 200);
@@ -91,10 +94,10 @@
         assertFalse(outcomes.stream().anyMatch(ReadOutcome.Current.class::isInstance));
     }
 
-    private static Message ofAnotherLife(Message message) {
+    private static Message heartbeatReplyOfOtherIncarnation(Message message) {
         return message instanceof HeartbeatReply reply
                 ? new HeartbeatReply(
-                        another(reply.request()),
+                        withOtherIncarnation(reply.request()),
                         reply.number(),
                         reply.self(),
                         reply.promised(),
@@ -106,51 +109,52 @@
                 : message;
     }
 
-    /** What is held is told by the answers to states and to heartbeats. */
+    /** Both replication replies and heartbeat replies report the state version of a store. */
     @Test
-    void replicationReplies() {
-        assertFalse(works(message -> message instanceof ReplicationReply reply
+    void ignoresReplicationRepliesOfOtherIncarnations() {
+        assertFalse(acceptsChange(message -> message instanceof ReplicationReply reply
                 ? new ReplicationReply(
-                        another(reply.request()),
+                        withOtherIncarnation(reply.request()),
                         reply.number(),
                         reply.identity(),
                         reply.result(),
                         reply.promised(),
                         reply.stateVersion())
-                : ofAnotherLife(message)));
+                : heartbeatReplyOfOtherIncarnation(message)));
     }
 
     @Test
-    void aReplyThatALaterOneOvertookIsIgnored() {
-        Follower replica = new Follower(new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721")), 0);
+    void ignoresAReplyOvertakenByALaterOne() {
+        Follower follower = new Follower(new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721")), 0);
         EpochNumber number = new EpochNumber(4, "store-a");
-        StateVersion tag = new StateVersion(4, 1);
-        replica.onHeartbeatReply(reply(2, number, tag, true), number, tag, 100, 110);
-        assertTrue(replica.isShuttingDown());
-        replica.onHeartbeatReply(reply(1, number, tag, false), number, tag, 190, 200);
-        assertTrue(replica.isShuttingDown());
-        assertEquals(100, replica.sinceContactMs(200));
-        replica.onHeartbeatReply(reply(2, number, tag, false), number, tag, 100, 210);
-        assertTrue(replica.isShuttingDown(), "a copy of an answer given before it was asked to end");
-        replica.onHeartbeatReply(reply(3, number, tag, false), number, tag, 290, 300);
-        assertFalse(replica.isShuttingDown());
+        StateVersion version = new StateVersion(4, 1);
+        follower.onHeartbeatReply(reply(2, number, version, true), number, version, 100, 110);
+        assertTrue(follower.isShuttingDown());
+        follower.onHeartbeatReply(reply(1, number, version, false), number, version, 190, 200);
+        assertTrue(follower.isShuttingDown());
+        assertEquals(100, follower.sinceContactMs(200));
+        follower.onHeartbeatReply(reply(2, number, version, false), number, version, 100, 210);
+        assertTrue(follower.isShuttingDown(), "a duplicate of a reply sent before the shutdown began");
+        follower.onHeartbeatReply(reply(3, number, version, false), number, version, 290, 300);
+        assertFalse(follower.isShuttingDown());
     }
 
     @Test
-    void twoRepliesToOneHeartbeatMayArriveInEitherOrder() {
-        Follower replica = new Follower(new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721")), 0);
+    void processesTwoRepliesToOneHeartbeatInEitherOrder() {
+        Follower follower = new Follower(new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721")), 0);
         EpochNumber number = new EpochNumber(4, "store-a");
-        StateVersion tag = new StateVersion(4, 1);
-        HeartbeatReply later = reply(2, number, tag, false);
+        StateVersion version = new StateVersion(4, 1);
+        HeartbeatReply later = reply(2, number, version, false);
         HeartbeatReply earlier =
-                new HeartbeatReply(later.request(), number, later.self(), number, number, false, tag, false, true);
-        replica.onHeartbeatReply(later, number, tag, 100, 110);
-        replica.onHeartbeatReply(earlier, number, tag, 100, 111);
-        assertTrue(replica.knowsChosen(number), "it said that the record stands");
+                new HeartbeatReply(later.request(), number, later.self(), number, number, false, version, false, true);
+        follower.onHeartbeatReply(later, number, version, 100, 110);
+        follower.onHeartbeatReply(earlier, number, version, 100, 111);
+        assertTrue(follower.knowsChosen(number), "it reported that the record is chosen");
     }
 
-    private static HeartbeatReply reply(long round, EpochNumber number, StateVersion tag, boolean leaving) {
+    private static HeartbeatReply reply(long sequence, EpochNumber number, StateVersion version, boolean shuttingDown) {
         Member self = new Member("store-b", pinewick.model.SocketAddress.parse("10.0.0.2:7721"));
-        return new HeartbeatReply(new RequestId(9, round), number, self, number, number, true, tag, leaving, true);
+        return new HeartbeatReply(
+                new RequestId(9, sequence), number, self, number, number, true, version, shuttingDown, true);
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/ResentChangeTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/ResentChangeTest.java
@@ -8,161 +8,161 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A change that was taken is acknowledged again, or left without a clear answer, whatever happened meanwhile. */
+/** A resent change that was accepted is acknowledged again, or gets an unknown outcome, but is never rejected. */
 class ResentChangeTest {
-    private static final double FOUNDED_MS = 3_000;
-    private static final double SOON_MS = 100;
-    private static final double REPAIRED_MS = 4_000;
-    private static final int FOLDED_CHANGES = 250;
+    private static final double BOOTSTRAP_MS = 3_000;
+    private static final double SHORT_WAIT_MS = 100;
+    private static final double REPAIR_MS = 4_000;
+    private static final int SNAPSHOT_CHANGES = 250;
 
     private final SimulatedCluster cluster = new SimulatedCluster(31, 1);
     private final List<ChangeOutcome> outcomes = new ArrayList<>();
-    private Change first;
+    private Change firstChange;
 
     @BeforeEach
-    void takeOne() {
-        cluster.found(3);
-        cluster.runUntil(FOUNDED_MS);
-        first = nextChange();
-        take(first);
+    void bootstrapAndSubmitFirst() {
+        cluster.bootstrap(3);
+        cluster.runUntil(BOOTSTRAP_MS);
+        firstChange = nextChange();
+        submitAndAwait(firstChange);
     }
 
     private Change nextChange() {
         long base = cluster.checker.newestCommitted();
-        return cluster.checker.make(ConfigurationChange.Kind.REPLACE, base, base + 1, true);
+        return cluster.checker.newChange(ConfigurationChange.Kind.REPLACE, base, base + 1, true);
     }
 
-    private void take(Change change) {
-        boolean[] taken = new boolean[1];
+    private void submitAndAwait(Change change) {
+        boolean[] acknowledged = new boolean[1];
         cluster.primary().submit(change, outcome -> {
-            cluster.checker.answered(change, outcome);
-            taken[0] = outcome instanceof ChangeOutcome.Accepted;
+            cluster.checker.onChangeOutcome(change, outcome);
+            acknowledged[0] = outcome instanceof ChangeOutcome.Accepted;
         });
-        cluster.runUntil(() -> taken[0], SOON_MS);
+        cluster.runUntil(() -> acknowledged[0], SHORT_WAIT_MS);
     }
 
     private ChangeOutcome resend(Machine machine) {
-        machine.submit(first, outcome -> {
-            cluster.checker.answered(first, outcome);
+        machine.submit(firstChange, outcome -> {
+            cluster.checker.onChangeOutcome(firstChange, outcome);
             outcomes.add(outcome);
         });
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         return outcomes.get(outcomes.size() - 1);
     }
 
-    private void pass(double forMs) {
-        cluster.runUntil(cluster.nowMs() + forMs);
+    private void runFor(double durationMs) {
+        cluster.runUntil(cluster.nowMs() + durationMs);
     }
 
     private void assertStillAcknowledged() {
-        assertEquals(new ChangeOutcome.Accepted(first.version()), resend(cluster.primary()));
+        assertEquals(new ChangeOutcome.Accepted(firstChange.version()), resend(cluster.primary()));
     }
 
-    private void awaitPrimaryOtherThan(Machine lost) {
-        cluster.runUntil(() -> cluster.primary() != null && cluster.primary() != lost, REPAIRED_MS);
-        pass(SOON_MS);
+    private void awaitPrimaryOtherThan(Machine lostPrimary) {
+        cluster.runUntil(() -> cluster.primary() != null && cluster.primary() != lostPrimary, REPAIR_MS);
+        runFor(SHORT_WAIT_MS);
     }
 
     @Test
-    void afterItsPrimaryWasLostAndLaterChangesFollowed() {
-        take(nextChange());
-        Machine lost = cluster.primary();
-        lost.wipe();
-        awaitPrimaryOtherThan(lost);
-        take(nextChange());
+    void acknowledgesAfterTheLossOfThePrimaryAndLaterChanges() {
+        submitAndAwait(nextChange());
+        Machine lostPrimary = cluster.primary();
+        lostPrimary.wipe();
+        awaitPrimaryOtherThan(lostPrimary);
+        submitAndAwait(nextChange());
         assertStillAcknowledged();
     }
 
     @Test
-    void byAMemberThatGotTheStateAsASnapshotOnly() {
-        for (Machine founder : List.copyOf(cluster.machines)) {
+    void acknowledgesByMembersThatReceivedOnlyASnapshot() {
+        for (Machine replacedMachine : List.copyOf(cluster.machines)) {
             Machine successor = cluster.addMachine();
             successor.seeds = cluster.machines.stream()
-                    .filter(machine -> machine != founder)
+                    .filter(machine -> machine != replacedMachine)
                     .map(machine -> machine.address)
                     .toList();
-            founder.wipe();
-            founder.removed = true;
+            replacedMachine.wipe();
+            replacedMachine.removed = true;
             successor.start(false);
-            pass(REPAIRED_MS);
-            take(nextChange());
+            runFor(REPAIR_MS);
+            submitAndAwait(nextChange());
         }
         assertStillAcknowledged();
     }
 
     @Test
-    void afterSnapshotsAndARestartOfEveryProcess() {
-        for (int count = 0; count < FOLDED_CHANGES; count++) {
-            take(nextChange());
+    void acknowledgesAfterSnapshotsAndARestartOfEveryProcess() {
+        for (int count = 0; count < SNAPSHOT_CHANGES; count++) {
+            submitAndAwait(nextChange());
         }
         cluster.machines.forEach(Machine::kill);
         cluster.machines.forEach(machine -> machine.start(false));
-        cluster.runUntil(() -> cluster.primary() != null, REPAIRED_MS);
-        pass(SOON_MS);
+        cluster.runUntil(() -> cluster.primary() != null, REPAIR_MS);
+        runFor(SHORT_WAIT_MS);
         assertStillAcknowledged();
     }
 
     @Test
-    void beyondTheRetainedChangesTheOutcomeIsUnknown() {
+    void reportsAnUnknownOutcomeBeyondTheRetainedChanges() {
         for (int count = 0; count < AcceptedChanges.CAPACITY; count++) {
-            take(nextChange());
+            submitAndAwait(nextChange());
         }
         assertInstanceOf(ChangeOutcome.Unknown.class, resend(cluster.primary()));
-        take(nextChange());
+        submitAndAwait(nextChange());
     }
 
     @Test
-    void thatIsStillQueuedAtAFrozenPrimaryWhenAnotherTookIt() {
-        Machine old = cluster.primary();
+    void doesNotRejectAChangeQueuedAtAFrozenPrimaryThatAnotherAccepted() {
+        Machine frozenPrimary = cluster.primary();
         Change second = nextChange();
-        old.freeze();
-        List<ChangeOutcome> late = new ArrayList<>();
-        old.submit(second, outcome -> {
-            cluster.checker.answered(second, outcome);
-            late.add(outcome);
+        frozenPrimary.freeze();
+        List<ChangeOutcome> lateOutcomes = new ArrayList<>();
+        frozenPrimary.submit(second, outcome -> {
+            cluster.checker.onChangeOutcome(second, outcome);
+            lateOutcomes.add(outcome);
         });
-        awaitPrimaryOtherThan(old);
-        take(second);
-        take(nextChange());
-        old.thaw();
-        pass(cluster.ackMs);
-        assertEquals(1, late.size());
-        assertEquals(false, late.get(0) instanceof ChangeOutcome.VersionConflict);
-        assertEquals(false, late.get(0) instanceof ChangeOutcome.Invalid);
+        awaitPrimaryOtherThan(frozenPrimary);
+        submitAndAwait(second);
+        submitAndAwait(nextChange());
+        frozenPrimary.thaw();
+        runFor(cluster.ackMs);
+        assertEquals(1, lateOutcomes.size());
+        assertEquals(false, lateOutcomes.get(0) instanceof ChangeOutcome.VersionConflict);
+        assertEquals(false, lateOutcomes.get(0) instanceof ChangeOutcome.Invalid);
     }
 
     @Test
-    void notByAPrimaryWithoutConfirmation() {
+    void doesNotAcknowledgeByAPrimaryWithoutConfirmation() {
         Machine primary = cluster.primary();
         for (Machine other : cluster.machines) {
-            cluster.cut(primary, other);
-            cluster.cut(other, primary);
+            cluster.cutLink(primary, other);
+            cluster.cutLink(other, primary);
         }
-        pass(1);
-        primary.submit(first, outcomes::add);
-        pass(cluster.ackMs);
+        runFor(1);
+        primary.submit(firstChange, outcomes::add);
+        runFor(cluster.ackMs);
         assertEquals(1, outcomes.size());
         assertEquals(false, outcomes.get(0) instanceof ChangeOutcome.Accepted);
     }
 
     @Test
-    void theSameBodyAsTheOtherKindIsAnotherChange() {
+    void treatsTheSameBodyOfAnotherKindAsAnotherChange() {
         ConfigurationChange asUpdate =
-                new ConfigurationChange(ConfigurationChange.Kind.UPDATE, first.base(), first.body());
+                new ConfigurationChange(ConfigurationChange.Kind.UPDATE, firstChange.base(), firstChange.body());
         cluster.primary().node().submit(asUpdate, outcomes::add);
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         assertInstanceOf(ChangeOutcome.VersionConflict.class, outcomes.get(0));
     }
 
     @Test
-    void ofTwoOperatorsWithTheSameBodyBothAreAcknowledged() {
-        Change both = nextChange();
+    void acknowledgesTheSameBodyToTwoOperators() {
+        Change change = nextChange();
         for (int operator = 0; operator < 2; operator++) {
-            cluster.primary().submit(both, outcomes::add);
+            cluster.primary().submit(change, outcomes::add);
         }
-        pass(SOON_MS);
+        runFor(SHORT_WAIT_MS);
         assertEquals(
-                List.of(new ChangeOutcome.Accepted(both.version()), new ChangeOutcome.Accepted(both.version())),
+                List.of(new ChangeOutcome.Accepted(change.version()), new ChangeOutcome.Accepted(change.version())),
                 outcomes);
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/SimulatedCluster.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/SimulatedCluster.java
@@ -15,9 +15,9 @@
 import pinewick.replication.ReplicationMessages.RelabelState;
 import pinewick.replication.ReplicationMessages.Replicate;
 
-/** Simulated time, machines and links between them. Whatever happens follows from the seed. */
+/** A simulated cluster: time, machines and the links between them. A run is determined by its seed. */
 final class SimulatedCluster {
-    private record Event(double atMs, long order, Runnable task) {}
+    private record Event(double atMs, long sequence, Runnable task) {}
 
     private record Link(SocketAddress from, SocketAddress to) {}
 
@@ -29,23 +29,26 @@
     final int ackMs = 4_000;
     final int leaseMs = 1_000;
     final List<String> log = new ArrayList<>();
-    double lossShare;
-    double duplicateShare;
-    double lateShare;
-    /** The part of the other controllers of which membership tells each one. */
-    double knownControllerShare = 0.7;
-    /** Changes messages on their way, for deliberately broken variants. */
-    BiFunction<Machine, Message, Message> tamper = (sender, message) -> message;
-
-    Mutant variant = Mutant.NONE;
-    /** How long a link carries a whole state. States and changes keep their order then, as on a connection. */
-    double wholeStateMs;
+    double lossProbability;
+    double duplicateProbability;
+    double delayProbability;
+    /** Probability that the membership protocol reports a given other controller to a process. */
+    double knownControllerProbability = 0.7;
+    /** Alters messages in transit; null drops the message. */
+    BiFunction<Machine, Message, Message> messageInterceptor = (sender, message) -> message;
+
+    Mutant mutant = Mutant.NONE;
+    /**
+     * How long a link takes to transfer a snapshot, milliseconds. If it is not 0, snapshots and changes arrive in
+     * order, as on a connection.
+     */
+    double snapshotTransferMs;
 
     private final Map<Link, Double> lastArrivalMs = new HashMap<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>(
-            java.util.Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
-    private final Set<Link> cuts = new HashSet<>();
-    private long order;
+            java.util.Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::sequence));
+    private final Set<Link> cutLinks = new HashSet<>();
+    private long sequence;
     private double nowMs;
     private int nextHost = 1;
 
@@ -61,12 +64,12 @@
         return nowMs;
     }
 
-    void at(double atMs, Runnable task) {
-        events.add(new Event(Math.max(atMs, nowMs), order++, task));
+    void scheduleAt(double atMs, Runnable task) {
+        events.add(new Event(Math.max(atMs, nowMs), sequence++, task));
     }
 
-    void after(double delayMs, Runnable task) {
-        at(nowMs + delayMs, task);
+    void scheduleAfter(double delayMs, Runnable task) {
+        scheduleAt(nowMs + delayMs, task);
     }
 
     void runUntil(double endMs) {
@@ -78,37 +81,37 @@
         nowMs = endMs;
     }
 
-    /** Runs until the condition holds; returns how long that took, or fails after the bound. */
+    /** Runs until the condition holds. Returns the simulated time that it took; fails if it exceeds the bound. */
     double runUntil(java.util.function.BooleanSupplier condition, double boundMs) {
-        double begin = nowMs;
+        double startMs = nowMs;
         while (!condition.getAsBoolean()) {
-            if (nowMs - begin > boundMs) {
-                throw new AssertionError("not reached within " + boundMs + " ms\n" + history());
+            if (nowMs - startMs > boundMs) {
+                throw new AssertionError("condition not met within " + boundMs + " ms\n" + history());
             }
             Event event = events.poll();
             nowMs = event.atMs;
             event.task.run();
         }
-        return nowMs - begin;
+        return nowMs - startMs;
     }
 
-    void note(String what) {
-        log.add(String.format("%9.1f %s", nowMs, what));
+    void logEvent(String text) {
+        log.add(String.format("%9.1f %s", nowMs, text));
     }
 
     String history() {
         return String.join("\n", log);
     }
 
-    double between(double low, double high) {
-        return low + (high - low) * random.nextDouble();
+    double randomBetween(double minimum, double maximum) {
+        return minimum + (maximum - minimum) * random.nextDouble();
     }
 
-    boolean chance(double share) {
-        return random.nextDouble() < share;
+    boolean randomBoolean(double probability) {
+        return random.nextDouble() < probability;
     }
 
-    /** A new machine that is not started. */
+    /** Adds a machine without starting it. */
     Machine addMachine() {
         Machine machine = new Machine(
                 this, new SocketAddress("10.1.0." + nextHost, 7721), new SocketAddress("10.1.0." + nextHost, 8166));
@@ -118,8 +121,8 @@
         return machine;
     }
 
-    /** The first machines, of which up to three are seeds, all started. */
-    void found(int count) {
+    /** Adds the first machines, up to three of which are seeds, and starts all of them for the first time. */
+    void bootstrap(int count) {
         for (int index = 0; index < count; index++) {
             addMachine();
         }
@@ -127,59 +130,59 @@
                 machines.stream().limit(3).map(machine -> machine.address).toList();
         for (Machine machine : machines) {
             machine.seeds = seeds;
-            after(between(0, 300), () -> machine.start(true));
+            scheduleAfter(randomBetween(0, 300), () -> machine.start(true));
         }
     }
 
-    void cut(Machine from, Machine to) {
-        cuts.add(new Link(from.address, to.address));
+    void cutLink(Machine from, Machine to) {
+        cutLinks.add(new Link(from.address, to.address));
     }
 
-    void join(Machine from, Machine to) {
-        cuts.remove(new Link(from.address, to.address));
+    void restoreLink(Machine from, Machine to) {
+        cutLinks.remove(new Link(from.address, to.address));
     }
 
-    void joinAll() {
-        cuts.clear();
+    void restoreAllLinks() {
+        cutLinks.clear();
     }
 
-    /** Sends a message over the network as it is at this moment. */
-    void transmit(Machine sender, SocketAddress to, Message original) {
-        Message message = tamper.apply(sender, original);
-        if (message == null || cuts.contains(new Link(sender.address, to)) || chance(lossShare)) {
+    /** Sends a message over the network in its current condition. */
+    void transmit(Machine sender, SocketAddress to, Message originalMessage) {
+        Message message = messageInterceptor.apply(sender, originalMessage);
+        if (message == null || cutLinks.contains(new Link(sender.address, to)) || randomBoolean(lossProbability)) {
             return;
         }
         deliverLater(sender, to, message);
-        if (chance(duplicateShare)) {
+        if (randomBoolean(duplicateProbability)) {
             deliverLater(sender, to, message);
         }
     }
 
     private void deliverLater(Machine sender, SocketAddress to, Message message) {
-        double delayMs = between(0.3, 1.5) + (chance(lateShare) ? between(0, 400) : 0);
-        at(arrivalMs(sender, to, message, delayMs), () -> {
+        double delayMs = randomBetween(0.3, 1.5) + (randomBoolean(delayProbability) ? randomBetween(0, 400) : 0);
+        scheduleAt(arrivalMs(sender, to, message, delayMs), () -> {
             Machine receiver = byAddress.get(to);
-            if (receiver != null && !cuts.contains(new Link(sender.address, to))) {
+            if (receiver != null && !cutLinks.contains(new Link(sender.address, to))) {
                 receiver.deliver(sender.address, message);
             }
         });
     }
 
-    /** When a message arrives that would take so long alone. */
+    /** The arrival time of a message whose delay would be {@code delayMs} on an idle link. */
     private double arrivalMs(Machine sender, SocketAddress to, Message message, double delayMs) {
         boolean isState =
                 message instanceof InstallSnapshot || message instanceof Replicate || message instanceof RelabelState;
-        if (wholeStateMs == 0 || !isState) {
+        if (snapshotTransferMs == 0 || !isState) {
             return nowMs + delayMs;
         }
-        double carriedMs = message instanceof InstallSnapshot ? wholeStateMs : 0;
+        double transferMs = message instanceof InstallSnapshot ? snapshotTransferMs : 0;
         return lastArrivalMs.merge(
                 new Link(sender.address, to),
-                nowMs + delayMs + carriedMs,
-                (last, alone) -> Math.max(last + carriedMs, alone));
+                nowMs + delayMs + transferMs,
+                (previousMs, unqueuedMs) -> Math.max(previousMs + transferMs, unqueuedMs));
     }
 
-    /** The processes that run and say at this moment that nobody else is the primary. */
+    /** The running processes that currently claim that no other process is the primary. */
     List<Machine> soleAuthorities() {
         return machines.stream()
                 .filter(machine -> machine.running() && !machine.frozen())
@@ -187,14 +190,14 @@
                 .toList();
     }
 
-    /** The process that leads with the highest epoch, or null. */
+    /** The primary with the highest epoch, or null if there is none. */
     Machine primary() {
-        Machine best = null;
+        Machine latest = null;
         for (Machine machine : machines) {
-            if (machine.leads() && (best == null || machine.epoch() > best.epoch())) {
-                best = machine;
+            if (machine.isPrimary() && (latest == null || machine.epoch() > latest.epoch())) {
+                latest = machine;
             }
         }
-        return best;
+        return latest;
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/SimulatedDisk.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/SimulatedDisk.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What survives a loss of power. */
+/** The data on a simulated disk, which survive a power loss. */
 final class SimulatedDisk {
-    /** How a disk behaves at present. */
+    /** The current behaviour of a disk. */
     enum Mode {
         HEALTHY,
         SLOW,
@@ -36,22 +36,22 @@
                 : new LoadedState(Optional.of(new StoredState(head, snapshot, changes)), false);
     }
 
-    /** An exact copy of what is on the disk now. */
+    /** An exact copy of the current data. */
     SimulatedDisk copy() {
         SimulatedDisk copy = new SimulatedDisk();
-        copy.putBack(this);
+        copy.restore(this);
         return copy;
     }
 
-    /** A copy that was made earlier takes the place of what is there. */
-    void putBack(SimulatedDisk copy) {
+    /** Replaces the data with an earlier copy. */
+    void restore(SimulatedDisk copy) {
         head = copy.head;
         snapshot = copy.snapshot;
         changes.clear();
         changes.addAll(copy.changes);
     }
 
-    /** The content is lost, the head stays: nothing that is kept tells of the loss. */
+    /** Loses the content but keeps the head, so that the loss cannot be detected from the remaining data. */
     void wipeContent() {
         if (head != null) {
             ConfigurationState none = ConfigurationState.NONE;
--- a/router-fleet/replication/src/test/java/pinewick/replication/SimulatedStore.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/SimulatedStore.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 import java.util.function.Consumer;
 
-/** The disk as one process sees it. Writes are taken in order, one at a time. */
+/** The stable store of one process on its simulated disk. Writes are processed in order, one at a time. */
 final class SimulatedStore implements StableStore {
     private record Write(StableWrite write, Runnable onDone, Consumer<StorageException> onFailed) {}
 
@@ -22,8 +22,8 @@
 
     @Override
     public void load(Consumer<LoadedState> onLoaded, Consumer<StorageException> onFailed) {
-        cluster.after(cluster.between(1, 20), () -> {
-            if (machine.isGeneration(generation)) {
+        cluster.scheduleAfter(cluster.randomBetween(1, 20), () -> {
+            if (machine.isCurrentGeneration(generation)) {
                 machine.run(generation, () -> onLoaded.accept(machine.disk.load()));
             }
         });
@@ -32,63 +32,67 @@
     @Override
     public void persist(StableWrite write, Runnable onDone, Consumer<StorageException> onFailed) {
         queue.add(new Write(write, onDone, onFailed));
-        next();
+        startNext();
     }
 
-    private void next() {
+    private void startNext() {
         if (busy || queue.isEmpty()) {
             return;
         }
         busy = true;
-        if (cluster.variant == Mutant.CONFIRMS_BEFORE_THE_DISK) {
-            Write early = queue.peek();
-            cluster.after(0.1, () -> machine.run(generation, early.onDone));
-            cluster.after(80, () -> end(() -> machine.disk.apply(early.write), () -> {}));
+        if (cluster.mutant == Mutant.CONFIRMS_BEFORE_WRITING) {
+            Write earlyWrite = queue.peek();
+            cluster.scheduleAfter(0.1, () -> machine.run(generation, earlyWrite.onDone));
+            cluster.scheduleAfter(80, () -> complete(() -> machine.disk.apply(earlyWrite.write), () -> {}));
             return;
         }
-        step();
+        processWrite();
     }
 
-    private void step() {
+    private void processWrite() {
         SimulatedDisk disk = machine.disk;
         Write write = queue.peek();
         switch (disk.mode) {
-            case STALLED -> cluster.after(20, () -> {
-                if (machine.isGeneration(generation)) {
-                    step();
+            case STALLED -> cluster.scheduleAfter(20, () -> {
+                if (machine.isCurrentGeneration(generation)) {
+                    processWrite();
                 }
             });
-            case FULL -> cluster.after(0.3, () -> refuse(write));
+            case FULL -> cluster.scheduleAfter(0.3, () -> fail(write));
             default -> {
-                double delayMs = cluster.between(0.8, 2.5) + (disk.mode == SimulatedDisk.Mode.SLOW ? disk.slowMs : 0);
-                cluster.after(delayMs, () -> end(() -> disk.apply(write.write), write.onDone));
+                double delayMs =
+                        cluster.randomBetween(0.8, 2.5) + (disk.mode == SimulatedDisk.Mode.SLOW ? disk.slowMs : 0);
+                cluster.scheduleAfter(delayMs, () -> complete(() -> disk.apply(write.write), write.onDone));
             }
         }
     }
 
-    /** A write that failed may be on the disk all the same. */
-    private void refuse(Write write) {
+    /** Fails a write, which may have reached the disk nevertheless. */
+    private void fail(Write write) {
         StorageException full = new StorageException(StorageException.Kind.FULL, "write", null);
-        Runnable effect = cluster.chance(0.2) ? () -> machine.disk.apply(write.write) : () -> {};
-        end(effect, () -> write.onFailed.accept(full));
+        Runnable effect = cluster.randomBoolean(0.2) ? () -> machine.disk.apply(write.write) : () -> {};
+        complete(effect, () -> write.onFailed.accept(full));
     }
 
-    private void end(Runnable effect, Runnable completion) {
-        if (!machine.isGeneration(generation)) {
+    private void complete(Runnable effect, Runnable completion) {
+        if (!machine.isCurrentGeneration(generation)) {
             return;
         }
         effect.run();
         queue.poll();
         busy = false;
         machine.run(generation, completion);
-        next();
+        startNext();
     }
 
-    /** The process ends: what was being written may have reached the disk. */
+    /** The process ends. The write in progress may have reached the disk. */
     void crash() {
         Write write = queue.peek();
-        boolean lost = cluster.variant == Mutant.CONFIRMS_BEFORE_THE_DISK;
-        if (write != null && !lost && machine.disk.mode != SimulatedDisk.Mode.FULL && cluster.chance(0.5)) {
+        boolean neverApplied = cluster.mutant == Mutant.CONFIRMS_BEFORE_WRITING;
+        if (write != null
+                && !neverApplied
+                && machine.disk.mode != SimulatedDisk.Mode.FULL
+                && cluster.randomBoolean(0.5)) {
             machine.disk.apply(write.write);
         }
     }
--- a/router-fleet/replication/src/test/java/pinewick/replication/SnapshotTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/SnapshotTest.java
@@ -19,15 +19,15 @@
 import pinewick.replication.DurableState.Outcome;
 import pinewick.replication.DurableState.Update;
 
-/** Thousands of changes on one disk, with snapshots folded beneath, and a disk that refuses one of the foldings. */
+/** Thousands of changes on one disk with periodic snapshots, and a full disk that rejects a snapshot. */
 class SnapshotTest {
     private static final int CHANGES = 2_000;
-    private static final int LONGEST_TAIL = 200;
+    private static final int MAX_TAIL = 200;
     private static final int SERVICES = 50;
-    private static final int LOOKED_AT_EVERY = 23;
+    private static final int CHECK_INTERVAL = 23;
     private static final EpochNumber NUMBER = new EpochNumber(1, "store");
 
-    /** A disk that takes each write at once, or refuses it. */
+    /** A store that completes each write at once, or rejects it. */
     private static final class ImmediateStore implements StableStore {
         private final SimulatedDisk disk = new SimulatedDisk();
         private final List<StableWrite.Content> writes = new ArrayList<>();
@@ -58,7 +58,7 @@
     private final DurableState durable = new DurableState(store, new ActiveClock(), () -> {});
 
     @BeforeEach
-    void found() {
+    void initialize() {
         durable.initialize("store");
         ConfigurationState empty = ConfigurationState.NONE.withVersion(new StateVersion(1, 0));
         durable.submit(() -> Optional.of(new Update(NUMBER, EpochRecord.NONE, empty, Optional.empty())), outcome -> {});
@@ -79,53 +79,54 @@
     }
 
     private Outcome apply(StoredChange change) {
-        Outcome[] ended = new Outcome[1];
+        Outcome[] result = new Outcome[1];
         durable.submit(
                 () -> {
-                    ConfigurationState held = durable.state();
-                    ConfigurationState changed = held.apply(held.version().next(), change.delta(), change.key());
-                    return Optional.of(new Update(NUMBER, EpochRecord.NONE, changed, Optional.of(change)));
+                    ConfigurationState current = durable.state();
+                    ConfigurationState updated = current.apply(current.version().next(), change.delta(), change.key());
+                    return Optional.of(new Update(NUMBER, EpochRecord.NONE, updated, Optional.of(change)));
                 },
-                outcome -> ended[0] = outcome);
-        return ended[0];
+                outcome -> result[0] = outcome);
+        return result[0];
     }
 
     private Outcome applyNext() {
         return apply(change(durable.state().document()));
     }
 
-    private void assertNextProcessHolds(ConfigurationState expected) {
-        DurableState next = new DurableState(store, new ActiveClock(), () -> {});
-        next.restore(store.disk.load().stored().orElseThrow());
-        assertEquals(expected.version(), next.state().version());
-        assertEquals(expected.document(), next.state().document());
+    private void assertRestartRestores(ConfigurationState expected) {
+        DurableState restarted = new DurableState(store, new ActiveClock(), () -> {});
+        restarted.restore(store.disk.load().stored().orElseThrow());
+        assertEquals(expected.version(), restarted.state().version());
+        assertEquals(expected.document(), restarted.state().document());
         for (long base = Math.max(0, expected.document().version() - AcceptedChanges.CAPACITY);
                 base < expected.document().version();
-                base += LOOKED_AT_EVERY) {
+                base += CHECK_INTERVAL) {
             String digest = String.format("%064x", base + 1);
             assertEquals(
-                    base + 1, next.state().changes().versionOf(base, digest).orElseThrow());
+                    base + 1,
+                    restarted.state().changes().versionOf(base, digest).orElseThrow());
         }
     }
 
     @Test
-    void afterEachSnapshotTheDiskHasEveryChange() {
-        int foldings = 0;
+    void keepsEveryChangeOnDiskAfterEachSnapshot() {
+        int snapshots = 0;
         for (int number = 1; number <= CHANGES; number++) {
             assertEquals(Outcome.WRITTEN, applyNext());
-            boolean folded = store.lastWrite() instanceof StableWrite.Replaced;
-            foldings += folded ? 1 : 0;
-            if (folded || number % LOOKED_AT_EVERY == 0) {
-                assertNextProcessHolds(durable.state());
+            boolean isSnapshot = store.lastWrite() instanceof StableWrite.Replaced;
+            snapshots += isSnapshot ? 1 : 0;
+            if (isSnapshot || number % CHECK_INTERVAL == 0) {
+                assertRestartRestores(durable.state());
             }
-            assertTrue(store.disk.load().stored().orElseThrow().changes().size() <= LONGEST_TAIL);
+            assertTrue(store.disk.load().stored().orElseThrow().changes().size() <= MAX_TAIL);
         }
-        assertEquals(CHANGES / (LONGEST_TAIL + 1), foldings);
+        assertEquals(CHANGES / (MAX_TAIL + 1), snapshots);
     }
 
     @Test
-    void aSnapshotThatAFullDiskRejectsChangesNothingAndIsWrittenNext() {
-        for (int number = 0; number < LONGEST_TAIL; number++) {
+    void writesASnapshotAgainThatAFullDiskRejected() {
+        for (int number = 0; number < MAX_TAIL; number++) {
             applyNext();
         }
         ConfigurationState before = durable.state();
@@ -133,31 +134,31 @@
         assertEquals(Outcome.FAILED, applyNext());
         assertInstanceOf(StableWrite.Replaced.class, store.lastWrite());
         assertEquals(before, durable.state());
-        assertNextProcessHolds(before);
+        assertRestartRestores(before);
         store.full = false;
         assertEquals(Outcome.WRITTEN, applyNext());
         assertInstanceOf(StableWrite.Replaced.class, store.lastWrite());
         assertEquals(before.document().version() + 1, durable.state().document().version());
-        assertNextProcessHolds(durable.state());
+        assertRestartRestores(durable.state());
         assertEquals(Outcome.WRITTEN, applyNext());
         assertInstanceOf(StableWrite.Appended.class, store.lastWrite());
-        assertNextProcessHolds(durable.state());
+        assertRestartRestores(durable.state());
     }
 
-    /** Not known to have failed: the process ends with the write on the disk, and the next one finds it whole. */
+    /** The write is on disk although it was not confirmed. The restarted process reads the complete snapshot. */
     @Test
-    void aSnapshotOnDiskThatWasReportedAsFailedIsFoundComplete() {
-        for (int number = 0; number < LONGEST_TAIL; number++) {
+    void restoresACompleteSnapshotWhoseWriteWasReportedAsFailed() {
+        for (int number = 0; number < MAX_TAIL; number++) {
             applyNext();
         }
         StoredChange last = change(durable.state().document());
-        ConfigurationState held = durable.state();
-        ConfigurationState changed = held.apply(held.version().next(), last.delta(), last.key());
+        ConfigurationState current = durable.state();
+        ConfigurationState updated = current.apply(current.version().next(), last.delta(), last.key());
         StoredSnapshot snapshot =
-                new StoredSnapshot(changed.documentBytes(), changed.changes().toBytes());
+                new StoredSnapshot(updated.documentBytes(), updated.changes().toBytes());
         store.disk.apply(new StableWrite(
-                new StoredHead("store", NUMBER, EpochRecord.NONE, changed.version()),
+                new StoredHead("store", NUMBER, EpochRecord.NONE, updated.version()),
                 new StableWrite.Replaced(snapshot)));
-        assertNextProcessHolds(changed);
+        assertRestartRestores(updated);
     }
 }
--- a/router-fleet/replication/src/test/java/pinewick/replication/StaleDiskTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/StaleDiskTest.java
@@ -7,24 +7,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** An old, whole copy of a disk is put back and its process started, while others know better. */
+/** A process starts from an old but complete copy of its disk while the other processes have newer states. */
 class StaleDiskTest {
     private static final int SEEDS = 20;
-    private static final double FOUNDED_MS = 4_000;
-    private static final double SOON_MS = 100;
-    private static final double REPAIRED_MS = 4_000;
+    private static final double BOOTSTRAP_MS = 4_000;
+    private static final double SHORT_WAIT_MS = 100;
+    private static final double REPAIR_MS = 4_000;
 
-    private static void take(SimulatedCluster cluster) {
-        Change change = new Operator(cluster).properChange();
-        boolean[] taken = new boolean[1];
+    private static void submitAndAwait(SimulatedCluster cluster) {
+        Change change = new Operator(cluster).validChange();
+        boolean[] acknowledged = new boolean[1];
         cluster.primary().submit(change, outcome -> {
-            cluster.checker.answered(change, outcome);
-            taken[0] = outcome instanceof ChangeOutcome.Accepted;
+            cluster.checker.onChangeOutcome(change, outcome);
+            acknowledged[0] = outcome instanceof ChangeOutcome.Accepted;
         });
-        cluster.runUntil(() -> taken[0], SOON_MS);
+        cluster.runUntil(() -> acknowledged[0], SHORT_WAIT_MS);
     }
 
-    private static Machine backup(SimulatedCluster cluster) {
+    private static Machine follower(SimulatedCluster cluster) {
         return cluster.machines.stream()
                 .filter(machine -> machine != cluster.primary())
                 .findFirst()
@@ -35,59 +35,60 @@
         return machine.node().status(false).self().identity();
     }
 
-    /** Within one epoch, so quickly that the store never left the in-sync set; then the primary is lost. */
+    /** The restart takes place within one epoch, before the store leaves the in-sync set. Then the primary is lost. */
     @Test
-    void ofTheSameEpochDoesNotUndoAcknowledgedChanges() {
+    void keepsAcknowledgedChangesWithAStaleDiskOfTheSameEpoch() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, 1);
-            cluster.found(3);
-            cluster.runUntil(FOUNDED_MS);
-            take(cluster);
-            Machine restored = backup(cluster);
-            SimulatedDisk copy = restored.disk.copy();
-            take(cluster);
-            restored.kill();
-            restored.disk.putBack(copy);
-            restored.start(false);
-            cluster.runUntil(cluster.nowMs() + REPAIRED_MS);
-            long acknowledged = cluster.checker.newestAcknowledged();
+            cluster.bootstrap(3);
+            cluster.runUntil(BOOTSTRAP_MS);
+            submitAndAwait(cluster);
+            Machine restoredMachine = follower(cluster);
+            SimulatedDisk copy = restoredMachine.disk.copy();
+            submitAndAwait(cluster);
+            restoredMachine.kill();
+            restoredMachine.disk.restore(copy);
+            restoredMachine.start(false);
+            cluster.runUntil(cluster.nowMs() + REPAIR_MS);
+            long acknowledgedVersion = cluster.checker.newestAcknowledged();
             cluster.primary().wipe();
-            cluster.runUntil(cluster.nowMs() + REPAIRED_MS);
-            boolean[] read = new boolean[1];
+            cluster.runUntil(cluster.nowMs() + REPAIR_MS);
+            boolean[] readCompleted = new boolean[1];
             cluster.primary().read(outcome -> {
-                cluster.checker.read(((ReadOutcome.Current) outcome).document(), acknowledged);
-                read[0] = true;
+                cluster.checker.onRead(((ReadOutcome.Current) outcome).document(), acknowledgedVersion);
+                readCompleted[0] = true;
             });
-            cluster.runUntil(() -> read[0], SOON_MS);
+            cluster.runUntil(() -> readCompleted[0], SHORT_WAIT_MS);
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void ofAnEarlierEpochStartsOver(boolean whileThePrimaryStays) {
+    void resetsAStaleDiskOfAnEarlierEpoch(boolean primaryKeepsRunning) {
         SimulatedCluster cluster = new SimulatedCluster(9, 1);
-        cluster.found(3);
-        cluster.runUntil(FOUNDED_MS);
-        take(cluster);
-        Machine restored = backup(cluster);
-        SimulatedDisk copy = restored.disk.copy();
-        String before = identity(restored);
-        cluster.primary().leave();
-        cluster.runUntil(cluster.nowMs() + REPAIRED_MS);
-        cluster.machines.stream().filter(machine -> machine != restored).forEach(Machine::kill);
+        cluster.bootstrap(3);
+        cluster.runUntil(BOOTSTRAP_MS);
+        submitAndAwait(cluster);
+        Machine restoredMachine = follower(cluster);
+        SimulatedDisk copy = restoredMachine.disk.copy();
+        String identityBefore = identity(restoredMachine);
+        cluster.primary().beginShutdown();
+        cluster.runUntil(cluster.nowMs() + REPAIR_MS);
+        cluster.machines.stream().filter(machine -> machine != restoredMachine).forEach(Machine::kill);
         cluster.machines.forEach(machine -> machine.start(false));
-        cluster.runUntil(cluster.nowMs() + REPAIRED_MS);
-        take(cluster);
-        restored.kill();
-        restored.disk.putBack(copy);
-        if (!whileThePrimaryStays) {
+        cluster.runUntil(cluster.nowMs() + REPAIR_MS);
+        submitAndAwait(cluster);
+        restoredMachine.kill();
+        restoredMachine.disk.restore(copy);
+        if (!primaryKeepsRunning) {
             cluster.machines.forEach(Machine::kill);
             cluster.machines.forEach(machine -> machine.start(false));
         } else {
-            restored.start(false);
+            restoredMachine.start(false);
         }
-        cluster.runUntil(cluster.nowMs() + REPAIRED_MS);
-        assertNotEquals(before, identity(restored), "its promise is forgotten");
+        cluster.runUntil(cluster.nowMs() + REPAIR_MS);
+        assertNotEquals(
+                identityBefore, identity(restoredMachine), "the store with the stale promise must get a new identity");
         assertEquals(
                 3,
                 cluster.primary()
@@ -98,20 +99,20 @@
                         .orElseThrow());
     }
 
-    /** The settings still say that the whole system starts for the first time. */
+    /** The settings still state that the system starts for the first time. */
     @Test
-    void aFounderWhoseDiskIsEmptyAgainIsReset() {
+    void resetsAFounderWithAnEmptyDisk() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, 1);
-            cluster.found(3);
-            cluster.runUntil(FOUNDED_MS);
-            take(cluster);
-            Machine wiped = backup(cluster);
-            String before = identity(wiped);
-            wiped.wipe();
-            wiped.start(true);
-            cluster.runUntil(cluster.nowMs() + REPAIRED_MS);
-            assertNotEquals(before, identity(wiped));
+            cluster.bootstrap(3);
+            cluster.runUntil(BOOTSTRAP_MS);
+            submitAndAwait(cluster);
+            Machine wipedMachine = follower(cluster);
+            String identityBefore = identity(wipedMachine);
+            wipedMachine.wipe();
+            wipedMachine.start(true);
+            cluster.runUntil(cluster.nowMs() + REPAIR_MS);
+            assertNotEquals(identityBefore, identity(wipedMachine));
             assertEquals(
                     3,
                     cluster.primary()
--- a/router-fleet/replication/src/test/java/pinewick/replication/WitnessTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/WitnessTest.java
@@ -21,12 +21,12 @@
 import pinewick.replication.ReplicationMessages.RecordChosen;
 import pinewick.replication.ReplicationMessages.Rejection;
 
-/** What a witness promises and accepts, message by message. */
+/** Which messages a witness promises, accepts and rejects. */
 class WitnessTest {
     private static final SocketAddress SELF = SocketAddress.parse("10.0.0.1:7721");
     private static final SocketAddress OTHER = SocketAddress.parse("10.0.0.2:7721");
     private static final SocketAddress THIRD = SocketAddress.parse("10.0.0.3:7721");
-    private static final RequestId QUESTION = new RequestId(17, 1);
+    private static final RequestId REQUEST = new RequestId(17, 1);
     private static final List<SocketAddress> SEEDS = List.of(SELF, OTHER, THIRD);
 
     private final List<Message> sent = new ArrayList<>();
@@ -42,7 +42,7 @@
                 public void onCommitted(ConfigurationDocument document) {}
             });
 
-    /** A store whose writes end when the test says so. */
+    /** A store whose operations complete when the test requires it. */
     private final class ManualStore implements StableStore {
         @Override
         public void load(Consumer<LoadedState> onLoaded, Consumer<StorageException> onFailed) {
@@ -58,7 +58,7 @@
         }
     }
 
-    private void started() {
+    private void start() {
         node.start(0);
         finishWrites();
         sent.clear();
@@ -84,10 +84,10 @@
     }
 
     @Test
-    void promisesOnceItIsOnDisk() {
-        started();
-        node.onMessage(OTHER, new Prepare(QUESTION, number(5, OTHER), false), 10);
-        assertTrue(sent.isEmpty(), "nothing is said before the disk has it");
+    void promisesOnceThePromiseIsDurable() {
+        start();
+        node.onMessage(OTHER, new Prepare(REQUEST, number(5, OTHER), false), 10);
+        assertTrue(sent.isEmpty(), "no reply before the promise is durable");
         finishWrites();
         Promise promise = lastSent(Promise.class);
         assertEquals(number(5, OTHER), promise.number());
@@ -97,33 +97,33 @@
 
     @Test
     void promisesTheSameNumberAgainToItsProposerOnly() {
-        started();
-        node.onMessage(OTHER, new Prepare(QUESTION, number(5, OTHER), false), 10);
+        start();
+        node.onMessage(OTHER, new Prepare(REQUEST, number(5, OTHER), false), 10);
         finishWrites();
-        node.onMessage(OTHER, new Prepare(QUESTION, number(5, OTHER), false), 20);
+        node.onMessage(OTHER, new Prepare(REQUEST, number(5, OTHER), false), 20);
         lastSent(Promise.class);
-        node.onMessage(THIRD, new Prepare(QUESTION, number(5, THIRD), false), 30);
+        node.onMessage(THIRD, new Prepare(REQUEST, number(5, THIRD), false), 30);
         finishWrites();
         assertEquals(number(5, OTHER), lastSent(Rejection.class).promised());
     }
 
     @Test
     void acceptsNothingBelowItsPromise() {
-        started();
-        node.onMessage(OTHER, new Prepare(QUESTION, number(5, OTHER), false), 10);
+        start();
+        node.onMessage(OTHER, new Prepare(REQUEST, number(5, OTHER), false), 10);
         finishWrites();
-        node.onMessage(THIRD, new Accept(QUESTION, record(number(4, THIRD))), 20);
+        node.onMessage(THIRD, new Accept(REQUEST, record(number(4, THIRD))), 20);
         finishWrites();
         lastSent(Rejection.class);
-        node.onMessage(OTHER, new Accept(QUESTION, record(number(5, OTHER))), 30);
+        node.onMessage(OTHER, new Accept(REQUEST, record(number(5, OTHER))), 30);
         finishWrites();
         assertEquals(number(5, OTHER), lastSent(Accepted.class).number());
     }
 
     @Test
     void learnsNothingBelowItsPromise() {
-        started();
-        node.onMessage(OTHER, new Prepare(QUESTION, number(5, OTHER), false), 10);
+        start();
+        node.onMessage(OTHER, new Prepare(REQUEST, number(5, OTHER), false), 10);
         finishWrites();
         node.onMessage(THIRD, new RecordChosen(record(number(4, THIRD))), 20);
         finishWrites();
@@ -134,24 +134,24 @@
     }
 
     @Test
-    void withPrimaryContactNoOtherProposerGetsAPromise() {
-        started();
+    void promisesNoOtherProposerWhileItHasPrimaryContact() {
+        start();
         node.onMessage(OTHER, new RecordChosen(record(number(1, OTHER))), 10);
         finishWrites();
-        node.onMessage(OTHER, new Heartbeat(QUESTION, number(1, OTHER), StateVersion.NONE, OTHER), 20);
-        assertEquals(QUESTION, lastSent(HeartbeatReply.class).request());
-        node.onMessage(THIRD, new Prepare(QUESTION, number(2, THIRD), false), 30);
+        node.onMessage(OTHER, new Heartbeat(REQUEST, number(1, OTHER), StateVersion.NONE, OTHER), 20);
+        assertEquals(REQUEST, lastSent(HeartbeatReply.class).request());
+        node.onMessage(THIRD, new Prepare(REQUEST, number(2, THIRD), false), 30);
         finishWrites();
         lastSent(Rejection.class);
-        node.onMessage(THIRD, new Prepare(QUESTION, number(2, THIRD), true), 40);
+        node.onMessage(THIRD, new Prepare(REQUEST, number(2, THIRD), true), 40);
         finishWrites();
         lastSent(Promise.class);
     }
 
     @Test
-    void aRestartKeepsThePromise() {
-        started();
-        node.onMessage(OTHER, new Prepare(QUESTION, number(5, OTHER), false), 10);
+    void storesThePromiseForARestart() {
+        start();
+        node.onMessage(OTHER, new Prepare(REQUEST, number(5, OTHER), false), 10);
         finishWrites();
         StoredState stored = disk.load().stored().orElseThrow();
         assertEquals(SELF.toString(), stored.head().identity());
