--- a/router-fleet/control/src/main/java/pinewick/control/HttpReplicaClient.java
+++ b/router-fleet/control/src/main/java/pinewick/control/HttpReplicaClient.java
@@ -28,7 +28,7 @@
  * Sends requests to replicas over HTTP. Each request has its own connection and its own id, so that a late or
  * duplicate response is never taken for the response to another request. Connections are closed by a reset: an order
  * that is delayed by a partition is dropped with its connection, and does not arrive long after the lease has
- * expired. A response without a length ends with its connection; the client cannot tell a reset from an orderly
+ * expired. A response without a length ends with its connection; the client cannot distinguish a reset from an orderly
  * close, but a truncated report is not a complete JSON object and is rejected.
  */
 final class HttpReplicaClient implements ReplicaClient {
--- a/router-fleet/control/src/main/java/pinewick/control/OrderOutcome.java
+++ b/router-fleet/control/src/main/java/pinewick/control/OrderOutcome.java
@@ -28,7 +28,7 @@
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
 
-    /** The outcome that an HTTP status stands for. */
+    /** The outcome that an HTTP status represents. */
     static OrderOutcome ofStatus(int status) {
         return switch (status) {
             case OK, ACCEPTED_STATUS -> ACCEPTED;
--- a/router-fleet/replication/src/main/java/pinewick/replication/Election.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/Election.java
@@ -22,7 +22,7 @@
     private static final double PRIMARY_CONTACT_MS = 450;
 
     /**
-     * Election timeout: the shortest time without contact to the primary after which another process stands for
+     * Election timeout: the shortest time without contact to the primary after which another process starts an
      * election.
      */
     private static final double ELECTION_TIMEOUT_MS = 600;
@@ -36,7 +36,7 @@
     private static final double NOT_LEADING_ELECTION_DELAY_MS = 150;
 
     /**
-     * How long a proposer that got a promise has, before this process stands for election, to get its record chosen.
+     * How long a proposer that got a promise has, before this process starts an election, to get its record chosen.
      */
     private static final double GRANTED_VOTE_MS = 700;
 
@@ -167,7 +167,7 @@
     }
 
     /**
-     * Whether this process should stand for election now: its timer has expired, a quorum answered, none of the answers
+     * Whether this process should start an election now: its timer has expired, a quorum replied, none of the replies
      * reports contact with a primary, and this store is in sync.
      */
     boolean isDue() {
--- a/router-fleet/replication/src/main/java/pinewick/replication/Follower.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/Follower.java
@@ -209,7 +209,7 @@
     }
 
     /**
-     * Merges what a reply says of the accepted record. A store that knows a record to be chosen never forgets it, but
+     * Merges the accepted record that a reply reports. A store that knows a record to be chosen never forgets it, but
      * two replies to one heartbeat may arrive in either order.
      */
     private void updateAccepted(EpochNumber number, boolean isChosen) {
--- a/router-fleet/replication/src/main/java/pinewick/replication/PrimaryRole.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/PrimaryRole.java
@@ -15,7 +15,7 @@
  * The primary role of this process, over one or more epochs: from the first chosen record that names it until it steps
  * down. It steps down when its disk fails or stalls, when no quorum confirms its epoch in time ({@link
  * PrimaryEpoch#mustStepDown}), when a higher epoch is observed, or when the process shuts down. Unless a higher epoch
- * was observed, it resigns and names a successor, if there is one, which stands for election at once. Control loop
+ * was observed, it resigns and names a successor, if there is one, which starts an election at once. Control loop
  * only.
  */
 final class PrimaryRole {
@@ -24,7 +24,7 @@
 
     private static final double READ_TIMEOUT_MS = 2_000;
 
-    /** Additional delay before a process that resigned stands for election again. */
+    /** Additional delay before a process that resigned starts an election again. */
     private static final double ELECTION_BACKOFF_MS = 1_000;
 
     /** How long a primary that shuts down waits for the change in flight. */
--- a/router-fleet/replication/src/main/java/pinewick/replication/ReplicationMessages.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/ReplicationMessages.java
@@ -240,7 +240,7 @@
      * A primary announces that it steps down.
      *
      * @param number its epoch
-     * @param successor identity of the store that is to stand for election at once, or empty
+     * @param successor identity of the store whose process is to start an election at once, or empty
      * @param shuttingDown whether it resigns because its process is shutting down; else its disk failed or it lost its
      *     quorum
      */
--- a/router-fleet/replication/src/main/java/pinewick/replication/StatusExchange.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/StatusExchange.java
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Learns the members from the record of another controller, and asks new ones for their status at once. So a
+     * Learns the members from the record of another controller, and asks new ones for their status at once. Thus a
      * process whose seeds are all lost finds the primary through any controller that it reaches.
      */
     private void recordMembers(EpochRecord record) {
