--- a/router-fleet/replication/src/main/java/pinewick/replication/EpochLease.java
+++ b/router-fleet/replication/src/main/java/pinewick/replication/EpochLease.java
@@ -69,10 +69,10 @@
     }
 
     /**
-     * When the newest heartbeat to which a quorum has replied was sent, steady time; {@link Double#NEGATIVE_INFINITY} for
-     * none. No later epoch was chosen before that time, regardless of the clocks of other processes: the quorum that
-     * chooses one shares a witness with the quorum that answered, and that witness had promised nothing higher when it
-     * answered.
+     * When the newest heartbeat to which a quorum has replied was sent, steady time; {@link Double#NEGATIVE_INFINITY}
+     * for none. No later epoch was chosen before that time, regardless of the clocks of other processes: the quorum
+     * that chooses one shares a witness with the quorum that replied, and that witness had promised nothing higher when
+     * it replied.
      */
     double confirmedSteadyMs() {
         return confirmedSteadyMs;
--- a/router-fleet/replication/src/test/java/pinewick/replication/SimulatedStore.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/SimulatedStore.java
@@ -58,7 +58,7 @@
                     processWrite();
                 }
             });
-            case FULL -> cluster.scheduleAfter(0.3, () -> fail(write));
+            case FULL -> cluster.scheduleAfter(0.3, () -> failWrite(write));
             default -> {
                 double delayMs =
                         cluster.randomBetween(0.8, 2.5) + (disk.mode == SimulatedDisk.Mode.SLOW ? disk.slowMs : 0);
@@ -68,7 +68,7 @@
     }
 
     /** Fails a write, which may have reached the disk nevertheless. */
-    private void fail(Write write) {
+    private void failWrite(Write write) {
         StorageException full = new StorageException(StorageException.Kind.FULL, "write", null);
         Runnable effect = cluster.randomBoolean(0.2) ? () -> machine.disk.apply(write.write) : () -> {};
         complete(effect, () -> write.onFailed.accept(full));
