--- a/router-fleet/replication/src/test/java/pinewick/replication/CatchUpTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/CatchUpTest.java
@@ -9,136 +9,136 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A member that missed many changes comes back while more of them go on. */
+/** A member that missed many changes returns while more changes are submitted. */
 class CatchUpTest {
     private static final int SEEDS = 20;
-    private static final double FOUNDED_MS = 4_000;
-    private static final double AWAY_MS = 10_000;
+    private static final double BOOTSTRAP_MS = 4_000;
+    private static final double ABSENCE_MS = 10_000;
     private static final double BOUND_MS = 3_000;
-    private static final double RETRY_MS = 20;
-    private static final int MISSED = 2_000;
-    private static final double MISSED_EVERY_MS = 5;
+    private static final double RETRY_INTERVAL_MS = 20;
+    private static final int MISSED_CHANGES = 2_000;
+    private static final double MISSED_INTERVAL_MS = 5;
 
-    /** Changes one after the other, each to the present primary until it is acknowledged. */
-    private static final class SteadyChanges {
-        private final World world;
-        private double everyMs;
+    /** Submits changes one after the other, each to the current primary until it is acknowledged. */
+    private static final class ChangeLoad {
+        private final SimulatedCluster cluster;
+        private double intervalMs;
         private int acknowledged;
 
-        SteadyChanges(World world, double everyMs) {
-            this.world = world;
-            this.everyMs = everyMs;
-            world.after(0, this::next);
+        ChangeLoad(SimulatedCluster cluster, double intervalMs) {
+            this.cluster = cluster;
+            this.intervalMs = intervalMs;
+            cluster.scheduleAfter(0, this::sendNext);
         }
 
-        private void next() {
-            double dueMs = world.nowMs() + everyMs;
-            send(new Operator(world).properChange(), new boolean[1], dueMs);
+        private void sendNext() {
+            double dueMs = cluster.nowMs() + intervalMs;
+            send(new Operator(cluster).validChange(), new boolean[1], dueMs);
         }
 
-        private void send(Change change, boolean[] done, double dueMs) {
-            if (done[0]) {
+        private void send(Change change, boolean[] completed, double dueMs) {
+            if (completed[0]) {
                 return;
             }
-            Machine primary = world.primary();
+            Machine primary = cluster.primary();
             if (primary != null) {
                 primary.submit(change, outcome -> {
-                    world.checker.answered(change, outcome);
-                    if (outcome instanceof ChangeOutcome.Accepted && !done[0]) {
-                        done[0] = true;
+                    cluster.checker.onChangeOutcome(change, outcome);
+                    if (outcome instanceof ChangeOutcome.Accepted && !completed[0]) {
+                        completed[0] = true;
                         acknowledged++;
-                        world.at(dueMs, this::next);
+                        cluster.scheduleAt(dueMs, this::sendNext);
                     }
                 });
             }
-            world.after(RETRY_MS, () -> send(change, done, dueMs));
+            cluster.scheduleAfter(RETRY_INTERVAL_MS, () -> send(change, completed, dueMs));
         }
     }
 
-    private static World founded(long seed) {
-        World world = new World(seed, 1);
-        world.found(3);
-        world.runUntil(FOUNDED_MS);
-        return world;
+    private static SimulatedCluster bootstrapped(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 1);
+        cluster.bootstrap(3);
+        cluster.runUntil(BOOTSTRAP_MS);
+        return cluster;
     }
 
-    private static Machine backup(World world) {
-        return world.machines.stream()
-                .filter(machine -> machine != world.primary())
+    private static Machine follower(SimulatedCluster cluster) {
+        return cluster.machines.stream()
+                .filter(machine -> machine != cluster.primary())
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static boolean allInSync(World world) {
-        Machine primary = world.primary();
+    private static boolean allInSync(SimulatedCluster cluster) {
+        Machine primary = cluster.primary();
         return primary != null && primary.node().report().inSync() == 3;
     }
 
     @ParameterizedTest
     @CsvSource({"200, 150", "200, 500", "33, 150", "33, 500"})
-    void aMemberComesIntoSyncWhileChangesGoOn(double everyMs, double wholeStateMs) {
-        double longest = 0;
+    void bringsAMemberIntoSyncWhileChangesContinue(double intervalMs, double snapshotTransferMs) {
+        double maxMs = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            World world = founded(seed);
-            world.wholeStateMs = wholeStateMs;
-            SteadyChanges changes = new SteadyChanges(world, everyMs);
-            Machine away = backup(world);
-            away.kill();
-            world.runUntil(world.nowMs() + AWAY_MS);
-            assertFalse(allInSync(world));
-            away.start(false);
-            longest = Math.max(longest, world.runUntil(() -> allInSync(world), BOUND_MS));
-            int before = changes.acknowledged;
-            world.runUntil(world.nowMs() + 1_000);
-            assertTrue(changes.acknowledged > before, "changes go on");
-            assertTrue(allInSync(world), "it stays in sync");
+            SimulatedCluster cluster = bootstrapped(seed);
+            cluster.snapshotTransferMs = snapshotTransferMs;
+            ChangeLoad changes = new ChangeLoad(cluster, intervalMs);
+            Machine absent = follower(cluster);
+            absent.kill();
+            cluster.runUntil(cluster.nowMs() + ABSENCE_MS);
+            assertFalse(allInSync(cluster));
+            absent.start(false);
+            maxMs = Math.max(maxMs, cluster.runUntil(() -> allInSync(cluster), BOUND_MS));
+            int acknowledgedBefore = changes.acknowledged;
+            cluster.runUntil(cluster.nowMs() + 1_000);
+            assertTrue(changes.acknowledged > acknowledgedBefore, "changes are still acknowledged");
+            assertTrue(allInSync(cluster), "the member stays in sync");
         }
         System.out.printf(
-                "a change every %.0f ms, a whole state takes %.0f ms: in sync after %.0f ms at most%n",
-                everyMs, wholeStateMs, longest);
+                "change interval %.0f ms, snapshot transfer %.0f ms: in sync within %.0f ms%n",
+                intervalMs, snapshotTransferMs, maxMs);
     }
 
-    /** It holds an old, whole state, and its own record says that it was in sync. */
+    /** The member has an old but complete state, and by its own epoch record it was in sync. */
     @Test
-    void aMemberThatMissedTwoThousandChangesNeverLeadsBeforeItHasThem() {
-        World world = founded(1);
-        Machine away = backup(world);
-        away.kill();
-        SteadyChanges changes = new SteadyChanges(world, MISSED_EVERY_MS);
-        world.runUntil(() -> changes.acknowledged >= MISSED, MISSED * 4 * MISSED_EVERY_MS);
-        changes.everyMs = Double.POSITIVE_INFINITY;
-        world.runUntil(world.nowMs() + 1_000);
-        long newest = world.checker.newestAcknowledged();
-        world.machines.stream().filter(machine -> machine != away).forEach(Machine::kill);
-        away.start(false);
-        world.runUntil(world.nowMs() + AWAY_MS);
-        assertNotEquals(away, world.primary(), "alone");
-        Machine other = world.machines.stream()
-                .filter(machine -> machine != away)
+    void doesNotElectAMemberThatMissedChanges() {
+        SimulatedCluster cluster = bootstrapped(1);
+        Machine absent = follower(cluster);
+        absent.kill();
+        ChangeLoad changes = new ChangeLoad(cluster, MISSED_INTERVAL_MS);
+        cluster.runUntil(() -> changes.acknowledged >= MISSED_CHANGES, MISSED_CHANGES * 4 * MISSED_INTERVAL_MS);
+        changes.intervalMs = Double.POSITIVE_INFINITY;
+        cluster.runUntil(cluster.nowMs() + 1_000);
+        long newestVersion = cluster.checker.newestAcknowledged();
+        cluster.machines.stream().filter(machine -> machine != absent).forEach(Machine::kill);
+        absent.start(false);
+        cluster.runUntil(cluster.nowMs() + ABSENCE_MS);
+        assertNotEquals(absent, cluster.primary(), "a primary without a quorum");
+        Machine otherMachine = cluster.machines.stream()
+                .filter(machine -> machine != absent)
                 .findFirst()
                 .orElseThrow();
-        other.start(false);
-        world.runUntil(() -> away.newest().version() >= newest, BOUND_MS);
-        assertEquals(newest, other.newest().version());
-        world.runUntil(() -> world.primary().node().report().inSync() == 2, BOUND_MS);
+        otherMachine.start(false);
+        cluster.runUntil(() -> absent.newestConfiguration().version() >= newestVersion, BOUND_MS);
+        assertEquals(newestVersion, otherMachine.newestConfiguration().version());
+        cluster.runUntil(() -> cluster.primary().node().report().inSync() == 2, BOUND_MS);
     }
 
-    /** The state is being sent, or written, when the process ends; it is sent again. */
+    /** The process ends while the state is sent or written; the state is sent again. */
     @Test
-    void aRestartWhileAStateIsReceivedLosesNothing() {
-        for (int atMs = 10; atMs <= 700; atMs += 30) {
-            World world = founded(atMs);
-            world.wholeStateMs = 150;
-            SteadyChanges changes = new SteadyChanges(world, 200);
-            Machine away = backup(world);
-            away.wipe();
-            world.runUntil(world.nowMs() + AWAY_MS);
-            away.start(false);
-            world.runUntil(world.nowMs() + atMs);
-            away.kill();
-            world.runUntil(world.nowMs() + 100);
-            away.start(false);
-            world.runUntil(() -> allInSync(world), BOUND_MS);
+    void receivesTheStateAgainAfterARestartDuringTheTransfer() {
+        for (int restartAtMs = 10; restartAtMs <= 700; restartAtMs += 30) {
+            SimulatedCluster cluster = bootstrapped(restartAtMs);
+            cluster.snapshotTransferMs = 150;
+            ChangeLoad changes = new ChangeLoad(cluster, 200);
+            Machine absent = follower(cluster);
+            absent.wipe();
+            cluster.runUntil(cluster.nowMs() + ABSENCE_MS);
+            absent.start(false);
+            cluster.runUntil(cluster.nowMs() + restartAtMs);
+            absent.kill();
+            cluster.runUntil(cluster.nowMs() + 100);
+            absent.start(false);
+            cluster.runUntil(() -> allInSync(cluster), BOUND_MS);
             assertTrue(changes.acknowledged > 0);
         }
     }
--- a/router-fleet/replication/src/test/java/pinewick/replication/QuorumContactTest.java
+++ b/router-fleet/replication/src/test/java/pinewick/replication/QuorumContactTest.java
@@ -8,96 +8,96 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which controllers may say that their configuration is the newest. */
+/** Which controllers may claim that their configuration is the newest. */
 class QuorumContactTest {
     /** A primary without a quorum resigns after 900 ms; its last heartbeat counts for 450 ms. */
-    private static final double LOST_MS = 1_400;
+    private static final double QUORUM_LOSS_MS = 1_400;
 
     private static final double BOUND_MS = 6_000;
 
-    private final World world = new World(11, 1);
+    private final SimulatedCluster cluster = new SimulatedCluster(11, 1);
 
     @BeforeEach
-    void found() {
-        world.found(3);
-        world.runUntil(3_000);
+    void bootstrap() {
+        cluster.bootstrap(3);
+        cluster.runUntil(3_000);
     }
 
-    private List<Machine> backups() {
-        Machine primary = world.primary();
-        return world.machines.stream().filter(machine -> machine != primary).toList();
+    private List<Machine> followers() {
+        Machine primary = cluster.primary();
+        return cluster.machines.stream().filter(machine -> machine != primary).toList();
     }
 
     private void isolate(Machine machine) {
-        for (Machine other : world.machines) {
-            world.cut(machine, other);
-            world.cut(other, machine);
+        for (Machine other : cluster.machines) {
+            cluster.cutLink(machine, other);
+            cluster.cutLink(other, machine);
         }
     }
 
     private void runFor(double durationMs) {
-        world.runUntil(world.nowMs() + durationMs);
+        cluster.runUntil(cluster.nowMs() + durationMs);
     }
 
-    private static boolean holdsNewest(Machine machine) {
+    private static boolean isUpToDate(Machine machine) {
         return machine.node().isUpToDate();
     }
 
     @Test
-    void everyControllerOfAHealthyQuorumIsUpToDate() {
-        world.machines.forEach(machine -> assertTrue(holdsNewest(machine)));
+    void reportsAllControllersOfAHealthyQuorumAsUpToDate() {
+        cluster.machines.forEach(machine -> assertTrue(isUpToDate(machine)));
     }
 
     @Test
-    void aFollowerThatIsCutOffIsNot() {
-        Machine alone = backups().get(0);
-        isolate(alone);
-        runFor(LOST_MS);
-        assertFalse(holdsNewest(alone));
-        runFor(20_000 - LOST_MS);
-        assertFalse(holdsNewest(alone));
-        long others = world.machines.stream()
-                .filter(machine -> machine != alone && holdsNewest(machine))
+    void reportsAnIsolatedFollowerAsNotUpToDate() {
+        Machine isolatedMachine = followers().get(0);
+        isolate(isolatedMachine);
+        runFor(QUORUM_LOSS_MS);
+        assertFalse(isUpToDate(isolatedMachine));
+        runFor(20_000 - QUORUM_LOSS_MS);
+        assertFalse(isUpToDate(isolatedMachine));
+        long upToDateOthers = cluster.machines.stream()
+                .filter(machine -> machine != isolatedMachine && isUpToDate(machine))
                 .count();
-        assertEquals(2, others);
-        world.joinAll();
-        assertTrue(world.runUntil(() -> holdsNewest(alone), BOUND_MS) < BOUND_MS);
+        assertEquals(2, upToDateOthers);
+        cluster.restoreAllLinks();
+        assertTrue(cluster.runUntil(() -> isUpToDate(isolatedMachine), BOUND_MS) < BOUND_MS);
     }
 
     @Test
-    void aPrimaryThatIsCutOffIsNot() {
-        Machine alone = world.primary();
-        isolate(alone);
-        runFor(LOST_MS);
-        assertFalse(holdsNewest(alone));
-        runFor(20_000 - LOST_MS);
-        assertFalse(holdsNewest(alone));
+    void reportsAnIsolatedPrimaryAsNotUpToDate() {
+        Machine isolatedMachine = cluster.primary();
+        isolate(isolatedMachine);
+        runFor(QUORUM_LOSS_MS);
+        assertFalse(isUpToDate(isolatedMachine));
+        runFor(20_000 - QUORUM_LOSS_MS);
+        assertFalse(isUpToDate(isolatedMachine));
     }
 
     @Test
-    void aPrimaryThatSendsButReceivesNothingIsNot() {
-        Machine primary = world.primary();
-        for (Machine other : backups()) {
-            world.cut(other, primary);
+    void reportsAPrimaryThatReceivesNothingAsNotUpToDate() {
+        Machine primary = cluster.primary();
+        for (Machine other : followers()) {
+            cluster.cutLink(other, primary);
         }
-        runFor(LOST_MS);
-        assertFalse(holdsNewest(primary));
+        runFor(QUORUM_LOSS_MS);
+        assertFalse(isUpToDate(primary));
     }
 
     @Test
-    void aStoreWhoseDiskWasLostIsUpToDateOnlyOnceItHasTheState() {
-        Change change = new Operator(world).properChange();
-        world.primary().submit(change, outcome -> {});
+    void reportsAWipedStoreAsUpToDateOnlyOnceItHasTheState() {
+        Change change = new Operator(cluster).validChange();
+        cluster.primary().submit(change, outcome -> {});
         runFor(1_000);
-        Machine wiped = backups().get(0);
-        wiped.wipe();
+        Machine wipedMachine = followers().get(0);
+        wipedMachine.wipe();
         runFor(500);
-        wiped.start(false);
-        assertFalse(holdsNewest(wiped));
-        world.runUntil(() -> holdsNewest(wiped), BOUND_MS);
-        Machine primary = world.primary();
+        wipedMachine.start(false);
+        assertFalse(isUpToDate(wipedMachine));
+        cluster.runUntil(() -> isUpToDate(wipedMachine), BOUND_MS);
+        Machine primary = cluster.primary();
         assertEquals(
                 primary.node().status(false).stateVersion(),
-                wiped.node().status(false).stateVersion());
+                wipedMachine.node().status(false).stateVersion());
     }
 }
