--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ShutdownInAnyStateTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/CancellationInAnyStateTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** A request that ends in any of its states, as its client leaves or its time is out: replicas are let go at once. */
-class ShutdownInAnyStateTest {
+class CancellationInAnyStateTest {
     @ParameterizedTest
     @EnumSource
     void nothingIsSentForAClientThatHasLeft(RequestState state) {
@@ -19,7 +19,7 @@
         world.timers.advance(2 * LifecycleTestContext.TIMEOUT_MS);
         assertEquals(sent, callsOfTheRequest(world), "nothing more is sent");
         assertTrue(world.ended.contains(world.lifecycle));
-        assertEquals(RecordedClient.Ending.NONE, world.client.ending);
+        assertEquals(RecordedClient.Outcome.NONE, world.client.ending);
     }
 
     @ParameterizedTest
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ClientDisconnectDetectorTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ClientDisconnectDetectorTest.java
@@ -16,11 +16,11 @@
     private final ClientDisconnectDetector watch = new ClientDisconnectDetector(timers);
 
     /** A client that leaves at a time of its own. */
-    private final class LeavingClient implements ClientDisconnectDetector.Client {
+    private final class DisconnectingClient implements ClientDisconnectDetector.Client {
         private final double leavesAtMs;
         private double noticedAtMs = Double.NaN;
 
-        LeavingClient(double leavesAtMs) {
+        DisconnectingClient(double leavesAtMs) {
             this.leavesAtMs = leavesAtMs;
         }
 
@@ -40,7 +40,7 @@
     @Test
     void aDisconnectIsDetectedWithinTheTimeAllowed() {
         for (int delay = 0; delay < 400; delay++) {
-            LeavingClient client = new LeavingClient(timers.nowMs() + delay);
+            DisconnectingClient client = new DisconnectingClient(timers.nowMs() + delay);
             watch.add(client);
             timers.advance(delay + ALLOWED_MS);
             assertEquals(true, client.noticedAfterMs() <= MOST_MS, "noticed after " + client.noticedAfterMs());
@@ -49,7 +49,7 @@
 
     @Test
     void aQuicklyAnsweredRequestIsNotChecked() {
-        LeavingClient client = new LeavingClient(timers.nowMs());
+        DisconnectingClient client = new DisconnectingClient(timers.nowMs());
         watch.add(client);
         timers.advance(ClientDisconnectDetector.PERIOD_MS);
         assertEquals(true, Double.isNaN(client.noticedAtMs));
@@ -60,7 +60,7 @@
 
     @Test
     void nothingIsScheduledWithoutOpenRequests() {
-        LeavingClient client = new LeavingClient(timers.nowMs());
+        DisconnectingClient client = new DisconnectingClient(timers.nowMs());
         watch.add(client);
         timers.advance(3 * ClientDisconnectDetector.PERIOD_MS);
         assertEquals(0, timers.pending());
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/DeadlineTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/DeadlineTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pinewick.dataplane.ScriptedUpstreamClient.PlayedCall;
+import pinewick.dataplane.ScriptedUpstreamClient.ScriptedCall;
 import pinewick.model.RouteKind;
 
 /** The time that replicas are told they have: never more than what is left of the client's and the route's. */
@@ -69,7 +69,7 @@
         LifecycleTestContext world = new LifecycleTestContext(RouteKind.STREAMING, false, true, 4, 1);
         world.lifecycle.start();
         world.timers.advance(600);
-        PlayedCall prefill = world.calls.last();
+        ScriptedCall prefill = world.calls.last();
         assertTrue(prefill.isPrefill());
         prefill.reject();
         assertTold(world, 3_400);
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/PriorityTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/PriorityTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pinewick.dataplane.ScriptedUpstreamClient.PlayedCall;
+import pinewick.dataplane.ScriptedUpstreamClient.ScriptedCall;
 import pinewick.model.RouteKind;
 import pinewick.model.Stage;
 
@@ -13,7 +13,7 @@
     private static final String HANDLE = "{\"prefill_handle\":\"h\",\"tokens\":1,\"version\":1}";
     private static final String OF_THE_ROUTE = "1";
 
-    private static String priority(PlayedCall call) {
+    private static String priority(ScriptedCall call) {
         return call.request.fields().get(HeaderNames.PRIORITY);
     }
 
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/QuotaAdmissionTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/QuotaAdmissionTest.java
@@ -36,10 +36,10 @@
     private final List<QuotaRequest> sent = new ArrayList<>();
     private final FallbackAllowance fallbackAllowance = new FallbackAllowance(new QuotaPolicy(100, 0, 1_000), 0);
     private final TenantQuotas quotas = new TenantQuotas(
-            new QuotaClient(new OnlyThePrimary(), this::send, fallbackAllowance, new SplittableRandom(1)), timers);
+            new QuotaClient(new PrimaryOnlyPeers(), this::send, fallbackAllowance, new SplittableRandom(1)), timers);
     private final List<String> outcomes = new ArrayList<>();
 
-    private static final class OnlyThePrimary implements QuotaPeers {
+    private static final class PrimaryOnlyPeers implements QuotaPeers {
         @Override
         public Optional<SocketAddress> primary() {
             return Optional.of(PRIMARY);
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RecordedClient.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RecordedClient.java
@@ -6,14 +6,14 @@
 /** A client that keeps what it is told. */
 final class RecordedClient implements ClientExchange {
     /** How an answer came to its end. */
-    enum Ending {
+    enum Outcome {
         NONE,
         ANSWERED,
         STREAMED,
         ABORTED
     }
 
-    Ending ending = Ending.NONE;
+    Outcome ending = Outcome.NONE;
     int status;
     HttpFields fields;
     final StringBuilder body = new StringBuilder();
@@ -23,7 +23,7 @@
     @Override
     public void respond(int answerStatus, HttpFields answerFields, byte[] answerBody) {
         require(!begun);
-        end(Ending.ANSWERED);
+        end(Outcome.ANSWERED);
         status = answerStatus;
         fields = answerFields;
         body.append(new String(answerBody, StandardCharsets.ISO_8859_1));
@@ -31,7 +31,7 @@
 
     @Override
     public void beginStream(int answerStatus, HttpFields answerFields) {
-        require(!begun && ending == Ending.NONE);
+        require(!begun && ending == Outcome.NONE);
         begun = true;
         status = answerStatus;
         fields = answerFields;
@@ -39,20 +39,20 @@
 
     @Override
     public void forward(byte[] piece) {
-        require(begun && ending == Ending.NONE);
+        require(begun && ending == Outcome.NONE);
         body.append(new String(piece, StandardCharsets.ISO_8859_1));
     }
 
     @Override
     public void endStream() {
         require(begun);
-        end(Ending.STREAMED);
+        end(Outcome.STREAMED);
     }
 
     @Override
     public void abort() {
         require(begun);
-        end(Ending.ABORTED);
+        end(Outcome.ABORTED);
     }
 
     @Override
@@ -60,8 +60,8 @@
         return pendingBytes;
     }
 
-    private void end(Ending how) {
-        require(ending == Ending.NONE);
+    private void end(Outcome how) {
+        require(ending == Outcome.NONE);
         ending = how;
     }
 
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReplicaConnectionsTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReplicaConnectionsTest.java
@@ -31,10 +31,10 @@
     private final ReplicaDirectory directory = new ReplicaDirectory();
     private final UpstreamPool pool =
             new UpstreamPool(new SerialExecutor(), new VirtualTimers(), directory, service -> 2);
-    private final PlayedNetwork network = new PlayedNetwork();
+    private final ScriptedConnector network = new ScriptedConnector();
 
     /** Connections that a test lets come about, or not. */
-    private final class PlayedNetwork implements UpstreamConnector {
+    private final class ScriptedConnector implements UpstreamConnector {
         private final Deque<UpstreamConnectionFactory> factories = new ArrayDeque<>();
         private final Deque<Runnable> failures = new ArrayDeque<>();
 
@@ -67,10 +67,10 @@
     }
 
     /** A connection that takes some bytes and is found broken by the next write. */
-    private final class BreakingEndPoint extends ByteArrayEndPoint {
+    private final class FailingEndPoint extends ByteArrayEndPoint {
         private final int takenBytes;
 
-        BreakingEndPoint(int takenBytes) {
+        FailingEndPoint(int takenBytes) {
             super(scheduler, 0);
             this.takenBytes = takenBytes;
         }
@@ -87,7 +87,7 @@
     }
 
     /** Notes how a call ends. */
-    private static final class Outcome implements CallListener {
+    private static final class RecordedCall implements CallListener {
         private final List<String> events = new ArrayList<>();
 
         @Override
@@ -131,7 +131,7 @@
                 "i-1", "s", new SocketAddress("127.0.0.1", 9), "z", "v", 4, state, 0, Stage.NONE, List.of(), 1, false);
     }
 
-    private UpstreamCall send(String id, Outcome outcome) {
+    private UpstreamCall send(String id, RecordedCall outcome) {
         return pool.send(
                 replica(ReplicaState.READY),
                 new UpstreamRequest("POST", "/x", HttpFields.build().add("X-Id", id), new byte[0], id),
@@ -140,7 +140,7 @@
 
     @Test
     void aReplicaThatDrainsDuringConnectGetsNoRequest() {
-        Outcome outcome = new Outcome();
+        RecordedCall outcome = new RecordedCall();
         send("q1", outcome);
         directory.update(replica(ReplicaState.DRAINING));
         ByteArrayEndPoint endPoint = network.accept();
@@ -164,23 +164,23 @@
 
     @Test
     void connectionsStayWithinTheRoutersLimit() {
-        Outcome first = new Outcome();
-        Outcome second = new Outcome();
-        Outcome third = new Outcome();
+        RecordedCall first = new RecordedCall();
+        RecordedCall second = new RecordedCall();
+        RecordedCall third = new RecordedCall();
         send("q1", first);
         send("q2", second);
         send("q3", third);
         assertEquals(List.of("NO_CONNECTION_FREE"), third.events);
         network.refuse();
         assertEquals(List.of("NOT_CONNECTED"), first.events);
-        Outcome fourth = new Outcome();
+        RecordedCall fourth = new RecordedCall();
         send("q4", fourth);
         assertEquals(List.of(), fourth.events);
     }
 
     @Test
     void aCallThatIsAbortedWhileItsConnectionIsMadeSendsNothing() {
-        Outcome outcome = new Outcome();
+        RecordedCall outcome = new RecordedCall();
         UpstreamCall call = send("q1", outcome);
         call.abort();
         ByteArrayEndPoint endPoint = network.accept();
@@ -190,8 +190,8 @@
 
     @Test
     void aCallWhoseConnectionWasAbortedByAnotherIsStillSent() {
-        Outcome first = new Outcome();
-        Outcome second = new Outcome();
+        RecordedCall first = new RecordedCall();
+        RecordedCall second = new RecordedCall();
         UpstreamCall aborted = send("q1", first);
         UpstreamCall kept = send("q2", second);
         aborted.abort();
@@ -205,9 +205,9 @@
 
     @Test
     void aCallWithoutAByteSentMovesToAnotherConnection() {
-        Outcome outcome = new Outcome();
+        RecordedCall outcome = new RecordedCall();
         send("q1", outcome);
-        ByteArrayEndPoint broken = network.accept(new BreakingEndPoint(0));
+        ByteArrayEndPoint broken = network.accept(new FailingEndPoint(0));
         assertEquals("", broken.getOutputString());
         assertEquals(List.of(), outcome.events);
         ByteArrayEndPoint next = network.accept();
@@ -216,9 +216,9 @@
 
     @Test
     void aCallWithAByteSentIsNotResent() {
-        Outcome outcome = new Outcome();
+        RecordedCall outcome = new RecordedCall();
         send("q1", outcome);
-        network.accept(new BreakingEndPoint(1));
+        network.accept(new FailingEndPoint(1));
         assertEquals(List.of("broken"), outcome.events);
         assertNull(network.factories.poll());
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReportPollerTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReportPollerTest.java
@@ -89,7 +89,7 @@
         poller.poll(SELF, List.of(), INTERVAL_MS);
         poller.poll(SELF, List.of(), INTERVAL_MS);
         assertEquals(1, calls.all.size());
-        ScriptedUpstreamClient.PlayedCall call = calls.last();
+        ScriptedUpstreamClient.ScriptedCall call = calls.last();
         assertEquals("GET", call.request.method());
         assertEquals("/report", call.request.target());
         assertEquals("i-1", call.request.fields().get(HeaderNames.EXPECTED_INSTANCE));
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestLifecyclePropertyTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestLifecyclePropertyTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import pinewick.dataplane.ScriptedUpstreamClient.PlayedCall;
+import pinewick.dataplane.ScriptedUpstreamClient.ScriptedCall;
 import pinewick.model.RouteKind;
 
 /** Whatever replicas, connections and clients do, in whatever order: what every request's course must keep. */
@@ -41,7 +41,7 @@
     }
 
     private static void play(LifecycleTestContext world, SplittableRandom random) {
-        List<PlayedCall> open = world.calls.open();
+        List<ScriptedCall> open = world.calls.open();
         int choice = random.nextInt(40);
         if (choice == 0) {
             world.lifecycle.onClientDisconnected();
@@ -54,7 +54,7 @@
         }
     }
 
-    private static void playCall(PlayedCall call, SplittableRandom random) {
+    private static void playCall(ScriptedCall call, SplittableRandom random) {
         if (call.headSeen) {
             playStream(call, random);
             return;
@@ -75,7 +75,7 @@
         }
     }
 
-    private static void playStream(PlayedCall call, SplittableRandom random) {
+    private static void playStream(ScriptedCall call, SplittableRandom random) {
         switch (random.nextInt(8)) {
             case 0 -> call.breakOff();
             case 1 -> call.complete();
@@ -89,9 +89,9 @@
     }
 
     private static void assertKept(LifecycleTestContext world, int maxAttempts) {
-        List<PlayedCall> calls = world.calls.all;
+        List<ScriptedCall> calls = world.calls.all;
         assertTrue(calls.stream().allMatch(call -> call.over || call.isRelease()), "no call is left open");
-        long runs = calls.stream().filter(PlayedCall::mayHaveExecuted).count();
+        long runs = calls.stream().filter(ScriptedCall::mayHaveExecuted).count();
         if (!world.route.isRetriable()) {
             assertTrue(runs <= 1, "run at most once");
         }
@@ -103,13 +103,13 @@
         assertHandles(calls);
         assertTrue(
                 world.timers.pending()
-                        <= calls.stream().filter(PlayedCall::isRelease).count(),
+                        <= calls.stream().filter(ScriptedCall::isRelease).count(),
                 "timers are gone");
     }
 
     private static void assertAnswerFits(LifecycleTestContext world, long runs) {
         RecordedClient client = world.client;
-        if (client.ending == RecordedClient.Ending.ANSWERED) {
+        if (client.ending == RecordedClient.Outcome.ANSWERED) {
             boolean signed = client.fields.contains(HeaderNames.SERVER_SIGNATURE);
             if (PROMISES.contains(client.status)) {
                 assertEquals(0, runs, "a promise for what may have run");
@@ -117,10 +117,10 @@
             }
             assertEquals(signed, client.body.length() > 0, "own answers have no stamp and no body");
         }
-        if (client.ending == RecordedClient.Ending.STREAMED) {
+        if (client.ending == RecordedClient.Outcome.STREAMED) {
             assertEquals(200, client.status);
         }
-        assertEventsFollowEachOther(client.body.toString(), client.ending == RecordedClient.Ending.STREAMED);
+        assertEventsFollowEachOther(client.body.toString(), client.ending == RecordedClient.Outcome.STREAMED);
     }
 
     /** Each event once and in order; part of one only at the end of a whole stream. */
@@ -141,10 +141,10 @@
     }
 
     /** Each prompt that was read is fetched by an answered call or freed. */
-    private static void assertHandles(List<PlayedCall> calls) {
+    private static void assertHandles(List<ScriptedCall> calls) {
         boolean made = calls.stream().anyMatch(call -> call.isPrefill() && call.headSeen && !call.rejected);
         boolean offered = calls.stream().anyMatch(call -> call.request.fields().contains(HeaderNames.KV_FROM));
-        boolean freed = calls.stream().anyMatch(PlayedCall::isRelease);
+        boolean freed = calls.stream().anyMatch(ScriptedCall::isRelease);
         if (freed || offered) {
             assertTrue(made, "a handle from nowhere");
         }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestState.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestState.java
@@ -62,8 +62,8 @@
     }
 
     /** What becomes of it if nothing more happens. */
-    RecordedClient.Ending endingAtTheTimeOut() {
+    RecordedClient.Outcome endingAtTheTimeOut() {
         boolean begun = this == STREAMING || this == AGAIN_AFTER_A_BREAK;
-        return begun ? RecordedClient.Ending.ABORTED : RecordedClient.Ending.ANSWERED;
+        return begun ? RecordedClient.Outcome.ABORTED : RecordedClient.Outcome.ANSWERED;
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedUpstreamClient.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedUpstreamClient.java
@@ -9,10 +9,10 @@
 
 /** Calls to replicas whose course a test plays. */
 final class ScriptedUpstreamClient implements UpstreamClient {
-    final List<PlayedCall> all = new ArrayList<>();
+    final List<ScriptedCall> all = new ArrayList<>();
 
     /** One call and what has happened to it. */
-    static final class PlayedCall implements UpstreamCall {
+    static final class ScriptedCall implements UpstreamCall {
         final ReplicaRecord replica;
         final UpstreamRequest request;
         private final CallListener listener;
@@ -23,7 +23,7 @@
         boolean paused;
         int nextEvent;
 
-        PlayedCall(ReplicaRecord replica, UpstreamRequest request, CallListener listener) {
+        ScriptedCall(ReplicaRecord replica, UpstreamRequest request, CallListener listener) {
             this.replica = replica;
             this.request = request;
             this.listener = listener;
@@ -125,17 +125,17 @@
 
     @Override
     public UpstreamCall send(ReplicaRecord replica, UpstreamRequest request, CallListener listener) {
-        PlayedCall call = new PlayedCall(replica, request, listener);
+        ScriptedCall call = new ScriptedCall(replica, request, listener);
         all.add(call);
         return call;
     }
 
-    PlayedCall last() {
+    ScriptedCall last() {
         return all.get(all.size() - 1);
     }
 
     /** Calls that can still bring something, those that free handles left out. */
-    List<PlayedCall> open() {
+    List<ScriptedCall> open() {
         return all.stream().filter(call -> !call.over && !call.isRelease()).toList();
     }
 }
