--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ApiKeyTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ApiKeyTest.java
@@ -71,11 +71,11 @@
     /** The request is answered without a replica; {@link #serve} sees what comes on a connection accepted before. */
     private HttpText.Message assertAnswered(int status, ScriptedReplica unreached, String target, String... fields)
             throws Exception {
-        HttpText.Message answer = answerTo(target, "refused", fields);
-        boolean connected = unreached.hasBeenCalled();
-        assertEquals(status, answer.status(), "new connection to the replica: " + connected);
+        HttpText.Message response = answerTo(target, "refused", fields);
+        boolean connected = unreached.hasPendingConnection();
+        assertEquals(status, response.status(), "new connection to the replica: " + connected);
         assertFalse(connected, "new connection to the replica");
-        return answer;
+        return response;
     }
 
     /** The request is the next that reaches the replica, and its answer comes back. */
@@ -84,10 +84,10 @@
             client.send(TestRouter.request("POST", target, id, "body", fields));
             upstream = upstream == null ? replica.accept() : upstream;
             assertEquals(id, upstream.read().field("X-Pinewick-Request-Id"));
-            upstream.send(ScriptedReplica.answer(200, id, "served"));
-            HttpText.Message answer = client.read();
-            assertEquals(200, answer.status());
-            assertEquals("served", answer.body());
+            upstream.send(ScriptedReplica.response(200, id, "served"));
+            HttpText.Message response = client.read();
+            assertEquals(200, response.status());
+            assertEquals("served", response.body());
         }
     }
 
@@ -148,12 +148,12 @@
                 "Authorization: Bearer key-1\r\nAuthorization: Bearer key-2"
             })
     void aRouterWithoutAConfirmedConfigurationSendsTheClientElsewhere(String field) throws Exception {
-        router.informed = false;
-        HttpText.Message answer = assertAnswered(503, KEYED, field);
-        assertNotNull(answer.field("Retry-After"));
-        assertTrue(Double.parseDouble(answer.field("Retry-After")) > 0, answer.field("Retry-After"));
-        assertEquals("refused", answer.field("X-Pinewick-Request-Id"));
-        assertNull(answer.field("X-Pinewick-Server-Signature"));
+        router.configurationConfirmed = false;
+        HttpText.Message response = assertAnswered(503, KEYED, field);
+        assertNotNull(response.field("Retry-After"));
+        assertTrue(Double.parseDouble(response.field("Retry-After")) > 0, response.field("Retry-After"));
+        assertEquals("refused", response.field("X-Pinewick-Request-Id"));
+        assertNull(response.field("X-Pinewick-Server-Signature"));
     }
 
     @Test
@@ -170,7 +170,7 @@
         client.send(TestRouter.request("POST", KEYED, "before", "body", TestRouter.keyField("key-1")));
         upstream = replica.accept();
         upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "before", "served"));
+        upstream.send(ScriptedReplica.response(200, "before", "served"));
         assertEquals(200, client.read().status());
         configure(TestRouter.tenant("t-1", "key-2"));
         client.send(TestRouter.request("POST", KEYED, "refused", "body", TestRouter.keyField("key-1")));
@@ -257,11 +257,11 @@
 
     @Test
     void aRefusalNamesTheRequestAndNothingElse() throws Exception {
-        HttpText.Message answer = assertAnswered(401, KEYED, TestRouter.keyField("key-of-nobody"));
-        assertEquals("refused", answer.field("X-Pinewick-Request-Id"));
-        assertNull(answer.field("X-Pinewick-Server-Signature"));
-        assertNull(answer.field("X-Pinewick-Not-Executed"));
-        assertFalse(answer.toString().contains("key-of-nobody"), "the answer repeats the key");
+        HttpText.Message response = assertAnswered(401, KEYED, TestRouter.keyField("key-of-nobody"));
+        assertEquals("refused", response.field("X-Pinewick-Request-Id"));
+        assertNull(response.field("X-Pinewick-Server-Signature"));
+        assertNull(response.field("X-Pinewick-Not-Executed"));
+        assertFalse(response.toString().contains("key-of-nobody"), "the answer repeats the key");
     }
 
     @Test
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/BasicRoutingTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/BasicRoutingTest.java
@@ -29,26 +29,26 @@
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
         RawSocket client = router.client();
         RawSocket upstream = null;
-        for (int turn = 1; turn <= 3; turn++) {
+        for (int iteration = 1; iteration <= 3; iteration++) {
             client.send(TestRouter.request(
-                    "POST", "/plain/a%2Fb;c?x=1&y=%20", "id" + turn, "body " + turn, "X-Other: kept"));
+                    "POST", "/plain/a%2Fb;c?x=1&y=%20", "id" + iteration, "body " + iteration, "X-Other: kept"));
             upstream = upstream == null ? replica.accept() : upstream;
-            HttpText.Message seen = upstream.read();
-            assertEquals("POST /plain/a%2Fb;c?x=1&y=%20 HTTP/1.1", seen.firstLine());
-            assertEquals("body " + turn, seen.body());
-            assertEquals("id" + turn, seen.field("X-Pinewick-Request-Id"));
-            assertEquals("i-1", seen.field("X-Pinewick-Expected-Instance"));
-            assertEquals("kept", seen.field("X-Other"));
-            assertEquals(TestRouter.HOST + ":80", seen.field("Host"));
-            int left = Integer.parseInt(seen.field("X-Pinewick-Deadline-Ms"));
+            HttpText.Message forwarded = upstream.read();
+            assertEquals("POST /plain/a%2Fb;c?x=1&y=%20 HTTP/1.1", forwarded.firstLine());
+            assertEquals("body " + iteration, forwarded.body());
+            assertEquals("id" + iteration, forwarded.field("X-Pinewick-Request-Id"));
+            assertEquals("i-1", forwarded.field("X-Pinewick-Expected-Instance"));
+            assertEquals("kept", forwarded.field("X-Other"));
+            assertEquals(TestRouter.HOST + ":80", forwarded.field("Host"));
+            int left = Integer.parseInt(forwarded.field("X-Pinewick-Deadline-Ms"));
             assertTrue(left > 0 && left <= 4000, "left " + left);
-            upstream.send(ScriptedReplica.answer(200, "id" + turn, "answer " + turn, "X-More: passed on"));
-            HttpText.Message answer = client.read();
-            assertEquals(200, answer.status());
-            assertEquals("answer " + turn, answer.body());
-            assertEquals("stamp-id" + turn, answer.field("X-Pinewick-Server-Signature"));
-            assertEquals("id" + turn, answer.field("X-Pinewick-Request-Id"));
-            assertEquals("passed on", answer.field("X-More"));
+            upstream.send(ScriptedReplica.response(200, "id" + iteration, "answer " + iteration, "X-More: passed on"));
+            HttpText.Message response = client.read();
+            assertEquals(200, response.status());
+            assertEquals("answer " + iteration, response.body());
+            assertEquals("stamp-id" + iteration, response.field("X-Pinewick-Server-Signature"));
+            assertEquals("id" + iteration, response.field("X-Pinewick-Request-Id"));
+            assertEquals("passed on", response.field("X-More"));
         }
     }
 
@@ -60,10 +60,10 @@
                 + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
         client.send("2\r\nde\r\n0\r\n\r\n");
         RawSocket upstream = replica.accept();
-        HttpText.Message seen = upstream.read();
-        assertEquals("abcde", seen.body());
-        assertNull(seen.field("Transfer-Encoding"));
-        upstream.send(ScriptedReplica.answer(200, "c1", ""));
+        HttpText.Message forwarded = upstream.read();
+        assertEquals("abcde", forwarded.body());
+        assertNull(forwarded.field("Transfer-Encoding"));
+        upstream.send(ScriptedReplica.response(200, "c1", ""));
         assertEquals(200, client.read().status());
     }
 
@@ -91,15 +91,15 @@
     void whatHasNoRouteIsNotFound() throws Exception {
         RawSocket client = router.client();
         client.send(TestRouter.request("POST", "/elsewhere/x", "n1", "body"));
-        HttpText.Message answer = client.read();
-        assertEquals(404, answer.status());
-        assertEquals("n1", answer.field("X-Pinewick-Request-Id"));
-        assertNull(answer.field("X-Pinewick-Server-Signature"));
+        HttpText.Message response = client.read();
+        assertEquals(404, response.status());
+        assertEquals("n1", response.field("X-Pinewick-Request-Id"));
+        assertNull(response.field("X-Pinewick-Server-Signature"));
     }
 
     @Test
     void aRouterWithoutAConfirmedConfigurationAnswersNo404() throws Exception {
-        router.informed = false;
+        router.configurationConfirmed = false;
         RawSocket client = router.client();
         client.send(TestRouter.request("POST", "/elsewhere/x", "n1", "body"));
         assertEquals(503, client.read().status());
@@ -113,9 +113,9 @@
         replica.accept().read();
         router.dataPlane.beginStopping();
         router.dataPlane.failRemainingRequests();
-        HttpText.Message answer = client.read();
-        assertEquals(502, answer.status());
-        assertEquals("close", answer.field("Connection"));
+        HttpText.Message response = client.read();
+        assertEquals(502, response.status());
+        assertEquals("close", response.field("Connection"));
         RawSocket late = router.client();
         late.send(TestRouter.request("POST", "/plain/x", "e2", "body"));
         HttpText.Message rejection = late.read();
@@ -127,22 +127,22 @@
     void withoutReplicasTheRequestIsRejectedAtOnceAsNotExecuted() throws Exception {
         RawSocket client = router.client();
         client.send(TestRouter.request("POST", "/plain/x", "r1", "body"));
-        HttpText.Message answer = client.read();
-        assertEquals(503, answer.status());
-        assertComesBackAfterRecovery(answer);
+        HttpText.Message response = client.read();
+        assertEquals(503, response.status());
+        assertComesBackAfterRecovery(response);
     }
 
     @Test
     void aRouterThatDoesNotKnowTheConfigurationSendsClientsBackAfterRecovery() throws Exception {
-        router.informed = false;
+        router.configurationConfirmed = false;
         RawSocket client = router.client();
         client.send(TestRouter.request("POST", "/elsewhere/x", "n2", "body"));
         assertComesBackAfterRecovery(client.read());
     }
 
     /** A client retries once: not before controllers are elected and replicas have sent a heartbeat. */
-    private static void assertComesBackAfterRecovery(HttpText.Message answer) {
-        double seconds = Double.parseDouble(answer.field("Retry-After"));
+    private static void assertComesBackAfterRecovery(HttpText.Message response) {
+        double seconds = Double.parseDouble(response.field("Retry-After"));
         assertTrue(seconds >= 0.6 && seconds <= 1.1, "Retry-After " + seconds);
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/CancellationInAnyStateTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/CancellationInAnyStateTest.java
@@ -11,28 +11,28 @@
     @ParameterizedTest
     @EnumSource
     void nothingIsSentForAClientThatHasLeft(RequestState state) {
-        LifecycleTestContext world = state.world();
-        assertEquals(1, world.calls.open().size());
-        long sent = callsOfTheRequest(world);
-        world.lifecycle.onClientDisconnected();
-        assertEquals(0, world.calls.open().size(), "the replica is let go");
-        world.timers.advance(2 * LifecycleTestContext.TIMEOUT_MS);
-        assertEquals(sent, callsOfTheRequest(world), "nothing more is sent");
-        assertTrue(world.ended.contains(world.lifecycle));
-        assertEquals(RecordedClient.Outcome.NONE, world.client.ending);
+        LifecycleTestContext context = state.context();
+        assertEquals(1, context.calls.open().size());
+        long sent = callsOfTheRequest(context);
+        context.lifecycle.onClientDisconnected();
+        assertEquals(0, context.calls.open().size(), "the replica is let go");
+        context.timers.advance(2 * LifecycleTestContext.TIMEOUT_MS);
+        assertEquals(sent, callsOfTheRequest(context), "nothing more is sent");
+        assertTrue(context.ended.contains(context.lifecycle));
+        assertEquals(RecordedClient.Outcome.NONE, context.client.outcome);
     }
 
     @ParameterizedTest
     @EnumSource
     void atTheTimeOutTheClientHasItsFinalAnswerAndTheReplicaIsLetGo(RequestState state) {
-        LifecycleTestContext world = state.world();
-        world.timers.advance(LifecycleTestContext.TIMEOUT_MS);
-        assertEquals(0, world.calls.open().size(), "the replica is let go");
-        assertTrue(world.ended.contains(world.lifecycle));
-        assertEquals(state.endingAtTheTimeOut(), world.client.ending);
+        LifecycleTestContext context = state.context();
+        context.timers.advance(LifecycleTestContext.TIMEOUT_MS);
+        assertEquals(0, context.calls.open().size(), "the replica is let go");
+        assertTrue(context.ended.contains(context.lifecycle));
+        assertEquals(state.outcomeAtTimeout(), context.client.outcome);
     }
 
-    private static long callsOfTheRequest(LifecycleTestContext world) {
-        return world.calls.all.stream().filter(call -> !call.isRelease()).count();
+    private static long callsOfTheRequest(LifecycleTestContext context) {
+        return context.calls.all.stream().filter(call -> !call.isRelease()).count();
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/DeadlineTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/DeadlineTest.java
@@ -51,28 +51,28 @@
 
     @Test
     void everyCallCarriesTheRemainingTime() {
-        LifecycleTestContext world = new LifecycleTestContext(RouteKind.STREAMING, true, true, 4, 1);
-        world.lifecycle.start();
-        assertTold(world, 4_000);
-        world.timers.advance(300);
-        world.calls.last().answer(200, HANDLE);
-        assertTold(world, 3_700);
-        world.timers.advance(400);
-        world.calls.last().streamHead();
-        world.calls.last().content("id: 1\ndata: x\n\n");
-        world.calls.last().breakOff();
-        assertTold(world, 3_300);
+        LifecycleTestContext context = new LifecycleTestContext(RouteKind.STREAMING, true, true, 4, 1);
+        context.lifecycle.start();
+        assertTold(context, 4_000);
+        context.timers.advance(300);
+        context.calls.last().response(200, HANDLE);
+        assertTold(context, 3_700);
+        context.timers.advance(400);
+        context.calls.last().streamHead();
+        context.calls.last().content("id: 1\ndata: x\n\n");
+        context.calls.last().breakConnection();
+        assertTold(context, 3_300);
     }
 
     @Test
     void aSecondPrefillCallCarriesTheRemainingTime() {
-        LifecycleTestContext world = new LifecycleTestContext(RouteKind.STREAMING, false, true, 4, 1);
-        world.lifecycle.start();
-        world.timers.advance(600);
-        ScriptedCall prefill = world.calls.last();
+        LifecycleTestContext context = new LifecycleTestContext(RouteKind.STREAMING, false, true, 4, 1);
+        context.lifecycle.start();
+        context.timers.advance(600);
+        ScriptedCall prefill = context.calls.last();
         assertTrue(prefill.isPrefill());
         prefill.reject();
-        assertTold(world, 3_400);
+        assertTold(context, 3_400);
     }
 
     @ParameterizedTest
@@ -87,14 +87,14 @@
             RawSocket upstream = replica.accept();
             int left = Integer.parseInt(upstream.read().field("X-Pinewick-Deadline-Ms"));
             assertTrue(left > 0 && left <= 5_000, "told " + left);
-            upstream.send(ScriptedReplica.answer(200, "q1", "served"));
+            upstream.send(ScriptedReplica.response(200, "q1", "served"));
             assertEquals("served", client.read().body());
         }
     }
 
-    private static void assertTold(LifecycleTestContext world, int expectedMs) {
+    private static void assertTold(LifecycleTestContext context, int expectedMs) {
         assertEquals(
                 Integer.toString(expectedMs),
-                world.calls.last().request.fields().get(HeaderNames.DEADLINE_MS));
+                context.calls.last().request.fields().get(HeaderNames.DEADLINE_MS));
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/EarlyResponseTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/EarlyResponseTest.java
@@ -41,7 +41,7 @@
     }
 
     private RawSocket acceptHead(String body) throws Exception {
-        router.force("i-1");
+        router.forceChoices("i-1");
         client.send(TestRouter.request("POST", "/plain/x", "q1", body));
         RawSocket upstream = first.accept();
         assertEquals("q1", upstream.readHead().field("X-Pinewick-Request-Id"));
@@ -57,10 +57,10 @@
     @ValueSource(ints = {200, 413, 500})
     void anEarlyAnswerIsPassedOnAndNothingElseFollowsTheUnfinishedBody(int status) throws Exception {
         RawSocket upstream = acceptHead(LONG_BODY);
-        upstream.send(ScriptedReplica.answer(status, "q1", "early"));
-        HttpText.Message answer = client.read();
-        assertEquals(status, answer.status());
-        assertEquals("early", answer.body());
+        upstream.send(ScriptedReplica.response(status, "q1", "early"));
+        HttpText.Message response = client.read();
+        assertEquals(status, response.status());
+        assertEquals("early", response.body());
         serveNext("q2");
         assertBeginningOfTheBody(upstream.readUntilEnd());
     }
@@ -68,7 +68,7 @@
     @Test
     void anEarlyRejectionCountsAndTheConnectionIsNotReused() throws Exception {
         RawSocket upstream = acceptHead(LONG_BODY);
-        router.force("i-2");
+        router.forceChoices("i-2");
         upstream.send(ScriptedReplica.rejection("q1"));
         assertServedBySecond();
         assertBeginningOfTheBody(upstream.readUntilEnd());
@@ -77,7 +77,7 @@
     @Test
     void anEarlyRejectionCountsThoughTheConnectionIsReset() throws Exception {
         RawSocket upstream = acceptHead(LONG_BODY);
-        router.force("i-2");
+        router.forceChoices("i-2");
         upstream.sendAndReset(ScriptedReplica.rejection("q1"));
         assertServedBySecond();
     }
@@ -93,33 +93,33 @@
     @Test
     void aConnectionWithACompletelySentBodyIsReused() throws Exception {
         RawSocket upstream = acceptHead("short body");
-        upstream.send(ScriptedReplica.answer(200, "q1", "early"));
+        upstream.send(ScriptedReplica.response(200, "q1", "early"));
         assertEquals("early", client.read().body());
-        router.force("i-1");
+        router.forceChoices("i-1");
         client.send(TestRouter.request("POST", "/plain/x", "q2", "second body"));
         assertEquals("short body", upstream.readBytes("short body".length()));
         HttpText.Message next = upstream.read();
         assertEquals("q2", next.field("X-Pinewick-Request-Id"));
         assertEquals("second body", next.body());
-        upstream.send(ScriptedReplica.answer(200, "q2", "second"));
+        upstream.send(ScriptedReplica.response(200, "q2", "second"));
         assertEquals("second", client.read().body());
     }
 
     private void assertServedBySecond() throws Exception {
         RawSocket next = second.accept();
-        HttpText.Message seen = next.read();
-        assertEquals("q1", seen.field("X-Pinewick-Request-Id"));
-        assertEquals(LONG_BODY_BYTES, seen.body().length());
-        next.send(ScriptedReplica.answer(200, "q1", "second"));
+        HttpText.Message forwarded = next.read();
+        assertEquals("q1", forwarded.field("X-Pinewick-Request-Id"));
+        assertEquals(LONG_BODY_BYTES, forwarded.body().length());
+        next.send(ScriptedReplica.response(200, "q1", "second"));
         assertEquals("second", client.read().body());
     }
 
     private void serveNext(String id) throws Exception {
-        router.force("i-1");
+        router.forceChoices("i-1");
         client.send(TestRouter.request("POST", "/plain/x", id, "next"));
         RawSocket upstream = first.accept();
         assertEquals("next", upstream.read().body());
-        upstream.send(ScriptedReplica.answer(200, id, "served"));
+        upstream.send(ScriptedReplica.response(200, id, "served"));
         assertEquals("served", client.read().body());
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ExecutionUncertaintyTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ExecutionUncertaintyTest.java
@@ -17,7 +17,7 @@
 /** A request that may not be repeated goes out once, whatever comes back, and its client is promised nothing. */
 class ExecutionUncertaintyTest {
     private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
-    private static final String WHOLE = ScriptedReplica.answer(200, "q1", "0123456789");
+    private static final String WHOLE = ScriptedReplica.response(200, "q1", "0123456789");
 
     private TestRouter router;
     private ScriptedReplica first;
@@ -83,20 +83,20 @@
         ANSWERS_ANOTHER_REQUEST_AND_CLOSES {
             @Override
             void play(RawSocket upstream) throws IOException {
-                upstream.send(ScriptedReplica.answer(200, "q0", "late"));
+                upstream.send(ScriptedReplica.response(200, "q0", "late"));
                 upstream.close();
             }
         },
         FAILS {
             @Override
             void play(RawSocket upstream) throws IOException {
-                upstream.send(ScriptedReplica.answer(500, "q1", "failed"));
+                upstream.send(ScriptedReplica.response(500, "q1", "failed"));
             }
         },
         REFUSES_WITHOUT_SAYING_THAT_IT_DID_NOT_RUN {
             @Override
             void play(RawSocket upstream) throws IOException {
-                upstream.send(ScriptedReplica.answer(503, "q1", "full"));
+                upstream.send(ScriptedReplica.response(503, "q1", "full"));
             }
         };
 
@@ -118,7 +118,7 @@
     }
 
     private void send(String id) throws IOException {
-        router.force("i-1");
+        router.forceChoices("i-1");
         client.send(TestRouter.request("POST", "/plain/x", id, "body"));
     }
 
@@ -126,7 +126,7 @@
         send("q0");
         RawSocket upstream = first.accept();
         upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "q0", "earlier"));
+        upstream.send(ScriptedReplica.response(200, "q0", "earlier"));
         assertEquals("earlier", client.read().body());
         return upstream;
     }
@@ -134,8 +134,8 @@
     private void assertWentOutOnce() throws Exception {
         int status = client.read().status();
         assertTrue(status >= 500 && !PROMISES.contains(status), "status " + status);
-        assertFalse(second.hasBeenCalled(), "sent to a second replica");
-        assertFalse(first.hasBeenCalled(), "sent on a second connection");
+        assertFalse(second.hasPendingConnection(), "sent to a second replica");
+        assertFalse(first.hasPendingConnection(), "sent on a second connection");
     }
 
     @ParameterizedTest
@@ -166,26 +166,26 @@
         assertEquals("q1", upstream.read().field("X-Pinewick-Request-Id"));
         upstream.send(WHOLE);
         assertEquals("0123456789", client.read().body());
-        assertFalse(second.hasBeenCalled());
+        assertFalse(second.hasPendingConnection());
     }
 
     @Test
     void whenTheRouterStopsWhileItIsOut() {
-        LifecycleTestContext world = new LifecycleTestContext(RouteKind.NON_IDEMPOTENT, false, false, 3, 1);
-        world.lifecycle.start();
-        world.calls.last().sent = true;
-        world.lifecycle.onShutdown();
-        assertEquals(502, world.client.status);
-        assertEquals(1, world.calls.all.size());
+        LifecycleTestContext context = new LifecycleTestContext(RouteKind.NON_IDEMPOTENT, false, false, 3, 1);
+        context.lifecycle.start();
+        context.calls.last().sent = true;
+        context.lifecycle.onShutdown();
+        assertEquals(502, context.client.status);
+        assertEquals(1, context.calls.all.size());
     }
 
     @Test
     void whenTheRouterStopsBeforeAByteIsOutThatIsPromised() {
-        LifecycleTestContext world = new LifecycleTestContext(RouteKind.NON_IDEMPOTENT, false, false, 3, 1);
-        world.lifecycle.start();
-        world.lifecycle.onShutdown();
-        assertEquals(503, world.client.status);
-        assertEquals(1, world.calls.all.size());
-        assertTrue(world.calls.last().over);
+        LifecycleTestContext context = new LifecycleTestContext(RouteKind.NON_IDEMPOTENT, false, false, 3, 1);
+        context.lifecycle.start();
+        context.lifecycle.onShutdown();
+        assertEquals(503, context.client.status);
+        assertEquals(1, context.calls.all.size());
+        assertTrue(context.calls.last().finished);
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ForwardedHeadersTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ForwardedHeadersTest.java
@@ -37,8 +37,8 @@
         router.close();
     }
 
-    private static List<String> promptFields(HttpText.Message seen) {
-        return seen.fields().stream()
+    private static List<String> promptFields(HttpText.Message forwarded) {
+        return forwarded.fields().stream()
                 .filter(ForwardedHeadersTest::tellsOfThePrompt)
                 .toList();
     }
@@ -50,24 +50,25 @@
                 || name.equals("x-pinewick-prompt-prefix");
     }
 
-    private static void assertAsWritten(HttpText.Message seen) {
+    private static void assertAsWritten(HttpText.Message forwarded) {
         List<String> written = ODD.stream().map(String::stripTrailing).toList();
         assertEquals(
-                written, promptFields(seen).stream().map(String::stripTrailing).toList());
+                written,
+                promptFields(forwarded).stream().map(String::stripTrailing).toList());
     }
 
     @Test
     void aPlainRequestAndItsRepetitionCarryTheClientsFields() throws Exception {
         ScriptedReplica first = router.replica("i-1", "plain", Stage.NONE);
         ScriptedReplica second = router.replica("i-2", "plain", Stage.NONE);
-        router.force("i-1", "i-2");
+        router.forceChoices("i-1", "i-2");
         client.send(TestRouter.request("POST", "/plain/x", "q1", "body", ODD.toArray(String[]::new)));
         RawSocket upstream = first.accept();
         assertAsWritten(upstream.read());
         upstream.reset();
         RawSocket next = second.accept();
         assertAsWritten(next.read());
-        next.send(ScriptedReplica.answer(200, "q1", "served"));
+        next.send(ScriptedReplica.response(200, "q1", "served"));
         assertEquals("served", client.read().body());
     }
 
@@ -75,14 +76,14 @@
     void thePrefillCallAndTheDecodeCallCarryTheClientsFields() throws Exception {
         ScriptedReplica prefill = router.replica("p-1", "lm", Stage.PREFILL);
         ScriptedReplica decode = router.replica("d-1", "lm", Stage.DECODE);
-        router.force("p-1+d-1");
+        router.forceChoices("p-1+d-1");
         client.send(TestRouter.request("POST", "/lm/x", "q1", "body", ODD.toArray(String[]::new)));
         RawSocket reading = prefill.accept();
         assertAsWritten(reading.read());
-        reading.send(ScriptedReplica.answer(200, "q1", "{\"prefill_handle\":\"h1\"}"));
+        reading.send(ScriptedReplica.response(200, "q1", "{\"prefill_handle\":\"h1\"}"));
         RawSocket decoding = decode.accept();
         assertAsWritten(decoding.read());
-        decoding.send(ScriptedReplica.answer(200, "q1", "served"));
+        decoding.send(ScriptedReplica.response(200, "q1", "served"));
         assertEquals("served", client.read().body());
     }
 
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/InvalidResponseTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/InvalidResponseTest.java
@@ -41,16 +41,16 @@
 
     private RawSocket answeredRequest(String id) throws Exception {
         RawSocket upstream = firstRequest(id);
-        upstream.send(ScriptedReplica.answer(200, id, "answer to " + id));
+        upstream.send(ScriptedReplica.response(200, id, "answer to " + id));
         assertEquals("answer to " + id, client.read().body());
         return upstream;
     }
 
     private void assertFailsAsPossiblyRun() throws Exception {
-        HttpText.Message answer = client.read();
-        assertEquals(502, answer.status());
-        assertNull(answer.field("X-Pinewick-Server-Signature"));
-        assertEquals("", answer.body());
+        HttpText.Message response = client.read();
+        assertEquals(502, response.status());
+        assertNull(response.field("X-Pinewick-Server-Signature"));
+        assertEquals("", response.body());
     }
 
     /** The next request is served on a connection of its own. */
@@ -64,11 +64,11 @@
         RawSocket upstream = answeredRequest("q1");
         client.send(TestRouter.request("POST", "/plain/x", "q2", "body"));
         upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "q1", "answer to q1, again"));
-        upstream.send(ScriptedReplica.answer(200, "q2", "answer to q2"));
-        HttpText.Message answer = client.read();
-        assertEquals("answer to q2", answer.body());
-        assertEquals("stamp-q2", answer.field("X-Pinewick-Server-Signature"));
+        upstream.send(ScriptedReplica.response(200, "q1", "answer to q1, again"));
+        upstream.send(ScriptedReplica.response(200, "q2", "answer to q2"));
+        HttpText.Message response = client.read();
+        assertEquals("answer to q2", response.body());
+        assertEquals("stamp-q2", response.field("X-Pinewick-Server-Signature"));
         assertNextUsesAnotherConnection(upstream, "q3");
     }
 
@@ -77,7 +77,7 @@
         RawSocket upstream = answeredRequest("q1");
         client.send(TestRouter.request("POST", "/plain/x", "q2", "body"));
         upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "q1", "answer to q1, again"));
+        upstream.send(ScriptedReplica.response(200, "q1", "answer to q1, again"));
         upstream.close();
         assertFailsAsPossiblyRun();
     }
@@ -85,7 +85,7 @@
     @Test
     void aDuplicateResponseClosesTheConnection() throws Exception {
         RawSocket upstream = firstRequest("q1");
-        upstream.send(ScriptedReplica.answer(200, "q1", "whole") + ScriptedReplica.answer(200, "q1", "extra"));
+        upstream.send(ScriptedReplica.response(200, "q1", "whole") + ScriptedReplica.response(200, "q1", "extra"));
         assertEquals("whole", client.read().body());
         assertNextUsesAnotherConnection(upstream, "q2");
     }
@@ -108,7 +108,7 @@
     @Test
     void aReplicaThatAsksForItGetsNoSecondRequestOnTheConnection() throws Exception {
         RawSocket upstream = firstRequest("q1");
-        upstream.send(ScriptedReplica.answer(200, "q1", "last", "Connection: close"));
+        upstream.send(ScriptedReplica.response(200, "q1", "last", "Connection: close"));
         assertEquals("last", client.read().body());
         assertNextUsesAnotherConnection(upstream, "q2");
     }
@@ -116,7 +116,7 @@
     @Test
     void aTruncatedResponseIsNotForwarded() throws Exception {
         RawSocket upstream = firstRequest("q1");
-        String whole = ScriptedReplica.answer(200, "q1", "0123456789");
+        String whole = ScriptedReplica.response(200, "q1", "0123456789");
         upstream.send(whole.substring(0, whole.length() - 4));
         upstream.close();
         assertFailsAsPossiblyRun();
@@ -143,10 +143,10 @@
         RawSocket upstream = firstRequest("q1");
         upstream.send(answerWithoutLength(200, "q1", body));
         upstream.close();
-        HttpText.Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals("stamp-q1", answer.field("X-Pinewick-Server-Signature"));
-        assertEquals(body, answer.body());
+        HttpText.Message response = client.read();
+        assertEquals(200, response.status());
+        assertEquals("stamp-q1", response.field("X-Pinewick-Server-Signature"));
+        assertEquals(body, response.body());
         answeredRequest("q2");
     }
 
@@ -200,16 +200,16 @@
                 "HTTP/1.1 429 Too Many Requests\r\nX-Pinewick-Request-Id: q1\r\n"
                         + "X-Pinewick-Server-Signature: s\r\nContent-Length: 0\r\n\r\n"
             })
-    void whatIsNotTheRequestsAnswerIsNotPassedOn(String answer) throws Exception {
+    void whatIsNotTheRequestsAnswerIsNotPassedOn(String response) throws Exception {
         RawSocket upstream = firstRequest("q1");
-        upstream.send(answer);
+        upstream.send(response);
         assertFailsAsPossiblyRun();
     }
 
     @Test
     void anInterimAnswerIsNotTheAnswer() throws Exception {
         RawSocket upstream = firstRequest("q1");
-        upstream.send("HTTP/1.1 100 Continue\r\n\r\n" + ScriptedReplica.answer(200, "q1", "final"));
+        upstream.send("HTTP/1.1 100 Continue\r\n\r\n" + ScriptedReplica.response(200, "q1", "final"));
         assertEquals("final", client.read().body());
     }
 
@@ -217,11 +217,11 @@
     @ValueSource(ints = {400, 404, 500, 504, 301})
     void aReplicasOwnFailureIsPassedOnUnchanged(int status) throws Exception {
         RawSocket upstream = firstRequest("q1");
-        upstream.send(ScriptedReplica.answer(status, "q1", "its reason"));
-        HttpText.Message answer = client.read();
-        assertEquals(status, answer.status());
-        assertEquals("stamp-q1", answer.field("X-Pinewick-Server-Signature"));
-        assertEquals("its reason", answer.body());
+        upstream.send(ScriptedReplica.response(status, "q1", "its reason"));
+        HttpText.Message response = client.read();
+        assertEquals(status, response.status());
+        assertEquals("stamp-q1", response.field("X-Pinewick-Server-Signature"));
+        assertEquals("its reason", response.body());
     }
 
     @Test
@@ -233,7 +233,7 @@
         client.send(TestRouter.request("POST", "/plain/x", "q2", "body"));
         RawSocket next = replica.accept();
         assertEquals("i-2", next.read().field("X-Pinewick-Expected-Instance"));
-        next.send(ScriptedReplica.answer(200, "q2", "second"));
+        next.send(ScriptedReplica.response(200, "q2", "second"));
         assertEquals("second", client.read().body());
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/LifecycleTestContext.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/LifecycleTestContext.java
@@ -101,7 +101,7 @@
     }
 
     /** The selection's choice, but with a prefill replica wherever there is one. */
-    private PairChooser alwaysHandOver(PairChooser own) {
+    private PairChooser alwaysHandOver(PairChooser delegate) {
         return new PairChooser() {
             @Override
             public Optional<ReplicaPair> choose(
@@ -112,7 +112,7 @@
                 Optional<ReplicaRecord> prefill = candidates.stream()
                         .filter(each -> each.stage() == Stage.PREFILL && !excluded.contains(each.instanceId()))
                         .findFirst();
-                return own.choose(shape, candidates, excluded, nowMs)
+                return delegate.choose(shape, candidates, excluded, nowMs)
                         .map(pair -> new ReplicaPair(prefill, pair.decode()));
             }
 
@@ -123,7 +123,7 @@
                     java.util.Collection<ReplicaRecord> candidates,
                     java.util.Set<String> excluded,
                     double nowMs) {
-                return own.chooseDecode(shape, reader, candidates, excluded, nowMs);
+                return delegate.chooseDecode(shape, reader, candidates, excluded, nowMs);
             }
         };
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/LimitsTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/LimitsTest.java
@@ -36,9 +36,9 @@
         RawSocket client = router.client();
         client.send("POST /plain/x HTTP/1.1\r\nHost: shop.example\r\nX-Pinewick-Request-Id: q1\r\n"
                 + "Content-Length: 70000\r\n\r\n");
-        HttpText.Message answer = client.read();
-        assertEquals(413, answer.status());
-        assertEquals("close", answer.field("Connection"));
+        HttpText.Message response = client.read();
+        assertEquals(413, response.status());
+        assertEquals("close", response.field("Connection"));
     }
 
     @Test
@@ -75,7 +75,7 @@
         client.send(large);
         RawSocket upstream = replica.accept();
         upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "q1", "fits"));
+        upstream.send(ScriptedReplica.response(200, "q1", "fits"));
         assertEquals("fits", client.read().body());
     }
 
@@ -110,7 +110,7 @@
             client.send(TestRouter.request("POST", target, "q1", "b"));
             upstream = upstream == null ? replica.accept() : upstream;
             assertEquals("POST " + target + " HTTP/1.1", upstream.read().firstLine());
-            upstream.send(ScriptedReplica.answer(200, "q1", ""));
+            upstream.send(ScriptedReplica.response(200, "q1", ""));
             assertEquals(200, client.read().status());
         }
     }
@@ -131,9 +131,9 @@
         RawSocket client = router.client();
         client.send(method + " /plain/x HTTP/1.1\r\nHost: shop.example\r\nX-Pinewick-Request-Id: q1\r\n\r\n");
         RawSocket upstream = replica.accept();
-        HttpText.Message seen = upstream.readHead();
-        assertEquals(method + " /plain/x HTTP/1.1", seen.firstLine());
-        String whole = ScriptedReplica.answer(200, "q1", "12345");
+        HttpText.Message forwarded = upstream.readHead();
+        assertEquals(method + " /plain/x HTTP/1.1", forwarded.firstLine());
+        String whole = ScriptedReplica.response(200, "q1", "12345");
         upstream.send(method.equals("HEAD") ? whole.substring(0, whole.length() - 5) : whole);
         HttpText.Message head = client.readHead();
         assertEquals(200, head.status());
@@ -147,18 +147,18 @@
         String value = "a  b;c=\"\u00e9\u00fc\u00c3\u00a9\", ,x";
         client.send(TestRouter.request("POST", "/plain/x", "q1", "b", "X-Odd: " + value, "X-Odd: second", "X-Empty:"));
         RawSocket upstream = replica.accept();
-        HttpText.Message seen = upstream.read();
-        assertEquals(value, seen.field("X-Odd"));
-        assertTrue(seen.fields().contains("X-Odd: second"));
-        assertEquals("", seen.field("X-Empty"));
-        upstream.send(ScriptedReplica.answer(200, "q1", "", "X-Odd: " + value));
+        HttpText.Message forwarded = upstream.read();
+        assertEquals(value, forwarded.field("X-Odd"));
+        assertTrue(forwarded.fields().contains("X-Odd: second"));
+        assertEquals("", forwarded.field("X-Empty"));
+        upstream.send(ScriptedReplica.response(200, "q1", "", "X-Odd: " + value));
         assertEquals(value, client.read().field("X-Odd"));
     }
 
     @Test
     void connectionsBeyondTheLimitAreClosedUnreadUntilOthersClose() throws Exception {
         List<RawSocket> clients = new ArrayList<>();
-        for (int i = 0; i < TestRouter.MOST_CLIENTS; i++) {
+        for (int i = 0; i < TestRouter.MAX_CLIENTS; i++) {
             RawSocket client = router.client();
             client.send(TestRouter.request("POST", "/elsewhere/x", "c" + i, ""));
             assertEquals(404, client.read().status());
@@ -177,8 +177,8 @@
 
     /** The id in the answer to a request that is sent until its connection is not closed unread. */
     private String askUntilServed(String id) throws Exception {
-        for (int turn = 0; turn < 10_000; turn++) {
-            try (RawSocket client = RawSocket.connect(router.front.frontendPort())) {
+        for (int iteration = 0; iteration < 10_000; iteration++) {
+            try (RawSocket client = RawSocket.connect(router.frontend.frontendPort())) {
                 client.send(TestRouter.request("POST", "/elsewhere/x", id, ""));
                 return client.read().field("X-Pinewick-Request-Id");
             } catch (IOException e) {
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/MisbehavingReplica.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/MisbehavingReplica.java
@@ -66,10 +66,10 @@
                 HttpText.Message request = HttpText.read(in);
                 String id = request.field("X-Pinewick-Request-Id");
                 write(socket, extra);
-                if (!answer(socket, chance, request, id)) {
+                if (!respond(socket, chance, request, id)) {
                     return;
                 }
-                extra = chance.nextInt(8) == 0 && id != null ? ScriptedReplica.answer(200, id, "late") : "";
+                extra = chance.nextInt(8) == 0 && id != null ? ScriptedReplica.response(200, id, "late") : "";
             }
         } catch (IOException e) {
             // the router closed it
@@ -77,7 +77,7 @@
     }
 
     /** Returns whether the connection goes on. */
-    private boolean answer(Socket socket, SplittableRandom chance, HttpText.Message request, String id)
+    private boolean respond(Socket socket, SplittableRandom chance, HttpText.Message request, String id)
             throws IOException {
         if (id == null) {
             write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
@@ -88,7 +88,7 @@
             return true;
         }
         if (request.field("X-Pinewick-Serving-Stage") != null) {
-            write(socket, ScriptedReplica.answer(200, id, "{\"prefill_handle\":\"h-" + id + "\"}"));
+            write(socket, ScriptedReplica.response(200, id, "{\"prefill_handle\":\"h-" + id + "\"}"));
             return true;
         }
         String kvFrom = request.field("Kv-From");
@@ -103,7 +103,7 @@
     }
 
     private boolean plain(Socket socket, SplittableRandom chance, String id) throws IOException {
-        String whole = ScriptedReplica.answer(200, id, bodyOf(id));
+        String whole = ScriptedReplica.response(200, id, bodyOf(id));
         switch (chance.nextInt(18)) {
             case 0 -> {
                 write(socket, whole.substring(0, chance.nextInt(whole.length())));
@@ -113,14 +113,14 @@
                 socket.setSoLinger(true, 0);
                 return false;
             }
-            case 2 -> write(socket, whole + ScriptedReplica.answer(200, id, "extra"));
+            case 2 -> write(socket, whole + ScriptedReplica.response(200, id, "extra"));
             case 3 -> {
                 write(socket, "no answer at all\r\n\r\n");
                 return false;
             }
-            case 4 -> write(socket, ScriptedReplica.answer(500, id, "failed"));
+            case 4 -> write(socket, ScriptedReplica.response(500, id, "failed"));
             case 5 -> {
-                write(socket, ScriptedReplica.answer(200, id, bodyOf(id), "Connection: close"));
+                write(socket, ScriptedReplica.response(200, id, bodyOf(id), "Connection: close"));
                 return false;
             }
             case 6 -> write(socket, "HTTP/1.1 100 Continue\r\n\r\n" + whole);
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/MisbehavingReplicasTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/MisbehavingReplicasTest.java
@@ -96,7 +96,7 @@
                 String id = "c" + number + "x" + i + "-" + kind;
                 boolean stream = kind.equals("cut") || kind.equals("go");
                 if (socket == null) {
-                    socket = RawSocket.connect(router.front.frontendPort());
+                    socket = RawSocket.connect(router.frontend.frontendPort());
                 }
                 socket.send(TestRouter.request("POST", (stream ? "/lm/" : "/") + kind + "/x", id, "body of " + id));
                 if (!judge(socket, id, stream)) {
@@ -111,9 +111,9 @@
 
     /** Reads and judges an answer; returns whether the connection goes on. */
     private boolean judge(RawSocket socket, String id, boolean stream) throws IOException {
-        HttpText.Message answer;
+        HttpText.Message response;
         try {
-            answer = socket.read();
+            response = socket.read();
         } catch (EOFException e) {
             count("cut");
             if (!stream) {
@@ -121,34 +121,34 @@
             }
             return false;
         }
-        if (!id.equals(answer.field("X-Pinewick-Request-Id"))) {
-            broken.add(id + ": answer of " + answer.field("X-Pinewick-Request-Id"));
+        if (!id.equals(response.field("X-Pinewick-Request-Id"))) {
+            broken.add(id + ": answer of " + response.field("X-Pinewick-Request-Id"));
         }
-        if (answer.status() == 200) {
+        if (response.status() == 200) {
             count("served");
-            judgeSuccess(id, stream, answer);
-        } else if (answer.status() == 503) {
+            judgeSuccess(id, stream, response);
+        } else if (response.status() == 503) {
             count("refused");
             if (runs.containsKey(id)) {
                 broken.add(id + ": refused though it ran");
             }
         } else {
-            count("failed " + answer.status());
+            count("failed " + response.status());
         }
-        return !"close".equals(answer.field("Connection"));
+        return !"close".equals(response.field("Connection"));
     }
 
-    private void judgeSuccess(String id, boolean stream, HttpText.Message answer) {
+    private void judgeSuccess(String id, boolean stream, HttpText.Message response) {
         StringBuilder events = new StringBuilder();
         for (int number = 1; number <= MisbehavingReplica.EVENTS; number++) {
             events.append(MisbehavingReplica.eventOf(id, number));
         }
         String expected = stream ? events.toString() : MisbehavingReplica.bodyOf(id);
-        if (!expected.equals(answer.body())) {
-            broken.add(id + ": body '" + answer.body() + "'");
+        if (!expected.equals(response.body())) {
+            broken.add(id + ": body '" + response.body() + "'");
         }
-        if (!("stamp-" + id).equals(answer.field("X-Pinewick-Server-Signature"))) {
-            broken.add(id + ": stamp " + answer.field("X-Pinewick-Server-Signature"));
+        if (!("stamp-" + id).equals(response.field("X-Pinewick-Server-Signature"))) {
+            broken.add(id + ": stamp " + response.field("X-Pinewick-Server-Signature"));
         }
     }
 
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/PrefillHandoverTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/PrefillHandoverTest.java
@@ -25,7 +25,7 @@
         prefill = router.replica("p-1", "lm", Stage.PREFILL);
         decode = router.replica("d-1", "lm", Stage.DECODE);
         client = router.client();
-        router.force("p-1+d-1");
+        router.forceChoices("p-1+d-1");
     }
 
     @AfterEach
@@ -36,21 +36,21 @@
     private RawSocket askPrefill(String... fields) throws Exception {
         client.send(TestRouter.request("POST", "/lm/g", "q1", "prompt", fields));
         RawSocket upstream = prefill.accept();
-        HttpText.Message seen = upstream.read();
-        assertEquals("prefill", seen.field("X-Pinewick-Serving-Stage"));
-        assertEquals("p-1", seen.field("X-Pinewick-Expected-Instance"));
-        assertEquals("q1", seen.field("X-Pinewick-Request-Id"));
-        assertEquals("prompt", seen.body());
-        assertNull(seen.field("Kv-From"));
+        HttpText.Message forwarded = upstream.read();
+        assertEquals("prefill", forwarded.field("X-Pinewick-Serving-Stage"));
+        assertEquals("p-1", forwarded.field("X-Pinewick-Expected-Instance"));
+        assertEquals("q1", forwarded.field("X-Pinewick-Request-Id"));
+        assertEquals("prompt", forwarded.body());
+        assertNull(forwarded.field("Kv-From"));
         return upstream;
     }
 
     private RawSocket askDecode(ScriptedReplica replica, String kvFrom) throws Exception {
         RawSocket upstream = replica.accept();
-        HttpText.Message seen = upstream.read();
-        assertEquals(kvFrom, seen.field("Kv-From"));
-        assertNull(seen.field("X-Pinewick-Serving-Stage"));
-        assertEquals("prompt", seen.body());
+        HttpText.Message forwarded = upstream.read();
+        assertEquals(kvFrom, forwarded.field("Kv-From"));
+        assertNull(forwarded.field("X-Pinewick-Serving-Stage"));
+        assertEquals("prompt", forwarded.body());
         return upstream;
     }
 
@@ -60,27 +60,27 @@
 
     private void serve(RawSocket upstream) throws Exception {
         upstream.send(ScriptedReplica.streamHead("q1") + ScriptedReplica.chunk(EVENT) + ScriptedReplica.lastChunk());
-        HttpText.Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals(EVENT, answer.body());
-        assertEquals("stamp-q1", answer.field("X-Pinewick-Server-Signature"));
+        HttpText.Message response = client.read();
+        assertEquals(200, response.status());
+        assertEquals(EVENT, response.body());
+        assertEquals("stamp-q1", response.field("X-Pinewick-Server-Signature"));
     }
 
     private static void assertFreed(RawSocket prefillConnection) throws Exception {
-        HttpText.Message seen = prefillConnection.read();
-        assertEquals("DELETE /kv-handle/3fa09c41b7d5 HTTP/1.1", seen.firstLine());
-        assertEquals("p-1", seen.field("X-Pinewick-Expected-Instance"));
-        assertNull(seen.field("X-Pinewick-Request-Id"));
+        HttpText.Message forwarded = prefillConnection.read();
+        assertEquals("DELETE /kv-handle/3fa09c41b7d5 HTTP/1.1", forwarded.firstLine());
+        assertEquals("p-1", forwarded.field("X-Pinewick-Expected-Instance"));
+        assertNull(forwarded.field("X-Pinewick-Request-Id"));
         prefillConnection.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     }
 
     @Test
     void thePromptIsPrefilledAtOneReplicaAndDecodedAtAnother() throws Exception {
         RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.answer(200, "q1", HANDLE));
+        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
         serve(askDecode(decode, handle()));
         // Nothing is freed: the next thing on the kept connection is the next prompt.
-        router.force("p-1+d-1");
+        router.forceChoices("p-1+d-1");
         client.send(TestRouter.request("POST", "/lm/g", "q2", "prompt"));
         assertEquals("prefill", reading.read().field("X-Pinewick-Serving-Stage"));
     }
@@ -96,7 +96,7 @@
                 "TE: trailers",
                 "Proxy-Connection: keep-alive",
                 "Keep-Alive: timeout=3");
-        reading.send(ScriptedReplica.answer(200, "q1", HANDLE));
+        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
         serve(askDecode(decode, handle()));
     }
 
@@ -114,28 +114,28 @@
 
     @Test
     void anAnswerWithoutAHandleCountsAsBroken() throws Exception {
-        askPrefill().send(ScriptedReplica.answer(200, "q1", "{\"tokens\":3}"));
+        askPrefill().send(ScriptedReplica.response(200, "q1", "{\"tokens\":3}"));
         serve(askDecode(decode, null));
     }
 
     @Test
     void theHandleOfAnotherRequestIsNotUsed() throws Exception {
         RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.answer(200, "q0", HANDLE.replace("3fa0", "0000")));
-        reading.send(ScriptedReplica.answer(200, "q1", HANDLE));
+        reading.send(ScriptedReplica.response(200, "q0", HANDLE.replace("3fa0", "0000")));
+        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
         serve(askDecode(decode, handle()));
     }
 
     @Test
     void aHandleRejectedByADecodeReplicaIsOfferedToAnother() throws Exception {
         RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.answer(200, "q1", HANDLE));
+        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
         RawSocket decoding = askDecode(decode, handle());
         ScriptedReplica other = router.replica("d-2", "lm", Stage.DECODE);
         decoding.send(ScriptedReplica.rejection("q1"));
         serve(askDecode(other, handle()));
         // It was taken, so it is not freed: the next thing on the kept connection is the next prompt.
-        router.force("p-1+d-1");
+        router.forceChoices("p-1+d-1");
         client.send(TestRouter.request("POST", "/lm/g", "q2", "prompt"));
         assertEquals("prefill", reading.read().field("X-Pinewick-Serving-Stage"));
     }
@@ -144,7 +144,7 @@
     void aHandleRejectedByTwoDecodeReplicasIsReleased() throws Exception {
         router.configure(TestRouter.streamRoute(false, 3));
         RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.answer(200, "q1", HANDLE));
+        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
         RawSocket decoding = askDecode(decode, handle());
         ScriptedReplica second = router.replica("d-2", "lm", Stage.DECODE);
         decoding.send(ScriptedReplica.rejection("q1"));
@@ -159,7 +159,7 @@
     void aHandleIsReleasedWhenNoMoreAttemptsAreAllowed() throws Exception {
         router.configure(TestRouter.streamRoute(false, 1));
         RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.answer(200, "q1", HANDLE));
+        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
         askDecode(decode, handle()).send(ScriptedReplica.rejection("q1"));
         assertFreed(reading);
         assertEquals(503, client.read().status());
@@ -169,9 +169,9 @@
     void whileNoTransferSucceedsServingIsAggregated() throws Exception {
         router.configure(TestRouter.streamRoute(false, 1));
         RawSocket decoding = null;
-        for (int turn = 0; turn < 3; turn++) {
+        for (int iteration = 0; iteration < 3; iteration++) {
             RawSocket reading = askPrefill();
-            reading.send(ScriptedReplica.answer(200, "q1", HANDLE));
+            reading.send(ScriptedReplica.response(200, "q1", HANDLE));
             decoding = decoding == null ? decode.accept() : decoding;
             assertEquals(handle(), decoding.read().field("Kv-From"));
             decoding.send(ScriptedReplica.rejection("q1"));
@@ -179,7 +179,7 @@
             assertEquals(
                     "DELETE /kv-handle/3fa09c41b7d5 HTTP/1.1", reading.read().firstLine());
             assertEquals(503, client.read().status());
-            router.force("p-1+d-1");
+            router.forceChoices("p-1+d-1");
         }
         client.send(TestRouter.request("POST", "/lm/g", "q1", "prompt"));
         assertNull(decoding.read().field("Kv-From"));
@@ -189,7 +189,7 @@
     @Test
     void aHandleIsReleasedWhenTheDecodeReplicaFails() throws Exception {
         RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.answer(200, "q1", HANDLE));
+        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
         askDecode(decode, handle()).reset();
         assertFreed(reading);
         assertEquals(502, client.read().status());
@@ -201,7 +201,7 @@
                 + "X-Pinewick-Deadline-Ms: 400\r\nContent-Length: 6\r\n\r\nprompt");
         RawSocket reading = prefill.accept();
         reading.read();
-        reading.send(ScriptedReplica.answer(200, "q1", HANDLE));
+        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
         askDecode(decode, handle());
         assertFreed(reading);
         assertEquals(504, client.read().status());
@@ -211,7 +211,7 @@
     void withoutADecodeReplicaThePrefilledPromptIsRejectedAndReleased() throws Exception {
         RawSocket reading = askPrefill();
         router.remove(decode);
-        reading.send(ScriptedReplica.answer(200, "q1", HANDLE));
+        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
         assertFreed(reading);
         assertEquals(503, client.read().status());
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/PriorityTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/PriorityTest.java
@@ -19,27 +19,27 @@
 
     @Test
     void prefillAndDecodeCallsHaveTheRoutesPriority() {
-        LifecycleTestContext world = new LifecycleTestContext(RouteKind.STREAMING, false, true, 2, 1);
-        world.lifecycle.start();
-        assertEquals(OF_THE_ROUTE, priority(world.calls.last()));
-        world.calls.last().answer(200, HANDLE);
-        assertEquals(OF_THE_ROUTE, priority(world.calls.last()));
+        LifecycleTestContext context = new LifecycleTestContext(RouteKind.STREAMING, false, true, 2, 1);
+        context.lifecycle.start();
+        assertEquals(OF_THE_ROUTE, priority(context.calls.last()));
+        context.calls.last().response(200, HANDLE);
+        assertEquals(OF_THE_ROUTE, priority(context.calls.last()));
     }
 
     @Test
     void aPlainCallHasTheRoutesPriority() {
-        LifecycleTestContext world = new LifecycleTestContext(RouteKind.NON_IDEMPOTENT, false, false, 1, 1);
-        world.lifecycle.start();
-        assertEquals(OF_THE_ROUTE, priority(world.calls.last()));
+        LifecycleTestContext context = new LifecycleTestContext(RouteKind.NON_IDEMPOTENT, false, false, 1, 1);
+        context.lifecycle.start();
+        assertEquals(OF_THE_ROUTE, priority(context.calls.last()));
     }
 
     @Test
     void aShortCallThatHasWaitedKeepsTheRoutesPriority() {
-        LifecycleTestContext world = new LifecycleTestContext(RouteKind.STREAMING, false, true, 2, 1);
-        world.lifecycle.start();
-        world.timers.advance(LifecycleTestContext.TARGET_MS);
-        world.calls.last().answer(200, HANDLE);
-        assertEquals(OF_THE_ROUTE, priority(world.calls.last()));
+        LifecycleTestContext context = new LifecycleTestContext(RouteKind.STREAMING, false, true, 2, 1);
+        context.lifecycle.start();
+        context.timers.advance(LifecycleTestContext.TARGET_MS);
+        context.calls.last().response(200, HANDLE);
+        assertEquals(OF_THE_ROUTE, priority(context.calls.last()));
     }
 
     @Test
@@ -49,10 +49,10 @@
             ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
             RawSocket client = router.client();
             client.send(TestRouter.request("POST", "/plain/x", "q1", "body", "Priority: 0", "priority: 9"));
-            HttpText.Message seen = replica.accept().read();
+            HttpText.Message forwarded = replica.accept().read();
             assertEquals(
                     List.of("Priority: " + OF_THE_ROUTE),
-                    seen.fields().stream()
+                    forwarded.fields().stream()
                             .filter(field -> field.regionMatches(true, 0, "priority:", 0, "priority:".length()))
                             .toList());
         }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RawSocket.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RawSocket.java
@@ -49,7 +49,7 @@
     }
 
     /** Whether something is there to be read within a time; nothing is taken. */
-    boolean bringsMoreWithin(int waitMs) throws IOException {
+    boolean hasDataWithin(int waitMs) throws IOException {
         in.mark(1);
         socket.setSoTimeout(waitMs);
         try {
@@ -98,9 +98,9 @@
     /** Sends until the other side's end is felt; true if it came within a bounded number of turns. */
     boolean isClosedByPeerWhileSending(IntFunction<String> textOfTurn) throws IOException {
         socket.setSoTimeout(SHORT_WAIT_MS);
-        for (int turn = 0; turn < MOST_TURNS; turn++) {
+        for (int iteration = 0; iteration < MOST_TURNS; iteration++) {
             try {
-                send(textOfTurn.apply(turn));
+                send(textOfTurn.apply(iteration));
                 if (in.read() < 0) {
                     return true;
                 }
@@ -119,7 +119,7 @@
      */
     boolean isClosedByPeerWhile(Runnable step) throws IOException {
         socket.setSoTimeout(SHORT_WAIT_MS);
-        for (int turn = 0; turn < MOST_TURNS_BEFORE_A_DEADLINE; turn++) {
+        for (int iteration = 0; iteration < MOST_TURNS_BEFORE_A_DEADLINE; iteration++) {
             step.run();
             try {
                 return in.read() < 0;
@@ -131,7 +131,7 @@
     }
 
     /** Sends on a thread of its own until the other side takes no more for a while. */
-    void sendUntilHeldUp(String text) throws Exception {
+    void sendUntilBlocked(String text) throws Exception {
         AtomicInteger sent = new AtomicInteger();
         Thread sender = new Thread(() -> {
             try {
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RecordedClient.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RecordedClient.java
@@ -8,22 +8,22 @@
     /** How an answer came to its end. */
     enum Outcome {
         NONE,
-        ANSWERED,
+        RESPONDED,
         STREAMED,
         ABORTED
     }
 
-    Outcome ending = Outcome.NONE;
+    Outcome outcome = Outcome.NONE;
     int status;
     HttpFields fields;
     final StringBuilder body = new StringBuilder();
-    boolean begun;
+    boolean streamStarted;
     long pendingBytes;
 
     @Override
     public void respond(int answerStatus, HttpFields answerFields, byte[] answerBody) {
-        require(!begun);
-        end(Outcome.ANSWERED);
+        require(!streamStarted);
+        end(Outcome.RESPONDED);
         status = answerStatus;
         fields = answerFields;
         body.append(new String(answerBody, StandardCharsets.ISO_8859_1));
@@ -31,27 +31,27 @@
 
     @Override
     public void beginStream(int answerStatus, HttpFields answerFields) {
-        require(!begun && ending == Outcome.NONE);
-        begun = true;
+        require(!streamStarted && outcome == Outcome.NONE);
+        streamStarted = true;
         status = answerStatus;
         fields = answerFields;
     }
 
     @Override
     public void forward(byte[] piece) {
-        require(begun && ending == Outcome.NONE);
+        require(streamStarted && outcome == Outcome.NONE);
         body.append(new String(piece, StandardCharsets.ISO_8859_1));
     }
 
     @Override
     public void endStream() {
-        require(begun);
+        require(streamStarted);
         end(Outcome.STREAMED);
     }
 
     @Override
     public void abort() {
-        require(begun);
+        require(streamStarted);
         end(Outcome.ABORTED);
     }
 
@@ -61,8 +61,8 @@
     }
 
     private void end(Outcome how) {
-        require(ending == Outcome.NONE);
-        ending = how;
+        require(outcome == Outcome.NONE);
+        outcome = how;
     }
 
     private static void require(boolean condition) {
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReportPollerTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReportPollerTest.java
@@ -123,7 +123,7 @@
         directory.update(replica("i-1", ReplicaState.READY));
         poller.poll(SELF, List.of(), INTERVAL_MS);
         timers.advance(1_500);
-        assertTrue(calls.last().over);
+        assertTrue(calls.last().finished);
         poller.poll(SELF, List.of(), INTERVAL_MS);
         assertEquals(2, calls.all.size());
         assertEquals(List.of(), reported);
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestLifecyclePropertyTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestLifecyclePropertyTest.java
@@ -29,33 +29,33 @@
             @ForAll boolean generation,
             @ForAll @IntRange(min = 1, max = 4) int maxAttempts,
             @ForAll long seed) {
-        LifecycleTestContext world = new LifecycleTestContext(kind, resumable, generation, maxAttempts, seed);
+        LifecycleTestContext context = new LifecycleTestContext(kind, resumable, generation, maxAttempts, seed);
         SplittableRandom random = new SplittableRandom(seed);
-        world.lifecycle.start();
-        for (int step = 0; step < MOST_STEPS && world.ended.isEmpty(); step++) {
-            assertTrue(world.calls.open().size() <= 1, "one call at a time");
-            play(world, random);
+        context.lifecycle.start();
+        for (int step = 0; step < MOST_STEPS && context.ended.isEmpty(); step++) {
+            assertTrue(context.calls.open().size() <= 1, "one call at a time");
+            play(context, random);
         }
-        assertEquals(1, world.ended.size(), "ended once");
-        assertKept(world, maxAttempts);
+        assertEquals(1, context.ended.size(), "ended once");
+        assertKept(context, maxAttempts);
     }
 
-    private static void play(LifecycleTestContext world, SplittableRandom random) {
-        List<ScriptedCall> open = world.calls.open();
+    private static void play(LifecycleTestContext context, SplittableRandom random) {
+        List<ScriptedCall> open = context.calls.open();
         int choice = random.nextInt(40);
         if (choice == 0) {
-            world.lifecycle.onClientDisconnected();
+            context.lifecycle.onClientDisconnected();
         } else if (choice == 1) {
-            world.lifecycle.onShutdown();
+            context.lifecycle.onShutdown();
         } else if (choice < 10 || open.isEmpty()) {
-            world.timers.advance(random.nextInt(700));
+            context.timers.advance(random.nextInt(700));
         } else {
             playCall(open.get(0), random);
         }
     }
 
     private static void playCall(ScriptedCall call, SplittableRandom random) {
-        if (call.headSeen) {
+        if (call.headReceived) {
             playStream(call, random);
             return;
         }
@@ -67,9 +67,9 @@
             }
             case 1, 2 -> call.sent = true;
             case 3 -> call.reject();
-            case 4 -> call.breakOff();
-            case 5 -> call.answer(random.nextBoolean() ? 500 : 429, "its own");
-            case 6 -> call.answer(200, call.isPrefill() ? HANDLE : "whole");
+            case 4 -> call.breakConnection();
+            case 5 -> call.response(random.nextBoolean() ? 500 : 429, "its own");
+            case 6 -> call.response(200, call.isPrefill() ? HANDLE : "whole");
             case 7 -> call.head(200, org.eclipse.jetty.http.HttpFields.build());
             default -> call.streamHead();
         }
@@ -77,7 +77,7 @@
 
     private static void playStream(ScriptedCall call, SplittableRandom random) {
         switch (random.nextInt(8)) {
-            case 0 -> call.breakOff();
+            case 0 -> call.breakConnection();
             case 1 -> call.complete();
             case 2 -> call.content("id: " + call.nextEvent + "\ndata: half");
             default -> {
@@ -88,28 +88,28 @@
         }
     }
 
-    private static void assertKept(LifecycleTestContext world, int maxAttempts) {
-        List<ScriptedCall> calls = world.calls.all;
-        assertTrue(calls.stream().allMatch(call -> call.over || call.isRelease()), "no call is left open");
+    private static void assertKept(LifecycleTestContext context, int maxAttempts) {
+        List<ScriptedCall> calls = context.calls.all;
+        assertTrue(calls.stream().allMatch(call -> call.finished || call.isRelease()), "no call is left open");
         long runs = calls.stream().filter(ScriptedCall::mayHaveExecuted).count();
-        if (!world.route.isRetriable()) {
+        if (!context.route.isRetriable()) {
             assertTrue(runs <= 1, "run at most once");
         }
         long sent =
                 calls.stream().filter(call -> call.sent && !call.isRelease()).count();
         long freeOfCount = calls.stream().anyMatch(call -> call.isPrefill() && call.sent) ? 1 : 0;
         assertTrue(sent - freeOfCount <= maxAttempts, "within the attempts: " + sent);
-        assertAnswerFits(world, runs);
+        assertAnswerFits(context, runs);
         assertHandles(calls);
         assertTrue(
-                world.timers.pending()
+                context.timers.pending()
                         <= calls.stream().filter(ScriptedCall::isRelease).count(),
                 "timers are gone");
     }
 
-    private static void assertAnswerFits(LifecycleTestContext world, long runs) {
-        RecordedClient client = world.client;
-        if (client.ending == RecordedClient.Outcome.ANSWERED) {
+    private static void assertAnswerFits(LifecycleTestContext context, long runs) {
+        RecordedClient client = context.client;
+        if (client.outcome == RecordedClient.Outcome.RESPONDED) {
             boolean signed = client.fields.contains(HeaderNames.SERVER_SIGNATURE);
             if (PROMISES.contains(client.status)) {
                 assertEquals(0, runs, "a promise for what may have run");
@@ -117,10 +117,10 @@
             }
             assertEquals(signed, client.body.length() > 0, "own answers have no stamp and no body");
         }
-        if (client.ending == RecordedClient.Outcome.STREAMED) {
+        if (client.outcome == RecordedClient.Outcome.STREAMED) {
             assertEquals(200, client.status);
         }
-        assertEventsFollowEachOther(client.body.toString(), client.ending == RecordedClient.Outcome.STREAMED);
+        assertEventsFollowEachOther(client.body.toString(), client.outcome == RecordedClient.Outcome.STREAMED);
     }
 
     /** Each event once and in order; part of one only at the end of a whole stream. */
@@ -142,7 +142,7 @@
 
     /** Each prompt that was read is fetched by an answered call or freed. */
     private static void assertHandles(List<ScriptedCall> calls) {
-        boolean made = calls.stream().anyMatch(call -> call.isPrefill() && call.headSeen && !call.rejected);
+        boolean made = calls.stream().anyMatch(call -> call.isPrefill() && call.headReceived && !call.rejected);
         boolean offered = calls.stream().anyMatch(call -> call.request.fields().contains(HeaderNames.KV_FROM));
         boolean freed = calls.stream().anyMatch(ScriptedCall::isRelease);
         if (freed || offered) {
@@ -150,7 +150,7 @@
         }
         boolean fetched = calls.stream()
                 .filter(call -> call.request.fields().contains(HeaderNames.KV_FROM))
-                .anyMatch(call -> call.headSeen && !call.rejected);
+                .anyMatch(call -> call.headReceived && !call.rejected);
         if (offered && !fetched) {
             assertTrue(freed, "a handle that nobody fetched is freed");
         }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestState.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestState.java
@@ -6,64 +6,64 @@
 enum RequestState {
     PREFILL_CONNECTING {
         @Override
-        void reach(LifecycleTestContext world) {}
+        void reach(LifecycleTestContext context) {}
     },
     PREFILL_SENT {
         @Override
-        void reach(LifecycleTestContext world) {
-            world.calls.last().sent = true;
+        void reach(LifecycleTestContext context) {
+            context.calls.last().sent = true;
         }
     },
     DECODE_CONNECTING {
         @Override
-        void reach(LifecycleTestContext world) {
-            world.calls.last().answer(200, HANDLE);
+        void reach(LifecycleTestContext context) {
+            context.calls.last().response(200, HANDLE);
         }
     },
     DECODE_SENT {
         @Override
-        void reach(LifecycleTestContext world) {
-            DECODE_CONNECTING.reach(world);
-            world.calls.last().sent = true;
+        void reach(LifecycleTestContext context) {
+            DECODE_CONNECTING.reach(context);
+            context.calls.last().sent = true;
         }
     },
-    HEAD_CAME {
+    HEAD_RECEIVED {
         @Override
-        void reach(LifecycleTestContext world) {
-            DECODE_CONNECTING.reach(world);
-            world.calls.last().streamHead();
+        void reach(LifecycleTestContext context) {
+            DECODE_CONNECTING.reach(context);
+            context.calls.last().streamHead();
         }
     },
     STREAMING {
         @Override
-        void reach(LifecycleTestContext world) {
-            HEAD_CAME.reach(world);
-            world.calls.last().content("id: 1\ndata: x\n\n");
+        void reach(LifecycleTestContext context) {
+            HEAD_RECEIVED.reach(context);
+            context.calls.last().content("id: 1\ndata: x\n\n");
         }
     },
-    AGAIN_AFTER_A_BREAK {
+    RESUMING_AFTER_FAILURE {
         @Override
-        void reach(LifecycleTestContext world) {
-            STREAMING.reach(world);
-            world.calls.last().breakOff();
+        void reach(LifecycleTestContext context) {
+            STREAMING.reach(context);
+            context.calls.last().breakConnection();
         }
     };
 
     private static final String HANDLE = "{\"prefill_handle\":\"h\",\"tokens\":1,\"version\":1}";
 
-    abstract void reach(LifecycleTestContext world);
+    abstract void reach(LifecycleTestContext context);
 
     /** A request that has come so far. */
-    LifecycleTestContext world() {
-        LifecycleTestContext world = new LifecycleTestContext(RouteKind.STREAMING, true, true, 3, 1);
-        world.lifecycle.start();
-        reach(world);
-        return world;
+    LifecycleTestContext context() {
+        LifecycleTestContext context = new LifecycleTestContext(RouteKind.STREAMING, true, true, 3, 1);
+        context.lifecycle.start();
+        reach(context);
+        return context;
     }
 
     /** What becomes of it if nothing more happens. */
-    RecordedClient.Outcome endingAtTheTimeOut() {
-        boolean begun = this == STREAMING || this == AGAIN_AFTER_A_BREAK;
-        return begun ? RecordedClient.Outcome.ABORTED : RecordedClient.Outcome.ANSWERED;
+    RecordedClient.Outcome outcomeAtTimeout() {
+        boolean streamStarted = this == STREAMING || this == RESUMING_AFTER_FAILURE;
+        return streamStarted ? RecordedClient.Outcome.ABORTED : RecordedClient.Outcome.RESPONDED;
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RetryTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RetryTest.java
@@ -22,7 +22,7 @@
         first = router.replica("i-1", "plain", Stage.NONE);
         second = router.replica("i-2", "plain", Stage.NONE);
         client = router.client();
-        router.force("i-1");
+        router.forceChoices("i-1");
     }
 
     @AfterEach
@@ -40,21 +40,21 @@
 
     private void assertServedBySecond() throws Exception {
         RawSocket upstream = second.accept();
-        HttpText.Message seen = upstream.read();
-        assertEquals("q1", seen.field("X-Pinewick-Request-Id"));
-        assertEquals("i-2", seen.field("X-Pinewick-Expected-Instance"));
-        assertEquals("body", seen.body());
-        upstream.send(ScriptedReplica.answer(200, "q1", "from the second"));
-        HttpText.Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals("from the second", answer.body());
+        HttpText.Message forwarded = upstream.read();
+        assertEquals("q1", forwarded.field("X-Pinewick-Request-Id"));
+        assertEquals("i-2", forwarded.field("X-Pinewick-Expected-Instance"));
+        assertEquals("body", forwarded.body());
+        upstream.send(ScriptedReplica.response(200, "q1", "from the second"));
+        HttpText.Message response = client.read();
+        assertEquals(200, response.status());
+        assertEquals("from the second", response.body());
     }
 
     private void assertRefused() throws Exception {
-        HttpText.Message answer = client.read();
-        assertEquals(503, answer.status());
-        assertNull(answer.field("X-Pinewick-Server-Signature"));
-        double seconds = Double.parseDouble(answer.field("Retry-After"));
+        HttpText.Message response = client.read();
+        assertEquals(503, response.status());
+        assertNull(response.field("X-Pinewick-Server-Signature"));
+        double seconds = Double.parseDouble(response.field("Retry-After"));
         assertTrue(seconds > 0 && seconds < 1, "Retry-After " + seconds);
     }
 
@@ -110,17 +110,17 @@
 
     @Test
     void anIdempotentRequestIsRetriedAfterAReplicaFailure() throws Exception {
-        send("idempotent", 2).send(ScriptedReplica.answer(500, "q1", "failed"));
+        send("idempotent", 2).send(ScriptedReplica.response(500, "q1", "failed"));
         assertServedBySecond();
     }
 
     @Test
     void aNonRetriableFailureIsForwarded() throws Exception {
-        send("idempotent", 1).send(ScriptedReplica.answer(500, "q1", "failed"));
-        HttpText.Message answer = client.read();
-        assertEquals(500, answer.status());
-        assertEquals("failed", answer.body());
-        assertEquals("stamp-q1", answer.field("X-Pinewick-Server-Signature"));
+        send("idempotent", 1).send(ScriptedReplica.response(500, "q1", "failed"));
+        HttpText.Message response = client.read();
+        assertEquals(500, response.status());
+        assertEquals("failed", response.body());
+        assertEquals("stamp-q1", response.field("X-Pinewick-Server-Signature"));
     }
 
     @Test
@@ -153,7 +153,7 @@
     void lapsedReplicasAreTriedWhenThereAreNoOthers() throws Exception {
         router.state.merge(first.record().withLapsed(true));
         router.state.merge(second.record().withLapsed(true));
-        send("non_idempotent", 1).send(ScriptedReplica.answer(200, "q1", "alive"));
+        send("non_idempotent", 1).send(ScriptedReplica.response(200, "q1", "alive"));
         assertEquals("alive", client.read().body());
     }
 
@@ -166,7 +166,7 @@
         client.send(TestRouter.request("POST", "/plain/x", "q1", "body"));
         RawSocket upstream = first.accept();
         upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "q1", "from the other"));
+        upstream.send(ScriptedReplica.response(200, "q1", "from the other"));
         assertEquals("from the other", client.read().body());
     }
 
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RouterTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RouterTest.java
@@ -96,7 +96,7 @@
             HttpText.Message refused = late.read();
             assertEquals(404, refused.status());
             assertEquals("close", refused.field("Connection"));
-            upstream.send(ScriptedReplica.answer(200, "q1", "done"));
+            upstream.send(ScriptedReplica.response(200, "q1", "done"));
             assertEquals("done", client.read().body());
             stopped.get(20, TimeUnit.SECONDS);
             assertTrue(client.isClosedByPeer());
@@ -116,7 +116,7 @@
                 Thread.onSpinWait();
             }
             assertFalse(stopped.isDone());
-            upstream.send(ScriptedReplica.answer(200, "q1", "done"));
+            upstream.send(ScriptedReplica.response(200, "q1", "done"));
             assertEquals("done", client.read().body());
             stopped.get(20, TimeUnit.SECONDS);
         }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedPairChooser.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedPairChooser.java
@@ -12,13 +12,13 @@
  * Chooses what a test has put in order, else what the selection would. Never one that is excluded or not a
  * candidate.
  */
-record ScriptedPairChooser(PairChooser own, Queue<String> forced) implements PairChooser {
+record ScriptedPairChooser(PairChooser delegate, Queue<String> forced) implements PairChooser {
     @Override
     public Optional<ReplicaPair> choose(
             RequestShape request, Collection<ReplicaRecord> candidates, Set<String> excluded, double nowMs) {
         String next = forced.poll();
         if (next == null) {
-            return own.choose(request, candidates, excluded, nowMs);
+            return delegate.choose(request, candidates, excluded, nowMs);
         }
         int plus = next.indexOf('+');
         ReplicaRecord decode = find(next.substring(plus + 1), candidates, excluded);
@@ -35,7 +35,7 @@
             Collection<ReplicaRecord> candidates,
             Set<String> excluded,
             double nowMs) {
-        return own.chooseDecode(request, reader, candidates, excluded, nowMs);
+        return delegate.chooseDecode(request, reader, candidates, excluded, nowMs);
     }
 
     private static ReplicaRecord find(String id, Collection<ReplicaRecord> candidates, Set<String> excluded) {
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedReplica.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedReplica.java
@@ -56,7 +56,7 @@
     }
 
     /** Whether a connection has been made that nobody has accepted. */
-    boolean hasBeenCalled() throws IOException {
+    boolean hasPendingConnection() throws IOException {
         listener.setSoTimeout(1);
         try (Socket ignored = listener.accept()) {
             return true;
@@ -73,7 +73,7 @@
     }
 
     /** An answer as a replica gives it, stamped, with the length told. */
-    static String answer(int status, String requestId, String body, String... fields) {
+    static String response(int status, String requestId, String body, String... fields) {
         StringBuilder text = new StringBuilder("HTTP/1.1 " + status + " Status\r\n");
         text.append("X-Pinewick-Request-Id: ").append(requestId).append("\r\n");
         text.append("X-Pinewick-Server-Signature: stamp-").append(requestId).append("\r\n");
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedUpstreamClient.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedUpstreamClient.java
@@ -17,9 +17,9 @@
         final UpstreamRequest request;
         private final CallListener listener;
         boolean sent;
-        boolean over;
+        boolean finished;
         boolean rejected;
-        boolean headSeen;
+        boolean headReceived;
         boolean paused;
         int nextEvent;
 
@@ -51,7 +51,7 @@
 
         @Override
         public void abort() {
-            over = true;
+            finished = true;
         }
 
         @Override
@@ -65,7 +65,7 @@
         }
 
         void notSent(CallListener.NotSent reason) {
-            over = true;
+            finished = true;
             listener.onNotSent(reason);
         }
 
@@ -78,7 +78,7 @@
 
         void head(int status, HttpFields.Mutable fields) {
             sent = true;
-            headSeen = true;
+            headReceived = true;
             if (request.expectedId() != null) {
                 fields.add(HeaderNames.REQUEST_ID, request.expectedId());
             }
@@ -98,27 +98,27 @@
         }
 
         void content(String text) {
-            if (!over) {
+            if (!finished) {
                 listener.onContent(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
             }
         }
 
         void complete() {
-            if (!over) {
-                over = true;
+            if (!finished) {
+                finished = true;
                 listener.onComplete();
             }
         }
 
-        void answer(int status, String body) {
+        void response(int status, String body) {
             signedHead(status);
             content(body);
             complete();
         }
 
-        void breakOff() {
+        void breakConnection() {
             sent = true;
-            over = true;
+            finished = true;
             listener.onFailure("played");
         }
     }
@@ -136,6 +136,6 @@
 
     /** Calls that can still bring something, those that free handles left out. */
     List<ScriptedCall> open() {
-        return all.stream().filter(call -> !call.over && !call.isRelease()).toList();
+        return all.stream().filter(call -> !call.finished && !call.isRelease()).toList();
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ShutdownTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ShutdownTest.java
@@ -14,7 +14,7 @@
 /** A request that was read whole gets its whole answer, whatever is planned meanwhile. */
 class ShutdownTest {
     /** Together more than the sockets between router and client hold. */
-    private static final int MOST_ANSWERS = 40;
+    private static final int MAX_RESPONSES = 40;
 
     private static final int QUIET_MS = 500;
     private static final String BODY = "x".repeat(UpstreamAttempt.MAX_BUFFERED_BYTES - 1);
@@ -38,25 +38,25 @@
 
     @Test
     void aRequestIsInFlightUntilItsResponseIsFullyWritten() throws Exception {
-        for (int i = 0; i < MOST_ANSWERS; i++) {
+        for (int i = 0; i < MAX_RESPONSES; i++) {
             client.send(TestRouter.request("POST", "/plain/x", "q" + i, ""));
         }
         RawSocket upstream = replica.accept();
-        int answered = 0;
+        int responseCount = 0;
         do {
             upstream.read();
-            upstream.send(ScriptedReplica.answer(200, "q" + answered, BODY));
-            answered++;
-        } while (answered < MOST_ANSWERS && upstream.bringsMoreWithin(QUIET_MS));
-        assertEquals(true, answered < MOST_ANSWERS, "the client's socket was to hold the last answer up");
+            upstream.send(ScriptedReplica.response(200, "q" + responseCount, BODY));
+            responseCount++;
+        } while (responseCount < MAX_RESPONSES && upstream.hasDataWithin(QUIET_MS));
+        assertEquals(true, responseCount < MAX_RESPONSES, "the client's socket was to hold the last answer up");
         CompletableFuture<Void> idle = router.dataPlane.whenIdle();
         assertFalse(idle.isDone(), "the last answer has not gone out whole");
         router.dataPlane.beginStopping();
-        for (int i = 0; i < answered; i++) {
+        for (int i = 0; i < responseCount; i++) {
             assertEquals(BODY.length(), client.read().body().length());
         }
         upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "q" + answered, "the last"));
+        upstream.send(ScriptedReplica.response(200, "q" + responseCount, "the last"));
         HttpText.Message last = client.read();
         assertEquals("the last", last.body());
         assertEquals("close", last.field("Connection"));
@@ -69,7 +69,7 @@
         RawSocket upstream = replica.accept();
         upstream.read();
         router.configure(TestRouter.streamRoute(false, 1));
-        upstream.send(ScriptedReplica.answer(200, "q1", "done"));
+        upstream.send(ScriptedReplica.response(200, "q1", "done"));
         assertEquals("done", client.read().body());
         client.send(TestRouter.request("POST", "/plain/x", "q2", "body"));
         assertEquals(404, client.read().status());
@@ -82,7 +82,7 @@
         upstream.read();
         router.state.merge(replica.record(ReplicaState.DRAINING));
         router.remove(replica);
-        upstream.send(ScriptedReplica.answer(200, "q1", "done"));
+        upstream.send(ScriptedReplica.response(200, "q1", "done"));
         assertEquals("done", client.read().body());
     }
 
@@ -94,10 +94,10 @@
         router.dataPlane.beginStopping();
         CompletableFuture<Void> idle = router.dataPlane.whenIdle();
         assertFalse(idle.isDone());
-        upstream.send(ScriptedReplica.answer(200, "q1", "done"));
-        HttpText.Message answer = client.read();
-        assertEquals("done", answer.body());
-        assertEquals("close", answer.field("Connection"));
+        upstream.send(ScriptedReplica.response(200, "q1", "done"));
+        HttpText.Message response = client.read();
+        assertEquals("done", response.body());
+        assertEquals("close", response.field("Connection"));
         idle.get(10, TimeUnit.SECONDS);
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/StreamTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/StreamTest.java
@@ -28,7 +28,7 @@
         first = router.replica("i-1", "lm", Stage.DECODE);
         second = router.replica("i-2", "lm", Stage.DECODE);
         client = router.client();
-        router.force("i-1");
+        router.forceChoices("i-1");
     }
 
     @AfterEach
@@ -85,9 +85,9 @@
         upstream.send(ScriptedReplica.chunk("id: 2\ndata: hal"));
         upstream.reset();
         RawSocket next = second.accept();
-        HttpText.Message seen = next.read();
-        assertEquals("1", seen.field("Last-Event-Id"));
-        assertEquals("prompt", seen.body());
+        HttpText.Message forwarded = next.read();
+        assertEquals("1", forwarded.field("Last-Event-Id"));
+        assertEquals("prompt", forwarded.body());
         next.send(ScriptedReplica.streamHead("q1", "X-Second: head"));
         next.send(ScriptedReplica.chunk(event(1) + event(2)));
         assertEquals(event(2), client.readChunk());
@@ -103,9 +103,9 @@
         RawSocket next = second.accept();
         assertEquals("12", next.read().field("Last-Event-Id"));
         next.send(ScriptedReplica.streamHead("q1") + ScriptedReplica.chunk(event(13)) + ScriptedReplica.lastChunk());
-        HttpText.Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals(event(13), answer.body());
+        HttpText.Message response = client.read();
+        assertEquals(200, response.status());
+        assertEquals(event(13), response.body());
     }
 
     @Test
@@ -131,9 +131,9 @@
     void aStreamWithoutAnyEventIsForwardedCompletely() throws Exception {
         RawSocket upstream = begin(false, 1);
         upstream.send(ScriptedReplica.lastChunk());
-        HttpText.Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals("", answer.body());
+        HttpText.Message response = client.read();
+        assertEquals(200, response.status());
+        assertEquals("", response.body());
     }
 
     /** Begins a stream that has neither a length nor chunks, so that it ends with its connection. */
@@ -152,9 +152,9 @@
         RawSocket upstream = beginWithoutChunks(false, 1);
         upstream.send(event(1) + event(2));
         upstream.close();
-        HttpText.Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals(event(1) + event(2), answer.body());
+        HttpText.Message response = client.read();
+        assertEquals(200, response.status());
+        assertEquals(event(1) + event(2), response.body());
     }
 
     @Test
@@ -205,9 +205,9 @@
         upstream.read();
         upstream.send("HTTP/1.1 200 OK\r\nX-Pinewick-Request-Id: q1\r\nContent-Type: text/event-stream\r\n"
                 + "Transfer-Encoding: chunked\r\n\r\n" + ScriptedReplica.chunk(event(1)));
-        HttpText.Message answer = client.read();
-        assertEquals(502, answer.status());
-        assertNull(answer.field("X-Pinewick-Server-Signature"));
+        HttpText.Message response = client.read();
+        assertEquals(502, response.status());
+        assertNull(response.field("X-Pinewick-Server-Signature"));
     }
 
     @Test
@@ -215,7 +215,7 @@
         RawSocket upstream = begin(false, 1);
         passOne(upstream);
         client.reset();
-        assertTrue(upstream.isClosedByPeerWhileSending(turn -> ScriptedReplica.chunk(event(turn + 2))));
+        assertTrue(upstream.isClosedByPeerWhileSending(iteration -> ScriptedReplica.chunk(event(iteration + 2))));
     }
 
     @Test
@@ -226,10 +226,10 @@
         RawSocket upstream = first.accept();
         upstream.read();
         client.close();
-        upstream.send(ScriptedReplica.answer(200, "q1", "answer"));
+        upstream.send(ScriptedReplica.response(200, "q1", "answer"));
         router.dataPlane.whenIdle().get(10, TimeUnit.SECONDS);
-        assertFalse(upstream.bringsMoreWithin(QUIET_MS), "the second request is sent");
-        assertFalse(first.hasBeenCalled() || second.hasBeenCalled(), "the second request is sent");
+        assertFalse(upstream.hasDataWithin(QUIET_MS), "the second request is sent");
+        assertFalse(first.hasPendingConnection() || second.hasPendingConnection(), "the second request is sent");
     }
 
     @Test
@@ -279,9 +279,9 @@
         RawSocket upstream = begin(false, 1);
         passOne(upstream);
         String large = "data: " + "x".repeat(64 * 1024) + "\n\n";
-        upstream.sendUntilHeldUp(ScriptedReplica.chunk(large));
+        upstream.sendUntilBlocked(ScriptedReplica.chunk(large));
         // Another client is served meanwhile.
-        router.force("i-2");
+        router.forceChoices("i-2");
         RawSocket other = router.client();
         other.send(TestRouter.request("POST", "/lm/g", "q2", "prompt"));
         RawSocket next = second.accept();
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/TenantHeadersTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/TenantHeadersTest.java
@@ -46,19 +46,19 @@
     }
 
     /** The fields that tell on whose behalf a request is sent. */
-    private static List<String> identityFields(HttpText.Message seen) {
-        return seen.fields().stream()
+    private static List<String> identityFields(HttpText.Message forwarded) {
+        return forwarded.fields().stream()
                 .filter(field -> field.toLowerCase(Locale.ROOT).matches("(authorization|x-pinewick-tenant):.*"))
                 .toList();
     }
 
-    private static void assertSentFor(String tenant, HttpText.Message seen) {
-        assertEquals(List.of("X-Pinewick-Tenant: " + tenant), identityFields(seen));
-        assertFalse(seen.toString().contains("key-"), "the key reaches the replica");
+    private static void assertSentFor(String tenant, HttpText.Message forwarded) {
+        assertEquals(List.of("X-Pinewick-Tenant: " + tenant), identityFields(forwarded));
+        assertFalse(forwarded.toString().contains("key-"), "the key reaches the replica");
     }
 
-    private static void assertSentForNobody(HttpText.Message seen) {
-        assertEquals(List.of(), identityFields(seen));
+    private static void assertSentForNobody(HttpText.Message forwarded) {
+        assertEquals(List.of(), identityFields(forwarded));
     }
 
     @ParameterizedTest
@@ -73,7 +73,7 @@
     void theRetryOfACallCarriesTheTenantInPlaceOfTheKey() throws Exception {
         ScriptedReplica first = router.replica("i-1", "plain", Stage.NONE);
         ScriptedReplica second = router.replica("i-2", "plain", Stage.NONE);
-        router.force("i-1", "i-2");
+        router.forceChoices("i-1", "i-2");
         send("/plain/x", "q1", KEY_FIELD, CLAIM);
         RawSocket upstream = first.accept();
         upstream.read();
@@ -85,7 +85,7 @@
     void thePrefillCallCarriesTheTenantInPlaceOfTheKey() throws Exception {
         ScriptedReplica prefill = router.replica("p-1", "lm", Stage.PREFILL);
         router.replica("d-1", "lm", Stage.DECODE);
-        router.force("p-1+d-1");
+        router.forceChoices("p-1+d-1");
         send("/lm/x", "q1", KEY_FIELD, CLAIM);
         assertSentFor("t-1", prefill.accept().read());
     }
@@ -94,11 +94,11 @@
     void theDecodeCallCarriesTheTenantInPlaceOfTheKey() throws Exception {
         ScriptedReplica prefill = router.replica("p-1", "lm", Stage.PREFILL);
         ScriptedReplica decode = router.replica("d-1", "lm", Stage.DECODE);
-        router.force("p-1+d-1");
+        router.forceChoices("p-1+d-1");
         send("/lm/x", "q1", KEY_FIELD, CLAIM);
         RawSocket upstream = prefill.accept();
         upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "q1", "{\"prefill_handle\":\"h1\"}"));
+        upstream.send(ScriptedReplica.response(200, "q1", "{\"prefill_handle\":\"h1\"}"));
         assertSentFor("t-1", decode.accept().read());
     }
 
@@ -106,7 +106,7 @@
     void aResumedStreamCarriesTheTenantInPlaceOfTheKey() throws Exception {
         ScriptedReplica first = router.replica("i-1", "lm", Stage.DECODE);
         ScriptedReplica second = router.replica("i-2", "lm", Stage.DECODE);
-        router.force("i-1", "i-2");
+        router.forceChoices("i-1", "i-2");
         send("/lm/x", "q1", KEY_FIELD, CLAIM);
         RawSocket upstream = first.accept();
         upstream.read();
@@ -125,7 +125,7 @@
         send("/plain/x", "q1", KEY_FIELD);
         RawSocket upstream = replica.accept();
         upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "q1", "served"));
+        upstream.send(ScriptedReplica.response(200, "q1", "served"));
         client.read();
         send("/plain/x", "q2", TestRouter.keyField("key-2"));
         assertSentFor("t-2", upstream.read());
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/TestRouter.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/TestRouter.java
@@ -23,12 +23,12 @@
 /** A router's data plane on loopback, with a fleet state that the test fills by hand. */
 final class TestRouter implements AutoCloseable {
     static final String HOST = "shop.example";
-    static final int MOST_CLIENTS = 200;
+    static final int MAX_CLIENTS = 200;
 
     final FleetState state = new FleetState();
     final DataPlane dataPlane;
-    final HttpFrontend front;
-    volatile boolean informed = true;
+    final HttpFrontend frontend;
+    volatile boolean configurationConfirmed = true;
     /** Items of the section {@code tenants} in JSON, separated by commas; without any, no request needs a key. */
     String tenants = "";
 
@@ -41,20 +41,20 @@
         scheduler.start();
         JettyTimers timers = new JettyTimers(scheduler, serial);
         ReplicaSelector selector = new ReplicaSelector(new SplittableRandom(7));
-        PairChooser own = PairChooser.of(selector);
+        PairChooser delegate = PairChooser.of(selector);
         dataPlane = new DataPlane(
                 serial,
                 timers,
                 budget(),
                 selector,
-                new ScriptedPairChooser(own, forcedPairs),
+                new ScriptedPairChooser(delegate, forcedPairs),
                 new SplittableRandom(8),
                 tenancy(),
                 limits -> {});
         SocketAddress anyPort = new SocketAddress("127.0.0.1", 0);
-        front = new HttpFrontend(dataPlane, () -> true, scheduler, anyPort, anyPort, MOST_CLIENTS);
-        front.start();
-        dataPlane.follow(state, front.upstream());
+        frontend = new HttpFrontend(dataPlane, () -> true, scheduler, anyPort, anyPort, MAX_CLIENTS);
+        frontend.start();
+        dataPlane.follow(state, frontend.upstream());
     }
 
     private Tenancy tenancy() {
@@ -62,12 +62,12 @@
         ConfigurationStatus status = new ConfigurationStatus() {
             @Override
             public boolean isConfirmedSinceStart() {
-                return informed;
+                return configurationConfirmed;
             }
 
             @Override
             public Confirmation lastConfirmation() {
-                double confirmedAtMs = informed ? System.nanoTime() / 1e6 : Double.NEGATIVE_INFINITY;
+                double confirmedAtMs = configurationConfirmed ? System.nanoTime() / 1e6 : Double.NEGATIVE_INFINITY;
                 return new Confirmation(state.configuration().version(), confirmedAtMs);
             }
         };
@@ -83,7 +83,7 @@
     }
 
     /** The next choices in order, before the selection is asked: instance ids, or PREFILL+DECODE. */
-    void force(String... pairs) {
+    void forceChoices(String... pairs) {
         forcedPairs.addAll(List.of(pairs));
     }
 
@@ -154,7 +154,7 @@
     }
 
     RawSocket client() throws IOException {
-        RawSocket client = RawSocket.connect(front.frontendPort());
+        RawSocket client = RawSocket.connect(frontend.frontendPort());
         toClose.add(client);
         return client;
     }
@@ -177,7 +177,7 @@
         for (AutoCloseable each : toClose) {
             each.close();
         }
-        front.stop();
+        frontend.stop();
         scheduler.stop();
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/TimeoutTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/TimeoutTest.java
@@ -20,7 +20,7 @@
             "POST /plain/x HTTP/1.1\r\nHost: shop.example\r\nX-Pinewick-Request-Id: q1\r\nContent-Length: 10\r\n\r\n";
 
     /** Together more than the sockets between router and client hold. */
-    private static final int MOST_ANSWERS = 40;
+    private static final int MAX_RESPONSES = 40;
 
     private static final int QUIET_MS = 500;
 
@@ -49,9 +49,9 @@
     @Test
     void anIncompleteBodyTimesOut() throws Exception {
         client.send(HEAD + "half");
-        HttpText.Message answer = client.read();
-        assertEquals(408, answer.status());
-        assertEquals("close", answer.field("Connection"));
+        HttpText.Message response = client.read();
+        assertEquals(408, response.status());
+        assertEquals("close", response.field("Connection"));
         assertTrue(client.isClosedByPeer());
     }
 
@@ -94,9 +94,9 @@
         upstream.read();
         upstream.send("HTTP/1.1 200 OK\r\nX-Pinewick-Request-Id: q1\r\nX-Pinewick-Server-Signature: s\r\n"
                 + "Transfer-Encoding: chunked\r\n\r\n");
-        upstream.sendUntilHeldUp(ScriptedReplica.chunk("x".repeat(256 * 1024)));
+        upstream.sendUntilBlocked(ScriptedReplica.chunk("x".repeat(256 * 1024)));
         router.dataPlane.whenIdle().get(10, TimeUnit.SECONDS);
-        assertEquals(0, router.front.clientConnections(), "closed though the client has read nothing");
+        assertEquals(0, router.frontend.clientConnections(), "closed though the client has read nothing");
         assertEquals(200, client.readHead().status());
         assertThrows(IOException.class, () -> {
             while (!client.readChunk().isEmpty()) {
@@ -109,20 +109,20 @@
     void theEndOfAResponseIsNotRetainedForAClientThatDoesNotRead() throws Exception {
         configure(1_000);
         String body = "x".repeat(UpstreamAttempt.MAX_BUFFERED_BYTES - 1);
-        for (int i = 0; i < MOST_ANSWERS; i++) {
+        for (int i = 0; i < MAX_RESPONSES; i++) {
             client.send(TestRouter.request("POST", "/plain/x", "q" + i, ""));
         }
         RawSocket upstream = replica.accept();
-        int answered = 0;
+        int responseCount = 0;
         do {
             upstream.read();
-            upstream.send(ScriptedReplica.answer(200, "q" + answered, body));
-            answered++;
-        } while (answered < MOST_ANSWERS && upstream.bringsMoreWithin(QUIET_MS));
-        assertTrue(answered < MOST_ANSWERS, "the client's socket was to hold the last answer up");
+            upstream.send(ScriptedReplica.response(200, "q" + responseCount, body));
+            responseCount++;
+        } while (responseCount < MAX_RESPONSES && upstream.hasDataWithin(QUIET_MS));
+        assertTrue(responseCount < MAX_RESPONSES, "the client's socket was to hold the last answer up");
         router.dataPlane.whenIdle().get(10, TimeUnit.SECONDS);
-        assertEquals(0, router.front.clientConnections(), "closed though the client has read nothing");
-        assertFalse(upstream.bringsMoreWithin(QUIET_MS), "none of the requests behind it is run");
-        assertFalse(replica.hasBeenCalled(), "none of the requests behind it is run");
+        assertEquals(0, router.frontend.clientConnections(), "closed though the client has read nothing");
+        assertFalse(upstream.hasDataWithin(QUIET_MS), "none of the requests behind it is run");
+        assertFalse(replica.hasPendingConnection(), "none of the requests behind it is run");
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ValidRequestsTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ValidRequestsTest.java
@@ -34,10 +34,10 @@
 
     private HttpText.Message serve() throws Exception {
         RawSocket upstream = replica.accept();
-        HttpText.Message seen = upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "q1", "served"));
+        HttpText.Message forwarded = upstream.read();
+        upstream.send(ScriptedReplica.response(200, "q1", "served"));
         assertEquals("served", client.read().body());
-        return seen;
+        return forwarded;
     }
 
     @Test
