--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/KvTransferHealth.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/KvTransferHealth.java
@@ -5,7 +5,7 @@
 
 /**
  * A circuit breaker for KV transfers, one per service. After consecutive rejections by decode replicas, serving is
- * aggregated and one transfer is tried per backoff period.
+ * aggregated and one transfer is attempted per backoff period.
  */
 final class KvTransferHealth {
     private static final int MAX_CONSECUTIVE_REJECTIONS = 3;
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReportPoller.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/ReportPoller.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Whether a replica is polled. Replicas without an inference engine are not: the number of calls in flight tells as
-     * much about them, and each poll has a cost.
+     * Whether a replica is polled. Replicas without an inference engine are not: the number of calls in flight is as
+     * good a measure of their load, and each poll has a cost.
      */
     private boolean shouldPoll(ReplicaRecord replica) {
         return replica.stage() != Stage.NONE
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestAdmission.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/RequestAdmission.java
@@ -25,7 +25,7 @@
 
     /**
      * {@code Retry-After} while this router does not know the fleet's configuration or any replica of a service, for
-     * example after a power loss of the whole fleet: the controllers need some tenths of a second to elect a primary,
+     * example after a power loss of the entire fleet: the controllers need some tenths of a second to elect a primary,
      * and replicas report up to one heartbeat interval later. A client retries once and waits for at most a third of
      * its time, so after a shorter wait its only retry would be rejected too.
      */
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamAttempt.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/UpstreamAttempt.java
@@ -14,7 +14,7 @@
 
 /**
  * One attempt of a client request at a replica: classifies the response, and reports it to the replica selection and to
- * the request's lifecycle. The selection is told of the end of the attempt exactly once.
+ * the request's lifecycle. The selection is notified of the end of the attempt exactly once.
  */
 final class UpstreamAttempt implements CallListener {
     /** Longest response that is buffered until it is complete, bytes; a longer one is forwarded in chunks. */
--- a/router-fleet/dataplane/src/main/java/pinewick/dataplane/WarmUp.java
+++ b/router-fleet/dataplane/src/main/java/pinewick/dataplane/WarmUp.java
@@ -17,7 +17,7 @@
 
 /**
  * Sends requests through the router once before clients connect, so that class loading does not delay the first
- * clients: a request without a route, and a call to a replica for which this router's own readiness listener stands in.
+ * clients: a request without a route, and a call to this router's own readiness listener in place of a replica.
  */
 final class WarmUp {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
--- a/router-fleet/selection/src/main/java/pinewick/selection/CallMeasurement.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/CallMeasurement.java
@@ -11,7 +11,7 @@
     private static final double UNCERTAIN_SAMPLE_WEIGHT = 0.1;
     /** A cached part that was used within this time is certain to be still cached. */
     private static final double RECENT_USE_MS = 2_000;
-    /** A cache miss is told from queueing only if the prefill of the missed part takes at least this long. */
+    /** A cache miss is distinguished from queueing only if the prefill of the missed part takes at least this long. */
     private static final double MIN_DETECTABLE_MISS_MS = 20;
     /** A cache miss is assumed if the excess latency is within these factors of the prefill time of the missed part. */
     private static final double MISS_LOWER_FACTOR = 0.7;
--- a/router-fleet/selection/src/main/java/pinewick/selection/PersistenceByAge.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/PersistenceByAge.java
@@ -31,7 +31,7 @@
         return bin;
     }
 
-    /** Records that of {@code expectedAmount}, measured this long ago, {@code observedAmount} was observed again. */
+    /** Records that {@code observedAmount} of {@code expectedAmount}, {@code age} seconds old, was observed again. */
     public void record(double age, double expectedAmount, double observedAmount) {
         int bin = bin(age);
         expected[bin] += expectedAmount;
--- a/router-fleet/selection/src/main/java/pinewick/selection/PrefixHint.java
+++ b/router-fleet/selection/src/main/java/pinewick/selection/PrefixHint.java
@@ -3,7 +3,7 @@
 import pinewick.model.WireName;
 
 /**
- * Tells other routers that a replica has a part of a prompt in its prefix cache.
+ * Informs other routers that a replica has a part of a prompt in its prefix cache.
  *
  * @param instanceId the replica
  * @param chainHash hash of the prefix that ends with this part
