--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/AttemptTimeoutTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/AttemptTimeoutTest.java
@@ -5,21 +5,21 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long a silent replica is waited for before another one is asked. */
+/** How long to wait for an unresponsive replica before the request is retried at another one. */
 class AttemptTimeoutTest {
-    private static final double TARGET_MS = 400;
+    private static final double TARGET_LATENCY_MS = 400;
 
     @Test
     void aLongPromptExtendsTheAttemptTimeout() {
-        double leftMs = 2_900;
-        double usual = UpstreamAttempt.attemptTimeoutMs(leftMs, TARGET_MS, 100);
-        assertEquals(1_015, usual, 1);
-        assertEquals(2_500, UpstreamAttempt.attemptTimeoutMs(leftMs, TARGET_MS, 1_000), 1e-9);
+        double remainingMs = 2_900;
+        double usualTimeoutMs = UpstreamAttempt.attemptTimeoutMs(remainingMs, TARGET_LATENCY_MS, 100);
+        assertEquals(1_015, usualTimeoutMs, 1);
+        assertEquals(2_500, UpstreamAttempt.attemptTimeoutMs(remainingMs, TARGET_LATENCY_MS, 1_000), 1e-9);
     }
 
     @Test
     void noAttemptTimeoutExceedsTheDeadline() {
-        assertEquals(2_900, UpstreamAttempt.attemptTimeoutMs(2_900, TARGET_MS, 10_000), 1e-9);
-        assertTrue(UpstreamAttempt.attemptTimeoutMs(100, TARGET_MS, 1) <= 100);
+        assertEquals(2_900, UpstreamAttempt.attemptTimeoutMs(2_900, TARGET_LATENCY_MS, 10_000), 1e-9);
+        assertTrue(UpstreamAttempt.attemptTimeoutMs(100, TARGET_LATENCY_MS, 1) <= 100);
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/BasicRoutingTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/BasicRoutingTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import pinewick.model.Stage;
 
-/** The ordinary way of a request: a plain one, and a stream that one decode replica makes whole. */
+/** The common paths of requests: plain requests, and streams served by a single decode replica. */
 class BasicRoutingTest {
     private TestRouter router;
 
@@ -40,13 +40,14 @@
             assertEquals("i-1", forwarded.field("X-Pinewick-Expected-Instance"));
             assertEquals("kept", forwarded.field("X-Other"));
             assertEquals(TestRouter.HOST + ":80", forwarded.field("Host"));
-            int left = Integer.parseInt(forwarded.field("X-Pinewick-Deadline-Ms"));
-            assertTrue(left > 0 && left <= 4000, "left " + left);
-            upstream.send(ScriptedReplica.response(200, "id" + iteration, "answer " + iteration, "X-More: passed on"));
+            int remainingMs = Integer.parseInt(forwarded.field("X-Pinewick-Deadline-Ms"));
+            assertTrue(remainingMs > 0 && remainingMs <= 4000, "remaining " + remainingMs);
+            upstream.send(
+                    ScriptedReplica.response(200, "id" + iteration, "response " + iteration, "X-More: passed on"));
             HttpText.Message response = client.read();
             assertEquals(200, response.status());
-            assertEquals("answer " + iteration, response.body());
-            assertEquals("stamp-id" + iteration, response.field("X-Pinewick-Server-Signature"));
+            assertEquals("response " + iteration, response.body());
+            assertEquals("signature-id" + iteration, response.field("X-Pinewick-Server-Signature"));
             assertEquals("id" + iteration, response.field("X-Pinewick-Request-Id"));
             assertEquals("passed on", response.field("X-More"));
         }
@@ -78,7 +79,7 @@
         upstream.send(ScriptedReplica.chunk("id: 1\ndata: a\n\n"));
         HttpText.Message head = client.readHead();
         assertEquals(200, head.status());
-        assertEquals("stamp-s1", head.field("X-Pinewick-Server-Signature"));
+        assertEquals("signature-s1", head.field("X-Pinewick-Server-Signature"));
         assertEquals("id: 1\ndata: a\n\n", client.readChunk());
         upstream.send(ScriptedReplica.chunk("id: 2\ndata: b"));
         upstream.send(ScriptedReplica.chunk("\n\n"));
@@ -88,7 +89,7 @@
     }
 
     @Test
-    void whatHasNoRouteIsNotFound() throws Exception {
+    void aRequestWithoutARouteGets404() throws Exception {
         RawSocket client = router.client();
         client.send(TestRouter.request("POST", "/elsewhere/x", "n1", "body"));
         HttpText.Message response = client.read();
@@ -98,7 +99,7 @@
     }
 
     @Test
-    void aRouterWithoutAConfirmedConfigurationAnswersNo404() throws Exception {
+    void aRouterWithoutAConfirmedConfigurationDoesNotReturn404() throws Exception {
         router.configurationConfirmed = false;
         RawSocket client = router.client();
         client.send(TestRouter.request("POST", "/elsewhere/x", "n1", "body"));
@@ -106,7 +107,7 @@
     }
 
     @Test
-    void requestsInFlightAtShutdownAreAnsweredByTheirState() throws Exception {
+    void requestsInFlightAtShutdownGetAResponseByTheirState() throws Exception {
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
         RawSocket client = router.client();
         client.send(TestRouter.request("POST", "/plain/x", "e1", "body"));
@@ -116,11 +117,11 @@
         HttpText.Message response = client.read();
         assertEquals(502, response.status());
         assertEquals("close", response.field("Connection"));
-        RawSocket late = router.client();
-        late.send(TestRouter.request("POST", "/plain/x", "e2", "body"));
-        HttpText.Message rejection = late.read();
+        RawSocket lateClient = router.client();
+        lateClient.send(TestRouter.request("POST", "/plain/x", "e2", "body"));
+        HttpText.Message rejection = lateClient.read();
         assertEquals(503, rejection.status());
-        assertEquals("0.2", rejection.field("Retry-After"), "another router takes it at once");
+        assertEquals("0.2", rejection.field("Retry-After"), "another router can serve the retry at once");
     }
 
     @Test
@@ -129,19 +130,19 @@
         client.send(TestRouter.request("POST", "/plain/x", "r1", "body"));
         HttpText.Message response = client.read();
         assertEquals(503, response.status());
-        assertComesBackAfterRecovery(response);
+        assertRetryAfterRecovery(response);
     }
 
     @Test
-    void aRouterThatDoesNotKnowTheConfigurationSendsClientsBackAfterRecovery() throws Exception {
+    void withoutAConfirmedConfigurationTheRetryComesAfterRecovery() throws Exception {
         router.configurationConfirmed = false;
         RawSocket client = router.client();
         client.send(TestRouter.request("POST", "/elsewhere/x", "n2", "body"));
-        assertComesBackAfterRecovery(client.read());
+        assertRetryAfterRecovery(client.read());
     }
 
-    /** A client retries once: not before controllers are elected and replicas have sent a heartbeat. */
-    private static void assertComesBackAfterRecovery(HttpText.Message response) {
+    /** A client retries once: not before a primary is elected and the replicas have sent a heartbeat. */
+    private static void assertRetryAfterRecovery(HttpText.Message response) {
         double seconds = Double.parseDouble(response.field("Retry-After"));
         assertTrue(seconds >= 0.6 && seconds <= 1.1, "Retry-After " + seconds);
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ClientDisconnectDetectorTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ClientDisconnectDetectorTest.java
@@ -4,36 +4,36 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How soon clients that leave are noticed, in virtual time. */
+/** How soon client disconnects are detected, in virtual time. */
 class ClientDisconnectDetectorTest {
-    /** What the users allow between a client's departure and the end of work for it. */
-    private static final double ALLOWED_MS = 500;
+    /** Required maximum from a client's disconnect to the end of work for it, milliseconds. */
+    private static final double MAX_CANCELLATION_MS = 500;
 
-    /** What is left for a busy machine and the way to the replica. */
-    private static final double MOST_MS = ALLOWED_MS - 200;
+    /** Maximum time until detection, milliseconds; the remainder is for a busy machine and the call to the replica. */
+    private static final double MAX_DETECTION_MS = MAX_CANCELLATION_MS - 200;
 
     private final VirtualTimers timers = new VirtualTimers();
-    private final ClientDisconnectDetector watch = new ClientDisconnectDetector(timers);
+    private final ClientDisconnectDetector detector = new ClientDisconnectDetector(timers);
 
-    /** A client that leaves at a time of its own. */
+    /** A client that disconnects at a given time. */
     private final class DisconnectingClient implements ClientDisconnectDetector.Client {
-        private final double leavesAtMs;
-        private double noticedAtMs = Double.NaN;
+        private final double disconnectsAtMs;
+        private double detectedAtMs = Double.NaN;
 
-        DisconnectingClient(double leavesAtMs) {
-            this.leavesAtMs = leavesAtMs;
+        DisconnectingClient(double disconnectsAtMs) {
+            this.disconnectsAtMs = disconnectsAtMs;
         }
 
         @Override
         public void checkDisconnected(double nowMs) {
-            if (nowMs >= leavesAtMs) {
-                noticedAtMs = nowMs;
-                watch.remove(this);
+            if (nowMs >= disconnectsAtMs) {
+                detectedAtMs = nowMs;
+                detector.remove(this);
             }
         }
 
-        double noticedAfterMs() {
-            return noticedAtMs - leavesAtMs;
+        double detectionDelayMs() {
+            return detectedAtMs - disconnectsAtMs;
         }
     }
 
@@ -41,27 +41,28 @@
     void aDisconnectIsDetectedWithinTheTimeAllowed() {
         for (int delay = 0; delay < 400; delay++) {
             DisconnectingClient client = new DisconnectingClient(timers.nowMs() + delay);
-            watch.add(client);
-            timers.advance(delay + ALLOWED_MS);
-            assertEquals(true, client.noticedAfterMs() <= MOST_MS, "noticed after " + client.noticedAfterMs());
+            detector.add(client);
+            timers.advance(delay + MAX_CANCELLATION_MS);
+            assertEquals(
+                    true, client.detectionDelayMs() <= MAX_DETECTION_MS, "detected after " + client.detectionDelayMs());
         }
     }
 
     @Test
-    void aQuicklyAnsweredRequestIsNotChecked() {
+    void aRequestThatEndsQuicklyIsNotChecked() {
         DisconnectingClient client = new DisconnectingClient(timers.nowMs());
-        watch.add(client);
+        detector.add(client);
         timers.advance(ClientDisconnectDetector.PERIOD_MS);
-        assertEquals(true, Double.isNaN(client.noticedAtMs));
-        watch.remove(client);
-        timers.advance(ALLOWED_MS);
-        assertEquals(true, Double.isNaN(client.noticedAtMs));
+        assertEquals(true, Double.isNaN(client.detectedAtMs));
+        detector.remove(client);
+        timers.advance(MAX_CANCELLATION_MS);
+        assertEquals(true, Double.isNaN(client.detectedAtMs));
     }
 
     @Test
     void nothingIsScheduledWithoutOpenRequests() {
         DisconnectingClient client = new DisconnectingClient(timers.nowMs());
-        watch.add(client);
+        detector.add(client);
         timers.advance(3 * ClientDisconnectDetector.PERIOD_MS);
         assertEquals(0, timers.pending());
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/EarlyResponseTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/EarlyResponseTest.java
@@ -12,11 +12,11 @@
 import pinewick.model.Stage;
 
 /**
- * Replicas that answer before they have read a long body: the answer counts, and where the rest of the body is due
- * nothing else ever comes.
+ * Replicas that respond before they have read a long body: the response is valid, and after a partly sent body no
+ * other bytes are sent on that connection.
  */
 class EarlyResponseTest {
-    /** More than the sockets' buffers of both sides take. */
+    /** More than the socket buffers of both sides hold. */
     private static final int LONG_BODY_BYTES = 24 * 1024 * 1024;
 
     private static final String LONG_BODY = "b".repeat(LONG_BODY_BYTES);
@@ -48,34 +48,34 @@
         return upstream;
     }
 
-    private static void assertBeginningOfTheBody(String received) {
-        assertTrue(received.length() < LONG_BODY_BYTES, "the test's body is too short to be held up");
-        assertTrue(LONG_BODY.startsWith(received), "other bytes came where the rest of the body was due");
+    private static void assertOnlyPartOfTheBody(String received) {
+        assertTrue(received.length() < LONG_BODY_BYTES, "the body of the test is too short to block the sender");
+        assertTrue(LONG_BODY.startsWith(received), "other bytes were sent in place of the rest of the body");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {200, 413, 500})
-    void anEarlyAnswerIsPassedOnAndNothingElseFollowsTheUnfinishedBody(int status) throws Exception {
+    void anEarlyResponseIsForwardedAndNothingFollowsTheUnfinishedBody(int status) throws Exception {
         RawSocket upstream = acceptHead(LONG_BODY);
         upstream.send(ScriptedReplica.response(status, "q1", "early"));
         HttpText.Message response = client.read();
         assertEquals(status, response.status());
         assertEquals("early", response.body());
         serveNext("q2");
-        assertBeginningOfTheBody(upstream.readUntilEnd());
+        assertOnlyPartOfTheBody(upstream.readUntilEnd());
     }
 
     @Test
-    void anEarlyRejectionCountsAndTheConnectionIsNotReused() throws Exception {
+    void anEarlyRejectionIsRetriedAndTheConnectionIsNotReused() throws Exception {
         RawSocket upstream = acceptHead(LONG_BODY);
         router.forceChoices("i-2");
         upstream.send(ScriptedReplica.rejection("q1"));
         assertServedBySecond();
-        assertBeginningOfTheBody(upstream.readUntilEnd());
+        assertOnlyPartOfTheBody(upstream.readUntilEnd());
     }
 
     @Test
-    void anEarlyRejectionCountsThoughTheConnectionIsReset() throws Exception {
+    void anEarlyRejectionIsRetriedAlthoughTheConnectionIsReset() throws Exception {
         RawSocket upstream = acceptHead(LONG_BODY);
         router.forceChoices("i-2");
         upstream.sendAndReset(ScriptedReplica.rejection("q1"));
@@ -87,7 +87,7 @@
         RawSocket upstream = acceptHead(LONG_BODY);
         client.close();
         router.dataPlane.whenIdle().get(10, TimeUnit.SECONDS);
-        assertBeginningOfTheBody(upstream.readUntilEnd());
+        assertOnlyPartOfTheBody(upstream.readUntilEnd());
     }
 
     @Test
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ExecutionUncertaintyTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ExecutionUncertaintyTest.java
@@ -14,93 +14,93 @@
 import pinewick.model.RouteKind;
 import pinewick.model.Stage;
 
-/** A request that may not be repeated goes out once, whatever comes back, and its client is promised nothing. */
+/** A non-idempotent request is sent once, whatever the replica does, and no response denies its execution. */
 class ExecutionUncertaintyTest {
-    private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
-    private static final String WHOLE = ScriptedReplica.response(200, "q1", "0123456789");
+    private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
+    private static final String COMPLETE_RESPONSE = ScriptedReplica.response(200, "q1", "0123456789");
 
     private TestRouter router;
     private ScriptedReplica first;
     private ScriptedReplica second;
     private RawSocket client;
 
-    /** What a replica does with a request that it has read. */
+    /** What a replica does after it has read a request. */
     private enum Misbehaviour {
         CLOSES_AT_ONCE {
             @Override
-            void play(RawSocket upstream) throws IOException {
+            void perform(RawSocket upstream) throws IOException {
                 upstream.close();
             }
         },
         RESETS_AT_ONCE {
             @Override
-            void play(RawSocket upstream) throws IOException {
+            void perform(RawSocket upstream) throws IOException {
                 upstream.reset();
             }
         },
         CLOSES_WITHIN_THE_HEAD {
             @Override
-            void play(RawSocket upstream) throws IOException {
-                upstream.send(WHOLE.substring(0, 30));
+            void perform(RawSocket upstream) throws IOException {
+                upstream.send(COMPLETE_RESPONSE.substring(0, 30));
                 upstream.close();
             }
         },
         RESETS_WITHIN_THE_HEAD {
             @Override
-            void play(RawSocket upstream) throws IOException {
-                upstream.sendAndReset(WHOLE.substring(0, 30));
+            void perform(RawSocket upstream) throws IOException {
+                upstream.sendAndReset(COMPLETE_RESPONSE.substring(0, 30));
             }
         },
         CLOSES_WITHIN_THE_BODY {
             @Override
-            void play(RawSocket upstream) throws IOException {
-                upstream.send(WHOLE.substring(0, WHOLE.length() - 3));
+            void perform(RawSocket upstream) throws IOException {
+                upstream.send(COMPLETE_RESPONSE.substring(0, COMPLETE_RESPONSE.length() - 3));
                 upstream.close();
             }
         },
         RESETS_WITHIN_THE_BODY {
             @Override
-            void play(RawSocket upstream) throws IOException {
-                upstream.sendAndReset(WHOLE.substring(0, WHOLE.length() - 3));
+            void perform(RawSocket upstream) throws IOException {
+                upstream.sendAndReset(COMPLETE_RESPONSE.substring(0, COMPLETE_RESPONSE.length() - 3));
             }
         },
-        RESETS_AN_ANSWER_WITHOUT_LENGTH {
+        RESETS_A_RESPONSE_WITHOUT_LENGTH {
             @Override
-            void play(RawSocket upstream) throws IOException {
-                upstream.sendAndReset(WHOLE.replaceFirst("Content-Length: \\d+\r\n", ""));
+            void perform(RawSocket upstream) throws IOException {
+                upstream.sendAndReset(COMPLETE_RESPONSE.replaceFirst("Content-Length: \\d+\r\n", ""));
             }
         },
         STAYS_SILENT {
             @Override
-            void play(RawSocket upstream) {}
+            void perform(RawSocket upstream) {}
         },
-        ANSWERS_SOMETHING_ELSE {
+        SENDS_ANOTHER_PROTOCOL {
             @Override
-            void play(RawSocket upstream) throws IOException {
+            void perform(RawSocket upstream) throws IOException {
                 upstream.send("220 mail.example ESMTP\r\n");
             }
         },
-        ANSWERS_ANOTHER_REQUEST_AND_CLOSES {
+        RESPONDS_TO_ANOTHER_REQUEST_AND_CLOSES {
             @Override
-            void play(RawSocket upstream) throws IOException {
+            void perform(RawSocket upstream) throws IOException {
                 upstream.send(ScriptedReplica.response(200, "q0", "late"));
                 upstream.close();
             }
         },
-        FAILS {
+        RESPONDS_WITH_500 {
             @Override
-            void play(RawSocket upstream) throws IOException {
+            void perform(RawSocket upstream) throws IOException {
                 upstream.send(ScriptedReplica.response(500, "q1", "failed"));
             }
         },
-        REFUSES_WITHOUT_SAYING_THAT_IT_DID_NOT_RUN {
+        REJECTS_WITHOUT_NOT_EXECUTED_HEADER {
             @Override
-            void play(RawSocket upstream) throws IOException {
+            void perform(RawSocket upstream) throws IOException {
                 upstream.send(ScriptedReplica.response(503, "q1", "full"));
             }
         };
 
-        abstract void play(RawSocket upstream) throws IOException;
+        abstract void perform(RawSocket upstream) throws IOException;
     }
 
     @BeforeEach
@@ -122,7 +122,7 @@
         client.send(TestRouter.request("POST", "/plain/x", id, "body"));
     }
 
-    private RawSocket usedConnection() throws IOException {
+    private RawSocket reusedConnection() throws IOException {
         send("q0");
         RawSocket upstream = first.accept();
         upstream.read();
@@ -131,46 +131,46 @@
         return upstream;
     }
 
-    private void assertWentOutOnce() throws Exception {
+    private void assertSentOnce() throws Exception {
         int status = client.read().status();
-        assertTrue(status >= 500 && !PROMISES.contains(status), "status " + status);
+        assertTrue(status >= 500 && !NOT_EXECUTED_STATUSES.contains(status), "status " + status);
         assertFalse(second.hasPendingConnection(), "sent to a second replica");
         assertFalse(first.hasPendingConnection(), "sent on a second connection");
     }
 
     @ParameterizedTest
     @EnumSource
-    void onAFreshConnection(Misbehaviour misbehaviour) throws Exception {
+    void sendsOnceOnANewConnection(Misbehaviour misbehaviour) throws Exception {
         send("q1");
         RawSocket upstream = first.accept();
         upstream.read();
-        misbehaviour.play(upstream);
-        assertWentOutOnce();
+        misbehaviour.perform(upstream);
+        assertSentOnce();
     }
 
     @ParameterizedTest
     @EnumSource
-    void onAUsedConnection(Misbehaviour misbehaviour) throws Exception {
-        RawSocket upstream = usedConnection();
+    void sendsOnceOnAReusedConnection(Misbehaviour misbehaviour) throws Exception {
+        RawSocket upstream = reusedConnection();
         send("q1");
         upstream.read();
-        misbehaviour.play(upstream);
-        assertWentOutOnce();
+        misbehaviour.perform(upstream);
+        assertSentOnce();
     }
 
     @Test
-    void onAConnectionThatTheReplicaHadAlreadyClosed() throws Exception {
-        usedConnection().close();
+    void sendsOnANewConnectionIfTheReplicaHasClosedTheIdleOne() throws Exception {
+        reusedConnection().close();
         send("q1");
         RawSocket upstream = first.accept();
         assertEquals("q1", upstream.read().field("X-Pinewick-Request-Id"));
-        upstream.send(WHOLE);
+        upstream.send(COMPLETE_RESPONSE);
         assertEquals("0123456789", client.read().body());
         assertFalse(second.hasPendingConnection());
     }
 
     @Test
-    void whenTheRouterStopsWhileItIsOut() {
+    void returns502IfTheRouterStopsAfterItWasSent() {
         LifecycleTestContext context = new LifecycleTestContext(RouteKind.NON_IDEMPOTENT, false, false, 3, 1);
         context.lifecycle.start();
         context.calls.last().sent = true;
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void whenTheRouterStopsBeforeAByteIsOutThatIsPromised() {
+    void returns503IfTheRouterStopsBeforeAByteWasSent() {
         LifecycleTestContext context = new LifecycleTestContext(RouteKind.NON_IDEMPOTENT, false, false, 3, 1);
         context.lifecycle.start();
         context.lifecycle.onShutdown();
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ForwardedHeadersTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ForwardedHeadersTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import pinewick.model.Stage;
 
-/** A replica reads of the prompt exactly what the client wrote, on every call. */
+/** Every call forwards the client's prompt headers unchanged. */
 class ForwardedHeadersTest {
-    private static final List<String> ODD = List.of(
+    private static final List<String> UNUSUAL_FIELDS = List.of(
             "X-Pinewick-Model: m  one\t\"two\";q=0.5, m",
             "x-pinewick-model: second",
             "X-Pinewick-Token-Count: 1460 ,\t80",
@@ -39,35 +39,36 @@
 
     private static List<String> promptFields(HttpText.Message forwarded) {
         return forwarded.fields().stream()
-                .filter(ForwardedHeadersTest::tellsOfThePrompt)
+                .filter(ForwardedHeadersTest::isPromptField)
                 .toList();
     }
 
-    private static boolean tellsOfThePrompt(String field) {
+    private static boolean isPromptField(String field) {
         String name = field.substring(0, field.indexOf(':')).toLowerCase(Locale.ROOT);
         return name.equals("x-pinewick-model")
                 || name.equals("x-pinewick-token-count")
                 || name.equals("x-pinewick-prompt-prefix");
     }
 
-    private static void assertAsWritten(HttpText.Message forwarded) {
-        List<String> written = ODD.stream().map(String::stripTrailing).toList();
+    private static void assertPromptFieldsUnchanged(HttpText.Message forwarded) {
+        List<String> expected =
+                UNUSUAL_FIELDS.stream().map(String::stripTrailing).toList();
         assertEquals(
-                written,
+                expected,
                 promptFields(forwarded).stream().map(String::stripTrailing).toList());
     }
 
     @Test
-    void aPlainRequestAndItsRepetitionCarryTheClientsFields() throws Exception {
+    void aPlainRequestAndItsRetryCarryTheClientsFields() throws Exception {
         ScriptedReplica first = router.replica("i-1", "plain", Stage.NONE);
         ScriptedReplica second = router.replica("i-2", "plain", Stage.NONE);
         router.forceChoices("i-1", "i-2");
-        client.send(TestRouter.request("POST", "/plain/x", "q1", "body", ODD.toArray(String[]::new)));
+        client.send(TestRouter.request("POST", "/plain/x", "q1", "body", UNUSUAL_FIELDS.toArray(String[]::new)));
         RawSocket upstream = first.accept();
-        assertAsWritten(upstream.read());
+        assertPromptFieldsUnchanged(upstream.read());
         upstream.reset();
         RawSocket next = second.accept();
-        assertAsWritten(next.read());
+        assertPromptFieldsUnchanged(next.read());
         next.send(ScriptedReplica.response(200, "q1", "served"));
         assertEquals("served", client.read().body());
     }
@@ -77,24 +78,24 @@
         ScriptedReplica prefill = router.replica("p-1", "lm", Stage.PREFILL);
         ScriptedReplica decode = router.replica("d-1", "lm", Stage.DECODE);
         router.forceChoices("p-1+d-1");
-        client.send(TestRouter.request("POST", "/lm/x", "q1", "body", ODD.toArray(String[]::new)));
-        RawSocket reading = prefill.accept();
-        assertAsWritten(reading.read());
-        reading.send(ScriptedReplica.response(200, "q1", "{\"prefill_handle\":\"h1\"}"));
-        RawSocket decoding = decode.accept();
-        assertAsWritten(decoding.read());
-        decoding.send(ScriptedReplica.response(200, "q1", "served"));
+        client.send(TestRouter.request("POST", "/lm/x", "q1", "body", UNUSUAL_FIELDS.toArray(String[]::new)));
+        RawSocket prefillConnection = prefill.accept();
+        assertPromptFieldsUnchanged(prefillConnection.read());
+        prefillConnection.send(ScriptedReplica.response(200, "q1", "{\"prefill_handle\":\"h1\"}"));
+        RawSocket decodeConnection = decode.accept();
+        assertPromptFieldsUnchanged(decodeConnection.read());
+        decodeConnection.send(ScriptedReplica.response(200, "q1", "served"));
         assertEquals("served", client.read().body());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"X-Pinewick-Model", "x-pinewick-token-count, X-Pinewick-Prompt-Prefix", "close"})
-    void noneOfThemCanBeDroppedByNamingItInConnection(String named) throws Exception {
+    void aConnectionHeaderCannotRemovePromptHeaders(String connectionOptions) throws Exception {
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
-        String[] fields = new String[ODD.size() + 1];
-        ODD.toArray(fields);
-        fields[ODD.size()] = "Connection: " + named;
+        String[] fields = new String[UNUSUAL_FIELDS.size() + 1];
+        UNUSUAL_FIELDS.toArray(fields);
+        fields[UNUSUAL_FIELDS.size()] = "Connection: " + connectionOptions;
         client.send(TestRouter.request("POST", "/plain/x", "q1", "body", fields));
-        assertAsWritten(replica.accept().read());
+        assertPromptFieldsUnchanged(replica.accept().read());
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/HttpText.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/HttpText.java
@@ -8,11 +8,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads HTTP/1.1 messages off a socket byte by byte, so that nothing of the next one is taken. */
+/** Reads HTTP/1.1 messages from a stream without consuming bytes of the next message. */
 final class HttpText {
     private HttpText() {}
 
-    /** A message: its first line, its fields as they came, its body. */
+    /** A message: first line, header fields as received, body. */
     record Message(String firstLine, List<String> fields, String body) {
         String field(String name) {
             for (String field : fields) {
@@ -34,12 +34,12 @@
     }
 
     static Message readHead(InputStream in) throws IOException {
-        String first = readLine(in);
+        String firstLine = readLine(in);
         List<String> fields = new ArrayList<>();
         for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
             fields.add(line);
         }
-        return new Message(first, fields, "");
+        return new Message(firstLine, fields, "");
     }
 
     private static String readBody(InputStream in, Message head) throws IOException {
@@ -54,7 +54,7 @@
         return length == null ? "" : readBytes(in, Integer.parseInt(length));
     }
 
-    /** One chunk with its line end, empty for the last. */
+    /** Reads one chunk and its line end; the result is empty for the last chunk. */
     static String readChunk(InputStream in) throws IOException {
         String chunk = readBytes(in, Integer.parseInt(readLine(in).trim(), 16));
         readLine(in);
@@ -71,12 +71,12 @@
 
     private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int each = in.read(); each != '\n'; each = in.read()) {
-            if (each < 0) {
+        for (int character = in.read(); character != '\n'; character = in.read()) {
+            if (character < 0) {
                 throw new EOFException("closed after '" + line + "'");
             }
-            if (each != '\r') {
-                line.write(each);
+            if (character != '\r') {
+                line.write(character);
             }
         }
         return line.toString(StandardCharsets.ISO_8859_1);
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/LifecycleTestContext.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/LifecycleTestContext.java
@@ -17,10 +17,10 @@
 import pinewick.selection.RequestShape;
 import pinewick.selection.RetryBudget;
 
-/** One request's lifecycle with everything around it played. */
+/** The lifecycle of one request, with scripted calls, a recorded client and virtual time. */
 final class LifecycleTestContext {
     static final double TIMEOUT_MS = 4_000;
-    static final double TARGET_MS = 300;
+    static final double TARGET_LATENCY_MS = 300;
 
     final VirtualTimers timers = new VirtualTimers();
     final ScriptedUpstreamClient calls = new ScriptedUpstreamClient();
@@ -37,7 +37,7 @@
                 "/",
                 kind,
                 (int) TIMEOUT_MS,
-                (int) TARGET_MS,
+                (int) TARGET_LATENCY_MS,
                 1,
                 List.of(new Route.WeightedService("s", 1)),
                 maxAttempts,
@@ -55,14 +55,14 @@
         }
         DataPlaneServices services = new DataPlaneServices(
                 selector,
-                alwaysHandOver(PairChooser.of(selector)),
+                alwaysPrefillElsewhere(PairChooser.of(selector)),
                 budget(),
                 new KvTransferHealth(),
                 directory,
                 calls,
                 timers,
                 new SplittableRandom(seed + 1));
-        double now = timers.nowMs();
+        double nowMs = timers.nowMs();
         RequestShape shape = new RequestShape(
                 route,
                 "s",
@@ -71,8 +71,8 @@
                 generation ? 1_000 : 0,
                 generation ? 20 : 0,
                 List.of(),
-                now,
-                now + TIMEOUT_MS);
+                nowMs,
+                nowMs + TIMEOUT_MS);
         ClientRequest request = new ClientRequest("q1", "POST", "/x", HttpFields.build(), UpstreamRequest.NO_BODY);
         lifecycle = new RequestLifecycle(
                 request, shape, QuotaAdmission.unlimited(timers, services.random()), client, services, ended::add);
@@ -100,8 +100,8 @@
         return budget;
     }
 
-    /** The selection's choice, but with a prefill replica wherever there is one. */
-    private PairChooser alwaysHandOver(PairChooser delegate) {
+    /** The delegate's choice, with a prefill replica whenever there is a candidate. */
+    private PairChooser alwaysPrefillElsewhere(PairChooser delegate) {
         return new PairChooser() {
             @Override
             public Optional<ReplicaPair> choose(
@@ -110,7 +110,8 @@
                     java.util.Set<String> excluded,
                     double nowMs) {
                 Optional<ReplicaRecord> prefill = candidates.stream()
-                        .filter(each -> each.stage() == Stage.PREFILL && !excluded.contains(each.instanceId()))
+                        .filter(candidate ->
+                                candidate.stage() == Stage.PREFILL && !excluded.contains(candidate.instanceId()))
                         .findFirst();
                 return delegate.choose(shape, candidates, excluded, nowMs)
                         .map(pair -> new ReplicaPair(prefill, pair.decode()));
@@ -119,11 +120,11 @@
             @Override
             public Optional<ReplicaRecord> chooseDecode(
                     RequestShape shape,
-                    ReplicaRecord reader,
+                    ReplicaRecord prefillReplica,
                     java.util.Collection<ReplicaRecord> candidates,
                     java.util.Set<String> excluded,
                     double nowMs) {
-                return delegate.chooseDecode(shape, reader, candidates, excluded, nowMs);
+                return delegate.chooseDecode(shape, prefillReplica, candidates, excluded, nowMs);
             }
         };
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/LimitsTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/LimitsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import pinewick.model.Stage;
 
-/** What clients may send, and what is told to whom sends more. */
+/** Limits on requests and connections, and the responses to clients that exceed them. */
 class LimitsTest {
     private TestRouter router;
 
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aBodyBeyondTheLimitIsRejectedByItsLength() throws Exception {
+    void aBodyBeyondTheLimitIsRejectedByItsContentLength() throws Exception {
         RawSocket client = router.client();
         client.send("POST /plain/x HTTP/1.1\r\nHost: shop.example\r\nX-Pinewick-Request-Id: q1\r\n"
                 + "Content-Length: 70000\r\n\r\n");
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void pathsAreSentAsTheyCame() throws Exception {
+    void pathsAreForwardedUnchanged() throws Exception {
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
         RawSocket client = router.client();
         RawSocket upstream = null;
@@ -117,7 +117,7 @@
 
     @ParameterizedTest
     @CsvSource({"/plain/%00", "/plain/%zz", "*", "/plain/\u00e9", "/plain/x?\u00c3\u00a9"})
-    void targetsThatAreNoneAreRefused(String target) throws Exception {
+    void invalidTargetsAreRejected(String target) throws Exception {
         router.replica("i-1", "plain", Stage.NONE);
         RawSocket client = router.client();
         client.send(TestRouter.request("POST", target, "q1", ""));
@@ -126,22 +126,25 @@
 
     @ParameterizedTest
     @CsvSource({"GET", "HEAD", "DELETE", "PUT", "OPTIONS", "PATCH", "BREW"})
-    void methodsAreSentAsTheyCame(String method) throws Exception {
+    void methodsAreForwardedUnchanged(String method) throws Exception {
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
         RawSocket client = router.client();
         client.send(method + " /plain/x HTTP/1.1\r\nHost: shop.example\r\nX-Pinewick-Request-Id: q1\r\n\r\n");
         RawSocket upstream = replica.accept();
         HttpText.Message forwarded = upstream.readHead();
         assertEquals(method + " /plain/x HTTP/1.1", forwarded.firstLine());
-        String whole = ScriptedReplica.response(200, "q1", "12345");
-        upstream.send(method.equals("HEAD") ? whole.substring(0, whole.length() - 5) : whole);
+        String completeResponse = ScriptedReplica.response(200, "q1", "12345");
+        upstream.send(
+                method.equals("HEAD")
+                        ? completeResponse.substring(0, completeResponse.length() - 5)
+                        : completeResponse);
         HttpText.Message head = client.readHead();
         assertEquals(200, head.status());
         assertEquals("5", head.field("Content-Length"));
     }
 
     @Test
-    void fieldValuesAreSentAsTheyCame() throws Exception {
+    void fieldValuesAreForwardedUnchanged() throws Exception {
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
         RawSocket client = router.client();
         String value = "a  b;c=\"\u00e9\u00fc\u00c3\u00a9\", ,x";
@@ -156,7 +159,7 @@
     }
 
     @Test
-    void connectionsBeyondTheLimitAreClosedUnreadUntilOthersClose() throws Exception {
+    void connectionsBeyondTheLimitAreClosedUntilOthersClose() throws Exception {
         List<RawSocket> clients = new ArrayList<>();
         for (int i = 0; i < TestRouter.MAX_CLIENTS; i++) {
             RawSocket client = router.client();
@@ -172,17 +175,17 @@
         for (RawSocket client : clients) {
             client.close();
         }
-        assertEquals("late", askUntilServed("late"));
+        assertEquals("late", sendUntilServed("late"));
     }
 
-    /** The id in the answer to a request that is sent until its connection is not closed unread. */
-    private String askUntilServed(String id) throws Exception {
+    /** Repeats a request until its connection is accepted; returns the id in the response. */
+    private String sendUntilServed(String id) throws Exception {
         for (int iteration = 0; iteration < 10_000; iteration++) {
             try (RawSocket client = RawSocket.connect(router.frontend.frontendPort())) {
                 client.send(TestRouter.request("POST", "/elsewhere/x", id, ""));
                 return client.read().field("X-Pinewick-Request-Id");
             } catch (IOException e) {
-                // closed unread: the next turn
+                // The connection was rejected: retry.
             }
         }
         return null;
@@ -211,7 +214,7 @@
     }
 
     @Test
-    void handleIdsThatCouldLeaveTheirPathAreRejected() {
+    void handleIdsThatCouldEscapeTheirPathAreRejected() {
         assertTrue(PrefillHandle.parse(null, "{\"prefill_handle\":\"a1-b_c\"}".getBytes(UTF_8), 0)
                 .isPresent());
         assertTrue(PrefillHandle.parse(null, "{\"prefill_handle\":\"a/../b\"}".getBytes(UTF_8), 0)
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/LoadReportExchangeTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/LoadReportExchangeTest.java
@@ -28,7 +28,7 @@
 import pinewick.selection.RequestShape;
 import pinewick.selection.SharedServiceTime;
 
-/** What a router tells others of load and prefix caches, and how it spreads in a fleet of partial views. */
+/** How routers share load reports and prefix hints, also if each router knows only some of the others. */
 class LoadReportExchangeTest {
     private static final String SERVICE = "s";
     private static final EngineSpec ENGINE = new EngineSpec(12, 400_000, 18_432, 180_000, 11, 5, 2);
@@ -55,8 +55,8 @@
     private static ReplicaSelector newSelector(int replicas) {
         ReplicaSelector selector = new ReplicaSelector(new SplittableRandom(1));
         selector.setEngine(SERVICE, ENGINE);
-        for (int each = 0; each < replicas; each++) {
-            selector.addReplica(replica(each));
+        for (int index = 0; index < replicas; index++) {
+            selector.addReplica(replica(index));
         }
         return selector;
     }
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void withoutAnythingNewThereIsNoMessage() {
+    void sendsNoMessageWithoutNewInformation() {
         assertEquals(Optional.empty(), exchange.takeMessage(0));
     }
 
@@ -108,20 +108,20 @@
     }
 
     @Test
-    void whatDoesNotFitADatagramWaitsForTheNextMessage() {
-        for (int each = 0; each < 30; each++) {
-            exchange.onReport("i-" + each, report(each, 100));
+    void splitsMessagesThatExceedADatagram() {
+        for (int index = 0; index < 30; index++) {
+            exchange.onReport("i-" + index, report(index, 100));
             selector.cacheEstimates()
-                    .recordUse("i-" + each, List.of(new PromptPart(each, 1_000), new PromptPart(99, 10)), 100);
+                    .recordUse("i-" + index, List.of(new PromptPart(index, 1_000), new PromptPart(99, 10)), 100);
         }
 
         int reports = 0;
         int hints = 0;
         for (int message = 0; message < 3; message++) {
-            LoadReportMessage each = exchange.takeMessage(200).orElseThrow();
-            assertTrue(each.reports().size() <= 12 && each.hints().size() <= 20, "too large for a datagram");
-            reports += each.reports().size();
-            hints += each.hints().size();
+            LoadReportMessage shared = exchange.takeMessage(200).orElseThrow();
+            assertTrue(shared.reports().size() <= 12 && shared.hints().size() <= 20, "too large for a datagram");
+            reports += shared.reports().size();
+            hints += shared.hints().size();
         }
         assertEquals(30, reports);
         assertEquals(30, hints);
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void newsOfOthersIsForwardedOnce() {
+    void aHintOfAnotherRouterIsForwardedOnce() {
         exchange.onMessage(hint("i-1", 40), true, 1_000);
         exchange.onMessage(hint("i-1", 60), true, 1_025);
 
@@ -143,7 +143,7 @@
 
         assertEquals(List.of(new PrefixHint("i-1", 99, 13_000, 140, 3_000)), forwarded.hints());
         exchange.onMessage(hint("i-1", 160), true, 1_120);
-        assertEquals(Optional.empty(), exchange.takeMessage(1_200), "known already");
+        assertEquals(Optional.empty(), exchange.takeMessage(1_200), "already known");
     }
 
     @Test
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void nothingIsForwardedWhereAllKnowEachOther() {
+    void forwardsNothingIfAllRoutersKnowEachOther() {
         exchange.onMessage(hint("i-1", 40), false, 1_000);
         exchange.onMessage(
                 new LoadReportMessage(
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void aReportIsForwardedOnlyIfItIsLaterThanTheOneKnown() {
+    void aReportIsForwardedOnlyIfItIsNewerThanTheKnownOne() {
         LoadReportMessage first = new LoadReportMessage(
                 List.of(LoadReportMessage.SharedReport.of("i-2", report(1, 900), 1_000)), List.of());
         exchange.onMessage(first, true, 1_000);
@@ -181,21 +181,21 @@
     }
 
     @Test
-    void aSnapshotGivesANewRouterWhatOthersHaveLearnt() {
+    void aSnapshotTransfersThePrefixCacheEstimates() {
         selector.cacheEstimates().recordUse("i-1", PROMPT, 500);
         PrefixCacheSnapshot snapshot = exchange.snapshot(700);
 
-        ReplicaSelector fresh = newSelector(40);
-        LoadReportExchange other = new LoadReportExchange(fresh);
+        ReplicaSelector newSelectorOfOther = newSelector(40);
+        LoadReportExchange other = new LoadReportExchange(newSelectorOfOther);
         other.onSnapshot(snapshot, 9_000);
 
-        assertEquals(13_000, fresh.cacheEstimates().cachedTokens("i-1", PROMPT));
+        assertEquals(13_000, newSelectorOfOther.cacheEstimates().cachedTokens("i-1", PROMPT));
         assertEquals(Optional.empty(), other.takeMessage(9_100), "a snapshot is not forwarded");
     }
 
     @Test
-    void whoeverLearnsAServiceTimeFirstTellsItOnce() {
-        learnPrefillServiceTime(selector);
+    void sendsANewServiceTimeOnce() {
+        measurePrefillServiceTime(selector);
 
         SharedServiceTime serviceTime =
                 exchange.takeServiceTimes().orElseThrow().serviceTimes().get(0);
@@ -206,92 +206,92 @@
     }
 
     @Test
-    void aServiceTimeOfAnotherRouterIsForwardedOnceAndNotToldAgainWhenLearntHere() {
-        ServiceTimesMessage told =
+    void forwardsAServiceTimeOfAnotherRouterOnceAndDoesNotSendItsOwnLater() {
+        ServiceTimesMessage message =
                 new ServiceTimesMessage(List.of(new SharedServiceTime(SERVICE, CallKind.PREFILL, 5, 0.02, 4)));
 
-        exchange.onServiceTimes(told, true);
-        assertEquals(Optional.of(told), exchange.takeServiceTimes());
+        exchange.onServiceTimes(message, true);
+        assertEquals(Optional.of(message), exchange.takeServiceTimes());
 
-        exchange.onServiceTimes(told, true);
-        learnPrefillServiceTime(selector);
+        exchange.onServiceTimes(message, true);
+        measurePrefillServiceTime(selector);
         assertEquals(Optional.empty(), exchange.takeServiceTimes());
     }
 
     @Test
-    void aServiceTimeIsNotForwardedWhereAllKnowEachOther() {
+    void doesNotForwardAServiceTimeIfAllRoutersKnowEachOther() {
         exchange.onServiceTimes(
                 new ServiceTimesMessage(List.of(new SharedServiceTime(SERVICE, CallKind.PREFILL, 5, 0.02, 4))), false);
 
         assertEquals(Optional.empty(), exchange.takeServiceTimes());
-        assertEquals(1, exchange.allServiceTimes().serviceTimes().size(), "a router that starts later is told");
+        assertEquals(1, exchange.allServiceTimes().serviceTimes().size(), "sent to a router that starts later");
     }
 
-    /** Two prompts of 10,000 and 20,000 tokens, 0.02 ms each and 5 ms besides. */
-    private static void learnPrefillServiceTime(ReplicaSelector selector) {
+    /** Two prompts of 10,000 and 20,000 tokens, at 0.02 ms per token and a fixed 5 ms. */
+    private static void measurePrefillServiceTime(ReplicaSelector selector) {
         ReplicaRecord replica = replica(0);
-        for (int each = 1; each <= 2; each++) {
-            int tokens = 10_000 * each;
+        for (int index = 1; index <= 2; index++) {
+            int tokens = 10_000 * index;
             RequestShape request = new RequestShape(
-                    ROUTE, SERVICE, true, "m", tokens, 10, List.of(new PromptPart(each, tokens)), 0, 4_000);
+                    ROUTE, SERVICE, true, "m", tokens, 10, List.of(new PromptPart(index, tokens)), 0, 4_000);
             selector.startCall(replica, CallKind.PREFILL, request, 0).onEnd(CallOutcome.COMPLETED, 5 + 0.02 * tokens);
         }
     }
 
-    /** 75 routers in four zones, each of which knows 30 others, as in the users' grown deployments. */
+    /** 75 routers in four zones, each of which knows 30 others, as in large deployments of the users. */
     @Test
-    void aHintReachesNearlyAllRoutersThoughEachKnowsAPartOnly() {
+    void aHintReachesNearlyAllRoutersAlthoughEachKnowsOnlySome() {
         int routers = 75;
         List<NodeDescriptor> nodes = new ArrayList<>();
         List<LoadReportExchange> exchanges = new ArrayList<>();
         List<ReplicaSelector> selectors = new ArrayList<>();
-        for (int each = 0; each < routers; each++) {
+        for (int index = 0; index < routers; index++) {
             nodes.add(new NodeDescriptor(
-                    new SocketAddress("10.0.0." + each, 7_720), 1, NodeRole.ROUTER, "zone-" + each % 4));
+                    new SocketAddress("10.0.0." + index, 7_720), 1, NodeRole.ROUTER, "zone-" + index % 4));
             selectors.add(newSelector(8));
-            exchanges.add(new LoadReportExchange(selectors.get(each)));
+            exchanges.add(new LoadReportExchange(selectors.get(index)));
         }
         SplittableRandom random = new SplittableRandom(5);
         List<List<NodeDescriptor>> views = new ArrayList<>();
-        for (int each = 0; each < routers; each++) {
+        for (int index = 0; index < routers; index++) {
             List<NodeDescriptor> others = new ArrayList<>(nodes);
-            others.remove(each);
+            others.remove(index);
             views.add(RandomChoice.draw(others, 30, random));
         }
         int hints = 40;
-        for (int each = 0; each < hints; each++) {
+        for (int index = 0; index < hints; index++) {
             selectors
-                    .get(each)
+                    .get(index)
                     .cacheEstimates()
-                    .recordUse("i-" + each % 8, List.of(new PromptPart(each, 13_000), new PromptPart(1, 10)), 0);
+                    .recordUse("i-" + index % 8, List.of(new PromptPart(index, 13_000), new PromptPart(1, 10)), 0);
         }
 
         int messages = 0;
         for (int step = 1; step <= 8; step++) {
             double nowMs = step * LoadReportIntervals.FORWARDING_SHARE_INTERVAL_MS;
-            for (int each = 0; each < routers; each++) {
-                Optional<LoadReportMessage> message = exchanges.get(each).takeMessage(nowMs);
+            for (int index = 0; index < routers; index++) {
+                Optional<LoadReportMessage> message = exchanges.get(index).takeMessage(nowMs);
                 if (message.isEmpty()) {
                     continue;
                 }
                 for (SocketAddress target : LoadReportTargets.choose(
-                        views.get(each), nodes.get(each).zone(), random)) {
+                        views.get(index), nodes.get(index).zone(), random)) {
                     messages++;
-                    int index = Integer.parseInt(target.host().substring("10.0.0.".length()));
-                    exchanges.get(index).onMessage(message.get(), true, nowMs + 1);
+                    int targetIndex = Integer.parseInt(target.host().substring("10.0.0.".length()));
+                    exchanges.get(targetIndex).onMessage(message.get(), true, nowMs + 1);
                 }
             }
         }
 
         int known = 0;
-        for (ReplicaSelector each : selectors) {
+        for (ReplicaSelector routerSelector : selectors) {
             for (int hint = 0; hint < hints; hint++) {
                 List<PromptPart> parts = List.of(new PromptPart(hint, 13_000), new PromptPart(1, 10));
-                known += each.cacheEstimates().cachedTokens("i-" + hint % 8, parts) > 0 ? 1 : 0;
+                known += routerSelector.cacheEstimates().cachedTokens("i-" + hint % 8, parts) > 0 ? 1 : 0;
             }
         }
         double fraction = known / (double) (routers * hints);
-        assertTrue(fraction > 0.94, "known by " + fraction);
+        assertTrue(fraction > 0.94, "known fraction: " + fraction);
         assertTrue(messages <= 8 * routers * 4, "messages: " + messages);
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/LoadReportIntervalsTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/LoadReportIntervalsTest.java
@@ -7,9 +7,9 @@
 
 /** How the intervals between messages and polls depend on the size of the fleet. */
 class LoadReportIntervalsTest {
-    private static final int ROUTERS_IN_A_VIEW = 30;
+    private static final int ROUTERS_IN_VIEW = 30;
     private static final int LARGE_FLEET = 1_000;
-    private static final int MOST_MESSAGES_A_SECOND = 60;
+    private static final int MAX_MESSAGES_PER_SECOND = 60;
 
     @Test
     void aSmallFleetSharesAndPollsAtTheMinimumInterval() {
@@ -25,8 +25,8 @@
             int targets = LoadReportTargets.isForwarding(others)
                     ? LoadReportTargets.TARGETS_IN_ZONE + LoadReportTargets.TARGETS_IN_OTHER_ZONES
                     : others;
-            double messagesASecond = targets * 1_000.0 / LoadReportIntervals.shareIntervalMs(others);
-            assertTrue(messagesASecond <= MOST_MESSAGES_A_SECOND + 0.5, others + " others: " + messagesASecond);
+            double messagesPerSecond = targets * 1_000.0 / LoadReportIntervals.shareIntervalMs(others);
+            assertTrue(messagesPerSecond <= MAX_MESSAGES_PER_SECOND + 0.5, others + " others: " + messagesPerSecond);
         }
     }
 
@@ -35,7 +35,7 @@
         for (int others = 0; others <= LARGE_FLEET; others++) {
             assertTrue(LoadReportIntervals.pollIntervalMs(others) >= LoadReportIntervals.shareIntervalMs(others));
         }
-        assertEquals(740, LoadReportIntervals.pollIntervalMs(ROUTERS_IN_A_VIEW));
+        assertEquals(740, LoadReportIntervals.pollIntervalMs(ROUTERS_IN_VIEW));
     }
 
     @Test
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/LoadReportTargetsTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/LoadReportTargetsTest.java
@@ -17,10 +17,10 @@
 
     private final SplittableRandom random = new SplittableRandom(1);
 
-    private static List<NodeDescriptor> routers(String zone, int first, int count) {
+    private static List<NodeDescriptor> routers(String zone, int firstIndex, int count) {
         List<NodeDescriptor> routers = new ArrayList<>();
-        for (int each = first; each < first + count; each++) {
-            routers.add(new NodeDescriptor(new SocketAddress("10.0.0." + each, 7720), 1, NodeRole.ROUTER, zone));
+        for (int index = firstIndex; index < firstIndex + count; index++) {
+            routers.add(new NodeDescriptor(new SocketAddress("10.0.0." + index, 7720), 1, NodeRole.ROUTER, zone));
         }
         return routers;
     }
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void whereTheViewHoldsAllOtherRoutersEachOfThemIsSentEveryMessage() {
+    void sendsToAllOtherRoutersIfTheViewContainsThemAll() {
         List<NodeDescriptor> others = routers("a", 1, 4);
         others.addAll(routers("b", 5, 25));
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void inALargeFleetAFewAreDrawnMostOfThemFromTheOwnZone() {
+    void drawsAFewMostlyFromTheOwnZoneInALargeFleet() {
         List<NodeDescriptor> others = routers("a", 1, 7);
         others.addAll(routers("b", 8, 23));
 
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aZoneWithTooFewRoutersIsMadeUpForByOthers() {
+    void fillsUpFromOtherZonesIfTheOwnZoneHasTooFewRouters() {
         List<NodeDescriptor> others = routers("a", 1, 1);
         others.addAll(routers("b", 2, 30));
 
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/MisbehavingReplica.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/MisbehavingReplica.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import pinewick.model.SocketAddress;
 
-/** A replica that misbehaves by chance in each way the protocol tells of, and notes what it runs. */
+/** A replica that misbehaves at random in the ways that the protocol describes, and counts the requests it executes. */
 final class MisbehavingReplica implements AutoCloseable {
     static final int EVENTS = 6;
 
     private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
-    private final Map<String, AtomicInteger> runs;
+    private final Map<String, AtomicInteger> executions;
     private final SplittableRandom random;
 
-    /** @param runs counts how often each request id was run, by all replicas */
-    MisbehavingReplica(Map<String, AtomicInteger> runs, long seed) throws IOException {
-        this.runs = runs;
+    /** @param executions counts how often each request id was executed, by all replicas */
+    MisbehavingReplica(Map<String, AtomicInteger> executions, long seed) throws IOException {
+        this.executions = executions;
         this.random = new SplittableRandom(seed);
-        Thread acceptor = new Thread(this::acceptAll, "unruly");
+        Thread acceptor = new Thread(this::acceptAll, "misbehaving-replica");
         acceptor.setDaemon(true);
         acceptor.start();
     }
@@ -33,7 +33,7 @@
     }
 
     static String bodyOf(String id) {
-        return "answer to " + id + " " + "y".repeat(200);
+        return "response to " + id + " " + "y".repeat(200);
     }
 
     static String eventOf(String id, int number) {
@@ -44,46 +44,47 @@
         try {
             while (true) {
                 Socket socket = listener.accept();
-                SplittableRandom chance;
+                SplittableRandom connectionRandom;
                 synchronized (random) {
-                    chance = random.split();
+                    connectionRandom = random.split();
                 }
-                Thread thread = new Thread(() -> serve(socket, chance), "unruly-connection");
+                Thread thread = new Thread(() -> serve(socket, connectionRandom), "misbehaving-replica-connection");
                 thread.setDaemon(true);
                 thread.start();
             }
         } catch (IOException e) {
-            // closed: the test is over
+            // Closed: the test has ended.
         }
     }
 
-    private void serve(Socket socket, SplittableRandom chance) {
+    private void serve(Socket socket, SplittableRandom connectionRandom) {
         try (socket) {
             socket.setTcpNoDelay(true);
             InputStream in = new java.io.BufferedInputStream(socket.getInputStream());
-            String extra = "";
+            String duplicateResponse = "";
             while (true) {
                 HttpText.Message request = HttpText.read(in);
                 String id = request.field("X-Pinewick-Request-Id");
-                write(socket, extra);
-                if (!respond(socket, chance, request, id)) {
+                write(socket, duplicateResponse);
+                if (!respond(socket, connectionRandom, request, id)) {
                     return;
                 }
-                extra = chance.nextInt(8) == 0 && id != null ? ScriptedReplica.response(200, id, "late") : "";
+                duplicateResponse =
+                        connectionRandom.nextInt(8) == 0 && id != null ? ScriptedReplica.response(200, id, "late") : "";
             }
         } catch (IOException e) {
-            // the router closed it
+            // The router closed the connection.
         }
     }
 
-    /** Returns whether the connection goes on. */
-    private boolean respond(Socket socket, SplittableRandom chance, HttpText.Message request, String id)
+    /** Sends a response; returns whether the connection stays open. */
+    private boolean respond(Socket socket, SplittableRandom connectionRandom, HttpText.Message request, String id)
             throws IOException {
         if (id == null) {
             write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
-        if (chance.nextInt(6) == 0) {
+        if (connectionRandom.nextInt(6) == 0) {
             write(socket, ScriptedReplica.rejection(id));
             return true;
         }
@@ -93,29 +94,30 @@
         }
         String kvFrom = request.field("Kv-From");
         if (kvFrom != null && !kvFrom.endsWith("/h-" + id)) {
-            runs.computeIfAbsent("handle of another: " + id, key -> new AtomicInteger())
+            executions
+                    .computeIfAbsent("handle of another request: " + id, key -> new AtomicInteger())
                     .incrementAndGet();
         }
-        runs.computeIfAbsent(id, key -> new AtomicInteger()).incrementAndGet();
+        executions.computeIfAbsent(id, key -> new AtomicInteger()).incrementAndGet();
         return request.firstLine().contains("/lm/")
-                ? stream(socket, chance, id, request.field("Last-Event-Id"))
-                : plain(socket, chance, id);
+                ? respondStream(socket, connectionRandom, id, request.field("Last-Event-Id"))
+                : respondPlain(socket, connectionRandom, id);
     }
 
-    private boolean plain(Socket socket, SplittableRandom chance, String id) throws IOException {
-        String whole = ScriptedReplica.response(200, id, bodyOf(id));
-        switch (chance.nextInt(18)) {
+    private boolean respondPlain(Socket socket, SplittableRandom connectionRandom, String id) throws IOException {
+        String completeResponse = ScriptedReplica.response(200, id, bodyOf(id));
+        switch (connectionRandom.nextInt(18)) {
             case 0 -> {
-                write(socket, whole.substring(0, chance.nextInt(whole.length())));
+                write(socket, completeResponse.substring(0, connectionRandom.nextInt(completeResponse.length())));
                 return false;
             }
             case 1 -> {
                 socket.setSoLinger(true, 0);
                 return false;
             }
-            case 2 -> write(socket, whole + ScriptedReplica.response(200, id, "extra"));
+            case 2 -> write(socket, completeResponse + ScriptedReplica.response(200, id, "extra"));
             case 3 -> {
-                write(socket, "no answer at all\r\n\r\n");
+                write(socket, "not an HTTP response\r\n\r\n");
                 return false;
             }
             case 4 -> write(socket, ScriptedReplica.response(500, id, "failed"));
@@ -123,42 +125,43 @@
                 write(socket, ScriptedReplica.response(200, id, bodyOf(id), "Connection: close"));
                 return false;
             }
-            case 6 -> write(socket, "HTTP/1.1 100 Continue\r\n\r\n" + whole);
+            case 6 -> write(socket, "HTTP/1.1 100 Continue\r\n\r\n" + completeResponse);
             case 7 -> {
-                write(socket, whole.substring(0, whole.length() / 2));
-                write(socket, whole.substring(whole.length() / 2));
+                write(socket, completeResponse.substring(0, completeResponse.length() / 2));
+                write(socket, completeResponse.substring(completeResponse.length() / 2));
             }
             case 8, 9 -> {
-                // Without a length: whole if the connection is closed, and not if it is reset.
-                write(socket, whole.replaceFirst("Content-Length: \\d+\r\n", ""));
+                // Without a length the response is complete if the connection is closed, and truncated if it is reset.
+                write(socket, completeResponse.replaceFirst("Content-Length: \\d+\r\n", ""));
                 return false;
             }
             case 10 -> {
-                String unframed = whole.replaceFirst("Content-Length: \\d+\r\n", "");
+                String responseWithoutLength = completeResponse.replaceFirst("Content-Length: \\d+\r\n", "");
                 write(
                         socket,
-                        unframed.substring(
+                        responseWithoutLength.substring(
                                 0,
-                                unframed.length()
+                                responseWithoutLength.length()
                                         - 1
-                                        - chance.nextInt(bodyOf(id).length())));
+                                        - connectionRandom.nextInt(bodyOf(id).length())));
                 socket.setSoLinger(true, 0);
                 return false;
             }
-            default -> write(socket, whole);
+            default -> write(socket, completeResponse);
         }
         return true;
     }
 
-    private boolean stream(Socket socket, SplittableRandom chance, String id, String lastEventId) throws IOException {
-        int first = lastEventId == null ? 1 : Integer.parseInt(lastEventId) + 1;
-        int breakAt = chance.nextInt(4) == 0 ? chance.nextInt(EVENTS) + 1 : Integer.MAX_VALUE;
+    private boolean respondStream(Socket socket, SplittableRandom connectionRandom, String id, String lastEventId)
+            throws IOException {
+        int firstNumber = lastEventId == null ? 1 : Integer.parseInt(lastEventId) + 1;
+        int breakAtNumber = connectionRandom.nextInt(4) == 0 ? connectionRandom.nextInt(EVENTS) + 1 : Integer.MAX_VALUE;
         write(socket, ScriptedReplica.streamHead(id));
-        for (int number = first; number <= EVENTS; number++) {
+        for (int number = firstNumber; number <= EVENTS; number++) {
             String chunk = ScriptedReplica.chunk(eventOf(id, number));
-            if (number >= breakAt) {
-                write(socket, chunk.substring(0, chance.nextInt(chunk.length())));
-                socket.setSoLinger(chance.nextInt(2) == 0, 0);
+            if (number >= breakAtNumber) {
+                write(socket, chunk.substring(0, connectionRandom.nextInt(chunk.length())));
+                socket.setSoLinger(connectionRandom.nextInt(2) == 0, 0);
                 return false;
             }
             write(socket, chunk);
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/MisbehavingReplicasTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/MisbehavingReplicasTest.java
@@ -19,37 +19,37 @@
 import pinewick.model.ReplicaState;
 import pinewick.model.Stage;
 
-/** Many clients at once against replicas that misbehave by chance: what no client and no replica may ever see. */
+/** Many concurrent clients and replicas that misbehave at random: invariants that must hold for each of them. */
 class MisbehavingReplicasTest {
     private static final int CLIENTS = 12;
-    private static final int REQUESTS_OF_A_CLIENT = 150;
+    private static final int REQUESTS_PER_CLIENT = 150;
 
-    private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
-    private final Queue<String> broken = new ConcurrentLinkedQueue<>();
+    private final Map<String, AtomicInteger> executions = new ConcurrentHashMap<>();
+    private final Queue<String> violations = new ConcurrentLinkedQueue<>();
     private final Map<String, AtomicInteger> outcomes = new ConcurrentHashMap<>();
 
     private long seed;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void noClientAndNoReplicaSeesARuleBroken(long chosenSeed) throws Exception {
-        seed = chosenSeed;
+    void keepsInvariantsForAllClientsAndReplicas(long seedOfRun) throws Exception {
+        seed = seedOfRun;
         List<MisbehavingReplica> replicas = new ArrayList<>();
         try (TestRouter router = new TestRouter()) {
             router.configure(
                     TestRouter.route("once", "/once/", "non_idempotent", "plain", 3, "false"),
-                    TestRouter.route("again", "/again/", "idempotent", "plain", 3, "false"),
-                    TestRouter.route("cut", "/lm/cut/", "streaming", "lm", 3, "false"),
-                    TestRouter.route("go", "/lm/go/", "streaming", "lm", 3, "true"));
+                    TestRouter.route("retry", "/retry/", "idempotent", "plain", 3, "false"),
+                    TestRouter.route("stream", "/lm/stream/", "streaming", "lm", 3, "false"),
+                    TestRouter.route("resume", "/lm/resume/", "streaming", "lm", 3, "true"));
             for (int i = 0; i < 10; i++) {
-                MisbehavingReplica replica = new MisbehavingReplica(runs, seed * 100 + i);
+                MisbehavingReplica replica = new MisbehavingReplica(executions, seed * 100 + i);
                 replicas.add(replica);
                 router.state.merge(record(i, replica));
             }
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 int number = i;
-                Thread client = new Thread(() -> playClient(router, number));
+                Thread client = new Thread(() -> runClient(router, number));
                 clients.add(client);
                 client.start();
             }
@@ -61,12 +61,13 @@
                 replica.close();
             }
         }
-        assertEquals(List.of(), List.copyOf(broken));
-        runs.forEach((id, count) -> {
-            assertTrue(!id.startsWith("handle of another"), id);
-            assertTrue(id.contains("-again") || id.contains("-go") || count.get() <= 1, id + " ran " + count);
+        assertEquals(List.of(), List.copyOf(violations));
+        executions.forEach((id, count) -> {
+            assertTrue(!id.startsWith("handle of another request"), id);
+            assertTrue(
+                    id.contains("-retry") || id.contains("-resume") || count.get() <= 1, id + " executions: " + count);
         });
-        assertTrue(outcomes.get("served").get() > CLIENTS * REQUESTS_OF_A_CLIENT / 2, "outcomes " + outcomes);
+        assertTrue(outcomes.get("served").get() > CLIENTS * REQUESTS_PER_CLIENT / 2, "outcomes " + outcomes);
     }
 
     private static ReplicaRecord record(int index, MisbehavingReplica replica) {
@@ -86,51 +87,51 @@
                 false);
     }
 
-    private void playClient(TestRouter router, int number) {
+    private void runClient(TestRouter router, int number) {
         SplittableRandom random = new SplittableRandom(seed * 31 + number);
-        String[] kinds = {"once", "again", "cut", "go"};
+        String[] kinds = {"once", "retry", "stream", "resume"};
         RawSocket socket = null;
         try {
-            for (int i = 0; i < REQUESTS_OF_A_CLIENT; i++) {
+            for (int i = 0; i < REQUESTS_PER_CLIENT; i++) {
                 String kind = kinds[random.nextInt(kinds.length)];
                 String id = "c" + number + "x" + i + "-" + kind;
-                boolean stream = kind.equals("cut") || kind.equals("go");
+                boolean stream = kind.equals("stream") || kind.equals("resume");
                 if (socket == null) {
                     socket = RawSocket.connect(router.frontend.frontendPort());
                 }
                 socket.send(TestRouter.request("POST", (stream ? "/lm/" : "/") + kind + "/x", id, "body of " + id));
-                if (!judge(socket, id, stream)) {
+                if (!checkResponse(socket, id, stream)) {
                     socket.close();
                     socket = null;
                 }
             }
         } catch (IOException | RuntimeException e) {
-            broken.add("client " + number + ": " + e);
+            violations.add("client " + number + ": " + e);
         }
     }
 
-    /** Reads and judges an answer; returns whether the connection goes on. */
-    private boolean judge(RawSocket socket, String id, boolean stream) throws IOException {
+    /** Reads and checks a response; returns whether the connection stays open. */
+    private boolean checkResponse(RawSocket socket, String id, boolean stream) throws IOException {
         HttpText.Message response;
         try {
             response = socket.read();
         } catch (EOFException e) {
-            count("cut");
+            count("truncated");
             if (!stream) {
-                broken.add(id + ": closed without an answer");
+                violations.add(id + ": closed without a response");
             }
             return false;
         }
         if (!id.equals(response.field("X-Pinewick-Request-Id"))) {
-            broken.add(id + ": answer of " + response.field("X-Pinewick-Request-Id"));
+            violations.add(id + ": response to " + response.field("X-Pinewick-Request-Id"));
         }
         if (response.status() == 200) {
             count("served");
-            judgeSuccess(id, stream, response);
+            checkSuccess(id, stream, response);
         } else if (response.status() == 503) {
-            count("refused");
-            if (runs.containsKey(id)) {
-                broken.add(id + ": refused though it ran");
+            count("rejected");
+            if (executions.containsKey(id)) {
+                violations.add(id + ": rejected though it was executed");
             }
         } else {
             count("failed " + response.status());
@@ -138,17 +139,17 @@
         return !"close".equals(response.field("Connection"));
     }
 
-    private void judgeSuccess(String id, boolean stream, HttpText.Message response) {
+    private void checkSuccess(String id, boolean stream, HttpText.Message response) {
         StringBuilder events = new StringBuilder();
         for (int number = 1; number <= MisbehavingReplica.EVENTS; number++) {
             events.append(MisbehavingReplica.eventOf(id, number));
         }
         String expected = stream ? events.toString() : MisbehavingReplica.bodyOf(id);
         if (!expected.equals(response.body())) {
-            broken.add(id + ": body '" + response.body() + "'");
+            violations.add(id + ": body '" + response.body() + "'");
         }
-        if (!("stamp-" + id).equals(response.field("X-Pinewick-Server-Signature"))) {
-            broken.add(id + ": stamp " + response.field("X-Pinewick-Server-Signature"));
+        if (!("signature-" + id).equals(response.field("X-Pinewick-Server-Signature"))) {
+            violations.add(id + ": signature " + response.field("X-Pinewick-Server-Signature"));
         }
     }
 
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/PrefillHandoverTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/PrefillHandoverTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import pinewick.model.Stage;
 
-/** Prefill at one replica, decode at another. */
+/** Prefill at one replica and decode at another. */
 class PrefillHandoverTest {
     private static final String HANDLE = "{\"prefill_handle\":\"3fa09c41b7d5\",\"tokens\":1460,\"version\":1}";
     private static final String EVENT = "id: 1\ndata: a\n\n";
@@ -33,7 +33,7 @@
         router.close();
     }
 
-    private RawSocket askPrefill(String... fields) throws Exception {
+    private RawSocket startPrefill(String... fields) throws Exception {
         client.send(TestRouter.request("POST", "/lm/g", "q1", "prompt", fields));
         RawSocket upstream = prefill.accept();
         HttpText.Message forwarded = upstream.read();
@@ -45,7 +45,7 @@
         return upstream;
     }
 
-    private RawSocket askDecode(ScriptedReplica replica, String kvFrom) throws Exception {
+    private RawSocket acceptDecode(ScriptedReplica replica, String kvFrom) throws Exception {
         RawSocket upstream = replica.accept();
         HttpText.Message forwarded = upstream.read();
         assertEquals(kvFrom, forwarded.field("Kv-From"));
@@ -63,31 +63,31 @@
         HttpText.Message response = client.read();
         assertEquals(200, response.status());
         assertEquals(EVENT, response.body());
-        assertEquals("stamp-q1", response.field("X-Pinewick-Server-Signature"));
+        assertEquals("signature-q1", response.field("X-Pinewick-Server-Signature"));
     }
 
-    private static void assertFreed(RawSocket prefillConnection) throws Exception {
-        HttpText.Message forwarded = prefillConnection.read();
+    private static void assertHandleReleased(RawSocket connection) throws Exception {
+        HttpText.Message forwarded = connection.read();
         assertEquals("DELETE /kv-handle/3fa09c41b7d5 HTTP/1.1", forwarded.firstLine());
         assertEquals("p-1", forwarded.field("X-Pinewick-Expected-Instance"));
         assertNull(forwarded.field("X-Pinewick-Request-Id"));
-        prefillConnection.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        connection.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     }
 
     @Test
-    void thePromptIsPrefilledAtOneReplicaAndDecodedAtAnother() throws Exception {
-        RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
-        serve(askDecode(decode, handle()));
-        // Nothing is freed: the next thing on the kept connection is the next prompt.
+    void prefillsAtOneReplicaAndDecodesAtAnother() throws Exception {
+        RawSocket prefillConnection = startPrefill();
+        prefillConnection.send(ScriptedReplica.response(200, "q1", HANDLE));
+        serve(acceptDecode(decode, handle()));
+        // No handle is released: the next request on the persistent connection is the next prompt.
         router.forceChoices("p-1+d-1");
         client.send(TestRouter.request("POST", "/lm/g", "q2", "prompt"));
-        assertEquals("prefill", reading.read().field("X-Pinewick-Serving-Stage"));
+        assertEquals("prefill", prefillConnection.read().field("X-Pinewick-Serving-Stage"));
     }
 
     @Test
     void clientsCannotSetRouterHeaders() throws Exception {
-        RawSocket reading = askPrefill(
+        RawSocket prefillConnection = startPrefill(
                 "Kv-From: 10.0.0.1:1/x",
                 "X-Pinewick-Expected-Instance: other",
                 "X-Pinewick-Serving-Stage: decode",
@@ -96,102 +96,103 @@
                 "TE: trailers",
                 "Proxy-Connection: keep-alive",
                 "Keep-Alive: timeout=3");
-        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
-        serve(askDecode(decode, handle()));
+        prefillConnection.send(ScriptedReplica.response(200, "q1", HANDLE));
+        serve(acceptDecode(decode, handle()));
     }
 
     @Test
-    void aRejectedPrefillIsDoneByTheDecodeReplica() throws Exception {
-        askPrefill().send(ScriptedReplica.rejection("q1"));
-        serve(askDecode(decode, null));
+    void afterARejectedPrefillTheDecodeReplicaPrefills() throws Exception {
+        startPrefill().send(ScriptedReplica.rejection("q1"));
+        serve(acceptDecode(decode, null));
     }
 
     @Test
-    void aBrokenPrefillIsDoneByTheDecodeReplica() throws Exception {
-        askPrefill().reset();
-        serve(askDecode(decode, null));
+    void afterAFailedPrefillTheDecodeReplicaPrefills() throws Exception {
+        startPrefill().reset();
+        serve(acceptDecode(decode, null));
     }
 
     @Test
-    void anAnswerWithoutAHandleCountsAsBroken() throws Exception {
-        askPrefill().send(ScriptedReplica.response(200, "q1", "{\"tokens\":3}"));
-        serve(askDecode(decode, null));
+    void aPrefillResponseWithoutAHandleIsAFailure() throws Exception {
+        startPrefill().send(ScriptedReplica.response(200, "q1", "{\"tokens\":3}"));
+        serve(acceptDecode(decode, null));
     }
 
     @Test
     void theHandleOfAnotherRequestIsNotUsed() throws Exception {
-        RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.response(200, "q0", HANDLE.replace("3fa0", "0000")));
-        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
-        serve(askDecode(decode, handle()));
+        RawSocket prefillConnection = startPrefill();
+        prefillConnection.send(ScriptedReplica.response(200, "q0", HANDLE.replace("3fa0", "0000")));
+        prefillConnection.send(ScriptedReplica.response(200, "q1", HANDLE));
+        serve(acceptDecode(decode, handle()));
     }
 
     @Test
     void aHandleRejectedByADecodeReplicaIsOfferedToAnother() throws Exception {
-        RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
-        RawSocket decoding = askDecode(decode, handle());
+        RawSocket prefillConnection = startPrefill();
+        prefillConnection.send(ScriptedReplica.response(200, "q1", HANDLE));
+        RawSocket decodeConnection = acceptDecode(decode, handle());
         ScriptedReplica other = router.replica("d-2", "lm", Stage.DECODE);
-        decoding.send(ScriptedReplica.rejection("q1"));
-        serve(askDecode(other, handle()));
-        // It was taken, so it is not freed: the next thing on the kept connection is the next prompt.
+        decodeConnection.send(ScriptedReplica.rejection("q1"));
+        serve(acceptDecode(other, handle()));
+        // The handle was used, so it is not released: the next request on the persistent connection is the next prompt.
         router.forceChoices("p-1+d-1");
         client.send(TestRouter.request("POST", "/lm/g", "q2", "prompt"));
-        assertEquals("prefill", reading.read().field("X-Pinewick-Serving-Stage"));
+        assertEquals("prefill", prefillConnection.read().field("X-Pinewick-Serving-Stage"));
     }
 
     @Test
     void aHandleRejectedByTwoDecodeReplicasIsReleased() throws Exception {
         router.configure(TestRouter.streamRoute(false, 3));
-        RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
-        RawSocket decoding = askDecode(decode, handle());
+        RawSocket prefillConnection = startPrefill();
+        prefillConnection.send(ScriptedReplica.response(200, "q1", HANDLE));
+        RawSocket decodeConnection = acceptDecode(decode, handle());
         ScriptedReplica second = router.replica("d-2", "lm", Stage.DECODE);
-        decoding.send(ScriptedReplica.rejection("q1"));
-        decoding = askDecode(second, handle());
+        decodeConnection.send(ScriptedReplica.rejection("q1"));
+        decodeConnection = acceptDecode(second, handle());
         ScriptedReplica third = router.replica("d-3", "lm", Stage.DECODE);
-        decoding.send(ScriptedReplica.rejection("q1"));
-        assertFreed(reading);
-        serve(askDecode(third, null));
+        decodeConnection.send(ScriptedReplica.rejection("q1"));
+        assertHandleReleased(prefillConnection);
+        serve(acceptDecode(third, null));
     }
 
     @Test
     void aHandleIsReleasedWhenNoMoreAttemptsAreAllowed() throws Exception {
         router.configure(TestRouter.streamRoute(false, 1));
-        RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
-        askDecode(decode, handle()).send(ScriptedReplica.rejection("q1"));
-        assertFreed(reading);
+        RawSocket prefillConnection = startPrefill();
+        prefillConnection.send(ScriptedReplica.response(200, "q1", HANDLE));
+        acceptDecode(decode, handle()).send(ScriptedReplica.rejection("q1"));
+        assertHandleReleased(prefillConnection);
         assertEquals(503, client.read().status());
     }
 
     @Test
-    void whileNoTransferSucceedsServingIsAggregated() throws Exception {
+    void servingIsAggregatedAfterConsecutiveFailedTransfers() throws Exception {
         router.configure(TestRouter.streamRoute(false, 1));
-        RawSocket decoding = null;
+        RawSocket decodeConnection = null;
         for (int iteration = 0; iteration < 3; iteration++) {
-            RawSocket reading = askPrefill();
-            reading.send(ScriptedReplica.response(200, "q1", HANDLE));
-            decoding = decoding == null ? decode.accept() : decoding;
-            assertEquals(handle(), decoding.read().field("Kv-From"));
-            decoding.send(ScriptedReplica.rejection("q1"));
-            // Left unanswered, so that the next prompt needs a connection of its own.
+            RawSocket prefillConnection = startPrefill();
+            prefillConnection.send(ScriptedReplica.response(200, "q1", HANDLE));
+            decodeConnection = decodeConnection == null ? decode.accept() : decodeConnection;
+            assertEquals(handle(), decodeConnection.read().field("Kv-From"));
+            decodeConnection.send(ScriptedReplica.rejection("q1"));
+            // No response is sent, so that the next prompt needs a new connection.
             assertEquals(
-                    "DELETE /kv-handle/3fa09c41b7d5 HTTP/1.1", reading.read().firstLine());
+                    "DELETE /kv-handle/3fa09c41b7d5 HTTP/1.1",
+                    prefillConnection.read().firstLine());
             assertEquals(503, client.read().status());
             router.forceChoices("p-1+d-1");
         }
         client.send(TestRouter.request("POST", "/lm/g", "q1", "prompt"));
-        assertNull(decoding.read().field("Kv-From"));
-        serve(decoding);
+        assertNull(decodeConnection.read().field("Kv-From"));
+        serve(decodeConnection);
     }
 
     @Test
     void aHandleIsReleasedWhenTheDecodeReplicaFails() throws Exception {
-        RawSocket reading = askPrefill();
-        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
-        askDecode(decode, handle()).reset();
-        assertFreed(reading);
+        RawSocket prefillConnection = startPrefill();
+        prefillConnection.send(ScriptedReplica.response(200, "q1", HANDLE));
+        acceptDecode(decode, handle()).reset();
+        assertHandleReleased(prefillConnection);
         assertEquals(502, client.read().status());
     }
 
@@ -199,20 +200,20 @@
     void aHandleIsReleasedAtTheTimeout() throws Exception {
         client.send("POST /lm/g HTTP/1.1\r\nHost: shop.example\r\nX-Pinewick-Request-Id: q1\r\n"
                 + "X-Pinewick-Deadline-Ms: 400\r\nContent-Length: 6\r\n\r\nprompt");
-        RawSocket reading = prefill.accept();
-        reading.read();
-        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
-        askDecode(decode, handle());
-        assertFreed(reading);
+        RawSocket prefillConnection = prefill.accept();
+        prefillConnection.read();
+        prefillConnection.send(ScriptedReplica.response(200, "q1", HANDLE));
+        acceptDecode(decode, handle());
+        assertHandleReleased(prefillConnection);
         assertEquals(504, client.read().status());
     }
 
     @Test
     void withoutADecodeReplicaThePrefilledPromptIsRejectedAndReleased() throws Exception {
-        RawSocket reading = askPrefill();
+        RawSocket prefillConnection = startPrefill();
         router.remove(decode);
-        reading.send(ScriptedReplica.response(200, "q1", HANDLE));
-        assertFreed(reading);
+        prefillConnection.send(ScriptedReplica.response(200, "q1", HANDLE));
+        assertHandleReleased(prefillConnection);
         assertEquals(503, client.read().status());
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/PrefixCacheBootstrapTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/PrefixCacheBootstrapTest.java
@@ -33,52 +33,54 @@
     }
 
     @Test
-    void aRouterThatHasRunLongerIsAsked() {
+    void requestsFromARouterThatStartedEarlier() {
         List<NodeDescriptor> others = List.of(router(1, 99_900), router(2, 50_000), router(3, 100_100));
 
         assertEquals(Optional.of(address(2)), bootstrap.nextRequest(others, 0));
     }
 
-    /** Half of the routers lose power and come back together. */
+    /** Half of the routers restart at the same time after a power failure. */
     @Test
-    void manyThatStartTogetherDoNotAllAskTheSameOne() {
+    void routersThatStartTogetherSpreadTheirRequests() {
         List<NodeDescriptor> others = new ArrayList<>();
-        for (int each = 0; each < 30; each++) {
-            others.add(router(each, each < 15 ? 1_000 + each : OWN_START + each));
+        for (int index = 0; index < 30; index++) {
+            others.add(router(index, index < 15 ? 1_000 + index : OWN_START + index));
         }
-        int[] asked = new int[30];
-        for (int each = 0; each < 45; each++) {
-            PrefixCacheBootstrap started = new PrefixCacheBootstrap(OWN_START, new SplittableRandom(each));
-            SocketAddress chosen = started.nextRequest(others, 0).orElseThrow();
-            asked[Integer.parseInt(chosen.host().substring("10.0.0.".length()))]++;
+        int[] requestCounts = new int[30];
+        for (int index = 0; index < 45; index++) {
+            PrefixCacheBootstrap startedTogether = new PrefixCacheBootstrap(OWN_START, new SplittableRandom(index));
+            SocketAddress chosen = startedTogether.nextRequest(others, 0).orElseThrow();
+            requestCounts[Integer.parseInt(chosen.host().substring("10.0.0.".length()))]++;
         }
 
-        assertEquals(45, Arrays.stream(asked).limit(15).sum(), "only those that have run longer");
-        assertTrue(Arrays.stream(asked).max().getAsInt() <= 10, "most asked: " + Arrays.toString(asked));
+        assertEquals(45, Arrays.stream(requestCounts).limit(15).sum(), "only routers that started earlier");
+        assertTrue(
+                Arrays.stream(requestCounts).max().getAsInt() <= 10,
+                "requests by router: " + Arrays.toString(requestCounts));
     }
 
     @Test
-    void nobodyIsAskedWhenAllStartTogether() {
+    void requestsNothingIfNoRouterStartedEarlier() {
         assertEquals(Optional.empty(), bootstrap.nextRequest(List.of(router(1, 99_000), router(2, 101_000)), 0));
         assertEquals(Optional.empty(), bootstrap.nextRequest(List.of(), 500));
     }
 
     @Test
-    void anotherRouterIsAskedIfNoneAnswersOrTheAnswerIsEmpty() {
+    void requestsFromAnotherRouterWithoutAReplyOrAfterAnEmptyOne() {
         List<NodeDescriptor> others = List.of(router(1, 1_000), router(2, 2_000), router(3, 3_000), router(4, 4_000));
 
-        Set<SocketAddress> asked = new HashSet<>();
-        asked.add(bootstrap.nextRequest(others, 0).orElseThrow());
+        Set<SocketAddress> requested = new HashSet<>();
+        requested.add(bootstrap.nextRequest(others, 0).orElseThrow());
         assertEquals(Optional.empty(), bootstrap.nextRequest(others, PrefixCacheBootstrap.RETRY_INTERVAL_MS - 1));
         bootstrap.onSnapshot(EMPTY);
-        asked.add(bootstrap.nextRequest(others, 1_000).orElseThrow());
-        asked.add(bootstrap.nextRequest(others, 2_000).orElseThrow());
-        assertEquals(3, asked.size(), "each once");
-        assertEquals(Optional.empty(), bootstrap.nextRequest(others, 3_000), "no more than three");
+        requested.add(bootstrap.nextRequest(others, 1_000).orElseThrow());
+        requested.add(bootstrap.nextRequest(others, 2_000).orElseThrow());
+        assertEquals(3, requested.size(), "each router once");
+        assertEquals(Optional.empty(), bootstrap.nextRequest(others, 3_000), "at most three requests");
     }
 
     @Test
-    void nobodyIsAskedAfterAnAnswer() {
+    void requestsNothingAfterASnapshot() {
         List<NodeDescriptor> others = List.of(router(1, 1_000), router(2, 2_000));
 
         bootstrap.nextRequest(others, 0);
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/PriorityTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/PriorityTest.java
@@ -8,38 +8,38 @@
 import pinewick.model.RouteKind;
 import pinewick.model.Stage;
 
-/** Each call tells the replica its priority, and only the router does. */
+/** Every call carries the route's priority, which clients cannot set. */
 class PriorityTest {
     private static final String HANDLE = "{\"prefill_handle\":\"h\",\"tokens\":1,\"version\":1}";
-    private static final String OF_THE_ROUTE = "1";
+    private static final String ROUTE_PRIORITY = "1";
 
     private static String priority(ScriptedCall call) {
         return call.request.fields().get(HeaderNames.PRIORITY);
     }
 
     @Test
-    void prefillAndDecodeCallsHaveTheRoutesPriority() {
+    void prefillAndDecodeCallsCarryTheRoutesPriority() {
         LifecycleTestContext context = new LifecycleTestContext(RouteKind.STREAMING, false, true, 2, 1);
         context.lifecycle.start();
-        assertEquals(OF_THE_ROUTE, priority(context.calls.last()));
-        context.calls.last().response(200, HANDLE);
-        assertEquals(OF_THE_ROUTE, priority(context.calls.last()));
+        assertEquals(ROUTE_PRIORITY, priority(context.calls.last()));
+        context.calls.last().respond(200, HANDLE);
+        assertEquals(ROUTE_PRIORITY, priority(context.calls.last()));
     }
 
     @Test
-    void aPlainCallHasTheRoutesPriority() {
+    void aPlainCallCarriesTheRoutesPriority() {
         LifecycleTestContext context = new LifecycleTestContext(RouteKind.NON_IDEMPOTENT, false, false, 1, 1);
         context.lifecycle.start();
-        assertEquals(OF_THE_ROUTE, priority(context.calls.last()));
+        assertEquals(ROUTE_PRIORITY, priority(context.calls.last()));
     }
 
     @Test
     void aShortCallThatHasWaitedKeepsTheRoutesPriority() {
         LifecycleTestContext context = new LifecycleTestContext(RouteKind.STREAMING, false, true, 2, 1);
         context.lifecycle.start();
-        context.timers.advance(LifecycleTestContext.TARGET_MS);
-        context.calls.last().response(200, HANDLE);
-        assertEquals(OF_THE_ROUTE, priority(context.calls.last()));
+        context.timers.advance(LifecycleTestContext.TARGET_LATENCY_MS);
+        context.calls.last().respond(200, HANDLE);
+        assertEquals(ROUTE_PRIORITY, priority(context.calls.last()));
     }
 
     @Test
@@ -51,7 +51,7 @@
             client.send(TestRouter.request("POST", "/plain/x", "q1", "body", "Priority: 0", "priority: 9"));
             HttpText.Message forwarded = replica.accept().read();
             assertEquals(
-                    List.of("Priority: " + OF_THE_ROUTE),
+                    List.of("Priority: " + ROUTE_PRIORITY),
                     forwarded.fields().stream()
                             .filter(field -> field.regionMatches(true, 0, "priority:", 0, "priority:".length()))
                             .toList());
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/QuotaAdmissionTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/QuotaAdmissionTest.java
@@ -26,7 +26,7 @@
 import pinewick.quota.QuotaPeers;
 import pinewick.quota.QuotaPolicy;
 
-/** A request that waits for the limit of its tenant. */
+/** Admission of requests by the quota of their tenant. */
 class QuotaAdmissionTest {
     private static final SocketAddress PRIMARY = new SocketAddress("10.0.0.9", 7_081);
     private static final QuotaLimit LIMIT = new QuotaLimit(1_000, 1_000, QuotaUnit.TOKENS, 200);
@@ -65,7 +65,7 @@
     private QuotaAdmission begin(int cost) {
         QuotaAdmission admission = new QuotaAdmission(
                 Optional.of(new QuotaCharge("t", LIMIT, cost)), quotas, timers, new SplittableRandom(2), MAX_WAIT_MS);
-        admission.begin(() -> outcomes.add("granted"), refusal -> outcomes.add("refused " + refusal.status()));
+        admission.begin(() -> outcomes.add("granted"), rejection -> outcomes.add("rejected " + rejection.status()));
         return admission;
     }
 
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void nothingIsSentBeforeTheGrant() {
+    void admitsOnlyAfterTheGrant() {
         begin(500);
         assertTrue(outcomes.isEmpty());
         reply(QuotaVerdict.GRANTED);
@@ -83,22 +83,22 @@
     }
 
     @Test
-    void aRequestWhoseTokensComeWithinItsWaitAsksAgain() {
+    void retriesWhenTokensBecomeAvailableWithinTheMaximumWait() {
         begin(500);
         reply(QuotaVerdict.OVER_LIMIT);
         assertTrue(outcomes.isEmpty());
         timers.advance(10);
         assertEquals(2, sent.size());
-        assertTrue(sent.get(0).requestId() != sent.get(1).requestId(), "a request of its own");
+        assertTrue(sent.get(0).requestId() != sent.get(1).requestId(), "the retry has a new request id");
         sent.remove(0);
         reply(QuotaVerdict.GRANTED);
         assertEquals(List.of("granted"), outcomes);
     }
 
     @Test
-    void overTheLimitIs429AndAnUnknownTenant503() {
+    void rejectsWith429OverTheLimitAndWith503ForAnUnknownTenant() {
         begin(500);
-        for (int index = 0; index < 3; index++) {
+        for (int attempt = 0; attempt < 3; attempt++) {
             reply(QuotaVerdict.OVER_LIMIT);
             sent.clear();
             timers.advance(10);
@@ -106,19 +106,19 @@
         sent.clear();
         begin(500);
         reply(QuotaVerdict.UNKNOWN_TENANT);
-        assertEquals(List.of("refused 429", "refused 503"), outcomes);
+        assertEquals(List.of("rejected 429", "rejected 503"), outcomes);
     }
 
     @Test
-    void withoutACoordinatorItIsRejectedInTimeAndALateGrantIsNotUsed() {
+    void rejectsAfterTheMaximumWaitWithoutACoordinatorAndIgnoresALateGrant() {
         begin(500);
         timers.advance(MAX_WAIT_MS);
         reply(QuotaVerdict.GRANTED);
-        assertEquals(List.of("refused 503"), outcomes);
+        assertEquals(List.of("rejected 503"), outcomes);
     }
 
     @Test
-    void withoutACoordinatorAShortRequestRunsAhead() {
+    void admitsAShortRequestByTheFallbackAllowanceWithoutACoordinator() {
         fallbackAllowance.setRouterCount(1, 0);
         begin(200);
         timers.advance(MAX_WAIT_MS);
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aClientThatLeavesWhileItWaitsIsNotServed() {
+    void doesNotAdmitACancelledRequest() {
         begin(500).cancel();
         reply(QuotaVerdict.GRANTED);
         timers.advance(10_000);
@@ -148,7 +148,7 @@
         "'9000000000,1',2147483647",
         "'99999999999999999999,1',200"
     })
-    void aRequestCountsItsTokens(String counts, int cost) {
+    void theCostIsTheNumberOfTokens(String counts, int cost) {
         Tenant tenant = new Tenant("t", Set.of(), OptionalInt.empty(), LIMIT);
         HttpFields fields = HttpFields.build().add("X-Pinewick-Token-Count", counts);
         assertEquals(cost, QuotaCharge.of(tenant, fields).orElseThrow().cost());
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RawSocket.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RawSocket.java
@@ -10,23 +10,23 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntFunction;
 
-/** One end of a connection, played by hand. Every wait is bounded. */
+/** One end of a TCP connection that the test reads and writes directly. Every wait is bounded. */
 final class RawSocket implements AutoCloseable {
-    private static final int PATIENCE_MS = 10_000;
-    private static final int SHORT_WAIT_MS = 20;
-    private static final int MOST_TURNS = 500;
-    /** Their waits are together shorter than any deadline in the tests. */
-    private static final int MOST_TURNS_BEFORE_A_DEADLINE = 100;
+    private static final int READ_TIMEOUT_MS = 10_000;
+    private static final int SHORT_READ_TIMEOUT_MS = 20;
+    private static final int MAX_ITERATIONS = 500;
+    /** Their waits are shorter in total than any deadline in the tests. */
+    private static final int MAX_ITERATIONS_BEFORE_DEADLINE = 100;
 
-    private static final int HELD_UP_MS = 300;
-    private static final int PIECE_BYTES = 8192;
+    private static final int BLOCKED_MS = 300;
+    private static final int BUFFER_BYTES = 8192;
 
     private final Socket socket;
     private final InputStream in;
 
     RawSocket(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
@@ -48,7 +48,7 @@
         return HttpText.readHead(in);
     }
 
-    /** Whether something is there to be read within a time; nothing is taken. */
+    /** Whether a byte arrives within this time, milliseconds; none is consumed. */
     boolean hasDataWithin(int waitMs) throws IOException {
         in.mark(1);
         socket.setSoTimeout(waitMs);
@@ -58,22 +58,22 @@
             return false;
         } finally {
             in.reset();
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
         }
     }
 
-    /** Everything that comes until the other side's orderly end or a reset. */
+    /** Reads until the peer closes or resets the connection. */
     String readUntilEnd() {
         StringBuilder text = new StringBuilder();
-        byte[] piece = new byte[PIECE_BYTES];
+        byte[] buffer = new byte[BUFFER_BYTES];
         try {
-            for (int count = in.read(piece); count > 0; count = in.read(piece)) {
-                text.append(new String(piece, 0, count, StandardCharsets.ISO_8859_1));
+            for (int count = in.read(buffer); count > 0; count = in.read(buffer)) {
+                text.append(new String(buffer, 0, count, StandardCharsets.ISO_8859_1));
             }
         } catch (SocketTimeoutException e) {
-            throw new AssertionError("still open", e);
+            throw new AssertionError("the connection is still open", e);
         } catch (IOException e) {
-            // a reset is an end
+            // A reset ends the connection too.
         }
         return text.toString();
     }
@@ -86,7 +86,7 @@
         return HttpText.readChunk(in);
     }
 
-    /** Waits for the other side's end; true if nothing came before it. A reset counts as an end. */
+    /** Waits for the peer to close or reset the connection; false if a byte arrives or the wait times out. */
     boolean isClosedByPeer() {
         try {
             return in.read() < 0;
@@ -95,17 +95,17 @@
         }
     }
 
-    /** Sends until the other side's end is felt; true if it came within a bounded number of turns. */
-    boolean isClosedByPeerWhileSending(IntFunction<String> textOfTurn) throws IOException {
-        socket.setSoTimeout(SHORT_WAIT_MS);
-        for (int iteration = 0; iteration < MOST_TURNS; iteration++) {
+    /** Sends until the peer has closed the connection; true if that happens within a bounded number of iterations. */
+    boolean isClosedByPeerWhileSending(IntFunction<String> textOfIteration) throws IOException {
+        socket.setSoTimeout(SHORT_READ_TIMEOUT_MS);
+        for (int iteration = 0; iteration < MAX_ITERATIONS; iteration++) {
             try {
-                send(textOfTurn.apply(iteration));
+                send(textOfIteration.apply(iteration));
                 if (in.read() < 0) {
                     return true;
                 }
             } catch (SocketTimeoutException e) {
-                // still open: the next turn
+                // Still open: continue.
             } catch (IOException e) {
                 return true;
             }
@@ -114,23 +114,23 @@
     }
 
     /**
-     * Runs a step over and over until the other side's end is felt; true if it came within a bounded number of
-     * turns.
+     * Repeats a step until the peer has closed the connection; true if that happens within a bounded number of
+     * iterations.
      */
     boolean isClosedByPeerWhile(Runnable step) throws IOException {
-        socket.setSoTimeout(SHORT_WAIT_MS);
-        for (int iteration = 0; iteration < MOST_TURNS_BEFORE_A_DEADLINE; iteration++) {
+        socket.setSoTimeout(SHORT_READ_TIMEOUT_MS);
+        for (int iteration = 0; iteration < MAX_ITERATIONS_BEFORE_DEADLINE; iteration++) {
             step.run();
             try {
                 return in.read() < 0;
             } catch (SocketTimeoutException e) {
-                // still open: the next turn
+                // Still open: continue.
             }
         }
         return false;
     }
 
-    /** Sends on a thread of its own until the other side takes no more for a while. */
+    /** Sends on a separate thread until the peer has accepted no more for {@link #BLOCKED_MS}. */
     void sendUntilBlocked(String text) throws Exception {
         AtomicInteger sent = new AtomicInteger();
         Thread sender = new Thread(() -> {
@@ -140,25 +140,25 @@
                     sent.incrementAndGet();
                 }
             } catch (IOException e) {
-                // the test is over
+                // The test has ended.
             }
         });
         sender.setDaemon(true);
         sender.start();
-        int before;
+        int previous;
         do {
-            before = sent.get();
-            sender.join(HELD_UP_MS);
-        } while (sent.get() != before);
+            previous = sent.get();
+            sender.join(BLOCKED_MS);
+        } while (sent.get() != previous);
     }
 
-    /** Sends, and resets right behind it. */
+    /** Sends, and resets the connection immediately afterwards. */
     void sendAndReset(String text) throws IOException {
         send(text);
         reset();
     }
 
-    /** Closes with a reset in place of an orderly end. */
+    /** Resets the connection instead of closing it orderly. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RecordedClient.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RecordedClient.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 import org.eclipse.jetty.http.HttpFields;
 
-/** A client that keeps what it is told. */
+/** A client exchange that records the response. */
 final class RecordedClient implements ClientExchange {
-    /** How an answer came to its end. */
+    /** How a response ended. */
     enum Outcome {
         NONE,
         RESPONDED,
@@ -21,26 +21,26 @@
     long pendingBytes;
 
     @Override
-    public void respond(int answerStatus, HttpFields answerFields, byte[] answerBody) {
+    public void respond(int responseStatus, HttpFields responseFields, byte[] responseBody) {
         require(!streamStarted);
         end(Outcome.RESPONDED);
-        status = answerStatus;
-        fields = answerFields;
-        body.append(new String(answerBody, StandardCharsets.ISO_8859_1));
+        status = responseStatus;
+        fields = responseFields;
+        body.append(new String(responseBody, StandardCharsets.ISO_8859_1));
     }
 
     @Override
-    public void beginStream(int answerStatus, HttpFields answerFields) {
+    public void beginStream(int responseStatus, HttpFields responseFields) {
         require(!streamStarted && outcome == Outcome.NONE);
         streamStarted = true;
-        status = answerStatus;
-        fields = answerFields;
+        status = responseStatus;
+        fields = responseFields;
     }
 
     @Override
-    public void forward(byte[] piece) {
+    public void forward(byte[] chunk) {
         require(streamStarted && outcome == Outcome.NONE);
-        body.append(new String(piece, StandardCharsets.ISO_8859_1));
+        body.append(new String(chunk, StandardCharsets.ISO_8859_1));
     }
 
     @Override
@@ -60,14 +60,14 @@
         return pendingBytes;
     }
 
-    private void end(Outcome how) {
+    private void end(Outcome newOutcome) {
         require(outcome == Outcome.NONE);
-        outcome = how;
+        outcome = newOutcome;
     }
 
     private static void require(boolean condition) {
         if (!condition) {
-            throw new AssertionError("the client was told something out of turn");
+            throw new AssertionError("call to the client exchange in an invalid order");
         }
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RecordedLog.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RecordedLog.java
@@ -8,10 +8,10 @@
 import java.util.logging.Logger;
 import java.util.logging.SimpleFormatter;
 
-/** Every log record of the product, of any level, from its creation until it is closed. */
+/** Records every log record of the package {@code pinewick}, at any level, from creation until close. */
 final class RecordedLog extends Handler implements AutoCloseable {
     private final Logger logger = Logger.getLogger("pinewick");
-    private final Level levelBefore = logger.getLevel();
+    private final Level originalLevel = logger.getLevel();
     private final SimpleFormatter formatter = new SimpleFormatter();
     private final Queue<String> lines = new ConcurrentLinkedQueue<>();
 
@@ -20,7 +20,7 @@
         logger.addHandler(this);
     }
 
-    /** The records as they would be printed, with their exceptions. */
+    /** The formatted records, including exceptions. */
     String text() {
         return String.join("", lines);
     }
@@ -38,6 +38,6 @@
     @Override
     public void close() {
         logger.removeHandler(this);
-        logger.setLevel(levelBefore);
+        logger.setLevel(originalLevel);
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReplicaConnectionsTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReplicaConnectionsTest.java
@@ -23,7 +23,7 @@
 import pinewick.model.SocketAddress;
 import pinewick.model.Stage;
 
-/** Connections to one replica while they are being made, with the network played. */
+/** Connections to one replica while they are being established, with a scripted network. */
 class ReplicaConnectionsTest {
     private static final Executor DIRECT = Runnable::run;
 
@@ -31,9 +31,9 @@
     private final ReplicaDirectory directory = new ReplicaDirectory();
     private final UpstreamPool pool =
             new UpstreamPool(new SerialExecutor(), new VirtualTimers(), directory, service -> 2);
-    private final ScriptedConnector network = new ScriptedConnector();
+    private final ScriptedConnector connector = new ScriptedConnector();
 
-    /** Connections that a test lets come about, or not. */
+    /** Connection attempts that the test accepts or refuses. */
     private final class ScriptedConnector implements UpstreamConnector {
         private final Deque<UpstreamConnectionFactory> factories = new ArrayDeque<>();
         private final Deque<Runnable> failures = new ArrayDeque<>();
@@ -66,27 +66,27 @@
         }
     }
 
-    /** A connection that takes some bytes and is found broken by the next write. */
+    /** A connection that accepts some bytes and fails at the next write. */
     private final class FailingEndPoint extends ByteArrayEndPoint {
-        private final int takenBytes;
+        private final int acceptedBytes;
 
-        FailingEndPoint(int takenBytes) {
+        FailingEndPoint(int acceptedBytes) {
             super(scheduler, 0);
-            this.takenBytes = takenBytes;
+            this.acceptedBytes = acceptedBytes;
         }
 
         @Override
         public boolean flush(ByteBuffer... buffers) throws IOException {
-            if (takenBytes > 0) {
-                ByteBuffer beginning = buffers[0].slice().limit(takenBytes);
-                buffers[0].position(buffers[0].position() + takenBytes);
-                super.flush(beginning);
+            if (acceptedBytes > 0) {
+                ByteBuffer accepted = buffers[0].slice().limit(acceptedBytes);
+                buffers[0].position(buffers[0].position() + acceptedBytes);
+                super.flush(accepted);
             }
-            throw new EofException("played");
+            throw new EofException("scripted failure");
         }
     }
 
-    /** Notes how a call ends. */
+    /** Records the events of a call. */
     private static final class RecordedCall implements CallListener {
         private final List<String> events = new ArrayList<>();
 
@@ -110,14 +110,14 @@
 
         @Override
         public void onFailure(String reason) {
-            events.add("broken");
+            events.add("failed");
         }
     }
 
     @BeforeEach
     void start() throws Exception {
         scheduler.start();
-        pool.setConnector(network);
+        pool.setConnector(connector);
         directory.update(replica(ReplicaState.READY));
     }
 
@@ -131,39 +131,39 @@
                 "i-1", "s", new SocketAddress("127.0.0.1", 9), "z", "v", 4, state, 0, Stage.NONE, List.of(), 1, false);
     }
 
-    private UpstreamCall send(String id, RecordedCall outcome) {
+    private UpstreamCall send(String id, RecordedCall recordedCall) {
         return pool.send(
                 replica(ReplicaState.READY),
                 new UpstreamRequest("POST", "/x", HttpFields.build().add("X-Id", id), new byte[0], id),
-                outcome);
+                recordedCall);
     }
 
     @Test
     void aReplicaThatDrainsDuringConnectGetsNoRequest() {
-        RecordedCall outcome = new RecordedCall();
-        send("q1", outcome);
+        RecordedCall recordedCall = new RecordedCall();
+        send("q1", recordedCall);
         directory.update(replica(ReplicaState.DRAINING));
-        ByteArrayEndPoint endPoint = network.accept();
-        assertEquals(List.of("REPLICA_DRAINING"), outcome.events);
+        ByteArrayEndPoint endPoint = connector.accept();
+        assertEquals(List.of("REPLICA_DRAINING"), recordedCall.events);
         assertEquals("", endPoint.getOutputString());
     }
 
     @Test
     void theConnectTimeoutFollowsRecentConnectTimes() {
-        ConnectTimeout times = new ConnectTimeout();
-        assertEquals(ConnectTimeout.MAX_TIMEOUT_MS, times.timeoutMs());
+        ConnectTimeout timeout = new ConnectTimeout();
+        assertEquals(ConnectTimeout.MAX_TIMEOUT_MS, timeout.timeoutMs());
         for (int i = 0; i < 300; i++) {
-            times.onConnected(1);
+            timeout.onConnected(1);
         }
-        assertEquals(ConnectTimeout.MIN_TIMEOUT_MS, times.timeoutMs());
-        times.onConnected(30);
-        assertEquals(240, times.timeoutMs());
-        times.onConnected(200);
-        assertEquals(ConnectTimeout.MAX_TIMEOUT_MS, times.timeoutMs());
+        assertEquals(ConnectTimeout.MIN_TIMEOUT_MS, timeout.timeoutMs());
+        timeout.onConnected(30);
+        assertEquals(240, timeout.timeoutMs());
+        timeout.onConnected(200);
+        assertEquals(ConnectTimeout.MAX_TIMEOUT_MS, timeout.timeoutMs());
     }
 
     @Test
-    void connectionsStayWithinTheRoutersLimit() {
+    void connectionsDoNotExceedTheRoutersLimit() {
         RecordedCall first = new RecordedCall();
         RecordedCall second = new RecordedCall();
         RecordedCall third = new RecordedCall();
@@ -171,7 +171,7 @@
         send("q2", second);
         send("q3", third);
         assertEquals(List.of("NO_CONNECTION_FREE"), third.events);
-        network.refuse();
+        connector.refuse();
         assertEquals(List.of("NOT_CONNECTED"), first.events);
         RecordedCall fourth = new RecordedCall();
         send("q4", fourth);
@@ -179,47 +179,47 @@
     }
 
     @Test
-    void aCallThatIsAbortedWhileItsConnectionIsMadeSendsNothing() {
-        RecordedCall outcome = new RecordedCall();
-        UpstreamCall call = send("q1", outcome);
+    void aCallAbortedDuringConnectSendsNothing() {
+        RecordedCall recordedCall = new RecordedCall();
+        UpstreamCall call = send("q1", recordedCall);
         call.abort();
-        ByteArrayEndPoint endPoint = network.accept();
+        ByteArrayEndPoint endPoint = connector.accept();
         assertEquals("", endPoint.getOutputString());
-        assertEquals(List.of(), outcome.events);
+        assertEquals(List.of(), recordedCall.events);
     }
 
     @Test
-    void aCallWhoseConnectionWasAbortedByAnotherIsStillSent() {
+    void aCallIsSentOnTheConnectionOfAnAbortedCall() {
         RecordedCall first = new RecordedCall();
         RecordedCall second = new RecordedCall();
         UpstreamCall aborted = send("q1", first);
-        UpstreamCall kept = send("q2", second);
+        UpstreamCall remaining = send("q2", second);
         aborted.abort();
-        ByteArrayEndPoint endPoint = network.accept();
-        assertEquals(true, kept.isSent());
+        ByteArrayEndPoint endPoint = connector.accept();
+        assertEquals(true, remaining.isSent());
         assertEquals(true, endPoint.getOutputString().contains("X-Id: q2"));
-        network.refuse();
+        connector.refuse();
         assertEquals(List.of(), second.events);
-        assertNull(network.factories.poll());
+        assertNull(connector.factories.poll());
     }
 
     @Test
-    void aCallWithoutAByteSentMovesToAnotherConnection() {
-        RecordedCall outcome = new RecordedCall();
-        send("q1", outcome);
-        ByteArrayEndPoint broken = network.accept(new FailingEndPoint(0));
-        assertEquals("", broken.getOutputString());
-        assertEquals(List.of(), outcome.events);
-        ByteArrayEndPoint next = network.accept();
+    void aCallWithoutAByteSentIsResentOnAnotherConnection() {
+        RecordedCall recordedCall = new RecordedCall();
+        send("q1", recordedCall);
+        ByteArrayEndPoint failing = connector.accept(new FailingEndPoint(0));
+        assertEquals("", failing.getOutputString());
+        assertEquals(List.of(), recordedCall.events);
+        ByteArrayEndPoint next = connector.accept();
         assertEquals(true, next.getOutputString().contains("X-Id: q1"));
     }
 
     @Test
     void aCallWithAByteSentIsNotResent() {
-        RecordedCall outcome = new RecordedCall();
-        send("q1", outcome);
-        network.accept(new FailingEndPoint(1));
-        assertEquals(List.of("broken"), outcome.events);
-        assertNull(network.factories.poll());
+        RecordedCall recordedCall = new RecordedCall();
+        send("q1", recordedCall);
+        connector.accept(new FailingEndPoint(1));
+        assertEquals(List.of("failed"), recordedCall.events);
+        assertNull(connector.factories.poll());
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReportPollerTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ReportPollerTest.java
@@ -18,7 +18,7 @@
 import pinewick.selection.ReplicaSelector;
 import pinewick.selection.RetryBudget;
 
-/** Which router asks which replica, and what is made of the answers. */
+/** Which router polls which replica, and how load reports are handled. */
 class ReportPollerTest {
     private static final double INTERVAL_MS = 400;
     private static final SocketAddress SELF = new SocketAddress("10.0.0.1", 7720);
@@ -28,7 +28,7 @@
     private final ScriptedUpstreamClient calls = new ScriptedUpstreamClient();
     private final VirtualTimers timers = new VirtualTimers();
     private final ReplicaDirectory directory = new ReplicaDirectory();
-    private final List<String> reported = new ArrayList<>();
+    private final List<String> deliveredReports = new ArrayList<>();
     private final ReplicaSelector selector = new ReplicaSelector(new SplittableRandom(1));
     private final ReportPoller poller = new ReportPoller(services(), this::onReport);
 
@@ -45,7 +45,7 @@
     }
 
     private void onReport(String instanceId, LoadReport report) {
-        reported.add(instanceId + " waits " + report.waiting() + " of " + report.stage());
+        deliveredReports.add(instanceId + " waiting=" + report.waiting() + " stage=" + report.stage());
     }
 
     private static ReplicaRecord replica(String id, ReplicaState state) {
@@ -63,22 +63,23 @@
         for (int i = 1; i <= 9; i++) {
             routers.add(router(i));
         }
-        int[] load = new int[routers.size()];
-        for (int r = 0; r < 400; r++) {
-            ReplicaRecord replica = replica("i-" + r, ReplicaState.READY);
-            int askers = 0;
+        int[] replicasByRouter = new int[routers.size()];
+        for (int replicaIndex = 0; replicaIndex < 400; replicaIndex++) {
+            ReplicaRecord replica = replica("i-" + replicaIndex, ReplicaState.READY);
+            int pollers = 0;
             for (int i = 0; i < routers.size(); i++) {
                 List<SocketAddress> others = new ArrayList<>(routers);
                 SocketAddress self = others.remove(i);
                 if (ReportPoller.ranksFirst(self, others, replica)) {
-                    askers++;
-                    load[i]++;
+                    pollers++;
+                    replicasByRouter[i]++;
                 }
             }
-            assertEquals(1, askers);
+            assertEquals(1, pollers);
         }
-        for (int each : load) {
-            assertTrue(each > 20 && each < 80, "uneven: " + each);
+        for (int replicasPolled : replicasByRouter) {
+            assertTrue(
+                    replicasPolled > 20 && replicasPolled < 80, "uneven number of replicas polled: " + replicasPolled);
         }
     }
 
@@ -97,7 +98,7 @@
         call.head(200, HttpFields.build());
         call.content(REPORT);
         call.complete();
-        assertEquals(List.of("i-1 waits 1 of DECODE"), reported);
+        assertEquals(List.of("i-1 waiting=1 stage=DECODE"), deliveredReports);
         poller.poll(SELF, List.of(), INTERVAL_MS);
         assertEquals(2, calls.all.size());
     }
@@ -126,14 +127,14 @@
         assertTrue(calls.last().finished);
         poller.poll(SELF, List.of(), INTERVAL_MS);
         assertEquals(2, calls.all.size());
-        assertEquals(List.of(), reported);
+        assertEquals(List.of(), deliveredReports);
     }
 
     @Test
     void anInvalidReportIsIgnored() {
         for (String body : List.of("", "{", "[]", "null", "{\"waiting\":\"many\"}", "{\"busy\":[]}")) {
             assertTrue(
-                    ReportPoller.parse(body.getBytes(StandardCharsets.UTF_8), 0).isEmpty(), "read: " + body);
+                    ReportPoller.parse(body.getBytes(StandardCharsets.UTF_8), 0).isEmpty(), "accepted: " + body);
         }
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestLifecyclePropertyTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestLifecyclePropertyTest.java
@@ -15,15 +15,15 @@
 import pinewick.dataplane.ScriptedUpstreamClient.ScriptedCall;
 import pinewick.model.RouteKind;
 
-/** Whatever replicas, connections and clients do, in whatever order: what every request's course must keep. */
+/** Invariants of a request's lifecycle for any order of events of replicas, connections and clients. */
 class RequestLifecyclePropertyTest {
-    private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+    private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
     private static final Pattern EVENT_ID = Pattern.compile("id: (\\d+)");
-    private static final int MOST_STEPS = 400;
+    private static final int MAX_STEPS = 400;
     private static final String HANDLE = "{\"prefill_handle\":\"h\",\"tokens\":1,\"version\":1}";
 
     @Property(tries = 3_000)
-    void everyCourseKeepsTheRules(
+    void keepsInvariantsForAnyOrderOfEvents(
             @ForAll RouteKind kind,
             @ForAll boolean resumable,
             @ForAll boolean generation,
@@ -32,15 +32,15 @@
         LifecycleTestContext context = new LifecycleTestContext(kind, resumable, generation, maxAttempts, seed);
         SplittableRandom random = new SplittableRandom(seed);
         context.lifecycle.start();
-        for (int step = 0; step < MOST_STEPS && context.ended.isEmpty(); step++) {
-            assertTrue(context.calls.open().size() <= 1, "one call at a time");
-            play(context, random);
+        for (int step = 0; step < MAX_STEPS && context.ended.isEmpty(); step++) {
+            assertTrue(context.calls.open().size() <= 1, "more than one open call");
+            performStep(context, random);
         }
-        assertEquals(1, context.ended.size(), "ended once");
-        assertKept(context, maxAttempts);
+        assertEquals(1, context.ended.size(), "the request ends exactly once");
+        assertInvariants(context, maxAttempts);
     }
 
-    private static void play(LifecycleTestContext context, SplittableRandom random) {
+    private static void performStep(LifecycleTestContext context, SplittableRandom random) {
         List<ScriptedCall> open = context.calls.open();
         int choice = random.nextInt(40);
         if (choice == 0) {
@@ -50,13 +50,13 @@
         } else if (choice < 10 || open.isEmpty()) {
             context.timers.advance(random.nextInt(700));
         } else {
-            playCall(open.get(0), random);
+            performCallEvent(open.get(0), random);
         }
     }
 
-    private static void playCall(ScriptedCall call, SplittableRandom random) {
+    private static void performCallEvent(ScriptedCall call, SplittableRandom random) {
         if (call.headReceived) {
-            playStream(call, random);
+            performStreamEvent(call, random);
             return;
         }
         switch (random.nextInt(9)) {
@@ -68,63 +68,63 @@
             case 1, 2 -> call.sent = true;
             case 3 -> call.reject();
             case 4 -> call.breakConnection();
-            case 5 -> call.response(random.nextBoolean() ? 500 : 429, "its own");
-            case 6 -> call.response(200, call.isPrefill() ? HANDLE : "whole");
+            case 5 -> call.respond(random.nextBoolean() ? 500 : 429, "reason");
+            case 6 -> call.respond(200, call.isPrefill() ? HANDLE : "complete");
             case 7 -> call.head(200, org.eclipse.jetty.http.HttpFields.build());
             default -> call.streamHead();
         }
     }
 
-    private static void playStream(ScriptedCall call, SplittableRandom random) {
+    private static void performStreamEvent(ScriptedCall call, SplittableRandom random) {
         switch (random.nextInt(8)) {
             case 0 -> call.breakConnection();
             case 1 -> call.complete();
-            case 2 -> call.content("id: " + call.nextEvent + "\ndata: half");
+            case 2 -> call.content("id: " + call.nextEvent + "\ndata: partial");
             default -> {
-                // Ends a half event too: the same id again, as one event.
+                // Also completes a partial event: it repeats the same id within one event.
                 call.content("\nid: " + call.nextEvent + "\ndata: x\n\n");
                 call.nextEvent++;
             }
         }
     }
 
-    private static void assertKept(LifecycleTestContext context, int maxAttempts) {
+    private static void assertInvariants(LifecycleTestContext context, int maxAttempts) {
         List<ScriptedCall> calls = context.calls.all;
-        assertTrue(calls.stream().allMatch(call -> call.finished || call.isRelease()), "no call is left open");
-        long runs = calls.stream().filter(ScriptedCall::mayHaveExecuted).count();
+        assertTrue(calls.stream().allMatch(call -> call.finished || call.isRelease()), "a call is still open");
+        long executions = calls.stream().filter(ScriptedCall::mayHaveExecuted).count();
         if (!context.route.isRetriable()) {
-            assertTrue(runs <= 1, "run at most once");
+            assertTrue(executions <= 1, "executed more than once");
         }
         long sent =
                 calls.stream().filter(call -> call.sent && !call.isRelease()).count();
-        long freeOfCount = calls.stream().anyMatch(call -> call.isPrefill() && call.sent) ? 1 : 0;
-        assertTrue(sent - freeOfCount <= maxAttempts, "within the attempts: " + sent);
-        assertAnswerFits(context, runs);
-        assertHandles(calls);
+        long uncountedPrefills = calls.stream().anyMatch(call -> call.isPrefill() && call.sent) ? 1 : 0;
+        assertTrue(sent - uncountedPrefills <= maxAttempts, "attempts sent: " + sent);
+        assertClientResponse(context, executions);
+        assertHandlesFetchedOrReleased(calls);
         assertTrue(
                 context.timers.pending()
                         <= calls.stream().filter(ScriptedCall::isRelease).count(),
-                "timers are gone");
+                "timers still pending");
     }
 
-    private static void assertAnswerFits(LifecycleTestContext context, long runs) {
+    private static void assertClientResponse(LifecycleTestContext context, long executions) {
         RecordedClient client = context.client;
         if (client.outcome == RecordedClient.Outcome.RESPONDED) {
             boolean signed = client.fields.contains(HeaderNames.SERVER_SIGNATURE);
-            if (PROMISES.contains(client.status)) {
-                assertEquals(0, runs, "a promise for what may have run");
+            if (NOT_EXECUTED_STATUSES.contains(client.status)) {
+                assertEquals(0, executions, "the status denies an execution that may have happened");
                 assertFalse(signed);
             }
-            assertEquals(signed, client.body.length() > 0, "own answers have no stamp and no body");
+            assertEquals(signed, client.body.length() > 0, "only a replica's response has a signature and a body");
         }
         if (client.outcome == RecordedClient.Outcome.STREAMED) {
             assertEquals(200, client.status);
         }
-        assertEventsFollowEachOther(client.body.toString(), client.outcome == RecordedClient.Outcome.STREAMED);
+        assertEventsInOrder(client.body.toString(), client.outcome == RecordedClient.Outcome.STREAMED);
     }
 
-    /** Each event once and in order; part of one only at the end of a whole stream. */
-    private static void assertEventsFollowEachOther(String body, boolean whole) {
+    /** Each event arrives once and in order; a partial event only at the end of a complete stream. */
+    private static void assertEventsInOrder(String body, boolean complete) {
         int last = 0;
         for (String event : body.split("(?<=\n\n)")) {
             Matcher ids = EVENT_ID.matcher(event);
@@ -134,25 +134,25 @@
             }
             if (id > 0) {
                 assertEquals(last + 1, id, "order of events");
-                assertTrue(event.endsWith("\n\n") || whole, "part of an event");
+                assertTrue(event.endsWith("\n\n") || complete, "partial event");
                 last = id;
             }
         }
     }
 
-    /** Each prompt that was read is fetched by an answered call or freed. */
-    private static void assertHandles(List<ScriptedCall> calls) {
-        boolean made = calls.stream().anyMatch(call -> call.isPrefill() && call.headReceived && !call.rejected);
+    /** Each prefill handle is fetched by a call that received a response, or released. */
+    private static void assertHandlesFetchedOrReleased(List<ScriptedCall> calls) {
+        boolean created = calls.stream().anyMatch(call -> call.isPrefill() && call.headReceived && !call.rejected);
         boolean offered = calls.stream().anyMatch(call -> call.request.fields().contains(HeaderNames.KV_FROM));
-        boolean freed = calls.stream().anyMatch(ScriptedCall::isRelease);
-        if (freed || offered) {
-            assertTrue(made, "a handle from nowhere");
+        boolean released = calls.stream().anyMatch(ScriptedCall::isRelease);
+        if (released || offered) {
+            assertTrue(created, "a handle that no prefill created");
         }
         boolean fetched = calls.stream()
                 .filter(call -> call.request.fields().contains(HeaderNames.KV_FROM))
                 .anyMatch(call -> call.headReceived && !call.rejected);
         if (offered && !fetched) {
-            assertTrue(freed, "a handle that nobody fetched is freed");
+            assertTrue(released, "a handle that was not fetched must be released");
         }
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestState.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RequestState.java
@@ -2,7 +2,7 @@
 
 import pinewick.model.RouteKind;
 
-/** How far a request for a resumable stream has come. */
+/** The states of a request for a resumable stream. */
 enum RequestState {
     PREFILL_CONNECTING {
         @Override
@@ -17,7 +17,7 @@
     DECODE_CONNECTING {
         @Override
         void reach(LifecycleTestContext context) {
-            context.calls.last().response(200, HANDLE);
+            context.calls.last().respond(200, HANDLE);
         }
     },
     DECODE_SENT {
@@ -53,7 +53,7 @@
 
     abstract void reach(LifecycleTestContext context);
 
-    /** A request that has come so far. */
+    /** A request in this state. */
     LifecycleTestContext context() {
         LifecycleTestContext context = new LifecycleTestContext(RouteKind.STREAMING, true, true, 3, 1);
         context.lifecycle.start();
@@ -61,7 +61,7 @@
         return context;
     }
 
-    /** What becomes of it if nothing more happens. */
+    /** The outcome at the timeout if nothing else happens. */
     RecordedClient.Outcome outcomeAtTimeout() {
         boolean streamStarted = this == STREAMING || this == RESUMING_AFTER_FAILURE;
         return streamStarted ? RecordedClient.Outcome.ABORTED : RecordedClient.Outcome.RESPONDED;
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RetryTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RetryTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import pinewick.model.Stage;
 
-/** What is sent to a second replica, and what the client is told where none may be asked. */
+/** Which requests are retried at a second replica, and the response if a retry is not allowed. */
 class RetryTest {
     private TestRouter router;
     private ScriptedReplica first;
@@ -50,7 +50,7 @@
         assertEquals("from the second", response.body());
     }
 
-    private void assertRefused() throws Exception {
+    private void assertRejected() throws Exception {
         HttpText.Message response = client.read();
         assertEquals(503, response.status());
         assertNull(response.field("X-Pinewick-Server-Signature"));
@@ -67,7 +67,7 @@
     @Test
     void aRejectionWithoutMoreAttemptsIsReturnedAs503() throws Exception {
         send("non_idempotent", 1).send(ScriptedReplica.rejection("q1"));
-        assertRefused();
+        assertRejected();
     }
 
     @Test
@@ -76,11 +76,11 @@
         RawSocket upstream = second.accept();
         upstream.read();
         upstream.send(ScriptedReplica.rejection("q1"));
-        assertRefused();
+        assertRejected();
     }
 
     @Test
-    void anotherInstanceAtTheAddressDoesNotExecuteIt() throws Exception {
+    void aMisdirectedRequestIsRetriedAtAnotherReplica() throws Exception {
         send("non_idempotent", 2)
                 .send("HTTP/1.1 421 Misdirected Request\r\nX-Pinewick-Request-Id: q1\r\n"
                         + "X-Pinewick-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n");
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aRejectionWithATruncatedBodyCounts() throws Exception {
+    void aRejectionWithATruncatedBodyIsARejection() throws Exception {
         RawSocket upstream = send("non_idempotent", 2);
         upstream.send("HTTP/1.1 503 Full\r\nX-Pinewick-Request-Id: q1\r\nX-Pinewick-Not-Executed: 1\r\n"
                 + "Content-Length: 100\r\n\r\nonly");
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void aRequestThatMayHaveRunIsNotRetriedUnlessIdempotent() throws Exception {
+    void aRequestThatMayHaveBeenExecutedIsNotRetriedUnlessIdempotent() throws Exception {
         send("non_idempotent", 2).reset();
         assertEquals(502, client.read().status());
     }
@@ -120,7 +120,7 @@
         HttpText.Message response = client.read();
         assertEquals(500, response.status());
         assertEquals("failed", response.body());
-        assertEquals("stamp-q1", response.field("X-Pinewick-Server-Signature"));
+        assertEquals("signature-q1", response.field("X-Pinewick-Server-Signature"));
     }
 
     @Test
@@ -141,12 +141,12 @@
     }
 
     @Test
-    void refusedConnectionsByAllReplicasAreReturnedAs503() throws Exception {
+    void connectionsRefusedByAllReplicasAreReturnedAs503() throws Exception {
         router.configure(TestRouter.plainRoute("non_idempotent", 1));
         first.close();
         second.close();
         client.send(TestRouter.request("POST", "/plain/x", "q1", "body"));
-        assertRefused();
+        assertRejected();
     }
 
     @Test
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aSplitServiceWithoutReplicasIsReplacedByTheOther() throws Exception {
+    void aTrafficSplitSkipsAServiceWithoutReplicas() throws Exception {
         router.configure("{\"name\":\"split\",\"hostname\":\"shop.example\",\"path_prefix\":\"/plain/\","
                 + "\"route_kind\":\"non_idempotent\",\"timeout_ms\":5000,\"target_latency_ms\":400,\"priority\":1,"
                 + "\"traffic_split\":[{\"service\":\"lm\",\"weight\":99},{\"service\":\"plain\",\"weight\":1}],"
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RouterTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RouterTest.java
@@ -34,11 +34,11 @@
 import pinewick.transport.MessageCodec;
 import pinewick.transport.NetworkTransport;
 
-/** A whole router beside the fleet node of one controller, over sockets of this machine. */
+/** A complete router with the fleet node of one controller, over loopback sockets. */
 class RouterTest {
     private static final String LOOPBACK = "127.0.0.1";
 
-    private final FleetState known = new FleetState();
+    private final FleetState controllerState = new FleetState();
     private final ControlLoop loop = new ControlLoop();
     private NetworkTransport transport;
     private FleetNode controller;
@@ -48,12 +48,12 @@
 
     @BeforeEach
     void start() throws Exception {
-        int first = freePorts(4);
-        settings = settings(first);
+        int firstPort = freePorts(4);
+        settings = settings(firstPort);
         SocketAddress address = new SocketAddress(LOOPBACK, settings.controllerPort());
         transport = new NetworkTransport(address, new MessageCodec(FleetMessages.types(), FleetMessages.laterTypes()));
         NodeDescriptor self = new NodeDescriptor(address, 1, NodeRole.CONTROLLER, "zone");
-        controller = new FleetNode(self, List.of(address), known, transport, new Random(1));
+        controller = new FleetNode(self, List.of(address), controllerState, transport, new Random(1));
         router = new Router(settings);
         router.start();
     }
@@ -78,8 +78,8 @@
     }
 
     @Test
-    void isReadyOnceSynchronisedAndCompletesRequestsInFlightWhenStopped() throws Exception {
-        assertEquals(503, ready());
+    void isReadyOnceSynchronizedAndCompletesRequestsInFlightWhenStopped() throws Exception {
+        assertEquals(503, readinessStatus());
         try (ScriptedReplica replica = new ScriptedReplica("i-1", "plain", Stage.NONE)) {
             startServing(replica);
             RawSocket client =
@@ -88,14 +88,15 @@
             RawSocket upstream = acceptRequest(replica);
             router.settingsChanged(settings);
             CompletableFuture<Void> stopped = CompletableFuture.runAsync(router::stop);
-            while (ready() != 503) {
+            while (readinessStatus() != 503) {
                 Thread.onSpinWait();
             }
-            RawSocket late = RawSocket.connect(settings.frontend().orElseThrow().port());
-            late.send(TestRouter.request("POST", "/none/x", "q2", "body"));
-            HttpText.Message refused = late.read();
-            assertEquals(404, refused.status());
-            assertEquals("close", refused.field("Connection"));
+            RawSocket lateClient =
+                    RawSocket.connect(settings.frontend().orElseThrow().port());
+            lateClient.send(TestRouter.request("POST", "/none/x", "q2", "body"));
+            HttpText.Message rejection = lateClient.read();
+            assertEquals(404, rejection.status());
+            assertEquals("close", rejection.field("Connection"));
             upstream.send(ScriptedReplica.response(200, "q1", "done"));
             assertEquals("done", client.read().body());
             stopped.get(20, TimeUnit.SECONDS);
@@ -123,9 +124,9 @@
     }
 
     @Test
-    void withoutAConfirmedConfigurationAnUnknownRouteGets503And404Otherwise() throws Exception {
+    void anUnknownRouteGets503WithoutAConfirmedConfigurationAnd404Otherwise() throws Exception {
         quorumContact = false;
-        known.offer(configuration());
+        controllerState.offer(configuration());
         startController();
         awaitReady();
         assertEquals(503, statusOfUnknownRoute());
@@ -133,10 +134,10 @@
         awaitNotFound();
     }
 
-    /** Returns once the router knows the replica, and that its configuration is the newest. */
+    /** Returns once the router knows the replica and its configuration is confirmed as the newest. */
     private void startServing(ScriptedReplica replica) throws Exception {
-        known.offer(configuration());
-        known.merge(replica.record());
+        controllerState.offer(configuration());
+        controllerState.merge(replica.record());
         startController();
         awaitReady();
         awaitNotFound();
@@ -153,9 +154,9 @@
     }
 
     private void awaitNotFound() throws IOException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (statusOfUnknownRoute() != 404) {
-            assertTrue(System.nanoTime() < until, "configuration not confirmed in time");
+            assertTrue(System.nanoTime() < deadlineNanos, "configuration not confirmed in time");
         }
     }
 
@@ -167,7 +168,7 @@
         }
     }
 
-    /** The connection on which the client's request comes; the router asks for load reports on others. */
+    /** The connection on which the client's request arrives; the router polls for load reports on others. */
     private static RawSocket acceptRequest(ScriptedReplica replica) throws IOException {
         while (true) {
             RawSocket upstream = replica.accept();
@@ -179,31 +180,31 @@
     }
 
     private void awaitReady() throws IOException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (ready() != 200) {
-            assertTrue(System.nanoTime() < until, "not ready in time");
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (readinessStatus() != 200) {
+            assertTrue(System.nanoTime() < deadlineNanos, "not ready in time");
         }
     }
 
-    private int ready() throws IOException {
-        try (RawSocket platform =
+    private int readinessStatus() throws IOException {
+        try (RawSocket client =
                 RawSocket.connect(settings.readiness().orElseThrow().port())) {
-            platform.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-            return platform.read().status();
+            client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+            return client.read().status();
         }
     }
 
-    /** The first of some neighbouring ports that are free for TCP and UDP. */
+    /** The first of {@code count} consecutive ports that are free for TCP and UDP. */
     private static int freePorts(int count) throws IOException {
         Random random = new Random();
         while (true) {
-            int first = 20_000 + random.nextInt(10_000);
+            int firstPort = 20_000 + random.nextInt(10_000);
             boolean free = true;
-            for (int port = first; port < first + count && free; port++) {
+            for (int port = firstPort; port < firstPort + count && free; port++) {
                 free = isFree(port);
             }
             if (free) {
-                return first;
+                return firstPort;
             }
         }
     }
@@ -218,7 +219,7 @@
         }
     }
 
-    private static NodeSettings settings(int first) {
+    private static NodeSettings settings(int firstPort) {
         return new NodeSettings(
                 "frontend-1",
                 "router",
@@ -226,16 +227,16 @@
                 LOOPBACK,
                 "zone",
                 "region",
-                first,
-                first + 1,
-                List.of(new SocketAddress(LOOPBACK, first + 9)),
+                firstPort,
+                firstPort + 1,
+                List.of(new SocketAddress(LOOPBACK, firstPort + 9)),
                 true,
                 false,
                 Optional.empty(),
                 1_200,
                 Map.of("zone", "region"),
-                Optional.of(new SocketAddress(LOOPBACK, first + 2)),
-                Optional.of(new SocketAddress(LOOPBACK, first + 3)),
+                Optional.of(new SocketAddress(LOOPBACK, firstPort + 2)),
+                Optional.of(new SocketAddress(LOOPBACK, firstPort + 3)),
                 Optional.empty(),
                 new NodeSettings.MachineLimits(0.75, 1, 430, 4100, 1000, 0),
                 1,
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedPairChooser.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedPairChooser.java
@@ -9,14 +9,14 @@
 import pinewick.selection.RequestShape;
 
 /**
- * Chooses what a test has put in order, else what the selection would. Never one that is excluded or not a
- * candidate.
+ * Chooses the pairs that the test has queued, and delegates once the queue is empty. Fails if a queued replica is
+ * excluded or not a candidate.
  */
-record ScriptedPairChooser(PairChooser delegate, Queue<String> forced) implements PairChooser {
+record ScriptedPairChooser(PairChooser delegate, Queue<String> forcedPairs) implements PairChooser {
     @Override
     public Optional<ReplicaPair> choose(
             RequestShape request, Collection<ReplicaRecord> candidates, Set<String> excluded, double nowMs) {
-        String next = forced.poll();
+        String next = forcedPairs.poll();
         if (next == null) {
             return delegate.choose(request, candidates, excluded, nowMs);
         }
@@ -31,11 +31,11 @@
     @Override
     public Optional<ReplicaRecord> chooseDecode(
             RequestShape request,
-            ReplicaRecord reader,
+            ReplicaRecord prefillReplica,
             Collection<ReplicaRecord> candidates,
             Set<String> excluded,
             double nowMs) {
-        return delegate.chooseDecode(request, reader, candidates, excluded, nowMs);
+        return delegate.chooseDecode(request, prefillReplica, candidates, excluded, nowMs);
     }
 
     private static ReplicaRecord find(String id, Collection<ReplicaRecord> candidates, Set<String> excluded) {
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedReplica.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedReplica.java
@@ -11,9 +11,9 @@
 import pinewick.model.SocketAddress;
 import pinewick.model.Stage;
 
-/** A replica whose part a test plays by hand. */
+/** A replica whose connections the test accepts and serves itself. */
 final class ScriptedReplica implements AutoCloseable {
-    private static final int PATIENCE_MS = 10_000;
+    private static final int ACCEPT_TIMEOUT_MS = 10_000;
 
     private final ServerSocket listener;
     private final String instanceId;
@@ -23,7 +23,7 @@
 
     ScriptedReplica(String instanceId, String service, Stage stage) throws IOException {
         this(instanceId, service, stage, new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1")));
-        listener.setSoTimeout(PATIENCE_MS);
+        listener.setSoTimeout(ACCEPT_TIMEOUT_MS);
     }
 
     private ScriptedReplica(String instanceId, String service, Stage stage, ServerSocket listener) {
@@ -42,7 +42,7 @@
                 instanceId, service, address(), "zone", "v1", 12, state, 0, stage, List.of(), callSequence++, false);
     }
 
-    /** The same address with another instance behind it. */
+    /** Another instance at the same address. */
     ScriptedReplica successor(String id) {
         return new ScriptedReplica(id, service, stage, listener);
     }
@@ -55,7 +55,7 @@
         return new RawSocket(listener.accept());
     }
 
-    /** Whether a connection has been made that nobody has accepted. */
+    /** Whether there is a connection that was not accepted yet. It is accepted and closed. */
     boolean hasPendingConnection() throws IOException {
         listener.setSoTimeout(1);
         try (Socket ignored = listener.accept()) {
@@ -63,7 +63,7 @@
         } catch (SocketTimeoutException e) {
             return false;
         } finally {
-            listener.setSoTimeout(PATIENCE_MS);
+            listener.setSoTimeout(ACCEPT_TIMEOUT_MS);
         }
     }
 
@@ -72,11 +72,11 @@
         listener.close();
     }
 
-    /** An answer as a replica gives it, stamped, with the length told. */
+    /** A replica's response, with its signature and {@code Content-Length}. */
     static String response(int status, String requestId, String body, String... fields) {
         StringBuilder text = new StringBuilder("HTTP/1.1 " + status + " Status\r\n");
         text.append("X-Pinewick-Request-Id: ").append(requestId).append("\r\n");
-        text.append("X-Pinewick-Server-Signature: stamp-").append(requestId).append("\r\n");
+        text.append("X-Pinewick-Server-Signature: signature-").append(requestId).append("\r\n");
         text.append("Keep-Alive: timeout=30\r\n");
         for (String field : fields) {
             text.append(field).append("\r\n");
@@ -85,17 +85,17 @@
         return text.toString();
     }
 
-    /** The replica's word that it did not run the request. */
+    /** The replica's statement that it did not execute the request. */
     static String rejection(String requestId) {
         return "HTTP/1.1 503 Service Unavailable\r\nX-Pinewick-Request-Id: " + requestId
                 + "\r\nX-Pinewick-Not-Executed: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n";
     }
 
-    /** The head of a stream of events. */
+    /** The head of an event stream. */
     static String streamHead(String requestId, String... fields) {
         StringBuilder text = new StringBuilder("HTTP/1.1 200 OK\r\n");
         text.append("X-Pinewick-Request-Id: ").append(requestId).append("\r\n");
-        text.append("X-Pinewick-Server-Signature: stamp-").append(requestId).append("\r\n");
+        text.append("X-Pinewick-Server-Signature: signature-").append(requestId).append("\r\n");
         for (String field : fields) {
             text.append(field).append("\r\n");
         }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedUpstreamClient.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedUpstreamClient.java
@@ -7,11 +7,11 @@
 import org.eclipse.jetty.http.HttpFields;
 import pinewick.model.ReplicaRecord;
 
-/** Calls to replicas whose course a test plays. */
+/** Records calls to replicas; the test delivers their events. */
 final class ScriptedUpstreamClient implements UpstreamClient {
     final List<ScriptedCall> all = new ArrayList<>();
 
-    /** One call and what has happened to it. */
+    /** One call and its state. */
     static final class ScriptedCall implements UpstreamCall {
         final ReplicaRecord replica;
         final UpstreamRequest request;
@@ -39,7 +39,7 @@
             return request.method().equals("DELETE");
         }
 
-        /** Whether the replica may have run the request because of this call. */
+        /** Whether the replica may have executed the request because of this call. */
         boolean mayHaveExecuted() {
             return sent && !rejected && !isPrefill() && !isRelease();
         }
@@ -85,10 +85,10 @@
             listener.onHead(new ResponseHead(status, fields, true));
         }
 
-        void signedHead(int status, String... more) {
+        void signedHead(int status, String... namesAndValues) {
             HttpFields.Mutable fields = HttpFields.build().add(HeaderNames.SERVER_SIGNATURE, replica.instanceId());
-            for (int i = 0; i + 1 < more.length; i += 2) {
-                fields.add(more[i], more[i + 1]);
+            for (int i = 0; i + 1 < namesAndValues.length; i += 2) {
+                fields.add(namesAndValues[i], namesAndValues[i + 1]);
             }
             head(status, fields);
         }
@@ -110,7 +110,7 @@
             }
         }
 
-        void response(int status, String body) {
+        void respond(int status, String body) {
             signedHead(status);
             content(body);
             complete();
@@ -119,7 +119,7 @@
         void breakConnection() {
             sent = true;
             finished = true;
-            listener.onFailure("played");
+            listener.onFailure("scripted failure");
         }
     }
 
@@ -134,7 +134,7 @@
         return all.get(all.size() - 1);
     }
 
-    /** Calls that can still bring something, those that free handles left out. */
+    /** Calls that have not ended, without those that release handles. */
     List<ScriptedCall> open() {
         return all.stream().filter(call -> !call.finished && !call.isRelease()).toList();
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ShutdownTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ShutdownTest.java
@@ -11,9 +11,9 @@
 import pinewick.model.ReplicaState;
 import pinewick.model.Stage;
 
-/** A request that was read whole gets its whole answer, whatever is planned meanwhile. */
+/** A completely received request gets its complete response, whatever shutdown or change begins in the meantime. */
 class ShutdownTest {
-    /** Together more than the sockets between router and client hold. */
+    /** More responses in total than the socket buffers between router and client hold. */
     private static final int MAX_RESPONSES = 40;
 
     private static final int QUIET_MS = 500;
@@ -48,9 +48,10 @@
             upstream.send(ScriptedReplica.response(200, "q" + responseCount, BODY));
             responseCount++;
         } while (responseCount < MAX_RESPONSES && upstream.hasDataWithin(QUIET_MS));
-        assertEquals(true, responseCount < MAX_RESPONSES, "the client's socket was to hold the last answer up");
+        assertEquals(
+                true, responseCount < MAX_RESPONSES, "the client's socket was expected to block the last response");
         CompletableFuture<Void> idle = router.dataPlane.whenIdle();
-        assertFalse(idle.isDone(), "the last answer has not gone out whole");
+        assertFalse(idle.isDone(), "the last response is not written completely");
         router.dataPlane.beginStopping();
         for (int i = 0; i < responseCount; i++) {
             assertEquals(BODY.length(), client.read().body().length());
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/StreamTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/StreamTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import pinewick.model.Stage;
 
-/** Streams that break: before their first event, within one, and between two. */
+/** Streams that fail before, within and between events, and clients that disconnect or read slowly. */
 class StreamTest {
     private static final int QUIET_MS = 300;
 
@@ -40,7 +40,7 @@
         return "id: " + id + "\ndata: token " + id + "\n\n";
     }
 
-    private RawSocket begin(boolean resumable, int maxAttempts, String... fields) throws Exception {
+    private RawSocket startStream(boolean resumable, int maxAttempts, String... fields) throws Exception {
         router.configure(TestRouter.streamRoute(resumable, maxAttempts));
         client.send(TestRouter.request("POST", "/lm/g", "q1", "prompt", fields));
         RawSocket upstream = first.accept();
@@ -49,11 +49,11 @@
         return upstream;
     }
 
-    private void passOne(RawSocket upstream) throws Exception {
+    private void forwardOneEvent(RawSocket upstream) throws Exception {
         upstream.send(ScriptedReplica.chunk(event(1)));
         HttpText.Message head = client.readHead();
         assertEquals(200, head.status());
-        assertEquals("stamp-q1", head.field("X-Pinewick-Server-Signature"));
+        assertEquals("signature-q1", head.field("X-Pinewick-Server-Signature"));
         assertEquals(event(1), client.readChunk());
     }
 
@@ -62,27 +62,27 @@
     }
 
     @Test
-    void aStreamThatBreaksBeforeItsFirstEventFailsCleanly() throws Exception {
-        RawSocket upstream = begin(false, 2);
-        upstream.send(ScriptedReplica.chunk("id: 1\ndata: hal"));
+    void aStreamThatFailsBeforeItsFirstEventReturns502() throws Exception {
+        RawSocket upstream = startStream(false, 2);
+        upstream.send(ScriptedReplica.chunk("id: 1\ndata: par"));
         upstream.reset();
         assertEquals(502, client.read().status());
     }
 
     @Test
     void aBrokenStreamDoesNotLookComplete() throws Exception {
-        RawSocket upstream = begin(false, 2);
-        passOne(upstream);
-        upstream.send(ScriptedReplica.chunk("id: 2\ndata: hal"));
+        RawSocket upstream = startStream(false, 2);
+        forwardOneEvent(upstream);
+        upstream.send(ScriptedReplica.chunk("id: 2\ndata: par"));
         upstream.close();
         assertAborted();
     }
 
     @Test
     void aResumableStreamContinuesAtAnotherReplicaAfterTheLastCompleteEvent() throws Exception {
-        RawSocket upstream = begin(true, 2);
-        passOne(upstream);
-        upstream.send(ScriptedReplica.chunk("id: 2\ndata: hal"));
+        RawSocket upstream = startStream(true, 2);
+        forwardOneEvent(upstream);
+        upstream.send(ScriptedReplica.chunk("id: 2\ndata: par"));
         upstream.reset();
         RawSocket next = second.accept();
         HttpText.Message forwarded = next.read();
@@ -98,7 +98,7 @@
 
     @Test
     void aResumableStreamWithoutAnEventRestartsAfterTheClientsOwnLastEvent() throws Exception {
-        RawSocket upstream = begin(true, 2, "Last-Event-Id: 12");
+        RawSocket upstream = startStream(true, 2, "Last-Event-Id: 12");
         upstream.reset();
         RawSocket next = second.accept();
         assertEquals("12", next.read().field("Last-Event-Id"));
@@ -110,16 +110,16 @@
 
     @Test
     void withoutMoreAttemptsABrokenResumableStreamIsAborted() throws Exception {
-        RawSocket upstream = begin(true, 1);
-        passOne(upstream);
+        RawSocket upstream = startStream(true, 1);
+        forwardOneEvent(upstream);
         upstream.reset();
         assertAborted();
     }
 
     @Test
     void whenTheSecondReplicaRejectsItTheStreamIsAborted() throws Exception {
-        RawSocket upstream = begin(true, 2);
-        passOne(upstream);
+        RawSocket upstream = startStream(true, 2);
+        forwardOneEvent(upstream);
         upstream.reset();
         RawSocket next = second.accept();
         next.read();
@@ -129,27 +129,27 @@
 
     @Test
     void aStreamWithoutAnyEventIsForwardedCompletely() throws Exception {
-        RawSocket upstream = begin(false, 1);
+        RawSocket upstream = startStream(false, 1);
         upstream.send(ScriptedReplica.lastChunk());
         HttpText.Message response = client.read();
         assertEquals(200, response.status());
         assertEquals("", response.body());
     }
 
-    /** Begins a stream that has neither a length nor chunks, so that it ends with its connection. */
-    private RawSocket beginWithoutChunks(boolean resumable, int maxAttempts) throws Exception {
+    /** Starts a stream that has neither a length nor chunks, so that the end of the connection ends it. */
+    private RawSocket startStreamWithoutChunks(boolean resumable, int maxAttempts) throws Exception {
         router.configure(TestRouter.streamRoute(resumable, maxAttempts));
         client.send(TestRouter.request("POST", "/lm/g", "q1", "prompt"));
         RawSocket upstream = first.accept();
         upstream.read();
-        upstream.send("HTTP/1.1 200 OK\r\nX-Pinewick-Request-Id: q1\r\nX-Pinewick-Server-Signature: stamp-q1\r\n"
+        upstream.send("HTTP/1.1 200 OK\r\nX-Pinewick-Request-Id: q1\r\nX-Pinewick-Server-Signature: signature-q1\r\n"
                 + "Content-Type: text/event-stream\r\n\r\n");
         return upstream;
     }
 
     @Test
     void aStreamWithoutChunksClosedAfterAnEventIsComplete() throws Exception {
-        RawSocket upstream = beginWithoutChunks(false, 1);
+        RawSocket upstream = startStreamWithoutChunks(false, 1);
         upstream.send(event(1) + event(2));
         upstream.close();
         HttpText.Message response = client.read();
@@ -158,8 +158,8 @@
     }
 
     @Test
-    void aStreamWithoutChunksThatIsClosedWithinAnEventIsBroken() throws Exception {
-        RawSocket upstream = beginWithoutChunks(false, 1);
+    void aStreamWithoutChunksThatIsClosedWithinAnEventIsAborted() throws Exception {
+        RawSocket upstream = startStreamWithoutChunks(false, 1);
         upstream.send(event(1) + "id: 2\ndata: tok");
         upstream.close();
         client.readHead();
@@ -168,8 +168,8 @@
     }
 
     @Test
-    void aStreamWithoutChunksThatIsResetIsBroken() throws Exception {
-        RawSocket upstream = beginWithoutChunks(false, 1);
+    void aStreamWithoutChunksThatIsResetIsAborted() throws Exception {
+        RawSocket upstream = startStreamWithoutChunks(false, 1);
         upstream.send(event(1));
         client.readHead();
         assertEquals(event(1), client.readChunk());
@@ -178,14 +178,14 @@
     }
 
     @Test
-    void aStreamWithoutChunksThatIsClosedBeforeItsFirstEventIsBroken() throws Exception {
-        beginWithoutChunks(false, 1).close();
+    void aStreamWithoutChunksThatIsClosedBeforeItsFirstEventReturns502() throws Exception {
+        startStreamWithoutChunks(false, 1).close();
         assertEquals(502, client.read().status());
     }
 
     @Test
-    void aResumableStreamWithoutChunksThatIsResetContinuesElsewhere() throws Exception {
-        RawSocket upstream = beginWithoutChunks(true, 2);
+    void aResumableStreamWithoutChunksThatIsResetContinuesAtAnotherReplica() throws Exception {
+        RawSocket upstream = startStreamWithoutChunks(true, 2);
         upstream.send(event(1));
         client.readHead();
         assertEquals(event(1), client.readChunk());
@@ -212,8 +212,8 @@
 
     @Test
     void aClientDisconnectClosesTheReplicaConnection() throws Exception {
-        RawSocket upstream = begin(false, 1);
-        passOne(upstream);
+        RawSocket upstream = startStream(false, 1);
+        forwardOneEvent(upstream);
         client.reset();
         assertTrue(upstream.isClosedByPeerWhileSending(iteration -> ScriptedReplica.chunk(event(iteration + 2))));
     }
@@ -226,16 +226,16 @@
         RawSocket upstream = first.accept();
         upstream.read();
         client.close();
-        upstream.send(ScriptedReplica.response(200, "q1", "answer"));
+        upstream.send(ScriptedReplica.response(200, "q1", "response"));
         router.dataPlane.whenIdle().get(10, TimeUnit.SECONDS);
-        assertFalse(upstream.hasDataWithin(QUIET_MS), "the second request is sent");
-        assertFalse(first.hasPendingConnection() || second.hasPendingConnection(), "the second request is sent");
+        assertFalse(upstream.hasDataWithin(QUIET_MS), "the second request was sent");
+        assertFalse(first.hasPendingConnection() || second.hasPendingConnection(), "the second request was sent");
     }
 
     @Test
     void aStalledResumableStreamContinuesAtAnotherReplica() throws Exception {
-        RawSocket upstream = begin(true, 2);
-        passOne(upstream);
+        RawSocket upstream = startStream(true, 2);
+        forwardOneEvent(upstream);
         RawSocket next = second.accept();
         assertEquals("1", next.read().field("Last-Event-Id"));
         assertTrue(upstream.isClosedByPeer());
@@ -246,15 +246,15 @@
 
     @Test
     void aDisconnectBeforeTheFirstEventIsDetected() throws Exception {
-        RawSocket upstream = begin(false, 1);
+        RawSocket upstream = startStream(false, 1);
         client.close();
         assertTrue(upstream.isClosedByPeerWhile(router.dataPlane::checkDisconnects));
     }
 
     @Test
     void aDisconnectAfterAPipelinedRequestIsDetected() throws Exception {
-        RawSocket upstream = begin(false, 1);
-        client.send(TestRouter.request("POST", "/elsewhere/x", "q2", "a body of its own"));
+        RawSocket upstream = startStream(false, 1);
+        client.send(TestRouter.request("POST", "/elsewhere/x", "q2", "a separate body"));
         router.dataPlane.checkDisconnects();
         router.dataPlane.checkDisconnects();
         client.close();
@@ -263,7 +263,7 @@
 
     @Test
     void aPipelinedRequestIsNotADisconnect() throws Exception {
-        RawSocket upstream = begin(false, 1);
+        RawSocket upstream = startStream(false, 1);
         client.send(TestRouter.request("POST", "/elsewhere/x", "q2", ""));
         router.dataPlane.checkDisconnects();
         router.dataPlane.checkDisconnects();
@@ -275,12 +275,12 @@
     }
 
     @Test
-    void aSlowClientPausesTheReplicaAndNotTheRouter() throws Exception {
-        RawSocket upstream = begin(false, 1);
-        passOne(upstream);
+    void aSlowClientAppliesBackpressureToItsReplicaOnly() throws Exception {
+        RawSocket upstream = startStream(false, 1);
+        forwardOneEvent(upstream);
         String large = "data: " + "x".repeat(64 * 1024) + "\n\n";
         upstream.sendUntilBlocked(ScriptedReplica.chunk(large));
-        // Another client is served meanwhile.
+        // Another client is served in the meantime.
         router.forceChoices("i-2");
         RawSocket other = router.client();
         other.send(TestRouter.request("POST", "/lm/g", "q2", "prompt"));
@@ -288,7 +288,7 @@
         next.read();
         next.send(ScriptedReplica.streamHead("q2") + ScriptedReplica.chunk(event(1)) + ScriptedReplica.lastChunk());
         assertEquals(event(1), other.read().body());
-        // Once the first one reads, the events come.
+        // The events arrive once the first client reads.
         assertEquals(large, client.readChunk().substring(0, large.length()));
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/TenantAuthenticatorTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/TenantAuthenticatorTest.java
@@ -20,7 +20,7 @@
 import pinewick.model.RoutingTable;
 import pinewick.model.Tenant;
 
-/** Keys on a configuration that may have been replaced: revoke_ms is 5,000, config_apply_ms 2,000. */
+/** Keys and a configuration that may be out of date: revoke_ms is 5,000, config_apply_ms 2,000. */
 class TenantAuthenticatorTest {
     private static final double CONFIRMED_MS = 100_000;
     private static final Tenant TENANT =
@@ -57,54 +57,58 @@
         return authenticator.authenticate(table, route(false), key(key), confirmation, nowMs);
     }
 
-    private Access atAge(String key, double ageMs) {
+    private Access authenticateAtAge(String key, double ageMs) {
         return authenticate(table(7, TENANT), key, new Confirmation(7, CONFIRMED_MS), CONFIRMED_MS + ageMs);
     }
 
     @Test
-    void aKeyIsAcceptedOnlyWhileItCannotHaveBeenRevokedForLong() {
-        assertInstanceOf(Access.Authenticated.class, atAge("key", 4_800));
-        assertInstanceOf(Access.Unconfirmed.class, atAge("key", 4_801));
+    void acceptsAKnownKeyOnlyWithARecentConfirmation() {
+        assertInstanceOf(Access.Authenticated.class, authenticateAtAge("key", 4_800));
+        assertInstanceOf(Access.Unconfirmed.class, authenticateAtAge("key", 4_801));
     }
 
     @Test
-    void anUnknownKeyIsRefusedOnlyWhileItCannotHaveBeenAddedForLong() {
-        assertInstanceOf(Access.Unauthorized.class, atAge("other", 2_000));
-        assertInstanceOf(Access.Unconfirmed.class, atAge("other", 2_001));
+    void rejectsAnUnknownKeyOnlyWithAMoreRecentConfirmation() {
+        assertInstanceOf(Access.Unauthorized.class, authenticateAtAge("other", 2_000));
+        assertInstanceOf(Access.Unconfirmed.class, authenticateAtAge("other", 2_001));
     }
 
     @Test
-    void aRouterThatWasNeverConfirmedAcceptsAndRefusesNoKey() {
-        Confirmation never = new Confirmation(7, Double.NEGATIVE_INFINITY);
-        assertInstanceOf(Access.Unconfirmed.class, authenticate(table(7, TENANT), "key", never, CONFIRMED_MS));
-        assertInstanceOf(Access.Unconfirmed.class, authenticate(table(7, TENANT), "other", never, CONFIRMED_MS));
+    void neitherAcceptsNorRejectsKeysBeforeTheFirstConfirmation() {
+        Confirmation neverConfirmed = new Confirmation(7, Double.NEGATIVE_INFINITY);
+        assertInstanceOf(Access.Unconfirmed.class, authenticate(table(7, TENANT), "key", neverConfirmed, CONFIRMED_MS));
+        assertInstanceOf(
+                Access.Unconfirmed.class, authenticate(table(7, TENANT), "other", neverConfirmed, CONFIRMED_MS));
     }
 
-    /** The proof speaks of version 8, and the table in force here is still that of version 7. */
+    /** The confirmation is of version 8, while this router still uses the table of version 7. */
     @Test
-    void aConfirmationOfAVersionThatIsNotInForceHereDoesNotCount() {
-        Confirmation ofNext = new Confirmation(8, CONFIRMED_MS);
-        assertInstanceOf(Access.Unconfirmed.class, authenticate(table(7, TENANT), "key", ofNext, CONFIRMED_MS));
-        assertInstanceOf(Access.Authenticated.class, authenticate(table(8, TENANT), "key", ofNext, CONFIRMED_MS));
+    void ignoresAConfirmationOfAVersionNotYetApplied() {
+        Confirmation confirmationOfNext = new Confirmation(8, CONFIRMED_MS);
+        assertInstanceOf(
+                Access.Unconfirmed.class, authenticate(table(7, TENANT), "key", confirmationOfNext, CONFIRMED_MS));
+        assertInstanceOf(
+                Access.Authenticated.class, authenticate(table(8, TENANT), "key", confirmationOfNext, CONFIRMED_MS));
     }
 
     @Test
-    void anEarlierConfirmationStillCountsWhileTheNextVersionIsPutInForce() {
-        atAge("key", 0);
-        Confirmation ofNext = new Confirmation(8, CONFIRMED_MS + 1_000);
-        Access access = authenticate(table(7, TENANT), "key", ofNext, CONFIRMED_MS + 1_000);
+    void usesTheEarlierConfirmationWhileTheNextVersionIsBeingApplied() {
+        authenticateAtAge("key", 0);
+        Confirmation confirmationOfNext = new Confirmation(8, CONFIRMED_MS + 1_000);
+        Access access = authenticate(table(7, TENANT), "key", confirmationOfNext, CONFIRMED_MS + 1_000);
         assertInstanceOf(Access.Authenticated.class, access);
     }
 
     @Test
-    void anAnonymousRouteIsServedWithoutAConfirmationAndWithoutATenant() {
-        Confirmation old = new Confirmation(7, 0);
-        Access access = authenticator.authenticate(table(7, TENANT), route(true), key("key"), old, CONFIRMED_MS);
+    void anAnonymousRouteNeedsNoConfirmationAndHasNoTenant() {
+        Confirmation staleConfirmation = new Confirmation(7, 0);
+        Access access =
+                authenticator.authenticate(table(7, TENANT), route(true), key("key"), staleConfirmation, CONFIRMED_MS);
         assertEquals(new Access.NotRequired(), access);
     }
 
     @Test
-    void aRouterIsReadyOnlyWhileItAcceptsKeys() {
+    void isServingOnlyWhileItAcceptsKeys() {
         Confirmation confirmation = new Confirmation(7, CONFIRMED_MS);
         assertTrue(authenticator.isServing(table(7, TENANT), confirmation, CONFIRMED_MS + 4_800));
         assertFalse(authenticator.isServing(table(7, TENANT), confirmation, CONFIRMED_MS + 4_801));
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/TenantHeadersTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/TenantHeadersTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import pinewick.model.Stage;
 
-/** A replica learns the tenant of the client's key, and never the key, on every call. */
+/** Every call carries the tenant of the client's key, and never the key. */
 class TenantHeadersTest {
     private static final String KEY_FIELD = TestRouter.keyField("key-1");
-    private static final String CLAIM = "X-Pinewick-Tenant: t-2";
+    private static final String CLAIMED_TENANT = "X-Pinewick-Tenant: t-2";
     private static final String EVENT = "id: 1\ndata: a\n\n";
 
     private TestRouter router;
@@ -45,69 +45,69 @@
         client.send(TestRouter.request("POST", target, id, "body", fields));
     }
 
-    /** The fields that tell on whose behalf a request is sent. */
+    /** The header fields that identify the tenant or carry a key. */
     private static List<String> identityFields(HttpText.Message forwarded) {
         return forwarded.fields().stream()
                 .filter(field -> field.toLowerCase(Locale.ROOT).matches("(authorization|x-pinewick-tenant):.*"))
                 .toList();
     }
 
-    private static void assertSentFor(String tenant, HttpText.Message forwarded) {
+    private static void assertSentWithTenant(String tenant, HttpText.Message forwarded) {
         assertEquals(List.of("X-Pinewick-Tenant: " + tenant), identityFields(forwarded));
-        assertFalse(forwarded.toString().contains("key-"), "the key reaches the replica");
+        assertFalse(forwarded.toString().contains("key-"), "the key was forwarded to the replica");
     }
 
-    private static void assertSentForNobody(HttpText.Message forwarded) {
+    private static void assertSentWithoutTenant(HttpText.Message forwarded) {
         assertEquals(List.of(), identityFields(forwarded));
     }
 
     @ParameterizedTest
     @CsvSource({"key-1,t-1", "key-2,t-2", "key-3,t-2"})
-    void aPlainCallCarriesTheTenantInPlaceOfTheKey(String key, String tenant) throws Exception {
+    void aPlainCallCarriesTheTenantInsteadOfTheKey(String key, String tenant) throws Exception {
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
         send("/plain/x", "q1", TestRouter.keyField(key));
-        assertSentFor(tenant, replica.accept().read());
+        assertSentWithTenant(tenant, replica.accept().read());
     }
 
     @Test
-    void theRetryOfACallCarriesTheTenantInPlaceOfTheKey() throws Exception {
+    void aRetryCarriesTheTenantInsteadOfTheKey() throws Exception {
         ScriptedReplica first = router.replica("i-1", "plain", Stage.NONE);
         ScriptedReplica second = router.replica("i-2", "plain", Stage.NONE);
         router.forceChoices("i-1", "i-2");
-        send("/plain/x", "q1", KEY_FIELD, CLAIM);
+        send("/plain/x", "q1", KEY_FIELD, CLAIMED_TENANT);
         RawSocket upstream = first.accept();
         upstream.read();
         upstream.reset();
-        assertSentFor("t-1", second.accept().read());
+        assertSentWithTenant("t-1", second.accept().read());
     }
 
     @Test
-    void thePrefillCallCarriesTheTenantInPlaceOfTheKey() throws Exception {
+    void thePrefillCallCarriesTheTenantInsteadOfTheKey() throws Exception {
         ScriptedReplica prefill = router.replica("p-1", "lm", Stage.PREFILL);
         router.replica("d-1", "lm", Stage.DECODE);
         router.forceChoices("p-1+d-1");
-        send("/lm/x", "q1", KEY_FIELD, CLAIM);
-        assertSentFor("t-1", prefill.accept().read());
+        send("/lm/x", "q1", KEY_FIELD, CLAIMED_TENANT);
+        assertSentWithTenant("t-1", prefill.accept().read());
     }
 
     @Test
-    void theDecodeCallCarriesTheTenantInPlaceOfTheKey() throws Exception {
+    void theDecodeCallCarriesTheTenantInsteadOfTheKey() throws Exception {
         ScriptedReplica prefill = router.replica("p-1", "lm", Stage.PREFILL);
         ScriptedReplica decode = router.replica("d-1", "lm", Stage.DECODE);
         router.forceChoices("p-1+d-1");
-        send("/lm/x", "q1", KEY_FIELD, CLAIM);
+        send("/lm/x", "q1", KEY_FIELD, CLAIMED_TENANT);
         RawSocket upstream = prefill.accept();
         upstream.read();
         upstream.send(ScriptedReplica.response(200, "q1", "{\"prefill_handle\":\"h1\"}"));
-        assertSentFor("t-1", decode.accept().read());
+        assertSentWithTenant("t-1", decode.accept().read());
     }
 
     @Test
-    void aResumedStreamCarriesTheTenantInPlaceOfTheKey() throws Exception {
+    void aResumedStreamCarriesTheTenantInsteadOfTheKey() throws Exception {
         ScriptedReplica first = router.replica("i-1", "lm", Stage.DECODE);
         ScriptedReplica second = router.replica("i-2", "lm", Stage.DECODE);
         router.forceChoices("i-1", "i-2");
-        send("/lm/x", "q1", KEY_FIELD, CLAIM);
+        send("/lm/x", "q1", KEY_FIELD, CLAIMED_TENANT);
         RawSocket upstream = first.accept();
         upstream.read();
         upstream.send(ScriptedReplica.streamHead("q1") + ScriptedReplica.chunk(EVENT));
@@ -116,7 +116,7 @@
         upstream.reset();
         HttpText.Message resumed = second.accept().read();
         assertEquals("1", resumed.field("Last-Event-Id"));
-        assertSentFor("t-1", resumed);
+        assertSentWithTenant("t-1", resumed);
     }
 
     @Test
@@ -128,23 +128,23 @@
         upstream.send(ScriptedReplica.response(200, "q1", "served"));
         client.read();
         send("/plain/x", "q2", TestRouter.keyField("key-2"));
-        assertSentFor("t-2", upstream.read());
+        assertSentWithTenant("t-2", upstream.read());
     }
 
     @ParameterizedTest
     @ValueSource(
             strings = {
-                CLAIM,
+                CLAIMED_TENANT,
                 "X-Pinewick-Tenant: t-1, t-2",
                 "X-Pinewick-Tenant:",
                 "x-pinewick-tenant: t-2|X-PINEWICK-TENANT: t-2",
                 "Connection: X-Pinewick-Tenant",
-                CLAIM + "|Connection: close, x-pinewick-tenant"
+                CLAIMED_TENANT + "|Connection: close, x-pinewick-tenant"
             })
-    void aClientCannotNameItsTenant(String claims) throws Exception {
+    void aClientCannotSetItsTenant(String claimFields) throws Exception {
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
-        send("/plain/x", "q1", (KEY_FIELD + "|" + claims).split("\\|"));
-        assertSentFor("t-1", replica.accept().read());
+        send("/plain/x", "q1", (KEY_FIELD + "|" + claimFields).split("\\|"));
+        assertSentWithTenant("t-1", replica.accept().read());
     }
 
     @ParameterizedTest
@@ -156,10 +156,10 @@
                 "Authorization: \tBearer key-1 \t",
                 "Authorization: Bearer key-1|Connection: Authorization"
             })
-    void aKeyIsRecognizedInEverySpellingOfItsField(String fields) throws Exception {
+    void acceptsEveryValidSpellingOfTheAuthorizationHeader(String fields) throws Exception {
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
         send("/plain/x", "q1", fields.split("\\|"));
-        assertSentFor("t-1", replica.accept().read());
+        assertSentWithTenant("t-1", replica.accept().read());
     }
 
     @ParameterizedTest
@@ -173,7 +173,7 @@
                 "Authorization: Bearer",
                 "Authorization: Bearerkey-1",
                 "Authorization:",
-                CLAIM
+                CLAIMED_TENANT
             })
     void withoutExactlyOneKnownKeyARequestIsUnauthorized(String fields) throws Exception {
         send("/plain/x", "q1", fields.split("\\|"));
@@ -183,24 +183,31 @@
     @Test
     void anAnonymousRouteSetsTheTenantOfAKnownKey() throws Exception {
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
-        send("/open/x", "q1", KEY_FIELD, CLAIM);
-        assertSentFor("t-1", replica.accept().read());
+        send("/open/x", "q1", KEY_FIELD, CLAIMED_TENANT);
+        assertSentWithTenant("t-1", replica.accept().read());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {CLAIM, "Authorization: Bearer unknown", CLAIM + "|Authorization: Bearer unknown"})
-    void anAnonymousRouteForwardsNeitherAnUnknownKeyNorAClaim(String fields) throws Exception {
+    @ValueSource(
+            strings = {
+                CLAIMED_TENANT,
+                "Authorization: Bearer unknown",
+                CLAIMED_TENANT + "|Authorization: Bearer unknown"
+            })
+    void anAnonymousRouteForwardsNeitherAnUnknownKeyNorAClaimedTenant(String fields) throws Exception {
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
         send("/open/x", "q1", fields.split("\\|"));
-        assertSentForNobody(replica.accept().read());
+        assertSentWithoutTenant(replica.accept().read());
     }
 
     @Test
-    void withoutTenantsBothFieldsAreForwardedAsTheyCame() throws Exception {
+    void withoutTenantsBothFieldsAreForwardedUnchanged() throws Exception {
         router.tenants = "";
         configure();
         ScriptedReplica replica = router.replica("i-1", "plain", Stage.NONE);
-        send("/plain/x", "q1", KEY_FIELD, CLAIM);
-        assertEquals(List.of(KEY_FIELD, CLAIM), identityFields(replica.accept().read()));
+        send("/plain/x", "q1", KEY_FIELD, CLAIMED_TENANT);
+        assertEquals(
+                List.of(KEY_FIELD, CLAIMED_TENANT),
+                identityFields(replica.accept().read()));
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/TestRouter.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/TestRouter.java
@@ -20,7 +20,7 @@
 import pinewick.selection.ReplicaSelector;
 import pinewick.selection.RetryBudget;
 
-/** A router's data plane on loopback, with a fleet state that the test fills by hand. */
+/** A router's data plane on loopback, with a fleet state that the test sets. */
 final class TestRouter implements AutoCloseable {
     static final String HOST = "shop.example";
     static final int MAX_CLIENTS = 200;
@@ -29,21 +29,21 @@
     final DataPlane dataPlane;
     final HttpFrontend frontend;
     volatile boolean configurationConfirmed = true;
-    /** Items of the section {@code tenants} in JSON, separated by commas; without any, no request needs a key. */
+    /** Items of the section {@code tenants} in JSON, separated by commas; if empty, no request needs a key. */
     String tenants = "";
 
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timers", true);
     private final Queue<String> forcedPairs = new ConcurrentLinkedQueue<>();
-    private final List<AutoCloseable> toClose = new ArrayList<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
 
     TestRouter() throws Exception {
-        SerialExecutor serial = new SerialExecutor();
+        SerialExecutor serialExecutor = new SerialExecutor();
         scheduler.start();
-        JettyTimers timers = new JettyTimers(scheduler, serial);
+        JettyTimers timers = new JettyTimers(scheduler, serialExecutor);
         ReplicaSelector selector = new ReplicaSelector(new SplittableRandom(7));
         PairChooser delegate = PairChooser.of(selector);
         dataPlane = new DataPlane(
-                serial,
+                serialExecutor,
                 timers,
                 budget(),
                 selector,
@@ -51,8 +51,8 @@
                 new SplittableRandom(8),
                 tenancy(),
                 limits -> {});
-        SocketAddress anyPort = new SocketAddress("127.0.0.1", 0);
-        frontend = new HttpFrontend(dataPlane, () -> true, scheduler, anyPort, anyPort, MAX_CLIENTS);
+        SocketAddress ephemeralAddress = new SocketAddress("127.0.0.1", 0);
+        frontend = new HttpFrontend(dataPlane, () -> true, scheduler, ephemeralAddress, ephemeralAddress, MAX_CLIENTS);
         frontend.start();
         dataPlane.follow(state, frontend.upstream());
     }
@@ -75,19 +75,19 @@
                 bounds, status, new QuotaPolicy(1_000, 0.1, 1_000), new NoQuotaPeers(), (peer, message) -> {});
     }
 
-    /** A budget whose first window is over, so that its slack can be spent. */
+    /** A budget whose first window has ended, so that its slack can be spent. */
     private static RetryBudget budget() {
         RetryBudget budget = new RetryBudget(0.2, 50, 10_000);
         budget.onRequest("none", System.nanoTime() / 1e6 - 20_000);
         return budget;
     }
 
-    /** The next choices in order, before the selection is asked: instance ids, or PREFILL+DECODE. */
+    /** Sets the next choices in order, in place of the selector's: instance ids, or PREFILL+DECODE. */
     void forceChoices(String... pairs) {
         forcedPairs.addAll(List.of(pairs));
     }
 
-    /** Puts a configuration in force: routes in JSON, without the fields that all of them share. */
+    /** Applies a configuration with these routes, in JSON; the rest of the configuration is fixed. */
     void configure(String... routes) throws InvalidConfigurationException {
         configureWithHeaderLimit(16_384, routes);
     }
@@ -116,11 +116,12 @@
         state.offer(ConfigurationChecks.parseReplacement(json.getBytes(StandardCharsets.UTF_8)));
     }
 
-    static String route(String name, String prefix, String kind, String service, int maxAttempts, String more) {
+    static String route(
+            String name, String prefix, String kind, String service, int maxAttempts, String resumableAndOptions) {
         return ("{\"name\":\"%s\",\"hostname\":\"%s\",\"path_prefix\":\"%s\",\"route_kind\":\"%s\",\"timeout_ms\":5000,"
                         + "\"target_latency_ms\":400,\"priority\":1,\"service\":\"%s\",\"max_attempts\":%d,"
                         + "\"session_affinity\":false,\"resumable\":%s,\"gap_aim_ms\":150}")
-                .formatted(name, HOST, prefix, kind, service, maxAttempts, more);
+                .formatted(name, HOST, prefix, kind, service, maxAttempts, resumableAndOptions);
     }
 
     static String plainRoute(String kind, int maxAttempts) {
@@ -136,15 +137,15 @@
         return "{\"name\":\"%s\",\"api_keys\":[\"%s\"],\"priority\":1}".formatted(name, String.join("\",\"", keys));
     }
 
-    /** The header field that carries a key. */
+    /** The header field that carries an API key. */
     static String keyField(String key) {
         return "Authorization: Bearer " + key;
     }
 
-    /** A replica that is ready and known. */
+    /** A ready replica that the router knows. */
     ScriptedReplica replica(String id, String service, Stage stage) throws IOException {
         ScriptedReplica replica = new ScriptedReplica(id, service, stage);
-        toClose.add(replica);
+        closeables.add(replica);
         state.merge(replica.record());
         return replica;
     }
@@ -155,7 +156,7 @@
 
     RawSocket client() throws IOException {
         RawSocket client = RawSocket.connect(frontend.frontendPort());
-        toClose.add(client);
+        closeables.add(client);
         return client;
     }
 
@@ -174,8 +175,8 @@
 
     @Override
     public void close() throws Exception {
-        for (AutoCloseable each : toClose) {
-            each.close();
+        for (AutoCloseable closeable : closeables) {
+            closeable.close();
         }
         frontend.stop();
         scheduler.stop();
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/TimeoutTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/TimeoutTest.java
@@ -14,12 +14,12 @@
 import pinewick.model.InvalidConfigurationException;
 import pinewick.model.Stage;
 
-/** At its route's time-out each request has its final answer, whatever it waits for. */
+/** At its route's timeout every request has its final response, whatever it is waiting for. */
 class TimeoutTest {
     private static final String HEAD =
             "POST /plain/x HTTP/1.1\r\nHost: shop.example\r\nX-Pinewick-Request-Id: q1\r\nContent-Length: 10\r\n\r\n";
 
-    /** Together more than the sockets between router and client hold. */
+    /** More responses in total than the socket buffers between router and client hold. */
     private static final int MAX_RESPONSES = 40;
 
     private static final int QUIET_MS = 500;
@@ -56,7 +56,7 @@
     }
 
     @RepeatedTest(12)
-    void theRemainderOfALateBodyIsNotARequest() throws Exception {
+    void theRestOfALateBodyIsNotParsedAsARequest() throws Exception {
         client.send(HEAD + "half");
         assertEquals(408, client.read().status());
         assertThrows(IOException.class, () -> {
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aResponseInProgressIsAbortedThoughItsClientDoesNotRead() throws Exception {
+    void abortsAResponseInProgressAlthoughItsClientDoesNotRead() throws Exception {
         client.send(HEAD + "0123456789");
         RawSocket upstream = replica.accept();
         upstream.read();
@@ -96,17 +96,20 @@
                 + "Transfer-Encoding: chunked\r\n\r\n");
         upstream.sendUntilBlocked(ScriptedReplica.chunk("x".repeat(256 * 1024)));
         router.dataPlane.whenIdle().get(10, TimeUnit.SECONDS);
-        assertEquals(0, router.frontend.clientConnections(), "closed though the client has read nothing");
+        assertEquals(
+                0,
+                router.frontend.clientConnections(),
+                "the connection must be closed although the client reads nothing");
         assertEquals(200, client.readHead().status());
         assertThrows(IOException.class, () -> {
             while (!client.readChunk().isEmpty()) {
-                // what had come before
+                // Received before the abort.
             }
         });
     }
 
     @Test
-    void theEndOfAResponseIsNotRetainedForAClientThatDoesNotRead() throws Exception {
+    void doesNotRetainTheEndOfAResponseForAClientThatDoesNotRead() throws Exception {
         configure(1_000);
         String body = "x".repeat(UpstreamAttempt.MAX_BUFFERED_BYTES - 1);
         for (int i = 0; i < MAX_RESPONSES; i++) {
@@ -119,10 +122,13 @@
             upstream.send(ScriptedReplica.response(200, "q" + responseCount, body));
             responseCount++;
         } while (responseCount < MAX_RESPONSES && upstream.hasDataWithin(QUIET_MS));
-        assertTrue(responseCount < MAX_RESPONSES, "the client's socket was to hold the last answer up");
+        assertTrue(responseCount < MAX_RESPONSES, "the client's socket was expected to block the last response");
         router.dataPlane.whenIdle().get(10, TimeUnit.SECONDS);
-        assertEquals(0, router.frontend.clientConnections(), "closed though the client has read nothing");
-        assertFalse(upstream.hasDataWithin(QUIET_MS), "none of the requests behind it is run");
-        assertFalse(replica.hasPendingConnection(), "none of the requests behind it is run");
+        assertEquals(
+                0,
+                router.frontend.clientConnections(),
+                "the connection must be closed although the client reads nothing");
+        assertFalse(upstream.hasDataWithin(QUIET_MS), "a pipelined request was sent");
+        assertFalse(replica.hasPendingConnection(), "a pipelined request was sent");
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ValidRequestsTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ValidRequestsTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import pinewick.model.Stage;
 
-/** Requests that HTTP and the limits in force allow, however unusual, are never denied. */
+/** Unusual requests that HTTP and the configured limits allow are served. */
 class ValidRequestsTest {
-    private static final int MOST_HEAD_BYTES = 16_384;
-    private static final int MOST_BODY_BYTES = 65_536;
+    private static final int MAX_HEAD_BYTES = 16_384;
+    private static final int MAX_BODY_BYTES = 65_536;
     private static final String ID = "X-Pinewick-Request-Id: q1\r\n";
 
     private TestRouter router;
@@ -41,29 +41,29 @@
     }
 
     @Test
-    void aHeadOfExactlyTheLengthAllowed() throws Exception {
+    void servesAHeadOfExactlyTheMaximumLength() throws Exception {
         String head = "POST /plain/x HTTP/1.1\r\nHost: shop.example\r\n" + ID + "Content-Length: 0\r\nX-Fill: ";
         String end = "\r\n\r\n";
-        client.send(head + "x".repeat(MOST_HEAD_BYTES - head.length() - end.length()) + end);
+        client.send(head + "x".repeat(MAX_HEAD_BYTES - head.length() - end.length()) + end);
         serve();
     }
 
     @Test
-    void aBodyOfExactlyTheLengthAllowed() throws Exception {
-        client.send(TestRouter.request("POST", "/plain/x", "q1", "b".repeat(MOST_BODY_BYTES)));
-        assertEquals(MOST_BODY_BYTES, serve().body().length());
+    void servesABodyOfExactlyTheMaximumLength() throws Exception {
+        client.send(TestRouter.request("POST", "/plain/x", "q1", "b".repeat(MAX_BODY_BYTES)));
+        assertEquals(MAX_BODY_BYTES, serve().body().length());
     }
 
     @Test
-    void aChunkedBodyOfExactlyTheLengthAllowedWithExtensionsAndTrailers() throws Exception {
+    void servesAChunkedBodyOfExactlyTheMaximumLengthWithExtensionsAndTrailers() throws Exception {
         client.send("POST /plain/x HTTP/1.1\r\nHost: shop.example\r\n" + ID + "Transfer-Encoding: chunked\r\n\r\n"
-                + Integer.toHexString(MOST_BODY_BYTES) + ";name=value\r\n" + "b".repeat(MOST_BODY_BYTES)
+                + Integer.toHexString(MAX_BODY_BYTES) + ";name=value\r\n" + "b".repeat(MAX_BODY_BYTES)
                 + "\r\n0\r\nX-Checksum: 1\r\n\r\n");
-        assertEquals(MOST_BODY_BYTES, serve().body().length());
+        assertEquals(MAX_BODY_BYTES, serve().body().length());
     }
 
     @Test
-    void aBodyThatWaitsForContinue() throws Exception {
+    void servesABodyThatWaitsFor100Continue() throws Exception {
         client.send("POST /plain/x HTTP/1.1\r\nHost: shop.example\r\n" + ID
                 + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
         assertEquals(100, client.readHead().status());
@@ -84,7 +84,7 @@
                 "POST /plain/x HTTP/1.1\r\nHost: shop.example\r\nRange: bytes=0-1\r\nIf-None-Match: *\r\n",
                 "POST /plain/x HTTP/1.1\r\nHost: shop.example\r\nContent-Type: text/\u00e9; charset=\"\r\n"
             })
-    void unusualHeads(String head) throws Exception {
+    void servesUnusualHeads(String head) throws Exception {
         client.send(head + ID + "Content-Length: 4\r\n\r\nbody");
         assertEquals("body", serve().body());
     }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/VirtualTimers.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/VirtualTimers.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Time that only moves when a test says so. */
+/** Virtual time that advances only when the test advances it. */
 final class VirtualTimers implements Timers {
     private final List<Entry> entries = new ArrayList<>();
     private double nowMs = 1_000;
@@ -23,22 +23,22 @@
     public Timer schedule(double delayMs, Runnable task) {
         Entry entry = new Entry(nowMs + Math.max(0, delayMs), task);
         entries.add(entry);
-        return () -> entries.removeIf(each -> each == entry);
+        return () -> entries.removeIf(other -> other == entry);
     }
 
-    /** Lets time pass, running what falls due in order. */
+    /** Advances the time, and runs the tasks that become due in order. */
     void advance(double milliseconds) {
-        double until = nowMs + milliseconds;
+        double endMs = nowMs + milliseconds;
         while (true) {
             Entry next = entries.stream()
-                    .filter(entry -> entry.atMs() <= until)
+                    .filter(entry -> entry.atMs() <= endMs)
                     .min(Comparator.comparingDouble(Entry::atMs))
                     .orElse(null);
             if (next == null) {
-                nowMs = until;
+                nowMs = endMs;
                 return;
             }
-            entries.removeIf(each -> each == next);
+            entries.removeIf(other -> other == next);
             nowMs = Math.max(nowMs, next.atMs());
             next.task().run();
         }
