--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/WeightedSplitTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/WeightedSplitTest.java
@@ -21,24 +21,25 @@
 import pinewick.model.Stage;
 
 /**
- * The parts of a {@code traffic_split} over a fleet whose routers each see some of the requests. Every router draws
- * each request by the weights, so that the fleet's requests are one binomial sample, whatever number of routers.
+ * The shares of a {@code traffic_split} over a fleet whose routers each receive some of the requests. Every router
+ * chooses the service of each request at random by the weights, so that the requests of the fleet are one binomial
+ * sample, whatever the number of routers.
  */
 class WeightedSplitTest {
     private static final int WINDOWS = 2_000;
     private static final int SMALL_WINDOW = 200;
     private static final int LARGE_WINDOW = 300;
 
-    /** No part of a window of {@link #SMALL_WINDOW} may be further off its weight. */
-    private static final double BROKEN_OFF = 0.2;
+    /** Maximum deviation of a service's share from its weight in any window of {@link #SMALL_WINDOW} requests. */
+    private static final double MAX_DEVIATION_IN_SMALL_WINDOW = 0.2;
 
     /** Five standard deviations of a share of a half in a window of {@link #LARGE_WINDOW}: 6 windows in 10 million. */
-    private static final double LIKELY_OFF = 5 * Math.sqrt(0.25 / LARGE_WINDOW);
+    private static final double MAX_DEVIATION_IN_LARGE_WINDOW = 5 * Math.sqrt(0.25 / LARGE_WINDOW);
 
     private static final String FIRST = "first";
     private static final String SECOND = "second";
 
-    /** The routing reads nothing of a request but its fields and when it began. */
+    /** The routing reads only the header fields and the start time of a request. */
     private static final Request REQUEST = (Request) Proxy.newProxyInstance(
             WeightedSplitTest.class.getClassLoader(), new Class<?>[] {Request.class}, (proxy, method, arguments) -> {
                 return switch (method.getName()) {
@@ -83,38 +84,38 @@
         return fleet;
     }
 
-    /** The furthest that the first part's share of any window is off its weight. */
-    private static double furthestOff(List<RequestRouting> fleet, Route route, int window) {
-        SplittableRandom clients = new SplittableRandom(window);
+    /** Maximum deviation of the first service's share from its weight, over all windows. */
+    private static double maxDeviation(List<RequestRouting> fleet, Route route, int window) {
+        SplittableRandom random = new SplittableRandom(window);
         double weight = route.split().get(0).weight() / 100.0;
-        double furthest = 0;
+        double maxDeviation = 0;
         for (int count = 0; count < WINDOWS; count++) {
             int first = 0;
             for (int request = 0; request < window; request++) {
-                RequestRouting router = fleet.get(clients.nextInt(fleet.size()));
+                RequestRouting router = fleet.get(random.nextInt(fleet.size()));
                 first += router.shapeOf(route, REQUEST).orElseThrow().service().equals(FIRST) ? 1 : 0;
             }
-            furthest = Math.max(furthest, Math.abs(first / (double) window - weight));
+            maxDeviation = Math.max(maxDeviation, Math.abs(first / (double) window - weight));
         }
-        return furthest;
+        return maxDeviation;
     }
 
     @ParameterizedTest
     @CsvSource({"1, 50", "9, 50", "84, 50", "420, 50", "9, 90", "84, 90", "84, 1"})
-    void everyWindowOfTheFleetKeepsTheWeights(int routers, int firstWeight) {
+    void everyWindowOfTheFleetFollowsTheWeights(int routers, int firstWeight) {
         Route route = route(firstWeight, 100 - firstWeight);
         List<RequestRouting> fleet = fleet(routers, 7, FIRST, SECOND);
-        double small = furthestOff(fleet, route, SMALL_WINDOW);
-        double large = furthestOff(fleet, route, LARGE_WINDOW);
+        double smallWindowDeviation = maxDeviation(fleet, route, SMALL_WINDOW);
+        double largeWindowDeviation = maxDeviation(fleet, route, LARGE_WINDOW);
         System.out.printf(
-                "%d routers, weight %d: off by %.3f at most in %d requests, %.3f in %d%n",
-                routers, firstWeight, small, SMALL_WINDOW, large, LARGE_WINDOW);
-        assertTrue(small < BROKEN_OFF, "off by " + small);
-        assertTrue(large < LIKELY_OFF, "off by " + large);
+                "%d routers, weight %d: maximum deviation %.3f in %d requests, %.3f in %d%n",
+                routers, firstWeight, smallWindowDeviation, SMALL_WINDOW, largeWindowDeviation, LARGE_WINDOW);
+        assertTrue(smallWindowDeviation < MAX_DEVIATION_IN_SMALL_WINDOW, "deviation " + smallWindowDeviation);
+        assertTrue(largeWindowDeviation < MAX_DEVIATION_IN_LARGE_WINDOW, "deviation " + largeWindowDeviation);
     }
 
     @Test
-    void aPartWithoutAReplicaIsLeftOutWhileAnotherHasOne() {
+    void skipsAServiceWithoutReplicas() {
         RequestRouting router = fleet(1, 3, SECOND).get(0);
         assertEquals(
                 SECOND, router.shapeOf(route(90, 10), REQUEST).orElseThrow().service());
