--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/EarlyResponseTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/EarlyResponseTest.java
@@ -12,11 +12,11 @@
 import pinewick.model.Stage;
 
 /**
- * Replicas that answer before they have read a long body: the answer counts, and where the rest of the body is due
- * nothing else ever comes.
+ * Replicas that respond before they have read a long body: the response is valid, and after a partly sent body no
+ * other bytes are sent on that connection.
  */
 class EarlyResponseTest {
-    /** More than the sockets' buffers of both sides take. */
+    /** More than the socket buffers of both sides hold. */
     private static final int LONG_BODY_BYTES = 24 * 1024 * 1024;
 
     private static final String LONG_BODY = "b".repeat(LONG_BODY_BYTES);
@@ -41,43 +41,43 @@
     }
 
     private RawSocket acceptHead(String body) throws Exception {
-        router.force("i-1");
+        router.forceChoices("i-1");
         client.send(TestRouter.request("POST", "/plain/x", "q1", body));
         RawSocket upstream = first.accept();
         assertEquals("q1", upstream.readHead().field("X-Pinewick-Request-Id"));
         return upstream;
     }
 
-    private static void assertBeginningOfTheBody(String received) {
-        assertTrue(received.length() < LONG_BODY_BYTES, "the test's body is too short to be held up");
-        assertTrue(LONG_BODY.startsWith(received), "other bytes came where the rest of the body was due");
+    private static void assertOnlyPartOfTheBody(String received) {
+        assertTrue(received.length() < LONG_BODY_BYTES, "the body of the test is too short to block the sender");
+        assertTrue(LONG_BODY.startsWith(received), "other bytes were sent in place of the rest of the body");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {200, 413, 500})
-    void anEarlyAnswerIsPassedOnAndNothingElseFollowsTheUnfinishedBody(int status) throws Exception {
+    void anEarlyResponseIsForwardedAndNothingFollowsTheUnfinishedBody(int status) throws Exception {
         RawSocket upstream = acceptHead(LONG_BODY);
-        upstream.send(ScriptedReplica.answer(status, "q1", "early"));
-        HttpText.Message answer = client.read();
-        assertEquals(status, answer.status());
-        assertEquals("early", answer.body());
+        upstream.send(ScriptedReplica.response(status, "q1", "early"));
+        HttpText.Message response = client.read();
+        assertEquals(status, response.status());
+        assertEquals("early", response.body());
         serveNext("q2");
-        assertBeginningOfTheBody(upstream.readUntilEnd());
+        assertOnlyPartOfTheBody(upstream.readUntilEnd());
     }
 
     @Test
-    void anEarlyRejectionCountsAndTheConnectionIsNotReused() throws Exception {
+    void anEarlyRejectionIsRetriedAndTheConnectionIsNotReused() throws Exception {
         RawSocket upstream = acceptHead(LONG_BODY);
-        router.force("i-2");
+        router.forceChoices("i-2");
         upstream.send(ScriptedReplica.rejection("q1"));
         assertServedBySecond();
-        assertBeginningOfTheBody(upstream.readUntilEnd());
+        assertOnlyPartOfTheBody(upstream.readUntilEnd());
     }
 
     @Test
-    void anEarlyRejectionCountsThoughTheConnectionIsReset() throws Exception {
+    void anEarlyRejectionIsRetriedAlthoughTheConnectionIsReset() throws Exception {
         RawSocket upstream = acceptHead(LONG_BODY);
-        router.force("i-2");
+        router.forceChoices("i-2");
         upstream.sendAndReset(ScriptedReplica.rejection("q1"));
         assertServedBySecond();
     }
@@ -87,39 +87,39 @@
         RawSocket upstream = acceptHead(LONG_BODY);
         client.close();
         router.dataPlane.whenIdle().get(10, TimeUnit.SECONDS);
-        assertBeginningOfTheBody(upstream.readUntilEnd());
+        assertOnlyPartOfTheBody(upstream.readUntilEnd());
     }
 
     @Test
     void aConnectionWithACompletelySentBodyIsReused() throws Exception {
         RawSocket upstream = acceptHead("short body");
-        upstream.send(ScriptedReplica.answer(200, "q1", "early"));
+        upstream.send(ScriptedReplica.response(200, "q1", "early"));
         assertEquals("early", client.read().body());
-        router.force("i-1");
+        router.forceChoices("i-1");
         client.send(TestRouter.request("POST", "/plain/x", "q2", "second body"));
         assertEquals("short body", upstream.readBytes("short body".length()));
         HttpText.Message next = upstream.read();
         assertEquals("q2", next.field("X-Pinewick-Request-Id"));
         assertEquals("second body", next.body());
-        upstream.send(ScriptedReplica.answer(200, "q2", "second"));
+        upstream.send(ScriptedReplica.response(200, "q2", "second"));
         assertEquals("second", client.read().body());
     }
 
     private void assertServedBySecond() throws Exception {
         RawSocket next = second.accept();
-        HttpText.Message seen = next.read();
-        assertEquals("q1", seen.field("X-Pinewick-Request-Id"));
-        assertEquals(LONG_BODY_BYTES, seen.body().length());
-        next.send(ScriptedReplica.answer(200, "q1", "second"));
+        HttpText.Message forwarded = next.read();
+        assertEquals("q1", forwarded.field("X-Pinewick-Request-Id"));
+        assertEquals(LONG_BODY_BYTES, forwarded.body().length());
+        next.send(ScriptedReplica.response(200, "q1", "second"));
         assertEquals("second", client.read().body());
     }
 
     private void serveNext(String id) throws Exception {
-        router.force("i-1");
+        router.forceChoices("i-1");
         client.send(TestRouter.request("POST", "/plain/x", id, "next"));
         RawSocket upstream = first.accept();
         assertEquals("next", upstream.read().body());
-        upstream.send(ScriptedReplica.answer(200, id, "served"));
+        upstream.send(ScriptedReplica.response(200, id, "served"));
         assertEquals("served", client.read().body());
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RecordedClient.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RecordedClient.java
@@ -3,56 +3,56 @@
 import java.nio.charset.StandardCharsets;
 import org.eclipse.jetty.http.HttpFields;
 
-/** A client that keeps what it is told. */
+/** A client exchange that records the response. */
 final class RecordedClient implements ClientExchange {
-    /** How an answer came to its end. */
-    enum Ending {
+    /** How a response ended. */
+    enum Outcome {
         NONE,
-        ANSWERED,
+        RESPONDED,
         STREAMED,
         ABORTED
     }
 
-    Ending ending = Ending.NONE;
+    Outcome outcome = Outcome.NONE;
     int status;
     HttpFields fields;
     final StringBuilder body = new StringBuilder();
-    boolean begun;
+    boolean streamStarted;
     long pendingBytes;
 
     @Override
-    public void respond(int answerStatus, HttpFields answerFields, byte[] answerBody) {
-        require(!begun);
-        end(Ending.ANSWERED);
-        status = answerStatus;
-        fields = answerFields;
-        body.append(new String(answerBody, StandardCharsets.ISO_8859_1));
+    public void respond(int responseStatus, HttpFields responseFields, byte[] responseBody) {
+        require(!streamStarted);
+        end(Outcome.RESPONDED);
+        status = responseStatus;
+        fields = responseFields;
+        body.append(new String(responseBody, StandardCharsets.ISO_8859_1));
     }
 
     @Override
-    public void beginStream(int answerStatus, HttpFields answerFields) {
-        require(!begun && ending == Ending.NONE);
-        begun = true;
-        status = answerStatus;
-        fields = answerFields;
+    public void beginStream(int responseStatus, HttpFields responseFields) {
+        require(!streamStarted && outcome == Outcome.NONE);
+        streamStarted = true;
+        status = responseStatus;
+        fields = responseFields;
     }
 
     @Override
-    public void forward(byte[] piece) {
-        require(begun && ending == Ending.NONE);
-        body.append(new String(piece, StandardCharsets.ISO_8859_1));
+    public void forward(byte[] chunk) {
+        require(streamStarted && outcome == Outcome.NONE);
+        body.append(new String(chunk, StandardCharsets.ISO_8859_1));
     }
 
     @Override
     public void endStream() {
-        require(begun);
-        end(Ending.STREAMED);
+        require(streamStarted);
+        end(Outcome.STREAMED);
     }
 
     @Override
     public void abort() {
-        require(begun);
-        end(Ending.ABORTED);
+        require(streamStarted);
+        end(Outcome.ABORTED);
     }
 
     @Override
@@ -60,14 +60,14 @@
         return pendingBytes;
     }
 
-    private void end(Ending how) {
-        require(ending == Ending.NONE);
-        ending = how;
+    private void end(Outcome newOutcome) {
+        require(outcome == Outcome.NONE);
+        outcome = newOutcome;
     }
 
     private static void require(boolean condition) {
         if (!condition) {
-            throw new AssertionError("the client was told something out of turn");
+            throw new AssertionError("call to the client exchange in an invalid order");
         }
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/RetryTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/RetryTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import pinewick.model.Stage;
 
-/** What is sent to a second replica, and what the client is told where none may be asked. */
+/** Which requests are retried at a second replica, and the response if a retry is not allowed. */
 class RetryTest {
     private TestRouter router;
     private ScriptedReplica first;
@@ -22,7 +22,7 @@
         first = router.replica("i-1", "plain", Stage.NONE);
         second = router.replica("i-2", "plain", Stage.NONE);
         client = router.client();
-        router.force("i-1");
+        router.forceChoices("i-1");
     }
 
     @AfterEach
@@ -40,21 +40,21 @@
 
     private void assertServedBySecond() throws Exception {
         RawSocket upstream = second.accept();
-        HttpText.Message seen = upstream.read();
-        assertEquals("q1", seen.field("X-Pinewick-Request-Id"));
-        assertEquals("i-2", seen.field("X-Pinewick-Expected-Instance"));
-        assertEquals("body", seen.body());
-        upstream.send(ScriptedReplica.answer(200, "q1", "from the second"));
-        HttpText.Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals("from the second", answer.body());
-    }
-
-    private void assertRefused() throws Exception {
-        HttpText.Message answer = client.read();
-        assertEquals(503, answer.status());
-        assertNull(answer.field("X-Pinewick-Server-Signature"));
-        double seconds = Double.parseDouble(answer.field("Retry-After"));
+        HttpText.Message forwarded = upstream.read();
+        assertEquals("q1", forwarded.field("X-Pinewick-Request-Id"));
+        assertEquals("i-2", forwarded.field("X-Pinewick-Expected-Instance"));
+        assertEquals("body", forwarded.body());
+        upstream.send(ScriptedReplica.response(200, "q1", "from the second"));
+        HttpText.Message response = client.read();
+        assertEquals(200, response.status());
+        assertEquals("from the second", response.body());
+    }
+
+    private void assertRejected() throws Exception {
+        HttpText.Message response = client.read();
+        assertEquals(503, response.status());
+        assertNull(response.field("X-Pinewick-Server-Signature"));
+        double seconds = Double.parseDouble(response.field("Retry-After"));
         assertTrue(seconds > 0 && seconds < 1, "Retry-After " + seconds);
     }
 
@@ -67,7 +67,7 @@
     @Test
     void aRejectionWithoutMoreAttemptsIsReturnedAs503() throws Exception {
         send("non_idempotent", 1).send(ScriptedReplica.rejection("q1"));
-        assertRefused();
+        assertRejected();
     }
 
     @Test
@@ -76,11 +76,11 @@
         RawSocket upstream = second.accept();
         upstream.read();
         upstream.send(ScriptedReplica.rejection("q1"));
-        assertRefused();
+        assertRejected();
     }
 
     @Test
-    void anotherInstanceAtTheAddressDoesNotExecuteIt() throws Exception {
+    void aMisdirectedRequestIsRetriedAtAnotherReplica() throws Exception {
         send("non_idempotent", 2)
                 .send("HTTP/1.1 421 Misdirected Request\r\nX-Pinewick-Request-Id: q1\r\n"
                         + "X-Pinewick-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n");
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aRejectionWithATruncatedBodyCounts() throws Exception {
+    void aRejectionWithATruncatedBodyIsARejection() throws Exception {
         RawSocket upstream = send("non_idempotent", 2);
         upstream.send("HTTP/1.1 503 Full\r\nX-Pinewick-Request-Id: q1\r\nX-Pinewick-Not-Executed: 1\r\n"
                 + "Content-Length: 100\r\n\r\nonly");
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void aRequestThatMayHaveRunIsNotRetriedUnlessIdempotent() throws Exception {
+    void aRequestThatMayHaveBeenExecutedIsNotRetriedUnlessIdempotent() throws Exception {
         send("non_idempotent", 2).reset();
         assertEquals(502, client.read().status());
     }
@@ -110,17 +110,17 @@
 
     @Test
     void anIdempotentRequestIsRetriedAfterAReplicaFailure() throws Exception {
-        send("idempotent", 2).send(ScriptedReplica.answer(500, "q1", "failed"));
+        send("idempotent", 2).send(ScriptedReplica.response(500, "q1", "failed"));
         assertServedBySecond();
     }
 
     @Test
     void aNonRetriableFailureIsForwarded() throws Exception {
-        send("idempotent", 1).send(ScriptedReplica.answer(500, "q1", "failed"));
-        HttpText.Message answer = client.read();
-        assertEquals(500, answer.status());
-        assertEquals("failed", answer.body());
-        assertEquals("stamp-q1", answer.field("X-Pinewick-Server-Signature"));
+        send("idempotent", 1).send(ScriptedReplica.response(500, "q1", "failed"));
+        HttpText.Message response = client.read();
+        assertEquals(500, response.status());
+        assertEquals("failed", response.body());
+        assertEquals("signature-q1", response.field("X-Pinewick-Server-Signature"));
     }
 
     @Test
@@ -141,24 +141,24 @@
     }
 
     @Test
-    void refusedConnectionsByAllReplicasAreReturnedAs503() throws Exception {
+    void connectionsRefusedByAllReplicasAreReturnedAs503() throws Exception {
         router.configure(TestRouter.plainRoute("non_idempotent", 1));
         first.close();
         second.close();
         client.send(TestRouter.request("POST", "/plain/x", "q1", "body"));
-        assertRefused();
+        assertRejected();
     }
 
     @Test
     void lapsedReplicasAreTriedWhenThereAreNoOthers() throws Exception {
         router.state.merge(first.record().withLapsed(true));
         router.state.merge(second.record().withLapsed(true));
-        send("non_idempotent", 1).send(ScriptedReplica.answer(200, "q1", "alive"));
+        send("non_idempotent", 1).send(ScriptedReplica.response(200, "q1", "alive"));
         assertEquals("alive", client.read().body());
     }
 
     @Test
-    void aSplitServiceWithoutReplicasIsReplacedByTheOther() throws Exception {
+    void aTrafficSplitSkipsAServiceWithoutReplicas() throws Exception {
         router.configure("{\"name\":\"split\",\"hostname\":\"shop.example\",\"path_prefix\":\"/plain/\","
                 + "\"route_kind\":\"non_idempotent\",\"timeout_ms\":5000,\"target_latency_ms\":400,\"priority\":1,"
                 + "\"traffic_split\":[{\"service\":\"lm\",\"weight\":99},{\"service\":\"plain\",\"weight\":1}],"
@@ -166,7 +166,7 @@
         client.send(TestRouter.request("POST", "/plain/x", "q1", "body"));
         RawSocket upstream = first.accept();
         upstream.read();
-        upstream.send(ScriptedReplica.answer(200, "q1", "from the other"));
+        upstream.send(ScriptedReplica.response(200, "q1", "from the other"));
         assertEquals("from the other", client.read().body());
     }
 
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedUpstreamClient.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/ScriptedUpstreamClient.java
@@ -7,23 +7,23 @@
 import org.eclipse.jetty.http.HttpFields;
 import pinewick.model.ReplicaRecord;
 
-/** Calls to replicas whose course a test plays. */
+/** Records calls to replicas; the test delivers their events. */
 final class ScriptedUpstreamClient implements UpstreamClient {
-    final List<PlayedCall> all = new ArrayList<>();
+    final List<ScriptedCall> all = new ArrayList<>();
 
-    /** One call and what has happened to it. */
-    static final class PlayedCall implements UpstreamCall {
+    /** One call and its state. */
+    static final class ScriptedCall implements UpstreamCall {
         final ReplicaRecord replica;
         final UpstreamRequest request;
         private final CallListener listener;
         boolean sent;
-        boolean over;
+        boolean finished;
         boolean rejected;
-        boolean headSeen;
+        boolean headReceived;
         boolean paused;
         int nextEvent;
 
-        PlayedCall(ReplicaRecord replica, UpstreamRequest request, CallListener listener) {
+        ScriptedCall(ReplicaRecord replica, UpstreamRequest request, CallListener listener) {
             this.replica = replica;
             this.request = request;
             this.listener = listener;
@@ -39,7 +39,7 @@
             return request.method().equals("DELETE");
         }
 
-        /** Whether the replica may have run the request because of this call. */
+        /** Whether the replica may have executed the request because of this call. */
         boolean mayHaveExecuted() {
             return sent && !rejected && !isPrefill() && !isRelease();
         }
@@ -51,7 +51,7 @@
 
         @Override
         public void abort() {
-            over = true;
+            finished = true;
         }
 
         @Override
@@ -65,7 +65,7 @@
         }
 
         void notSent(CallListener.NotSent reason) {
-            over = true;
+            finished = true;
             listener.onNotSent(reason);
         }
 
@@ -78,17 +78,17 @@
 
         void head(int status, HttpFields.Mutable fields) {
             sent = true;
-            headSeen = true;
+            headReceived = true;
             if (request.expectedId() != null) {
                 fields.add(HeaderNames.REQUEST_ID, request.expectedId());
             }
             listener.onHead(new ResponseHead(status, fields, true));
         }
 
-        void signedHead(int status, String... more) {
+        void signedHead(int status, String... namesAndValues) {
             HttpFields.Mutable fields = HttpFields.build().add(HeaderNames.SERVER_SIGNATURE, replica.instanceId());
-            for (int i = 0; i + 1 < more.length; i += 2) {
-                fields.add(more[i], more[i + 1]);
+            for (int i = 0; i + 1 < namesAndValues.length; i += 2) {
+                fields.add(namesAndValues[i], namesAndValues[i + 1]);
             }
             head(status, fields);
         }
@@ -98,44 +98,44 @@
         }
 
         void content(String text) {
-            if (!over) {
+            if (!finished) {
                 listener.onContent(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
             }
         }
 
         void complete() {
-            if (!over) {
-                over = true;
+            if (!finished) {
+                finished = true;
                 listener.onComplete();
             }
         }
 
-        void answer(int status, String body) {
+        void respond(int status, String body) {
             signedHead(status);
             content(body);
             complete();
         }
 
-        void breakOff() {
+        void breakConnection() {
             sent = true;
-            over = true;
-            listener.onFailure("played");
+            finished = true;
+            listener.onFailure("scripted failure");
         }
     }
 
     @Override
     public UpstreamCall send(ReplicaRecord replica, UpstreamRequest request, CallListener listener) {
-        PlayedCall call = new PlayedCall(replica, request, listener);
+        ScriptedCall call = new ScriptedCall(replica, request, listener);
         all.add(call);
         return call;
     }
 
-    PlayedCall last() {
+    ScriptedCall last() {
         return all.get(all.size() - 1);
     }
 
-    /** Calls that can still bring something, those that free handles left out. */
-    List<PlayedCall> open() {
-        return all.stream().filter(call -> !call.over && !call.isRelease()).toList();
+    /** Calls that have not ended, without those that release handles. */
+    List<ScriptedCall> open() {
+        return all.stream().filter(call -> !call.finished && !call.isRelease()).toList();
     }
 }
--- a/router-fleet/dataplane/src/test/java/pinewick/dataplane/StreamTest.java
+++ b/router-fleet/dataplane/src/test/java/pinewick/dataplane/StreamTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import pinewick.model.Stage;
 
-/** Streams that break: before their first event, within one, and between two. */
+/** Streams that fail before, within and between events, and clients that disconnect or read slowly. */
 class StreamTest {
     private static final int QUIET_MS = 300;
 
@@ -28,7 +28,7 @@
         first = router.replica("i-1", "lm", Stage.DECODE);
         second = router.replica("i-2", "lm", Stage.DECODE);
         client = router.client();
-        router.force("i-1");
+        router.forceChoices("i-1");
     }
 
     @AfterEach
@@ -40,7 +40,7 @@
         return "id: " + id + "\ndata: token " + id + "\n\n";
     }
 
-    private RawSocket begin(boolean resumable, int maxAttempts, String... fields) throws Exception {
+    private RawSocket startStream(boolean resumable, int maxAttempts, String... fields) throws Exception {
         router.configure(TestRouter.streamRoute(resumable, maxAttempts));
         client.send(TestRouter.request("POST", "/lm/g", "q1", "prompt", fields));
         RawSocket upstream = first.accept();
@@ -49,11 +49,11 @@
         return upstream;
     }
 
-    private void passOne(RawSocket upstream) throws Exception {
+    private void forwardOneEvent(RawSocket upstream) throws Exception {
         upstream.send(ScriptedReplica.chunk(event(1)));
         HttpText.Message head = client.readHead();
         assertEquals(200, head.status());
-        assertEquals("stamp-q1", head.field("X-Pinewick-Server-Signature"));
+        assertEquals("signature-q1", head.field("X-Pinewick-Server-Signature"));
         assertEquals(event(1), client.readChunk());
     }
 
@@ -62,32 +62,32 @@
     }
 
     @Test
-    void aStreamThatBreaksBeforeItsFirstEventFailsCleanly() throws Exception {
-        RawSocket upstream = begin(false, 2);
-        upstream.send(ScriptedReplica.chunk("id: 1\ndata: hal"));
+    void aStreamThatFailsBeforeItsFirstEventReturns502() throws Exception {
+        RawSocket upstream = startStream(false, 2);
+        upstream.send(ScriptedReplica.chunk("id: 1\ndata: par"));
         upstream.reset();
         assertEquals(502, client.read().status());
     }
 
     @Test
     void aBrokenStreamDoesNotLookComplete() throws Exception {
-        RawSocket upstream = begin(false, 2);
-        passOne(upstream);
-        upstream.send(ScriptedReplica.chunk("id: 2\ndata: hal"));
+        RawSocket upstream = startStream(false, 2);
+        forwardOneEvent(upstream);
+        upstream.send(ScriptedReplica.chunk("id: 2\ndata: par"));
         upstream.close();
         assertAborted();
     }
 
     @Test
     void aResumableStreamContinuesAtAnotherReplicaAfterTheLastCompleteEvent() throws Exception {
-        RawSocket upstream = begin(true, 2);
-        passOne(upstream);
-        upstream.send(ScriptedReplica.chunk("id: 2\ndata: hal"));
+        RawSocket upstream = startStream(true, 2);
+        forwardOneEvent(upstream);
+        upstream.send(ScriptedReplica.chunk("id: 2\ndata: par"));
         upstream.reset();
         RawSocket next = second.accept();
-        HttpText.Message seen = next.read();
-        assertEquals("1", seen.field("Last-Event-Id"));
-        assertEquals("prompt", seen.body());
+        HttpText.Message forwarded = next.read();
+        assertEquals("1", forwarded.field("Last-Event-Id"));
+        assertEquals("prompt", forwarded.body());
         next.send(ScriptedReplica.streamHead("q1", "X-Second: head"));
         next.send(ScriptedReplica.chunk(event(1) + event(2)));
         assertEquals(event(2), client.readChunk());
@@ -98,28 +98,28 @@
 
     @Test
     void aResumableStreamWithoutAnEventRestartsAfterTheClientsOwnLastEvent() throws Exception {
-        RawSocket upstream = begin(true, 2, "Last-Event-Id: 12");
+        RawSocket upstream = startStream(true, 2, "Last-Event-Id: 12");
         upstream.reset();
         RawSocket next = second.accept();
         assertEquals("12", next.read().field("Last-Event-Id"));
         next.send(ScriptedReplica.streamHead("q1") + ScriptedReplica.chunk(event(13)) + ScriptedReplica.lastChunk());
-        HttpText.Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals(event(13), answer.body());
+        HttpText.Message response = client.read();
+        assertEquals(200, response.status());
+        assertEquals(event(13), response.body());
     }
 
     @Test
     void withoutMoreAttemptsABrokenResumableStreamIsAborted() throws Exception {
-        RawSocket upstream = begin(true, 1);
-        passOne(upstream);
+        RawSocket upstream = startStream(true, 1);
+        forwardOneEvent(upstream);
         upstream.reset();
         assertAborted();
     }
 
     @Test
     void whenTheSecondReplicaRejectsItTheStreamIsAborted() throws Exception {
-        RawSocket upstream = begin(true, 2);
-        passOne(upstream);
+        RawSocket upstream = startStream(true, 2);
+        forwardOneEvent(upstream);
         upstream.reset();
         RawSocket next = second.accept();
         next.read();
@@ -129,37 +129,37 @@
 
     @Test
     void aStreamWithoutAnyEventIsForwardedCompletely() throws Exception {
-        RawSocket upstream = begin(false, 1);
+        RawSocket upstream = startStream(false, 1);
         upstream.send(ScriptedReplica.lastChunk());
-        HttpText.Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals("", answer.body());
+        HttpText.Message response = client.read();
+        assertEquals(200, response.status());
+        assertEquals("", response.body());
     }
 
-    /** Begins a stream that has neither a length nor chunks, so that it ends with its connection. */
-    private RawSocket beginWithoutChunks(boolean resumable, int maxAttempts) throws Exception {
+    /** Starts a stream that has neither a length nor chunks, so that the end of the connection ends it. */
+    private RawSocket startStreamWithoutChunks(boolean resumable, int maxAttempts) throws Exception {
         router.configure(TestRouter.streamRoute(resumable, maxAttempts));
         client.send(TestRouter.request("POST", "/lm/g", "q1", "prompt"));
         RawSocket upstream = first.accept();
         upstream.read();
-        upstream.send("HTTP/1.1 200 OK\r\nX-Pinewick-Request-Id: q1\r\nX-Pinewick-Server-Signature: stamp-q1\r\n"
+        upstream.send("HTTP/1.1 200 OK\r\nX-Pinewick-Request-Id: q1\r\nX-Pinewick-Server-Signature: signature-q1\r\n"
                 + "Content-Type: text/event-stream\r\n\r\n");
         return upstream;
     }
 
     @Test
     void aStreamWithoutChunksClosedAfterAnEventIsComplete() throws Exception {
-        RawSocket upstream = beginWithoutChunks(false, 1);
+        RawSocket upstream = startStreamWithoutChunks(false, 1);
         upstream.send(event(1) + event(2));
         upstream.close();
-        HttpText.Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals(event(1) + event(2), answer.body());
+        HttpText.Message response = client.read();
+        assertEquals(200, response.status());
+        assertEquals(event(1) + event(2), response.body());
     }
 
     @Test
-    void aStreamWithoutChunksThatIsClosedWithinAnEventIsBroken() throws Exception {
-        RawSocket upstream = beginWithoutChunks(false, 1);
+    void aStreamWithoutChunksThatIsClosedWithinAnEventIsAborted() throws Exception {
+        RawSocket upstream = startStreamWithoutChunks(false, 1);
         upstream.send(event(1) + "id: 2\ndata: tok");
         upstream.close();
         client.readHead();
@@ -168,8 +168,8 @@
     }
 
     @Test
-    void aStreamWithoutChunksThatIsResetIsBroken() throws Exception {
-        RawSocket upstream = beginWithoutChunks(false, 1);
+    void aStreamWithoutChunksThatIsResetIsAborted() throws Exception {
+        RawSocket upstream = startStreamWithoutChunks(false, 1);
         upstream.send(event(1));
         client.readHead();
         assertEquals(event(1), client.readChunk());
@@ -178,14 +178,14 @@
     }
 
     @Test
-    void aStreamWithoutChunksThatIsClosedBeforeItsFirstEventIsBroken() throws Exception {
-        beginWithoutChunks(false, 1).close();
+    void aStreamWithoutChunksThatIsClosedBeforeItsFirstEventReturns502() throws Exception {
+        startStreamWithoutChunks(false, 1).close();
         assertEquals(502, client.read().status());
     }
 
     @Test
-    void aResumableStreamWithoutChunksThatIsResetContinuesElsewhere() throws Exception {
-        RawSocket upstream = beginWithoutChunks(true, 2);
+    void aResumableStreamWithoutChunksThatIsResetContinuesAtAnotherReplica() throws Exception {
+        RawSocket upstream = startStreamWithoutChunks(true, 2);
         upstream.send(event(1));
         client.readHead();
         assertEquals(event(1), client.readChunk());
@@ -205,17 +205,17 @@
         upstream.read();
         upstream.send("HTTP/1.1 200 OK\r\nX-Pinewick-Request-Id: q1\r\nContent-Type: text/event-stream\r\n"
                 + "Transfer-Encoding: chunked\r\n\r\n" + ScriptedReplica.chunk(event(1)));
-        HttpText.Message answer = client.read();
-        assertEquals(502, answer.status());
-        assertNull(answer.field("X-Pinewick-Server-Signature"));
+        HttpText.Message response = client.read();
+        assertEquals(502, response.status());
+        assertNull(response.field("X-Pinewick-Server-Signature"));
     }
 
     @Test
     void aClientDisconnectClosesTheReplicaConnection() throws Exception {
-        RawSocket upstream = begin(false, 1);
-        passOne(upstream);
+        RawSocket upstream = startStream(false, 1);
+        forwardOneEvent(upstream);
         client.reset();
-        assertTrue(upstream.isClosedByPeerWhileSending(turn -> ScriptedReplica.chunk(event(turn + 2))));
+        assertTrue(upstream.isClosedByPeerWhileSending(iteration -> ScriptedReplica.chunk(event(iteration + 2))));
     }
 
     @Test
@@ -226,16 +226,16 @@
         RawSocket upstream = first.accept();
         upstream.read();
         client.close();
-        upstream.send(ScriptedReplica.answer(200, "q1", "answer"));
+        upstream.send(ScriptedReplica.response(200, "q1", "response"));
         router.dataPlane.whenIdle().get(10, TimeUnit.SECONDS);
-        assertFalse(upstream.bringsMoreWithin(QUIET_MS), "the second request is sent");
-        assertFalse(first.hasBeenCalled() || second.hasBeenCalled(), "the second request is sent");
+        assertFalse(upstream.hasDataWithin(QUIET_MS), "the second request was sent");
+        assertFalse(first.hasPendingConnection() || second.hasPendingConnection(), "the second request was sent");
     }
 
     @Test
     void aStalledResumableStreamContinuesAtAnotherReplica() throws Exception {
-        RawSocket upstream = begin(true, 2);
-        passOne(upstream);
+        RawSocket upstream = startStream(true, 2);
+        forwardOneEvent(upstream);
         RawSocket next = second.accept();
         assertEquals("1", next.read().field("Last-Event-Id"));
         assertTrue(upstream.isClosedByPeer());
@@ -246,15 +246,15 @@
 
     @Test
     void aDisconnectBeforeTheFirstEventIsDetected() throws Exception {
-        RawSocket upstream = begin(false, 1);
+        RawSocket upstream = startStream(false, 1);
         client.close();
         assertTrue(upstream.isClosedByPeerWhile(router.dataPlane::checkDisconnects));
     }
 
     @Test
     void aDisconnectAfterAPipelinedRequestIsDetected() throws Exception {
-        RawSocket upstream = begin(false, 1);
-        client.send(TestRouter.request("POST", "/elsewhere/x", "q2", "a body of its own"));
+        RawSocket upstream = startStream(false, 1);
+        client.send(TestRouter.request("POST", "/elsewhere/x", "q2", "a separate body"));
         router.dataPlane.checkDisconnects();
         router.dataPlane.checkDisconnects();
         client.close();
@@ -263,7 +263,7 @@
 
     @Test
     void aPipelinedRequestIsNotADisconnect() throws Exception {
-        RawSocket upstream = begin(false, 1);
+        RawSocket upstream = startStream(false, 1);
         client.send(TestRouter.request("POST", "/elsewhere/x", "q2", ""));
         router.dataPlane.checkDisconnects();
         router.dataPlane.checkDisconnects();
@@ -275,20 +275,20 @@
     }
 
     @Test
-    void aSlowClientPausesTheReplicaAndNotTheRouter() throws Exception {
-        RawSocket upstream = begin(false, 1);
-        passOne(upstream);
+    void aSlowClientAppliesBackpressureToItsReplicaOnly() throws Exception {
+        RawSocket upstream = startStream(false, 1);
+        forwardOneEvent(upstream);
         String large = "data: " + "x".repeat(64 * 1024) + "\n\n";
-        upstream.sendUntilHeldUp(ScriptedReplica.chunk(large));
-        // Another client is served meanwhile.
-        router.force("i-2");
+        upstream.sendUntilBlocked(ScriptedReplica.chunk(large));
+        // Another client is served in the meantime.
+        router.forceChoices("i-2");
         RawSocket other = router.client();
         other.send(TestRouter.request("POST", "/lm/g", "q2", "prompt"));
         RawSocket next = second.accept();
         next.read();
         next.send(ScriptedReplica.streamHead("q2") + ScriptedReplica.chunk(event(1)) + ScriptedReplica.lastChunk());
         assertEquals(event(1), other.read().body());
-        // Once the first one reads, the events come.
+        // The events arrive once the first client reads.
         assertEquals(large, client.readChunk().substring(0, large.length()));
     }
 }
