--- a/testing/emulator/src/main/java/pinewick/emulator/SimulatedMixerFleet.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/SimulatedQueryRouterFleet.java
@@ -12,7 +12,7 @@
  * The mixers' views of each other, a whole tier of them in virtual time, over links that a story breaks. Times are
  * seconds.
  */
-public final class SimulatedMixerFleet {
+public final class SimulatedQueryRouterFleet {
     private static final double TICK_SECONDS = 0.05;
 
     private final SimulatedDatagrams datagrams;
@@ -22,12 +22,12 @@
     private final MembershipSettings terms;
     private final boolean hasBroadcast;
 
-    public SimulatedMixerFleet(int size, long seed) {
+    public SimulatedQueryRouterFleet(int size, long seed) {
         this(size, seed, MembershipSettings.defaults(), true);
     }
 
     /** @param all whether there is a way to send to all at once */
-    public SimulatedMixerFleet(int size, long seed, MembershipSettings terms, boolean all) {
+    public SimulatedQueryRouterFleet(int size, long seed, MembershipSettings terms, boolean all) {
         random = new SplittableRandom(seed);
         this.terms = terms;
         this.hasBroadcast = all;
@@ -52,7 +52,7 @@
         return deaths;
     }
 
-    public SimulatedMixerFleet startAll() {
+    public SimulatedQueryRouterFleet startAll() {
         for (int member = 0; member < views.length; member++) {
             start(member);
         }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/CallHistory.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/CallHistory.java
@@ -6,7 +6,7 @@
 /** When requests arrived at controllers and when their responses were sent, in order. */
 final class CallHistory {
     /** The result of a request, if it was answered. */
-    enum Finding {
+    enum Outcome {
         /** No definite result. */
         NONE,
         /** The configuration had this version. */
@@ -20,7 +20,7 @@
     /** One request, since it arrived at the controller that answered it. */
     static final class Call {
         private final SubmittedChange change;
-        private Finding finding = Finding.NONE;
+        private Outcome finding = Outcome.NONE;
         private long version;
 
         private Call(SubmittedChange change) {
@@ -31,7 +31,7 @@
             return change;
         }
 
-        Finding finding() {
+        Outcome finding() {
             return finding;
         }
 
@@ -76,7 +76,7 @@
         return call;
     }
 
-    void onAnswered(Call call, Finding finding, long version) {
+    void onAnswered(Call call, Outcome finding, long version) {
         call.finding = finding;
         call.version = version;
         events.add(new Answered(call));
--- a/testing/emulator/src/main/java/pinewick/emulator/control/ControllerProcess.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/ControllerProcess.java
@@ -234,7 +234,7 @@
         if (responder.status() == 200 && call.change() == null) {
             ConfigurationDocument document = parse(responder.body());
             system.history().reads(machine.host(), document);
-            system.history().calls().onAnswered(record, CallHistory.Finding.READ, document.version());
+            system.history().calls().onAnswered(record, CallHistory.Outcome.READ, document.version());
         } else if (responder.status() == 200) {
             system.history().onAcknowledged(machine.host(), call.change());
             system.history().calls().onAcknowledged(call.change());
@@ -243,8 +243,8 @@
                     .onConfigurationAcknowledged(machine, call.change().version());
         } else if (responder.status() == 412 || responder.status() == 400) {
             system.history().onRejected(machine.host(), call.change(), responder.status());
-            CallHistory.Finding finding =
-                    responder.status() == 412 ? CallHistory.Finding.CONFLICT : CallHistory.Finding.INVALID;
+            CallHistory.Outcome finding =
+                    responder.status() == 412 ? CallHistory.Outcome.CONFLICT : CallHistory.Outcome.INVALID;
             system.history().calls().onAnswered(record, finding, 0);
         } else if (responder.status() == 307) {
             URI location = URI.create(responder.location().orElseThrow());
--- a/testing/emulator/src/main/java/pinewick/emulator/control/HistoryChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/HistoryChecker.java
@@ -11,14 +11,14 @@
 
 /** Checks every configuration in force, and every response to an operator, against the invariants. */
 final class HistoryChecker {
-    private enum Answer {
+    private enum Response {
         NONE,
         ACCEPTED,
         REJECTED
     }
 
     private final List<SubmittedChange> changes = new ArrayList<>();
-    private final List<Answer> answers = new ArrayList<>();
+    private final List<Response> answers = new ArrayList<>();
     private final Map<Long, ConfigurationDocument> inForce = new HashMap<>();
     private final Map<Long, Long> successors = new HashMap<>();
     private final CallHistory calls = new CallHistory();
@@ -37,7 +37,7 @@
         SubmittedChange change = SubmittedChange.make(
                 changes.size(), replacesAll, base, version, wellFormed, paddingBytes, routedService);
         changes.add(change);
-        answers.add(Answer.NONE);
+        answers.add(Response.NONE);
         return change;
     }
 
@@ -86,7 +86,7 @@
         require(change.version() == document.version(), Invariant.AS_SENT, what + " under another version");
         require(change.valid(), Invariant.AS_SENT, what + " is invalid and in force");
         require(
-                answers.get(change.id()) != Answer.REJECTED,
+                answers.get(change.id()) != Response.REJECTED,
                 Invariant.REJECTED_STAYS_OUT,
                 what + " was refused and is in force");
         Long before = successors.put(change.base(), change.version());
@@ -111,10 +111,10 @@
         String what = where + ": change " + change.id();
         require(isInForce(change), Invariant.ACKNOWLEDGED_IS_DURABLE, what + " is acknowledged and not in force");
         require(
-                answers.get(change.id()) != Answer.REJECTED,
+                answers.get(change.id()) != Response.REJECTED,
                 Invariant.REJECTED_STAYS_OUT,
                 what + " was refused and is acknowledged");
-        answers.set(change.id(), Answer.ACCEPTED);
+        answers.set(change.id(), Response.ACCEPTED);
         newestAcknowledged = Math.max(newestAcknowledged, change.version());
         acknowledged++;
     }
@@ -124,7 +124,7 @@
         String what = where + ": change " + change.id() + " upon " + change.base();
         require(!isInForce(change), Invariant.NOT_WRONGLY_REJECTED, what + " is in force and gets " + status);
         require(
-                answers.get(change.id()) != Answer.ACCEPTED,
+                answers.get(change.id()) != Response.ACCEPTED,
                 Invariant.NOT_WRONGLY_REJECTED,
                 what + " was acknowledged and gets " + status);
         boolean isAcceptable = change.valid() && change.base() == newestInForce;
@@ -132,7 +132,7 @@
                 !isAcceptable,
                 Invariant.NOT_WRONGLY_REJECTED,
                 what + " is valid upon the newest version and gets " + status);
-        answers.set(change.id(), Answer.REJECTED);
+        answers.set(change.id(), Response.REJECTED);
         rejected++;
     }
 
--- a/testing/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
@@ -13,8 +13,8 @@
 import pinewick.emulator.control.CallHistory.Answered;
 import pinewick.emulator.control.CallHistory.Call;
 import pinewick.emulator.control.CallHistory.Event;
-import pinewick.emulator.control.CallHistory.Finding;
 import pinewick.emulator.control.CallHistory.FirstSent;
+import pinewick.emulator.control.CallHistory.Outcome;
 import pinewick.emulator.control.CallHistory.Received;
 
 /**
@@ -54,7 +54,7 @@
         if (event instanceof FirstSent sent) {
             sentChanges.add(sent.change().id());
             advance();
-        } else if (event instanceof Received begun && begun.call().finding() != Finding.NONE) {
+        } else if (event instanceof Received begun && begun.call().finding() != Outcome.NONE) {
             begin(begun.call());
         } else if (event instanceof Answered ended) {
             end(ended.call());
@@ -154,6 +154,6 @@
         String what = call.change() == null
                 ? ""
                 : " of change " + call.change().id() + " upon " + call.change().base();
-        return call.finding() + what + (call.finding() == Finding.READ ? " of version " + call.version() : "");
+        return call.finding() + what + (call.finding() == Outcome.READ ? " of version " + call.version() : "");
     }
 }
--- a/testing/emulator/src/test/java/pinewick/emulator/SimulatedMixerFleetTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/SimulatedQueryRouterFleetTest.java
@@ -10,9 +10,9 @@
 import pinewick.fleet.MembershipView;
 
 /** Stories of whole fleets in virtual time, over links that lose, delay, double and cut. */
-class SimulatedMixerFleetTest {
-    private static SimulatedMixerFleet running(int size, double loss, long seed) {
-        SimulatedMixerFleet world = new SimulatedMixerFleet(size, seed);
+class SimulatedQueryRouterFleetTest {
+    private static SimulatedQueryRouterFleet running(int size, double loss, long seed) {
+        SimulatedQueryRouterFleet world = new SimulatedQueryRouterFleet(size, seed);
         world.datagrams().links(loss, 0.02, 0.001, 0.018);
         world.startAll();
         assertTrue(world.secondsToConverge(3) <= 3, "a start of all at once");
@@ -23,7 +23,7 @@
     @Test
     void aCrashIsDetectedWithinThreeSecondsWithATenthOfTheDatagramsLost() {
         for (long seed = 1; seed <= 5; seed++) {
-            SimulatedMixerFleet world = running(100, 0.1, seed);
+            SimulatedQueryRouterFleet world = running(100, 0.1, seed);
             world.datagrams().kill(40);
             assertTrue(world.secondsToConverge(3) <= 3, "seed " + seed);
             assertTrue(world.deaths().stream().allMatch(each -> each.startsWith("40 ")), "seed " + seed);
@@ -33,7 +33,7 @@
     @Test
     void aJoinIsKnownToAllWithinTwoSecondsEvenWithoutBroadcast() {
         for (boolean all : new boolean[] {true, false}) {
-            SimulatedMixerFleet world = new SimulatedMixerFleet(100, 3, MembershipSettings.defaults(), all);
+            SimulatedQueryRouterFleet world = new SimulatedQueryRouterFleet(100, 3, MembershipSettings.defaults(), all);
             world.datagrams().links(0.1, 0, 0.001, 0.018);
             for (int place = 1; place < 100; place++) {
                 world.start(place);
@@ -48,7 +48,7 @@
     @Test
     void aMemberPausedForTwoSecondsIsAtMostSuspectedAndSuspectsNobodyAfterwards() {
         for (long seed = 1; seed <= 10; seed++) {
-            SimulatedMixerFleet world = running(60, 0.1, seed);
+            SimulatedQueryRouterFleet world = running(60, 0.1, seed);
             world.datagrams().setPaused(7, true);
             world.datagrams().run(world.datagrams().now() + 2);
             world.datagrams().setPaused(7, false);
@@ -61,7 +61,7 @@
     @Test
     void afterAPartitionOfSixSecondsBothSidesConvergeWithinThreeSeconds() {
         for (long seed = 1; seed <= 5; seed++) {
-            SimulatedMixerFleet world = running(100, 0.1, seed);
+            SimulatedQueryRouterFleet world = running(100, 0.1, seed);
             world.datagrams().partition((from, to) -> from < 20 != to < 20);
             world.datagrams().run(world.datagrams().now() + 6);
             assertEquals(MemberState.DEAD, world.view(5).state(70));
@@ -73,7 +73,7 @@
 
     @Test
     void aMemberUnreachableInOneDirectionIsProbedIndirectlyAndNotDeclaredDead() {
-        SimulatedMixerFleet world = running(20, 0, 4);
+        SimulatedQueryRouterFleet world = running(20, 0, 4);
         world.datagrams().partition((from, to) -> from == 3 && to == 9);
         world.datagrams().run(world.datagrams().now() + 20);
         assertEquals(0, world.deaths().size(), world.deaths().toString());
@@ -81,7 +81,7 @@
 
     @Test
     void sevenInTenKilledAtOnceAreDeclaredDeadAndNoOthers() {
-        SimulatedMixerFleet world = running(100, 0.1, 6);
+        SimulatedQueryRouterFleet world = running(100, 0.1, 6);
         for (int place = 0; place < 70; place++) {
             world.datagrams().kill(place);
         }
@@ -91,7 +91,7 @@
 
     @Test
     void aMemberThatShutsDownIsNotDeclaredDeadAndReturnsAfterARestart() {
-        SimulatedMixerFleet world = running(10, 0, 7);
+        SimulatedQueryRouterFleet world = running(10, 0, 7);
         world.view(2).leave(world.datagrams().now());
         world.datagrams().run(world.datagrams().now() + 0.1);
         world.datagrams().kill(2);
@@ -105,7 +105,7 @@
 
     @Test
     void aMemberRestartedBeforeItsFailureIsDetectedHasAHigherIncarnation() {
-        SimulatedMixerFleet world = running(10, 0, 8);
+        SimulatedQueryRouterFleet world = running(10, 0, 8);
         long before = world.view(0).incarnation(4);
         world.datagrams().kill(4);
         world.datagrams().run(world.datagrams().now() + 0.3);
@@ -118,7 +118,7 @@
 
     @Test
     void aMemberWhoseClockWentBackBetweenTwoStartsIsAccepted() {
-        SimulatedMixerFleet world = running(5, 0, 9);
+        SimulatedQueryRouterFleet world = running(5, 0, 9);
         long before = world.view(0).incarnation(1);
         world.datagrams().kill(1);
         world.datagrams().run(world.datagrams().now() + 5);
@@ -130,7 +130,7 @@
 
     @Test
     void aLongerMemberListRetainsWhatIsKnownAndNewMembersAreUnknown() {
-        SimulatedMixerFleet world = running(4, 0, 10);
+        SimulatedQueryRouterFleet world = running(4, 0, 10);
         MembershipView view = world.view(0);
         view.onMemberListChanged(world.datagrams().now(), 6, 0);
         assertEquals("AAAAUU", view.stateLetters());
@@ -144,7 +144,7 @@
 
     @Test
     void aDeadMemberRaisesTheBudgetShareOnlyAfterADelayAndWithinItsBound() {
-        SimulatedMixerFleet world = running(10, 0, 11);
+        SimulatedQueryRouterFleet world = running(10, 0, 11);
         MembershipView view = world.view(0);
         for (int place = 1; place < 6; place++) {
             world.datagrams().kill(place);
@@ -164,7 +164,7 @@
         double[] bytes = new double[2];
         int[] sizes = {10, 300};
         for (int each = 0; each < 2; each++) {
-            SimulatedMixerFleet world = running(sizes[each], 0.1, 12);
+            SimulatedQueryRouterFleet world = running(sizes[each], 0.1, 12);
             long before = world.sentBytes();
             world.datagrams().run(world.datagrams().now() + 10);
             bytes[each] = (world.sentBytes() - before) / 10.0 / sizes[each];
@@ -174,8 +174,8 @@
 
     @Test
     void theSameEventsGiveTheSameDatagrams() {
-        SimulatedMixerFleet one = running(30, 0.1, 13);
-        SimulatedMixerFleet other = running(30, 0.1, 13);
+        SimulatedQueryRouterFleet one = running(30, 0.1, 13);
+        SimulatedQueryRouterFleet other = running(30, 0.1, 13);
         one.datagrams().kill(3);
         other.datagrams().kill(3);
         one.datagrams().run(one.datagrams().now() + 4);
@@ -186,7 +186,7 @@
 
     @Test
     void aFleetOfOneHasNoPeersAndNoWarnings() {
-        SimulatedMixerFleet world = new SimulatedMixerFleet(1, 14).startAll();
+        SimulatedQueryRouterFleet world = new SimulatedQueryRouterFleet(1, 14).startAll();
         world.datagrams().run(world.datagrams().now() + 5);
         assertEquals("A", world.view(0).stateLetters());
         assertEquals(1, world.view(0).maxSenders(world.datagrams().now()));
@@ -196,7 +196,7 @@
 
     @Test
     void aMemberWithoutContactDoesNotDecideAsIfItWereTheOnlyOne() {
-        SimulatedMixerFleet world = new SimulatedMixerFleet(10, 15);
+        SimulatedQueryRouterFleet world = new SimulatedQueryRouterFleet(10, 15);
         world.start(0);
         assertEquals(10, world.view(0).estimatedSenders(), "nothing is known of the others but that they are listed");
         world = running(10, 0, 15);
--- a/testing/emulator/src/test/java/pinewick/emulator/control/LinearizabilityCheckerTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/control/LinearizabilityCheckerTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import pinewick.emulator.control.CallHistory.Call;
-import pinewick.emulator.control.CallHistory.Finding;
+import pinewick.emulator.control.CallHistory.Outcome;
 
 class LinearizabilityCheckerTest {
     private final CallHistory history = new CallHistory();
@@ -28,7 +28,7 @@
     }
 
     private void read(Call call, long version) {
-        history.onAnswered(call, Finding.READ, version);
+        history.onAnswered(call, Outcome.READ, version);
     }
 
     @Test
@@ -74,7 +74,7 @@
     void aConflictNeedsAnotherVersionWhileTheCallIsThere() {
         take(first);
         Call upon = history.onReceived(change(2, 1, 5));
-        history.onAnswered(upon, Finding.CONFLICT, 0);
+        history.onAnswered(upon, Outcome.CONFLICT, 0);
         take(second);
         assertThrows(InvariantViolation.class, this::check);
     }
@@ -84,7 +84,7 @@
         take(first);
         Call upon = history.onReceived(change(2, 1, 5));
         history.onFirstSent(second);
-        history.onAnswered(upon, Finding.CONFLICT, 0);
+        history.onAnswered(upon, Outcome.CONFLICT, 0);
         history.onAcknowledged(second);
         assertDoesNotThrow(this::check);
     }
--- a/testing/lab/src/main/java/pinewick/lab/FleetLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/FleetLab.java
@@ -18,7 +18,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import pinewick.emulator.SimulatedMixerFleet;
+import pinewick.emulator.SimulatedQueryRouterFleet;
 import pinewick.standins.FleetProcesses;
 
 /**
@@ -167,7 +167,7 @@
     /** All cases of one setting with one seed, one after another in the same fleet, each from a settled view. */
     private static void play(Setting setting, long seed, Found found) {
         int size = setting.size;
-        SimulatedMixerFleet fleet = new SimulatedMixerFleet(size, seed);
+        SimulatedQueryRouterFleet fleet = new SimulatedQueryRouterFleet(size, seed);
         fleet.datagrams().links(setting.loss, 0.01, 0.001, 0.018);
         fleet.startAll();
         rest(fleet, 10);
@@ -220,12 +220,12 @@
         }
     }
 
-    private static void rest(SimulatedMixerFleet fleet, double seconds) {
+    private static void rest(SimulatedQueryRouterFleet fleet, double seconds) {
         fleet.datagrams().run(fleet.datagrams().now() + seconds);
     }
 
     /** Members held for dead since then by anyone though they were not. */
-    private static int newDeaths(SimulatedMixerFleet fleet, int from, java.util.function.IntPredicate truly) {
+    private static int newDeaths(SimulatedQueryRouterFleet fleet, int from, java.util.function.IntPredicate truly) {
         return (int) fleet.deaths().subList(from, fleet.deaths().size()).stream()
                 .mapToInt(each -> Integer.parseInt(each.split(" ")[0]))
                 .distinct()
