--- a/testing/emulator/src/main/java/pinewick/emulator/SimulatedDatagrams.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/SimulatedDatagrams.java
@@ -7,27 +7,27 @@
 import java.util.function.BiPredicate;
 
 /**
- * Members in virtual time that send each other datagrams over bad links: late, lost, doubled, cut one way or both, with
- * members that stand still or die. The same seed gives the same run. Times are seconds.
+ * Members in virtual time that exchange datagrams over faulty links: datagrams are delayed, lost, duplicated, or blocked
+ * in one direction or both, and members pause or crash. The same seed gives the same run. Times are in seconds.
  */
 public final class SimulatedDatagrams {
-    /** One member's program. */
+    /** The code that a member runs. */
     public interface Program {
         void tick(double now);
 
         void datagram(double now, int from, byte[] bytes);
     }
 
-    private record ScheduledAction(double at, long number, Runnable action) {}
+    private record ScheduledAction(double at, long order, Runnable action) {}
 
     private final SplittableRandom random;
     private final double tick;
-    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>((one, other) ->
-            one.at != other.at ? Double.compare(one.at, other.at) : Long.compare(one.number, other.number));
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>((left, right) ->
+            left.at != right.at ? Double.compare(left.at, right.at) : Long.compare(left.order, right.order));
     private final Program[] programs;
     private final int[] incarnations;
     private final boolean[] paused;
-    /** What came for a member while it stood still, as its machine keeps it. */
+    /** Datagrams that arrived for a member while it was paused, as its kernel buffers them. */
     private final List<List<Runnable>> queuedWhilePaused = new ArrayList<>();
 
     private BiPredicate<Integer, Integer> isPartitioned = (from, to) -> false;
@@ -36,45 +36,45 @@
     private double lossProbability;
     private double duplicateProbability;
     private double now;
-    private long nextNumber;
-    /** Datagrams each member sent in the second under way, and the most any sent in one. */
-    private final int[] inSecond;
+    private long nextOrder;
+    /** Datagrams that each member sent in the current second, and the maximum that one member sent in one second. */
+    private final int[] sentInSecond;
 
-    private int mostInSecond;
-    private long second = -1;
+    private int maxSentInSecond;
+    private long currentSecond = -1;
 
-    /** @param tick seconds between two looks of a program at the clock */
-    public SimulatedDatagrams(int size, double tick, SplittableRandom random, double startsAt) {
+    /** @param tick seconds between two ticks of a program */
+    public SimulatedDatagrams(int size, double tick, SplittableRandom random, double startTime) {
         programs = new Program[size];
         incarnations = new int[size];
         paused = new boolean[size];
-        inSecond = new int[size];
-        for (int each = 0; each < size; each++) {
+        sentInSecond = new int[size];
+        for (int member = 0; member < size; member++) {
             queuedWhilePaused.add(new ArrayList<>());
         }
         this.tick = tick;
         this.random = random;
-        now = startsAt;
+        now = startTime;
     }
 
     public double now() {
         return now;
     }
 
-    /** What share of datagrams is lost, what share comes twice, and how late they come at least and at most. */
-    public void links(double loss, double duplicated, double minimum, double maximum) {
+    /** Sets the probabilities that a datagram is lost and that it is duplicated, and the minimum and maximum delay. */
+    public void setLinkQuality(double loss, double duplication, double minimum, double maximum) {
         lossProbability = loss;
-        duplicateProbability = duplicated;
+        duplicateProbability = duplication;
         minDelay = minimum;
         maxDelay = maximum;
     }
 
-    /** From whom to whom nothing goes through. */
-    public void partition(BiPredicate<Integer, Integer> from) {
-        isPartitioned = from;
+    /** Sets from which member to which other member no datagram is delivered. */
+    public void partition(BiPredicate<Integer, Integer> isBlocked) {
+        isPartitioned = isBlocked;
     }
 
-    /** A program starts in this place; one there before is dead. */
+    /** Starts a program as this member; a program that ran as this member before is killed. */
     public void start(int member, Program program) {
         kill(member);
         programs[member] = program;
@@ -102,7 +102,7 @@
         return programs[member] != null;
     }
 
-    /** It stands still, or goes on: what came meanwhile is waiting for it. */
+    /** Pauses or resumes a member; it receives the datagrams that arrived meanwhile when it resumes. */
     public void setPaused(int member, boolean isPaused) {
         paused[member] = isPaused;
         if (!isPaused) {
@@ -117,7 +117,7 @@
         transmit(from, to, bytes);
     }
 
-    /** One datagram that the network hands to every other member. */
+    /** Sends one datagram that the network delivers to every other member. */
     public void sendAll(int from, byte[] bytes) {
         countDatagram(from);
         for (int to = 0; to < programs.length; to++) {
@@ -128,16 +128,16 @@
     }
 
     private void countDatagram(int from) {
-        if ((long) now != second) {
-            second = (long) now;
-            java.util.Arrays.fill(inSecond, 0);
+        if ((long) now != currentSecond) {
+            currentSecond = (long) now;
+            java.util.Arrays.fill(sentInSecond, 0);
         }
-        mostInSecond = Math.max(mostInSecond, ++inSecond[from]);
+        maxSentInSecond = Math.max(maxSentInSecond, ++sentInSecond[from]);
     }
 
     private void transmit(int from, int to, byte[] bytes) {
-        int datagrams = random.nextDouble() < duplicateProbability ? 2 : 1;
-        for (int each = 0; each < datagrams; each++) {
+        int copies = random.nextDouble() < duplicateProbability ? 2 : 1;
+        for (int copy = 0; copy < copies; copy++) {
             double delay = minDelay + (maxDelay - minDelay) * random.nextDouble();
             if (random.nextDouble() >= lossProbability && !isPartitioned.test(from, to)) {
                 int incarnation = incarnations[to];
@@ -157,18 +157,18 @@
         }
     }
 
-    /** The most datagrams that one member sent in one second since this was last asked. */
-    public int mostInSecond() {
-        int highest = mostInSecond;
-        mostInSecond = 0;
-        return highest;
+    /** The maximum number of datagrams that one member sent in one second since the previous call. */
+    public int takeMaxPerSecond() {
+        int maximum = maxSentInSecond;
+        maxSentInSecond = 0;
+        return maximum;
     }
 
     public void at(double time, Runnable action) {
-        queue.add(new ScheduledAction(time, nextNumber++, action));
+        queue.add(new ScheduledAction(time, nextOrder++, action));
     }
 
-    /** Lets time pass. */
+    /** Runs the scheduled actions in order until this time. */
     public void run(double until) {
         while (!queue.isEmpty() && queue.peek().at <= until) {
             ScheduledAction next = queue.poll();
--- a/testing/emulator/src/main/java/pinewick/emulator/SimulatedQueryRouterFleet.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/SimulatedQueryRouterFleet.java
@@ -9,8 +9,8 @@
 import pinewick.fleet.MembershipView;
 
 /**
- * The mixers' views of each other, a whole tier of them in virtual time, over links that a story breaks. Times are
- * seconds.
+ * Simulates the membership views of query routers: a complete fleet in virtual time, over links whose faults the caller
+ * controls. Times are in seconds.
  */
 public final class SimulatedQueryRouterFleet {
     private static final double TICK_SECONDS = 0.05;
@@ -19,18 +19,18 @@
     private final MembershipView[] views;
     private final List<String> deaths = new ArrayList<>();
     private final SplittableRandom random;
-    private final MembershipSettings terms;
+    private final MembershipSettings settings;
     private final boolean hasBroadcast;
 
     public SimulatedQueryRouterFleet(int size, long seed) {
         this(size, seed, MembershipSettings.defaults(), true);
     }
 
-    /** @param all whether there is a way to send to all at once */
-    public SimulatedQueryRouterFleet(int size, long seed, MembershipSettings terms, boolean all) {
+    /** @param hasBroadcast whether a member can broadcast a datagram to all others */
+    public SimulatedQueryRouterFleet(int size, long seed, MembershipSettings settings, boolean hasBroadcast) {
         random = new SplittableRandom(seed);
-        this.terms = terms;
-        this.hasBroadcast = all;
+        this.settings = settings;
+        this.hasBroadcast = hasBroadcast;
         datagrams = new SimulatedDatagrams(size, TICK_SECONDS, random.split(), 1000);
         views = new MembershipView[size];
     }
@@ -47,7 +47,7 @@
         return views[member];
     }
 
-    /** Each death that any member declared or was told of: its place, "by", and the place of who held it so. */
+    /** Each transition to DEAD in the view of a member: the dead member, "by", and the member that has the view. */
     public List<String> deaths() {
         return deaths;
     }
@@ -60,16 +60,16 @@
     }
 
     public void start(int member) {
-        startWith(member, Math.round(datagrams.now() * 1000));
+        startWithIncarnation(member, Math.round(datagrams.now() * 1000));
     }
 
-    /** With an incarnation of the story's choice. */
-    public void startWith(int member, long incarnation) {
+    /** Starts a member with this incarnation. */
+    public void startWithIncarnation(int member, long incarnation) {
         MembershipView view = new MembershipView(
                 views.length,
                 member,
                 incarnation,
-                terms,
+                settings,
                 random.split(),
                 new MembershipView.Transport() {
                     @Override
@@ -106,23 +106,23 @@
     }
 
     public long sent() {
-        long datagrams = 0;
-        for (MembershipView each : views) {
-            datagrams += each.sent();
+        long sent = 0;
+        for (MembershipView view : views) {
+            sent += view.sent();
         }
-        return datagrams;
+        return sent;
     }
 
     public long sentBytes() {
         long bytes = 0;
-        for (MembershipView each : views) {
-            bytes += each.sentBytes();
+        for (MembershipView view : views) {
+            bytes += view.sentBytes();
         }
         return bytes;
     }
 
-    /** Whether this member holds exactly the live ones for taking part, at their newest incarnations. */
-    public boolean hasTrueView(int member) {
+    /** Whether this member considers exactly the running members active, with their current incarnations. */
+    public boolean hasCorrectView(int member) {
         for (int other = 0; other < views.length; other++) {
             if (views[member].state(other).isActive() != datagrams.isRunning(other)
                     || (datagrams.isRunning(other)
@@ -135,53 +135,54 @@
 
     private boolean isConverged() {
         for (int member = 0; member < views.length; member++) {
-            if (datagrams.isRunning(member) && !hasTrueView(member)) {
+            if (datagrams.isRunning(member) && !hasCorrectView(member)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Lets time pass until all live members hold the same, true view; seconds it took, NaN if not within so many. */
-    public double secondsToConverge(double within) {
-        return until(within, this::isConverged);
+    /** Runs until the views of all running members are correct; returns the seconds it took, or NaN after the timeout. */
+    public double secondsToConverge(double timeout) {
+        return runUntil(timeout, this::isConverged);
     }
 
     /**
-     * The same, by member: when each live one came to hold the true view for good, seconds from now; NaN for those that
-     * did not within so many.
+     * As {@link #secondsToConverge}, but per running member: after how many seconds its view became correct and stayed
+     * so; NaN if it is not correct at the timeout.
      */
-    public double[] secondsToConvergePerMember(double within) {
-        double from = datagrams.now();
-        double[] since = new double[views.length];
-        java.util.Arrays.fill(since, Double.NaN);
-        boolean all = false;
-        while (!all && datagrams.now() - from <= within) {
-            all = true;
+    public double[] secondsToConvergePerMember(double timeout) {
+        double start = datagrams.now();
+        double[] correctSince = new double[views.length];
+        java.util.Arrays.fill(correctSince, Double.NaN);
+        boolean allCorrect = false;
+        while (!allCorrect && datagrams.now() - start <= timeout) {
+            allCorrect = true;
             for (int member = 0; member < views.length; member++) {
                 if (datagrams.isRunning(member)) {
-                    boolean isTrue = hasTrueView(member);
-                    since[member] =
-                            !isTrue ? Double.NaN : Double.isNaN(since[member]) ? datagrams.now() - from : since[member];
-                    all &= isTrue;
+                    boolean isCorrect = hasCorrectView(member);
+                    correctSince[member] = !isCorrect
+                            ? Double.NaN
+                            : Double.isNaN(correctSince[member]) ? datagrams.now() - start : correctSince[member];
+                    allCorrect &= isCorrect;
                 }
             }
             datagrams.run(datagrams.now() + TICK_SECONDS);
         }
         return java.util.stream.IntStream.range(0, views.length)
                 .filter(datagrams::isRunning)
-                .mapToDouble(member -> since[member])
+                .mapToDouble(member -> correctSince[member])
                 .toArray();
     }
 
-    private double until(double within, BooleanSupplier condition) {
-        double from = datagrams.now();
+    private double runUntil(double timeout, BooleanSupplier condition) {
+        double start = datagrams.now();
         while (!condition.getAsBoolean()) {
-            if (datagrams.now() - from > within) {
+            if (datagrams.now() - start > timeout) {
                 return Double.NaN;
             }
             datagrams.run(datagrams.now() + TICK_SECONDS);
         }
-        return datagrams.now() - from;
+        return datagrams.now() - start;
     }
 }
--- a/testing/emulator/src/main/java/pinewick/emulator/SimulatedStateFleet.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/SimulatedStateFleet.java
@@ -4,19 +4,22 @@
 import pinewick.fleet.state.FactReplicationSettings;
 import pinewick.fleet.state.FactReplicator;
 
-/** What mixers replicate of searchers, a whole tier of them in virtual time, over links that a story breaks. */
+/**
+ * Simulates the replication of facts about search replicas among query routers: a complete fleet in virtual time, over
+ * links whose faults the caller controls.
+ */
 public final class SimulatedStateFleet {
     private final SimulatedDatagrams datagrams;
-    private final FactReplicator[] states;
-    private final FactReplicationSettings terms;
+    private final FactReplicator[] replicators;
+    private final FactReplicationSettings settings;
     private final SplittableRandom random;
     private long malformedDatagrams;
 
-    public SimulatedStateFleet(int size, long seed, FactReplicationSettings terms) {
+    public SimulatedStateFleet(int size, long seed, FactReplicationSettings settings) {
         random = new SplittableRandom(seed);
-        this.terms = terms;
+        this.settings = settings;
         datagrams = new SimulatedDatagrams(size, 0.044, random.split(), 1000);
-        states = new FactReplicator[size];
+        replicators = new FactReplicator[size];
     }
 
     public SimulatedDatagrams datagrams() {
@@ -24,30 +27,33 @@
     }
 
     public FactReplicator state(int member) {
-        return states[member];
+        return replicators[member];
     }
 
     public int size() {
-        return states.length;
+        return replicators.length;
     }
 
     public SimulatedStateFleet startAll() {
-        for (int member = 0; member < states.length; member++) {
+        for (int member = 0; member < replicators.length; member++) {
             start(member);
         }
         return this;
     }
 
-    /** A member starts, knowing nothing. Who lives is known at once here; the view has its own stories. */
+    /**
+     * Starts a member with an empty store. Which members run is known without delay here;
+     * {@link SimulatedQueryRouterFleet} simulates the membership view.
+     */
     public void start(int member) {
         FactReplicator state = new FactReplicator(
-                states.length,
+                replicators.length,
                 member,
-                terms,
+                settings,
                 random.split(),
                 (to, datagram) -> datagrams.send(member, to, datagram),
                 datagrams::isRunning);
-        states[member] = state;
+        replicators[member] = state;
         datagrams.start(member, new SimulatedDatagrams.Program() {
             @Override
             public void tick(double now) {
@@ -62,29 +68,30 @@
         state.start(datagrams.now());
     }
 
-    /** Datagrams that could not be read. */
+    /** How many received datagrams could not be parsed. */
     public long malformedDatagrams() {
         return malformedDatagrams;
     }
 
     public long sentBytes() {
         long bytes = 0;
-        for (FactReplicator each : states) {
-            bytes += each.sentBytes();
+        for (FactReplicator replicator : replicators) {
+            bytes += replicator.sentBytes();
         }
         return bytes;
     }
 
-    /** How many live members hold other copies than the most common one. */
+    /** How many running members have a store with another digest than the most common one. */
     public int divergentMembers() {
         java.util.Map<Long, Integer> digests = new java.util.HashMap<>();
-        int live = 0;
-        for (int member = 0; member < states.length; member++) {
+        int running = 0;
+        for (int member = 0; member < replicators.length; member++) {
             if (datagrams.isRunning(member)) {
-                digests.merge(states[member].store().digest(), 1, Integer::sum);
-                live++;
+                digests.merge(replicators[member].store().digest(), 1, Integer::sum);
+                running++;
             }
         }
-        return live - digests.values().stream().mapToInt(each -> each).max().orElse(0);
+        return running
+                - digests.values().stream().mapToInt(count -> count).max().orElse(0);
     }
 }
--- a/testing/emulator/src/test/java/pinewick/emulator/SimulatedQueryRouterFleetTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/SimulatedQueryRouterFleetTest.java
@@ -9,203 +9,207 @@
 import pinewick.fleet.MembershipSettings;
 import pinewick.fleet.MembershipView;
 
-/** Stories of whole fleets in virtual time, over links that lose, delay, double and cut. */
+/** Fleets in virtual time, over links that lose, delay, duplicate and block datagrams. */
 class SimulatedQueryRouterFleetTest {
     private static SimulatedQueryRouterFleet running(int size, double loss, long seed) {
-        SimulatedQueryRouterFleet world = new SimulatedQueryRouterFleet(size, seed);
-        world.datagrams().links(loss, 0.02, 0.001, 0.018);
-        world.startAll();
-        assertTrue(world.secondsToConverge(3) <= 3, "a start of all at once");
-        world.datagrams().run(world.datagrams().now() + 5);
-        return world;
+        SimulatedQueryRouterFleet fleet = new SimulatedQueryRouterFleet(size, seed);
+        fleet.datagrams().setLinkQuality(loss, 0.02, 0.001, 0.018);
+        fleet.startAll();
+        assertTrue(fleet.secondsToConverge(3) <= 3, "all members started at once");
+        fleet.datagrams().run(fleet.datagrams().now() + 5);
+        return fleet;
     }
 
     @Test
-    void aCrashIsDetectedWithinThreeSecondsWithATenthOfTheDatagramsLost() {
+    void detectsACrashWithinThreeSecondsAtTenPercentLoss() {
         for (long seed = 1; seed <= 5; seed++) {
-            SimulatedQueryRouterFleet world = running(100, 0.1, seed);
-            world.datagrams().kill(40);
-            assertTrue(world.secondsToConverge(3) <= 3, "seed " + seed);
-            assertTrue(world.deaths().stream().allMatch(each -> each.startsWith("40 ")), "seed " + seed);
+            SimulatedQueryRouterFleet fleet = running(100, 0.1, seed);
+            fleet.datagrams().kill(40);
+            assertTrue(fleet.secondsToConverge(3) <= 3, "seed " + seed);
+            assertTrue(fleet.deaths().stream().allMatch(death -> death.startsWith("40 ")), "seed " + seed);
         }
     }
 
     @Test
-    void aJoinIsKnownToAllWithinTwoSecondsEvenWithoutBroadcast() {
-        for (boolean all : new boolean[] {true, false}) {
-            SimulatedQueryRouterFleet world = new SimulatedQueryRouterFleet(100, 3, MembershipSettings.defaults(), all);
-            world.datagrams().links(0.1, 0, 0.001, 0.018);
-            for (int place = 1; place < 100; place++) {
-                world.start(place);
+    void announcesAJoinToAllWithinTwoSecondsWithAndWithoutBroadcast() {
+        for (boolean hasBroadcast : new boolean[] {true, false}) {
+            SimulatedQueryRouterFleet fleet =
+                    new SimulatedQueryRouterFleet(100, 3, MembershipSettings.defaults(), hasBroadcast);
+            fleet.datagrams().setLinkQuality(0.1, 0, 0.001, 0.018);
+            for (int member = 1; member < 100; member++) {
+                fleet.start(member);
             }
-            world.secondsToConverge(30);
-            world.datagrams().run(world.datagrams().now() + 5);
-            world.start(0);
-            assertTrue(world.secondsToConverge(2) <= 2, "a way to all: " + all);
+            fleet.secondsToConverge(30);
+            fleet.datagrams().run(fleet.datagrams().now() + 5);
+            fleet.start(0);
+            assertTrue(fleet.secondsToConverge(2) <= 2, "broadcast: " + hasBroadcast);
         }
     }
 
     @Test
-    void aMemberPausedForTwoSecondsIsAtMostSuspectedAndSuspectsNobodyAfterwards() {
+    void declaresNoDeathAfterAPauseOfTwoSeconds() {
         for (long seed = 1; seed <= 10; seed++) {
-            SimulatedQueryRouterFleet world = running(60, 0.1, seed);
-            world.datagrams().setPaused(7, true);
-            world.datagrams().run(world.datagrams().now() + 2);
-            world.datagrams().setPaused(7, false);
-            world.datagrams().run(world.datagrams().now() + 4);
-            assertEquals(0, world.deaths().size(), "seed " + seed + ": " + world.deaths());
-            assertTrue(world.secondsToConverge(2) <= 2);
+            SimulatedQueryRouterFleet fleet = running(60, 0.1, seed);
+            fleet.datagrams().setPaused(7, true);
+            fleet.datagrams().run(fleet.datagrams().now() + 2);
+            fleet.datagrams().setPaused(7, false);
+            fleet.datagrams().run(fleet.datagrams().now() + 4);
+            assertEquals(0, fleet.deaths().size(), "seed " + seed + ": " + fleet.deaths());
+            assertTrue(fleet.secondsToConverge(2) <= 2);
         }
     }
 
     @Test
-    void afterAPartitionOfSixSecondsBothSidesConvergeWithinThreeSeconds() {
+    void convergesWithinThreeSecondsAfterAPartitionOfSixSeconds() {
         for (long seed = 1; seed <= 5; seed++) {
-            SimulatedQueryRouterFleet world = running(100, 0.1, seed);
-            world.datagrams().partition((from, to) -> from < 20 != to < 20);
-            world.datagrams().run(world.datagrams().now() + 6);
-            assertEquals(MemberState.DEAD, world.view(5).state(70));
-            assertEquals(MemberState.DEAD, world.view(70).state(5));
-            world.datagrams().partition((from, to) -> false);
-            assertTrue(world.secondsToConverge(3) <= 3, "seed " + seed);
+            SimulatedQueryRouterFleet fleet = running(100, 0.1, seed);
+            fleet.datagrams().partition((from, to) -> from < 20 != to < 20);
+            fleet.datagrams().run(fleet.datagrams().now() + 6);
+            assertEquals(MemberState.DEAD, fleet.view(5).state(70));
+            assertEquals(MemberState.DEAD, fleet.view(70).state(5));
+            fleet.datagrams().partition((from, to) -> false);
+            assertTrue(fleet.secondsToConverge(3) <= 3, "seed " + seed);
         }
     }
 
     @Test
-    void aMemberUnreachableInOneDirectionIsProbedIndirectlyAndNotDeclaredDead() {
-        SimulatedQueryRouterFleet world = running(20, 0, 4);
-        world.datagrams().partition((from, to) -> from == 3 && to == 9);
-        world.datagrams().run(world.datagrams().now() + 20);
-        assertEquals(0, world.deaths().size(), world.deaths().toString());
+    void doesNotDeclareAMemberDeadWhenOneDirectionIsBlocked() {
+        SimulatedQueryRouterFleet fleet = running(20, 0, 4);
+        fleet.datagrams().partition((from, to) -> from == 3 && to == 9);
+        fleet.datagrams().run(fleet.datagrams().now() + 20);
+        assertEquals(0, fleet.deaths().size(), fleet.deaths().toString());
     }
 
     @Test
-    void sevenInTenKilledAtOnceAreDeclaredDeadAndNoOthers() {
-        SimulatedQueryRouterFleet world = running(100, 0.1, 6);
-        for (int place = 0; place < 70; place++) {
-            world.datagrams().kill(place);
+    void declaresExactlyTheKilledMembersDeadWhenSeventyPercentCrash() {
+        SimulatedQueryRouterFleet fleet = running(100, 0.1, 6);
+        for (int member = 0; member < 70; member++) {
+            fleet.datagrams().kill(member);
         }
-        assertTrue(world.secondsToConverge(15) <= 15);
-        assertTrue(world.deaths().stream().allMatch(each -> Integer.parseInt(each.split(" ")[0]) < 70));
+        assertTrue(fleet.secondsToConverge(15) <= 15);
+        assertTrue(fleet.deaths().stream().allMatch(death -> Integer.parseInt(death.split(" ")[0]) < 70));
     }
 
     @Test
-    void aMemberThatShutsDownIsNotDeclaredDeadAndReturnsAfterARestart() {
-        SimulatedQueryRouterFleet world = running(10, 0, 7);
-        world.view(2).leave(world.datagrams().now());
-        world.datagrams().run(world.datagrams().now() + 0.1);
-        world.datagrams().kill(2);
-        assertTrue(world.secondsToConverge(1) <= 1);
-        assertEquals(MemberState.LEFT, world.view(0).state(2));
-        world.datagrams().run(world.datagrams().now() + 4);
-        assertEquals(0, world.deaths().size());
-        world.start(2);
-        assertTrue(world.secondsToConverge(2) <= 2);
+    void treatsAMemberThatShutsDownAsLeftAndAcceptsItsRestart() {
+        SimulatedQueryRouterFleet fleet = running(10, 0, 7);
+        fleet.view(2).leave(fleet.datagrams().now());
+        fleet.datagrams().run(fleet.datagrams().now() + 0.1);
+        fleet.datagrams().kill(2);
+        assertTrue(fleet.secondsToConverge(1) <= 1);
+        assertEquals(MemberState.LEFT, fleet.view(0).state(2));
+        fleet.datagrams().run(fleet.datagrams().now() + 4);
+        assertEquals(0, fleet.deaths().size());
+        fleet.start(2);
+        assertTrue(fleet.secondsToConverge(2) <= 2);
     }
 
     @Test
-    void aMemberRestartedBeforeItsFailureIsDetectedHasAHigherIncarnation() {
-        SimulatedQueryRouterFleet world = running(10, 0, 8);
-        long before = world.view(0).incarnation(4);
-        world.datagrams().kill(4);
-        world.datagrams().run(world.datagrams().now() + 0.3);
-        world.start(4);
-        assertTrue(world.secondsToConverge(2) <= 2);
-        assertTrue(world.view(0).incarnation(4) > before);
-        world.datagrams().run(world.datagrams().now() + 5);
-        assertEquals(0, world.deaths().size(), world.deaths().toString());
+    void acceptsAHigherIncarnationOfAMemberRestartedBeforeDetection() {
+        SimulatedQueryRouterFleet fleet = running(10, 0, 8);
+        long before = fleet.view(0).incarnation(4);
+        fleet.datagrams().kill(4);
+        fleet.datagrams().run(fleet.datagrams().now() + 0.3);
+        fleet.start(4);
+        assertTrue(fleet.secondsToConverge(2) <= 2);
+        assertTrue(fleet.view(0).incarnation(4) > before);
+        fleet.datagrams().run(fleet.datagrams().now() + 5);
+        assertEquals(0, fleet.deaths().size(), fleet.deaths().toString());
     }
 
     @Test
-    void aMemberWhoseClockWentBackBetweenTwoStartsIsAccepted() {
-        SimulatedQueryRouterFleet world = running(5, 0, 9);
-        long before = world.view(0).incarnation(1);
-        world.datagrams().kill(1);
-        world.datagrams().run(world.datagrams().now() + 5);
-        assertEquals(MemberState.DEAD, world.view(0).state(1));
-        world.startWith(1, 5);
-        assertTrue(world.secondsToConverge(2) <= 2, "it takes an incarnation above the one it is told of");
-        assertTrue(world.view(0).incarnation(1) > before);
+    void acceptsARestartedMemberWhoseClockWentBack() {
+        SimulatedQueryRouterFleet fleet = running(5, 0, 9);
+        long before = fleet.view(0).incarnation(1);
+        fleet.datagrams().kill(1);
+        fleet.datagrams().run(fleet.datagrams().now() + 5);
+        assertEquals(MemberState.DEAD, fleet.view(0).state(1));
+        fleet.startWithIncarnation(1, 5);
+        assertTrue(
+                fleet.secondsToConverge(2) <= 2,
+                "the member adopts an incarnation above the one that its peers report");
+        assertTrue(fleet.view(0).incarnation(1) > before);
     }
 
     @Test
-    void aLongerMemberListRetainsWhatIsKnownAndNewMembersAreUnknown() {
-        SimulatedQueryRouterFleet world = running(4, 0, 10);
-        MembershipView view = world.view(0);
-        view.onMemberListChanged(world.datagrams().now(), 6, 0);
+    void keepsKnownStatesWhenTheMemberListChanges() {
+        SimulatedQueryRouterFleet fleet = running(4, 0, 10);
+        MembershipView view = fleet.view(0);
+        view.onMemberListChanged(fleet.datagrams().now(), 6, 0);
         assertEquals("AAAAUU", view.stateLetters());
         assertEquals(4, view.liveCount());
-        assertEquals(6, view.maxSenders(world.datagrams().now()));
-        view.onMemberListChanged(world.datagrams().now(), 3, 0);
+        assertEquals(6, view.maxSenders(fleet.datagrams().now()));
+        view.onMemberListChanged(fleet.datagrams().now(), 3, 0);
         assertEquals("AAA", view.stateLetters());
-        world.datagrams().run(world.datagrams().now() + 3);
-        assertEquals("AAA", view.stateLetters(), "news of places that are not listed here is passed over");
+        fleet.datagrams().run(fleet.datagrams().now() + 3);
+        assertEquals("AAA", view.stateLetters(), "updates about members beyond the list are ignored");
     }
 
     @Test
-    void aDeadMemberRaisesTheBudgetShareOnlyAfterADelayAndWithinItsBound() {
-        SimulatedQueryRouterFleet world = running(10, 0, 11);
-        MembershipView view = world.view(0);
-        for (int place = 1; place < 6; place++) {
-            world.datagrams().kill(place);
+    void raisesTheBudgetShareForDeadMembersOnlyAfterADelayAndWithinABound() {
+        SimulatedQueryRouterFleet fleet = running(10, 0, 11);
+        MembershipView view = fleet.view(0);
+        for (int member = 1; member < 6; member++) {
+            fleet.datagrams().kill(member);
         }
-        world.secondsToConverge(15);
+        fleet.secondsToConverge(15);
         assertEquals(5, view.liveCount());
-        assertEquals(10, view.maxSenders(world.datagrams().now()));
-        world.datagrams().run(world.datagrams().now() + 31);
+        assertEquals(10, view.maxSenders(fleet.datagrams().now()));
+        fleet.datagrams().run(fleet.datagrams().now() + 31);
         assertEquals(
                 8,
-                view.maxSenders(world.datagrams().now()),
-                "half may be cut off and still sending: four fifths " + "at the least");
+                view.maxSenders(fleet.datagrams().now()),
+                "half may be partitioned and still sending: at least " + "four fifths");
     }
 
     @Test
-    void theLoadOfAMemberIsTheSameAmongTenAndAmongThreeHundred() {
+    void keepsTheLoadPerMemberNearlyConstantAsTheFleetGrows() {
         double[] bytes = new double[2];
         int[] sizes = {10, 300};
-        for (int each = 0; each < 2; each++) {
-            SimulatedQueryRouterFleet world = running(sizes[each], 0.1, 12);
-            long before = world.sentBytes();
-            world.datagrams().run(world.datagrams().now() + 10);
-            bytes[each] = (world.sentBytes() - before) / 10.0 / sizes[each];
+        for (int run = 0; run < 2; run++) {
+            SimulatedQueryRouterFleet fleet = running(sizes[run], 0.1, 12);
+            long before = fleet.sentBytes();
+            fleet.datagrams().run(fleet.datagrams().now() + 10);
+            bytes[run] = (fleet.sentBytes() - before) / 10.0 / sizes[run];
         }
-        assertTrue(bytes[1] <= 1.25 * bytes[0] && bytes[1] < 2000, bytes[0] + " and " + bytes[1] + " bytes a second");
+        assertTrue(bytes[1] <= 1.25 * bytes[0] && bytes[1] < 2000, bytes[0] + " and " + bytes[1] + " bytes per second");
     }
 
     @Test
-    void theSameEventsGiveTheSameDatagrams() {
-        SimulatedQueryRouterFleet one = running(30, 0.1, 13);
-        SimulatedQueryRouterFleet other = running(30, 0.1, 13);
-        one.datagrams().kill(3);
-        other.datagrams().kill(3);
-        one.datagrams().run(one.datagrams().now() + 4);
-        other.datagrams().run(other.datagrams().now() + 4);
-        assertEquals(one.sentBytes(), other.sentBytes());
-        assertEquals(one.view(0).metrics(), other.view(0).metrics());
+    void sendsTheSameDatagramsForTheSameEvents() {
+        SimulatedQueryRouterFleet first = running(30, 0.1, 13);
+        SimulatedQueryRouterFleet second = running(30, 0.1, 13);
+        first.datagrams().kill(3);
+        second.datagrams().kill(3);
+        first.datagrams().run(first.datagrams().now() + 4);
+        second.datagrams().run(second.datagrams().now() + 4);
+        assertEquals(first.sentBytes(), second.sentBytes());
+        assertEquals(first.view(0).metrics(), second.view(0).metrics());
     }
 
     @Test
-    void aFleetOfOneHasNoPeersAndNoWarnings() {
-        SimulatedQueryRouterFleet world = new SimulatedQueryRouterFleet(1, 14).startAll();
-        world.datagrams().run(world.datagrams().now() + 5);
-        assertEquals("A", world.view(0).stateLetters());
-        assertEquals(1, world.view(0).maxSenders(world.datagrams().now()));
-        assertEquals(0, world.deaths().size());
-        assertFalse(world.view(0).metrics().isEmpty());
+    void runsAFleetOfOneWithoutPeersOrWarnings() {
+        SimulatedQueryRouterFleet fleet = new SimulatedQueryRouterFleet(1, 14).startAll();
+        fleet.datagrams().run(fleet.datagrams().now() + 5);
+        assertEquals("A", fleet.view(0).stateLetters());
+        assertEquals(1, fleet.view(0).maxSenders(fleet.datagrams().now()));
+        assertEquals(0, fleet.deaths().size());
+        assertFalse(fleet.view(0).metrics().isEmpty());
     }
 
     @Test
-    void aMemberWithoutContactDoesNotDecideAsIfItWereTheOnlyOne() {
-        SimulatedQueryRouterFleet world = new SimulatedQueryRouterFleet(10, 15);
-        world.start(0);
-        assertEquals(10, world.view(0).estimatedSenders(), "nothing is known of the others but that they are listed");
-        world = running(10, 0, 15);
-        world.datagrams().partition((from, to) -> true);
-        world.datagrams().run(world.datagrams().now() + 12);
-        assertEquals(1, world.view(0).liveCount());
-        assertEquals(5, world.view(0).estimatedSenders());
-        world.datagrams().partition((from, to) -> false);
-        assertTrue(world.secondsToConverge(3) <= 3);
-        assertEquals(10, world.view(0).estimatedSenders());
+    void doesNotActAsTheOnlyMemberWithoutContact() {
+        SimulatedQueryRouterFleet fleet = new SimulatedQueryRouterFleet(10, 15);
+        fleet.start(0);
+        assertEquals(
+                10, fleet.view(0).estimatedSenders(), "nothing is known about the others except that they are listed");
+        fleet = running(10, 0, 15);
+        fleet.datagrams().partition((from, to) -> true);
+        fleet.datagrams().run(fleet.datagrams().now() + 12);
+        assertEquals(1, fleet.view(0).liveCount());
+        assertEquals(5, fleet.view(0).estimatedSenders());
+        fleet.datagrams().partition((from, to) -> false);
+        assertTrue(fleet.secondsToConverge(3) <= 3);
+        assertEquals(10, fleet.view(0).estimatedSenders());
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/FleetLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/FleetLab.java
@@ -168,12 +168,12 @@
     private static void play(Setting setting, long seed, Found found) {
         int size = setting.size;
         SimulatedQueryRouterFleet fleet = new SimulatedQueryRouterFleet(size, seed);
-        fleet.datagrams().links(setting.loss, 0.01, 0.001, 0.018);
+        fleet.datagrams().setLinkQuality(setting.loss, 0.01, 0.001, 0.018);
         fleet.startAll();
         rest(fleet, 10);
         long bytes = fleet.sentBytes();
         long datagrams = fleet.sent();
-        fleet.datagrams().mostInSecond();
+        fleet.datagrams().takeMaxPerSecond();
         rest(fleet, 10);
         double load = (fleet.sentBytes() - bytes) / 10.0 / size;
         double often = (fleet.sent() - datagrams) / 10.0 / size;
@@ -209,7 +209,7 @@
         }
         took.put(CASES.get(4), fleet.secondsToConvergePerMember(LONGEST));
         falseDeaths += newDeaths(fleet, before, dead -> dead >= first && dead < first + killed);
-        int most = fleet.datagrams().mostInSecond();
+        int most = fleet.datagrams().takeMaxPerSecond();
         synchronized (found) {
             took.forEach(found::took);
             found.falseDeaths += falseDeaths;
--- a/testing/lab/src/main/java/pinewick/lab/StateLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/StateLab.java
@@ -131,7 +131,7 @@
     private static void play(Setting setting, long seed, Found found) {
         SplittableRandom chance = new SplittableRandom(seed);
         SimulatedStateFleet world = new SimulatedStateFleet(setting.size, seed, FactReplicationSettings.defaults());
-        world.datagrams().links(setting.loss, 0.01, 0.001, 0.018);
+        world.datagrams().setLinkQuality(setting.loss, 0.01, 0.001, 0.018);
         world.startAll();
         traffic(world, 10, chance);
         long before = world.sentBytes();
