--- a/testing/emulator/src/main/java/pinewick/emulator/control/ApiMutations.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/ApiMutations.java
@@ -20,7 +20,7 @@
         return new ApiResponse(status, Optional.empty(), EMPTY_OBJECT);
     }
 
-    /** The configuration in the memory of a process that believes to be primary. */
+    /** The configuration in the memory of a process that considers itself primary. */
     private static Optional<ConfigurationDocument> inMemory(ControllerProcess controller) {
         ConfigurationDocument document = controller.state().configuration();
         return controller.isPrimary() && document.version() > 0 ? Optional.of(document) : Optional.empty();
@@ -30,30 +30,30 @@
         return new ApiResponse(307, Optional.of("http://" + api + call.api().path()), EMPTY_OBJECT);
     }
 
-    /** Answers 412 from memory. */
+    /** Responds with 412 based on the configuration in memory. */
     static final class RejectsFromMemory extends Mutation {
         @Override
-        Optional<ApiResponse> responseInstead(ControllerProcess controller, OperatorCall call) {
+        Optional<ApiResponse> overrideResponse(ControllerProcess controller, OperatorCall call) {
             return inMemory(controller)
                     .filter(current -> call.change() != null && call.change().base() > current.version())
                     .map(current -> status(412));
         }
     }
 
-    /** Answers reads from memory. */
+    /** Responds to reads from memory. */
     static final class ReadsFromMemory extends Mutation {
         @Override
-        Optional<ApiResponse> responseInstead(ControllerProcess controller, OperatorCall call) {
+        Optional<ApiResponse> overrideResponse(ControllerProcess controller, OperatorCall call) {
             return inMemory(controller)
                     .filter(current -> call.operation() == OperatorCall.Operation.READ)
                     .map(current -> new ApiResponse(200, Optional.empty(), ConfigurationChecks.toJson(current)));
         }
     }
 
-    /** Answers 400 by what is in memory, current or not. */
+    /** Responds with 400 based on the configuration in memory, whether or not it is current. */
     static final class ValidatesAgainstMemory extends Mutation {
         @Override
-        Optional<ApiResponse> responseInstead(ControllerProcess controller, OperatorCall call) {
+        Optional<ApiResponse> overrideResponse(ControllerProcess controller, OperatorCall call) {
             return inMemory(controller)
                     .filter(current -> call.operation() == OperatorCall.Operation.UPDATE)
                     .filter(current -> isInvalid(current, call.change()))
@@ -73,7 +73,7 @@
     /** Checks the version before recognising a resent change. */
     static final class ChecksVersionFirst extends Mutation {
         @Override
-        Optional<ApiResponse> responseInstead(ControllerProcess controller, OperatorCall call) {
+        Optional<ApiResponse> overrideResponse(ControllerProcess controller, OperatorCall call) {
             return inMemory(controller)
                     .filter(current -> call.change() != null && call.change().version() <= current.version())
                     .map(current -> status(400));
@@ -82,15 +82,15 @@
 
     /** Repeats the last redirect when no primary is known. */
     static final class CachesRedirects extends Mutation {
-        private final Map<ControllerMachine, String> last = new java.util.HashMap<>();
+        private final Map<ControllerMachine, String> lastRedirects = new java.util.HashMap<>();
 
         @Override
         ApiResponse onResponse(ControllerProcess controller, OperatorCall call, ApiResponse response) {
             if (response.status() == 307) {
-                String rest = response.location().orElseThrow().substring("http://".length());
-                last.put(controller.machine(), rest.substring(0, rest.indexOf('/')));
+                String remainder = response.location().orElseThrow().substring("http://".length());
+                lastRedirects.put(controller.machine(), remainder.substring(0, remainder.indexOf('/')));
             }
-            String cached = last.get(controller.machine());
+            String cached = lastRedirects.get(controller.machine());
             return response.status() == 503 && cached != null ? redirect(cached, call) : response;
         }
     }
@@ -109,16 +109,16 @@
     static final class Rebases extends Mutation {
         @Override
         OperatorCall onCall(ControllerProcess controller, OperatorCall call) {
-            boolean change = call.change() != null;
+            boolean isChange = call.change() != null;
             return inMemory(controller)
-                    .filter(current -> change && call.change().base() < current.version())
+                    .filter(current -> isChange && call.change().base() < current.version())
                     .map(current -> call.with(
                             call.operation(), current.version(), call.api().body()))
                     .orElse(call);
         }
     }
 
-    /** Takes changed items for the full configuration. */
+    /** Treats changed items as the full configuration. */
     static final class ReplacesInsteadOfUpdating extends Mutation {
         @Override
         OperatorCall onCall(ControllerProcess controller, OperatorCall call) {
@@ -137,7 +137,7 @@
     /** Recognises a resent change by its version alone. */
     static final class ComparesVersionsOnly extends Mutation {
         @Override
-        Optional<ApiResponse> responseInstead(ControllerProcess controller, OperatorCall call) {
+        Optional<ApiResponse> overrideResponse(ControllerProcess controller, OperatorCall call) {
             return inMemory(controller)
                     .filter(current -> call.change() != null && call.change().version() == current.version())
                     .map(current -> status(200));
--- a/testing/emulator/src/main/java/pinewick/emulator/control/CallHistory.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/CallHistory.java
@@ -3,24 +3,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** When requests arrived at controllers and when their responses were sent, in order. */
+/** The order in which requests arrived at controllers and in which their responses were sent. */
 final class CallHistory {
-    /** The result of a request, if it was answered. */
+    /** The outcome of a request, if it got a response. */
     enum Outcome {
-        /** No definite result. */
+        /** No definite outcome. */
         NONE,
         /** The configuration had this version. */
         READ,
-        /** Another version than the change's base was current. */
+        /** The current version differed from the base of the change. */
         CONFLICT,
         /** The change was invalid for the current version. */
         INVALID
     }
 
-    /** One request, since it arrived at the controller that answered it. */
+    /** One request, from its arrival at the controller that responds to it. */
     static final class Call {
         private final SubmittedChange change;
-        private Outcome finding = Outcome.NONE;
+        private Outcome outcome = Outcome.NONE;
         private long version;
 
         private Call(SubmittedChange change) {
@@ -31,8 +31,8 @@
             return change;
         }
 
-        Outcome finding() {
-            return finding;
+        Outcome outcome() {
+            return outcome;
         }
 
         long version() {
@@ -76,8 +76,8 @@
         return call;
     }
 
-    void onAnswered(Call call, Outcome finding, long version) {
-        call.finding = finding;
+    void onAnswered(Call call, Outcome outcome, long version) {
+        call.outcome = outcome;
         call.version = version;
         events.add(new Answered(call));
     }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/ControlPlaneSimulation.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/ControlPlaneSimulation.java
@@ -66,14 +66,14 @@
         return Math.floorMod(seed, BUSY_EVERY_SEEDS) == BUSY_SEED;
     }
 
-    /** The scenario of a seed; consecutive seeds simulate them in turn. */
+    /** The scenario of a seed; the scenarios alternate over consecutive seeds. */
     public static Scenario scenarioOf(long seed) {
         List<Scenario> scenarios = Scenario.inTurn();
         return scenarios.get((int) Math.floorMod(seed / 4, scenarios.size()));
     }
 
     /**
-     * Simulates a run of the mutant's scenario, or else the seed's own; see
+     * Simulates a run in the scenario of the mutant, or by default in that of the seed; see
      * {@link #run(long, Scenario, Mutant, boolean)}.
      */
     public static SimulationResult run(long seed, Mutant mutant, boolean isTraced) {
@@ -91,8 +91,8 @@
         ControlPlaneSimulation simulation = new ControlPlaneSimulation(seed, scenario, mutant, isTraced);
         Optional<InvariantViolation> violation = simulation.run();
         violation
-                .filter(broken -> simulation.system.firstViolation().isEmpty())
-                .ifPresent(broken -> simulation.system.trace("BROKEN " + broken.getMessage()));
+                .filter(found -> simulation.system.firstViolation().isEmpty())
+                .ifPresent(found -> simulation.system.trace("VIOLATION " + found.getMessage()));
         List<Double> latenciesMs = new ArrayList<>(simulation.first.acknowledgementTimesMs());
         latenciesMs.addAll(simulation.second.acknowledgementTimesMs());
         HistoryChecker history = simulation.system.history();
@@ -127,8 +127,8 @@
 
     private void runFaults() {
         FaultInjector faults = startFaults();
-        system.after(500, () -> first.work(endMs));
-        system.after(700, () -> second.work(endMs));
+        system.after(500, () -> first.run(endMs));
+        system.after(700, () -> second.run(endMs));
         system.time().runUntil(endMs);
         faults.heal();
         system.routers().forEach(RouterMachine::resume);
@@ -174,7 +174,7 @@
         return scenarios.faults();
     }
 
-    /** An operator reads often, at every controller, while one of them receives replies from long ago. */
+    /** An operator reads frequently, at every controller, while one of them receives outdated replies. */
     private void delayedReplies(FaultScenarios scenarios) {
         scenarios.delayedReplies(random.nextDouble(FAULTS_FROM_MS, 3_000));
         Operator reader = new Operator(system, 5, random.split());
@@ -202,50 +202,53 @@
 
     /** While a controller is partitioned, an operator that reaches both sides submits changes. */
     private void submitPeriodically(Operator operator, FaultScenarios scenarios, double untilMs) {
-        double beganMs = system.nowMs();
-        if (beganMs + SimulatedSystem.ACK_MS >= untilMs) {
+        double startedMs = system.nowMs();
+        if (startedMs + SimulatedSystem.ACK_MS >= untilMs) {
             return;
         }
-        boolean[] answered = new boolean[1];
+        boolean[] responded = new boolean[1];
         operator.submit(
                 operator.validChange(),
                 () -> {
-                    answered[0] = true;
-                    if (scenarios.isOnlyPartitionBetween(beganMs, system.nowMs())) {
-                        changeLatenciesMs.add(system.nowMs() - beganMs);
+                    responded[0] = true;
+                    if (scenarios.isOnlyPartitionBetween(startedMs, system.nowMs())) {
+                        changeLatenciesMs.add(system.nowMs() - startedMs);
                     }
                 },
-                () -> answered[0] = true);
+                () -> responded[0] = true);
         system.after(SimulatedSystem.ACK_MS, () -> {
-            boolean isExcused = !scenarios.isOnlyPartitionBetween(beganMs, system.nowMs());
+            boolean isExcused = !scenarios.isOnlyPartitionBetween(startedMs, system.nowMs());
             InvariantViolation.require(
-                    isExcused || answered[0],
+                    isExcused || responded[0],
                     Invariant.ACKNOWLEDGED_IN_TIME,
-                    "beside a controller that is cut off, a change has no answer in " + SimulatedSystem.ACK_MS + " ms");
+                    "while one controller is partitioned, a change got no response within " + SimulatedSystem.ACK_MS
+                            + " ms");
             submitPeriodically(operator, scenarios, untilMs);
         });
     }
 
     /** After all faults have ended, a change is accepted and read back. */
     private void verifyRecovery() {
-        Operator last = new Operator(system, 4, random.split());
+        Operator verifier = new Operator(system, 4, random.split());
         long acknowledged = system.history().newestAcknowledged();
-        boolean[] ended = new boolean[3];
-        last.read(() -> ended[0] = true);
-        await(ended, 0, Invariant.READ_IN_TIME, "a read");
+        boolean[] completed = new boolean[3];
+        verifier.read(() -> completed[0] = true);
+        await(completed, 0, Invariant.READ_IN_TIME, "a read");
         InvariantViolation.require(
                 system.history().newestInForce() >= acknowledged,
                 Invariant.ACKNOWLEDGED_IS_DURABLE,
-                "version " + acknowledged + " is lost");
-        last.submit(last.validChange(), () -> ended[1] = true);
-        await(ended, 1, Invariant.ACKNOWLEDGED_IN_TIME, "a change");
-        last.read(() -> ended[2] = true);
-        await(ended, 2, Invariant.READ_IN_TIME, "a read");
+                "acknowledged version " + acknowledged + " is lost");
+        verifier.submit(verifier.validChange(), () -> completed[1] = true);
+        await(completed, 1, Invariant.ACKNOWLEDGED_IN_TIME, "a change");
+        verifier.read(() -> completed[2] = true);
+        await(completed, 2, Invariant.READ_IN_TIME, "a read");
     }
 
-    private void await(boolean[] ended, int step, Invariant invariant, String what) {
-        double tookMs = system.time().runUntil(() -> ended[step], SimulatedSystem.ACK_MS);
+    private void await(boolean[] completed, int step, Invariant invariant, String operation) {
+        double elapsedMs = system.time().runUntil(() -> completed[step], SimulatedSystem.ACK_MS);
         InvariantViolation.require(
-                !Double.isNaN(tookMs), invariant, what + " has no answer in " + SimulatedSystem.ACK_MS + " ms");
+                !Double.isNaN(elapsedMs),
+                invariant,
+                operation + " got no response within " + SimulatedSystem.ACK_MS + " ms");
     }
 }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/ControllerLossScenarios.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/ControllerLossScenarios.java
@@ -7,20 +7,20 @@
 import java.util.SplittableRandom;
 import java.util.function.IntConsumer;
 
-/** Scenarios in which several controllers are lost or cut off, within what the deployment has to survive. */
+/** Scenarios in which several controllers are lost or partitioned, within what the deployment must survive. */
 final class ControllerLossScenarios {
     private static final double MAX_HALVES_MS = 5_000;
     private static final double MAX_MISSED_MS = 2_500;
     private static final double MAX_BETWEEN_HEAL_AND_KILL_MS = 30;
 
-    /** A loss occurs at most this long before the SIGTERM of a planned leaver. */
+    /** A loss occurs at most this long before the SIGTERM of a planned shutdown. */
     private static final double LOSS_BEFORE_LEAVING_MS = 300;
 
     private static final double LOSS_AFTER_LEAVING_MS = 1_500;
-    private static final double LOSS_AFTER_END_MS = 60;
+    private static final double LOSS_AFTER_EXIT_MS = 60;
     private static final double MIN_SUCCESSOR_LEAD_MS = 200;
     private static final double MAX_SUCCESSOR_LEAD_MS = 2_500;
-    private static final int MAX_STEPS_OF_LEAVING = 150;
+    private static final int MAX_LEAVING_STEPS = 150;
 
     private final SimulatedSystem system;
     private final FaultInjector faults;
@@ -38,8 +38,8 @@
     }
 
     /**
-     * A controller leaves as planned, in most runs for good and with its successor there first; one disk of another
-     * machine is lost shortly before, at any step of it, or right after its end.
+     * A controller shuts down as planned, in most runs permanently and after its successor has started; the disk of
+     * another machine is lost shortly before, at any step of the shutdown, or right after the exit.
      */
     void lossWhileLeaving(double atMs) {
         system.after(atMs, () -> {
@@ -47,25 +47,25 @@
             ControllerMachine leaving = random.nextInt(3) == 0
                     ? system.primary().orElse(present.get(0))
                     : present.get(random.nextInt(present.size()));
-            boolean forGood = random.nextInt(4) > 0;
-            if (forGood) {
+            boolean isPermanent = random.nextInt(4) > 0;
+            if (isPermanent) {
                 faults.addSuccessor(leaving).start(false);
             }
             double leadMs = random.nextDouble(MIN_SUCCESSOR_LEAD_MS, MAX_SUCCESSOR_LEAD_MS);
-            system.after(leadMs, () -> leave(leaving, forGood));
+            system.after(leadMs, () -> leave(leaving, isPermanent));
             drawLoss(leadMs, leaving);
         });
     }
 
-    private void leave(ControllerMachine leaving, boolean forGood) {
+    private void leave(ControllerMachine leaving, boolean isPermanent) {
         leaving.terminate(detached -> {
-            if (forGood && detached) {
+            if (isPermanent && detached) {
                 leaving.remove();
-                system.trace(leaving + " is taken away for good");
+                system.trace(leaving + " is removed permanently");
             } else {
                 system.after(random.nextDouble(50, 1_500), () -> leaving.start(false));
             }
-            system.after(random.nextDouble(LOSS_AFTER_END_MS), () -> loseDisk(leaving));
+            system.after(random.nextDouble(LOSS_AFTER_EXIT_MS), () -> loseDisk(leaving));
         });
     }
 
@@ -75,10 +75,10 @@
                     Math.max(0, leadMs + random.nextDouble(-LOSS_BEFORE_LEAVING_MS, LOSS_AFTER_LEAVING_MS)),
                     () -> loseDisk(leaving));
             case 1, 2 -> system.after(leadMs, () -> {
-                int step = random.nextInt(MAX_STEPS_OF_LEAVING);
+                int step = random.nextInt(MAX_LEAVING_STEPS);
                 system.onControllerMessages(countdown(step, () -> loseDisk(leaving)));
             });
-            default -> system.trace("the loss follows the end");
+            default -> system.trace("the loss follows the exit");
         }
     }
 
@@ -100,19 +100,19 @@
         faults.wipe(others.get(random.nextInt(others.size())));
     }
 
-    /** The controllers are cut into two halves; at times disks are lost meanwhile. */
+    /** The controllers are partitioned into two groups; in some runs disks are lost meanwhile. */
     void halves(double fromMs, double untilMs) {
         system.after(fromMs, () -> {
             if (system.nowMs() >= untilMs) {
                 return;
             }
-            double forMs = random.nextDouble(100, MAX_HALVES_MS);
-            faults.splitInTwo(forMs);
+            double durationMs = random.nextDouble(100, MAX_HALVES_MS);
+            faults.splitInTwo(durationMs);
             if (random.nextBoolean() && !diskLost) {
                 diskLost = true;
-                system.after(random.nextDouble(forMs), () -> wipeSome(shuffled(system.present())));
+                system.after(random.nextDouble(durationMs), () -> wipeSome(shuffled(system.present())));
             }
-            halves(forMs + random.nextDouble(10, 1_500), untilMs);
+            halves(durationMs + random.nextDouble(10, 1_500), untilMs);
         });
     }
 
@@ -122,7 +122,7 @@
         return shuffled;
     }
 
-    /** As many disks as are tolerated are lost. */
+    /** Wipes as many disks as the deployment tolerates to lose. */
     private void wipeSome(List<ControllerMachine> machines) {
         machines.stream().limit(system.toleratedMachines()).forEach(faults::wipe);
     }
@@ -136,15 +136,15 @@
             List<ControllerMachine> machines = shuffled(system.present());
             List<ControllerMachine> minority = machines.subList(0, system.toleratedMachines());
             List<ControllerMachine> others = machines.subList(system.toleratedMachines(), machines.size());
-            double forMs = random.nextDouble(500, MAX_MISSED_MS);
-            minority.forEach(machine -> faults.isolate(machine, forMs, random.nextBoolean()));
+            double durationMs = random.nextDouble(500, MAX_MISSED_MS);
+            minority.forEach(machine -> faults.isolate(machine, durationMs, random.nextBoolean()));
             system.after(
-                    forMs + random.nextDouble(MAX_BETWEEN_HEAL_AND_KILL_MS),
+                    durationMs + random.nextDouble(MAX_BETWEEN_HEAL_AND_KILL_MS),
                     () -> others.forEach(machine -> {
                         machine.resume();
                         faults.kill(machine, random.nextDouble(50, 2_000));
                     }));
-            relievedMinority(forMs + random.nextDouble(2_500, 4_500), untilMs);
+            relievedMinority(durationMs + random.nextDouble(2_500, 4_500), untilMs);
         });
     }
 
@@ -157,12 +157,13 @@
             List<ControllerMachine> machines = shuffled(system.present());
             int tolerated = system.toleratedMachines();
             double missedMs = random.nextDouble(500, MAX_MISSED_MS);
-            double darkMs = random.nextDouble(500, 3_000);
+            double powerlessMs = random.nextDouble(500, 3_000);
             machines.subList(0, tolerated)
-                    .forEach(machine -> faults.isolate(machine, missedMs + darkMs * random.nextDouble(0.5, 1), false));
+                    .forEach(machine ->
+                            faults.isolate(machine, missedMs + powerlessMs * random.nextDouble(0.5, 1), false));
             system.after(missedMs, () -> {
-                machines.subList(tolerated, 2 * tolerated).forEach(machine -> faults.wipe(machine, darkMs));
-                machines.subList(2 * tolerated, machines.size()).forEach(machine -> faults.kill(machine, darkMs));
+                machines.subList(tolerated, 2 * tolerated).forEach(machine -> faults.wipe(machine, powerlessMs));
+                machines.subList(2 * tolerated, machines.size()).forEach(machine -> faults.kill(machine, powerlessMs));
             });
         });
     }
@@ -177,7 +178,7 @@
             system.after(1, () -> awaitAcknowledgement(before));
             return;
         }
-        system.trace("everything loses power");
+        system.trace("all controllers and routers lose power");
         List<ControllerMachine> machines = shuffled(system.present());
         machines.forEach(ControllerMachine::resume);
         machines.stream().skip(system.toleratedMachines()).forEach(machine -> faults.kill(machine));
--- a/testing/emulator/src/main/java/pinewick/emulator/control/ControllerMachine.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/ControllerMachine.java
@@ -45,7 +45,7 @@
         return new SocketAddress("10.1.0." + number, API_PORT);
     }
 
-    /** Counts the machines from 1 on. */
+    /** The number of the machine, from 1. */
     int number() {
         return number;
     }
@@ -74,7 +74,7 @@
         return seeds;
     }
 
-    void seeds(List<SocketAddress> addresses) {
+    void setSeeds(List<SocketAddress> addresses) {
         seeds = List.copyOf(addresses);
     }
 
@@ -82,8 +82,8 @@
         return FIRST_WALL_CLOCK_MS + system.nowMs() + wallClockStepMs;
     }
 
-    void stepClock(double byMs) {
-        wallClockStepMs += byMs;
+    void stepClock(double stepMs) {
+        wallClockStepMs += stepMs;
     }
 
     Optional<ControllerProcess> process() {
@@ -107,7 +107,7 @@
         return process.filter(ControllerProcess::isPrimary).isPresent();
     }
 
-    /** It sent a heartbeat as primary. */
+    /** Records that it sends a heartbeat as primary. */
     void onHeartbeatSent() {
         lastHeartbeatSentMs = system.nowMs();
     }
@@ -117,12 +117,12 @@
         return lastHeartbeatSentMs;
     }
 
-    /** It has a fault at this moment, or cannot reach the majority. */
+    /** Records that it has a fault at this moment or cannot reach the majority. */
     void onFault() {
         lastFaultMs = system.nowMs();
     }
 
-    /** Whether it ran, and reached the majority, from {@code sinceMs} on. */
+    /** Whether it has been running and reaching the majority since {@code sinceMs}. */
     boolean isUndisturbedSince(double sinceMs) {
         return lastFaultMs < sinceMs;
     }
@@ -136,7 +136,7 @@
         return removed;
     }
 
-    /** Until when this machine counts as lost. */
+    /** The time until which this machine counts as lost. */
     double lostUntilMs() {
         return lostUntilMs;
     }
@@ -162,31 +162,31 @@
         if (isRunning()) {
             system.trace(host + " killed");
             system.onControllerFault();
-            process.get().end();
+            process.get().stop();
             process = Optional.empty();
         }
     }
 
-    /** SIGTERM. {@code onEnded} receives whether the process was detached by then. */
-    void terminate(Consumer<Boolean> onEnded) {
+    /** SIGTERM. {@code onExited} receives whether the process was detached by then. */
+    void terminate(Consumer<Boolean> onExited) {
         if (isRunning() && !process.get().isShuttingDown()) {
-            system.trace(host + " is asked to end");
+            system.trace(host + " receives SIGTERM");
             system.onControllerFault();
-            ControllerProcess ending = process.get();
-            ending.terminate(detached -> {
-                system.trace(host + " ends, detached " + detached);
+            ControllerProcess exiting = process.get();
+            exiting.terminate(detached -> {
+                system.trace(host + " exits, detached: " + detached);
                 if (detached) {
                     system.guard(() -> system.onDetached(this));
                 }
                 kill();
-                onEnded.accept(detached);
+                onExited.accept(detached);
             });
         }
     }
 
     void wipe() {
         kill();
-        system.trace(host + " loses its disk");
+        system.trace(host + " disk wiped");
         disk.wipe();
     }
 
@@ -202,7 +202,7 @@
 
     void resume() {
         if (isFrozen()) {
-            system.trace(host + " thaws");
+            system.trace(host + " resumes");
             lastResumeMs = system.nowMs();
             onFault();
             system.onControllerFault();
--- a/testing/emulator/src/main/java/pinewick/emulator/control/ControllerProcess.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/ControllerProcess.java
@@ -30,7 +30,7 @@
 import pinewick.replication.ReplicationReport;
 import pinewick.replication.ReplicationSettings;
 
-/** One incarnation of a controller's process: the real {@link ControllerCore}, on a loop in virtual time. */
+/** One incarnation of a controller's process: the real {@link ControllerCore} on a task loop in virtual time. */
 final class ControllerProcess implements TaskLoop {
     /** Time between SIGTERM and SIGKILL, as in the deployments. */
     private static final double GRACE_PERIOD_SECONDS = 8;
@@ -83,7 +83,7 @@
         core.state().addListener(new StateObserver());
     }
 
-    /** Checks what this process knows against the invariants. */
+    /** Checks the fleet state of this process against the invariants. */
     private final class StateObserver implements FleetStateListener {
         @Override
         public void onConfigurationChanged(ConfigurationDocument document) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /** At intervals the process would order replicas, if it had the lease. */
+    /** Uses the lease at intervals while the process has it, as it would to control replicas. */
     private void useLease() {
         if (running) {
             run(() -> system.mutation().leadingEpoch(this, core.leadingEpoch()).ifPresent(epoch -> system.lease()
@@ -158,12 +158,12 @@
         return core.primary();
     }
 
-    /** The report of its replicated configuration. */
+    /** The report about its replicated configuration. */
     ReplicationReport report() {
         return core.replicationReport();
     }
 
-    /** Whether this process believes to be primary. */
+    /** Whether this process considers itself primary. */
     boolean isPrimary() {
         return running && core.primary().filter(machine.api()::equals).isPresent();
     }
@@ -183,7 +183,7 @@
         system.after(delayMs, () -> run(task));
     }
 
-    /** Runs a task in the process; after it resumes, if it is frozen. */
+    /** Runs a task in the process; if it is frozen, after it resumes. */
     void run(Runnable task) {
         if (!running) {
             return;
@@ -204,20 +204,20 @@
     }
 
     /** A request of an operator has arrived. */
-    void onOperatorCall(OperatorCall sent, Consumer<ApiResponse> onResponse) {
+    void onOperatorCall(OperatorCall call, Consumer<ApiResponse> onResponse) {
         if (shuttingDown) {
             onResponse.accept(new ApiResponse(503, Optional.empty(), new byte[0]));
             return;
         }
-        CallHistory.Call record = system.history().calls().onReceived(sent.change());
+        CallHistory.Call record = system.history().calls().onReceived(call.change());
         Consumer<ApiResponse> responder = response -> {
-            ApiResponse mutated = system.mutation().onResponse(this, sent, response);
-            system.guard(() -> check(record, sent, mutated));
+            ApiResponse mutated = system.mutation().onResponse(this, call, response);
+            system.guard(() -> check(record, call, mutated));
             onResponse.accept(mutated);
         };
         run(() -> system.mutation()
-                .responseInstead(this, sent)
-                .ifPresentOrElse(responder, () -> dispatch(system.mutation().onCall(this, sent), responder)));
+                .overrideResponse(this, call)
+                .ifPresentOrElse(responder, () -> dispatch(system.mutation().onCall(this, call), responder)));
     }
 
     private void dispatch(OperatorCall call, Consumer<ApiResponse> responder) {
@@ -229,40 +229,41 @@
         }
     }
 
-    /** The response counts when it is sent: nothing that follows may contradict it. */
-    private void check(CallHistory.Call record, OperatorCall call, ApiResponse responder) {
-        if (responder.status() == 200 && call.change() == null) {
-            ConfigurationDocument document = parse(responder.body());
-            system.history().reads(machine.host(), document);
+    /** A response counts from when it is sent: no later event may contradict it. */
+    private void check(CallHistory.Call record, OperatorCall call, ApiResponse response) {
+        if (response.status() == 200 && call.change() == null) {
+            ConfigurationDocument document = parse(response.body());
+            system.history().onRead(machine.host(), document);
             system.history().calls().onAnswered(record, CallHistory.Outcome.READ, document.version());
-        } else if (responder.status() == 200) {
+        } else if (response.status() == 200) {
             system.history().onAcknowledged(machine.host(), call.change());
             system.history().calls().onAcknowledged(call.change());
             system.freshness().onAcknowledged(call.change().version(), system.nowMs());
             system.fleetChecker()
                     .onConfigurationAcknowledged(machine, call.change().version());
-        } else if (responder.status() == 412 || responder.status() == 400) {
-            system.history().onRejected(machine.host(), call.change(), responder.status());
-            CallHistory.Outcome finding =
-                    responder.status() == 412 ? CallHistory.Outcome.CONFLICT : CallHistory.Outcome.INVALID;
-            system.history().calls().onAnswered(record, finding, 0);
-        } else if (responder.status() == 307) {
-            URI location = URI.create(responder.location().orElseThrow());
+        } else if (response.status() == 412 || response.status() == 400) {
+            system.history().onRejected(machine.host(), call.change(), response.status());
+            CallHistory.Outcome outcome =
+                    response.status() == 412 ? CallHistory.Outcome.CONFLICT : CallHistory.Outcome.INVALID;
+            system.history().calls().onAnswered(record, outcome, 0);
+        } else if (response.status() == 307) {
+            URI location = URI.create(response.location().orElseThrow());
             system.onRedirect(machine, new SocketAddress(location.getHost(), location.getPort()));
-        } else if (responder.status() == 500) {
-            throw new InvariantViolation(Invariant.NO_FAILURE, machine.host() + " answers 500");
+        } else if (response.status() == 500) {
+            throw new InvariantViolation(Invariant.NO_FAILURE, machine.host() + " responded with 500");
         }
     }
 
     private static ConfigurationDocument parse(byte[] json) {
         try {
-            JsonObject whole = JsonParser.parseString(new String(json, StandardCharsets.UTF_8))
+            JsonObject parsed = JsonParser.parseString(new String(json, StandardCharsets.UTF_8))
                     .getAsJsonObject();
-            return whole.get("version").getAsLong() == 0
+            return parsed.get("version").getAsLong() == 0
                     ? ConfigurationDocument.EMPTY
                     : ConfigurationChecks.parseReplacement(json);
         } catch (InvalidConfigurationException e) {
-            throw new InvariantViolation(Invariant.AS_SENT, "a configuration that was read cannot be parsed: " + e);
+            throw new InvariantViolation(
+                    Invariant.AS_SENT, "a read returned a configuration that cannot be parsed: " + e);
         }
     }
 
@@ -281,8 +282,8 @@
             onResponse.accept(response);
         };
         run(() -> {
-            core.state().findReplica(call.instanceId()).ifPresent(known -> system.mutation()
-                    .onHeartbeat(this, known));
+            core.state().findReplica(call.instanceId()).ifPresent(replica -> system.mutation()
+                    .onHeartbeat(this, replica));
             if (call.isDeregistration()) {
                 core.deregister(api, responder);
             } else {
@@ -291,29 +292,29 @@
         });
     }
 
-    /** SIGTERM: hands over, then ends. {@code onEnded} receives whether the process was detached by then. */
-    void terminate(Consumer<Boolean> onEnded) {
+    /** SIGTERM: hands over, then exits. {@code onExited} receives whether the process was detached by then. */
+    void terminate(Consumer<Boolean> onExited) {
         shuttingDown = true;
         double untilMs = system.nowMs() + Controller.handoverTimeoutMs(GRACE_PERIOD_SECONDS);
         run(core::beginReplicationShutdown);
-        awaitDetached(untilMs, onEnded);
+        awaitDetachment(untilMs, onExited);
     }
 
-    private void awaitDetached(double untilMs, Consumer<Boolean> onEnded) {
+    private void awaitDetachment(double untilMs, Consumer<Boolean> onExited) {
         system.after(
                 ControllerCore.TICK_MS,
                 () -> run(() -> {
                     boolean detached = system.mutation().isDetached(core.isDetached());
                     if (detached || system.nowMs() >= untilMs) {
                         core.leaveFleet();
-                        onEnded.accept(detached);
+                        onExited.accept(detached);
                     } else {
-                        awaitDetached(untilMs, onEnded);
+                        awaitDetachment(untilMs, onExited);
                     }
                 }));
     }
 
-    void end() {
+    void stop() {
         running = false;
         backlog.clear();
         store.crash();
--- a/testing/emulator/src/main/java/pinewick/emulator/control/DiskMutations.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/DiskMutations.java
@@ -22,15 +22,15 @@
 import pinewick.replication.StoredSnapshot;
 import pinewick.replication.StoredState;
 
-/** Mutations of the disk, and of a process's settings. */
+/** Mutations of the disk and of the settings of a process. */
 final class DiskMutations {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY = {};
 
     private DiskMutations() {}
 
     /**
-     * A store that lost its disk unnoticed: messages of others that would make it reset to an empty store with another
-     * identity are altered.
+     * A store whose loss of its disk goes unnoticed: messages of others that would make it reset to an empty store with
+     * another identity are altered.
      */
     private abstract static class UnnoticedWipe extends Mutation {
         private final Set<SocketAddress> processes = new HashSet<>();
@@ -95,7 +95,7 @@
                     disk.headBeforeWipe().identity(), EpochNumber.NONE, EpochRecord.NONE, StateVersion.NONE);
             byte[] empty = ConfigurationChecks.writeDelta(
                     ConfigurationDelta.between(ConfigurationDocument.EMPTY, ConfigurationDocument.EMPTY));
-            StoredState stored = new StoredState(head, new StoredSnapshot(empty, NOTHING), List.of());
+            StoredState stored = new StoredState(head, new StoredSnapshot(empty, EMPTY), List.of());
             return new LoadedState(Optional.of(stored), false);
         }
     }
@@ -117,10 +117,9 @@
 
         private static LoadedState withoutPromise(StoredState stored) {
             StoredHead head = stored.head();
-            StoredHead incomplete =
+            StoredHead altered =
                     new StoredHead(head.identity(), EpochNumber.FOUNDING, head.accepted(), head.stateVersion());
-            return new LoadedState(
-                    Optional.of(new StoredState(incomplete, stored.snapshot(), stored.changes())), false);
+            return new LoadedState(Optional.of(new StoredState(altered, stored.snapshot(), stored.changes())), false);
         }
     }
 
@@ -139,15 +138,14 @@
         @Override
         StableWrite onWrite(SimulatedDisk disk, StableWrite write) {
             if (write.content() instanceof StableWrite.Replaced replaced) {
-                StoredSnapshot incomplete =
-                        new StoredSnapshot(replaced.snapshot().document(), NOTHING);
-                return new StableWrite(write.head(), new StableWrite.Replaced(incomplete));
+                StoredSnapshot altered = new StoredSnapshot(replaced.snapshot().document(), EMPTY);
+                return new StableWrite(write.head(), new StableWrite.Replaced(altered));
             }
             return write;
         }
     }
 
-    /** The primary acknowledges with fewer stores than f + 1. */
+    /** The primary acknowledges a change that is on fewer than f + 1 stores. */
     static final class NeedsOneStore extends Mutation {
         @Override
         ReplicationSettings settings(ReplicationSettings configured) {
@@ -162,7 +160,7 @@
         }
     }
 
-    /** A new primary uses the lease before the earlier one has expired. */
+    /** A new primary uses the lease before the previous lease has expired. */
     static final class SkipsLeaseWait extends Mutation {
         private static final int NO_WAIT_MS = -800;
 
@@ -183,14 +181,14 @@
     static final class ReusesToken extends Mutation {
         @Override
         Optional<Long> leadingEpoch(ControllerProcess controller, Optional<Long> epoch) {
-            return epoch.map(real -> 1L);
+            return epoch.map(actual -> 1L);
         }
     }
 
     /** A process shuts down before it is detached. */
     static final class ShutsDownAtOnce extends Mutation {
         @Override
-        boolean isDetached(boolean really) {
+        boolean isDetached(boolean actual) {
             return true;
         }
     }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/EpochMutations.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/EpochMutations.java
@@ -21,11 +21,11 @@
 import pinewick.replication.StoredHead;
 import pinewick.replication.StoredState;
 
-/** Mutations of what a new epoch, a returning store and a planned end rest on. */
+/** Mutations of the rules for a new epoch, a returning store and a planned shutdown. */
 final class EpochMutations {
     private EpochMutations() {}
 
-    /** The primary permits a process to end as soon as it knows that it is shutting down. */
+    /** The primary permits a process to exit as soon as it learns that the process is shutting down. */
     static final class PermitsShutdownAtOnce extends Mutation {
         @Override
         Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
@@ -49,21 +49,21 @@
 
     /** A witness accepts a record although it has promised a higher number. */
     static final class AcceptsAfterAHigherPromise extends Mutation {
-        private final Map<RequestId, Accept> asked = new HashMap<>();
+        private final Map<RequestId, Accept> acceptRequests = new HashMap<>();
 
         @Override
         Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof Accept accept) {
-                asked.put(accept.request(), accept);
+                acceptRequests.put(accept.request(), accept);
             }
-            if (message instanceof Rejection rejection && asked.containsKey(rejection.request())) {
+            if (message instanceof Rejection rejection && acceptRequests.containsKey(rejection.request())) {
                 return new Accepted(rejection.request(), rejection.number(), rejection.identity());
             }
             return message;
         }
     }
 
-    /** A store that lacks changes is told to count its own state as the newest one. */
+    /** A store that lacks changes is instructed to relabel its own state as the newest one. */
     static final class RelabelsAnyState extends Mutation {
         private final Map<SocketAddress, StateVersion> versions = new HashMap<>();
 
@@ -72,15 +72,15 @@
             if (message instanceof HeartbeatReply reply) {
                 versions.put(from, reply.stateVersion());
             }
-            StateVersion held = versions.get(to);
-            if (message instanceof InstallSnapshot install && held != null) {
-                return new RelabelState(install.request(), install.number(), held, install.stateVersion());
+            StateVersion ownVersion = versions.get(to);
+            if (message instanceof InstallSnapshot install && ownVersion != null) {
+                return new RelabelState(install.request(), install.number(), ownVersion, install.stateVersion());
             }
             return message;
         }
     }
 
-    /** A witness that restarts knows the first record that it accepted, and no later one. */
+    /** A witness that restarts remembers only the first record that it accepted. */
     static final class ForgetsAcceptedRecords extends Mutation {
         private final Map<SimulatedDisk, EpochRecord> first = new HashMap<>();
 
@@ -92,15 +92,15 @@
 
         @Override
         LoadedState onLoaded(SocketAddress process, SimulatedDisk disk, LoadedState loaded) {
-            EpochRecord forgotten = first.get(disk);
-            if (loaded.stored().isEmpty() || forgotten == null) {
+            EpochRecord firstAccepted = first.get(disk);
+            if (loaded.stored().isEmpty() || firstAccepted == null) {
                 return loaded;
             }
             StoredState stored = loaded.stored().get();
             StoredHead head = new StoredHead(
                     stored.head().identity(),
                     stored.head().promised(),
-                    forgotten,
+                    firstAccepted,
                     stored.head().stateVersion());
             return new LoadedState(
                     Optional.of(new StoredState(head, stored.snapshot(), stored.changes())), loaded.damaged());
--- a/testing/emulator/src/main/java/pinewick/emulator/control/FaultInjector.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/FaultInjector.java
@@ -10,9 +10,9 @@
 import pinewick.model.SocketAddress;
 import pinewick.replication.ReplicationMessages.HeartbeatReply;
 
-/** Single faults and their ends. Disks are lost only within what the deployment tolerates. */
+/** Injects single faults and ends them. No more disks are lost at once than the deployment tolerates. */
 final class FaultInjector {
-    /** A machine counts as lost for this long after its return. */
+    /** A machine counts as lost until this time after its return. */
     private static final double CATCH_UP_MS = 4_000;
 
     private static final double DELAYED_REPLIES_MS = 2_500;
@@ -22,7 +22,7 @@
     private final SplittableRandom random;
     private final boolean unbounded;
 
-    /** @param unbounded whether faults that spare the disks affect any number of machines at once */
+    /** @param unbounded whether faults that leave the disks intact may affect any number of machines at once */
     FaultInjector(SimulatedSystem system, SplittableRandom random, boolean unbounded) {
         this.system = system;
         this.random = random;
@@ -40,22 +40,22 @@
                 .count();
     }
 
-    /** The machine, if a fault that spares its disk is allowed. */
+    /** The machine, if a fault that leaves its disk intact is allowed. */
     Optional<ControllerMachine> forDiskSparingFault(ControllerMachine machine) {
-        boolean isAllowed = unbounded && machine.isRunning() && !machine.isFrozen();
-        return isAllowed ? Optional.of(machine) : forAnyFault(machine);
+        boolean allowed = unbounded && machine.isRunning() && !machine.isFrozen();
+        return allowed ? Optional.of(machine) : forAnyFault(machine);
     }
 
-    /** The machine, if any fault is allowed: no more machines than tolerated are lost. */
+    /** The machine, if any fault is allowed, so that no more machines are lost than tolerated. */
     Optional<ControllerMachine> forAnyFault(ControllerMachine machine) {
-        boolean isAllowed = machine.isRunning()
+        boolean allowed = machine.isRunning()
                 && machine.lostUntilMs() <= system.nowMs()
                 && lostMachines() < system.toleratedMachines();
-        return isAllowed ? Optional.of(machine) : Optional.empty();
+        return allowed ? Optional.of(machine) : Optional.empty();
     }
 
-    private void markLost(ControllerMachine machine, double forMs) {
-        machine.markLostUntil(system.nowMs() + forMs + CATCH_UP_MS);
+    private void markLost(ControllerMachine machine, double durationMs) {
+        machine.markLostUntil(system.nowMs() + durationMs + CATCH_UP_MS);
     }
 
     private void restartLater(ControllerMachine machine, double delayMs) {
@@ -72,7 +72,7 @@
         restartLater(machine, downMs);
     }
 
-    /** Every process may be killed, or lose power, at once; the disks stay. */
+    /** Kills all processes at once, as in a power loss; the disks stay intact. */
     void killAll() {
         system.trace("all controllers lose power");
         for (ControllerMachine machine : system.present()) {
@@ -110,111 +110,112 @@
         }
     }
 
-    void freeze(ControllerMachine machine, double forMs) {
-        markLost(machine, forMs);
+    void freeze(ControllerMachine machine, double durationMs) {
+        markLost(machine, durationMs);
         machine.freeze();
-        system.after(forMs, machine::resume);
+        system.after(durationMs, machine::resume);
     }
 
-    void disk(ControllerMachine machine, SimulatedDisk.Mode mode) {
-        double forMs = random.nextDouble(100, 4_000);
-        system.trace(machine + " disk " + mode + " for " + (long) forMs + " ms");
-        markLost(machine, forMs);
+    void impairDisk(ControllerMachine machine, SimulatedDisk.Mode mode) {
+        double durationMs = random.nextDouble(100, 4_000);
+        system.trace(machine + " disk " + mode + " for " + (long) durationMs + " ms");
+        markLost(machine, durationMs);
         machine.disk().mode = mode;
         machine.disk().slowMs = random.nextDouble(20, 700);
-        system.after(forMs, () -> machine.disk().mode = SimulatedDisk.Mode.HEALTHY);
+        system.after(durationMs, () -> machine.disk().mode = SimulatedDisk.Mode.HEALTHY);
     }
 
-    /** The wall clock steps; the process notices it at its next start. */
+    /** Steps the wall clock; the process is affected from its next start on. */
     void stepClock(ControllerMachine machine) {
-        double byMs = random.nextDouble(-600_000, 600_000);
-        system.trace(machine + " clock steps by " + (long) byMs + " ms");
-        machine.stepClock(byMs);
+        double stepMs = random.nextDouble(-600_000, 600_000);
+        system.trace(machine + " clock steps by " + (long) stepMs + " ms");
+        machine.stepClock(stepMs);
     }
 
-    /** Blocks the link from one host to another for a time. */
-    void partition(String from, String to, double forMs) {
+    /** Blocks the link from one host to another temporarily. */
+    void partition(String from, String to, double durationMs) {
         system.network().block(from, to);
-        system.after(forMs, () -> system.network().unblock(from, to));
+        system.after(durationMs, () -> system.network().unblock(from, to));
     }
 
-    void partitionBothWays(String one, String other, double forMs) {
-        partition(one, other, forMs);
-        partition(other, one, forMs);
+    void partitionBothWays(String one, String other, double durationMs) {
+        partition(one, other, durationMs);
+        partition(other, one, durationMs);
     }
 
-    /** Partitions a controller from the other controllers, and with {@code fromAll} from routers too. */
-    void isolate(ControllerMachine machine, double forMs, boolean fromAll) {
-        system.trace(machine + " cut off" + (fromAll ? " from all" : "") + " for " + (long) forMs + " ms");
-        markLost(machine, forMs);
+    /** Partitions a controller from the other controllers, and with {@code fromAll} also from the routers. */
+    void isolate(ControllerMachine machine, double durationMs, boolean fromAll) {
+        system.trace(machine + " partitioned" + (fromAll ? " from all" : "") + " for " + (long) durationMs + " ms");
+        markLost(machine, durationMs);
         for (ControllerMachine other : system.present()) {
             if (other != machine) {
-                partitionBothWays(machine.host(), other.host(), forMs);
+                partitionBothWays(machine.host(), other.host(), durationMs);
             }
         }
         if (fromAll) {
-            system.routers().forEach(router -> partitionBothWays(machine.host(), router.host(), forMs));
+            system.routers().forEach(router -> partitionBothWays(machine.host(), router.host(), durationMs));
         }
     }
 
-    /** Messages of a controller, or messages to it, are lost. */
-    void isolateOneWay(ControllerMachine machine, double forMs) {
+    /** Either messages from a controller to others or messages to it are lost. */
+    void isolateOneWay(ControllerMachine machine, double durationMs) {
         boolean isOutbound = random.nextBoolean();
-        system.trace(machine + " cut off " + (isOutbound ? "outward" : "inward") + " for " + (long) forMs + " ms");
-        markLost(machine, forMs);
+        system.trace(
+                machine + " partitioned " + (isOutbound ? "outward" : "inward") + " for " + (long) durationMs + " ms");
+        markLost(machine, durationMs);
         for (ControllerMachine other : system.present()) {
             if (other != machine && random.nextDouble() < 0.8) {
                 String from = isOutbound ? machine.host() : other.host();
                 String to = isOutbound ? other.host() : machine.host();
-                partition(from, to, forMs);
+                partition(from, to, durationMs);
             }
         }
     }
 
     /**
-     * Replies to a controller's heartbeats, which are datagrams, are delayed by up to seconds, but not what is sent
-     * over connections. Then nothing that it sends arrives, and new messages to it arrive last: it receives replies
-     * from long ago and does not notice its successor.
+     * Delays the replies to a controller's heartbeats, which are datagrams, by up to several seconds, but not messages on
+     * connections. Afterwards none of its messages are delivered, and new messages to it arrive after all others: it
+     * receives outdated replies and does not detect its successor.
      */
-    void delayReplies(ControllerMachine machine, double forMs) {
-        system.trace(machine + " hears answers late, then is cut off outward for " + (long) forMs + " ms");
-        markLost(machine, DELAYED_REPLIES_MS + forMs);
+    void delayReplies(ControllerMachine machine, double durationMs) {
+        system.trace(machine + " receives replies late, then cannot send for " + (long) durationMs + " ms");
+        markLost(machine, DELAYED_REPLIES_MS + durationMs);
         system.slowLinks();
         for (ControllerMachine other : system.present()) {
             if (other != machine) {
-                delayReplies(machine.host(), other.host(), forMs);
+                delayReplies(machine.host(), other.host(), durationMs);
             }
         }
     }
 
-    private void delayReplies(String host, String other, double forMs) {
+    private void delayReplies(String host, String other, double durationMs) {
         Network network = system.network();
         network.delay(other, host, 0, Network.MAX_STALE_MS, HeartbeatReply.class::isInstance);
         system.after(DELAYED_REPLIES_MS, () -> {
-            partition(host, other, forMs);
+            partition(host, other, durationMs);
             network.delay(other, host, FINAL_DELAY_MS, Network.MAX_STALE_MS, message -> true);
         });
-        system.after(DELAYED_REPLIES_MS + forMs, () -> network.removeDelay(other, host));
+        system.after(DELAYED_REPLIES_MS + durationMs, () -> network.removeDelay(other, host));
     }
 
-    void splitInTwo(double forMs) {
-        system.trace("the controllers are cut in two for " + (long) forMs + " ms");
+    void splitInTwo(double durationMs) {
+        system.trace("the controllers are partitioned in two for " + (long) durationMs + " ms");
         List<ControllerMachine> left = system.present().stream()
                 .filter(machine -> random.nextBoolean())
                 .toList();
-        for (ControllerMachine one : system.present()) {
-            markLost(one, forMs);
+        for (ControllerMachine machine : system.present()) {
+            markLost(machine, durationMs);
             for (ControllerMachine other : system.present()) {
-                if (left.contains(one) != left.contains(other)) {
-                    partition(one.host(), other.host(), forMs);
+                if (left.contains(machine) != left.contains(other)) {
+                    partition(machine.host(), other.host(), durationMs);
                 }
             }
         }
     }
 
-    /** Removed for good without warning; an empty machine at another address replaces it. */
+    /** Removes a machine permanently without warning; one with an empty disk at another address replaces it. */
     void replaceUnplanned(ControllerMachine machine) {
-        system.trace(machine + " is taken away");
+        system.trace(machine + " is removed");
         machine.remove();
         double startMs = random.nextDouble(0, 1_500);
         ControllerMachine successor = addSuccessor(machine);
@@ -222,7 +223,7 @@
         system.after(startMs, () -> successor.start(false));
     }
 
-    /** The successor starts first, then the machine gets SIGTERM and is removed once it has ended. */
+    /** Starts the successor; then the machine receives SIGTERM, and is removed once it has exited. */
     void replacePlanned(ControllerMachine machine, Consumer<Boolean> onRemoved) {
         ControllerMachine successor = addSuccessor(machine);
         successor.start(false);
@@ -232,7 +233,7 @@
         system.after(
                 shutdownDelayMs,
                 () -> machine.terminate(detached -> {
-                    system.trace(machine + " is taken away for good");
+                    system.trace(machine + " is removed permanently");
                     machine.remove();
                     onRemoved.accept(detached);
                 }));
@@ -246,7 +247,7 @@
                 .limit(3)
                 .map(ControllerMachine::internal)
                 .toList();
-        successor.seeds(random.nextBoolean() ? machine.seeds() : others);
+        successor.setSeeds(random.nextBoolean() ? machine.seeds() : others);
         return successor;
     }
 
@@ -258,7 +259,7 @@
 
     /** Ends every fault. */
     void heal() {
-        system.trace("all troubles end");
+        system.trace("all faults end");
         system.network().unblockAll();
         for (ControllerMachine machine : system.present()) {
             machine.disk().mode = SimulatedDisk.Mode.HEALTHY;
--- a/testing/emulator/src/main/java/pinewick/emulator/control/FaultScenarios.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/FaultScenarios.java
@@ -12,13 +12,13 @@
     static final double LONG_PARTITION_MS = 20_000;
 
     private static final double UNDISTURBED_PARTITION_MS = 9_000;
-    /** The second fault and its effects have ended this long after its start. */
+    /** After this time the second fault and its effects have ended. */
     private static final double SECOND_FAULT_MS = 3_000 + SimulatedSystem.CONTACT_MS;
 
     private static final double LAG_MS = 1_600;
 
     private static final double REPAIR_POLL_MS = 10;
-    /** A primary detects a loss by a time-out, and reports it no sooner. */
+    /** A primary detects a loss by a time-out, and does not report it earlier. */
     private static final double REPORT_LAG_MS = 700;
 
     private static final double MAX_REPAIR_MS = 5_000;
@@ -40,7 +40,7 @@
     }
 
     /**
-     * A controller is partitioned for twenty seconds, from the other controllers alone or from all; replicas prefer it,
+     * A controller is partitioned for twenty seconds, from the other controllers only or from all; replicas prefer it,
      * a router starts on its side, and one more fault that a majority tolerates occurs meanwhile.
      */
     void longPartition(double atMs) {
@@ -56,7 +56,7 @@
                         .forEach(replica -> replica.preferController(target, system.nowMs() + LONG_PARTITION_MS));
             }
             if (random.nextBoolean()) {
-                isolateRouter(target);
+                limitRouterToController(target);
             }
             double secondFaultDelayMs = random.nextDouble(UNDISTURBED_PARTITION_MS, 15_000);
             secondFaultAtMs = system.nowMs() + secondFaultDelayMs;
@@ -64,12 +64,12 @@
         });
     }
 
-    /** Whether the long partition was the only fault of the controllers in a past span. */
+    /** Whether the long partition was the only fault of the controllers in a past interval. */
     boolean isOnlyPartitionBetween(double fromMs, double toMs) {
         return toMs < secondFaultAtMs || fromMs > secondFaultAtMs + SECOND_FAULT_MS;
     }
 
-    /** The primary, the first machine, or any. */
+    /** The primary, the first machine, or any machine. */
     private ControllerMachine target() {
         List<ControllerMachine> present = system.present();
         return switch (random.nextInt(3)) {
@@ -80,17 +80,17 @@
     }
 
     /** A router restarts and reaches only the partitioned controller for some seconds. */
-    private void isolateRouter(ControllerMachine target) {
+    private void limitRouterToController(ControllerMachine target) {
         RouterMachine router = system.routers().get(0);
-        double forMs = random.nextDouble(2_000, 12_000);
+        double durationMs = random.nextDouble(2_000, 12_000);
         for (ControllerMachine other : system.present()) {
             if (other != target) {
-                faults.partitionBothWays(router.host(), other.host(), forMs);
+                faults.partitionBothWays(router.host(), other.host(), durationMs);
             }
         }
         system.routers().stream()
                 .filter(other -> other != router)
-                .forEach(other -> faults.partitionBothWays(router.host(), other.host(), forMs));
+                .forEach(other -> faults.partitionBothWays(router.host(), other.host(), durationMs));
         system.after(random.nextDouble(0, 1_000), router::restart);
     }
 
@@ -103,7 +103,7 @@
                 case 0 -> faults.kill(machine);
                 case 1 -> faults.freeze(machine, random.nextDouble(500, 3_000));
                 case 2 -> isolated.kill();
-                default -> system.trace("nothing else happens");
+                default -> system.trace("no second fault");
             }
         });
     }
@@ -127,7 +127,7 @@
     }
 
     /**
-     * A planned replacement, in which the new machine starts first; once the old one has handed over, and the primary
+     * A planned replacement, in which the new machine starts first. Once the old one has handed over and the primary
      * reports as many tolerable losses as before, another disk is lost.
      */
     void lossAfterHandover(double atMs) {
@@ -141,8 +141,8 @@
     /**
      * Runs a task as soon as the primary reports as many tolerable losses as required.
      *
-     * @param returnMs when the lost store returns
-     * @param pollDelayMs when polling starts: the primary detects a loss by a time-out
+     * @param returnMs after which time the lost store returns
+     * @param pollDelayMs after which time polling starts: the primary detects a loss only by a time-out
      */
     private void whenRepaired(double returnMs, double pollDelayMs, Runnable task) {
         double returnsAtMs = system.nowMs() + returnMs;
@@ -167,7 +167,7 @@
                 .orElse(0);
     }
 
-    /** How long each repair took. */
+    /** The duration of each repair. */
     List<Double> repairTimesMs() {
         return repairTimesMs;
     }
@@ -185,17 +185,17 @@
             int tolerated = system.toleratedMachines();
             List<ControllerMachine> stale = others.subList(0, tolerated);
             List<ControllerMachine> wiped = others.subList(tolerated, 2 * tolerated);
-            List<ControllerMachine> powerless = new ArrayList<>(others.subList(2 * tolerated, others.size()));
-            powerless.add(primary);
+            List<ControllerMachine> poweredOff = new ArrayList<>(others.subList(2 * tolerated, others.size()));
+            poweredOff.add(primary);
             stale.forEach(machine -> faults.isolate(machine, LAG_MS, false));
             system.after(LAG_MS - 50, () -> {
                 wiped.forEach(machine -> faults.wipe(machine, random.nextDouble(50, 300)));
-                powerless.forEach(machine -> faults.kill(machine, random.nextDouble(2_000, 3_500)));
+                poweredOff.forEach(machine -> faults.kill(machine, random.nextDouble(2_000, 3_500)));
             });
         }));
     }
 
-    /** Replies to the primary are delayed, then its own messages are lost. */
+    /** Replies to the primary are delayed; afterwards its own messages are lost. */
     void delayedReplies(double atMs) {
         system.after(atMs, () -> system.primary()
                 .ifPresent(primary -> faults.delayReplies(primary, random.nextDouble(2_500, 4_000))));
@@ -221,11 +221,11 @@
         }
     }
 
-    /** Some controllers lose power right after they have acknowledged a removal. */
+    /** Some controllers lose power immediately after they have acknowledged a removal. */
     void killAfterRemovals(double probability, double untilMs) {
-        system.fleetChecker().onFirstAcknowledged(by -> {
+        system.fleetChecker().onFirstAcknowledged(controller -> {
             if (system.nowMs() < untilMs && random.nextDouble() < probability) {
-                system.after(0.5, () -> faults.forDiskSparingFault(by).ifPresent(faults::kill));
+                system.after(0.5, () -> faults.forDiskSparingFault(controller).ifPresent(faults::kill));
             }
         });
     }
@@ -238,7 +238,7 @@
                         system.replicas().get(random.nextInt(system.replicas().size()));
                 switch (random.nextInt(4)) {
                     case 0, 1 -> replica.drain();
-                    case 2 -> replica.deregisterFirst();
+                    case 2 -> replica.deregisterWithoutDrain();
                     default -> replica.crash();
                 }
                 churnReplicas(random.nextDouble(200, 1_500), toMs);
--- a/testing/emulator/src/main/java/pinewick/emulator/control/FleetChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/FleetChecker.java
@@ -16,7 +16,7 @@
     private final IdentityHashMap<Object, Map<String, ReplicaState>> knownByProcess = new IdentityHashMap<>();
     private final Map<String, ReplicaState> acknowledgedRemovals = new HashMap<>();
     private int removalsAcknowledged;
-    private Consumer<ControllerMachine> onFirstAcknowledged = by -> {};
+    private Consumer<ControllerMachine> onFirstAcknowledged = controller -> {};
 
     FleetChecker(SimulatedSystem system) {
         this.system = system;
@@ -31,21 +31,21 @@
         return removalsAcknowledged;
     }
 
-    /** One incarnation of a process has a record. */
+    /** One incarnation of a process has received a record. */
     void onReplicaKnown(Object process, String host, ReplicaRecord record) {
-        Map<String, ReplicaState> known = knownByProcess.computeIfAbsent(process, key -> new HashMap<>());
-        ReplicaState before = known.put(record.instanceId(), record.state());
-        if (before != record.state()) {
+        Map<String, ReplicaState> knownStates = knownByProcess.computeIfAbsent(process, key -> new HashMap<>());
+        ReplicaState previous = knownStates.put(record.instanceId(), record.state());
+        if (previous != record.state()) {
             system.trace(host + " knows " + record.instanceId() + " as " + record.state());
         }
         require(
-                before == null || before.compareTo(record.state()) <= 0,
+                previous == null || previous.compareTo(record.state()) <= 0,
                 Invariant.DRAIN_IS_PERMANENT,
-                host + " takes " + record.instanceId() + " from " + before + " back to " + record.state());
+                host + " changes " + record.instanceId() + " from " + previous + " back to " + record.state());
     }
 
     /** A controller acknowledges a configuration. */
-    void onConfigurationAcknowledged(ControllerMachine by, long version) {
+    void onConfigurationAcknowledged(ControllerMachine controller, long version) {
         double atMs = system.nowMs();
         if (!system.hasCleanLinks()) {
             return;
@@ -62,23 +62,24 @@
         for (RouterMachine router : system.routers()) {
             require(
                     !router.isUndisturbedSince(undisturbedSinceMs)
-                            || router.process().shownVersion() >= version,
+                            || router.process().appliedVersion() >= version,
                     Invariant.ROUTERS_CURRENT,
-                    router.host() + " has version " + router.process().shownVersion() + ", acknowledged is " + version);
+                    router.host() + " has version " + router.process().appliedVersion() + ", acknowledged version is "
+                            + version);
         }
     }
 
     /** A controller acknowledges a heartbeat or deregistration of a replica. */
-    void onRemovalAcknowledged(ControllerMachine by, String instanceId, ReplicaState state) {
-        boolean isInContact =
-                by.isUndisturbedSince(system.nowMs() - SimulatedSystem.CONTACT_MS) && system.isInMajority(by);
+    void onRemovalAcknowledged(ControllerMachine controller, String instanceId, ReplicaState state) {
+        boolean isInContact = controller.isUndisturbedSince(system.nowMs() - SimulatedSystem.CONTACT_MS)
+                && system.isInMajority(controller);
         if (state == ReplicaState.READY || !isInContact) {
             return;
         }
         if (acknowledgedRemovals.get(instanceId) != state) {
-            system.trace(by + " acknowledges " + instanceId + " as " + state);
+            system.trace(controller + " acknowledges " + instanceId + " as " + state);
             removalsAcknowledged++;
-            onFirstAcknowledged.accept(by);
+            onFirstAcknowledged.accept(controller);
         }
         double atMs = system.nowMs();
         acknowledgedRemovals.merge(instanceId, state, (left, right) -> left.compareTo(right) > 0 ? left : right);
@@ -105,12 +106,12 @@
             require(
                     outdated.isEmpty() || !router.isUndisturbedSince(undisturbedSinceMs),
                     Invariant.DRAIN_KNOWN,
-                    router.host() + " takes " + instanceId + " for " + outdated.orElse(state) + ", acknowledged as "
-                            + state);
+                    router.host() + " considers " + instanceId + " to be " + outdated.orElse(state)
+                            + ", acknowledged as " + state);
         }
     }
 
-    /** All faults ended {@code contact_ms} and {@code config_apply_ms} ago. */
+    /** Checks all routers; all faults must have ended {@code contact_ms} plus {@code config_apply_ms} ago. */
     void requireAllCurrent(long newestAcknowledged) {
         requireCurrent(newestAcknowledged, Double.POSITIVE_INFINITY);
         acknowledgedRemovals.forEach((instance, state) -> requireKnown(instance, state, Double.POSITIVE_INFINITY));
--- a/testing/emulator/src/main/java/pinewick/emulator/control/FreshnessChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/FreshnessChecker.java
@@ -6,11 +6,11 @@
 import java.util.TreeMap;
 
 /**
- * Checks that a configuration that a process takes for the newest one as of some time was the newest acknowledged one
- * at that time. Times are simulated time.
+ * Checks that a configuration that a process considers the newest one as of some time was the newest acknowledged one at
+ * that time. Times are in simulated time.
  */
 final class FreshnessChecker {
-    /** Clocks of processes differ by an offset, which costs some digits. */
+    /** Tolerance for rounding: the clock of each process has an offset, which costs some digits. */
     private static final double ROUNDING_MS = 0.001;
 
     private final TreeMap<Long, Double> acknowledgedAtMs = new TreeMap<>();
@@ -22,7 +22,7 @@
         acknowledgedAtMs.putIfAbsent(version, nowMs);
     }
 
-    /** A process with this version believes that no higher one was acknowledged before a time. */
+    /** A process with this version assumes that no higher one was acknowledged before the given time. */
     void onConfirmed(String host, long version, double confirmedAtMs) {
         if (confirmedAtMs > newestConfirmedAtMs) {
             newestConfirmedAtMs = confirmedAtMs;
@@ -33,12 +33,12 @@
             require(
                     later.getValue() >= confirmedAtMs - ROUNDING_MS,
                     Invariant.CONFIRMED_WAS_NEWEST,
-                    host + " takes version " + version + " for the newest as of " + confirmedAtMs + ", but version "
+                    host + " considers version " + version + " the newest as of " + confirmedAtMs + ", but version "
                             + later.getKey() + " was acknowledged at " + later.getValue());
         }
     }
 
-    /** How often a confirmation was newer than all before. */
+    /** How many confirmations were newer than all previous ones. */
     int confirmations() {
         return confirmations;
     }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/FreshnessMutations.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/FreshnessMutations.java
@@ -8,27 +8,27 @@
 import pinewick.model.SocketAddress;
 import pinewick.replication.ReplicationMessages.Heartbeat;
 
-/** Mutations of how processes learn that their configuration was the newest. */
+/** Mutations of how processes learn that their configuration is the newest. */
 final class FreshnessMutations {
     private FreshnessMutations() {}
 
-    /** A router counts the age in some message from when the message arrives. */
+    /** A router counts the age in a message from the arrival of the message. */
     private abstract static class CountsFromArrival extends Mutation {
         private final Map<RouterProcess, Double> confirmedAtMs = new HashMap<>();
 
         final void confirm(RouterProcess router, long version, int ageMs) {
-            if (ageMs >= 0 && version <= router.shownVersion()) {
+            if (ageMs >= 0 && version <= router.appliedVersion()) {
                 confirmedAtMs.merge(router, router.systemNowMs() - ageMs, Math::max);
             }
         }
 
         @Override
-        double confirmedAtMs(RouterProcess router, double really) {
-            return Math.max(really, confirmedAtMs.getOrDefault(router, Double.NEGATIVE_INFINITY));
+        double confirmedAtMs(RouterProcess router, double actual) {
+            return Math.max(actual, confirmedAtMs.getOrDefault(router, Double.NEGATIVE_INFINITY));
         }
     }
 
-    /** Digests that nobody asked for count. */
+    /** Unsolicited digests count as confirmations. */
     static final class CountsUnsolicited extends CountsFromArrival {
         @Override
         void onHandledByRouter(RouterProcess router, Message message) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** A reply counts from when it arrives, not from when the request was sent. */
+    /** A reply counts from its arrival, not from when the request was sent. */
     static final class CountsReplyFromArrival extends CountsFromArrival {
         @Override
         void onHandledByRouter(RouterProcess router, Message message) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** A process tells that its configuration was the newest just now, where it knows it of an earlier time. */
+    /** A process reports its configuration as the newest one now, although it knows this only for an earlier time. */
     static final class OmitsAge extends Mutation {
         @Override
         Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
@@ -56,19 +56,19 @@
         }
     }
 
-    /** A follower counts a heartbeat of the primary from when it arrives. */
+    /** A follower counts a heartbeat of the primary from its arrival. */
     static final class FollowerCountsHeartbeats extends Mutation {
         private final Map<SocketAddress, Double> heartbeatAtMs = new HashMap<>();
         private Network network;
 
         @Override
-        Message onSent(Network on, SocketAddress from, SocketAddress to, Message message) {
-            network = on;
+        Message onSent(Network carrier, SocketAddress from, SocketAddress to, Message message) {
+            network = carrier;
             Double heartbeatMs = heartbeatAtMs.get(from);
             if (!(message instanceof ConfirmationReply reply) || heartbeatMs == null) {
                 return message;
             }
-            int ageMs = (int) Math.ceil(on.nowMs() - heartbeatMs);
+            int ageMs = (int) Math.ceil(carrier.nowMs() - heartbeatMs);
             return reply.ageMs() >= 0 && reply.ageMs() <= ageMs ? message : withAge(reply, ageMs);
         }
 
--- a/testing/emulator/src/main/java/pinewick/emulator/control/GossipMutations.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/GossipMutations.java
@@ -18,7 +18,7 @@
 final class GossipMutations {
     private GossipMutations() {}
 
-    /** A removal is acknowledged by the controller that received it, before it has pushed it. */
+    /** A controller acknowledges a removal that it received before it has pushed it. */
     static final class AcknowledgesRemovalsAlone extends Mutation {
         private static final double FIRST_PUSH_MS = 40;
 
@@ -39,8 +39,8 @@
         }
 
         private boolean isEarly(Network network, SocketAddress controller, ReplicaRecord record) {
-            Removal end = new Removal(controller, record.instanceId(), record.state());
-            double firstMs = firstSentMs.computeIfAbsent(end, key -> network.nowMs());
+            Removal removal = new Removal(controller, record.instanceId(), record.state());
+            double firstMs = firstSentMs.computeIfAbsent(removal, key -> network.nowMs());
             return record.state() != ReplicaState.READY && network.nowMs() - firstMs < FIRST_PUSH_MS;
         }
     }
@@ -79,25 +79,25 @@
         }
     }
 
-    /** A router applies whatever configuration it received last. */
+    /** A router applies the configuration that it received last, whatever its version. */
     static final class RouterAppliesOlder extends Mutation {
         @Override
-        void onRouterReceived(RouterProcess router, Message message, Consumer<Long> show) {
+        void onRouterReceived(RouterProcess router, Message message, Consumer<Long> apply) {
             if (message instanceof ConfigurationUpdate update && update.body().length > 0) {
-                show.accept(update.version());
+                apply.accept(update.version());
             }
         }
     }
 
     /** A router accepts configurations only from the source of its first one. */
     static final class RouterTrustsFirstSource extends Mutation {
-        private final Map<SocketAddress, SocketAddress> first = new HashMap<>();
+        private final Map<SocketAddress, SocketAddress> firstSources = new HashMap<>();
 
         @Override
         Message onReceived(SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof ConfigurationUpdate && RouterMachine.isRouter(to)) {
-                SocketAddress trusted = first.computeIfAbsent(to, key -> from);
-                return trusted.equals(from) ? message : null;
+                SocketAddress firstSource = firstSources.computeIfAbsent(to, key -> from);
+                return firstSource.equals(from) ? message : null;
             }
             return message;
         }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/HistoryChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/HistoryChecker.java
@@ -18,7 +18,7 @@
     }
 
     private final List<SubmittedChange> changes = new ArrayList<>();
-    private final List<Response> answers = new ArrayList<>();
+    private final List<Response> responses = new ArrayList<>();
     private final Map<Long, ConfigurationDocument> inForce = new HashMap<>();
     private final Map<Long, Long> successors = new HashMap<>();
     private final CallHistory calls = new CallHistory();
@@ -32,16 +32,16 @@
         inForce.put(0L, ConfigurationDocument.EMPTY);
     }
 
-    SubmittedChange make(boolean replacesAll, long base, long version, boolean wellFormed, int paddingBytes) {
-        Optional<String> routedService = Optional.ofNullable(inForce.get(base)).flatMap(HistoryChecker::someService);
-        SubmittedChange change = SubmittedChange.make(
+    SubmittedChange create(boolean replacesAll, long base, long version, boolean wellFormed, int paddingBytes) {
+        Optional<String> routedService = Optional.ofNullable(inForce.get(base)).flatMap(HistoryChecker::anyService);
+        SubmittedChange change = SubmittedChange.create(
                 changes.size(), replacesAll, base, version, wellFormed, paddingBytes, routedService);
         changes.add(change);
-        answers.add(Response.NONE);
+        responses.add(Response.NONE);
         return change;
     }
 
-    private static Optional<String> someService(ConfigurationDocument document) {
+    private static Optional<String> anyService(ConfigurationDocument document) {
         return document.sections().getOrDefault("services", Map.of()).keySet().stream()
                 .findFirst();
     }
@@ -66,37 +66,43 @@
         return reads;
     }
 
-    /** The answered requests, in the order of their arrivals and responses. */
+    /** The requests with a response, in the order of their arrivals and responses. */
     CallHistory calls() {
         return calls;
     }
 
-    /** Some process considers a document to be in force. */
-    void onInForce(String where, ConfigurationDocument document) {
+    /** A process considers a document to be in force. */
+    void onInForce(String host, ConfigurationDocument document) {
         ConfigurationDocument known = inForce.get(document.version());
         if (known != null) {
             require(
                     known == document || known.equals(document),
                     Invariant.ONE_SUCCESSOR,
-                    where + ": two contents of version " + document.version());
+                    host + ": two documents with version " + document.version());
             return;
         }
         SubmittedChange change = changes.get(SubmittedChange.idOf(document));
-        String what = where + ": change " + change.id();
-        require(change.version() == document.version(), Invariant.AS_SENT, what + " under another version");
-        require(change.valid(), Invariant.AS_SENT, what + " is invalid and in force");
+        String description = host + ": change " + change.id();
         require(
-                answers.get(change.id()) != Response.REJECTED,
+                change.version() == document.version(),
+                Invariant.AS_SENT,
+                description + " is in force under another version");
+        require(change.valid(), Invariant.AS_SENT, description + " is invalid and in force");
+        require(
+                responses.get(change.id()) != Response.REJECTED,
                 Invariant.REJECTED_STAYS_OUT,
-                what + " was refused and is in force");
-        Long before = successors.put(change.base(), change.version());
+                description + " was rejected and is in force");
+        Long sibling = successors.put(change.base(), change.version());
         require(
-                before == null,
+                sibling == null,
                 Invariant.ONE_SUCCESSOR,
-                what + " and version " + before + " both build upon version " + change.base());
+                description + " and version " + sibling + " are both based on version " + change.base());
         ConfigurationDocument base = inForce.get(change.base());
-        require(base != null, Invariant.AS_SENT, what + " builds upon a version that never was, " + change.base());
-        require(change.applyTo(base).equals(document), Invariant.AS_SENT, what + " is not what was sent");
+        require(
+                base != null,
+                Invariant.AS_SENT,
+                description + " is based on a version that was never in force, " + change.base());
+        require(change.applyTo(base).equals(document), Invariant.AS_SENT, description + " differs from what was sent");
         inForce.put(document.version(), document);
         newestInForce = Math.max(newestInForce, document.version());
     }
@@ -107,42 +113,45 @@
     }
 
     /** A controller acknowledges a change: the response is sent now, whether or not it arrives. */
-    void onAcknowledged(String where, SubmittedChange change) {
-        String what = where + ": change " + change.id();
-        require(isInForce(change), Invariant.ACKNOWLEDGED_IS_DURABLE, what + " is acknowledged and not in force");
+    void onAcknowledged(String host, SubmittedChange change) {
+        String description = host + ": change " + change.id();
+        require(
+                isInForce(change),
+                Invariant.ACKNOWLEDGED_IS_DURABLE,
+                description + " is acknowledged but not in force");
         require(
-                answers.get(change.id()) != Response.REJECTED,
+                responses.get(change.id()) != Response.REJECTED,
                 Invariant.REJECTED_STAYS_OUT,
-                what + " was refused and is acknowledged");
-        answers.set(change.id(), Response.ACCEPTED);
+                description + " was rejected and is acknowledged");
+        responses.set(change.id(), Response.ACCEPTED);
         newestAcknowledged = Math.max(newestAcknowledged, change.version());
         acknowledged++;
     }
 
     /** A controller rejects a change. */
-    void onRejected(String where, SubmittedChange change, int status) {
-        String what = where + ": change " + change.id() + " upon " + change.base();
-        require(!isInForce(change), Invariant.NOT_WRONGLY_REJECTED, what + " is in force and gets " + status);
+    void onRejected(String host, SubmittedChange change, int status) {
+        String description = host + ": change " + change.id() + " on version " + change.base();
+        require(!isInForce(change), Invariant.NOT_WRONGLY_REJECTED, description + " is in force but gets " + status);
         require(
-                answers.get(change.id()) != Response.ACCEPTED,
+                responses.get(change.id()) != Response.ACCEPTED,
                 Invariant.NOT_WRONGLY_REJECTED,
-                what + " was acknowledged and gets " + status);
+                description + " was acknowledged but gets " + status);
         boolean isAcceptable = change.valid() && change.base() == newestInForce;
         require(
                 !isAcceptable,
                 Invariant.NOT_WRONGLY_REJECTED,
-                what + " is valid upon the newest version and gets " + status);
-        answers.set(change.id(), Response.REJECTED);
+                description + " is valid for the newest version but gets " + status);
+        responses.set(change.id(), Response.REJECTED);
         rejected++;
     }
 
-    /** A controller answers a read. */
-    void reads(String where, ConfigurationDocument document) {
+    /** A controller responds to a read. */
+    void onRead(String host, ConfigurationDocument document) {
         ConfigurationDocument known = inForce.get(document.version());
         require(
                 document.equals(known),
                 Invariant.AS_SENT,
-                where + ": read what was never in force, version " + document.version());
+                host + ": a read returned a document that was never in force, version " + document.version());
         reads++;
     }
 
--- a/testing/emulator/src/main/java/pinewick/emulator/control/Invariant.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/Invariant.java
@@ -6,9 +6,9 @@
     ACKNOWLEDGED_IS_DURABLE,
     /** At most one change of each base version is ever in force. */
     ONE_SUCCESSOR,
-    /** What is in force is valid, and exactly what an operator sent. */
+    /** A configuration in force is valid, and exactly what an operator sent. */
     AS_SENT,
-    /** A change that was answered with 400 or 412 is never in force. */
+    /** A change that was rejected with 400 or 412 is never in force. */
     REJECTED_STAYS_OUT,
     /** A change that was acknowledged, or that is valid for the newest version, is not rejected. */
     NOT_WRONGLY_REJECTED,
@@ -16,13 +16,13 @@
     LINEARIZABLE,
     /** A redirect leads to a controller that was recently primary. */
     REDIRECTS_TO_A_PRIMARY,
-    /** Within one incarnation a router's configuration never goes back. */
+    /** Within one incarnation the configuration version of a router never decreases. */
     NO_REGRESSION,
-    /** Routers with contact have an acknowledged configuration in time. */
+    /** Routers in contact with the controllers have an acknowledged configuration in time. */
     ROUTERS_CURRENT,
-    /** A configuration that a process takes for the newest as of some time was the newest acknowledged one then. */
+    /** A configuration that a process considers the newest as of some time was the newest acknowledged one then. */
     CONFIRMED_WAS_NEWEST,
-    /** Routers with contact know an acknowledged drain in time. */
+    /** Routers in contact with the controllers know of an acknowledged drain in time. */
     DRAIN_KNOWN,
     /** Within one incarnation a process never reverts a removal. */
     DRAIN_IS_PERMANENT,
@@ -30,11 +30,11 @@
     ONE_LEASE_HOLDER,
     /** The members change only by a majority of the old members and of the new ones. */
     MEMBERS_BY_MAJORITY,
-    /** A process that shuts down as detached leaves enough stores with the newest configuration. */
+    /** A process that exits as detached leaves enough stores with the newest configuration. */
     ENOUGH_STORES_LEFT,
     /** With a healthy majority an operator's change is acknowledged in time. */
     ACKNOWLEDGED_IN_TIME,
-    /** With a healthy majority an operator's read is answered in time. */
+    /** With a healthy majority an operator's read gets a response in time. */
     READ_IN_TIME,
     /** No part of the control plane fails with an exception. */
     NO_FAILURE
--- a/testing/emulator/src/main/java/pinewick/emulator/control/InvariantViolation.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/InvariantViolation.java
@@ -1,13 +1,13 @@
 package pinewick.emulator.control;
 
-/** An invariant is violated. */
+/** Thrown when an invariant is violated. */
 public final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final Invariant invariant;
 
-    InvariantViolation(Invariant invariant, String what) {
-        super(invariant + ": " + what);
+    InvariantViolation(Invariant invariant, String detail) {
+        super(invariant + ": " + detail);
         this.invariant = invariant;
     }
 
@@ -16,9 +16,9 @@
         return invariant;
     }
 
-    static void require(boolean holds, Invariant invariant, String what) {
-        if (!holds) {
-            throw new InvariantViolation(invariant, what);
+    static void require(boolean condition, Invariant invariant, String detail) {
+        if (!condition) {
+            throw new InvariantViolation(invariant, detail);
         }
     }
 }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/LeaseChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/LeaseChecker.java
@@ -17,20 +17,20 @@
 
     /** A process uses the lease with a token. */
     void onLeaseUsed(String process, long token, double nowMs) {
-        String earlier = holderByToken.putIfAbsent(token, process);
+        String previousHolder = holderByToken.putIfAbsent(token, process);
         require(
-                earlier == null || earlier.equals(process),
+                previousHolder == null || previousHolder.equals(process),
                 Invariant.ONE_LEASE_HOLDER,
-                earlier + " and " + process + " share token " + token);
+                previousHolder + " and " + process + " both use token " + token);
         require(
                 token >= highestToken,
                 Invariant.ONE_LEASE_HOLDER,
-                process + " holds token " + token + " after " + highestToken);
+                process + " uses token " + token + " after " + highestToken);
         boolean hasChanged = !lastHolder.isEmpty() && !lastHolder.equals(process);
         require(
                 !hasChanged || nowMs - lastUseMs >= SimulatedSystem.LEASE_MS,
                 Invariant.ONE_LEASE_HOLDER,
-                process + " follows " + lastHolder + " after " + (nowMs - lastUseMs) + " ms");
+                process + " takes the lease from " + lastHolder + " after " + (nowMs - lastUseMs) + " ms");
         highestToken = token;
         lastHolder = process;
         lastUseMs = nowMs;
--- a/testing/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
@@ -19,10 +19,10 @@
 
 /**
  * Checks whether a history of requests is linearizable as a compare-and-set register with versions, after Wing and Gong
- * (1993). The changes in force form a chain, so their order is known; the search is for when each took effect. A
- * candidate is the position of the register in the chain, and which of the concurrent requests could have had their
- * result by then; the candidates are updated event by event, and the history is linearizable while at least one
- * remains.
+ * (1993). The changes in force form a chain, so their order is known; the search determines when each took effect. A
+ * candidate consists of the position of the register in the chain and the set of concurrent requests that could have
+ * taken effect by then. The candidates are updated event by event, and the history is linearizable as long as at least
+ * one remains.
  */
 final class LinearizabilityChecker {
     private static final int MAX_CONCURRENT_CALLS = 64;
@@ -54,10 +54,10 @@
         if (event instanceof FirstSent sent) {
             sentChanges.add(sent.change().id());
             advance();
-        } else if (event instanceof Received begun && begun.call().finding() != Outcome.NONE) {
-            begin(begun.call());
-        } else if (event instanceof Answered ended) {
-            end(ended.call());
+        } else if (event instanceof Received received && received.call().outcome() != Outcome.NONE) {
+            begin(received.call());
+        } else if (event instanceof Answered answered) {
+            complete(answered.call());
         } else if (event instanceof Acknowledged acknowledged) {
             acknowledge(acknowledged.change());
         }
@@ -71,25 +71,25 @@
         usedSlots |= 1L << slot;
         slots.put(call, slot);
         TreeMap<Integer, Set<Long>> next = new TreeMap<>();
-        candidates.forEach((position, found) -> next.put(position, withFindings(position, found)));
+        candidates.forEach((position, all) -> next.put(position, withMatches(position, all)));
         candidates = next;
         advance();
     }
 
-    private void end(Call call) {
+    private void complete(Call call) {
         int slot = slots.remove(call);
         long bit = 1L << slot;
         TreeMap<Integer, Set<Long>> next = new TreeMap<>();
         candidates.forEach((position, all) -> {
             Set<Long> remaining = new HashSet<>();
-            all.stream().filter(found -> (found & bit) != 0).forEach(found -> remaining.add(found & ~bit));
+            all.stream().filter(matched -> (matched & bit) != 0).forEach(matched -> remaining.add(matched & ~bit));
             if (!remaining.isEmpty()) {
                 next.put(position, remaining);
             }
         });
         usedSlots &= ~bit;
         candidates = next;
-        require(!candidates.isEmpty(), Invariant.LINEARIZABLE, "no order of the changes fits " + describe(call));
+        require(!candidates.isEmpty(), Invariant.LINEARIZABLE, "no linearization explains " + describe(call));
     }
 
     private void acknowledge(SubmittedChange change) {
@@ -99,35 +99,35 @@
         require(
                 !candidates.isEmpty(),
                 Invariant.LINEARIZABLE,
-                "change " + change.id() + " was acknowledged before it can have taken effect");
+                "change " + change.id() + " was acknowledged before it could have taken effect");
     }
 
-    /** The register may advance by any change that was sent. */
+    /** The register may advance over any change that was sent. */
     private void advance() {
         for (int position = candidates.firstKey(); position < chain.size(); position++) {
-            Set<Long> here = candidates.get(position);
-            if (here == null || !sentChanges.contains(chain.get(position).id())) {
-                if (here == null && candidates.higherKey(position) == null) {
+            Set<Long> current = candidates.get(position);
+            if (current == null || !sentChanges.contains(chain.get(position).id())) {
+                if (current == null && candidates.higherKey(position) == null) {
                     return;
                 }
                 continue;
             }
-            Set<Long> there = candidates.computeIfAbsent(position + 1, key -> new HashSet<>());
-            there.addAll(withFindings(position + 1, here));
-            dropDominated(there);
+            Set<Long> following = candidates.computeIfAbsent(position + 1, key -> new HashSet<>());
+            following.addAll(withMatches(position + 1, current));
+            dropDominated(following);
         }
     }
 
-    private Set<Long> withFindings(int position, Set<Long> all) {
+    private Set<Long> withMatches(int position, Set<Long> all) {
         long bits = 0;
         for (Map.Entry<Call, Integer> entry : slots.entrySet()) {
-            if (fits(entry.getKey(), position)) {
+            if (matches(entry.getKey(), position)) {
                 bits |= 1L << entry.getValue();
             }
         }
         Set<Long> extended = new HashSet<>();
-        for (long found : all) {
-            extended.add(found | bits);
+        for (long matched : all) {
+            extended.add(matched | bits);
         }
         return extended;
     }
@@ -135,14 +135,15 @@
     private static void dropDominated(Set<Long> all) {
         if (all.size() > 1) {
             List<Long> copy = new ArrayList<>(all);
-            all.removeIf(one -> copy.stream().anyMatch(other -> !other.equals(one) && (one & other) == one));
+            all.removeIf(
+                    matched -> copy.stream().anyMatch(other -> !other.equals(matched) && (matched & other) == matched));
         }
     }
 
-    /** Whether a request would have had its result if it took effect with the register at this position. */
-    private boolean fits(Call call, int position) {
+    /** Whether a request would have had its outcome if it took effect with the register at this position. */
+    private boolean matches(Call call, int position) {
         long current = position == 0 ? 0 : chain.get(position - 1).version();
-        return switch (call.finding()) {
+        return switch (call.outcome()) {
             case READ -> call.version() == current;
             case CONFLICT -> call.change().base() != current;
             case INVALID -> !call.change().valid() || call.change().version() <= current;
@@ -151,9 +152,10 @@
     }
 
     private static String describe(Call call) {
-        String what = call.change() == null
+        String change = call.change() == null
                 ? ""
-                : " of change " + call.change().id() + " upon " + call.change().base();
-        return call.finding() + what + (call.finding() == Outcome.READ ? " of version " + call.version() : "");
+                : " for change " + call.change().id() + " on version "
+                        + call.change().base();
+        return call.outcome() + change + (call.outcome() == Outcome.READ ? " of version " + call.version() : "");
     }
 }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/MembershipChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/MembershipChecker.java
@@ -16,7 +16,7 @@
 import pinewick.replication.ReplicationMessages.Accepted;
 import pinewick.replication.ReplicationMessages.RecordChosen;
 
-/** Checks that each chosen epoch record was accepted by a majority of its members and of the earlier members. */
+/** Checks that each chosen epoch record was accepted by a majority of its members and of the previous members. */
 final class MembershipChecker {
     private final Map<EpochNumber, Set<String>> acceptors = new HashMap<>();
     private final TreeMap<EpochNumber, List<Member>> chosen = new TreeMap<>();
@@ -36,23 +36,24 @@
         if (chosen.containsKey(record.number())) {
             return;
         }
-        Set<String> all = new HashSet<>(acceptors.getOrDefault(record.number(), Set.of()));
-        all.add(record.primary());
-        Map.Entry<EpochNumber, List<Member>> before = chosen.lowerEntry(record.number());
-        boolean byOld = before == null || isMajority(before.getValue(), all);
+        Set<String> accepting = new HashSet<>(acceptors.getOrDefault(record.number(), Set.of()));
+        accepting.add(record.primary());
+        Map.Entry<EpochNumber, List<Member>> previous = chosen.lowerEntry(record.number());
+        boolean byPreviousMembers = previous == null || isMajority(previous.getValue(), accepting);
         require(
-                byOld && isMajority(record.members(), all),
+                byPreviousMembers && isMajority(record.members(), accepting),
                 Invariant.MEMBERS_BY_MAJORITY,
-                "epoch " + record.number().counter() + " of members " + identities(record.members()) + ", before "
-                        + (before == null ? "none" : identities(before.getValue())) + ", was accepted by " + all);
+                "epoch " + record.number().counter() + " of members " + identities(record.members())
+                        + ", previous members " + (previous == null ? "none" : identities(previous.getValue()))
+                        + ", was accepted by " + accepting);
         chosen.put(record.number(), record.members());
     }
 
     private static boolean isMajority(List<Member> members, Collection<String> identities) {
-        long present = members.stream()
+        long matching = members.stream()
                 .filter(member -> identities.contains(member.identity()))
                 .count();
-        return 2 * present > members.size();
+        return 2 * matching > members.size();
     }
 
     private static List<String> identities(List<Member> members) {
--- a/testing/emulator/src/main/java/pinewick/emulator/control/MessageMutations.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/MessageMutations.java
@@ -22,7 +22,7 @@
 
 /** Mutations of the messages between controllers. */
 final class MessageMutations {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY = {};
 
     private MessageMutations() {}
 
@@ -94,10 +94,10 @@
         }
     }
 
-    private static HeartbeatReply renumbered(HeartbeatReply reply, Heartbeat asked) {
+    private static HeartbeatReply renumbered(HeartbeatReply reply, Heartbeat heartbeat) {
         return new HeartbeatReply(
-                asked.request(),
-                asked.number(),
+                heartbeat.request(),
+                heartbeat.number(),
                 reply.self(),
                 reply.promised(),
                 reply.accepted(),
@@ -121,11 +121,11 @@
 
         @Override
         Message onReceived(SocketAddress from, SocketAddress to, Message message) {
-            Heartbeat asked = newest.get(new Link(to, from));
+            Heartbeat latest = newest.get(new Link(to, from));
             if (message instanceof HeartbeatReply reply
-                    && asked != null
-                    && reply.number().equals(asked.number())) {
-                return renumbered(reply, asked);
+                    && latest != null
+                    && reply.number().equals(latest.number())) {
+                return renumbered(reply, latest);
             }
             return message;
         }
@@ -163,7 +163,7 @@
         Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             return message instanceof InstallSnapshot install
                     ? new InstallSnapshot(
-                            install.request(), install.number(), install.stateVersion(), install.document(), NOTHING)
+                            install.request(), install.number(), install.stateVersion(), install.document(), EMPTY)
                     : message;
         }
     }
@@ -184,7 +184,7 @@
         }
     }
 
-    /** A store stands for election although it is not in sync. */
+    /** A store becomes a candidate for primary although it is not in sync. */
     static final class StaleStoreBecomesPrimary extends Mutation {
         private final Map<SocketAddress, String> identities = new HashMap<>();
 
@@ -232,10 +232,10 @@
             if (!record.hasMember(identity) || record.inSync().contains(identity)) {
                 return record;
             }
-            List<String> wider = new ArrayList<>(record.inSync());
-            wider.add(identity);
+            List<String> extended = new ArrayList<>(record.inSync());
+            extended.add(identity);
             return new EpochRecord(
-                    record.number(), record.primary(), wider, record.members(), record.previousMembers());
+                    record.number(), record.primary(), extended, record.members(), record.previousMembers());
         }
     }
 }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/Mutant.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/Mutant.java
@@ -11,19 +11,19 @@
     /** The unmodified code. */
     NONE(0, 0, Mutation::new),
 
-    /** 412 without a heartbeat that a quorum confirmed. */
+    /** A response of 412 without a heartbeat that a quorum confirmed. */
     REJECTS_WITHOUT_CONFIRMATION(1, 3, ApiMutations.RejectsFromMemory::new),
-    /** Reads without a heartbeat that a quorum confirmed. */
+    /** A response to a read without a heartbeat that a quorum confirmed. */
     READS_FROM_MEMORY(1, 162, ApiMutations.ReadsFromMemory::new),
-    /** 400 by validation against a state that is not current. */
+    /** A response of 400 after validation against a state that is not current. */
     VALIDATES_AGAINST_STALE_STATE(1, 0, ApiMutations.ValidatesAgainstMemory::new),
-    /** A redirect that is repeated after its primary is lost. */
+    /** A redirect that is repeated after the loss of the primary. */
     CACHES_REDIRECTS(1, 3, ApiMutations.CachesRedirects::new),
     /** Two controllers that redirect to each other. */
     REDIRECTS_TO_A_PEER(1, 3, ApiMutations.RedirectsToPeer::new),
     /** A heartbeat is confirmed by a reply to an earlier one. */
     LATE_REPLIES_CONFIRM(1, 12, MessageMutations.LateRepliesConfirm::new),
-    /** A process that bootstraps trusts its first source for good. */
+    /** A process that bootstraps trusts its first source permanently. */
     ROUTER_TRUSTS_FIRST_SOURCE(1, 3, GossipMutations.RouterTrustsFirstSource::new),
 
     /** Two changes of one base version are both accepted. */
@@ -38,12 +38,12 @@
     REJECTS_RESENT_AFTER_STATE_TRANSFER(2, 14, MessageMutations.StateTransferLosesAcceptedChanges::new),
     /** A resent change is rejected after a snapshot. */
     REJECTS_RESENT_AFTER_A_SNAPSHOT(2, 3, DiskMutations.SnapshotLosesAcceptedChanges::new),
-    /** An unknown outcome is answered as a rejection. */
+    /** An unknown outcome is reported as a rejection. */
     REJECTS_UNKNOWN_OUTCOMES(2, 1, () -> new ApiMutations.AnswersUnknownOutcomes(412)),
-    /** An unknown outcome is answered as an acknowledgement. */
+    /** An unknown outcome is reported as an acknowledgement. */
     ACKNOWLEDGES_UNKNOWN_OUTCOMES(2, 1, () -> new ApiMutations.AnswersUnknownOutcomes(200)),
 
-    /** A member shuts down before another one has the state. */
+    /** A member exits before another one has the state. */
     SHUTS_DOWN_BEFORE_HANDOVER(3, 114, DiskMutations.ShutsDownAtOnce::new),
     /** The members change without a majority of the old ones. */
     MEMBERS_WITHOUT_JOINT_CONSENSUS(3, 3, MessageMutations.MembersWithoutJointConsensus::new),
@@ -81,7 +81,7 @@
     ROUTERS_MISS_DRAINS(5, 0, GossipMutations.RoutersMissRemovals::new),
     /** The fencing token does not rise with the epoch. */
     TOKEN_NOT_RAISED(5, 0, DiskMutations.ReusesToken::new),
-    /** A new lease holder does not wait for the earlier lease to expire. */
+    /** A new lease holder does not wait for the previous lease to expire. */
     LEASE_NOT_WAITED_FOR(5, 7, DiskMutations.SkipsLeaseWait::new),
 
     /** Unsolicited messages confirm that a configuration is the newest. */
@@ -97,7 +97,7 @@
     ACCEPTS_AFTER_A_HIGHER_PROMISE(1, 1, EpochMutations.AcceptsAfterAHigherPromise::new),
     /** A record counts as chosen while it is only proposed. */
     ANNOUNCES_BEFORE_ACCEPTANCE(3, 0, EpochMutations.AnnouncesBeforeAcceptance::new),
-    /** A process that shuts down may end as soon as the primary knows of it. */
+    /** A process that shuts down may exit as soon as the primary knows of the shutdown. */
     PERMITS_SHUTDOWN_AT_ONCE(3, 114, EpochMutations.PermitsShutdownAtOnce::new),
     /** A witness that restarts has forgotten the records that it accepted. */
     FORGETS_ACCEPTED_RECORDS(3, 9, EpochMutations.ForgetsAcceptedRecords::new),
@@ -126,17 +126,17 @@
         this.factory = factory;
     }
 
-    /** Which of the five points of docs/control-safety.md it belongs to; 0 for none. */
+    /** The number of the point of docs/control-safety.md, 1 to 5, that the mutant violates; 0 for none. */
     public int safetyPoint() {
         return safetyPoint;
     }
 
-    /** A seed that catches it; may change with the code. */
+    /** A seed that catches the mutant; it may change with the code. */
     public long knownSeed() {
         return knownSeed;
     }
 
-    /** The scenario in which a seed is to catch it. */
+    /** The scenario in which a run of a seed is expected to catch the mutant. */
     Scenario scenarioOf(long seed) {
         return scenario.orElseGet(() -> ControlPlaneSimulation.scenarioOf(seed));
     }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/Mutation.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/Mutation.java
@@ -17,27 +17,27 @@
 class Mutation {
     static final Mutation NONE = new Mutation();
 
-    /** A message is sent: returns the message that is transmitted instead, null for none. */
+    /** A message is sent: returns the message to transmit instead, null for none. */
     Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
         return message;
     }
 
-    /** A message is received: returns the message that is handled instead, null for none. */
+    /** A message is received: returns the message to handle instead, null for none. */
     Message onReceived(SocketAddress from, SocketAddress to, Message message) {
         return message;
     }
 
-    /** Before the controller handles a request of the operator: a response that is given instead. */
-    Optional<ApiResponse> responseInstead(ControllerProcess controller, OperatorCall call) {
+    /** A response that is sent to the operator without the controller handling the request; empty for none. */
+    Optional<ApiResponse> overrideResponse(ControllerProcess controller, OperatorCall call) {
         return Optional.empty();
     }
 
-    /** The request of the operator that the controller handles instead. */
+    /** The request that the controller handles in place of the one that the operator sent. */
     OperatorCall onCall(ControllerProcess controller, OperatorCall call) {
         return call;
     }
 
-    /** The response that the operator gets instead. */
+    /** The response that is sent to the operator in place of that of the controller. */
     ApiResponse onResponse(ControllerProcess controller, OperatorCall call, ApiResponse response) {
         return response;
     }
@@ -47,7 +47,7 @@
         return settings;
     }
 
-    /** Whether a machine whose disk was wiped restarts as a founder. */
+    /** Whether a machine whose disk was wiped restarts as a founding member. */
     boolean foundsAfterWipe() {
         return false;
     }
@@ -57,7 +57,7 @@
         return loaded;
     }
 
-    /** The write that is applied to a disk instead. */
+    /** The write that is applied to a disk in place of the requested one. */
     StableWrite onWrite(SimulatedDisk disk, StableWrite write) {
         return write;
     }
@@ -67,12 +67,12 @@
         return false;
     }
 
-    /** Whether a process that shuts down believes to be detached. */
-    boolean isDetached(boolean really) {
-        return really;
+    /** Whether a process that shuts down considers itself detached. */
+    boolean isDetached(boolean actual) {
+        return actual;
     }
 
-    /** The epoch under which a process orders replicas. */
+    /** The epoch under which a process uses the lease. */
     Optional<Long> leadingEpoch(ControllerProcess controller, Optional<Long> epoch) {
         return epoch;
     }
@@ -83,11 +83,11 @@
     /** A router is about to handle a message. */
     void onHandledByRouter(RouterProcess router, Message message) {}
 
-    /** The time, simulated time, as of which a router takes its configuration for the newest. */
+    /** The simulated time as of which a router considers its configuration the newest. */
     double confirmedAtMs(RouterProcess router, double confirmedAtMs) {
         return confirmedAtMs;
     }
 
-    /** A router receives a message. {@code show} makes it apply a configuration. */
-    void onRouterReceived(RouterProcess router, Message message, Consumer<Long> show) {}
+    /** A router receives a message. {@code apply} makes it apply a version. */
+    void onRouterReceived(RouterProcess router, Message message, Consumer<Long> apply) {}
 }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/Network.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/Network.java
@@ -9,8 +9,8 @@
 
 /**
  * Links between hosts. A message may be lost, duplicated, delayed by seconds, and reach a later incarnation of its
- * receiver. Each link has its own random numbers, so that they do not depend on the order in which a process sends to
- * several others.
+ * receiver. Each link has its own random generator, so that its draws do not depend on the order in which a process sends
+ * to several others.
  */
 final class Network {
     private static final double MIN_DELAY_MS = 0.3;
@@ -18,14 +18,14 @@
     private static final double MAX_LATE_MS = 400;
     static final double MAX_STALE_MS = 4_000;
 
-    /** Receives what the network carries. */
+    /** Receives the messages that the network delivers. */
     interface Receiver {
         void onMessage(SocketAddress sender, Message message);
     }
 
     private record Link(String from, String to) {}
 
-    private record ExtraDelay(double minMs, double maxMs, Predicate<Message> concerned) {}
+    private record ExtraDelay(double minMs, double maxMs, Predicate<Message> matching) {}
 
     private final VirtualTime time;
     private final long seed;
@@ -48,15 +48,15 @@
         return time.nowMs();
     }
 
-    void setMutation(Mutation by) {
-        mutation = by;
+    void setMutation(Mutation newMutation) {
+        mutation = newMutation;
     }
 
     /** Sets the probabilities that a message is lost, duplicated or late, and that a late one is late by seconds. */
-    void setQuality(double lost, double doubled, double late, double stale) {
+    void setQuality(double loss, double duplication, double late, double stale) {
         staleProbability = stale;
-        lossProbability = lost;
-        duplicateProbability = doubled;
+        lossProbability = loss;
+        duplicateProbability = duplication;
         lateProbability = late;
     }
 
@@ -64,7 +64,7 @@
         receivers.put(address, receiver);
     }
 
-    /** Blocks the link from one host to another until it is unblocked as often. */
+    /** Blocks the link from one host to another until it has been unblocked as often as blocked. */
     void block(String from, String to) {
         blockedLinks.merge(new Link(from, to), 1, Integer::sum);
     }
@@ -79,8 +79,8 @@
     }
 
     /** Delays the matching messages that are sent from now on from one host to another. */
-    void delay(String from, String to, double minMs, double maxMs, Predicate<Message> concerned) {
-        extraDelays.put(new Link(from, to), new ExtraDelay(minMs, maxMs, concerned));
+    void delay(String from, String to, double minMs, double maxMs, Predicate<Message> matching) {
+        extraDelays.put(new Link(from, to), new ExtraDelay(minMs, maxMs, matching));
     }
 
     void removeDelay(String from, String to) {
@@ -91,34 +91,34 @@
         return blockedLinks.isEmpty() || !blockedLinks.containsKey(new Link(from, to));
     }
 
-    boolean isOpenBothWays(String one, String other) {
-        return isOpen(one, other) && isOpen(other, one);
+    boolean isOpenBothWays(String left, String right) {
+        return isOpen(left, right) && isOpen(right, left);
     }
 
     /** Sends a message between processes. */
     void send(SocketAddress from, SocketAddress to, Message message) {
-        Message carried = mutation.onSent(this, from, to, message);
-        if (carried == null || !isOpen(from.host(), to.host())) {
+        Message transmitted = mutation.onSent(this, from, to, message);
+        if (transmitted == null || !isOpen(from.host(), to.host())) {
             return;
         }
-        SplittableRandom random = randomOf(from.host(), to.host());
+        SplittableRandom random = randomFor(from.host(), to.host());
         if (lossProbability > 0 && random.nextDouble() < lossProbability) {
             return;
         }
-        carry(from, to, carried, random);
+        transmit(from, to, transmitted, random);
         if (duplicateProbability > 0 && random.nextDouble() < duplicateProbability) {
-            carry(from, to, carried, random);
+            transmit(from, to, transmitted, random);
         }
     }
 
-    private void carry(SocketAddress from, SocketAddress to, Message message, SplittableRandom random) {
+    private void transmit(SocketAddress from, SocketAddress to, Message message, SplittableRandom random) {
         double delayMs = MIN_DELAY_MS + (MAX_DELAY_MS - MIN_DELAY_MS) * random.nextDouble();
         if (lateProbability > 0 && random.nextDouble() < lateProbability) {
-            double latestMs = random.nextDouble() < staleProbability ? MAX_STALE_MS : MAX_LATE_MS;
-            delayMs += latestMs * random.nextDouble();
+            double maxLateMs = random.nextDouble() < staleProbability ? MAX_STALE_MS : MAX_LATE_MS;
+            delayMs += maxLateMs * random.nextDouble();
         }
         ExtraDelay extraDelay = extraDelays.isEmpty() ? null : extraDelays.get(new Link(from.host(), to.host()));
-        if (extraDelay != null && extraDelay.concerned.test(message)) {
+        if (extraDelay != null && extraDelay.matching.test(message)) {
             delayMs += extraDelay.minMs + (extraDelay.maxMs - extraDelay.minMs) * random.nextDouble();
         }
         deliverAfter(delayMs, from, to, message);
@@ -148,7 +148,7 @@
         if (!isOpen(from, to)) {
             return;
         }
-        SplittableRandom random = randomOf(from, to);
+        SplittableRandom random = randomFor(from, to);
         double delayMs = MIN_DELAY_MS + (MAX_DELAY_MS - MIN_DELAY_MS) * random.nextDouble();
         time.after(delayMs, () -> {
             if (isOpen(from, to)) {
@@ -157,7 +157,7 @@
         });
     }
 
-    private SplittableRandom randomOf(String from, String to) {
+    private SplittableRandom randomFor(String from, String to) {
         Link link = new Link(from, to);
         SplittableRandom random = randomByLink.get(link);
         if (random == null) {
--- a/testing/emulator/src/main/java/pinewick/emulator/control/Operator.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/Operator.java
@@ -9,8 +9,8 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Submits changes and reads according to the protocol: follows up to two redirects, times out after a second, then
- * calls another controller after an exponential backoff, and resends the same request unchanged until its result is
+ * Submits changes and reads according to the protocol: follows up to two redirects, times out after one second, then
+ * calls another controller after an exponential backoff, and resends the same request unchanged until its outcome is
  * definite.
  */
 final class Operator {
@@ -25,14 +25,14 @@
     private final SimulatedSystem system;
     private final String host;
     private final SplittableRandom random;
-    private final List<SubmittedChange> sentBefore = new ArrayList<>();
+    private final List<SubmittedChange> sentChanges = new ArrayList<>();
     private final List<Double> acknowledgementTimesMs = new ArrayList<>();
     private Optional<Operator> partner = Optional.empty();
     private double responseLossProbability;
     private double longDocumentProbability;
     private double meanIntervalMs = 500;
-    private double workUntilMs;
-    private long believedCurrent;
+    private double runUntilMs;
+    private long lastKnownVersion;
     private int callsInFlight;
 
     Operator(SimulatedSystem system, int number, SplittableRandom random) {
@@ -57,43 +57,43 @@
         meanIntervalMs = meanMs;
     }
 
-    /** Another operator that also submits some of the changes. */
+    /** Sets another operator that also submits some of the changes. */
     void setPartner(Operator other) {
         partner = Optional.of(other);
     }
 
-    /** How long each change took from its first submission to its acknowledgement. */
+    /** The time from the first submission of each change to its acknowledgement. */
     List<Double> acknowledgementTimesMs() {
         return acknowledgementTimesMs;
     }
 
-    /** Whether the maximum of concurrent requests is in flight. */
+    /** Whether the maximum number of concurrent requests is in flight. */
     boolean isBusy() {
         return callsInFlight >= MAX_CALLS;
     }
 
-    void work(double untilMs) {
-        workUntilMs = untilMs;
-        next();
+    void run(double untilMs) {
+        runUntilMs = untilMs;
+        runNext();
     }
 
-    private void next() {
-        if (system.nowMs() >= workUntilMs) {
+    private void runNext() {
+        if (system.nowMs() >= runUntilMs) {
             return;
         }
         if (!isBusy()) {
-            act();
+            performOperation();
         }
-        boolean burst = random.nextDouble() < 0.3;
-        system.after(burst ? random.nextDouble(1, 30) : meanIntervalMs * random.nextDouble(0.2, 1.8), this::next);
+        boolean isBurst = random.nextDouble() < 0.3;
+        system.after(isBurst ? random.nextDouble(1, 30) : meanIntervalMs * random.nextDouble(0.2, 1.8), this::runNext);
     }
 
-    private void act() {
+    private void performOperation() {
         double choice = random.nextDouble();
         if (choice < 0.2) {
             read(() -> {});
-        } else if (choice < 0.3 && !sentBefore.isEmpty()) {
-            submit(sentBefore.get(random.nextInt(sentBefore.size())), () -> {});
+        } else if (choice < 0.3 && !sentChanges.isEmpty()) {
+            submit(sentChanges.get(random.nextInt(sentChanges.size())), () -> {});
         } else {
             SubmittedChange change = nextChange();
             submit(change, () -> {});
@@ -105,22 +105,22 @@
 
     private SubmittedChange nextChange() {
         long known = Math.max(
-                believedCurrent, random.nextDouble() < 0.8 ? system.history().newestAcknowledged() : 0);
+                lastKnownVersion, random.nextDouble() < 0.8 ? system.history().newestAcknowledged() : 0);
         long base = random.nextDouble() < 0.9 ? known : Math.max(0, known - random.nextInt(4));
         long version = base + (random.nextDouble() < 0.95 ? 1 + random.nextInt(3) : 0);
         boolean replacesAll = random.nextBoolean();
         boolean wellFormed = random.nextDouble() < 0.95;
         int padding = random.nextDouble() < longDocumentProbability ? LONG_DOCUMENT_BYTES : 0;
-        SubmittedChange change = system.history().make(replacesAll, base, version, wellFormed, padding);
+        SubmittedChange change = system.history().create(replacesAll, base, version, wellFormed, padding);
         system.history().calls().onFirstSent(change);
-        sentBefore.add(change);
+        sentChanges.add(change);
         return change;
     }
 
-    /** A valid change of the newest version in force. */
+    /** Creates a valid change that is based on the newest version in force. */
     SubmittedChange validChange() {
         long base = system.history().newestInForce();
-        SubmittedChange change = system.history().make(true, base, base + 1, true, 0);
+        SubmittedChange change = system.history().create(true, base, base + 1, true, 0);
         system.history().calls().onFirstSent(change);
         return change;
     }
@@ -130,23 +130,23 @@
     }
 
     void submit(SubmittedChange change, Runnable onAcknowledged, Runnable onRejected) {
-        new Submission(OperatorCall.of(change), onAcknowledged, onRejected).begin();
+        new Submission(OperatorCall.of(change), onAcknowledged, onRejected).start();
     }
 
-    void read(Runnable onAnswered) {
-        new Submission(OperatorCall.read(), onAnswered, () -> {}).begin();
+    void read(Runnable onResponded) {
+        new Submission(OperatorCall.read(), onResponded, () -> {}).start();
     }
 
-    /** One request until its result is definite. */
+    /** One request until its outcome is definite. */
     private final class Submission {
         private final OperatorCall call;
         private final Runnable onSuccess;
         private final Runnable onRejected;
-        private final double beganMs = system.nowMs();
+        private final double startedMs = system.nowMs();
         private double backoffMs = INITIAL_BACKOFF_MS;
         private int controller;
         private int attempts;
-        private boolean ended;
+        private boolean completed;
 
         Submission(OperatorCall call, Runnable onSuccess, Runnable onRejected) {
             this.call = call;
@@ -154,27 +154,27 @@
             this.onRejected = onRejected;
         }
 
-        void begin() {
+        void start() {
             callsInFlight++;
             controller = random.nextInt(64);
             attempt();
         }
 
         private void attempt() {
-            if (ended) {
+            if (completed) {
                 return;
             }
-            if (system.nowMs() - beganMs > GIVE_UP_MS) {
-                end();
+            if (system.nowMs() - startedMs > GIVE_UP_MS) {
+                complete();
                 return;
             }
             List<ControllerMachine> present = system.present();
             send(present.get(Math.floorMod(controller, present.size())), MAX_REDIRECTS);
         }
 
-        private void end() {
-            if (!ended) {
-                ended = true;
+        private void complete() {
+            if (!completed) {
+                completed = true;
                 callsInFlight--;
             }
         }
@@ -200,7 +200,7 @@
         }
 
         private void fail(int current) {
-            if (!ended && attempts == current) {
+            if (!completed && attempts == current) {
                 attempts++;
                 controller++;
                 system.after(backoffMs * random.nextDouble(0.5, 1), this::attempt);
@@ -209,32 +209,32 @@
         }
 
         private void onResponse(int current, ApiResponse response, int redirectsLeft) {
-            if (ended || attempts != current) {
+            if (completed || attempts != current) {
                 return;
             }
             switch (response.status()) {
                 case 200 -> succeed();
                 case 400, 412 -> reject();
-                case 307 -> follow(current, response, redirectsLeft);
+                case 307 -> followRedirect(current, response, redirectsLeft);
                 default -> fail(current);
             }
         }
 
         private void reject() {
-            end();
+            complete();
             onRejected.run();
         }
 
         private void succeed() {
-            end();
+            complete();
             if (call.change() != null) {
-                believedCurrent = Math.max(believedCurrent, call.change().version());
-                acknowledgementTimesMs.add(system.nowMs() - beganMs);
+                lastKnownVersion = Math.max(lastKnownVersion, call.change().version());
+                acknowledgementTimesMs.add(system.nowMs() - startedMs);
             }
             onSuccess.run();
         }
 
-        private void follow(int current, ApiResponse response, int redirectsLeft) {
+        private void followRedirect(int current, ApiResponse response, int redirectsLeft) {
             URI location = URI.create(response.location().orElseThrow());
             SocketAddress api = new SocketAddress(location.getHost(), location.getPort());
             Optional<ControllerMachine> target = system.controllerAt(api);
--- a/testing/emulator/src/main/java/pinewick/emulator/control/RandomFaults.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/RandomFaults.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** Random faults at random times, some right after an acknowledgement. */
+/** Injects random faults at random times, some immediately after an acknowledgement. */
 final class RandomFaults {
     private static final int KINDS = 21;
     private static final int UNBOUNDED_KINDS = 23;
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Injects some faults right after an acknowledgement. */
+    /** Injects a fault immediately after some acknowledgements. */
     private void injectAfterAcknowledgement() {
         if (system.nowMs() >= endMs) {
             return;
@@ -69,10 +69,10 @@
             case 5 -> faults.wipeDuringPowerLoss();
             case 6 -> onAnyController(machine -> faults.freeze(machine, random.nextDouble(100, 4_000)));
             case 7 -> onPrimary(machine -> faults.freeze(machine, random.nextDouble(100, 4_000)));
-            case 8 -> onAnyController(machine -> faults.disk(machine, SimulatedDisk.Mode.SLOW));
-            case 9 -> onAnyController(machine -> faults.disk(machine, SimulatedDisk.Mode.STALLED));
-            case 10 -> onAnyController(machine -> faults.disk(machine, SimulatedDisk.Mode.FULL));
-            case 11 -> onPrimary(machine -> faults.disk(machine, SimulatedDisk.Mode.STALLED));
+            case 8 -> onAnyController(machine -> faults.impairDisk(machine, SimulatedDisk.Mode.SLOW));
+            case 9 -> onAnyController(machine -> faults.impairDisk(machine, SimulatedDisk.Mode.STALLED));
+            case 10 -> onAnyController(machine -> faults.impairDisk(machine, SimulatedDisk.Mode.FULL));
+            case 11 -> onPrimary(machine -> faults.impairDisk(machine, SimulatedDisk.Mode.STALLED));
             case 12 -> onAnyController(
                     machine -> faults.isolate(machine, random.nextDouble(100, 5_000), random.nextBoolean()));
             case 13 -> onAnyController(machine -> faults.isolateOneWay(machine, random.nextDouble(100, 5_000)));
--- a/testing/emulator/src/main/java/pinewick/emulator/control/ReplicaActor.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/ReplicaActor.java
@@ -10,8 +10,8 @@
 import pinewick.model.ReplicaState;
 
 /**
- * A replica's requests: heartbeats, the drain, the deregistration. A request without a 2xx within a second is retried
- * at the next controller. After its end another instance starts at the same address.
+ * The requests of a replica: heartbeats, the drain and the deregistration. A request without a 2xx response within one
+ * second is retried at the next controller. When an instance has ended, another one starts at the same address.
  */
 final class ReplicaActor {
     private static final double TIMEOUT_MS = 1_000;
@@ -37,7 +37,7 @@
     private final SimulatedSystem system;
     private final String host;
     private final SplittableRandom random;
-    private int instances;
+    private int instanceCount;
     private int incarnation;
     private long callSequence;
     private ReplicaState state;
@@ -51,16 +51,16 @@
         this.random = random;
     }
 
-    /** Until then its requests are sent to this controller first. */
+    /** Sends requests to this controller first, until the given time. */
     void preferController(ControllerMachine machine, double untilMs) {
         preferredController = Optional.of(machine);
         preferredUntilMs = untilMs;
     }
 
-    /** A new instance starts. */
+    /** Starts a new instance. */
     void start() {
         incarnation++;
-        instances++;
+        instanceCount++;
         callSequence = 0;
         state = ReplicaState.READY;
         int current = incarnation;
@@ -68,7 +68,7 @@
     }
 
     private String instanceId() {
-        return host + "-" + instances;
+        return host + "-" + instanceCount;
     }
 
     private void heartbeat(int current) {
@@ -82,9 +82,9 @@
             }
         });
         if (random.nextDouble() < LATE_PROBABILITY) {
-            ControllerMachine other = next();
+            ControllerMachine other = nextController();
             system.after(random.nextDouble(500, 4_000), () -> other.process()
-                    .ifPresent(running -> running.onReplicaCall(call, answer -> {})));
+                    .ifPresent(process -> process.onReplicaCall(call, response -> {})));
         }
         system.after(SimulatedSystem.HEARTBEAT_MS * random.nextDouble(0.95, 1.05), () -> heartbeat(current));
     }
@@ -109,8 +109,8 @@
         system.after(MAX_DRAIN_MS + SimulatedSystem.DRAIN_MS, () -> endIncarnation(current));
     }
 
-    /** Deregisters without a drain. */
-    void deregisterFirst() {
+    /** Deregisters without draining first. */
+    void deregisterWithoutDrain() {
         if (state == ReplicaState.READY) {
             int current = incarnation;
             deregister(current);
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Ends without a request. */
+    /** Ends without sending a request. */
     void crash() {
         endIncarnation(incarnation);
     }
@@ -141,7 +141,7 @@
         }
     }
 
-    private ControllerMachine next() {
+    private ControllerMachine nextController() {
         if (preferredController.isPresent()
                 && system.nowMs() < preferredUntilMs
                 && preferredController.get().isRunning()) {
@@ -151,42 +151,42 @@
         return present.get(Math.floorMod(controller, present.size()));
     }
 
-    private void attempt(Call call, int attempts, int current, Consumer<Boolean> onEnd) {
+    private void attempt(Call call, int attempts, int current, Consumer<Boolean> onCompleted) {
         if (incarnation != current) {
             return;
         }
-        ControllerMachine target = attempts == 1 ? next() : nextUnpreferred();
-        List<Boolean> ended = new ArrayList<>();
-        Consumer<Boolean> end = acknowledged -> {
-            if (!ended.isEmpty()) {
+        ControllerMachine target = attempts == 1 ? nextController() : nextInRotation();
+        List<Boolean> results = new ArrayList<>();
+        Consumer<Boolean> complete = acknowledged -> {
+            if (!results.isEmpty()) {
                 return;
             }
-            ended.add(acknowledged);
+            results.add(acknowledged);
             if (acknowledged) {
-                onEnd.accept(true);
+                onCompleted.accept(true);
             } else if (attempts < MAX_ATTEMPTS) {
                 controller++;
-                attempt(call, attempts + 1, current, onEnd);
+                attempt(call, attempts + 1, current, onCompleted);
             } else {
-                onEnd.accept(false);
+                onCompleted.accept(false);
             }
         };
-        system.after(TIMEOUT_MS, () -> end.accept(false));
-        system.network().transfer(host, target.host(), () -> arrive(call, target, end));
+        system.after(TIMEOUT_MS, () -> complete.accept(false));
+        system.network().transfer(host, target.host(), () -> deliver(call, target, complete));
     }
 
-    private ControllerMachine nextUnpreferred() {
+    private ControllerMachine nextInRotation() {
         List<ControllerMachine> present = system.present();
         return present.get(Math.floorMod(controller, present.size()));
     }
 
-    private void arrive(Call call, ControllerMachine target, Consumer<Boolean> end) {
-        Optional<ControllerProcess> running = target.process();
-        if (running.isEmpty()) {
-            system.network().transfer(target.host(), host, () -> end.accept(false));
+    private void deliver(Call call, ControllerMachine target, Consumer<Boolean> complete) {
+        Optional<ControllerProcess> process = target.process();
+        if (process.isEmpty()) {
+            system.network().transfer(target.host(), host, () -> complete.accept(false));
             return;
         }
-        running.get().onReplicaCall(call, (ApiResponse answer) -> system.network()
-                .transfer(target.host(), host, () -> end.accept(answer.status() == 200)));
+        process.get().onReplicaCall(call, (ApiResponse response) -> system.network()
+                .transfer(target.host(), host, () -> complete.accept(response.status() == 200)));
     }
 }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/RouterMachine.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/RouterMachine.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 import pinewick.model.SocketAddress;
 
-/** A machine with a router's process that restarts at times. */
+/** A machine with a router's process, which may be restarted. */
 final class RouterMachine {
     private static final int INTERNAL_PORT = 7720;
 
@@ -35,7 +35,7 @@
 
     void restart() {
         system.trace(host() + " restarts");
-        process.end();
+        process.stop();
         process = new RouterProcess(system, address, system.seeds(), random.split());
     }
 
@@ -47,12 +47,12 @@
         process.resume();
     }
 
-    /** It cannot reach the controllers at this moment. */
+    /** Records that it cannot reach the controllers at this moment. */
     void onFault() {
         lastFaultMs = system.nowMs();
     }
 
-    /** Whether it ran, and reached the majority, from {@code sinceMs} on. */
+    /** Whether it has been running and reaching the majority since {@code sinceMs}. */
     boolean isUndisturbedSince(double sinceMs) {
         return lastFaultMs < sinceMs && process.startedAtMs() < sinceMs;
     }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/RouterProcess.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/RouterProcess.java
@@ -16,7 +16,7 @@
 import pinewick.model.ReplicaRecord;
 import pinewick.model.SocketAddress;
 
-/** One incarnation of a router's process, as far as it receives configurations and replica records. */
+/** One incarnation of a router's process, reduced to the reception of configurations and replica records. */
 final class RouterProcess {
     private static final int MAX_BACKLOG = 5_000;
 
@@ -30,7 +30,7 @@
     private final Deque<Runnable> backlog = new ArrayDeque<>();
     private boolean running = true;
     private boolean frozen;
-    private long shownVersion;
+    private long appliedVersion;
 
     RouterProcess(SimulatedSystem system, SocketAddress address, List<SocketAddress> seeds, SplittableRandom random) {
         this.system = system;
@@ -49,7 +49,7 @@
         @Override
         public void onConfigurationChanged(ConfigurationDocument document) {
             system.guard(() -> system.history().onInForce(address.host(), document));
-            system.guard(() -> onVersionShown(document.version()));
+            system.guard(() -> onVersionApplied(document.version()));
         }
 
         @Override
@@ -58,13 +58,13 @@
         }
     }
 
-    /** Requests are routed by this version from now on. */
-    private void onVersionShown(long version) {
+    /** Checks the version that the router applies from now on. */
+    private void onVersionApplied(long version) {
         InvariantViolation.require(
-                version >= shownVersion,
+                version >= appliedVersion,
                 Invariant.NO_REGRESSION,
-                address.host() + " goes from version " + shownVersion + " back to " + version);
-        shownVersion = version;
+                address.host() + " changes from version " + appliedVersion + " back to " + version);
+        appliedVersion = version;
     }
 
     private void tick() {
@@ -88,10 +88,10 @@
         system.mutation().onHandledByRouter(this, message);
         node.onMessage(sender, message, system.nowMs() + clockOffsetMs);
         checkFreshness();
-        system.mutation().onRouterReceived(this, message, this::onVersionShown);
+        system.mutation().onRouterReceived(this, message, this::onVersionApplied);
     }
 
-    /** Runs a task in the process; after it resumes, if it is frozen. */
+    /** Runs a task in the process; if it is frozen, after it resumes. */
     private void run(Runnable task) {
         if (running && !frozen) {
             task.run();
@@ -130,15 +130,15 @@
         return state;
     }
 
-    long shownVersion() {
-        return shownVersion;
+    long appliedVersion() {
+        return appliedVersion;
     }
 
     double startedAtMs() {
         return startedAtMs;
     }
 
-    void end() {
+    void stop() {
         running = false;
     }
 }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/Scenario.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/Scenario.java
@@ -3,17 +3,17 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The combinations of faults that a run can simulate; chosen in turn by seed, or by the caller. */
+/** The combinations of faults that a run can simulate; selected in turn by seed, or by the caller. */
 public enum Scenario {
     /** Single faults at random times. */
     RANDOM,
-    /** A controller is partitioned for twenty seconds while changes go on. */
+    /** A controller is partitioned for twenty seconds while changes are submitted. */
     LONG_PARTITION,
-    /** As {@link #RANDOM}, which is to be chosen twice as often as the others. */
+    /** Same as {@link #RANDOM}, which is thereby simulated twice as often as each other scenario. */
     RANDOM_AGAIN,
     /** A disk is lost, and another one as soon as the first loss is repaired. */
     SECOND_LOSS,
-    /** The primary fails again and again. */
+    /** The primary fails repeatedly. */
     PRIMARY_LOSSES,
     /** A planned replacement, and the loss of a disk as soon as it is complete. */
     HANDOVER,
@@ -21,23 +21,23 @@
     DELAYED_REPLIES,
     /** Members that missed changes return before those that have them. */
     STALE_MEMBERS_FIRST,
-    /** A planned replacement or restart, and the loss of a disk at any step of it. */
+    /** A planned replacement or restart, and the loss of a disk at any of its steps. */
     LEAVING,
-    /** The controllers are cut into two halves, whatever number of losses is tolerated. */
+    /** The controllers are partitioned into two groups, regardless of the number of tolerated losses. */
     HALVES,
-    /** A minority misses changes, the processes of all others are killed just after the partition has healed. */
+    /** A minority misses changes; the processes of all others are killed right after the partition has healed. */
     RELIEVED_MINORITY,
-    /** A minority misses changes; one of the others loses its disk and the rest its power before that ends. */
+    /** A minority misses changes; before that ends, some of the others lose their disks and the rest lose power. */
     MINORITY_BEHIND,
-    /** Everything loses power right after an acknowledgement; the tolerated number of disks is lost. */
+    /** All machines lose power right after an acknowledgement; the tolerated number of disks is lost. */
     POWER_LOSS,
-    /** Routers miss changes and hear late, while the primary is lost, frozen, or cut off from the others. */
+    /** Routers miss changes and receive messages late, while the primary is lost, frozen or partitioned. */
     ROUTERS_BEHIND;
 
     /**
-     * Those that are simulated in turn. The others are simulated only where the caller asks for them: {@link
-     * #POWER_LOSS} shows a fault that is still open, see docs/control-safety.md; {@link #ROUTERS_BEHIND} belongs to one
-     * invariant, {@link Invariant#CONFIRMED_WAS_NEWEST}.
+     * The scenarios that are simulated in turn. The others are simulated only on request: {@link #POWER_LOSS} reproduces
+     * a fault that is not fixed yet, see docs/control-safety.md; {@link #ROUTERS_BEHIND} tests one invariant,
+     * {@link Invariant#CONFIRMED_WAS_NEWEST}.
      */
     static List<Scenario> inTurn() {
         return Arrays.stream(values())
--- a/testing/emulator/src/main/java/pinewick/emulator/control/SimulatedDisk.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/SimulatedDisk.java
@@ -14,7 +14,7 @@
 
 /** The state of a disk, which survives a power failure. */
 final class SimulatedDisk {
-    /** How a disk behaves at present. */
+    /** The current behaviour of a disk. */
     enum Mode {
         HEALTHY,
         SLOW,
@@ -65,7 +65,7 @@
         return document.version();
     }
 
-    /** Whether it has a state of an epoch, with changes after its snapshot. */
+    /** Whether its state is of the given epoch and has changes after its snapshot. */
     boolean hasChangesOf(long epoch) {
         return head != null && head.stateVersion().epoch() == epoch && !changes.isEmpty();
     }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/SimulatedStore.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/SimulatedStore.java
@@ -9,7 +9,7 @@
 import pinewick.replication.StableWrite;
 import pinewick.replication.StorageException;
 
-/** The disk as one process uses it. Writes are processed in order, one at a time. */
+/** The view that one process has of its disk. Writes are processed in order, one at a time. */
 final class SimulatedStore implements StableStore {
     private static final double RETRY_INTERVAL_MS = 20;
     private static final double LATE_WRITE_MS = 80;
@@ -27,12 +27,16 @@
     private boolean writing;
 
     SimulatedStore(
-            VirtualTime time, SimulatedDisk disk, ControllerProcess process, SplittableRandom random, Mutation by) {
+            VirtualTime time,
+            SimulatedDisk disk,
+            ControllerProcess process,
+            SplittableRandom random,
+            Mutation mutation) {
         this.time = time;
         this.disk = disk;
         this.process = process;
         this.random = random;
-        this.mutation = by;
+        this.mutation = mutation;
     }
 
     @Override
@@ -48,10 +52,10 @@
     @Override
     public void persist(StableWrite write, Runnable onDone, Consumer<StorageException> onFailed) {
         queue.add(new Write(write, onDone, onFailed));
-        next();
+        startNextWrite();
     }
 
-    private void next() {
+    private void startNextWrite() {
         if (writing || queue.isEmpty() || !process.isRunning()) {
             return;
         }
@@ -59,23 +63,24 @@
         if (mutation.confirmsBeforeWriting()) {
             Write early = queue.peek();
             time.after(0.1, () -> process.run(early.onDone));
-            time.after(LATE_WRITE_MS, () -> end(() -> apply(early.write), () -> {}));
+            time.after(LATE_WRITE_MS, () -> complete(() -> apply(early.write), () -> {}));
             return;
         }
-        step();
+        processWrite();
     }
 
-    private void step() {
+    private void processWrite() {
         if (!process.isRunning()) {
             return;
         }
         Write write = queue.peek();
         switch (disk.mode) {
-            case STALLED -> time.after(RETRY_INTERVAL_MS, this::step);
+            case STALLED -> time.after(RETRY_INTERVAL_MS, this::processWrite);
             case FULL -> time.after(0.3, () -> fail(write));
             default -> {
                 double slowMs = disk.mode == SimulatedDisk.Mode.SLOW ? disk.slowMs : 0;
-                time.after(random.nextDouble(0.8, 2.5) + slowMs, () -> end(() -> apply(write.write), write.onDone));
+                time.after(
+                        random.nextDouble(0.8, 2.5) + slowMs, () -> complete(() -> apply(write.write), write.onDone));
             }
         }
     }
@@ -84,14 +89,14 @@
         disk.apply(mutation.onWrite(disk, write));
     }
 
-    /** A failed write may be on the disk nevertheless. */
+    /** A write may be on the disk although it failed. */
     private void fail(Write write) {
         StorageException full = new StorageException(StorageException.Kind.FULL, "write", null);
         boolean written = random.nextDouble() < FULL_BUT_WRITTEN_PROBABILITY;
-        end(written ? () -> apply(write.write) : () -> {}, () -> write.onFailed.accept(full));
+        complete(written ? () -> apply(write.write) : () -> {}, () -> write.onFailed.accept(full));
     }
 
-    private void end(Runnable effect, Runnable completion) {
+    private void complete(Runnable effect, Runnable completion) {
         if (!process.isRunning()) {
             return;
         }
@@ -99,10 +104,10 @@
         queue.poll();
         writing = false;
         process.run(completion);
-        next();
+        startNextWrite();
     }
 
-    /** The process ends: the write in progress is on the disk completely, or not at all. */
+    /** The process exits: the write in progress is on the disk completely or not at all. */
     void crash() {
         Write write = queue.peek();
         boolean canWrite = writing && disk.mode != SimulatedDisk.Mode.FULL && !mutation.confirmsBeforeWriting();
--- a/testing/emulator/src/main/java/pinewick/emulator/control/SimulatedSystem.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/SimulatedSystem.java
@@ -19,7 +19,7 @@
     static final int ACK_MS = 4_000;
     static final int LEASE_MS = 1_000;
     static final int HEARTBEAT_MS = 500;
-    /** A redirect may be based on knowledge of at most this age. */
+    /** A redirect may be based on information of at most this age. */
     static final double MAX_REDIRECT_AGE_MS = 1_500;
 
     private static final int MAX_SEEDS = 3;
@@ -41,7 +41,7 @@
     private final Optional<List<String>> trace;
     private List<SocketAddress> seeds = List.of();
     private boolean cleanLinks = true;
-    private double disturbedLinksUntilMs;
+    private double linksDisturbedUntilMs;
     private double lastControllerFaultMs;
     private Optional<InvariantViolation> firstViolation = Optional.empty();
     private IntConsumer messageListener = count -> {};
@@ -65,7 +65,7 @@
     /** Observes every message before the mutation does. */
     private final class MembershipObserver extends Mutation {
         @Override
-        Message onSent(Network on, SocketAddress from, SocketAddress to, Message message) {
+        Message onSent(Network carrier, SocketAddress from, SocketAddress to, Message message) {
             membership.onSent(message);
             if (message.getClass().getEnclosingClass() == ReplicationMessages.class) {
                 messageListener.accept(controllerMessages++);
@@ -75,7 +75,7 @@
                         .filter(machine -> machine.internal().equals(from))
                         .forEach(ControllerMachine::onHeartbeatSent);
             }
-            return mutation.onSent(on, from, to, message);
+            return mutation.onSent(carrier, from, to, message);
         }
     }
 
@@ -135,53 +135,54 @@
         return trace.isPresent();
     }
 
-    void trace(String what) {
-        trace.ifPresent(lines -> lines.add(String.format("%9.1f %s", nowMs(), what)));
+    void trace(String event) {
+        trace.ifPresent(lines -> lines.add(String.format("%9.1f %s", nowMs(), event)));
     }
 
     List<String> traceLines() {
         return trace.orElse(List.of());
     }
 
-    /** Whether messages are lost or late only because of partitions. */
+    /** Whether messages are lost or delayed only by partitions. */
     boolean hasCleanLinks() {
-        return cleanLinks && nowMs() >= disturbedLinksUntilMs;
+        return cleanLinks && nowMs() >= linksDisturbedUntilMs;
     }
 
     /** See {@link Network#setQuality}. */
-    void setLinkQuality(double lost, double doubled, double late, double stale) {
+    void setLinkQuality(double loss, double duplication, double late, double stale) {
         if (!cleanLinks) {
-            disturbedLinksUntilMs = nowMs() + Network.MAX_STALE_MS;
+            linksDisturbedUntilMs = nowMs() + Network.MAX_STALE_MS;
         }
-        cleanLinks = lost == 0 && late == 0;
-        trace(String.format("links lose %.3f, double %.3f, delay %.3f of all", lost, doubled, late));
-        network.setQuality(lost, doubled, late, stale);
+        cleanLinks = loss == 0 && late == 0;
+        trace(String.format("links lose %.3f, duplicate %.3f, delay %.3f of all messages", loss, duplication, late));
+        network.setQuality(loss, duplication, late, stale);
     }
 
     /**
-     * A controller ends as detached: more stores must have the newest configuration than losses are tolerated, apart
-     * from those that are lost already.
+     * A controller exits as detached: the number of other stores with the newest configuration, plus the number of other
+     * machines that are not healthy, must exceed the number of tolerated losses.
      */
-    void onDetached(ControllerMachine ending) {
+    void onDetached(ControllerMachine exiting) {
         long newest = history.newestAcknowledged();
         List<ControllerMachine> others = new ArrayList<>(present());
-        others.remove(ending);
+        others.remove(exiting);
         long stores = others.stream()
                 .filter(machine -> machine.disk().version() >= newest)
                 .count();
-        long lost = others.stream().filter(machine -> !machine.isHealthy()).count();
+        long lostMachines =
+                others.stream().filter(machine -> !machine.isHealthy()).count();
         InvariantViolation.require(
-                stores + lost > toleratedMachines,
+                stores + lostMachines > toleratedMachines,
                 Invariant.ENOUGH_STORES_LEFT,
-                ending + " ends as detached, version " + newest + " is on " + stores + " other disks");
+                exiting + " exits as detached, version " + newest + " is on " + stores + " other disks");
     }
 
-    /** Some messages are delayed from now on, for as long as the latest of them take. */
+    /** Some messages are delayed from now on; marks the links as disturbed until the last of them has arrived. */
     void slowLinks() {
-        disturbedLinksUntilMs = nowMs() + 2 * Network.MAX_STALE_MS;
+        linksDisturbedUntilMs = nowMs() + 2 * Network.MAX_STALE_MS;
     }
 
-    /** Calls the listener with each replication message that is sent from now on, which it counts from 0. */
+    /** Calls the listener for each replication message sent from now on, with its index from 0. */
     void onControllerMessages(IntConsumer listener) {
         controllerMessages = 0;
         messageListener = listener;
@@ -202,7 +203,7 @@
         return controllers.stream().filter(machine -> machine.api().equals(api)).findFirst();
     }
 
-    /** A machine that believes to be primary; the last one if there are several. */
+    /** The machine that considers itself primary; the last one if there are several. */
     Optional<ControllerMachine> primary() {
         return present().stream().filter(ControllerMachine::isPrimary).reduce((first, second) -> second);
     }
@@ -223,7 +224,7 @@
                 .map(ControllerMachine::internal)
                 .toList();
         for (ControllerMachine machine : controllers) {
-            machine.seeds(seeds);
+            machine.setSeeds(seeds);
             after(random.nextDouble(300), () -> machine.start(true));
         }
         for (int index = 1; index <= routerCount; index++) {
@@ -237,8 +238,8 @@
     }
 
     /**
-     * Runs a check from within the code under test, which may catch what the check throws: the violation is recorded in
-     * any case.
+     * Runs a check that is called from the code under test. A violation is recorded, because that code might catch the
+     * exception.
      */
     void guard(Runnable check) {
         try {
@@ -246,20 +247,20 @@
         } catch (InvariantViolation violation) {
             if (firstViolation.isEmpty()) {
                 firstViolation = Optional.of(violation);
-                trace("BROKEN " + violation.getMessage());
+                trace("VIOLATION " + violation.getMessage());
             }
             time.stop();
         }
     }
 
-    /** The first check from within the code under test that failed. */
+    /** The first violation found by {@link #guard}. */
     Optional<InvariantViolation> firstViolation() {
         return firstViolation;
     }
 
     /**
-     * A controller redirects an operator. Its knowledge may be old while messages are late or lost, or after a process
-     * has resumed from a freeze: it receives buffered messages, and informs others.
+     * A controller redirects an operator. Its information may be outdated while messages are delayed or lost, and after a
+     * process has resumed from a freeze, which handles buffered messages and informs others.
      */
     void onRedirect(ControllerMachine from, SocketAddress api) {
         boolean hasRecentlyResumed =
@@ -270,7 +271,7 @@
         InvariantViolation.require(
                 isExcused || ledRecently,
                 Invariant.REDIRECTS_TO_A_PRIMARY,
-                from + " redirects to " + api + ", which led "
+                from + " redirects to " + api + ", which last led "
                         + target.map(machine -> nowMs() - machine.lastHeartbeatSentMs())
                                 .orElse(Double.NaN) + " ms ago");
     }
@@ -288,20 +289,20 @@
     private void observe() {
         List<ControllerMachine> present = present();
         boolean isUndisturbed = present.stream().allMatch(ControllerMachine::isHealthy);
-        for (ControllerMachine one : present) {
+        for (ControllerMachine machine : present) {
             for (ControllerMachine other : present) {
-                isUndisturbed &= one == other || network.isOpen(one.host(), other.host());
+                isUndisturbed &= machine == other || network.isOpen(machine.host(), other.host());
             }
         }
         if (!isUndisturbed) {
             onControllerFault();
         }
-        List<ControllerMachine> core = isUndisturbed
+        List<ControllerMachine> majority = isUndisturbed
                 ? present
                 : present.stream().filter(this::isInMajority).toList();
         for (ControllerMachine machine : present) {
             boolean reaches = isInMajority(machine)
-                    && core.stream()
+                    && majority.stream()
                             .allMatch(
                                     other -> other == machine || network.isOpenBothWays(machine.host(), other.host()));
             if (!reaches) {
@@ -309,8 +310,8 @@
             }
         }
         for (RouterMachine router : routers) {
-            boolean reaches = !core.isEmpty()
-                    && core.stream().allMatch(machine -> network.isOpenBothWays(router.host(), machine.host()));
+            boolean reaches = !majority.isEmpty()
+                    && majority.stream().allMatch(machine -> network.isOpenBothWays(router.host(), machine.host()));
             if (!reaches) {
                 router.onFault();
             }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/SubmittedChange.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/SubmittedChange.java
@@ -14,7 +14,7 @@
  * A change that simulated operators submit.
  *
  * @param id identifies the change; part of the document
- * @param replacesAll whether it replaces the full configuration, or updates items by name
+ * @param replacesAll whether it replaces the full configuration instead of updating items by name
  * @param base the version it is based on
  * @param version the resulting version
  * @param valid whether it is well formed and its version is above its base
@@ -29,11 +29,11 @@
     /**
      * Creates a change.
      *
-     * @param paddingBytes how much its document is enlarged; a long change is stored as a snapshot
-     * @param routedService a service of the base that a new route names, so that the change is valid for the base and
-     *     invalid for other versions; empty for none
+     * @param paddingBytes by how many bytes its document is padded; a long change is stored as a snapshot
+     * @param routedService a service of the base that a new route refers to, so that the change is valid for the base and
+     *     invalid for versions without this service; empty for none
      */
-    static SubmittedChange make(
+    static SubmittedChange create(
             int id,
             boolean replacesAll,
             long base,
@@ -68,7 +68,7 @@
         return new SubmittedChange(id, replacesAll, base, version, wellFormed && version > base, bytes);
     }
 
-    /** Text that is hardly compressible. */
+    /** Text that hardly compresses. */
     private static String padding(int id, int bytes) {
         byte[] raw = new byte[bytes * 3 / 4];
         new SplittableRandom(id).nextBytes(raw);
--- a/testing/emulator/src/main/java/pinewick/emulator/control/VirtualTime.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/VirtualTime.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 
-/** A queue of tasks, each with the virtual time at which it runs. Times are milliseconds. */
+/** A queue of tasks, each with the virtual time at which it runs. Times are in milliseconds. */
 final class VirtualTime {
     private record Event(double atMs, long order, Runnable task) {}
 
@@ -18,7 +18,7 @@
         return nowMs;
     }
 
-    /** No further task runs. */
+    /** Stops the run: no further task is executed. */
     void stop() {
         stopped = true;
     }
@@ -38,17 +38,17 @@
         nowMs = Math.max(nowMs, endMs);
     }
 
-    /** Runs until the condition holds; returns how long that took, or NaN if it did not within the bound. */
-    double runUntil(BooleanSupplier condition, double boundMs) {
-        double beginMs = nowMs;
+    /** Runs until the condition holds; returns the elapsed time, or NaN after the time-out. */
+    double runUntil(BooleanSupplier condition, double timeoutMs) {
+        double startMs = nowMs;
         while (!condition.getAsBoolean()) {
-            if (stopped || events.isEmpty() || events.peek().atMs > beginMs + boundMs) {
-                nowMs = beginMs + boundMs;
+            if (stopped || events.isEmpty() || events.peek().atMs > startMs + timeoutMs) {
+                nowMs = startMs + timeoutMs;
                 return Double.NaN;
             }
             runNext();
         }
-        return nowMs - beginMs;
+        return nowMs - startMs;
     }
 
     private void runNext() {
--- a/testing/emulator/src/test/java/pinewick/emulator/control/ControlPlaneSimulationTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/control/ControlPlaneSimulationTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A small fixed set of runs; {@code lab control} plays many more. */
+/** A small fixed set of runs; {@code lab control} simulates many more. */
 class ControlPlaneSimulationTest {
     private static final int SEEDS = 200;
-    private static final int SEEDS_FOR_A_VARIANT = 600;
+    private static final int MAX_SEEDS_PER_VARIANT = 600;
     private static final int BUSY_RUNS = 12;
     private static final int BUSY_EVERY = 50;
     private static final int MANY_CHANGES = 220;
@@ -26,32 +26,32 @@
     }
 
     @Test
-    void everyInvariantHolds() {
+    void satisfiesEveryInvariant() {
         List<SimulationResult> results = LongStream.range(0, SEEDS)
                 .parallel()
                 .mapToObj(seed -> ControlPlaneSimulation.run(seed, Mutant.NONE, false))
                 .toList();
-        List<String> broken = results.stream()
+        List<String> violations = results.stream()
                 .filter(result -> result.violation().isPresent())
                 .map(result -> "seed " + result.seed() + ": "
                         + result.violation().get().getMessage())
                 .toList();
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), violations);
         long acknowledged =
                 results.stream().mapToLong(SimulationResult::acknowledged).sum();
-        long ends = results.stream()
+        long removals = results.stream()
                 .mapToLong(SimulationResult::removalsAcknowledged)
                 .sum();
         assertTrue(acknowledged > 20L * SEEDS, "too few changes: " + acknowledged);
-        assertTrue(ends > 3L * SEEDS, "too few ends of replicas: " + ends);
+        assertTrue(removals > 3L * SEEDS, "too few removals of replicas: " + removals);
         long confirmations =
                 results.stream().mapToLong(SimulationResult::confirmations).sum();
         assertTrue(confirmations > 15L * SEEDS, "too few confirmations: " + confirmations);
     }
 
-    /** What a router takes for confirmed rests on what was true, also while it misses changes and hears late. */
+    /** Also while a router misses changes and receives messages late, a confirmed configuration was the newest one. */
     @Test
-    void routersThatAreBehindDoNotTakeAnOldConfigurationForTheNewest() {
+    void routersThatMissChangesDoNotConsiderAnOldConfigurationTheNewest() {
         List<SimulationResult> results = LongStream.range(0, SEEDS)
                 .parallel()
                 .mapToObj(seed -> ControlPlaneSimulation.run(seed, Scenario.ROUTERS_BEHIND, Mutant.NONE, false))
@@ -62,9 +62,9 @@
         assertTrue(confirmations > 15L * SEEDS, "too few confirmations: " + confirmations);
     }
 
-    /** Stores compact their changes after 200, so these runs contain snapshots beneath hundreds of changes. */
+    /** Stores compact their changes after 200, so these runs contain snapshots with hundreds of changes. */
     @Test
-    void invariantsHoldOverHundredsOfChanges() {
+    void satisfiesEveryInvariantOverHundredsOfChanges() {
         List<SimulationResult> results = LongStream.range(0, SEEDS * BUSY_EVERY)
                 .filter(ControlPlaneSimulation::isBusy)
                 .limit(BUSY_RUNS)
@@ -78,22 +78,22 @@
         assertTrue(4 * withSnapshots >= BUSY_RUNS, "runs with hundreds of changes: " + withSnapshots);
     }
 
-    /** The known seed is tried first; as the code changes, another one may be the first to catch a variant. */
+    /** The known seed runs first; after changes of the code another one may be the first to catch a variant. */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aBrokenVariantIsCaught(Mutant variant) {
+    void catchesABrokenVariant(Mutant variant) {
         LongStream seeds =
-                LongStream.concat(LongStream.of(variant.knownSeed()), LongStream.range(0, SEEDS_FOR_A_VARIANT));
+                LongStream.concat(LongStream.of(variant.knownSeed()), LongStream.range(0, MAX_SEEDS_PER_VARIANT));
         Optional<SimulationResult> caught = seeds.mapToObj(seed -> ControlPlaneSimulation.run(seed, variant, false))
                 .filter(result -> result.violation().isPresent())
                 .findFirst();
-        assertTrue(caught.isPresent(), variant + " is not caught by " + SEEDS_FOR_A_VARIANT + " seeds");
+        assertTrue(caught.isPresent(), variant + " is not caught by " + MAX_SEEDS_PER_VARIANT + " seeds");
         System.out.println(variant + " caught by seed " + caught.get().seed() + ", "
                 + caught.get().violation().get().getMessage());
     }
 
     @Test
-    void aSeedRepeatsItself() {
+    void repeatsTheRunOfASeed() {
         SimulationResult first = ControlPlaneSimulation.run(4, Mutant.NONE, true);
         SimulationResult again = ControlPlaneSimulation.run(4, Mutant.NONE, true);
         assertEquals(first.trace(), again.trace());
--- a/testing/emulator/src/test/java/pinewick/emulator/control/LinearizabilityCheckerTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/control/LinearizabilityCheckerTest.java
@@ -14,15 +14,15 @@
     private final SubmittedChange first = change(0, 0, 1);
     private final SubmittedChange second = change(1, 1, 2);
 
-    private static SubmittedChange change(int mark, long base, long version) {
-        return SubmittedChange.make(mark, true, base, version, true, 0, Optional.empty());
+    private static SubmittedChange change(int id, long base, long version) {
+        return SubmittedChange.create(id, true, base, version, true, 0, Optional.empty());
     }
 
     private void check() {
         LinearizabilityChecker.check(history, List.of(first, second));
     }
 
-    private void take(SubmittedChange change) {
+    private void acknowledge(SubmittedChange change) {
         history.onFirstSent(change);
         history.onAcknowledged(change);
     }
@@ -32,8 +32,8 @@
     }
 
     @Test
-    void aReadMayReturnEitherStateDuringAChange() {
-        take(first);
+    void acceptsEitherVersionOfAReadDuringAChange() {
+        acknowledge(first);
         history.onFirstSent(second);
         Call early = history.onReceived(null);
         Call late = history.onReceived(null);
@@ -44,15 +44,15 @@
     }
 
     @Test
-    void aReadAfterAnAcknowledgementReturnsIt() {
-        take(first);
+    void rejectsAnOldReadAfterAnAcknowledgement() {
+        acknowledge(first);
         read(history.onReceived(null), 0);
         assertThrows(InvariantViolation.class, this::check);
     }
 
     @Test
-    void readsDoNotGoBack() {
-        take(first);
+    void rejectsAReadOfAnEarlierVersionAfterALaterOne() {
+        acknowledge(first);
         history.onFirstSent(second);
         read(history.onReceived(null), 2);
         read(history.onReceived(null), 1);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aChangeWithoutAResponseMayTakeEffectLater() {
+    void acceptsALateEffectOfAChangeWithoutAResponse() {
         history.onFirstSent(first);
         read(history.onReceived(null), 0);
         history.onFirstSent(second);
@@ -71,28 +71,28 @@
     }
 
     @Test
-    void aConflictNeedsAnotherVersionWhileTheCallIsThere() {
-        take(first);
-        Call upon = history.onReceived(change(2, 1, 5));
-        history.onAnswered(upon, Outcome.CONFLICT, 0);
-        take(second);
+    void rejectsAConflictIfItsBaseWasCurrentThroughout() {
+        acknowledge(first);
+        Call call = history.onReceived(change(2, 1, 5));
+        history.onAnswered(call, Outcome.CONFLICT, 0);
+        acknowledge(second);
         assertThrows(InvariantViolation.class, this::check);
     }
 
     @Test
-    void aConflictFitsIfTheVersionChangesMeanwhile() {
-        take(first);
-        Call upon = history.onReceived(change(2, 1, 5));
+    void acceptsAConflictIfTheVersionChangesMeanwhile() {
+        acknowledge(first);
+        Call call = history.onReceived(change(2, 1, 5));
         history.onFirstSent(second);
-        history.onAnswered(upon, Outcome.CONFLICT, 0);
+        history.onAnswered(call, Outcome.CONFLICT, 0);
         history.onAcknowledged(second);
         assertDoesNotThrow(this::check);
     }
 
     @Test
-    void anAcknowledgedChangeThatIsNotInForceIsLost() {
-        SubmittedChange lost = change(3, 2, 3);
-        take(lost);
+    void rejectsAnAcknowledgedChangeThatIsNotInForce() {
+        SubmittedChange missing = change(3, 2, 3);
+        acknowledge(missing);
         assertThrows(InvariantViolation.class, this::check);
     }
 }
