--- a/testing/emulator/src/main/java/pinewick/emulator/SimulatedDatagrams.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/SimulatedDatagrams.java
@@ -7,8 +7,8 @@
 import java.util.function.BiPredicate;
 
 /**
- * Members in virtual time that exchange datagrams over faulty links: datagrams are delayed, lost, duplicated, or blocked
- * in one direction or both, and members pause or crash. The same seed gives the same run. Times are in seconds.
+ * Members in virtual time that exchange datagrams over faulty links: datagrams are delayed, lost, duplicated, or
+ * blocked in one direction or both, and members pause or crash. The same seed gives the same run. Times are in seconds.
  */
 public final class SimulatedDatagrams {
     /** The code that a member runs. */
--- a/testing/emulator/src/main/java/pinewick/emulator/SimulatedQueryRouterFleet.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/SimulatedQueryRouterFleet.java
@@ -142,7 +142,9 @@
         return true;
     }
 
-    /** Runs until the views of all running members are correct; returns the seconds it took, or NaN after the timeout. */
+    /**
+     * Runs until the views of all running members are correct; returns the seconds it took, or NaN after the timeout.
+     */
     public double secondsToConverge(double timeout) {
         return runUntil(timeout, this::isConverged);
     }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/FaultInjector.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/FaultInjector.java
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Delays the replies to a controller's heartbeats, which are datagrams, by up to several seconds, but not messages on
-     * connections. Afterwards none of its messages are delivered, and new messages to it arrive after all others: it
+     * Delays the replies to a controller's heartbeats, which are datagrams, by up to several seconds, but not messages
+     * on connections. Afterwards none of its messages are delivered, and new messages to it arrive after all others: it
      * receives outdated replies and does not detect its successor.
      */
     void delayReplies(ControllerMachine machine, double durationMs) {
--- a/testing/emulator/src/main/java/pinewick/emulator/control/FreshnessChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/FreshnessChecker.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * Checks that a configuration that a process considers the newest one as of some time was the newest acknowledged one at
- * that time. Times are in simulated time.
+ * Checks that a configuration that a process considers the newest one as of some time was the newest acknowledged one
+ * at that time. Times are in simulated time.
  */
 final class FreshnessChecker {
     /** Tolerance for rounding: the clock of each process has an offset, which costs some digits. */
--- a/testing/emulator/src/main/java/pinewick/emulator/control/Network.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/Network.java
@@ -9,8 +9,8 @@
 
 /**
  * Links between hosts. A message may be lost, duplicated, delayed by seconds, and reach a later incarnation of its
- * receiver. Each link has its own random generator, so that its draws do not depend on the order in which a process sends
- * to several others.
+ * receiver. Each link has its own random generator, so that its draws do not depend on the order in which a process
+ * sends to several others.
  */
 final class Network {
     private static final double MIN_DELAY_MS = 0.3;
--- a/testing/emulator/src/main/java/pinewick/emulator/control/Scenario.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/Scenario.java
@@ -35,9 +35,9 @@
     ROUTERS_BEHIND;
 
     /**
-     * The scenarios that are simulated in turn. The others are simulated only on request: {@link #POWER_LOSS} reproduces
-     * a fault that is not fixed yet, see docs/control-safety.md; {@link #ROUTERS_BEHIND} tests one invariant,
-     * {@link Invariant#CONFIRMED_WAS_NEWEST}.
+     * The scenarios that are simulated in turn. The others are simulated only on request: {@link #POWER_LOSS}
+     * reproduces a fault that is not fixed yet, see docs/control-safety.md; {@link #ROUTERS_BEHIND} tests one
+     * invariant, {@link Invariant#CONFIRMED_WAS_NEWEST}.
      */
     static List<Scenario> inTurn() {
         return Arrays.stream(values())
--- a/testing/emulator/src/main/java/pinewick/emulator/control/SimulatedSystem.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/SimulatedSystem.java
@@ -159,8 +159,8 @@
     }
 
     /**
-     * A controller exits as detached: the number of other stores with the newest configuration, plus the number of other
-     * machines that are not healthy, must exceed the number of tolerated losses.
+     * A controller exits as detached: the number of other stores with the newest configuration, plus the number of
+     * other machines that are not healthy, must exceed the number of tolerated losses.
      */
     void onDetached(ControllerMachine exiting) {
         long newest = history.newestAcknowledged();
@@ -259,8 +259,8 @@
     }
 
     /**
-     * A controller redirects an operator. Its information may be outdated while messages are delayed or lost, and after a
-     * process has resumed from a freeze, which handles buffered messages and informs others.
+     * A controller redirects an operator. Its information may be outdated while messages are delayed or lost, and after
+     * a process has resumed from a freeze, which handles buffered messages and informs others.
      */
     void onRedirect(ControllerMachine from, SocketAddress api) {
         boolean hasRecentlyResumed =
--- a/testing/emulator/src/main/java/pinewick/emulator/control/SubmittedChange.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/SubmittedChange.java
@@ -30,8 +30,8 @@
      * Creates a change.
      *
      * @param paddingBytes by how many bytes its document is padded; a long change is stored as a snapshot
-     * @param routedService a service of the base that a new route refers to, so that the change is valid for the base and
-     *     invalid for versions without this service; empty for none
+     * @param routedService a service of the base that a new route refers to, so that the change is valid for the base
+     *     and invalid for versions without this service; empty for none
      */
     static SubmittedChange create(
             int id,
--- a/testing/emulator/src/test/java/pinewick/emulator/SimulatedStateFleetTest.java
+++ b/testing/emulator/src/test/java/pinewick/emulator/SimulatedStateFleetTest.java
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Each query router observes ten requests per second at random search replicas. A replica's latency is proportional to
-     * its number, with 5 % noise.
+     * Each query router observes ten requests per second at random search replicas. A replica's latency is proportional
+     * to its number, with 5 % noise.
      */
     private static void traffic(SimulatedStateFleet fleet, int replicas, double seconds, SplittableRandom random) {
         double until = fleet.datagrams().now() + seconds;
