--- a/testing/emulator/src/main/java/pinewick/emulator/control/ControllerLossScenarios.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/ControllerLossScenarios.java
@@ -173,9 +173,9 @@
         system.after(atMs, () -> awaitAcknowledgement(system.history().acknowledged()));
     }
 
-    private void awaitAcknowledgement(int before) {
-        if (system.history().acknowledged() == before) {
-            system.after(1, () -> awaitAcknowledgement(before));
+    private void awaitAcknowledgement(int previousCount) {
+        if (system.history().acknowledged() == previousCount) {
+            system.after(1, () -> awaitAcknowledgement(previousCount));
             return;
         }
         system.trace("all controllers and routers lose power");
--- a/testing/emulator/src/main/java/pinewick/emulator/control/EpochMutations.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/EpochMutations.java
@@ -48,7 +48,7 @@
     }
 
     /** A witness accepts a record although it has promised a higher number. */
-    static final class AcceptsAfterAHigherPromise extends Mutation {
+    static final class AcceptsAfterHigherPromise extends Mutation {
         private final Map<RequestId, Accept> acceptRequests = new HashMap<>();
 
         @Override
--- a/testing/emulator/src/main/java/pinewick/emulator/control/FaultInjector.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/FaultInjector.java
@@ -138,9 +138,9 @@
         system.after(durationMs, () -> system.network().unblock(from, to));
     }
 
-    void partitionBothWays(String one, String other, double durationMs) {
-        partition(one, other, durationMs);
-        partition(other, one, durationMs);
+    void partitionBothWays(String left, String right, double durationMs) {
+        partition(left, right, durationMs);
+        partition(right, left, durationMs);
     }
 
     /** Partitions a controller from the other controllers, and with {@code fromAll} also from the routers. */
--- a/testing/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/LinearizabilityChecker.java
@@ -46,11 +46,11 @@
     static void check(CallHistory history, List<SubmittedChange> chain) {
         LinearizabilityChecker checker = new LinearizabilityChecker(chain);
         for (Event event : history.events()) {
-            checker.on(event);
+            checker.apply(event);
         }
     }
 
-    private void on(Event event) {
+    private void apply(Event event) {
         if (event instanceof FirstSent sent) {
             sentChanges.add(sent.change().id());
             advance();
@@ -71,7 +71,7 @@
         usedSlots |= 1L << slot;
         slots.put(call, slot);
         TreeMap<Integer, Set<Long>> next = new TreeMap<>();
-        candidates.forEach((position, all) -> next.put(position, withMatches(position, all)));
+        candidates.forEach((position, matchSets) -> next.put(position, withMatches(position, matchSets)));
         candidates = next;
         advance();
     }
@@ -80,9 +80,11 @@
         int slot = slots.remove(call);
         long bit = 1L << slot;
         TreeMap<Integer, Set<Long>> next = new TreeMap<>();
-        candidates.forEach((position, all) -> {
+        candidates.forEach((position, matchSets) -> {
             Set<Long> remaining = new HashSet<>();
-            all.stream().filter(matched -> (matched & bit) != 0).forEach(matched -> remaining.add(matched & ~bit));
+            matchSets.stream()
+                    .filter(matched -> (matched & bit) != 0)
+                    .forEach(matched -> remaining.add(matched & ~bit));
             if (!remaining.isEmpty()) {
                 next.put(position, remaining);
             }
@@ -118,7 +120,7 @@
         }
     }
 
-    private Set<Long> withMatches(int position, Set<Long> all) {
+    private Set<Long> withMatches(int position, Set<Long> matchSets) {
         long bits = 0;
         for (Map.Entry<Call, Integer> entry : slots.entrySet()) {
             if (matches(entry.getKey(), position)) {
@@ -126,16 +128,16 @@
             }
         }
         Set<Long> extended = new HashSet<>();
-        for (long matched : all) {
+        for (long matched : matchSets) {
             extended.add(matched | bits);
         }
         return extended;
     }
 
-    private static void dropDominated(Set<Long> all) {
-        if (all.size() > 1) {
-            List<Long> copy = new ArrayList<>(all);
-            all.removeIf(
+    private static void dropDominated(Set<Long> matchSets) {
+        if (matchSets.size() > 1) {
+            List<Long> copy = new ArrayList<>(matchSets);
+            matchSets.removeIf(
                     matched -> copy.stream().anyMatch(other -> !other.equals(matched) && (matched & other) == matched));
         }
     }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/MessageMutations.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/MessageMutations.java
@@ -174,9 +174,9 @@
         Message onSent(Network network, SocketAddress from, SocketAddress to, Message message) {
             if (message instanceof Accept accept && !accept.record().hasSingleQuorum()) {
                 EpochRecord record = accept.record();
-                List<Member> all = new ArrayList<>(record.previousMembers());
-                all.addAll(record.members());
-                all.forEach(member ->
+                List<Member> allMembers = new ArrayList<>(record.previousMembers());
+                allMembers.addAll(record.members());
+                allMembers.forEach(member ->
                         network.forge(to, from, new Accepted(accept.request(), record.number(), member.identity())));
                 return null;
             }
--- a/testing/emulator/src/main/java/pinewick/emulator/control/Mutant.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/Mutant.java
@@ -94,7 +94,7 @@
     CONFIRMED_BY_A_FOLLOWER(1, 12, Scenario.ROUTERS_BEHIND, FreshnessMutations.FollowerCountsHeartbeats::new),
 
     /** A witness accepts a record after it has promised a higher number. */
-    ACCEPTS_AFTER_A_HIGHER_PROMISE(1, 1, EpochMutations.AcceptsAfterAHigherPromise::new),
+    ACCEPTS_AFTER_A_HIGHER_PROMISE(1, 1, EpochMutations.AcceptsAfterHigherPromise::new),
     /** A record counts as chosen while it is only proposed. */
     ANNOUNCES_BEFORE_ACCEPTANCE(3, 0, EpochMutations.AnnouncesBeforeAcceptance::new),
     /** A process that shuts down may exit as soon as the primary knows of the shutdown. */
--- a/testing/emulator/src/main/java/pinewick/emulator/control/OperatorCall.java
+++ b/testing/emulator/src/main/java/pinewick/emulator/control/OperatorCall.java
@@ -32,7 +32,8 @@
     }
 
     /** The same request with another base version and body. */
-    OperatorCall with(Operation other, long base, byte[] body) {
-        return new OperatorCall(other, change, new ApiRequest(api.path(), "", Optional.of(Long.toString(base)), body));
+    OperatorCall with(Operation newOperation, long base, byte[] body) {
+        return new OperatorCall(
+                newOperation, change, new ApiRequest(api.path(), "", Optional.of(Long.toString(base)), body));
     }
 }
