--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/BootstrapDuringPartitionTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/BootstrapDuringPartitionTest.java
@@ -22,7 +22,7 @@
     /** A fleet that holds the old version, and knows it to be the newest. */
     private static FleetSimulation settled(long seed, int routers) {
         FleetSimulation fleet = FleetSimulation.started(seed, 3, routers);
-        fleet.loss = 0.02;
+        fleet.lossRate = 0.02;
         fleet.run(6_000);
         commit(fleet.controllers.get(1), OLD_VERSION);
         fleet.run(2_000);
@@ -45,12 +45,12 @@
         for (int router : routers) {
             side.add(fleet.routers.get(router).address());
         }
-        fleet.cut = (from, to) -> side.contains(from) != side.contains(to);
+        fleet.linkBlocked = (from, to) -> side.contains(from) != side.contains(to);
         fleet.quorumContact = controller -> !side.contains(controller.address());
     }
 
     private static void heal(FleetSimulation fleet) {
-        fleet.cut = (from, to) -> false;
+        fleet.linkBlocked = (from, to) -> false;
         fleet.quorumContact = controller -> true;
     }
 
@@ -117,7 +117,7 @@
         SocketAddress alone = fleet.routers.get(5).address();
         Set<SocketAddress> majority = Set.of(
                 fleet.controllers.get(1).address(), fleet.controllers.get(2).address());
-        fleet.cut = (from, to) -> (from.equals(alone) && majority.contains(to))
+        fleet.linkBlocked = (from, to) -> (from.equals(alone) && majority.contains(to))
                 || (to.equals(alone) && majority.contains(from))
                 || (from.equals(fleet.controllers.get(0).address()) && majority.contains(to))
                 || (to.equals(fleet.controllers.get(0).address()) && majority.contains(from));
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/ControllerExchangeTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/ControllerExchangeTest.java
@@ -73,7 +73,7 @@
     void lostConfirmationsAreRequestedAgain() {
         for (int seed = 0; seed < 50; seed++) {
             FleetSimulation fleet = settled(100 + seed, 3, 3);
-            fleet.loss = 0.3;
+            fleet.lossRate = 0.3;
             assertTrue(heldWithin(fleet, fleet.controllers.get(0), READY, 1_000), "seed " + seed);
         }
     }
@@ -81,7 +81,7 @@
     @Test
     void onePartitionedControllerDoesNotDelayTheConfirmation() {
         FleetSimulation fleet = settled(3, 3, 3);
-        fleet.cutOff.add(fleet.controllers.get(1).address());
+        fleet.isolated.add(fleet.controllers.get(1).address());
         assertTrue(heldWithin(fleet, fleet.controllers.get(0), READY, 100));
     }
 
@@ -89,7 +89,7 @@
     void aPartitionedControllerGetsNoConfirmationNotEvenFromRouters() {
         FleetSimulation fleet = settled(4, 3, 3);
         Process alone = fleet.controllers.get(0);
-        fleet.cut = (from, to) -> fleet.controllers.stream()
+        fleet.linkBlocked = (from, to) -> fleet.controllers.stream()
                 .anyMatch(other -> other != alone
                         && ((from.equals(alone.address()) && to.equals(other.address()))
                                 || (to.equals(alone.address()) && from.equals(other.address()))));
@@ -104,7 +104,7 @@
         Process origin = fleet.controllers.get(0);
         origin.node.publish(READY, origin.localMs());
         fleet.run(3_000);
-        fleet.resetCounts();
+        fleet.resetCounters();
         for (int sequence = 2; sequence < 12; sequence++) {
             origin.node.publish(TestRecords.withSequence(READY, sequence), origin.localMs());
             origin.node.recordHeartbeat("i-1", sequence, origin.localMs());
@@ -130,7 +130,7 @@
         hearing.node.publish(TestRecords.withSequence(READY, 2), hearing.localMs());
         judging.node.publish(READY.withLapsed(true), judging.localMs());
         fleet.run(1_500);
-        fleet.all()
+        fleet.allProcesses()
                 .forEach(process -> assertFalse(
                         process.state.findReplica("i-1").orElseThrow().lapsed()));
     }
@@ -144,13 +144,13 @@
         fleet.run(1_000);
         first.node.publish(READY.withLapsed(true), first.localMs());
         fleet.run(1_000);
-        fleet.all()
+        fleet.allProcesses()
                 .forEach(process -> assertTrue(
                         process.state.findReplica("i-1").orElseThrow().lapsed()));
         second.node.recordHeartbeat("i-1", 2, second.localMs());
         second.node.publish(TestRecords.withSequence(READY, 2), second.localMs());
         fleet.run(1_000);
-        fleet.all()
+        fleet.allProcesses()
                 .forEach(process -> assertFalse(
                         process.state.findReplica("i-1").orElseThrow().lapsed()));
     }
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetFaultTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetFaultTest.java
@@ -26,7 +26,7 @@
 
     private static FleetSimulation settled(long seed, int controllers, int routers) {
         FleetSimulation fleet = FleetSimulation.started(seed, controllers, routers);
-        fleet.loss = 0.02;
+        fleet.lossRate = 0.02;
         fleet.run(6_000);
         return fleet;
     }
@@ -61,7 +61,7 @@
         assertTrue(
                 tookMs <= limitMs,
                 () -> "within " + limitMs + " ms; missing at "
-                        + fleet.inTouch().stream()
+                        + fleet.connectedProcesses().stream()
                                 .filter(condition.negate())
                                 .map(Process::address)
                                 .toList());
@@ -70,7 +70,7 @@
     @Test
     void aSmallFleetIsFullyKnownAndCountedExactly() {
         FleetSimulation fleet = settled(1, 3, 9);
-        for (Process process : fleet.all()) {
+        for (Process process : fleet.allProcesses()) {
             assertEquals(11, process.node.peers().size());
             assertEquals(9, process.node.routerCount());
             assertTrue(process.node.routerCountUpperBound() >= 9);
@@ -119,19 +119,19 @@
         ReplicaRecord ready = TestRecords.ready("i-1", 1);
         publish(fleet.controllers.get(0), ready);
         assertAll(fleet, 1_000, hasState("i-1", ReplicaState.READY));
-        Set<SocketAddress> left = fleet.all().stream()
+        Set<SocketAddress> left = fleet.allProcesses().stream()
                 .filter(process -> process.address().hashCode() % 2 == 0)
                 .map(Process::address)
                 .collect(Collectors.toSet());
         left.add(fleet.controllers.get(0).address());
         left.remove(fleet.controllers.get(1).address());
         left.remove(fleet.controllers.get(2).address());
-        fleet.cut = (from, to) -> left.contains(from) != left.contains(to);
+        fleet.linkBlocked = (from, to) -> left.contains(from) != left.contains(to);
         fleet.run(20_000);
         publish(fleet.controllers.get(0), TestRecords.draining(ready, 2));
         commit(fleet.controllers.get(1), TestDocuments.withRoutes(9, 40));
         fleet.run(20_000);
-        fleet.cut = (from, to) -> false;
+        fleet.linkBlocked = (from, to) -> false;
         assertAll(fleet, CONTACT_MS, hasVersion(9).and(hasState("i-1", ReplicaState.DRAINING)));
         List<SocketAddress> controllers =
                 fleet.controllers.stream().map(Process::address).toList();
@@ -142,12 +142,12 @@
     void aPartitionedRouterLearnsWhatItMissed() {
         FleetSimulation fleet = settled(4, 3, 9);
         Process router = fleet.routers.get(3);
-        fleet.cutOff.add(router.address());
+        fleet.isolated.add(router.address());
         fleet.run(30_000);
         commit(fleet.controllers.get(0), TestDocuments.withRoutes(4, 10));
         fleet.run(2_000);
         assertFalse(hasVersion(4).test(router));
-        fleet.cutOff.clear();
+        fleet.isolated.clear();
         assertAll(fleet, CONTACT_MS, hasVersion(4));
         commit(fleet.controllers.get(0), TestDocuments.withRoutes(6, 10));
         assertAll(fleet, 1_000, hasVersion(6));
@@ -156,10 +156,10 @@
     @Test
     void duplicatedDelayedAndLostMessagesNeverRevertState() {
         FleetSimulation fleet = settled(5, 3, 20);
-        fleet.loss = 0.2;
-        fleet.duplicates = 0.3;
+        fleet.lossRate = 0.2;
+        fleet.duplicationRate = 0.3;
         fleet.jitterMs = 400;
-        fleet.all().forEach(FleetFaultTest::failOnAnyStepBack);
+        fleet.allProcesses().forEach(FleetFaultTest::failOnAnyStepBack);
         for (int round = 1; round <= 10; round++) {
             Process origin = fleet.controllers.get(round % 3);
             commit(origin, TestDocuments.withRoutes(round, 30, round));
@@ -205,10 +205,12 @@
         leaver.node.leave(leaver.localMs());
         leaver.kill();
         fleet.run(200);
-        fleet.inTouch().forEach(process -> assertFalse(knows(leaver.address()).test(process)));
+        fleet.connectedProcesses()
+                .forEach(process -> assertFalse(knows(leaver.address()).test(process)));
         fleet.run(3_000);
-        fleet.inTouch().forEach(process -> assertFalse(knows(leaver.address()).test(process)));
-        fleet.inTouch().forEach(process -> assertEquals(8, process.node.routerCount()));
+        fleet.connectedProcesses()
+                .forEach(process -> assertFalse(knows(leaver.address()).test(process)));
+        fleet.connectedProcesses().forEach(process -> assertEquals(8, process.node.routerCount()));
         fleet.startRouter(2, 1);
         assertAll(fleet, CONTACT_MS, knows(leaver.address()));
     }
@@ -225,7 +227,8 @@
                 knows(killed.address()).or(knows(controller.address())).negate(), 20_000);
         assertTrue(tookMs <= 20_000);
         fleet.run(10_000);
-        fleet.inTouch().forEach(process -> assertEquals(9, process.node.peers().size()));
+        fleet.connectedProcesses()
+                .forEach(process -> assertEquals(9, process.node.peers().size()));
     }
 
     @Test
@@ -303,16 +306,16 @@
         Process late = fleet.routers.get(0);
         publish(fleet.controllers.get(1), TestRecords.gone(ready, 2));
         fleet.run(30_000);
-        fleet.cutOff.add(late.address());
+        fleet.isolated.add(late.address());
         fleet.run(20_000);
         assertEquals(
                 ReplicaState.GONE, late.state.findReplica("i-1").orElseThrow().state());
-        fleet.cutOff.clear();
+        fleet.isolated.clear();
         fleet.run(12_000);
-        fleet.all()
+        fleet.allProcesses()
                 .forEach(process -> assertTrue(process.state.findReplica("i-1").isEmpty()));
         fleet.run(60_000);
-        fleet.all()
+        fleet.allProcesses()
                 .forEach(process -> assertTrue(process.state.findReplica("i-1").isEmpty()));
     }
 
@@ -323,14 +326,14 @@
         publish(fleet.controllers.get(0), ready);
         fleet.run(2_000);
         Process late = fleet.routers.get(0);
-        fleet.cutOff.add(late.address());
+        fleet.isolated.add(late.address());
         publish(fleet.controllers.get(1), TestRecords.gone(ready, 2));
         fleet.run(90_000);
-        fleet.cutOff.clear();
+        fleet.isolated.clear();
         double tookMs = fleet.runUntil(() -> hasState("i-1", ReplicaState.GONE).test(late), CONTACT_MS);
         assertTrue(tookMs <= CONTACT_MS);
         fleet.run(12_000);
-        fleet.all()
+        fleet.allProcesses()
                 .forEach(process -> assertTrue(process.state.findReplica("i-1").isEmpty()));
     }
 
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetSimulation.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetSimulation.java
@@ -22,33 +22,33 @@
 import pinewick.transport.NetworkTransport;
 
 /**
- * A fleet in one thread and in virtual time: the deciding classes as they are, with links that delay, lose, double and
- * reorder what would be datagrams, and that can be cut. Every message passes through the codec. Steady clocks of
- * processes have nothing in common.
+ * Simulates a fleet in one thread and in virtual time. The production classes run unchanged, over links that delay,
+ * lose, duplicate and reorder messages of datagram size, and that can be blocked. Every message passes through the
+ * codec. The monotonic clocks of different processes have unrelated origins.
  */
 final class FleetSimulation {
     private static final double MIN_DELAY_MS = 0.5;
-    private static final double BYTES_A_MS = 125_000;
+    private static final double BYTES_PER_MS = 125_000;
     private static final int CONTROLLER_PORT = 7721;
     private static final int ROUTER_PORT = 7720;
 
     final Random random;
     final List<Process> controllers = new ArrayList<>();
     final List<Process> routers = new ArrayList<>();
-    final Set<SocketAddress> cutOff = new HashSet<>();
+    final Set<SocketAddress> isolated = new HashSet<>();
     final Map<String, Integer> messagesByType = new HashMap<>();
 
     double nowMs;
-    double loss;
-    double duplicates;
+    double lossRate;
+    double duplicationRate;
     double jitterMs = 1;
-    /** What a process's link carries each way in a millisecond; messages wait for those before them. */
-    double linkBytesAMs = Double.POSITIVE_INFINITY;
-    /** Whether a message from the first to the second is lost for good. */
-    BiPredicate<SocketAddress, SocketAddress> cut = (from, to) -> false;
+    /** Link capacity of a process in each direction, bytes per millisecond; messages queue. */
+    double linkBytesPerMs = Double.POSITIVE_INFINITY;
+    /** Whether messages from the first address to the second are dropped, whatever their size. */
+    BiPredicate<SocketAddress, SocketAddress> linkBlocked = (from, to) -> false;
 
-    /** Whether a controller is in contact with a quorum, as replication would tell it. */
-    Predicate<Process> quorumContact = controller -> !cutOff.contains(controller.address());
+    /** Whether a controller is in contact with a quorum; replication reports this in a real process. */
+    Predicate<Process> quorumContact = controller -> !isolated.contains(controller.address());
 
     private final MessageCodec codec = new MessageCodec(FleetMessages.types(), FleetMessages.laterTypes());
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -64,7 +64,7 @@
         }
     }
 
-    /** One process; a restart makes a new one at the same address. */
+    /** One process; a restart creates a new one at the same address. */
     final class Process {
         final NodeDescriptor descriptor;
         final FleetState state = new FleetState();
@@ -79,10 +79,10 @@
         int ticks;
         private final Deque<Runnable> backlog = new ArrayDeque<>();
         private boolean frozen;
-        private int plannedTicks;
-        private double plannedTickMs = Double.NaN;
-        private double linkOutFreeAtMs;
-        private double linkInFreeAtMs;
+        private int scheduleCount;
+        private double scheduledTickMs = Double.NaN;
+        private double outboundLinkFreeAtMs;
+        private double inboundLinkFreeAtMs;
 
         Process(SocketAddress address, NodeRole role, long incarnation) {
             descriptor = new NodeDescriptor(address, incarnation, role, "zone-" + address.hashCode() % 3);
@@ -92,7 +92,7 @@
                     state,
                     (peer, message) -> transmit(this, peer, message),
                     new Random(random.nextLong()));
-            after(random.nextDouble() * FleetNode.TICK_MS, this::tick);
+            schedule(random.nextDouble() * FleetNode.TICK_MS, this::tick);
         }
 
         SocketAddress address() {
@@ -120,59 +120,59 @@
                 synchronisedAtMs = nowMs;
             }
             if (descriptor.role() == NodeRole.CONTROLLER) {
-                after(FleetNode.TICK_MS, this::tick);
+                schedule(FleetNode.TICK_MS, this::tick);
             } else {
-                planTick();
+                scheduleTick();
             }
         }
 
-        /** A router ticks when its node asks for it, as its program does. */
-        private void planTick() {
+        /** Schedules the next tick of a router for the time that its node requests, as the real program does. */
+        private void scheduleTick() {
             double dueMs = node.nextTickMs();
-            if (dueMs == plannedTickMs) {
+            if (dueMs == scheduledTickMs) {
                 return;
             }
-            plannedTickMs = dueMs;
-            int number = ++plannedTicks;
-            after(Math.max(0, dueMs - localMs()), () -> {
-                if (number == plannedTicks) {
-                    plannedTickMs = Double.NaN;
+            scheduledTickMs = dueMs;
+            int number = ++scheduleCount;
+            schedule(Math.max(0, dueMs - localMs()), () -> {
+                if (number == scheduleCount) {
+                    scheduledTickMs = Double.NaN;
                     tick();
                 }
             });
         }
 
-        /** Hands in a message; returns whether it was handled. */
+        /** Delivers a message to the node; returns whether it was handled. */
         boolean receive(SocketAddress from, Message message) {
             boolean handled = node.onMessage(from, message, localMs());
-            if (descriptor.role() == NodeRole.ROUTER && !Double.isNaN(plannedTickMs)) {
-                planTick();
+            if (descriptor.role() == NodeRole.ROUTER && !Double.isNaN(scheduledTickMs)) {
+                scheduleTick();
             }
             return handled;
         }
 
-        /** How long from now until a frame has left by the link. */
-        private double linkOutMs(byte[] frame) {
-            linkOutFreeAtMs = Math.max(nowMs, linkOutFreeAtMs) + frame.length / linkBytesAMs;
-            return linkOutFreeAtMs - nowMs;
+        /** Milliseconds until a frame has been sent over the outbound link. */
+        private double outboundLinkDelayMs(byte[] frame) {
+            outboundLinkFreeAtMs = Math.max(nowMs, outboundLinkFreeAtMs) + frame.length / linkBytesPerMs;
+            return outboundLinkFreeAtMs - nowMs;
         }
 
-        /** How long from now until a frame has come in by the link. */
-        private double linkInMs(byte[] frame) {
-            linkInFreeAtMs = Math.max(nowMs, linkInFreeAtMs) + frame.length / linkBytesAMs;
-            return linkInFreeAtMs - nowMs;
+        /** Milliseconds until a frame has been received over the inbound link. */
+        private double inboundLinkDelayMs(byte[] frame) {
+            inboundLinkFreeAtMs = Math.max(nowMs, inboundLinkFreeAtMs) + frame.length / linkBytesPerMs;
+            return inboundLinkFreeAtMs - nowMs;
         }
 
-        /** What happens to the process from now on happens once it resumes. */
+        /** Pauses the process: its ticks and incoming messages are deferred until it resumes. */
         void freeze() {
             frozen = true;
         }
 
         void resume() {
             frozen = false;
-            List<Runnable> held = new ArrayList<>(backlog);
+            List<Runnable> deferred = new ArrayList<>(backlog);
             backlog.clear();
-            held.forEach(Runnable::run);
+            deferred.forEach(Runnable::run);
         }
 
         void kill() {
@@ -207,12 +207,12 @@
         return new SocketAddress("10.1." + number / 200 + "." + (number % 200 + 1), ROUTER_PORT);
     }
 
-    /** Starts a controller, in place of an earlier one with that number. */
+    /** Starts a controller, replacing an earlier one with that number. */
     Process startController(int number, long incarnation) {
         return start(controllers, number, controllerAddress(number), NodeRole.CONTROLLER, incarnation);
     }
 
-    /** Starts a router, in place of an earlier one with that number. */
+    /** Starts a router, replacing an earlier one with that number. */
     Process startRouter(int number, long incarnation) {
         return start(routers, number, routerAddress(number), NodeRole.ROUTER, incarnation);
     }
@@ -228,20 +228,20 @@
         return process;
     }
 
-    List<Process> all() {
-        List<Process> all = new ArrayList<>(controllers);
-        all.addAll(routers);
-        return all;
+    List<Process> allProcesses() {
+        List<Process> allProcesses = new ArrayList<>(controllers);
+        allProcesses.addAll(routers);
+        return allProcesses;
     }
 
-    /** Every process that runs and is not cut off. */
-    List<Process> inTouch() {
-        return all().stream()
-                .filter(process -> process.alive && !cutOff.contains(process.address()))
+    /** Every process that runs and is not isolated. */
+    List<Process> connectedProcesses() {
+        return allProcesses().stream()
+                .filter(process -> process.alive && !isolated.contains(process.address()))
                 .toList();
     }
 
-    void after(double delayMs, Runnable action) {
+    void schedule(double delayMs, Runnable action) {
         events.add(new Event(nowMs + delayMs, eventCount++, action));
     }
 
@@ -249,7 +249,7 @@
         runUntil(() -> false, durationMs);
     }
 
-    /** Runs until something holds; returns how long that took, or NaN if it did not within the limit. */
+    /** Runs until a condition is met; returns the elapsed milliseconds, or NaN if it was not met within the limit. */
     double runUntil(BooleanSupplier condition, double limitMs) {
         double startMs = nowMs;
         double endMs = nowMs + limitMs;
@@ -265,15 +265,15 @@
         return nowMs - startMs;
     }
 
-    /** Runs until every process in touch meets a condition; returns how long that took, or NaN. */
+    /** Runs until every connected process meets a condition; returns the elapsed milliseconds, or NaN. */
     double runUntilAll(Predicate<Process> condition, double limitMs) {
-        List<Process> open = new ArrayList<>(inTouch());
+        List<Process> pending = new ArrayList<>(connectedProcesses());
         return runUntil(
                 () -> {
-                    while (!open.isEmpty() && condition.test(open.get(open.size() - 1))) {
-                        open.remove(open.size() - 1);
+                    while (!pending.isEmpty() && condition.test(pending.get(pending.size() - 1))) {
+                        pending.remove(pending.size() - 1);
                     }
-                    return open.isEmpty();
+                    return pending.isEmpty();
                 },
                 limitMs);
     }
@@ -284,31 +284,31 @@
         from.bytesSent += frame.length;
         from.messagesSent++;
         boolean datagram = frame.length <= NetworkTransport.MAX_DATAGRAM_BYTES;
-        if (!from.alive || (datagram && random.nextDouble() < loss)) {
+        if (!from.alive || (datagram && random.nextDouble() < lossRate)) {
             return;
         }
-        int copies = datagram && random.nextDouble() < duplicates ? 2 : 1;
+        int copies = datagram && random.nextDouble() < duplicationRate ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            double delay = MIN_DELAY_MS + random.nextDouble() * jitterMs;
-            double connected = datagram ? delay : 3 * delay + frame.length / BYTES_A_MS;
-            after(from.linkOutMs(frame) + connected, () -> reach(from.address(), to, frame));
+            double propagationMs = MIN_DELAY_MS + random.nextDouble() * jitterMs;
+            double transferMs = datagram ? propagationMs : 3 * propagationMs + frame.length / BYTES_PER_MS;
+            schedule(from.outboundLinkDelayMs(frame) + transferMs, () -> arriveAtLink(from.address(), to, frame));
         }
     }
 
-    /** A frame has come to the receiver's link. */
-    private void reach(SocketAddress from, SocketAddress to, byte[] frame) {
+    /** Called when a frame arrives at the receiver's link. */
+    private void arriveAtLink(SocketAddress from, SocketAddress to, byte[] frame) {
         Process receiver = processes.get(to);
-        if (receiver == null || Double.isInfinite(linkBytesAMs)) {
-            arrive(from, to, frame);
+        if (receiver == null || Double.isInfinite(linkBytesPerMs)) {
+            deliver(from, to, frame);
         } else {
-            after(receiver.linkInMs(frame), () -> arrive(from, to, frame));
+            schedule(receiver.inboundLinkDelayMs(frame), () -> deliver(from, to, frame));
         }
     }
 
-    private void arrive(SocketAddress from, SocketAddress to, byte[] frame) {
+    private void deliver(SocketAddress from, SocketAddress to, byte[] frame) {
         Process receiver = processes.get(to);
-        boolean cutLink = cutOff.contains(from) || cutOff.contains(to) || cut.test(from, to);
-        if (receiver == null || cutLink) {
+        boolean blocked = isolated.contains(from) || isolated.contains(to) || linkBlocked.test(from, to);
+        if (receiver == null || blocked) {
             return;
         }
         receiver.bytesReceived += frame.length;
@@ -333,9 +333,9 @@
         }
     }
 
-    void resetCounts() {
+    void resetCounters() {
         messagesByType.clear();
-        all().forEach(process -> {
+        allProcesses().forEach(process -> {
             process.bytesSent = 0;
             process.bytesReceived = 0;
             process.messagesSent = 0;
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetSizeTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetSizeTest.java
@@ -7,10 +7,10 @@
 import pinewick.dissemination.FleetSimulation.Process;
 import pinewick.membership.NodeRole;
 
-/** The count of routers, from which each takes its share of what the fleet may spend. */
+/** Tests the estimated number of routers, from which each router derives its share of the fleet-wide budget. */
 class FleetSizeTest {
-    /** What all routers together take, as a multiple of what the fleet may spend. */
-    private static double sumOfShares(FleetSimulation fleet) {
+    /** The budget that all routers take together, as a multiple of the fleet-wide budget. */
+    private static double sumOfBudgetShares(FleetSimulation fleet) {
         return fleet.routers.stream()
                 .filter(router -> router.alive)
                 .mapToDouble(router -> 1.0 / router.node.routerCountUpperBound())
@@ -18,14 +18,14 @@
     }
 
     @Test
-    void largeFleetsAreCountedCloselyAndNeverUndercountedByTheBound() {
+    void estimatesLargeFleetsWithinTenPercentAndUpperBoundNeverUndercounts() {
         for (int routers : new int[] {84, 420}) {
             FleetSimulation fleet = FleetSimulation.started(routers, 5, routers);
-            fleet.loss = 0.02;
+            fleet.lossRate = 0.02;
             fleet.run(40_000);
             double lowest = Double.MAX_VALUE;
             double highest = 0;
-            for (Process process : fleet.all()) {
+            for (Process process : fleet.allProcesses()) {
                 int estimate = process.node.routerCount();
                 int bound = process.node.routerCountUpperBound();
                 lowest = Math.min(lowest, estimate);
@@ -34,56 +34,56 @@
                 assertTrue(bound >= routers && bound <= 1.3 * routers, "bound " + bound + " of " + routers);
             }
             System.out.printf(
-                    "%d routers: least estimate %.0f, highest bound %.0f, shares %.2f%n",
-                    routers, lowest, highest, sumOfShares(fleet));
+                    "%d routers: lowest estimate %.0f, highest bound %.0f, shares %.2f%n",
+                    routers, lowest, highest, sumOfBudgetShares(fleet));
         }
     }
 
     @Test
-    void theBudgetSharesOfAGrowingFleetStayWithinTheBudget() {
+    void budgetSharesStayWithinBudgetWhileFleetGrows() {
         for (int routers : new int[] {9, 84}) {
             FleetSimulation fleet = FleetSimulation.started(routers + 1, 3, routers);
             fleet.run(40_000);
-            double most = sumOfShares(fleet);
+            double maxShares = sumOfBudgetShares(fleet);
             for (int i = routers; i < routers + routers / 2; i++) {
                 fleet.startRouter(i, 1);
             }
             for (int i = 0; i < 60; i++) {
                 fleet.run(250);
-                most = Math.max(most, sumOfShares(fleet));
+                maxShares = Math.max(maxShares, sumOfBudgetShares(fleet));
             }
-            System.out.printf("%d routers and half as many more: most shares %.2f%n", routers, most);
-            assertTrue(most <= 1.1, "shares " + most);
+            System.out.printf("%d routers, then half as many more: max shares %.2f%n", routers, maxShares);
+            assertTrue(maxShares <= 1.1, "shares " + maxShares);
         }
     }
 
     @Test
-    void theBoundOutlastsAPartitionOfHalfAMinute() {
+    void upperBoundSurvivesPartitionOfThirtySeconds() {
         for (int routers : new int[] {9, 84}) {
             FleetSimulation fleet = FleetSimulation.started(routers + 2, 3, routers);
             fleet.run(40_000);
-            fleet.cut = (from, to) -> from.hashCode() % 2 != to.hashCode() % 2;
+            fleet.linkBlocked = (from, to) -> from.hashCode() % 2 != to.hashCode() % 2;
             fleet.run(30_000);
-            assertTrue(sumOfShares(fleet) <= 1, "shares " + sumOfShares(fleet));
+            assertTrue(sumOfBudgetShares(fleet) <= 1, "shares " + sumOfBudgetShares(fleet));
         }
     }
 
     @Test
-    void aFleetThatShrankIsCountedAnewAfterAWhile() {
+    void estimateFollowsShrinkingFleet() {
         FleetSimulation fleet = FleetSimulation.started(7, 3, 84);
         fleet.run(20_000);
         fleet.routers.subList(40, 84).forEach(Process::kill);
         fleet.run(130_000);
-        for (Process process : fleet.inTouch()) {
+        for (Process process : fleet.connectedProcesses()) {
             assertEquals(40, process.node.routerCount(), 4);
             assertTrue(process.node.routerCountUpperBound() >= 40 && process.node.routerCountUpperBound() <= 55);
         }
     }
 
     @Test
-    void aNewControllerIsSoonKnownToAll() {
+    void newControllerBecomesKnownToAll() {
         FleetSimulation fleet = FleetSimulation.started(9, 9, 84);
-        fleet.loss = 0.02;
+        fleet.lossRate = 0.02;
         fleet.run(20_000);
         Process added = fleet.startController(9, 1);
         double controllersMs = fleet.runUntilAll(
@@ -102,13 +102,13 @@
     }
 
     @Test
-    void everyProcessKnowsControllersAllTheTime() {
+    void everyProcessKnowsAllRunningControllers() {
         FleetSimulation fleet = FleetSimulation.started(8, 9, 84);
-        fleet.loss = 0.02;
+        fleet.lossRate = 0.02;
         fleet.run(6_000);
         fleet.controllers.subList(0, 4).forEach(Process::kill);
         fleet.run(30_000);
-        for (Process process : fleet.inTouch()) {
+        for (Process process : fleet.connectedProcesses()) {
             long controllers = process.node.peers().stream()
                     .filter(peer -> peer.role() == NodeRole.CONTROLLER)
                     .count();
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessBoundsTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessBoundsTest.java
@@ -40,13 +40,13 @@
 
         Fleet(long seed, int controllers, int routers, double loss) {
             simulation = FleetSimulation.started(seed, controllers, routers);
-            simulation.loss = loss;
+            simulation.lossRate = loss;
             lead(0);
             simulation.controllers.forEach(controller -> controller.state.offer(TestDocuments.withTenants(1)));
             simulation.controllers.get(0).node.publishConfiguration(0);
             heartbeat();
             simulation.run(SETTLED_MS);
-            simulation.resetCounts();
+            simulation.resetCounters();
             sample();
         }
 
@@ -59,7 +59,7 @@
             if (primary.alive) {
                 primary.node.confirmConfigurationUnderLease(primary.localMs() - HEARTBEAT_ROUND_TRIP_MS);
             }
-            simulation.after(HEARTBEAT_INTERVAL_MS, this::heartbeat);
+            simulation.schedule(HEARTBEAT_INTERVAL_MS, this::heartbeat);
         }
 
         private void sample() {
@@ -67,7 +67,7 @@
                 oldestMs = Math.max(
                         oldestMs, router.localMs() - router.node.freshness().confirmedAtMs());
             }
-            simulation.after(SAMPLE_INTERVAL_MS, this::sample);
+            simulation.schedule(SAMPLE_INTERVAL_MS, this::sample);
         }
 
         /** The largest age that was ever reached at a router while it is observed. */
@@ -115,7 +115,7 @@
         report(controllers + "+" + routers + ", primary lost", FAILOVER_BOUND_MS, seed -> {
             Fleet fleet = new Fleet(seed, controllers, routers, 0.02);
             fleet.simulation.controllers.get(0).kill();
-            fleet.simulation.after(FAILOVER_MS, () -> fleet.lead(1));
+            fleet.simulation.schedule(FAILOVER_MS, () -> fleet.lead(1));
             return fleet;
         });
     }
@@ -131,7 +131,7 @@
                     .toList();
             Predicate<SocketAddress> isController = address -> fleet.simulation.controllers.stream()
                     .anyMatch(controller -> controller.address().equals(address));
-            fleet.simulation.cut = (from, to) -> (severed.contains(from) && isController.test(to))
+            fleet.simulation.linkBlocked = (from, to) -> (severed.contains(from) && isController.test(to))
                     || (severed.contains(to) && isController.test(from));
             return fleet;
         });
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessPropertyTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessPropertyTest.java
@@ -63,8 +63,8 @@
             Process sender = primary;
             double sentAtMs = sender.localMs();
             double roundTripMs = fleet.random.nextDouble() * MAX_HEARTBEAT_ROUND_TRIP_MS;
-            fleet.after(roundTripMs, () -> sender.node.confirmConfigurationUnderLease(sentAtMs));
-            fleet.after(HEARTBEAT_INTERVAL_MS, this::heartbeat);
+            fleet.schedule(roundTripMs, () -> sender.node.confirmConfigurationUnderLease(sentAtMs));
+            fleet.schedule(HEARTBEAT_INTERVAL_MS, this::heartbeat);
         }
 
         private void change() {
@@ -72,13 +72,13 @@
             primary.state.offer(newest);
             acknowledgedAtMs.put(newest.version(), fleet.nowMs);
             primary.node.publishConfiguration(primary.localMs());
-            fleet.after(fleet.random.nextDouble() * MAX_CHANGE_INTERVAL_MS, this::change);
+            fleet.schedule(fleet.random.nextDouble() * MAX_CHANGE_INTERVAL_MS, this::change);
         }
 
         void trouble() {
             troubled = true;
-            fleet.loss = fleet.random.nextDouble() * 0.3;
-            fleet.duplicates = fleet.random.nextDouble() * 0.3;
+            fleet.lossRate = fleet.random.nextDouble() * 0.3;
+            fleet.duplicationRate = fleet.random.nextDouble() * 0.3;
             fleet.jitterMs = fleet.random.nextDouble() * 1_500;
             injectNext();
             pass(TROUBLE_MS);
@@ -86,7 +86,7 @@
 
         void calm() {
             troubled = false;
-            fleet.loss = 0;
+            fleet.lossRate = 0;
             fleet.jitterMs = 1;
             pass(CALM_MS);
         }
@@ -99,9 +99,9 @@
             int router = fleet.random.nextInt(ROUTERS);
             int controller = fleet.random.nextInt(CONTROLLERS);
             switch (fleet.random.nextInt(5)) {
-                case 0 -> freeze(fleet.all().get(fleet.random.nextInt(CONTROLLERS + ROUTERS)), forMs);
+                case 0 -> freeze(fleet.allProcesses().get(fleet.random.nextInt(CONTROLLERS + ROUTERS)), forMs);
                 case 1 -> cutOff(
-                        fleet.all()
+                        fleet.allProcesses()
                                 .get(fleet.random.nextInt(CONTROLLERS + ROUTERS))
                                 .address(),
                         forMs);
@@ -112,17 +112,17 @@
                 case 3 -> lead(controller);
                 default -> loseController(controller);
             }
-            fleet.after(fleet.random.nextDouble() * MAX_TROUBLE_INTERVAL_MS, this::injectNext);
+            fleet.schedule(fleet.random.nextDouble() * MAX_TROUBLE_INTERVAL_MS, this::injectNext);
         }
 
         private void freeze(Process process, double forMs) {
             process.freeze();
-            fleet.after(forMs, process::resume);
+            fleet.schedule(forMs, process::resume);
         }
 
         private void cutOff(SocketAddress address, double forMs) {
-            fleet.cutOff.add(address);
-            fleet.after(forMs, () -> fleet.cutOff.remove(address));
+            fleet.isolated.add(address);
+            fleet.schedule(forMs, () -> fleet.isolated.remove(address));
         }
 
         private void loseController(int controller) {
@@ -137,7 +137,7 @@
         void pass(double durationMs) {
             for (double endMs = fleet.nowMs + durationMs; fleet.nowMs < endMs; ) {
                 fleet.run(STEP_MS);
-                fleet.all().forEach(this::check);
+                fleet.allProcesses().forEach(this::check);
             }
         }
 
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/GossipBoundsTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/GossipBoundsTest.java
@@ -33,7 +33,7 @@
     @CsvSource({"3, 9, 11", "5, 84, 8", "9, 420, 40"})
     void changesReachEveryProcessWithinASecondAndRestIsCheap(int controllers, int routers, int replicas) {
         FleetSimulation fleet = FleetSimulation.started(controllers * 1_000L + routers, controllers, routers);
-        fleet.loss = LOSS;
+        fleet.lossRate = LOSS;
         fleet.run(5_000);
         commit(fleet, 0, TestDocuments.withRoutes(1, ROUTES));
         for (int i = 0; i < replicas; i++) {
@@ -41,7 +41,7 @@
         }
         fleet.run(5_000);
         String rest = atRest(fleet, "rest");
-        fleet.cutOff.add(fleet.routers.get(0).address());
+        fleet.isolated.add(fleet.routers.get(0).address());
         String label = controllers + "+" + routers + ": ";
 
         for (int i = 0; i < CHANGES; i++) {
@@ -100,7 +100,7 @@
     }
 
     private static String atRest(FleetSimulation fleet, String what) {
-        fleet.resetCounts();
+        fleet.resetCounters();
         fleet.run(REST_MS);
         LongSummaryStatistics sent = ofRouters(fleet, process -> process.bytesSent);
         LongSummaryStatistics received = ofRouters(fleet, process -> process.bytesReceived);
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/LargeConfigurationTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/LargeConfigurationTest.java
@@ -90,8 +90,8 @@
     void aChangeOfOneRouteTravelsAsADifference() {
         ConfigurationDocument document = TestDocuments.withRoutes(1, ROUTES);
         FleetSimulation fleet = started(1, document);
-        fleet.loss = 0.02;
-        fleet.resetCounts();
+        fleet.lossRate = 0.02;
+        fleet.resetCounters();
         for (int change = 0; change < CHANGES; change++) {
             document = changed(document);
             commit(fleet, document);
@@ -104,7 +104,7 @@
     }
 
     private static void changeAgain(FleetSimulation fleet, ConfigurationDocument document) {
-        fleet.after(BETWEEN_MS, () -> {
+        fleet.schedule(BETWEEN_MS, () -> {
             ConfigurationDocument next = changed(document);
             commit(fleet, next);
             changeAgain(fleet, next);
@@ -116,15 +116,15 @@
     void routersThatMissedHundredsOfVersionsCatchUpOnSlowLinks() {
         ConfigurationDocument document = TestDocuments.withRoutes(1, ROUTES);
         FleetSimulation fleet = started(2, document);
-        fleet.routers.forEach(router -> fleet.cutOff.add(router.address()));
+        fleet.routers.forEach(router -> fleet.isolated.add(router.address()));
         for (int change = 0; change < MISSED; change++) {
             document = changed(document);
             commit(fleet, document);
             fleet.run(BETWEEN_MS);
         }
-        fleet.cutOff.clear();
-        fleet.linkBytesAMs = SLOW_LINK_BYTES_A_MS;
-        fleet.resetCounts();
+        fleet.isolated.clear();
+        fleet.linkBytesPerMs = SLOW_LINK_BYTES_A_MS;
+        fleet.resetCounters();
         changeAgain(fleet, document);
         double tookMs = untilAllHold(fleet, document.version());
         long most = fleet.routers.stream()
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/LoopbackFleetTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/LoopbackFleetTest.java
@@ -20,13 +20,13 @@
 import pinewick.transport.NetworkTransport;
 import pinewick.transport.TransportException;
 
-/** Three controllers and nine routers over sockets of this machine. */
+/** Runs three controllers and nine routers over loopback sockets. */
 class LoopbackFleetTest {
-    private static final long LIMIT_SECONDS = 30;
+    private static final long TIMEOUT_SECONDS = 30;
 
     private final List<RunningNode> nodes = new ArrayList<>();
 
-    /** A process of the fleet with a loop, sockets and a state of its own. */
+    /** A process of the fleet, with its own control loop, sockets and state. */
     private static final class RunningNode {
         private final FleetState state = new FleetState();
         private final ControlLoop loop = new ControlLoop();
@@ -76,12 +76,12 @@
 
     private void awaitAll(List<CountDownLatch> latches) throws InterruptedException {
         for (CountDownLatch latch : latches) {
-            assertTrue(latch.await(LIMIT_SECONDS, TimeUnit.SECONDS));
+            assertTrue(latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void smallAndLargeConfigurationsAndADrainReachEveryProcess() throws Exception {
+    void smallAndLargeConfigurationsAndDrainsReachEveryProcess() throws Exception {
         startFleet(3, 9);
         commitAndAwait(TestDocuments.withRoutes(3, 2));
         commitAndAwait(TestDocuments.withRoutes(9, 400));
@@ -120,11 +120,11 @@
                     }
                 }))
                 .toList());
-        CountDownLatch heldElsewhere = new CountDownLatch(1);
-        latches.add(heldElsewhere);
+        CountDownLatch acknowledged = new CountDownLatch(1);
+        latches.add(acknowledged);
         RunningNode origin = nodes.get(1);
         origin.loop.execute(
-                () -> origin.node.publishUntilAcknowledged(record, heldElsewhere::countDown, origin.loop.nowMs()));
+                () -> origin.node.publishUntilAcknowledged(record, acknowledged::countDown, origin.loop.nowMs()));
         awaitAll(latches);
     }
 
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/ManyReplicasTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/ManyReplicasTest.java
@@ -20,13 +20,13 @@
 
     private static FleetSimulation withAllRegistered(long seed, int routers) {
         FleetSimulation fleet = FleetSimulation.started(seed, 5, routers);
-        fleet.loss = 0.02;
+        fleet.lossRate = 0.02;
         fleet.run(6_000);
-        fleet.resetCounts();
+        fleet.resetCounters();
         for (int i = 0; i < REPLICAS; i++) {
             Process controller = fleet.controllers.get(i % 5);
             ReplicaRecord record = TestRecords.ready("i-" + Integer.toHexString(i * 7_919 + 1_000_000), 1);
-            fleet.after(
+            fleet.schedule(
                     fleet.random.nextDouble() * HEARTBEAT_MS,
                     () -> controller.node.publish(record, controller.localMs()));
         }
@@ -69,7 +69,7 @@
         FleetSimulation fleet = withAllRegistered(3, 20);
         fleet.run(10_000);
         Process router = fleet.routers.get(3);
-        fleet.cutOff.add(router.address());
+        fleet.isolated.add(router.address());
         fleet.run(1_000);
         for (int i = 0; i < 5; i++) {
             Process controller = fleet.controllers.get(i % 5);
@@ -82,9 +82,9 @@
             fleet.run(500);
         }
         fleet.run(2_000);
-        fleet.resetCounts();
+        fleet.resetCounters();
         router.bytesReceived = 0;
-        fleet.cutOff.clear();
+        fleet.isolated.clear();
         double tookMs = fleet.runUntil(() -> sameContent(router, fleet.controllers.get(0)), 3_000);
         assertTrue(fleet.messagesByType.containsKey("BucketHashes"), fleet.messagesByType.toString());
         System.out.printf(
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/QuorumConfirmationTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/QuorumConfirmationTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import pinewick.dissemination.FleetMessages.Digest;
 
-/** Which digests confirm that a configuration is the newest. */
+/** Tests which digests confirm that a configuration is the newest. */
 class QuorumConfirmationTest {
     private static final double START_MS = 50_000;
     private static final long VERSION = 5;
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void nothingIsConfirmedAtFirst() {
+    void startsUnconfirmed() {
         assertFalse(confirmation.isConfirmedSinceStart());
         assertEquals(QuorumConfirmation.NEVER, confirmation.ageMs(START_MS + 1_000));
         confirmation.onDigestReply(digest(VERSION, QuorumConfirmation.NEVER), VERSION, START_MS + 1_000);
@@ -33,9 +33,9 @@
     }
 
     @Test
-    void aResponseCountsFromTheRequestTimeLessItsAge() {
+    void confirmsAsOfRequestTimeMinusReportedAge() {
         confirmation.onDigestReply(digest(VERSION, 400), VERSION, START_MS + 300);
-        assertFalse(confirmation.isConfirmedSinceStart(), "from before the start");
+        assertFalse(confirmation.isConfirmedSinceStart(), "confirmed as of a time before the start");
         assertEquals(1_100, confirmation.ageMs(START_MS + 1_000));
         confirmation.onDigestReply(digest(VERSION, 400), VERSION, START_MS + 500);
         assertTrue(confirmation.isConfirmedSinceStart());
@@ -43,19 +43,19 @@
     }
 
     @Test
-    void aNewerVersionOfThePeerConfirmsNothing() {
+    void digestWithNewerVersionDoesNotConfirm() {
         confirmation.onDigestReply(digest(VERSION + 1, 0), VERSION, START_MS + 500);
         assertFalse(confirmation.isConfirmedSinceStart());
     }
 
     @Test
-    void aPeerWithAnOlderVersionConfirms() {
+    void digestWithOlderVersionConfirms() {
         confirmation.onDigestReply(digest(VERSION - 1, 0), VERSION, START_MS + 500);
         assertTrue(confirmation.isConfirmedSinceStart());
     }
 
     @Test
-    void aResponseQueuedDuringAProcessPauseDoesNotCount() {
+    void ignoresDigestsQueuedDuringAProcessPause() {
         confirmation.advance(START_MS + 20_000);
         confirmation.onUnsolicitedDigest(digest(VERSION, 0), VERSION, START_MS + 20_000);
         confirmation.advance(START_MS + 20_500);
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/TestDocuments.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/TestDocuments.java
@@ -6,23 +6,23 @@
 import java.util.Random;
 import pinewick.model.ConfigurationDocument;
 
-/** Configurations for tests, of a size like those that operators send. */
+/** Configurations for tests, similar in size to those that operators submit. */
 final class TestDocuments {
     private TestDocuments() {}
 
-    /** A document with so many routes, whose names and paths depend on nothing but their number. */
+    /** A document with the given number of routes, whose names and paths depend only on their index. */
     static ConfigurationDocument withRoutes(long version, int routes) {
         return withRoutes(version, routes, 0);
     }
 
-    /** A document with a tenant, so that routers need to know whether it is the newest. */
+    /** A document with a tenant, for which routers have to confirm that it is the newest version. */
     static ConfigurationDocument withTenants(long version) {
         JsonObject tenant = new JsonObject();
         tenant.addProperty("name", "tenant-1");
         return new ConfigurationDocument(version, Map.of("tenants", Map.of("tenant-1", tenant)), Map.of());
     }
 
-    /** The same with another time-out on the first {@code changed} routes. */
+    /** The same, with a time-out derived from the version on the first {@code changed} routes. */
     static ConfigurationDocument withRoutes(long version, int routes, int changed) {
         Map<String, JsonObject> items = new LinkedHashMap<>();
         for (int i = 0; i < routes; i++) {
