--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/ConfirmationPollerTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/ConfirmationPollerTest.java
@@ -19,20 +19,20 @@
 import pinewick.model.Message;
 import pinewick.model.SocketAddress;
 
-/** Whom a router asks, when, and which replies it counts. */
+/** Tests which peers a router polls for confirmation, when, and which replies it accepts. */
 class ConfirmationPollerTest {
     private static final SocketAddress SELF = new SocketAddress("10.1.0.1", 7_720);
     private static final SocketAddress PRIMARY = new SocketAddress("10.2.0.1", 7_721);
-    private static final SocketAddress SUCCESSOR = new SocketAddress("10.2.0.2", 7_721);
+    private static final SocketAddress OTHER_CONTROLLER = new SocketAddress("10.2.0.2", 7_721);
     private static final SocketAddress PEER = new SocketAddress("10.1.0.2", 7_720);
     private static final long VERSION = 3;
 
     private record Sent(SocketAddress to, ConfirmationRequest request) {}
 
-    /** One incarnation of a process at one address. */
+    /** One incarnation of a process at a fixed address, with the messages that it has sent. */
     private static final class Incarnation {
         final List<Sent> requests = new ArrayList<>();
-        final List<Message> others = new ArrayList<>();
+        final List<Message> otherMessages = new ArrayList<>();
         final FleetState state = new FleetState();
         final FleetNode node;
 
@@ -43,20 +43,20 @@
                     state,
                     this::onSent,
                     new Random(randomSeed));
-            meet(PRIMARY, NodeRole.CONTROLLER);
-            meet(SUCCESSOR, NodeRole.CONTROLLER);
-            meet(PEER, NodeRole.ROUTER);
+            addPeer(PRIMARY, NodeRole.CONTROLLER);
+            addPeer(OTHER_CONTROLLER, NodeRole.CONTROLLER);
+            addPeer(PEER, NodeRole.ROUTER);
         }
 
         private void onSent(SocketAddress to, Message message) {
             if (message instanceof ConfirmationRequest request) {
                 requests.add(new Sent(to, request));
             } else {
-                others.add(message);
+                otherMessages.add(message);
             }
         }
 
-        private void meet(SocketAddress address, NodeRole role) {
+        private void addPeer(SocketAddress address, NodeRole role) {
             PeerEntry entry = new PeerEntry(new NodeDescriptor(address, 1, role, "zone"), 5);
             node.onMessage(address, new ShuffleRequest(7, entry, List.of(), null), 0);
         }
@@ -66,7 +66,7 @@
             return this;
         }
 
-        /** Lets time pass; returns to whom requests went. */
+        /** Runs a tick; returns the peers to which it sent requests. */
         List<SocketAddress> tick(double nowMs) {
             int before = requests.size();
             node.onTick(nowMs);
@@ -106,17 +106,17 @@
         return new Incarnation(NodeRole.ROUTER, randomSeed).withTenants();
     }
 
-    /** A router that has learned at time 10 who the primary is. */
+    /** A router that has learned at time 10 which controller is the primary. */
     private static Incarnation routerWithPrimary() {
         Incarnation router = router(1);
         router.tick(0);
-        router.reply(SUCCESSOR, VERSION, ConfigurationFreshness.NEVER, PRIMARY, 10);
+        router.reply(OTHER_CONTROLLER, VERSION, ConfigurationFreshness.NEVER, PRIMARY, 10);
         router.reply(PRIMARY, VERSION, 100, PRIMARY, 12);
         return router;
     }
 
     @Test
-    void nobodyIsAskedWithoutTenantsAndByControllers() {
+    void doesNotPollWithoutTenantsOrOnControllers() {
         Incarnation router = new Incarnation(NodeRole.ROUTER, 1);
         assertEquals(List.of(), router.tick(0));
         Incarnation controller = new Incarnation(NodeRole.CONTROLLER, 1).withTenants();
@@ -127,19 +127,19 @@
     }
 
     @Test
-    void controllersAndRoutersAreAskedUntilAPrimaryIsKnown() {
+    void pollsControllersAndRoutersUntilAPrimaryIsKnown() {
         Incarnation router = router(1);
         assertEquals(3, router.tick(0).size());
         assertEquals(Optional.empty(), router.node.knownPrimary());
-        router.reply(SUCCESSOR, VERSION, ConfigurationFreshness.NEVER, PRIMARY, 10);
+        router.reply(OTHER_CONTROLLER, VERSION, ConfigurationFreshness.NEVER, PRIMARY, 10);
         assertEquals(Optional.of(PRIMARY), router.node.knownPrimary());
-        assertEquals(PRIMARY, router.requests.get(router.requests.size() - 1).to, "asked at once");
+        assertEquals(PRIMARY, router.requests.get(router.requests.size() - 1).to, "the primary is polled at once");
         router.reply(PRIMARY, VERSION, 100, PRIMARY, 12);
         assertEquals(10 - 100, router.confirmedAtMs());
     }
 
     @Test
-    void aPrimaryThatConfirmsIsTheOnlyOneAsked() {
+    void pollsOnlyThePrimaryWhileItConfirms() {
         Incarnation router = routerWithPrimary();
         for (double nowMs = 600; nowMs < 5_000; nowMs += 600) {
             assertEquals(List.of(PRIMARY), router.tick(nowMs));
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void withoutARecentConfirmationOfThePrimaryOthersAreAskedToo() {
+    void pollsOthersWithoutARecentConfirmationByThePrimary() {
         Incarnation router = routerWithPrimary();
         assertEquals(List.of(PRIMARY), router.tick(600));
         assertTrue(router.node.nextTickMs() <= 600 + 250);
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void whereThePrimaryHasLostItsQuorumOthersAreAskedToo() {
+    void pollsOthersWhenThePrimaryHasLostItsQuorum() {
         Incarnation router = routerWithPrimary();
         router.tick(600);
         router.reply(PRIMARY, VERSION, 4_000, PRIMARY, 610);
@@ -168,21 +168,21 @@
     }
 
     @Test
-    void aControllersHintReplacesThePrimaryAndARoutersDoesNot() {
+    void adoptsThePrimaryReportedByAControllerButNotByARouter() {
         Incarnation router = routerWithPrimary();
         router.tick(600);
         router.tick(850);
-        router.reply(PEER, VERSION, 300, SUCCESSOR, 860);
+        router.reply(PEER, VERSION, 300, OTHER_CONTROLLER, 860);
         assertEquals(Optional.of(PRIMARY), router.node.knownPrimary());
-        router.reply(SUCCESSOR, VERSION, 20, SUCCESSOR, 870);
-        assertEquals(Optional.of(SUCCESSOR), router.node.knownPrimary());
+        router.reply(OTHER_CONTROLLER, VERSION, 20, OTHER_CONTROLLER, 870);
+        assertEquals(Optional.of(OTHER_CONTROLLER), router.node.knownPrimary());
     }
 
     @Test
-    void duplicateForeignAndUnsolicitedRepliesDoNotCount() {
+    void ignoresDuplicateForeignAndUnsolicitedReplies() {
         Incarnation router = routerWithPrimary();
-        ConfirmationRequest answered = router.lastRequestTo(PRIMARY);
-        router.reply(answered, PRIMARY, VERSION, 0, PRIMARY, 20);
+        ConfirmationRequest answeredRequest = router.lastRequestTo(PRIMARY);
+        router.reply(answeredRequest, PRIMARY, VERSION, 0, PRIMARY, 20);
         router.tick(600);
         router.reply(router.lastRequestTo(PRIMARY), PEER, VERSION, 0, PRIMARY, 610);
         router.node.onMessage(PRIMARY, new ConfirmationReply(77, VERSION, 0, PRIMARY), 620);
@@ -190,18 +190,18 @@
     }
 
     @Test
-    void aReplyToAnEarlierIncarnationDoesNotCount() {
-        Incarnation earlier = router(1);
-        earlier.tick(0);
-        Incarnation later = router(2);
-        later.tick(0);
-        later.reply(earlier.lastRequestTo(PRIMARY), PRIMARY, VERSION, 0, PRIMARY, 10);
-        assertFalse(later.node.freshness().isKnown());
+    void ignoresAReplyToAnEarlierIncarnation() {
+        Incarnation earlierIncarnation = router(1);
+        earlierIncarnation.tick(0);
+        Incarnation laterIncarnation = router(2);
+        laterIncarnation.tick(0);
+        laterIncarnation.reply(earlierIncarnation.lastRequestTo(PRIMARY), PRIMARY, VERSION, 0, PRIMARY, 10);
+        assertFalse(laterIncarnation.node.freshness().isKnown());
     }
 
-    /** Also one that its sender computed, and then was frozen before it sent it; or that arrives during a freeze. */
+    /** The same applies to a reply whose sender was paused before sending it, or that arrives while the receiver is paused. */
     @Test
-    void aLateReplyCountsFromItsRequestAndAVeryLateOneNotAtAll() {
+    void countsALateReplyFromItsRequestAndIgnoresAVeryLateOne() {
         Incarnation router = routerWithPrimary();
         router.tick(600);
         ConfirmationRequest second = router.lastRequestTo(PRIMARY);
@@ -213,18 +213,18 @@
     }
 
     @Test
-    void aHigherVersionIsPulledAndConfirmedOnceItIsInForce() {
+    void pullsAHigherVersionAndConfirmsItOnceInForce() {
         Incarnation router = routerWithPrimary();
         router.tick(600);
         router.reply(PRIMARY, VERSION + 1, 30, PRIMARY, 610);
         assertEquals(10 - 100, router.confirmedAtMs());
-        assertTrue(router.others.stream().anyMatch(ConfigurationPull.class::isInstance));
+        assertTrue(router.otherMessages.stream().anyMatch(ConfigurationPull.class::isInstance));
         router.state.offer(TestDocuments.withTenants(VERSION + 1));
         assertEquals(new Confirmation(VERSION + 1, 600 - 30), router.node.freshness());
     }
 
     @Test
-    void aVersionRaisedBetweenRequestAndReplyIsConfirmed() {
+    void confirmsAVersionInstalledBetweenRequestAndReply() {
         Incarnation router = routerWithPrimary();
         router.tick(600);
         router.state.offer(TestDocuments.withTenants(VERSION + 1));
@@ -233,7 +233,7 @@
     }
 
     @Test
-    void anyProcessTellsItsAgeAtTheTimeOfTheRequest() {
+    void repliesWithTheAgeAtTheTimeOfTheRequest() {
         Incarnation controller = new Incarnation(NodeRole.CONTROLLER, 1).withTenants();
         controller.node.onMessage(PEER, new ConfirmationRequest(1), 100);
         controller.node.confirmConfigurationUnderLease(150.5);
@@ -243,7 +243,7 @@
                 List.of(
                         new ConfirmationReply(1, VERSION, ConfigurationFreshness.NEVER, null),
                         new ConfirmationReply(2, VERSION, 8_850, SELF)),
-                controller.others.stream()
+                controller.otherMessages.stream()
                         .filter(ConfirmationReply.class::isInstance)
                         .toList());
     }
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetFaultTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetFaultTest.java
@@ -19,9 +19,9 @@
 import pinewick.model.ReplicaState;
 import pinewick.model.SocketAddress;
 
-/** Restarts, cuts, doubled and late messages, departures, on a simulated fleet. */
+/** Tests restarts, partitions, duplicated and delayed messages, and departures on a simulated fleet. */
 class FleetFaultTest {
-    /** Within this time after a heal every machine counts as in touch. */
+    /** Time after which all processes count as connected again once a partition has healed. */
     private static final double CONTACT_MS = 3_000;
 
     private static FleetSimulation settled(long seed, int controllers, int routers) {
@@ -60,7 +60,7 @@
         double tookMs = fleet.runUntilAll(condition, limitMs);
         assertTrue(
                 tookMs <= limitMs,
-                () -> "within " + limitMs + " ms; missing at "
+                () -> "condition not met within " + limitMs + " ms at "
                         + fleet.connectedProcesses().stream()
                                 .filter(condition.negate())
                                 .map(Process::address)
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aSmallFleetIsFullyKnownAndCountedExactly() {
+    void smallFleetIsFullyKnownAndCountedExactly() {
         FleetSimulation fleet = settled(1, 3, 9);
         for (Process process : fleet.allProcesses()) {
             assertEquals(11, process.node.peers().size());
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aRestartWithALowerIncarnationRejoins() {
+    void processesRestartedWithLowerIncarnationRejoin() {
         FleetSimulation fleet = FleetSimulation.started(2, 3, 9);
         fleet.controllers.get(1).kill();
         fleet.routers.get(4).kill();
@@ -114,19 +114,19 @@
 
     @ParameterizedTest
     @ValueSource(ints = {9, 84})
-    void twoSidesThatWereCutAgreeSoonAfterTheyAreJoined(int routers) {
+    void partitionedSidesConvergeAfterHealing(int routers) {
         FleetSimulation fleet = settled(3, 3, routers);
         ReplicaRecord ready = TestRecords.ready("i-1", 1);
         publish(fleet.controllers.get(0), ready);
         assertAll(fleet, 1_000, hasState("i-1", ReplicaState.READY));
-        Set<SocketAddress> left = fleet.allProcesses().stream()
+        Set<SocketAddress> oneSide = fleet.allProcesses().stream()
                 .filter(process -> process.address().hashCode() % 2 == 0)
                 .map(Process::address)
                 .collect(Collectors.toSet());
-        left.add(fleet.controllers.get(0).address());
-        left.remove(fleet.controllers.get(1).address());
-        left.remove(fleet.controllers.get(2).address());
-        fleet.linkBlocked = (from, to) -> left.contains(from) != left.contains(to);
+        oneSide.add(fleet.controllers.get(0).address());
+        oneSide.remove(fleet.controllers.get(1).address());
+        oneSide.remove(fleet.controllers.get(2).address());
+        fleet.linkBlocked = (from, to) -> oneSide.contains(from) != oneSide.contains(to);
         fleet.run(20_000);
         publish(fleet.controllers.get(0), TestRecords.draining(ready, 2));
         commit(fleet.controllers.get(1), TestDocuments.withRoutes(9, 40));
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void aPartitionedRouterLearnsWhatItMissed() {
+    void partitionedRouterCatchesUpAfterHealing() {
         FleetSimulation fleet = settled(4, 3, 9);
         Process router = fleet.routers.get(3);
         fleet.isolated.add(router.address());
@@ -159,7 +159,7 @@
         fleet.lossRate = 0.2;
         fleet.duplicationRate = 0.3;
         fleet.jitterMs = 400;
-        fleet.allProcesses().forEach(FleetFaultTest::failOnAnyStepBack);
+        fleet.allProcesses().forEach(FleetFaultTest::failOnRegression);
         for (int round = 1; round <= 10; round++) {
             Process origin = fleet.controllers.get(round % 3);
             commit(origin, TestDocuments.withRoutes(round, 30, round));
@@ -179,7 +179,7 @@
         }
     }
 
-    private static void failOnAnyStepBack(Process process) {
+    private static void failOnRegression(Process process) {
         long[] version = new long[1];
         process.state.addListener(new FleetStateListener() {
             @Override
@@ -199,24 +199,24 @@
     }
 
     @Test
-    void aProcessThatShutsDownIsRemovedAtOnceAndMayRejoin() {
+    void leavingProcessIsRemovedAtOnceAndMayRejoin() {
         FleetSimulation fleet = settled(6, 3, 9);
-        Process leaver = fleet.routers.get(2);
-        leaver.node.leave(leaver.localMs());
-        leaver.kill();
+        Process leavingRouter = fleet.routers.get(2);
+        leavingRouter.node.leave(leavingRouter.localMs());
+        leavingRouter.kill();
         fleet.run(200);
         fleet.connectedProcesses()
-                .forEach(process -> assertFalse(knows(leaver.address()).test(process)));
+                .forEach(process -> assertFalse(knows(leavingRouter.address()).test(process)));
         fleet.run(3_000);
         fleet.connectedProcesses()
-                .forEach(process -> assertFalse(knows(leaver.address()).test(process)));
+                .forEach(process -> assertFalse(knows(leavingRouter.address()).test(process)));
         fleet.connectedProcesses().forEach(process -> assertEquals(8, process.node.routerCount()));
         fleet.startRouter(2, 1);
-        assertAll(fleet, CONTACT_MS, knows(leaver.address()));
+        assertAll(fleet, CONTACT_MS, knows(leavingRouter.address()));
     }
 
     @Test
-    void aKilledProcessIsRemovedWithinSeconds() {
+    void killedProcessesAreRemovedWithinTwentySeconds() {
         FleetSimulation fleet = settled(7, 3, 9);
         fleet.run(20_000);
         Process killed = fleet.routers.get(2);
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void routersRestoreTheStateOfControllersThatWereAllKilled() {
+    void restartedControllersRestoreStateFromRouters() {
         FleetSimulation fleet = settled(8, 3, 9);
         commit(fleet.controllers.get(0), TestDocuments.withRoutes(7, 400));
         publish(fleet.controllers.get(0), TestRecords.ready("i-1", 1));
@@ -253,7 +253,7 @@
     }
 
     @Test
-    void aRouterRestartedWhileControllersAreDownBootstrapsFromRouters() {
+    void routerRestartedWhileControllersAreDownBootstrapsFromRouters() {
         FleetSimulation fleet = settled(9, 3, 9);
         commit(fleet.controllers.get(0), TestDocuments.withRoutes(7, 400));
         publish(fleet.controllers.get(0), TestRecords.ready("i-1", 1));
@@ -271,7 +271,7 @@
     }
 
     @Test
-    void aWholeFleetThatStartsAtOnceIsSynchronised() {
+    void fleetStartedAllAtOnceSynchronises() {
         FleetSimulation fleet = FleetSimulation.started(10, 3, 9);
         fleet.controllers.forEach(controller -> controller.state.offer(TestDocuments.withRoutes(3, 20)));
         assertAll(
@@ -281,7 +281,7 @@
     }
 
     @Test
-    void aStartingProcessTakesNoConfigurationOlderThanItsPeersHave() {
+    void startingRouterAdoptsNewestConfigurationOfItsPeers() {
         FleetSimulation fleet = settled(11, 3, 9);
         commit(fleet.controllers.get(0), TestDocuments.withRoutes(7, 20));
         fleet.run(2_000);
@@ -298,18 +298,19 @@
     }
 
     @Test
-    void tombstonesExpireEverywhereAndDoNotReturn() {
+    void tombstonesExpireEverywhereAndDoNotReappear() {
         FleetSimulation fleet = settled(12, 3, 9);
         ReplicaRecord ready = TestRecords.ready("i-1", 1);
         publish(fleet.controllers.get(0), ready);
         fleet.run(2_000);
-        Process late = fleet.routers.get(0);
+        Process partitionedRouter = fleet.routers.get(0);
         publish(fleet.controllers.get(1), TestRecords.gone(ready, 2));
         fleet.run(30_000);
-        fleet.isolated.add(late.address());
+        fleet.isolated.add(partitionedRouter.address());
         fleet.run(20_000);
         assertEquals(
-                ReplicaState.GONE, late.state.findReplica("i-1").orElseThrow().state());
+                ReplicaState.GONE,
+                partitionedRouter.state.findReplica("i-1").orElseThrow().state());
         fleet.isolated.clear();
         fleet.run(12_000);
         fleet.allProcesses()
@@ -320,17 +321,17 @@
     }
 
     @Test
-    void aRouterPartitionedBeforeARemovalDoesNotRevertIt() {
+    void routerPartitionedBeforeRemovalDoesNotRevertIt() {
         FleetSimulation fleet = settled(13, 3, 9);
         ReplicaRecord ready = TestRecords.ready("i-1", 1);
         publish(fleet.controllers.get(0), ready);
         fleet.run(2_000);
-        Process late = fleet.routers.get(0);
-        fleet.isolated.add(late.address());
+        Process partitionedRouter = fleet.routers.get(0);
+        fleet.isolated.add(partitionedRouter.address());
         publish(fleet.controllers.get(1), TestRecords.gone(ready, 2));
         fleet.run(90_000);
         fleet.isolated.clear();
-        double tookMs = fleet.runUntil(() -> hasState("i-1", ReplicaState.GONE).test(late), CONTACT_MS);
+        double tookMs = fleet.runUntil(() -> hasState("i-1", ReplicaState.GONE).test(partitionedRouter), CONTACT_MS);
         assertTrue(tookMs <= CONTACT_MS);
         fleet.run(12_000);
         fleet.allProcesses()
@@ -338,7 +339,7 @@
     }
 
     @Test
-    void controllersThatAllRestartedSoonKnowRouters() {
+    void restartedControllersLearnOfRoutersWithinTwoSeconds() {
         for (int seed = 0; seed < 40; seed++) {
             FleetSimulation fleet = FleetSimulation.started(900 + seed, 5, 2);
             fleet.run(6_000);
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/GossipBoundsTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/GossipBoundsTest.java
@@ -12,35 +12,34 @@
 import pinewick.model.ReplicaState;
 
 /**
- * How long changes take to reach every process, with 2 % of the datagrams lost and one router cut off, and
- * what a router
- * sends and receives while nothing changes. Figures are printed.
+ * Tests how long changes take to reach every process, with 2 % of the datagrams lost and one router isolated, and how
+ * much a router sends and receives while nothing changes. Prints the figures.
  */
 class GossipBoundsTest {
-    private static final double BOUND_MS = 1_000;
-    private static final double REST_MS = 20_000;
-    private static final double MOST_BYTES_A_SECOND = 3_000;
-    private static final double MOST_TICKS_A_SECOND = 8;
-    private static final double LOSS = 0.02;
+    private static final double MAX_PROPAGATION_MS = 1_000;
+    private static final double IDLE_MS = 20_000;
+    private static final double MAX_BYTES_PER_SECOND = 3_000;
+    private static final double MAX_TICKS_PER_SECOND = 8;
+    private static final double LOSS_RATE = 0.02;
     private static final int ROUTES = 400;
     private static final int CHANGES = 12;
-    /** So many changed routes do not fit a datagram. */
-    private static final int MANY_ROUTES = 100;
+    /** A change of this many routes does not fit in a datagram. */
+    private static final int MANY_CHANGED_ROUTES = 100;
 
-    private double longestMs;
+    private double maxPropagationMs;
 
     @ParameterizedTest
     @CsvSource({"3, 9, 11", "5, 84, 8", "9, 420, 40"})
-    void changesReachEveryProcessWithinASecondAndRestIsCheap(int controllers, int routers, int replicas) {
+    void changesReachEveryProcessWithinASecondAndIdleTrafficIsLow(int controllers, int routers, int replicas) {
         FleetSimulation fleet = FleetSimulation.started(controllers * 1_000L + routers, controllers, routers);
-        fleet.lossRate = LOSS;
+        fleet.lossRate = LOSS_RATE;
         fleet.run(5_000);
         commit(fleet, 0, TestDocuments.withRoutes(1, ROUTES));
         for (int i = 0; i < replicas; i++) {
             publish(fleet, i % controllers, TestRecords.ready("i-" + i, 1));
         }
         fleet.run(5_000);
-        String rest = atRest(fleet, "rest");
+        String idleReport = measureIdle(fleet, "idle");
         fleet.isolated.add(fleet.routers.get(0).address());
         String label = controllers + "+" + routers + ": ";
 
@@ -48,19 +47,20 @@
             commit(fleet, i % controllers, TestDocuments.withRoutes(10 + i, ROUTES, i));
             fleet.run(300);
         }
-        String small = label + "small change " + format(longestMs);
-        longestMs = 0;
+        String smallReport = label + "small change " + format(maxPropagationMs);
+        maxPropagationMs = 0;
         for (int i = 0; i < CHANGES; i++) {
-            commit(fleet, i % controllers, TestDocuments.withRoutes(100 + i, ROUTES, MANY_ROUTES));
+            commit(fleet, i % controllers, TestDocuments.withRoutes(100 + i, ROUTES, MANY_CHANGED_ROUTES));
             fleet.run(300);
         }
-        String large = "large change " + format(longestMs);
-        longestMs = 0;
+        String largeReport = "large change " + format(maxPropagationMs);
+        maxPropagationMs = 0;
         for (int i = 0; i < CHANGES && i < replicas; i++) {
             drain(fleet, i % controllers, "i-" + i);
             fleet.run(300);
         }
-        System.out.println(small + ", " + large + ", drain " + format(longestMs) + "; " + rest);
+        System.out.println(
+                smallReport + ", " + largeReport + ", drain " + format(maxPropagationMs) + "; " + idleReport);
     }
 
     private static String format(double ms) {
@@ -83,47 +83,47 @@
         FleetSimulation.Process origin = fleet.controllers.get(controller);
         ReplicaRecord record =
                 TestRecords.draining(origin.state.findReplica(instanceId).orElseThrow(), 5);
-        boolean[] held = new boolean[1];
-        origin.node.publishUntilAcknowledged(record, () -> held[0] = true, origin.localMs());
+        boolean[] acknowledged = new boolean[1];
+        origin.node.publishUntilAcknowledged(record, () -> acknowledged[0] = true, origin.localMs());
         awaitAll(
                 fleet,
                 process -> process.state.findReplica(instanceId).isPresent()
                         && process.state.findReplica(instanceId).orElseThrow().state() == ReplicaState.DRAINING);
-        fleet.runUntil(() -> held[0], BOUND_MS);
-        assertTrue(held[0], "another controller holds it");
+        fleet.runUntil(() -> acknowledged[0], MAX_PROPAGATION_MS);
+        assertTrue(acknowledged[0], "not acknowledged by another controller");
     }
 
     private void awaitAll(FleetSimulation fleet, Predicate<FleetSimulation.Process> condition) {
-        double tookMs = fleet.runUntilAll(condition, BOUND_MS);
-        assertTrue(tookMs <= BOUND_MS, "reached every process within " + BOUND_MS + " ms");
-        longestMs = Math.max(longestMs, tookMs);
+        double tookMs = fleet.runUntilAll(condition, MAX_PROPAGATION_MS);
+        assertTrue(tookMs <= MAX_PROPAGATION_MS, "did not reach every process within " + MAX_PROPAGATION_MS + " ms");
+        maxPropagationMs = Math.max(maxPropagationMs, tookMs);
     }
 
-    private static String atRest(FleetSimulation fleet, String what) {
+    private static String measureIdle(FleetSimulation fleet, String label) {
         fleet.resetCounters();
-        fleet.run(REST_MS);
-        LongSummaryStatistics sent = ofRouters(fleet, process -> process.bytesSent);
-        LongSummaryStatistics received = ofRouters(fleet, process -> process.bytesReceived);
-        LongSummaryStatistics messages = ofRouters(fleet, process -> process.messagesSent);
-        double seconds = REST_MS / 1_000;
+        fleet.run(IDLE_MS);
+        LongSummaryStatistics sent = routerStatistics(fleet, process -> process.bytesSent);
+        LongSummaryStatistics received = routerStatistics(fleet, process -> process.bytesReceived);
+        LongSummaryStatistics messages = routerStatistics(fleet, process -> process.messagesSent);
+        double seconds = IDLE_MS / 1_000;
         double mean = (sent.getAverage() + received.getAverage()) / seconds;
-        String text = String.format(
-                "%s: a router sends %.0f and receives %.0f bytes/s (most %.0f, %.0f), sends %.1f messages/s; shares %s",
-                what,
+        String report = String.format(
+                "%s: a router sends %.0f and receives %.0f bytes/s (max %.0f, %.0f), sends %.1f messages/s; bytes by type %s",
+                label,
                 sent.getAverage() / seconds,
                 received.getAverage() / seconds,
                 sent.getMax() / seconds,
                 received.getMax() / seconds,
                 messages.getAverage() / seconds,
                 fleet.messagesByType);
-        System.out.println(text);
-        assertTrue(mean < MOST_BYTES_A_SECOND, text);
-        double ticks = ofRouters(fleet, process -> process.ticks).getAverage() / seconds;
-        assertTrue(ticks < MOST_TICKS_A_SECOND, "a router at rest ticks " + ticks + " times a second");
-        return text;
+        System.out.println(report);
+        assertTrue(mean < MAX_BYTES_PER_SECOND, report);
+        double ticks = routerStatistics(fleet, process -> process.ticks).getAverage() / seconds;
+        assertTrue(ticks < MAX_TICKS_PER_SECOND, "an idle router ticks " + ticks + " times per second");
+        return report;
     }
 
-    private static LongSummaryStatistics ofRouters(
+    private static LongSummaryStatistics routerStatistics(
             FleetSimulation fleet, ToLongFunction<FleetSimulation.Process> count) {
         return fleet.routers.stream().mapToLong(count).summaryStatistics();
     }
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/ManyReplicasTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/ManyReplicasTest.java
@@ -9,16 +9,16 @@
 import pinewick.dissemination.FleetSimulation.Process;
 import pinewick.model.ReplicaRecord;
 
-/** Fleets with 2,200 replicas: registration of all at once, a restart, a few differences among many records. */
+/** Tests fleets with 2,200 replicas: concurrent registration, a router restart, and few differences among many records. */
 class ManyReplicasTest {
     private static final int REPLICAS = 2_200;
     private static final double HEARTBEAT_MS = 1_200;
 
-    private static Predicate<Process> hasAll() {
+    private static Predicate<Process> hasAllReplicas() {
         return process -> process.state.replicas().size() == REPLICAS;
     }
 
-    private static FleetSimulation withAllRegistered(long seed, int routers) {
+    private static FleetSimulation startedWithAllReplicas(long seed, int routers) {
         FleetSimulation fleet = FleetSimulation.started(seed, 5, routers);
         fleet.lossRate = 0.02;
         fleet.run(6_000);
@@ -35,23 +35,23 @@
     }
 
     @Test
-    void replicasRegisteringAtTheSameTimeAreSoonKnownEverywhere() {
-        FleetSimulation fleet = withAllRegistered(1, 84);
-        double tookMs = fleet.runUntilAll(hasAll(), 3_000);
+    void replicasRegisteringConcurrentlyBecomeKnownEverywhere() {
+        FleetSimulation fleet = startedWithAllReplicas(1, 84);
+        double tookMs = fleet.runUntilAll(hasAllReplicas(), 3_000);
         double bytes = fleet.routers.stream()
                 .mapToLong(router -> router.bytesReceived)
                 .average()
                 .orElse(0);
         System.out.printf(
-                "2,200 replicas at once, 84 routers: all known %.0f ms after the last, %.0f bytes a router%n",
+                "2,200 replicas registering concurrently, 84 routers: all known %.0f ms after the last, %.0f bytes per router%n",
                 tookMs, bytes);
         assertTrue(tookMs <= 2_000, "took " + tookMs);
         assertTrue(bytes < 5_000_000, "bytes " + bytes);
     }
 
     @Test
-    void aRestartedRouterTakesAllRecordsAtOnce() {
-        FleetSimulation fleet = withAllRegistered(2, 20);
+    void restartedRouterReceivesAllRecordsDuringBootstrap() {
+        FleetSimulation fleet = startedWithAllReplicas(2, 20);
         fleet.run(10_000);
         fleet.routers.get(3).kill();
         fleet.run(1_000);
@@ -65,8 +65,8 @@
     }
 
     @Test
-    void aFewDifferencesAmongManyRecordsCostLittle() {
-        FleetSimulation fleet = withAllRegistered(3, 20);
+    void reconcilingFewDifferencesAmongManyRecordsTakesLittleTraffic() {
+        FleetSimulation fleet = startedWithAllReplicas(3, 20);
         fleet.run(10_000);
         Process router = fleet.routers.get(3);
         fleet.isolated.add(router.address());
@@ -85,15 +85,14 @@
         fleet.resetCounters();
         router.bytesReceived = 0;
         fleet.isolated.clear();
-        double tookMs = fleet.runUntil(() -> sameContent(router, fleet.controllers.get(0)), 3_000);
+        double tookMs = fleet.runUntil(() -> haveSameContent(router, fleet.controllers.get(0)), 3_000);
         assertTrue(fleet.messagesByType.containsKey("BucketHashes"), fleet.messagesByType.toString());
-        System.out.printf(
-                "a few of 2,200 records missed: equal after %.0f ms, %d bytes%n", tookMs, router.bytesReceived);
+        System.out.printf("5 of 2,200 records missed: equal after %.0f ms, %d bytes%n", tookMs, router.bytesReceived);
         assertTrue(tookMs <= 3_000, "took " + tookMs);
         assertTrue(router.bytesReceived < 60_000, "bytes " + router.bytesReceived);
     }
 
-    private static boolean sameContent(Process left, Process right) {
+    private static boolean haveSameContent(Process left, Process right) {
         return left.state.replicas().stream()
                 .allMatch(record ->
                         ReplicaContent.isSame(Optional.of(record), right.state.findReplica(record.instanceId())));
