--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessBoundsTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessBoundsTest.java
@@ -137,14 +137,14 @@
         });
     }
 
-    private interface Setting {
+    private interface Scenario {
         Fleet start(long seed);
     }
 
-    private static void report(String what, double boundMs, Setting setting) {
+    private static void report(String what, double boundMs, Scenario scenario) {
         double oldestMs = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            oldestMs = Math.max(oldestMs, setting.start(seed).oldestMs());
+            oldestMs = Math.max(oldestMs, scenario.start(seed).oldestMs());
         }
         System.out.printf("%s: age %.0f ms at most over %d seeds%n", what, oldestMs, SEEDS);
         assertTrue(oldestMs <= boundMs, "age " + oldestMs);
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/ReplyMatchingTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/ReplyMatchingTest.java
@@ -38,12 +38,12 @@
     private static final GossipedReplica RECORD = new GossipedReplica(TestRecords.ready("i-1", 1), 0);
 
     /** One life of a process at one address, with what it has sent. */
-    private static final class Life {
+    private static final class Incarnation {
         final List<Message> sent = new ArrayList<>();
         final FleetState state = new FleetState();
         final FleetNode node;
 
-        Life(NodeRole role, long randomSeed) {
+        Incarnation(NodeRole role, long randomSeed) {
             NodeDescriptor self = new NodeDescriptor(SELF, 1, role, "zone");
             node = new FleetNode(
                     self, List.of(SEED), state, (peer, message) -> sent.add(message), new Random(randomSeed));
@@ -74,14 +74,14 @@
         }
     }
 
-    private static Life router(long randomSeed) {
-        return new Life(NodeRole.ROUTER, randomSeed);
+    private static Incarnation router(long randomSeed) {
+        return new Incarnation(NodeRole.ROUTER, randomSeed);
     }
 
     @Test
     void aDigestForAnEarlierIncarnationIsIgnored() {
-        Life earlier = router(1);
-        Life later = router(2);
+        Incarnation earlier = router(1);
+        Incarnation later = router(2);
         long requestId = earlier.lastSent(DigestRequest.class).requestId();
         later.node.onMessage(SEED, new DigestReply(requestId, OF_SEED, 9), 10);
         assertEquals(0, later.countSent(ConfigurationPull.class));
@@ -91,7 +91,7 @@
 
     @Test
     void duplicateLateAndForeignDigestsAreIgnored() {
-        Life life = router(1);
+        Incarnation life = router(1);
         DigestReply reply = new DigestReply(life.lastSent(DigestRequest.class).requestId(), OF_SEED, 9);
         life.node.onMessage(STRANGER, reply, 10);
         life.node.onMessage(SEED, reply, 2_500);
@@ -106,9 +106,9 @@
 
     @Test
     void aSnapshotForAnEarlierIncarnationIsIgnoredAndDoesNotEndTheBootstrap() {
-        Life earlier = router(1);
+        Incarnation earlier = router(1);
         earlier.answerDigest(10);
-        Life later = router(2);
+        Incarnation later = router(2);
         later.answerDigest(10);
         long ofEarlier = earlier.lastSent(SnapshotRequest.class).requestId();
         later.node.onMessage(SEED, new ReplicaSnapshot(ofEarlier, List.of(RECORD)), 20);
@@ -124,9 +124,9 @@
 
     @Test
     void aConfigurationRequestedByAnEarlierIncarnationIsIgnored() {
-        Life earlier = router(1);
+        Incarnation earlier = router(1);
         earlier.answerDigest(10);
-        Life later = router(2);
+        Incarnation later = router(2);
         later.answerDigest(10);
         later.node.onMessage(SEED, answerTo(earlier.lastSent(ConfigurationPull.class)), 20);
         assertEquals(0, later.state.configuration().version());
@@ -142,8 +142,8 @@
 
     @Test
     void aDrainIsConfirmedOnlyByAControllerThatItWasSentToInThisIncarnation() {
-        Life earlier = controllerThatKnowsTheSeed(1);
-        Life later = controllerThatKnowsTheSeed(2);
+        Incarnation earlier = controllerThatKnowsTheSeed(1);
+        Incarnation later = controllerThatKnowsTheSeed(2);
         int[] confirmations = {0};
         earlier.node.publishUntilAcknowledged(TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> {}, 100);
         later.node.publishUntilAcknowledged(
@@ -160,7 +160,7 @@
 
     @Test
     void aDrainThatIsNoLongerSentIsNotConfirmed() {
-        Life life = controllerThatKnowsTheSeed(1);
+        Incarnation life = controllerThatKnowsTheSeed(1);
         int[] confirmations = {0};
         life.node.publishUntilAcknowledged(
                 TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> confirmations[0]++, 100);
@@ -172,8 +172,8 @@
         assertEquals(0, confirmations[0]);
     }
 
-    private static Life controllerThatKnowsTheSeed(long randomSeed) {
-        Life life = new Life(NodeRole.CONTROLLER, randomSeed);
+    private static Incarnation controllerThatKnowsTheSeed(long randomSeed) {
+        Incarnation life = new Incarnation(NodeRole.CONTROLLER, randomSeed);
         life.meetSeed(10);
         return life;
     }
