--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/ConfigurationFreshnessTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/ConfigurationFreshnessTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What counts as proof that a configuration was the newest, and for which time. */
+/** Tests what proves that a configuration was the newest, and as of which time. */
 class ConfigurationFreshnessTest {
     private static final long VERSION = 5;
-    private static final double SENT_MS = 50_000;
+    private static final double REQUEST_SENT_MS = 50_000;
 
     private final ConfigurationFreshness freshness = new ConfigurationFreshness();
 
@@ -21,56 +21,56 @@
     }
 
     @Test
-    void nothingIsConfirmedAtFirst() {
+    void startsUnconfirmed() {
         assertFalse(freshness.latest().isKnown());
-        assertEquals(ConfigurationFreshness.NEVER, freshness.ageMs(SENT_MS));
-        freshness.onReply(VERSION, ConfigurationFreshness.NEVER, SENT_MS);
+        assertEquals(ConfigurationFreshness.NEVER, freshness.ageMs(REQUEST_SENT_MS));
+        freshness.onReply(VERSION, ConfigurationFreshness.NEVER, REQUEST_SENT_MS);
         assertFalse(freshness.latest().isKnown());
     }
 
     @Test
-    void aReplyCountsFromTheRequestLessItsAge() {
-        freshness.onReply(VERSION, 400, SENT_MS);
-        assertEquals(new Confirmation(VERSION, SENT_MS - 400), freshness.latest());
+    void confirmsAsOfRequestTimeMinusReportedAge() {
+        freshness.onReply(VERSION, 400, REQUEST_SENT_MS);
+        assertEquals(new Confirmation(VERSION, REQUEST_SENT_MS - 400), freshness.latest());
     }
 
     @Test
-    void agesAreRoundedUp() {
-        freshness.confirm(SENT_MS - 0.25);
-        assertEquals(1, freshness.ageMs(SENT_MS));
-        assertEquals(0, freshness.ageMs(SENT_MS - 0.25));
-        assertEquals(Integer.MAX_VALUE, freshness.ageMs(SENT_MS + 1e12));
+    void roundsAgesUp() {
+        freshness.confirm(REQUEST_SENT_MS - 0.25);
+        assertEquals(1, freshness.ageMs(REQUEST_SENT_MS));
+        assertEquals(0, freshness.ageMs(REQUEST_SENT_MS - 0.25));
+        assertEquals(Integer.MAX_VALUE, freshness.ageMs(REQUEST_SENT_MS + 1e12));
     }
 
     @Test
-    void anOlderProofChangesNothing() {
-        freshness.onReply(VERSION, 0, SENT_MS);
-        freshness.onReply(VERSION, 0, SENT_MS - 900);
-        freshness.onReply(VERSION, 700, SENT_MS + 100);
-        freshness.confirm(SENT_MS - 1);
-        assertEquals(SENT_MS, confirmedAtMs());
+    void ignoresOlderProofs() {
+        freshness.onReply(VERSION, 0, REQUEST_SENT_MS);
+        freshness.onReply(VERSION, 0, REQUEST_SENT_MS - 900);
+        freshness.onReply(VERSION, 700, REQUEST_SENT_MS + 100);
+        freshness.confirm(REQUEST_SENT_MS - 1);
+        assertEquals(REQUEST_SENT_MS, confirmedAtMs());
     }
 
     @Test
-    void aPeerWithAnOlderVersionConfirms() {
-        freshness.onReply(VERSION - 1, 10, SENT_MS);
-        assertEquals(SENT_MS - 10, confirmedAtMs());
+    void replyWithOlderVersionConfirms() {
+        freshness.onReply(VERSION - 1, 10, REQUEST_SENT_MS);
+        assertEquals(REQUEST_SENT_MS - 10, confirmedAtMs());
     }
 
     @Test
-    void aPeerWithAHigherVersionConfirmsOnceThisOneHasIt() {
-        freshness.onReply(VERSION + 2, 10, SENT_MS);
+    void replyWithHigherVersionConfirmsOnceThatVersionIsInstalled() {
+        freshness.onReply(VERSION + 2, 10, REQUEST_SENT_MS);
         assertFalse(freshness.latest().isKnown());
         freshness.onConfigurationChanged(VERSION + 1);
-        assertFalse(freshness.latest().isKnown(), "still a lower one");
+        assertFalse(freshness.latest().isKnown(), "the installed version is still lower");
         freshness.onConfigurationChanged(VERSION + 2);
-        assertEquals(new Confirmation(VERSION + 2, SENT_MS - 10), freshness.latest());
+        assertEquals(new Confirmation(VERSION + 2, REQUEST_SENT_MS - 10), freshness.latest());
     }
 
     @Test
-    void whatWasConfirmedHoldsForAHigherVersion() {
-        freshness.confirm(SENT_MS);
+    void confirmationCarriesOverToAHigherVersion() {
+        freshness.confirm(REQUEST_SENT_MS);
         freshness.onConfigurationChanged(VERSION + 1);
-        assertEquals(new Confirmation(VERSION + 1, SENT_MS), freshness.latest());
+        assertEquals(new Confirmation(VERSION + 1, REQUEST_SENT_MS), freshness.latest());
     }
 }
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/ConfirmationPollerTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/ConfirmationPollerTest.java
@@ -199,7 +199,10 @@
         assertFalse(laterIncarnation.node.freshness().isKnown());
     }
 
-    /** The same applies to a reply whose sender was paused before sending it, or that arrives while the receiver is paused. */
+    /**
+     * The same applies to a reply whose sender was paused before sending it, or that arrives while the receiver is
+     * paused.
+     */
     @Test
     void countsALateReplyFromItsRequestAndIgnoresAVeryLateOne() {
         Incarnation router = routerWithPrimary();
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/ControllerExchangeTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/ControllerExchangeTest.java
@@ -9,7 +9,7 @@
 import pinewick.model.ReplicaRecord;
 import pinewick.model.ReplicaState;
 
-/** What controllers tell each other: confirmed records, heartbeats, lapses. */
+/** Tests the exchange between controllers: acknowledged records, heartbeats and lapses. */
 class ControllerExchangeTest {
     private static final ReplicaRecord READY = TestRecords.ready("i-1", 1);
 
@@ -19,35 +19,36 @@
         return fleet;
     }
 
-    private static boolean heldWithin(FleetSimulation fleet, Process origin, ReplicaRecord record, double limitMs) {
-        boolean[] held = new boolean[1];
-        origin.node.publishUntilAcknowledged(record, () -> held[0] = true, origin.localMs());
-        return fleet.runUntil(() -> held[0], limitMs) <= limitMs;
+    private static boolean acknowledgedWithin(
+            FleetSimulation fleet, Process origin, ReplicaRecord record, double limitMs) {
+        boolean[] acknowledged = new boolean[1];
+        origin.node.publishUntilAcknowledged(record, () -> acknowledged[0] = true, origin.localMs());
+        return fleet.runUntil(() -> acknowledged[0], limitMs) <= limitMs;
     }
 
     @Test
-    void aConfirmedRecordIsStoredByAnotherController() {
+    void acknowledgedRecordIsStoredByAnotherController() {
         FleetSimulation fleet = settled(1, 3, 3);
         Process origin = fleet.controllers.get(0);
-        assertTrue(heldWithin(fleet, origin, READY, 100));
-        assertTrue(heldWithin(fleet, origin, TestRecords.draining(READY, 2), 100));
-        long holders = fleet.controllers.stream()
+        assertTrue(acknowledgedWithin(fleet, origin, READY, 100));
+        assertTrue(acknowledgedWithin(fleet, origin, TestRecords.draining(READY, 2), 100));
+        long controllersWithRecord = fleet.controllers.stream()
                 .filter(process ->
                         process != origin && process.state.findReplica("i-1").isPresent())
                 .filter(process ->
                         process.state.findReplica("i-1").orElseThrow().state() == ReplicaState.DRAINING)
                 .count();
-        assertTrue(holders >= 1);
+        assertTrue(controllersWithRecord >= 1);
     }
 
     @Test
-    void aConfirmedRemovalSurvivesAllControllers() {
+    void acknowledgedDrainSurvivesLossOfAllControllers() {
         for (int seed = 0; seed < 20; seed++) {
             FleetSimulation fleet = settled(200 + seed, 3, 3);
             Process origin = fleet.controllers.get(0);
-            assertTrue(heldWithin(fleet, origin, READY, 100));
+            assertTrue(acknowledgedWithin(fleet, origin, READY, 100));
             fleet.run(1_000);
-            assertTrue(heldWithin(fleet, origin, TestRecords.draining(READY, 2), 100));
+            assertTrue(acknowledgedWithin(fleet, origin, TestRecords.draining(READY, 2), 100));
             fleet.controllers.forEach(Process::kill);
             fleet.run(500);
             for (Process router : fleet.routers) {
@@ -60,46 +61,46 @@
     }
 
     @Test
-    void aRecordThatIsKnownAlreadyIsConfirmedAgain() {
+    void acknowledgesAKnownRecordAgain() {
         FleetSimulation fleet = settled(2, 3, 3);
         Process origin = fleet.controllers.get(0);
         ReplicaRecord draining = TestRecords.draining(READY, 2);
-        assertTrue(heldWithin(fleet, origin, draining, 100));
-        assertTrue(heldWithin(fleet, origin, draining, 100));
-        assertTrue(heldWithin(fleet, fleet.controllers.get(1), draining, 100));
+        assertTrue(acknowledgedWithin(fleet, origin, draining, 100));
+        assertTrue(acknowledgedWithin(fleet, origin, draining, 100));
+        assertTrue(acknowledgedWithin(fleet, fleet.controllers.get(1), draining, 100));
     }
 
     @Test
-    void lostConfirmationsAreRequestedAgain() {
+    void retriesAfterLostAcknowledgements() {
         for (int seed = 0; seed < 50; seed++) {
             FleetSimulation fleet = settled(100 + seed, 3, 3);
             fleet.lossRate = 0.3;
-            assertTrue(heldWithin(fleet, fleet.controllers.get(0), READY, 1_000), "seed " + seed);
+            assertTrue(acknowledgedWithin(fleet, fleet.controllers.get(0), READY, 1_000), "seed " + seed);
         }
     }
 
     @Test
-    void onePartitionedControllerDoesNotDelayTheConfirmation() {
+    void onePartitionedControllerDoesNotDelayAcknowledgement() {
         FleetSimulation fleet = settled(3, 3, 3);
         fleet.isolated.add(fleet.controllers.get(1).address());
-        assertTrue(heldWithin(fleet, fleet.controllers.get(0), READY, 100));
+        assertTrue(acknowledgedWithin(fleet, fleet.controllers.get(0), READY, 100));
     }
 
     @Test
-    void aPartitionedControllerGetsNoConfirmationNotEvenFromRouters() {
+    void partitionedControllerGetsNoAcknowledgementNotEvenFromRouters() {
         FleetSimulation fleet = settled(4, 3, 3);
-        Process alone = fleet.controllers.get(0);
+        Process partitioned = fleet.controllers.get(0);
         fleet.linkBlocked = (from, to) -> fleet.controllers.stream()
-                .anyMatch(other -> other != alone
-                        && ((from.equals(alone.address()) && to.equals(other.address()))
-                                || (to.equals(alone.address()) && from.equals(other.address()))));
-        assertFalse(heldWithin(fleet, alone, READY, 3_000));
+                .anyMatch(other -> other != partitioned
+                        && ((from.equals(partitioned.address()) && to.equals(other.address()))
+                                || (to.equals(partitioned.address()) && from.equals(other.address()))));
+        assertFalse(acknowledgedWithin(fleet, partitioned, READY, 3_000));
         assertTrue(fleet.routers.stream()
                 .allMatch(router -> router.state.findReplica("i-1").isPresent()));
     }
 
     @Test
-    void heartbeatsAreKnownToAllControllersAndCostRoutersNothing() {
+    void heartbeatsReachAllControllersWithoutTrafficToRouters() {
         FleetSimulation fleet = settled(5, 3, 9);
         Process origin = fleet.controllers.get(0);
         origin.node.publish(READY, origin.localMs());
@@ -110,25 +111,25 @@
             origin.node.recordHeartbeat("i-1", sequence, origin.localMs());
             fleet.run(1_200);
         }
-        assertFalse(fleet.messagesByType.containsKey("ReplicaUpdate"), fleet.messagesByType.toString());
-        assertFalse(fleet.messagesByType.containsKey("ReplicaSummary"), fleet.messagesByType.toString());
+        assertFalse(fleet.bytesByMessageType.containsKey("ReplicaUpdate"), fleet.bytesByMessageType.toString());
+        assertFalse(fleet.bytesByMessageType.containsKey("ReplicaSummary"), fleet.bytesByMessageType.toString());
         for (Process controller : fleet.controllers) {
             double ageMs = controller.localMs() - controller.node.lastHeartbeatMs("i-1");
-            assertEquals(1_200, ageMs, 5, "heard " + ageMs + " ms ago");
+            assertEquals(1_200, ageMs, 5, "last heartbeat " + ageMs + " ms ago");
             assertEquals(11, controller.state.findReplica("i-1").orElseThrow().callSequence());
         }
         assertEquals(Double.NEGATIVE_INFINITY, origin.node.lastHeartbeatMs("i-2"));
     }
 
     @Test
-    void aLapseThatAnotherControllerKnowsToBeOutdatedIsCorrected() {
+    void outdatedLapseIsCorrectedByAnotherController() {
         FleetSimulation fleet = settled(6, 3, 9);
-        Process hearing = fleet.controllers.get(0);
-        Process judging = fleet.controllers.get(1);
-        hearing.node.publish(READY, hearing.localMs());
+        Process heartbeatReceiver = fleet.controllers.get(0);
+        Process lapseReporter = fleet.controllers.get(1);
+        heartbeatReceiver.node.publish(READY, heartbeatReceiver.localMs());
         fleet.run(3_000);
-        hearing.node.publish(TestRecords.withSequence(READY, 2), hearing.localMs());
-        judging.node.publish(READY.withLapsed(true), judging.localMs());
+        heartbeatReceiver.node.publish(TestRecords.withSequence(READY, 2), heartbeatReceiver.localMs());
+        lapseReporter.node.publish(READY.withLapsed(true), lapseReporter.localMs());
         fleet.run(1_500);
         fleet.allProcesses()
                 .forEach(process -> assertFalse(
@@ -136,7 +137,7 @@
     }
 
     @Test
-    void aLapseEndsWithTheNextHeartbeatAtAnyController() {
+    void nextHeartbeatAtAnyControllerEndsALapse() {
         FleetSimulation fleet = settled(7, 3, 9);
         Process first = fleet.controllers.get(0);
         Process second = fleet.controllers.get(1);
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetFaultTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetFaultTest.java
@@ -21,7 +21,7 @@
 
 /** Tests restarts, partitions, duplicated and delayed messages, and departures on a simulated fleet. */
 class FleetFaultTest {
-    /** Time after which all processes count as connected again once a partition has healed. */
+    /** Maximum time from the healing of a partition until every process counts as connected. */
     private static final double CONTACT_MS = 3_000;
 
     private static FleetSimulation settled(long seed, int controllers, int routers) {
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetSimulation.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FleetSimulation.java
@@ -36,7 +36,7 @@
     final List<Process> controllers = new ArrayList<>();
     final List<Process> routers = new ArrayList<>();
     final Set<SocketAddress> isolated = new HashSet<>();
-    final Map<String, Integer> messagesByType = new HashMap<>();
+    final Map<String, Integer> bytesByMessageType = new HashMap<>();
 
     double nowMs;
     double lossRate;
@@ -280,7 +280,7 @@
 
     private void transmit(Process from, SocketAddress to, Message message) {
         byte[] frame = codec.encode(from.address().port(), message);
-        messagesByType.merge(message.getClass().getSimpleName(), frame.length, Integer::sum);
+        bytesByMessageType.merge(message.getClass().getSimpleName(), frame.length, Integer::sum);
         from.bytesSent += frame.length;
         from.messagesSent++;
         boolean datagram = frame.length <= NetworkTransport.MAX_DATAGRAM_BYTES;
@@ -334,7 +334,7 @@
     }
 
     void resetCounters() {
-        messagesByType.clear();
+        bytesByMessageType.clear();
         allProcesses().forEach(process -> {
             process.bytesSent = 0;
             process.bytesReceived = 0;
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessPropertyTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/FreshnessPropertyTest.java
@@ -13,42 +13,46 @@
 import pinewick.model.SocketAddress;
 
 /**
- * No process takes its configuration for the newest as of a time at which a newer one had been acknowledged, whatever
- * is lost, late, doubled, cut, frozen and restarted, and whoever is the primary.
+ * Checks that no process considers its configuration the newest as of a time at which a newer one had already been
+ * acknowledged, whatever is lost, delayed, duplicated, isolated, paused and restarted, and whichever controller is the
+ * primary.
  */
 class FreshnessPropertyTest {
     private static final int CONTROLLERS = 3;
     private static final int ROUTERS = 4;
-    private static final double SETTLED_MS = 4_000;
-    private static final double TROUBLE_MS = 12_000;
-    private static final double CALM_MS = 4_000;
+    private static final double SETTLING_MS = 4_000;
+    private static final double FAULT_PHASE_MS = 12_000;
+    private static final double RECOVERY_PHASE_MS = 4_000;
     private static final double STEP_MS = 10;
     private static final double HEARTBEAT_INTERVAL_MS = 250;
     private static final double MAX_HEARTBEAT_ROUND_TRIP_MS = 300;
     private static final double MAX_CHANGE_INTERVAL_MS = 300;
-    private static final double MAX_TROUBLE_INTERVAL_MS = 600;
-    private static final double MAX_TROUBLE_DURATION_MS = 2_500;
-    private static final double CALM_AGE_MS = 1_500;
-
-    /** A run, with the part of replication that freshness needs: one primary at a time, which acknowledges changes. */
+    private static final double MAX_FAULT_INTERVAL_MS = 600;
+    private static final double MAX_FAULT_DURATION_MS = 2_500;
+    private static final double MAX_RECOVERED_AGE_MS = 1_500;
+
+    /**
+     * One run, with a model of the part of replication on which freshness depends: one primary at a time acknowledges
+     * changes.
+     */
     private static final class Run {
         final FleetSimulation fleet;
         private final TreeMap<Long, Double> acknowledgedAtMs = new TreeMap<>();
         private ConfigurationDocument newest = TestDocuments.withTenants(1);
         private Process primary;
         private long incarnation = 1;
-        private boolean troubled;
+        private boolean injectingFaults;
 
         Run(long seed) {
             fleet = FleetSimulation.started(seed, CONTROLLERS, ROUTERS);
-            lead(0);
+            setPrimary(0);
             heartbeat();
-            change();
-            pass(SETTLED_MS);
+            commitNextVersion();
+            runAndCheck(SETTLING_MS);
         }
 
-        /** A controller becomes primary: it has all that was acknowledged, and the earlier one no longer leads. */
-        private void lead(int controller) {
+        /** Makes a controller the only primary, with every acknowledged change; the previous one no longer leads. */
+        private void setPrimary(int controller) {
             primary = fleet.controllers.get(controller);
             primary.state.offer(newest);
             for (Process other : fleet.controllers) {
@@ -58,7 +62,10 @@
             }
         }
 
-        /** What is sent while a process leads proves its configuration, also where the answers come after its reign. */
+        /**
+         * A heartbeat sent while a process is the primary proves its configuration, even if the replies arrive after
+         * its term.
+         */
         private void heartbeat() {
             Process sender = primary;
             double sentAtMs = sender.localMs();
@@ -67,89 +74,89 @@
             fleet.schedule(HEARTBEAT_INTERVAL_MS, this::heartbeat);
         }
 
-        private void change() {
+        private void commitNextVersion() {
             newest = TestDocuments.withTenants(newest.version() + 1);
             primary.state.offer(newest);
             acknowledgedAtMs.put(newest.version(), fleet.nowMs);
             primary.node.publishConfiguration(primary.localMs());
-            fleet.schedule(fleet.random.nextDouble() * MAX_CHANGE_INTERVAL_MS, this::change);
+            fleet.schedule(fleet.random.nextDouble() * MAX_CHANGE_INTERVAL_MS, this::commitNextVersion);
         }
 
-        void trouble() {
-            troubled = true;
+        void injectFaults() {
+            injectingFaults = true;
             fleet.lossRate = fleet.random.nextDouble() * 0.3;
             fleet.duplicationRate = fleet.random.nextDouble() * 0.3;
             fleet.jitterMs = fleet.random.nextDouble() * 1_500;
-            injectNext();
-            pass(TROUBLE_MS);
+            injectNextFault();
+            runAndCheck(FAULT_PHASE_MS);
         }
 
-        void calm() {
-            troubled = false;
+        void recover() {
+            injectingFaults = false;
             fleet.lossRate = 0;
             fleet.jitterMs = 1;
-            pass(CALM_MS);
+            runAndCheck(RECOVERY_PHASE_MS);
         }
 
-        private void injectNext() {
-            if (!troubled) {
+        private void injectNextFault() {
+            if (!injectingFaults) {
                 return;
             }
-            double forMs = fleet.random.nextDouble() * MAX_TROUBLE_DURATION_MS;
+            double durationMs = fleet.random.nextDouble() * MAX_FAULT_DURATION_MS;
             int router = fleet.random.nextInt(ROUTERS);
             int controller = fleet.random.nextInt(CONTROLLERS);
             switch (fleet.random.nextInt(5)) {
-                case 0 -> freeze(fleet.allProcesses().get(fleet.random.nextInt(CONTROLLERS + ROUTERS)), forMs);
-                case 1 -> cutOff(
+                case 0 -> freeze(fleet.allProcesses().get(fleet.random.nextInt(CONTROLLERS + ROUTERS)), durationMs);
+                case 1 -> isolate(
                         fleet.allProcesses()
                                 .get(fleet.random.nextInt(CONTROLLERS + ROUTERS))
                                 .address(),
-                        forMs);
+                        durationMs);
                 case 2 -> {
                     fleet.routers.get(router).kill();
                     fleet.startRouter(router, ++incarnation);
                 }
-                case 3 -> lead(controller);
-                default -> loseController(controller);
+                case 3 -> setPrimary(controller);
+                default -> restartController(controller);
             }
-            fleet.schedule(fleet.random.nextDouble() * MAX_TROUBLE_INTERVAL_MS, this::injectNext);
+            fleet.schedule(fleet.random.nextDouble() * MAX_FAULT_INTERVAL_MS, this::injectNextFault);
         }
 
-        private void freeze(Process process, double forMs) {
+        private void freeze(Process process, double durationMs) {
             process.freeze();
-            fleet.schedule(forMs, process::resume);
+            fleet.schedule(durationMs, process::resume);
         }
 
-        private void cutOff(SocketAddress address, double forMs) {
+        private void isolate(SocketAddress address, double durationMs) {
             fleet.isolated.add(address);
-            fleet.schedule(forMs, () -> fleet.isolated.remove(address));
+            fleet.schedule(durationMs, () -> fleet.isolated.remove(address));
         }
 
-        private void loseController(int controller) {
-            Process lost = fleet.controllers.get(controller);
-            lost.kill();
+        private void restartController(int controller) {
+            Process stopped = fleet.controllers.get(controller);
+            stopped.kill();
             fleet.startController(controller, ++incarnation);
-            if (lost == primary) {
-                lead((controller + 1) % CONTROLLERS);
+            if (stopped == primary) {
+                setPrimary((controller + 1) % CONTROLLERS);
             }
         }
 
-        void pass(double durationMs) {
+        void runAndCheck(double durationMs) {
             for (double endMs = fleet.nowMs + durationMs; fleet.nowMs < endMs; ) {
                 fleet.run(STEP_MS);
-                fleet.allProcesses().forEach(this::check);
+                fleet.allProcesses().forEach(this::assertConfirmationIsSound);
             }
         }
 
-        private void check(Process process) {
+        private void assertConfirmationIsSound(Process process) {
             Confirmation confirmation = process.node.freshness();
             double confirmedAtMs = confirmation.confirmedAtMs() - process.clockOffsetMs;
             acknowledgedAtMs
                     .tailMap(confirmation.version(), false)
                     .forEach((version, atMs) -> assertTrue(
                             confirmedAtMs <= atMs + 1e-6,
-                            () -> process.address() + " confirms " + confirmation.version() + " as of " + confirmedAtMs
-                                    + ", but " + version + " was acknowledged at " + atMs));
+                            () -> process.address() + " confirms version " + confirmation.version() + " as of "
+                                    + confirmedAtMs + ", but " + version + " was acknowledged at " + atMs));
         }
 
         List<Double> routerAgesMs() {
@@ -162,10 +169,10 @@
     }
 
     @Property(tries = 60)
-    void noConfirmationIsTooLate(@ForAll long seed) {
+    void neverConfirmsAVersionAfterANewerOneWasAcknowledged(@ForAll long seed) {
         Run run = new Run(seed);
-        run.trouble();
-        run.calm();
-        run.routerAgesMs().forEach(ageMs -> assertTrue(ageMs <= CALM_AGE_MS, "age after all troubles: " + ageMs));
+        run.injectFaults();
+        run.recover();
+        run.routerAgesMs().forEach(ageMs -> assertTrue(ageMs <= MAX_RECOVERED_AGE_MS, "age after recovery: " + ageMs));
     }
 }
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/GossipBoundsTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/GossipBoundsTest.java
@@ -108,14 +108,14 @@
         double seconds = IDLE_MS / 1_000;
         double mean = (sent.getAverage() + received.getAverage()) / seconds;
         String report = String.format(
-                "%s: a router sends %.0f and receives %.0f bytes/s (max %.0f, %.0f), sends %.1f messages/s; bytes by type %s",
+                "%s: a router sends %.0f and receives %.0f bytes/s (max %.0f, %.0f), sends %.1f messages/s; by type %s",
                 label,
                 sent.getAverage() / seconds,
                 received.getAverage() / seconds,
                 sent.getMax() / seconds,
                 received.getMax() / seconds,
                 messages.getAverage() / seconds,
-                fleet.messagesByType);
+                fleet.bytesByMessageType);
         System.out.println(report);
         assertTrue(mean < MAX_BYTES_PER_SECOND, report);
         double ticks = routerStatistics(fleet, process -> process.ticks).getAverage() / seconds;
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/HealedPartitionTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/HealedPartitionTest.java
@@ -34,7 +34,10 @@
         origin.node.publishConfiguration(origin.localMs());
     }
 
-    /** Partitions one controller and some routers from the others; meanwhile configurations change, and replicas drain on both sides. */
+    /**
+     * Partitions one controller and some routers from the others. Meanwhile configurations change, and replicas drain
+     * on both sides.
+     */
     private static FleetSimulation changedDuringPartition(int controllers, int routers, int routersInMinority) {
         FleetSimulation fleet = FleetSimulation.started(21, controllers, routers);
         fleet.lossRate = 0.02;
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/ManyReplicasTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/ManyReplicasTest.java
@@ -9,7 +9,7 @@
 import pinewick.dissemination.FleetSimulation.Process;
 import pinewick.model.ReplicaRecord;
 
-/** Tests fleets with 2,200 replicas: concurrent registration, a router restart, and few differences among many records. */
+/** Tests fleets with 2,200 replicas: concurrent registration, a router restart, and a few differing records. */
 class ManyReplicasTest {
     private static final int REPLICAS = 2_200;
     private static final double HEARTBEAT_MS = 1_200;
@@ -43,7 +43,7 @@
                 .average()
                 .orElse(0);
         System.out.printf(
-                "2,200 replicas registering concurrently, 84 routers: all known %.0f ms after the last, %.0f bytes per router%n",
+                "2,200 replicas registering, 84 routers: all known %.0f ms after the last, %.0f bytes per router%n",
                 tookMs, bytes);
         assertTrue(tookMs <= 2_000, "took " + tookMs);
         assertTrue(bytes < 5_000_000, "bytes " + bytes);
@@ -86,7 +86,7 @@
         router.bytesReceived = 0;
         fleet.isolated.clear();
         double tookMs = fleet.runUntil(() -> haveSameContent(router, fleet.controllers.get(0)), 3_000);
-        assertTrue(fleet.messagesByType.containsKey("BucketHashes"), fleet.messagesByType.toString());
+        assertTrue(fleet.bytesByMessageType.containsKey("BucketHashes"), fleet.bytesByMessageType.toString());
         System.out.printf("5 of 2,200 records missed: equal after %.0f ms, %d bytes%n", tookMs, router.bytesReceived);
         assertTrue(tookMs <= 3_000, "took " + tookMs);
         assertTrue(router.bytesReceived < 60_000, "bytes " + router.bytesReceived);
--- a/router-fleet/dissemination/src/test/java/pinewick/dissemination/ReplyMatchingTest.java
+++ b/router-fleet/dissemination/src/test/java/pinewick/dissemination/ReplyMatchingTest.java
@@ -29,15 +29,18 @@
 import pinewick.model.Message;
 import pinewick.model.SocketAddress;
 
-/** An answer counts once, in time, from the peer that was asked, and for the life of the process that asked. */
+/**
+ * Tests that a reply is accepted once, in time, from the peer to which the request was sent, and only by the
+ * incarnation that sent the request.
+ */
 class ReplyMatchingTest {
     private static final SocketAddress SELF = new SocketAddress("10.1.0.1", 7_720);
     private static final SocketAddress SEED = new SocketAddress("10.2.0.4", 7_721);
     private static final SocketAddress STRANGER = new SocketAddress("10.2.0.9", 7_721);
-    private static final Digest OF_SEED = new Digest(3, 1, 77, true, 0);
+    private static final Digest SEED_DIGEST = new Digest(3, 1, 77, true, 0);
     private static final GossipedReplica RECORD = new GossipedReplica(TestRecords.ready("i-1", 1), 0);
 
-    /** One life of a process at one address, with what it has sent. */
+    /** One incarnation of a process at a fixed address, with the messages that it has sent. */
     private static final class Incarnation {
         final List<Message> sent = new ArrayList<>();
         final FleetState state = new FleetState();
@@ -62,12 +65,12 @@
             return sent.stream().filter(type::isInstance).count();
         }
 
-        void answerDigest(double nowMs) {
-            node.onMessage(SEED, new DigestReply(lastSent(DigestRequest.class).requestId(), OF_SEED, 9), nowMs);
+        void replyToDigestRequest(double nowMs) {
+            node.onMessage(SEED, new DigestReply(lastSent(DigestRequest.class).requestId(), SEED_DIGEST, 9), nowMs);
         }
 
-        /** Lets the seed become known as a controller. */
-        void meetSeed(double nowMs) {
+        /** Makes the seed known as a controller. */
+        void addSeed(double nowMs) {
             PeerEntry seed = new PeerEntry(new NodeDescriptor(SEED, 1, NodeRole.CONTROLLER, "zone"), 5);
             long requestId = lastSent(ShuffleRequest.class).requestId();
             node.onMessage(SEED, new ShuffleReply(requestId, seed, List.of(), null), nowMs);
@@ -79,102 +82,108 @@
     }
 
     @Test
-    void aDigestForAnEarlierIncarnationIsIgnored() {
-        Incarnation earlier = router(1);
-        Incarnation later = router(2);
-        long requestId = earlier.lastSent(DigestRequest.class).requestId();
-        later.node.onMessage(SEED, new DigestReply(requestId, OF_SEED, 9), 10);
-        assertEquals(0, later.countSent(ConfigurationPull.class));
-        later.answerDigest(20);
-        assertEquals(1, later.countSent(ConfigurationPull.class));
+    void ignoresADigestForAnEarlierIncarnation() {
+        Incarnation earlierIncarnation = router(1);
+        Incarnation laterIncarnation = router(2);
+        long requestId = earlierIncarnation.lastSent(DigestRequest.class).requestId();
+        laterIncarnation.node.onMessage(SEED, new DigestReply(requestId, SEED_DIGEST, 9), 10);
+        assertEquals(0, laterIncarnation.countSent(ConfigurationPull.class));
+        laterIncarnation.replyToDigestRequest(20);
+        assertEquals(1, laterIncarnation.countSent(ConfigurationPull.class));
     }
 
     @Test
-    void duplicateLateAndForeignDigestsAreIgnored() {
-        Incarnation life = router(1);
-        DigestReply reply = new DigestReply(life.lastSent(DigestRequest.class).requestId(), OF_SEED, 9);
-        life.node.onMessage(STRANGER, reply, 10);
-        life.node.onMessage(SEED, reply, 2_500);
-        assertEquals(0, life.countSent(ConfigurationPull.class));
-        life.node.onTick(2_600);
-        reply = new DigestReply(life.lastSent(DigestRequest.class).requestId(), OF_SEED, 9);
-        life.node.onMessage(SEED, reply, 2_610);
-        assertEquals(1, life.countSent(SnapshotRequest.class));
-        life.node.onMessage(SEED, reply, 3_200);
-        assertEquals(1, life.countSent(SnapshotRequest.class), "a second one is no reason to ask again");
+    void ignoresDuplicateLateAndForeignDigests() {
+        Incarnation incarnation = router(1);
+        DigestReply reply =
+                new DigestReply(incarnation.lastSent(DigestRequest.class).requestId(), SEED_DIGEST, 9);
+        incarnation.node.onMessage(STRANGER, reply, 10);
+        incarnation.node.onMessage(SEED, reply, 2_500);
+        assertEquals(0, incarnation.countSent(ConfigurationPull.class));
+        incarnation.node.onTick(2_600);
+        reply = new DigestReply(incarnation.lastSent(DigestRequest.class).requestId(), SEED_DIGEST, 9);
+        incarnation.node.onMessage(SEED, reply, 2_610);
+        assertEquals(1, incarnation.countSent(SnapshotRequest.class));
+        incarnation.node.onMessage(SEED, reply, 3_200);
+        assertEquals(
+                1,
+                incarnation.countSent(SnapshotRequest.class),
+                "a duplicate digest triggers no second snapshot request");
     }
 
     @Test
-    void aSnapshotForAnEarlierIncarnationIsIgnoredAndDoesNotEndTheBootstrap() {
-        Incarnation earlier = router(1);
-        earlier.answerDigest(10);
-        Incarnation later = router(2);
-        later.answerDigest(10);
-        long ofEarlier = earlier.lastSent(SnapshotRequest.class).requestId();
-        later.node.onMessage(SEED, new ReplicaSnapshot(ofEarlier, List.of(RECORD)), 20);
-        assertTrue(later.state.findReplica("i-1").isEmpty());
-        later.state.offer(TestDocuments.withRoutes(3, 1));
-        later.node.onTick(300);
-        assertFalse(later.node.isSynchronised());
-        long ofLater = later.lastSent(SnapshotRequest.class).requestId();
-        later.node.onMessage(SEED, new ReplicaSnapshot(ofLater, List.of(RECORD)), 310);
-        later.node.onTick(350);
-        assertTrue(later.node.isSynchronised());
+    void snapshotForAnEarlierIncarnationDoesNotCompleteTheBootstrap() {
+        Incarnation earlierIncarnation = router(1);
+        earlierIncarnation.replyToDigestRequest(10);
+        Incarnation laterIncarnation = router(2);
+        laterIncarnation.replyToDigestRequest(10);
+        long earlierRequestId =
+                earlierIncarnation.lastSent(SnapshotRequest.class).requestId();
+        laterIncarnation.node.onMessage(SEED, new ReplicaSnapshot(earlierRequestId, List.of(RECORD)), 20);
+        assertTrue(laterIncarnation.state.findReplica("i-1").isEmpty());
+        laterIncarnation.state.offer(TestDocuments.withRoutes(3, 1));
+        laterIncarnation.node.onTick(300);
+        assertFalse(laterIncarnation.node.isSynchronised());
+        long laterRequestId = laterIncarnation.lastSent(SnapshotRequest.class).requestId();
+        laterIncarnation.node.onMessage(SEED, new ReplicaSnapshot(laterRequestId, List.of(RECORD)), 310);
+        laterIncarnation.node.onTick(350);
+        assertTrue(laterIncarnation.node.isSynchronised());
     }
 
     @Test
-    void aConfigurationRequestedByAnEarlierIncarnationIsIgnored() {
-        Incarnation earlier = router(1);
-        earlier.answerDigest(10);
-        Incarnation later = router(2);
-        later.answerDigest(10);
-        later.node.onMessage(SEED, answerTo(earlier.lastSent(ConfigurationPull.class)), 20);
-        assertEquals(0, later.state.configuration().version());
-        later.node.onMessage(SEED, answerTo(later.lastSent(ConfigurationPull.class)), 30);
-        assertEquals(3, later.state.configuration().version());
+    void ignoresAConfigurationRequestedByAnEarlierIncarnation() {
+        Incarnation earlierIncarnation = router(1);
+        earlierIncarnation.replyToDigestRequest(10);
+        Incarnation laterIncarnation = router(2);
+        laterIncarnation.replyToDigestRequest(10);
+        laterIncarnation.node.onMessage(SEED, replyTo(earlierIncarnation.lastSent(ConfigurationPull.class)), 20);
+        assertEquals(0, laterIncarnation.state.configuration().version());
+        laterIncarnation.node.onMessage(SEED, replyTo(laterIncarnation.lastSent(ConfigurationPull.class)), 30);
+        assertEquals(3, laterIncarnation.state.configuration().version());
     }
 
-    private static ConfigurationUpdate answerTo(ConfigurationPull pull) {
-        ConfigurationDelta whole =
+    private static ConfigurationUpdate replyTo(ConfigurationPull pull) {
+        ConfigurationDelta fullDocument =
                 ConfigurationDelta.between(ConfigurationDocument.EMPTY, TestDocuments.withRoutes(3, 1));
-        return new ConfigurationUpdate(pull.requestId(), 0, 3, ConfigurationChecks.writeDelta(whole));
+        return new ConfigurationUpdate(pull.requestId(), 0, 3, ConfigurationChecks.writeDelta(fullDocument));
     }
 
     @Test
-    void aDrainIsConfirmedOnlyByAControllerThatItWasSentToInThisIncarnation() {
-        Incarnation earlier = controllerThatKnowsTheSeed(1);
-        Incarnation later = controllerThatKnowsTheSeed(2);
-        int[] confirmations = {0};
-        earlier.node.publishUntilAcknowledged(TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> {}, 100);
-        later.node.publishUntilAcknowledged(
-                TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> confirmations[0]++, 100);
-        long ofEarlier = earlier.lastSent(ReplicaUpdate.class).ackId();
-        long ofLater = later.lastSent(ReplicaUpdate.class).ackId();
-        later.node.onMessage(SEED, new ReplicaUpdateAck(ofEarlier), 110);
-        later.node.onMessage(STRANGER, new ReplicaUpdateAck(ofLater), 110);
-        assertEquals(0, confirmations[0]);
-        later.node.onMessage(SEED, new ReplicaUpdateAck(ofLater), 120);
-        later.node.onMessage(SEED, new ReplicaUpdateAck(ofLater), 130);
-        assertEquals(1, confirmations[0]);
+    void acceptsADrainAcknowledgementOnlyFromAControllerItWasSentToInThisIncarnation() {
+        Incarnation earlierIncarnation = controllerKnowingTheSeed(1);
+        Incarnation laterIncarnation = controllerKnowingTheSeed(2);
+        int[] acknowledgementCount = {0};
+        earlierIncarnation.node.publishUntilAcknowledged(
+                TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> {}, 100);
+        laterIncarnation.node.publishUntilAcknowledged(
+                TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> acknowledgementCount[0]++, 100);
+        long earlierRequestId = earlierIncarnation.lastSent(ReplicaUpdate.class).ackId();
+        long laterRequestId = laterIncarnation.lastSent(ReplicaUpdate.class).ackId();
+        laterIncarnation.node.onMessage(SEED, new ReplicaUpdateAck(earlierRequestId), 110);
+        laterIncarnation.node.onMessage(STRANGER, new ReplicaUpdateAck(laterRequestId), 110);
+        assertEquals(0, acknowledgementCount[0]);
+        laterIncarnation.node.onMessage(SEED, new ReplicaUpdateAck(laterRequestId), 120);
+        laterIncarnation.node.onMessage(SEED, new ReplicaUpdateAck(laterRequestId), 130);
+        assertEquals(1, acknowledgementCount[0]);
     }
 
     @Test
-    void aDrainThatIsNoLongerSentIsNotConfirmed() {
-        Incarnation life = controllerThatKnowsTheSeed(1);
-        int[] confirmations = {0};
-        life.node.publishUntilAcknowledged(
-                TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> confirmations[0]++, 100);
-        long ackId = life.lastSent(ReplicaUpdate.class).ackId();
+    void ignoresADrainAcknowledgementAfterTheLastAttemptTimedOut() {
+        Incarnation incarnation = controllerKnowingTheSeed(1);
+        int[] acknowledgementCount = {0};
+        incarnation.node.publishUntilAcknowledged(
+                TestRecords.draining(TestRecords.ready("i-1", 1), 2), () -> acknowledgementCount[0]++, 100);
+        long ackId = incarnation.lastSent(ReplicaUpdate.class).ackId();
         for (double nowMs = 150; nowMs < 1_500; nowMs += FleetNode.TICK_MS) {
-            life.node.onTick(nowMs);
+            incarnation.node.onTick(nowMs);
         }
-        life.node.onMessage(SEED, new ReplicaUpdateAck(ackId), 1_500);
-        assertEquals(0, confirmations[0]);
+        incarnation.node.onMessage(SEED, new ReplicaUpdateAck(ackId), 1_500);
+        assertEquals(0, acknowledgementCount[0]);
     }
 
-    private static Incarnation controllerThatKnowsTheSeed(long randomSeed) {
-        Incarnation life = new Incarnation(NodeRole.CONTROLLER, randomSeed);
-        life.meetSeed(10);
-        return life;
+    private static Incarnation controllerKnowingTheSeed(long randomSeed) {
+        Incarnation incarnation = new Incarnation(NodeRole.CONTROLLER, randomSeed);
+        incarnation.addSeed(10);
+        return incarnation;
     }
 }
