--- a/query-mixer/core/src/main/java/pinewick/core/FleetStats.java
+++ b/query-mixer/core/src/main/java/pinewick/core/FleetStats.java
@@ -5,7 +5,7 @@
 
 /** Measurements of one router over the whole fleet, and the parameters that all measurements share. */
 final class FleetStats {
-    static final double INITIAL_ESTIMATE = 0.1; // share of the latency target: any latency not yet measured
+    static final double INITIAL_ESTIMATE = 0.1; // share of the latency target, for latencies without samples
     static final int MIN_SAMPLES = 8; // below this a statistic is not used
     private static final int BINS = 14;
     private static final int RATE_BINS = 28;
--- a/query-mixer/core/src/main/java/pinewick/core/Placement.java
+++ b/query-mixer/core/src/main/java/pinewick/core/Placement.java
@@ -22,9 +22,9 @@
 
     /**
      * Starts a query: groups its shard requests by holders, selects the holder with the lowest score for each group and
-     * sends them together. If a group finds no capacity, the whole query stays pending, so that no work goes to a query
-     * that is later rejected; but most of the weight that an answer may lack can follow later. Returns false if the
-     * query stays pending.
+     * sends them together. If a group finds no capacity, the whole query stays pending, so that no work is spent on a
+     * query that is later rejected; but most of the weight that a response may omit can be sent later. Returns false if
+     * the query stays pending.
      */
     boolean start(Query query, boolean reserve) {
         if (!reserve && !canStart(query)) {
--- a/query-mixer/core/src/main/java/pinewick/core/ReplicaState.java
+++ b/query-mixer/core/src/main/java/pinewick/core/ReplicaState.java
@@ -21,7 +21,7 @@
     double utilization;
     double reportedAt = Double.NEGATIVE_INFINITY;
     int sentSinceReport;
-    /** Whether any attempt was measured since its start, and the smoothed latency. */
+    /** Whether any attempt was measured since the replica started, and the smoothed latency. */
     boolean hasMeasurements;
 
     double latency;
@@ -55,7 +55,7 @@
 
     boolean probeOutstanding;
     double probedAt;
-    /** Whether it may get one shard request as a trial after its backoff. */
+    /** Whether the replica may receive one trial shard request after its backoff. */
     boolean trialAllowed;
 
     ReplicaState(String id, double initialLimit) {
@@ -97,7 +97,7 @@
         unresponsive = noResponse;
     }
 
-    /** Resets what was measured of the previous process. */
+    /** Resets the measurements of the previous process. */
     void onRestart(double at) {
         startedAt = at;
         hasMeasurements = false;
--- a/query-mixer/core/src/main/java/pinewick/core/SchedulerHost.java
+++ b/query-mixer/core/src/main/java/pinewick/core/SchedulerHost.java
@@ -33,11 +33,11 @@
     /** Subscribes to changes of the list of replicas, or unsubscribes. */
     void watchReplicas(boolean enabled);
 
-    /** Reports what this router measured: smoothed latency (seconds), reported queue length, consecutive failures. */
+    /** Reports this router's measurements: smoothed latency (seconds), reported queue length, consecutive failures. */
     default void onReplicaMeasured(
             String replicaId, double latencySeconds, double queueLength, int consecutiveFailures) {}
 
-    /** The latency that other routers measured there, in seconds; 0 if unknown. It may be stale or wrong. */
+    /** The latency that other routers measured at the replica, in seconds; 0 if unknown. It may be stale or wrong. */
     default double peerLatency(String replicaId) {
         return 0;
     }
--- a/query-mixer/dial/src/main/java/pinewick/dial/AddressHistory.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/AddressHistory.java
@@ -150,8 +150,8 @@
     }
 
     /**
-     * Addresses whose backoff after failures is over, or that were outpaced {@code OUTPACED_RETRY_SECONDS} ago or
-     * longer, and that may be tried in the background; no call depends on them.
+     * Addresses whose backoff after failures has expired, or that were outpaced {@code OUTPACED_RETRY_SECONDS} ago or
+     * longer, and that may be tried in the background; no call depends on these attempts.
      */
     public List<Address> retryCandidates(double now) {
         List<Address> candidates = new ArrayList<>();
@@ -168,7 +168,7 @@
 
     /**
      * The order of connection attempts. Addresses in backoff come last, the one whose backoff ends soonest first: with
-     * all of them in backoff the back end itself may be at fault, and an attempt tells.
+     * all of them in backoff the back end itself may be at fault, which an attempt will show.
      */
     public List<Address> attemptOrder(double now) {
         List<Stats> available = new ArrayList<>();
@@ -236,8 +236,8 @@
     }
 
     /**
-     * The Connection Attempt Delay of RFC 8305: seconds after which the next address is tried beside this one, longer
-     * than its usual connect time.
+     * The Connection Attempt Delay of RFC 8305: seconds after which the next address is tried in parallel, longer
+     * than the usual connect time of this address.
      */
     public double attemptDelaySeconds(Address address) {
         Stats stats = statsByAddress.get(address);
--- a/query-mixer/dial/src/main/java/pinewick/dial/ConnectionRace.java
+++ b/query-mixer/dial/src/main/java/pinewick/dial/ConnectionRace.java
@@ -45,7 +45,7 @@
     private double nextAttemptAt;
     private boolean finished;
 
-    /** @param timeoutSeconds time limit for the whole race, and for any one attempt */
+    /** @param timeoutSeconds time limit for the whole race and for each attempt */
     public ConnectionRace(AddressHistory history, double now, double timeoutSeconds, Transport transport) {
         this.history = history;
         this.transport = transport;
--- a/query-mixer/registry/src/main/java/pinewick/registry/PrefixWatcher.java
+++ b/query-mixer/registry/src/main/java/pinewick/registry/PrefixWatcher.java
@@ -198,9 +198,9 @@
     }
 
     /**
-     * Fails over to the next member, at once while some have not been tried. When all are down, backoff grows and is
-     * randomised, so that the mixers neither retry without a pause nor all reconnect at the same moment when a member
-     * is back.
+     * Fails over to the next member, immediately while some have not been tried. When all are down, the backoff grows
+     * and is randomised, so that routers neither retry without a pause nor all reconnect at the same moment when a
+     * member recovers.
      */
     private void failOver(double now, String reason) {
         cancelAll();
--- a/router-fleet/dissemination/src/main/java/pinewick/dissemination/AcknowledgedReplicaPush.java
+++ b/router-fleet/dissemination/src/main/java/pinewick/dissemination/AcknowledgedReplicaPush.java
@@ -16,8 +16,8 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Sends records to the other controllers until one has acknowledged them. Ids increase from a random number that is
- * chosen when the process starts. An acknowledgement is accepted once, from a controller to which the record was
+ * Sends records to the other controllers until one has acknowledged them. Ids increase from a random number drawn
+ * when the process starts. An acknowledgement is accepted once, from a controller to which the record was
  * sent, and before the last attempt has timed out. Control loop only.
  */
 final class AcknowledgedReplicaPush {
--- a/router-fleet/dissemination/src/main/java/pinewick/dissemination/GossipedReplicas.java
+++ b/router-fleet/dissemination/src/main/java/pinewick/dissemination/GossipedReplicas.java
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Tells a peer which of the records that it sent belong to replicas whose tombstones have expired. */
+    /** Informs a peer which of the records that it sent belong to replicas whose tombstones have expired. */
     void sendExpiredAmong(SocketAddress peer, List<GossipedReplica> records) {
         sendExpired(
                 peer,
--- a/router-fleet/dissemination/src/main/java/pinewick/dissemination/ReplicaReconciliation.java
+++ b/router-fleet/dissemination/src/main/java/pinewick/dissemination/ReplicaReconciliation.java
@@ -48,7 +48,7 @@
     enum SnapshotPurpose {
         /**
          * A process that has just started requests its first snapshot, from a peer that {@link Bootstrap} has
-         * chosen.
+         * selected.
          */
         BOOTSTRAP,
         /** A peer has records, and this process has none. */
--- a/router-fleet/membership/src/main/java/pinewick/membership/PeerSampling.java
+++ b/router-fleet/membership/src/main/java/pinewick/membership/PeerSampling.java
@@ -154,7 +154,7 @@
         return sizeEstimator.map(estimator -> estimator.upperBound(nowMs)).orElse(1);
     }
 
-    /** Does what is due: reply time-outs, shuffles, retries of seeds and unreachable peers, fleet size samples. */
+    /** Performs all due work: reply time-outs, shuffles, retries of seeds and unreachable peers, fleet size samples. */
     public void onTick(double nowMs) {
         FleetSizeEstimator estimator = startIfNeeded(nowMs);
         checkReplyTimeout(nowMs);
--- a/router-fleet/quota/src/main/java/pinewick/quota/QuotaCoordinator.java
+++ b/router-fleet/quota/src/main/java/pinewick/quota/QuotaCoordinator.java
@@ -39,7 +39,7 @@
     private final Map<String, Account> accounts = new HashMap<>();
     private final RecentGrants recentGrants = new RecentGrants();
     private Map<String, Tenant> tenants = Map.of();
-    /** The last authority of this process; {@link #hasAuthority} tells whether it is still valid. */
+    /** The last authority of this process; {@link #hasAuthority} returns whether it is still valid. */
     private Optional<Long> authority = Optional.empty();
 
     private boolean hasAuthority;
--- a/router-fleet/quota/src/test/java/pinewick/quota/QuotaFleetTest.java
+++ b/router-fleet/quota/src/test/java/pinewick/quota/QuotaFleetTest.java
@@ -117,7 +117,7 @@
         assertTrue(fleet.rejected <= 0.03 * fleet.offered, fleet.rejected + " of " + fleet.offered);
     }
 
-    /** Each defect exceeds the bound with some seed, in a small fleet or in a larger one. */
+    /** Each defect exceeds the bound with at least one seed, in a small or a larger fleet. */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
     void defectsAreDetected(QuotaFleet.Defect defect) {
