--- a/testing/lab/src/main/java/pinewick/lab/DemoLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/DemoLab.java
@@ -6,23 +6,22 @@
 import picocli.CommandLine.Command;
 import pinewick.lab.demo.Demo;
 
-/** Shows a whole small fleet: routers, controllers, stand-ins for replicas, an operator and clients. */
-@Command(
-        name = "demo",
-        description = "A whole small fleet on loopback for some seconds; says what happens and ends within 30 s.")
+/** Demonstrates a small fleet: routers, controllers, fake replicas, an operator and clients. */
+@Command(name = "demo", description = "A small fleet on loopback; prints each event and finishes within 30 s.")
 final class DemoLab implements Callable<Integer> {
     private static final Path PROGRAM = Path.of("target/pinewick-system.jar");
 
     @Override
     public Integer call() throws Exception {
         if (!Files.exists(PROGRAM)) {
-            System.err.println("pinewick-lab: " + PROGRAM + " is not there; run mvn -q -DskipTests package first,"
+            System.err.println("pinewick-lab: " + PROGRAM + " not found; run mvn -q -DskipTests package first,"
                     + " and this program from the repository's root");
             return 2;
         }
-        // The JDK's client lets a request name another host than the router's only so; its server waits without this.
+        // The JDK's client needs the first to set another Host header than the router's; without the second, the
+        // JDK's server delays responses (Nagle's algorithm).
         System.setProperty("jdk.httpclient.allowRestrictedHeaders", "host");
         System.setProperty("sun.net.httpserver.nodelay", "true");
-        return new Demo(System.out).play() ? 0 : 1;
+        return new Demo(System.out).run() ? 0 : 1;
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/Demo.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/Demo.java
@@ -8,21 +8,21 @@
 import pinewick.lab.scale.HttpPeer;
 import pinewick.lab.scale.Operator;
 
-/** A whole small fleet, played for some seconds; each thing that happens is told in a line. */
+/** Runs a small fleet for up to 24 seconds of scripted events and prints one line per event. */
 public final class Demo {
-    private static final Duration TOTAL = Duration.ofSeconds(24);
-    private static final long LONGEST_SECONDS = 29;
-    private static final Duration CALM = Duration.ofSeconds(2);
-    private static final Duration DRAIN = Duration.ofSeconds(2);
-    private static final Duration AFTER_DRAIN = Duration.ofSeconds(1);
+    private static final Duration TIME_LIMIT = Duration.ofSeconds(24);
+    private static final long MAX_PROCESS_SECONDS = 29;
+    private static final Duration STEADY_PERIOD = Duration.ofSeconds(2);
+    private static final Duration DRAIN_PERIOD = Duration.ofSeconds(2);
+    private static final Duration MARGIN_AFTER_DRAIN = Duration.ofSeconds(1);
     private static final long FIRST_VERSION = 1;
     private static final long SECOND_VERSION = 2;
-    private static final double NS_A_MS = 1e6;
-    private static final double NS_A_SECOND = 1e9;
+    private static final double NS_PER_MS = 1e6;
+    private static final double NS_PER_SECOND = 1e9;
 
     private final PrintStream output;
-    private final long fromNs = System.nanoTime();
-    private final TimeLimit limit = new TimeLimit(TOTAL, System::nanoTime);
+    private final long startNs = System.nanoTime();
+    private final TimeLimit timeLimit = new TimeLimit(TIME_LIMIT, System::nanoTime);
     private final HttpPeer http = new HttpPeer();
     private final RequestTally tally = new RequestTally();
 
@@ -30,20 +30,20 @@
         this.output = output;
     }
 
-    /** Plays; returns whether everything happened as it should. Leaves no process and no file behind. */
-    public boolean play() throws IOException, InterruptedException {
-        DemoFleet fleet = new DemoFleet(http, LONGEST_SECONDS);
-        Thread whenInterrupted = new Thread(() -> closeQuietly(fleet), "demo-end");
-        Runtime.getRuntime().addShutdownHook(whenInterrupted);
+    /** Runs the demo; returns whether every expected event occurred. Leaves no process and no file behind. */
+    public boolean run() throws IOException, InterruptedException {
+        DemoFleet fleet = new DemoFleet(http, MAX_PROCESS_SECONDS);
+        Thread shutdownHook = new Thread(() -> closeQuietly(fleet), "demo-end");
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         boolean passed = false;
         try (fleet) {
-            playOn(fleet);
+            runScenario(fleet);
             passed = true;
         } catch (DemoFailedException e) {
-            tell("failed: " + e.getMessage());
+            print("failed: " + e.getMessage());
         }
-        Runtime.getRuntime().removeShutdownHook(whenInterrupted);
-        tell(passed ? "passed: everything has ended, nothing is left behind" : "ended without having passed");
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
+        print(passed ? "passed: all processes stopped, temporary files deleted" : "ended with a failure");
         return passed;
     }
 
@@ -55,95 +55,95 @@
         }
     }
 
-    private void playOn(DemoFleet fleet) throws DemoFailedException, IOException, InterruptedException {
-        tell("starting " + DemoFleet.CONTROLLERS + " controllers and " + DemoFleet.ROUTERS
-                + " routers, each a process of its own");
+    private void runScenario(DemoFleet fleet) throws DemoFailedException, IOException, InterruptedException {
+        print("starting " + DemoFleet.CONTROLLERS + " controllers and " + DemoFleet.ROUTERS
+                + " routers, each in its own process");
         fleet.start();
-        limit.await("the controllers to answer", fleet::allControllersAnswer);
+        timeLimit.await("the controllers to respond", fleet::allControllersRespond);
         Operator operator = new Operator(http, fleet.controlPlanes());
         configure(operator);
         try (DemoReplicas replicas = new DemoReplicas(http, fleet.controlPlanes());
                 DemoClients clients = new DemoClients(fleet.frontends(), tally)) {
-            limit.await("heartbeats to be acknowledged", replicas::allKnown);
-            tell(DemoReplicas.count("prefill") + " prefill and " + DemoReplicas.count("decode")
-                    + " decode replicas: their heartbeats are acknowledged");
-            limit.await("the routers to be ready", fleet::allRoutersReady);
-            tell("all routers are ready; clients begin to ask for streams");
+            timeLimit.await("heartbeats to be acknowledged", replicas::allKnown);
+            print(DemoReplicas.count("prefill") + " prefill and " + DemoReplicas.count("decode")
+                    + " decode replicas: heartbeats acknowledged");
+            timeLimit.await("the routers to be ready", fleet::allRoutersReady);
+            print("all routers are ready; clients start to request streams");
             clients.start();
-            limit.pass(CALM);
-            tellRequests(replicas);
-            drainOne(replicas);
-            loseController(fleet, operator, clients);
-            limit.pass(CALM);
+            timeLimit.pass(STEADY_PERIOD);
+            printRequests(replicas);
+            drainReplica(replicas);
+            killPrimary(fleet, operator, clients);
+            timeLimit.pass(STEADY_PERIOD);
             clients.close();
-            tellRequests(replicas);
-            check(replicas);
+            printRequests(replicas);
+            checkRequests(replicas);
         }
     }
 
     private void configure(Operator operator) throws InterruptedException {
         Operator.Change change = operator.replace(DemoConfiguration.initial(FIRST_VERSION));
-        tell("configuration " + change.version() + " acknowledged after " + milliseconds(change));
+        print("configuration " + change.version() + " acknowledged after " + milliseconds(change));
     }
 
-    private void drainOne(DemoReplicas replicas) throws DemoFailedException, InterruptedException {
-        int leaving = DemoReplicas.LEAVING;
-        long before = replicas.replica(leaving).requests();
-        replicas.drain(leaving);
-        limit.await("the drain to be acknowledged", () -> replicas.drainAcknowledgedNs(leaving) != 0);
-        tell("a decode replica that has served " + before + " streams says it drains: acknowledged");
-        limit.pass(DRAIN.plus(AFTER_DRAIN));
-        long latestNs = replicas.drainAcknowledgedNs(leaving) + DRAIN.toNanos();
-        if (before > 0 && replicas.replica(leaving).lastRequestNs() > latestNs) {
-            throw new DemoFailedException("a request reached the drained replica too late");
+    private void drainReplica(DemoReplicas replicas) throws DemoFailedException, InterruptedException {
+        int drained = DemoReplicas.LEAVING;
+        long streamsBefore = replicas.replica(drained).requests();
+        replicas.drain(drained);
+        timeLimit.await("the drain to be acknowledged", () -> replicas.drainAcknowledgedNs(drained) != 0);
+        print("drain of a decode replica that served " + streamsBefore + " streams: acknowledged");
+        timeLimit.pass(DRAIN_PERIOD.plus(MARGIN_AFTER_DRAIN));
+        long drainEndNs = replicas.drainAcknowledgedNs(drained) + DRAIN_PERIOD.toNanos();
+        if (streamsBefore > 0 && replicas.replica(drained).lastRequestNs() > drainEndNs) {
+            throw new DemoFailedException("a request reached the draining replica after the drain period");
         }
-        limit.await("the replica's end to be acknowledged", () -> replicas.deregister(leaving));
-        tell("no request has come to it later than " + DRAIN.toSeconds() + " s after that; it has left");
+        timeLimit.await("the deregistration of the replica to be acknowledged", () -> replicas.deregister(drained));
+        print("it received no request later than " + DRAIN_PERIOD.toSeconds() + " s after that; deregistered");
     }
 
-    private void loseController(DemoFleet fleet, Operator operator, DemoClients clients)
+    private void killPrimary(DemoFleet fleet, Operator operator, DemoClients clients)
             throws DemoFailedException, IOException, InterruptedException {
-        limit.await("a primary", () -> fleet.primary().isPresent());
-        int lost = fleet.primary().orElse(0);
-        fleet.controller(lost).kill();
-        tell("controller " + lost + ", the primary, is killed");
+        timeLimit.await("a primary", () -> fleet.primary().isPresent());
+        int primary = fleet.primary().orElse(0);
+        fleet.controller(primary).kill();
+        print("controller " + primary + ", the primary, killed");
         Operator.Change change = operator.update(DemoConfiguration.withSecondRoute(SECOND_VERSION));
-        tell("configuration " + change.version() + ", with one more route, acknowledged by the others after "
-                + milliseconds(change));
-        fleet.controller(lost).start();
-        limit.await("the controller to come back", () -> fleet.version(lost) >= SECOND_VERSION);
-        tell("controller " + lost + " is back and holds configuration " + SECOND_VERSION);
+        print("configuration " + change.version()
+                + ", which adds a route, acknowledged by the remaining controllers after " + milliseconds(change));
+        fleet.controller(primary).start();
+        timeLimit.await("the restarted controller to catch up", () -> fleet.version(primary) >= SECOND_VERSION);
+        print("controller " + primary + " restarted and has configuration " + SECOND_VERSION);
         clients.useRoute(DemoConfiguration.SECOND_PATH);
-        tell("clients use the new route from now on");
+        print("clients now use the new route");
     }
 
-    private void tellRequests(DemoReplicas replicas) {
-        tell(tally.answeredCount() + " requests answered, " + replicas.handlesIssued()
-                + " prompts read by prefill replicas, " + tally.repeatedCount() + " refused and sent again, "
-                + tally.lostRequests().size() + " lost");
+    private void printRequests(DemoReplicas replicas) {
+        print(tally.answeredCount() + " requests completed, " + replicas.handlesIssued()
+                + " prompts read by prefill replicas, " + tally.repeatedCount() + " rejected and retried, "
+                + tally.lostRequests().size() + " failed");
     }
 
-    private void check(DemoReplicas replicas) throws DemoFailedException {
-        List<String> lost = tally.lostRequests();
-        lost.forEach(request -> tell("lost " + request));
-        if (!lost.isEmpty()) {
-            throw new DemoFailedException(lost.size() + " requests were lost");
+    private void checkRequests(DemoReplicas replicas) throws DemoFailedException {
+        List<String> failedRequests = tally.lostRequests();
+        failedRequests.forEach(request -> print("failed: " + request));
+        if (!failedRequests.isEmpty()) {
+            throw new DemoFailedException(failedRequests.size() + " requests failed");
         }
         if (replicas.mixedUp() > 0) {
-            throw new DemoFailedException(replicas.mixedUp() + " requests came with the handle of another one");
+            throw new DemoFailedException(replicas.mixedUp() + " requests used the KV handle of another request");
         }
         if (tally.answeredCount() == 0 || replicas.handlesIssued() == 0) {
-            throw new DemoFailedException("no request was answered by a pair of replicas");
+            throw new DemoFailedException("no request was served by a prefill and a decode replica");
         }
-        tell("no request was lost");
+        print("no request failed");
     }
 
     private static String milliseconds(Operator.Change change) {
-        return Math.round((change.acknowledgedNs() - change.askedNs()) / NS_A_MS) + " ms";
+        return Math.round((change.acknowledgedNs() - change.askedNs()) / NS_PER_MS) + " ms";
     }
 
-    private void tell(String what) {
-        double seconds = (System.nanoTime() - fromNs) / NS_A_SECOND;
-        output.println(String.format(Locale.ROOT, "%5.1f s  %s", seconds, what));
+    private void print(String event) {
+        double seconds = (System.nanoTime() - startNs) / NS_PER_SECOND;
+        output.println(String.format(Locale.ROOT, "%5.1f s  %s", seconds, event));
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/DemoFleet.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/DemoFleet.java
@@ -16,7 +16,7 @@
 import pinewick.lab.scale.SystemProcess;
 import pinewick.model.SocketAddress;
 
-/** Three controllers and three routers, each a process of the system's own jar, in a folder that goes with them. */
+/** Three controller and three router processes of the system jar, with a temporary directory deleted on close. */
 final class DemoFleet implements AutoCloseable {
     static final int CONTROLLERS = 3;
     static final int ROUTERS = 3;
@@ -25,51 +25,51 @@
 
     private final FleetAddresses addresses = FleetAddresses.free(CONTROLLERS);
     private final HttpPeer http;
-    private final long longestSeconds;
-    private final Path folder = Files.createTempDirectory("pinewick-demo");
+    private final long maxProcessSeconds;
+    private final Path directory = Files.createTempDirectory("pinewick-demo");
     private final List<SystemProcess> controllers = new ArrayList<>();
     private final List<SystemProcess> routers = new ArrayList<>();
 
-    /** @param longestSeconds after which every process ends, whatever happens */
-    DemoFleet(HttpPeer http, long longestSeconds) throws IOException {
+    /** @param maxProcessSeconds lifetime after which every process exits unconditionally, seconds */
+    DemoFleet(HttpPeer http, long maxProcessSeconds) throws IOException {
         this.http = http;
-        this.longestSeconds = longestSeconds;
+        this.maxProcessSeconds = maxProcessSeconds;
     }
 
     synchronized void start() throws IOException {
-        for (int number = 0; number < CONTROLLERS; number++) {
-            Path data = Files.createDirectories(folder.resolve("data-" + number));
-            controllers.add(started("controller", number, SettingsText.controller(addresses, number, data)));
+        for (int index = 0; index < CONTROLLERS; index++) {
+            Path data = Files.createDirectories(directory.resolve("data-" + index));
+            controllers.add(startProcess("controller", index, SettingsText.controller(addresses, index, data)));
         }
-        for (int number = 0; number < ROUTERS; number++) {
-            routers.add(started("router", number, SettingsText.router(addresses, number)));
+        for (int index = 0; index < ROUTERS; index++) {
+            routers.add(startProcess("router", index, SettingsText.router(addresses, index)));
         }
     }
 
-    private SystemProcess started(String role, int number, String settingsText) throws IOException {
-        Path settings = folder.resolve(role + "-" + number + ".toml");
+    private SystemProcess startProcess(String role, int index, String settingsText) throws IOException {
+        Path settings = directory.resolve(role + "-" + index + ".toml");
         Files.writeString(settings, settingsText);
-        Path log = folder.resolve(role + "-" + number + ".log");
-        SystemProcess process = new SystemProcess(role, settings, log, longestSeconds);
+        Path log = directory.resolve(role + "-" + index + ".log");
+        SystemProcess process = new SystemProcess(role, settings, log, maxProcessSeconds);
         process.start();
         return process;
     }
 
-    /** Where replicas and the operator call. */
+    /** The control-plane addresses of the controllers, for replicas and the operator. */
     List<SocketAddress> controlPlanes() {
         return addresses.controlPlanes();
     }
 
-    /** Where clients call. */
+    /** The addresses of the routers for clients. */
     List<SocketAddress> frontends() {
         return IntStream.range(0, ROUTERS).mapToObj(addresses::frontend).toList();
     }
 
-    SystemProcess controller(int number) {
-        return controllers.get(number);
+    SystemProcess controller(int index) {
+        return controllers.get(index);
     }
 
-    boolean allControllersAnswer() throws InterruptedException {
+    boolean allControllersRespond() throws InterruptedException {
         for (SocketAddress controlPlane : controlPlanes()) {
             if (http.report(controlPlane).isEmpty()) {
                 return false;
@@ -79,27 +79,27 @@
     }
 
     boolean allRoutersReady() throws InterruptedException {
-        for (int number = 0; number < ROUTERS; number++) {
-            if (http.status(addresses.readiness(number), "/ready") != OK) {
+        for (int index = 0; index < ROUTERS; index++) {
+            if (http.status(addresses.readiness(index), "/ready") != OK) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The controller that says it is the primary of the configuration. */
+    /** The controller that reports itself as primary of the configuration; empty if none does. */
     Optional<Integer> primary() throws InterruptedException {
-        for (int number = 0; number < CONTROLLERS; number++) {
-            if (configuration(number)
+        for (int index = 0; index < CONTROLLERS; index++) {
+            if (configuration(index)
                     .filter(section -> section.has("leading_epoch"))
                     .isPresent()) {
-                return Optional.of(number);
+                return Optional.of(index);
             }
         }
         return Optional.empty();
     }
 
-    /** The version that a controller holds; 0 if it does not answer. */
+    /** The configuration version of a controller; 0 if it does not respond. */
     long version(int controller) throws InterruptedException {
         return configuration(controller)
                 .map(section -> section.get("version").getAsLong())
@@ -110,17 +110,17 @@
         return http.report(addresses.controlPlane(controller)).map(report -> report.getAsJsonObject("configuration"));
     }
 
-    /** Ends every process and deletes the folder. */
+    /** Stops every process and deletes the temporary directory. */
     @Override
     public synchronized void close() throws IOException {
-        List<SystemProcess> all =
+        List<SystemProcess> processes =
                 Stream.concat(routers.stream(), controllers.stream()).toList();
-        all.forEach(SystemProcess::close);
-        for (SystemProcess process : all) {
+        processes.forEach(SystemProcess::close);
+        for (SystemProcess process : processes) {
             if (!process.awaitEnd()) {
-                throw new IOException("a process of the fleet does not end");
+                throw new IOException("a process of the fleet did not stop");
             }
         }
-        FolderTree.delete(folder);
+        FolderTree.delete(directory);
     }
 }
