--- a/testing/lab/src/main/java/pinewick/lab/demo/DemoReplicas.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/DemoReplicas.java
@@ -22,7 +22,7 @@
     private final HttpPeer http;
     private final List<SocketAddress> controlPlanes;
     private final KvHandles handles = new KvHandles();
-    private final List<StandInReplica> replicas = new ArrayList<>();
+    private final List<FakeReplica> replicas = new ArrayList<>();
     private final ReplicaSwarm heartbeats;
 
     DemoReplicas(HttpPeer http, List<SocketAddress> controlPlanes) throws IOException {
@@ -30,8 +30,7 @@
         this.controlPlanes = controlPlanes;
         List<ReplicaProfile> profiles = new ArrayList<>();
         for (int number = 0; number < STAGES.size(); number++) {
-            StandInReplica replica =
-                    new StandInReplica(HollowReplica.firstInstanceId(number), STAGES.get(number), handles);
+            FakeReplica replica = new FakeReplica(HollowReplica.firstInstanceId(number), STAGES.get(number), handles);
             replicas.add(replica);
             profiles.add(profile(number, replica.address()));
         }
@@ -58,7 +57,7 @@
         return heartbeats.allAcknowledged();
     }
 
-    StandInReplica replica(int number) {
+    FakeReplica replica(int number) {
         return replicas.get(number);
     }
 
@@ -92,12 +91,12 @@
 
     /** How many requests came to a decode replica with the handle of another one. */
     int mixedUp() {
-        return replicas.stream().mapToInt(StandInReplica::mixedUp).sum();
+        return replicas.stream().mapToInt(FakeReplica::mixedUp).sum();
     }
 
     @Override
     public void close() throws IOException {
         heartbeats.close();
-        replicas.forEach(StandInReplica::close);
+        replicas.forEach(FakeReplica::close);
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/StandInReplica.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/FakeReplica.java
@@ -18,7 +18,7 @@
  * Answers requests as a replica of a language model would, over HTTP: its health and load, prompts that are read for a
  * handle, and streams of events for a request that brings such a handle.
  */
-final class StandInReplica implements AutoCloseable {
+final class FakeReplica implements AutoCloseable {
     private static final int OK = 200;
     private static final int WRONG_REPLICA = 421;
     private static final int NOT_AVAILABLE = 503;
@@ -37,7 +37,7 @@
     private final String stage;
     private final KvHandles handles;
     private final HttpServer server;
-    private final ExecutorService threads = Executors.newCachedThreadPool(StandInReplica::daemonThread);
+    private final ExecutorService threads = Executors.newCachedThreadPool(FakeReplica::daemonThread);
     private final AtomicInteger running = new AtomicInteger();
     private final AtomicInteger mixedUp = new AtomicInteger();
     private final AtomicLong requests = new AtomicLong();
@@ -47,7 +47,7 @@
      * @param stage {@code prefill} or {@code decode}
      * @param handles those of all replicas of the service, as if over the links between them
      */
-    StandInReplica(String instanceId, String stage, KvHandles handles) throws IOException {
+    FakeReplica(String instanceId, String stage, KvHandles handles) throws IOException {
         this.instanceId = instanceId;
         this.stage = stage;
         this.handles = handles;
--- a/testing/lab/src/test/java/pinewick/lab/demo/FakeReplicaTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/demo/FakeReplicaTest.java
@@ -21,13 +21,13 @@
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final KvHandles handles = new KvHandles();
-    private StandInReplica prefill;
-    private StandInReplica decode;
+    private FakeReplica prefill;
+    private FakeReplica decode;
 
     @BeforeEach
     void open() throws Exception {
-        prefill = new StandInReplica("i-1", "prefill", handles);
-        decode = new StandInReplica("i-2", "decode", handles);
+        prefill = new FakeReplica("i-1", "prefill", handles);
+        decode = new FakeReplica("i-2", "decode", handles);
     }
 
     @AfterEach
@@ -36,15 +36,14 @@
         decode.close();
     }
 
-    private HttpResponse<String> get(StandInReplica replica, String path) throws Exception {
+    private HttpResponse<String> get(FakeReplica replica, String path) throws Exception {
         return http.send(
                 HttpRequest.newBuilder(URI.create("http://" + replica.address() + path))
                         .build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
-    private HttpResponse<String> ask(StandInReplica replica, String requestId, Map<String, String> more)
-            throws Exception {
+    private HttpResponse<String> ask(FakeReplica replica, String requestId, Map<String, String> more) throws Exception {
         List<String> headers =
                 new ArrayList<>(List.of("X-Pinewick-Request-Id", requestId, "X-Pinewick-Token-Count", "1200,8"));
         more.forEach((name, value) -> headers.addAll(List.of(name, value)));
