--- a/testing/lab/src/main/java/pinewick/lab/demo/Demo.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/Demo.java
@@ -64,17 +64,17 @@
         configure(operator);
         try (DemoReplicas replicas = new DemoReplicas(http, fleet.controlPlanes());
                 DemoClients clients = new DemoClients(fleet.frontends(), tally)) {
-            timeLimit.await("heartbeats to be acknowledged", replicas::allKnown);
+            timeLimit.await("heartbeats to be acknowledged", replicas::allAcknowledged);
             print(DemoReplicas.count("prefill") + " prefill and " + DemoReplicas.count("decode")
                     + " decode replicas: heartbeats acknowledged");
             timeLimit.await("the routers to be ready", fleet::allRoutersReady);
             print("all routers are ready; clients start to request streams");
             clients.start();
-            timeLimit.pass(STEADY_PERIOD);
+            timeLimit.sleep(STEADY_PERIOD);
             printRequests(replicas);
             drainReplica(replicas);
             killPrimary(fleet, operator, clients);
-            timeLimit.pass(STEADY_PERIOD);
+            timeLimit.sleep(STEADY_PERIOD);
             clients.close();
             printRequests(replicas);
             checkRequests(replicas);
@@ -87,12 +87,12 @@
     }
 
     private void drainReplica(DemoReplicas replicas) throws DemoFailedException, InterruptedException {
-        int drained = DemoReplicas.LEAVING;
-        long streamsBefore = replicas.replica(drained).requests();
+        int drained = DemoReplicas.DRAINED_REPLICA;
+        long streamsBefore = replicas.replica(drained).startedRequests();
         replicas.drain(drained);
         timeLimit.await("the drain to be acknowledged", () -> replicas.drainAcknowledgedNs(drained) != 0);
         print("drain of a decode replica that served " + streamsBefore + " streams: acknowledged");
-        timeLimit.pass(DRAIN_PERIOD.plus(MARGIN_AFTER_DRAIN));
+        timeLimit.sleep(DRAIN_PERIOD.plus(MARGIN_AFTER_DRAIN));
         long drainEndNs = replicas.drainAcknowledgedNs(drained) + DRAIN_PERIOD.toNanos();
         if (streamsBefore > 0 && replicas.replica(drained).lastRequestNs() > drainEndNs) {
             throw new DemoFailedException("a request reached the draining replica after the drain period");
@@ -118,21 +118,22 @@
     }
 
     private void printRequests(DemoReplicas replicas) {
-        print(tally.answeredCount() + " requests completed, " + replicas.handlesIssued()
-                + " prompts read by prefill replicas, " + tally.repeatedCount() + " rejected and retried, "
-                + tally.lostRequests().size() + " failed");
+        print(tally.completedCount() + " requests completed, " + replicas.issuedHandles()
+                + " prompts read by prefill replicas, " + tally.retriedCount() + " rejected and retried, "
+                + tally.failedRequests().size() + " failed");
     }
 
     private void checkRequests(DemoReplicas replicas) throws DemoFailedException {
-        List<String> failedRequests = tally.lostRequests();
+        List<String> failedRequests = tally.failedRequests();
         failedRequests.forEach(request -> print("failed: " + request));
         if (!failedRequests.isEmpty()) {
             throw new DemoFailedException(failedRequests.size() + " requests failed");
         }
-        if (replicas.mixedUp() > 0) {
-            throw new DemoFailedException(replicas.mixedUp() + " requests used the KV handle of another request");
+        if (replicas.handleMismatches() > 0) {
+            throw new DemoFailedException(
+                    replicas.handleMismatches() + " requests used the KV handle of another request");
         }
-        if (tally.answeredCount() == 0 || replicas.handlesIssued() == 0) {
+        if (tally.completedCount() == 0 || replicas.issuedHandles() == 0) {
             throw new DemoFailedException("no request was served by a prefill and a decode replica");
         }
         print("no request failed");
--- a/testing/lab/src/main/java/pinewick/lab/demo/DemoClients.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/DemoClients.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 import pinewick.model.SocketAddress;
 
-/** Some clients that ask for streams all the time, each on a thread of its own. */
+/** Clients that continuously request streams, each on its own thread. */
 final class DemoClients implements AutoCloseable {
     private static final int CLIENTS = 4;
-    private static final long PAUSE_MS = 30;
-    private static final long JOIN_MS = StreamingClient.DEADLINE.toMillis() + 1_000;
+    private static final long REQUEST_INTERVAL_MS = 30;
+    private static final long JOIN_TIMEOUT_MS = StreamingClient.DEADLINE.toMillis() + 1_000;
 
     private final List<SocketAddress> routers;
     private final RequestTally tally;
@@ -20,9 +20,9 @@
             .connectTimeout(Duration.ofSeconds(1))
             .build();
     private final List<Thread> threads = new ArrayList<>();
-    private final AtomicLong asked = new AtomicLong();
+    private final AtomicLong requestCount = new AtomicLong();
     private volatile String path = DemoConfiguration.FIRST_PATH;
-    private volatile boolean over;
+    private volatile boolean stopped;
 
     DemoClients(List<SocketAddress> routers, RequestTally tally) {
         this.routers = routers;
@@ -31,37 +31,37 @@
 
     void start() {
         for (int number = 0; number < CLIENTS; number++) {
-            Thread thread = new Thread(this::askOnAndOn, "client " + number);
+            Thread thread = new Thread(this::sendRequests, "client " + number);
             thread.setDaemon(true);
             thread.start();
             threads.add(thread);
         }
     }
 
-    /** From now on they ask on another route. */
+    /** Sends all later requests to another route. */
     void useRoute(String newPath) {
         path = newPath;
     }
 
-    private void askOnAndOn() {
+    private void sendRequests() {
         StreamingClient client = new StreamingClient(http, routers, tally);
         try {
-            while (!over) {
-                long number = asked.incrementAndGet();
-                client.ask("request-" + number, path + number, (int) (number % routers.size()));
-                Thread.sleep(PAUSE_MS);
+            while (!stopped) {
+                long number = requestCount.incrementAndGet();
+                client.send("request-" + number, path + number, (int) (number % routers.size()));
+                Thread.sleep(REQUEST_INTERVAL_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Lets them finish what they have asked for, and ends them. */
+    /** Stops the clients after their current requests; waits at most the request deadline plus 1 s for each. */
     @Override
     public void close() throws InterruptedException {
-        over = true;
+        stopped = true;
         for (Thread thread : threads) {
-            thread.join(JOIN_MS);
+            thread.join(JOIN_TIMEOUT_MS);
         }
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/DemoConfiguration.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/DemoConfiguration.java
@@ -2,29 +2,29 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The configurations that the demo's operator sends: one service of a language model, behind one route or two. */
+/** The configurations that the demo's operator sends: one language model service behind one or two routes. */
 public final class DemoConfiguration {
-    /** The service that all replicas serve. */
+    /** Service name of all replicas. */
     static final String SERVICE = "chat";
 
-    /** The model that they hold. */
+    /** Model name of all replicas. */
     static final String MODEL = "m";
 
-    /** Requests that a replica works on at the same time. */
+    /** Concurrent requests per replica. */
     static final int SLOTS = 8;
 
-    /** The host of all routes. */
+    /** Host name of all routes. */
     static final String HOST = "chat.example";
 
-    /** The path of the route that is there from the first configuration on. */
+    /** Path of the route of the initial configuration. */
     static final String FIRST_PATH = "/chat/";
 
-    /** The path of the route that {@link #withSecondRoute} adds. */
+    /** Path of the route that {@link #withSecondRoute} adds. */
     static final String SECOND_PATH = "/chat-again/";
 
     private DemoConfiguration() {}
 
-    /** The body of the first whole configuration. */
+    /** Request body of the initial full configuration. */
     public static byte[] initial(long version) {
         return bytes(
                 """
@@ -42,7 +42,7 @@
                         .formatted(version, route("first", FIRST_PATH), SERVICE, SLOTS, MODEL));
     }
 
-    /** The body of a change that adds a route. */
+    /** Request body of an update that adds a route. */
     static byte[] withSecondRoute(long version) {
         return bytes(
                 "{\"version\": %d, \"upserts\": {\"routes\": [%s]}}".formatted(version, route("second", SECOND_PATH)));
--- a/testing/lab/src/main/java/pinewick/lab/demo/DemoFailedException.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/DemoFailedException.java
@@ -1,6 +1,6 @@
 package pinewick.lab.demo;
 
-/** Something that the demo shows did not happen, or not in time. */
+/** An expected event of the demo did not occur, or not in time. */
 final class DemoFailedException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/testing/lab/src/main/java/pinewick/lab/demo/DemoReplicas.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/DemoReplicas.java
@@ -9,14 +9,14 @@
 import pinewick.lab.scale.ReplicaSwarm;
 import pinewick.model.SocketAddress;
 
-/** The demo's replicas: what answers requests, and the heartbeats that tell the controllers of it. */
+/** The demo's replicas: fake servers for requests, and their heartbeats to the controllers. */
 final class DemoReplicas implements AutoCloseable {
-    /** The decode replica that leaves in the course of the demo. */
-    static final int LEAVING = 4;
+    /** Index of the decode replica that is drained during the demo. */
+    static final int DRAINED_REPLICA = 4;
 
     private static final List<String> STAGES = List.of("prefill", "prefill", "decode", "decode", "decode");
     private static final List<String> ZONES = List.of("zone-a1", "zone-b1", "zone-c1");
-    private static final double START_OVER_MS = 100;
+    private static final double START_SPREAD_MS = 100;
     private static final int OK = 200;
 
     private final HttpPeer http;
@@ -29,69 +29,69 @@
         this.http = http;
         this.controlPlanes = controlPlanes;
         List<ReplicaProfile> profiles = new ArrayList<>();
-        for (int number = 0; number < STAGES.size(); number++) {
-            FakeReplica replica = new FakeReplica(HollowReplica.firstInstanceId(number), STAGES.get(number), handles);
+        for (int index = 0; index < STAGES.size(); index++) {
+            FakeReplica replica = new FakeReplica(HollowReplica.firstInstanceId(index), STAGES.get(index), handles);
             replicas.add(replica);
-            profiles.add(profile(number, replica.address()));
+            profiles.add(profile(index, replica.address()));
         }
-        heartbeats = new ReplicaSwarm(profiles, controlPlanes, START_OVER_MS);
+        heartbeats = new ReplicaSwarm(profiles, controlPlanes, START_SPREAD_MS);
     }
 
-    private static ReplicaProfile profile(int number, SocketAddress address) {
+    private static ReplicaProfile profile(int index, SocketAddress address) {
         return new ReplicaProfile(
                 DemoConfiguration.SERVICE,
                 address,
-                ZONES.get(number % ZONES.size()),
+                ZONES.get(index % ZONES.size()),
                 DemoConfiguration.SLOTS,
-                STAGES.get(number),
+                STAGES.get(index),
                 DemoConfiguration.MODEL);
     }
 
-    /** How many replicas of a stage there are at the start. */
+    /** Initial number of replicas of a stage. */
     static long count(String stage) {
         return STAGES.stream().filter(stage::equals).count();
     }
 
-    /** Whether a controller has taken a heartbeat of each. */
-    boolean allKnown() {
+    /** Whether a controller has acknowledged a heartbeat of every replica. */
+    boolean allAcknowledged() {
         return heartbeats.allAcknowledged();
     }
 
-    FakeReplica replica(int number) {
-        return replicas.get(number);
+    FakeReplica replica(int index) {
+        return replicas.get(index);
     }
 
-    /** Announces the end of a replica with its next heartbeat. */
-    void drain(int number) {
-        heartbeats.on(number, replica -> replica.drain(HollowReplica.nowMs()));
+    /** Announces the drain of a replica with its next heartbeat. */
+    void drain(int index) {
+        heartbeats.on(index, replica -> replica.drain(HollowReplica.nowMs()));
     }
 
-    /** When that was acknowledged, by {@link System#nanoTime}; 0 until then. */
-    long drainAcknowledgedNs(int number) {
-        return heartbeats.replica(number).drainAcknowledgedNs();
+    /** Time of the acknowledgement of the drain, {@link System#nanoTime}; 0 until then. */
+    long drainAcknowledgedNs(int index) {
+        return heartbeats.replica(index).drainAcknowledgedNs();
     }
 
-    /** Says good-bye to a controller and ends the replica; returns whether that was acknowledged. */
-    boolean deregister(int number) throws InterruptedException {
-        heartbeats.on(number, HollowReplica::end);
-        String path = "/instances/" + heartbeats.replica(number).instanceId() + "/deregister";
+    /** Stops the heartbeats of a replica and deregisters it; if a controller acknowledges, closes it, returns true. */
+    boolean deregister(int index) throws InterruptedException {
+        heartbeats.on(index, HollowReplica::end);
+        String path = "/instances/" + heartbeats.replica(index).instanceId() + "/deregister";
         for (SocketAddress controlPlane : controlPlanes) {
             if (http.post(controlPlane, path, "{}") == OK) {
-                replicas.get(number).close();
+                replicas.get(index).close();
                 return true;
             }
         }
         return false;
     }
 
-    /** How many prompts prefill replicas have read for a decode replica. */
-    long handlesIssued() {
-        return handles.issued();
+    /** Number of prompts prefilled for a decode replica. */
+    long issuedHandles() {
+        return handles.issuedCount();
     }
 
-    /** How many requests came to a decode replica with the handle of another one. */
-    int mixedUp() {
-        return replicas.stream().mapToInt(FakeReplica::mixedUp).sum();
+    /** Number of requests that reached a decode replica with the KV handle of another request. */
+    int handleMismatches() {
+        return replicas.stream().mapToInt(FakeReplica::handleMismatches).sum();
     }
 
     @Override
--- a/testing/lab/src/main/java/pinewick/lab/demo/EventStream.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/EventStream.java
@@ -4,23 +4,23 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** The events that a stand-in replica answers with, and the check that a client has got all of them. */
+/** The events that a fake replica streams, and the check that a client received all of them. */
 final class EventStream {
-    /** Events of a whole answer. */
+    /** Number of events of a complete response. */
     static final int EVENTS = 8;
 
     private static final String ID_LINE = "id: ";
 
     private EventStream() {}
 
-    /** One event, with the empty line that ends it. */
+    /** One event, with its terminating empty line. */
     static String event(int id) {
         return ID_LINE + id + "\ndata: token " + id + "\n\n";
     }
 
-    /** Whether a body holds every event once, in order, and the end of the last one. */
-    static boolean isWhole(String body) {
-        return body.endsWith("\n\n") && ids(body).equals(allIds());
+    /** Whether a body contains every event once, in order, and the terminator of the last one. */
+    static boolean isComplete(String body) {
+        return body.endsWith("\n\n") && ids(body).equals(expectedIds());
     }
 
     private static List<String> ids(String body) {
@@ -30,7 +30,7 @@
                 .collect(Collectors.toList());
     }
 
-    private static List<String> allIds() {
+    private static List<String> expectedIds() {
         return IntStream.rangeClosed(1, EVENTS).mapToObj(Integer::toString).collect(Collectors.toList());
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/FakeReplica.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/FakeReplica.java
@@ -15,18 +15,18 @@
 import pinewick.model.SocketAddress;
 
 /**
- * Answers requests as a replica of a language model would, over HTTP: its health and load, prompts that are read for a
- * handle, and streams of events for a request that brings such a handle.
+ * Fake language model replica over HTTP: health check, load report, prefill of prompts (returns a KV handle) and event
+ * streams for requests, with or without such a handle.
  */
 final class FakeReplica implements AutoCloseable {
     private static final int OK = 200;
-    private static final int WRONG_REPLICA = 421;
-    private static final int NOT_AVAILABLE = 503;
+    private static final int MISDIRECTED_REQUEST = 421;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final int NO_BODY = -1;
-    private static final int LENGTH_UNKNOWN = 0;
+    private static final int CHUNKED_BODY = 0;
     private static final long PREFILL_MS = 10;
-    /** A decode replica reads a prompt between the tokens of others, in small pieces. */
-    private static final long PREFILL_AT_DECODE_MS = 80;
+    /** Higher than {@link #PREFILL_MS}: decode replicas interleave prefill chunks with the tokens of other requests. */
+    private static final long PREFILL_ON_DECODE_REPLICA_MS = 80;
 
     private static final long EVENT_MS = 15;
     private static final String HANDLE_PATH = "/kv-handle/";
@@ -37,15 +37,15 @@
     private final String stage;
     private final KvHandles handles;
     private final HttpServer server;
-    private final ExecutorService threads = Executors.newCachedThreadPool(FakeReplica::daemonThread);
-    private final AtomicInteger running = new AtomicInteger();
-    private final AtomicInteger mixedUp = new AtomicInteger();
-    private final AtomicLong requests = new AtomicLong();
+    private final ExecutorService executor = Executors.newCachedThreadPool(FakeReplica::daemonThread);
+    private final AtomicInteger activeRequests = new AtomicInteger();
+    private final AtomicInteger handleMismatches = new AtomicInteger();
+    private final AtomicLong startedRequests = new AtomicLong();
     private volatile long lastRequestNs = Long.MIN_VALUE;
 
     /**
      * @param stage {@code prefill} or {@code decode}
-     * @param handles those of all replicas of the service, as if over the links between them
+     * @param handles shared by all replicas of the service; simulates the links between them
      */
     FakeReplica(String instanceId, String stage, KvHandles handles) throws IOException {
         this.instanceId = instanceId;
@@ -53,12 +53,12 @@
         this.handles = handles;
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.createContext("/", this::serve);
-        server.setExecutor(threads);
+        server.setExecutor(executor);
         server.start();
     }
 
     private static Thread daemonThread(Runnable task) {
-        Thread thread = new Thread(task, "stand-in replica");
+        Thread thread = new Thread(task, "fake replica");
         thread.setDaemon(true);
         return thread;
     }
@@ -69,17 +69,17 @@
                 server.getAddress().getPort());
     }
 
-    /** How many prompts it has read, or streams it has begun. */
-    long requests() {
-        return requests.get();
+    /** Number of prompts prefilled or streams started. */
+    long startedRequests() {
+        return startedRequests.get();
     }
 
-    /** How many requests came with the handle of another one. */
-    int mixedUp() {
-        return mixedUp.get();
+    /** Number of requests that used the KV handle of another request. */
+    int handleMismatches() {
+        return handleMismatches.get();
     }
 
-    /** When the last request came that it took, by {@link System#nanoTime}; the least value if none came. */
+    /** Arrival time of the last accepted request, {@link System#nanoTime}; {@link Long#MIN_VALUE} if none arrived. */
     long lastRequestNs() {
         return lastRequestNs;
     }
@@ -87,11 +87,11 @@
     private void serve(HttpExchange exchange) throws IOException {
         try (exchange) {
             exchange.getRequestBody().readAllBytes();
-            answer(exchange);
+            respond(exchange);
         }
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void respond(HttpExchange exchange) throws IOException {
         String path = exchange.getRequestURI().getPath();
         if (path.equals("/health")) {
             exchange.getResponseHeaders().set("X-Pinewick-Instance-Id", instanceId);
@@ -102,38 +102,38 @@
             handles.free(path.substring(HANDLE_PATH.length()));
             exchange.sendResponseHeaders(OK, NO_BODY);
         } else {
-            answerRequest(exchange);
+            handleRequest(exchange);
         }
     }
 
-    private void answerRequest(HttpExchange exchange) throws IOException {
-        Headers asked = exchange.getRequestHeaders();
-        boolean prefill = "prefill".equals(asked.getFirst("X-Pinewick-Serving-Stage"));
-        String expected = asked.getFirst("X-Pinewick-Expected-Instance");
-        if ((expected != null && !expected.equals(instanceId)) || prefill != stage.equals("prefill")) {
-            exchange.sendResponseHeaders(WRONG_REPLICA, NO_BODY);
+    private void handleRequest(HttpExchange exchange) throws IOException {
+        Headers requestHeaders = exchange.getRequestHeaders();
+        boolean isPrefill = "prefill".equals(requestHeaders.getFirst("X-Pinewick-Serving-Stage"));
+        String expected = requestHeaders.getFirst("X-Pinewick-Expected-Instance");
+        if ((expected != null && !expected.equals(instanceId)) || isPrefill != stage.equals("prefill")) {
+            exchange.sendResponseHeaders(MISDIRECTED_REQUEST, NO_BODY);
             return;
         }
         lastRequestNs = System.nanoTime();
-        running.incrementAndGet();
+        activeRequests.incrementAndGet();
         try {
-            String requestId = asked.getFirst(REQUEST_ID);
+            String requestId = requestHeaders.getFirst(REQUEST_ID);
             exchange.getResponseHeaders().set(REQUEST_ID, requestId);
             exchange.getResponseHeaders().set("X-Pinewick-Server-Signature", instanceId + "." + requestId);
             exchange.getResponseHeaders().set("Versions", "1");
-            if (prefill) {
-                readPrompt(exchange, requestId);
+            if (isPrefill) {
+                prefillPrompt(exchange, requestId);
             } else {
-                generate(exchange, requestId, asked.getFirst("Kv-From"));
+                decode(exchange, requestId, requestHeaders.getFirst("Kv-From"));
             }
         } finally {
-            running.decrementAndGet();
+            activeRequests.decrementAndGet();
         }
     }
 
-    private void readPrompt(HttpExchange exchange, String requestId) throws IOException {
-        requests.incrementAndGet();
-        pause(PREFILL_MS);
+    private void prefillPrompt(HttpExchange exchange, String requestId) throws IOException {
+        startedRequests.incrementAndGet();
+        sleep(PREFILL_MS);
         sendJson(
                 exchange,
                 "{\"prefill_handle\":\"%s\",\"tokens\":%s,\"version\":1}"
@@ -144,29 +144,29 @@
         return exchange.getRequestHeaders().getFirst("X-Pinewick-Token-Count").split(",")[0];
     }
 
-    /** @param kvFrom where the prompt was read, as IP:PORT/HANDLE; null if it has to be read here */
-    private void generate(HttpExchange exchange, String requestId, String kvFrom) throws IOException {
+    /** @param kvFrom location of the prefilled KV cache, as IP:PORT/HANDLE; null if this replica must prefill */
+    private void decode(HttpExchange exchange, String requestId, String kvFrom) throws IOException {
         if (kvFrom == null) {
-            pause(PREFILL_AT_DECODE_MS);
+            sleep(PREFILL_ON_DECODE_REPLICA_MS);
         } else {
-            KvHandles.Taken taken = handles.take(kvFrom.substring(kvFrom.lastIndexOf('/') + 1), requestId);
-            if (taken == KvHandles.Taken.GONE) {
+            KvHandles.TakeResult takeResult = handles.take(kvFrom.substring(kvFrom.lastIndexOf('/') + 1), requestId);
+            if (takeResult == KvHandles.TakeResult.NOT_FOUND) {
                 exchange.getResponseHeaders().set(NOT_EXECUTED, "handle gone");
-                exchange.sendResponseHeaders(NOT_AVAILABLE, NO_BODY);
+                exchange.sendResponseHeaders(SERVICE_UNAVAILABLE, NO_BODY);
                 return;
             }
-            mixedUp.addAndGet(taken == KvHandles.Taken.OF_ANOTHER_REQUEST ? 1 : 0);
+            handleMismatches.addAndGet(takeResult == KvHandles.TakeResult.OTHER_REQUEST ? 1 : 0);
         }
-        requests.incrementAndGet();
+        startedRequests.incrementAndGet();
         stream(exchange);
     }
 
     private static void stream(HttpExchange exchange) throws IOException {
         exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
-        exchange.sendResponseHeaders(OK, LENGTH_UNKNOWN);
+        exchange.sendResponseHeaders(OK, CHUNKED_BODY);
         OutputStream output = exchange.getResponseBody();
         for (int id = 1; id <= EventStream.EVENTS; id++) {
-            pause(EVENT_MS);
+            sleep(EVENT_MS);
             output.write(EventStream.event(id).getBytes(StandardCharsets.UTF_8));
             output.flush();
         }
@@ -177,7 +177,10 @@
                 {"stage":"%s","models":[{"name":"%s","version":1,"adapters":[]}],"busy":false,"call_sequence":0,\
                 "waiting":0,"running":%d,"kv_used":0,"kv_total":400000,"prefill_handles":%d}"""
                 .formatted(
-                        stage, DemoConfiguration.MODEL, running.get(), stage.equals("prefill") ? handles.waiting() : 0);
+                        stage,
+                        DemoConfiguration.MODEL,
+                        activeRequests.get(),
+                        stage.equals("prefill") ? handles.pendingCount() : 0);
     }
 
     private static void sendJson(HttpExchange exchange, String json) throws IOException {
@@ -187,18 +190,18 @@
         exchange.getResponseBody().write(body);
     }
 
-    private static void pause(long ms) throws IOException {
+    private static void sleep(long ms) throws IOException {
         try {
             Thread.sleep(ms);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("ended", e);
+            throw new IOException("replica interrupted while it processed a request", e);
         }
     }
 
     @Override
     public void close() {
         server.stop(0);
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/KvHandles.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/KvHandles.java
@@ -4,49 +4,49 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The prompts that stand-in replicas have read and keep for a decode replica, each to be taken once. */
+/** KV handles of prompts that fake prefill replicas hold for a decode replica; each can be taken once. */
 final class KvHandles {
-    /** What became of an attempt to take a handle. */
-    enum Taken {
-        /** It was there, and is of this request. */
-        OWN,
-        /** It was there, and is of another request: the answers of two requests would be mixed. */
-        OF_ANOTHER_REQUEST,
-        /** It is not there, or not any more. */
-        GONE
+    /** Result of an attempt to take a handle. */
+    enum TakeResult {
+        /** The handle existed and belongs to this request. */
+        SAME_REQUEST,
+        /** The handle belongs to another request: the responses of two requests would be mixed. */
+        OTHER_REQUEST,
+        /** The handle does not exist or was already taken or freed. */
+        NOT_FOUND
     }
 
     private final Map<String, String> requestByHandle = new ConcurrentHashMap<>();
-    private final AtomicLong issued = new AtomicLong();
+    private final AtomicLong issuedCount = new AtomicLong();
 
-    /** A new handle for the prompt of a request. */
+    /** Issues a new handle for the prompt of a request. */
     String issue(String requestId) {
-        String handle = "kv-" + issued.incrementAndGet();
+        String handle = "kv-" + issuedCount.incrementAndGet();
         requestByHandle.put(handle, requestId);
         return handle;
     }
 
-    /** Takes a handle for a request. */
-    Taken take(String handle, String requestId) {
-        String owner = requestByHandle.remove(handle);
-        if (owner == null) {
-            return Taken.GONE;
+    /** Takes and removes a handle on behalf of a request. */
+    TakeResult take(String handle, String requestId) {
+        String ownerRequestId = requestByHandle.remove(handle);
+        if (ownerRequestId == null) {
+            return TakeResult.NOT_FOUND;
         }
-        return owner.equals(requestId) ? Taken.OWN : Taken.OF_ANOTHER_REQUEST;
+        return ownerRequestId.equals(requestId) ? TakeResult.SAME_REQUEST : TakeResult.OTHER_REQUEST;
     }
 
-    /** Gives up a handle that nobody will take. */
+    /** Releases a handle that will not be taken; ignores an unknown one. */
     void free(String handle) {
         requestByHandle.remove(handle);
     }
 
-    /** How many were issued so far. */
-    long issued() {
-        return issued.get();
+    /** Number of handles issued so far. */
+    long issuedCount() {
+        return issuedCount.get();
     }
 
-    /** How many wait to be taken. */
-    int waiting() {
+    /** Number of handles not yet taken or freed. */
+    int pendingCount() {
         return requestByHandle.size();
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/RequestTally.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/RequestTally.java
@@ -4,37 +4,37 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What became of the clients' requests. */
+/** Counts the outcomes of the clients' requests. */
 final class RequestTally {
-    private final AtomicLong answered = new AtomicLong();
-    private final AtomicLong repeated = new AtomicLong();
-    private final ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
+    private final AtomicLong completed = new AtomicLong();
+    private final AtomicLong retried = new AtomicLong();
+    private final ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
 
-    /** A request got its whole answer. */
-    void answered() {
-        answered.incrementAndGet();
+    /** Records a request with a complete response. */
+    void completed() {
+        completed.incrementAndGet();
     }
 
-    /** A request was refused before it ran, and is sent once more. */
-    void repeated() {
-        repeated.incrementAndGet();
+    /** Records a request that was rejected before execution and will be retried. */
+    void retried() {
+        retried.incrementAndGet();
     }
 
-    /** A request got no whole answer. */
-    void lost(String requestId, String reason) {
-        lost.add(requestId + ": " + reason);
+    /** Records a request without a complete response. */
+    void failed(String requestId, String reason) {
+        failures.add(requestId + ": " + reason);
     }
 
-    long answeredCount() {
-        return answered.get();
+    long completedCount() {
+        return completed.get();
     }
 
-    long repeatedCount() {
-        return repeated.get();
+    long retriedCount() {
+        return retried.get();
     }
 
-    /** Each lost request, with the reason. */
-    List<String> lostRequests() {
-        return List.copyOf(lost);
+    /** The failed requests, each as "request ID: reason". */
+    List<String> failedRequests() {
+        return List.copyOf(failures);
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/StreamingClient.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/StreamingClient.java
@@ -11,21 +11,21 @@
 import pinewick.model.SocketAddress;
 
 /**
- * One client that asks for streams, one after the other, by way of each router in turn. A refusal promises that the
- * request has not run, so it is sent to the next router after the time that the refusal names; anything else that is no
- * whole answer counts as lost.
+ * Client that requests streams sequentially, through the routers in round-robin order. A rejection guarantees that the
+ * request was not executed, so the client retries at the next router after the Retry-After time; any other incomplete
+ * response counts as a failed request.
  */
 final class StreamingClient {
-    /** How long a client waits for an answer, refusals included. */
+    /** Maximum time until a response, including retries. */
     static final Duration DEADLINE = Duration.ofSeconds(5);
 
     private static final int OK = 200;
     private static final int PROMPT_TOKENS = 9_000;
     private static final int SHARED_TOKENS = 800;
-    private static final String SHARED_PART = "5c1e07a2:" + SHARED_TOKENS;
-    private static final Set<Integer> REFUSALS = Set.of(408, 421, 429, 503);
+    private static final String SHARED_PREFIX = "5c1e07a2:" + SHARED_TOKENS;
+    private static final Set<Integer> RETRYABLE_STATUSES = Set.of(408, 421, 429, 503);
     private static final double DEFAULT_RETRY_SECONDS = 0.2;
-    private static final double MS_A_SECOND = 1_000;
+    private static final double MS_PER_SECOND = 1_000;
 
     private final HttpClient http;
     private final List<SocketAddress> routers;
@@ -38,69 +38,69 @@
     }
 
     /**
-     * Asks once, and tells the tally what came of it.
+     * Sends one request, with retries, and records its outcome in the tally.
      *
-     * @param firstRouter the router to begin with
+     * @param firstRouter index of the router for the first attempt
      */
-    void ask(String requestId, String path, int firstRouter) throws InterruptedException {
+    void send(String requestId, String path, int firstRouter) throws InterruptedException {
         long deadlineNs = System.nanoTime() + DEADLINE.toNanos();
         for (int attempt = 0; System.nanoTime() < deadlineNs; attempt++) {
             SocketAddress router = routers.get((firstRouter + attempt) % routers.size());
-            HttpResponse<String> answer;
+            HttpResponse<String> response;
             try {
-                Duration left = Duration.ofNanos(Math.max(1, deadlineNs - System.nanoTime()));
-                answer = http.send(request(router, requestId, path, left), HttpResponse.BodyHandlers.ofString());
+                Duration remaining = Duration.ofNanos(Math.max(1, deadlineNs - System.nanoTime()));
+                response = http.send(request(router, requestId, path, remaining), HttpResponse.BodyHandlers.ofString());
             } catch (IOException e) {
-                tally.lost(requestId, "no answer from " + router + ": " + e);
+                tally.failed(requestId, "no response from " + router + ": " + e);
                 return;
             }
-            if (!REFUSALS.contains(answer.statusCode())) {
-                judge(requestId, answer);
+            if (!RETRYABLE_STATUSES.contains(response.statusCode())) {
+                recordResponse(requestId, response);
                 return;
             }
-            tally.repeated();
-            Thread.sleep(retryAfterMs(answer, deadlineNs - System.nanoTime()));
+            tally.retried();
+            Thread.sleep(retryAfterMs(response, deadlineNs - System.nanoTime()));
         }
-        tally.lost(requestId, "refused until its deadline");
+        tally.failed(requestId, "rejected until its deadline");
     }
 
-    private void judge(String requestId, HttpResponse<String> answer) {
-        if (answer.statusCode() != OK) {
-            tally.lost(requestId, "status " + answer.statusCode());
-        } else if (!EventStream.isWhole(answer.body())) {
-            tally.lost(requestId, "the stream lacks events");
-        } else if (answer.headers().firstValue("X-Pinewick-Server-Signature").isEmpty()) {
-            tally.lost(requestId, "no replica has signed the answer");
+    private void recordResponse(String requestId, HttpResponse<String> response) {
+        if (response.statusCode() != OK) {
+            tally.failed(requestId, "status " + response.statusCode());
+        } else if (!EventStream.isComplete(response.body())) {
+            tally.failed(requestId, "incomplete event stream");
+        } else if (response.headers().firstValue("X-Pinewick-Server-Signature").isEmpty()) {
+            tally.failed(requestId, "response without a replica signature");
         } else {
-            tally.answered();
+            tally.completed();
         }
     }
 
-    /** Clients wait as they are told, but for no more than a third of the time they have left. */
-    private static long retryAfterMs(HttpResponse<String> answer, long leftNs) {
-        double seconds = answer.headers()
+    /** The Retry-After time, limited to a third of the time until the deadline, milliseconds. */
+    private static long retryAfterMs(HttpResponse<String> response, long remainingNs) {
+        double seconds = response.headers()
                 .firstValue("Retry-After")
                 .map(Double::parseDouble)
                 .orElse(DEFAULT_RETRY_SECONDS);
-        long mostMs = Math.max(0, Duration.ofNanos(leftNs).toMillis() / 3);
-        return Math.min(mostMs, Math.round(seconds * MS_A_SECOND));
+        long maxMs = Math.max(0, Duration.ofNanos(remainingNs).toMillis() / 3);
+        return Math.min(maxMs, Math.round(seconds * MS_PER_SECOND));
     }
 
-    private static HttpRequest request(SocketAddress router, String requestId, String path, Duration left) {
+    private static HttpRequest request(SocketAddress router, String requestId, String path, Duration remaining) {
         return HttpRequest.newBuilder(URI.create("http://" + router + path))
-                .timeout(left)
+                .timeout(remaining)
                 .header("Host", DemoConfiguration.HOST)
                 .header("X-Pinewick-Request-Id", requestId)
-                .header("X-Pinewick-Deadline-Ms", Long.toString(Math.max(1, left.toMillis())))
+                .header("X-Pinewick-Deadline-Ms", Long.toString(Math.max(1, remaining.toMillis())))
                 .header("X-Pinewick-Model", DemoConfiguration.MODEL)
                 .header("X-Pinewick-Token-Count", PROMPT_TOKENS + "," + EventStream.EVENTS)
-                .header("X-Pinewick-Prompt-Prefix", SHARED_PART + "," + ownPart(requestId))
+                .header("X-Pinewick-Prompt-Prefix", SHARED_PREFIX + "," + uniquePart(requestId))
                 .POST(HttpRequest.BodyPublishers.ofString("a prompt"))
                 .build();
     }
 
-    /** The part of the prompt that no other request shares. */
-    private static String ownPart(String requestId) {
+    /** Prefix entry of the part of the prompt that is unique to this request. */
+    private static String uniquePart(String requestId) {
         return String.format("%08x:%d", requestId.hashCode(), PROMPT_TOKENS - SHARED_TOKENS);
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/TimeLimit.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/TimeLimit.java
@@ -3,41 +3,42 @@
 import java.time.Duration;
 import java.util.function.LongSupplier;
 
-/** A time after which nothing is waited for any more. */
+/** An overall deadline for waits. */
 final class TimeLimit {
     private static final long POLL_MS = 20;
 
     private final LongSupplier clockNs;
-    private final long endNs;
+    private final long deadlineNs;
 
-    /** A condition that may need the network. */
+    /** A condition whose check may use the network. */
     interface Condition {
-        boolean holds() throws InterruptedException;
+        boolean isTrue() throws InterruptedException;
     }
 
-    /** @param clockNs the present time, nanoseconds */
-    TimeLimit(Duration total, LongSupplier clockNs) {
+    /** @param clockNs monotonic clock, nanoseconds */
+    TimeLimit(Duration limit, LongSupplier clockNs) {
         this.clockNs = clockNs;
-        this.endNs = clockNs.getAsLong() + total.toNanos();
+        this.deadlineNs = clockNs.getAsLong() + limit.toNanos();
     }
 
     /**
-     * Waits until something holds.
+     * Waits until a condition is true.
      *
-     * @param what completes the sentence "waited in vain for"
+     * @param awaited completes the error message "timed out waiting for"
+     * @throws DemoFailedException if the condition is false and the deadline has passed
      */
-    void await(String what, Condition condition) throws DemoFailedException, InterruptedException {
-        while (!condition.holds()) {
-            if (clockNs.getAsLong() >= endNs) {
-                throw new DemoFailedException("waited in vain for " + what);
+    void await(String awaited, Condition condition) throws DemoFailedException, InterruptedException {
+        while (!condition.isTrue()) {
+            if (clockNs.getAsLong() >= deadlineNs) {
+                throw new DemoFailedException("timed out waiting for " + awaited);
             }
             Thread.sleep(POLL_MS);
         }
     }
 
-    /** Lets this time pass, unless the limit comes first. */
-    void pass(Duration time) throws InterruptedException {
-        long leftNs = Math.max(0, endNs - clockNs.getAsLong());
-        Thread.sleep(Duration.ofNanos(Math.min(leftNs, time.toNanos())).toMillis());
+    /** Sleeps for a duration, but not beyond the deadline. */
+    void sleep(Duration duration) throws InterruptedException {
+        long remainingNs = Math.max(0, deadlineNs - clockNs.getAsLong());
+        Thread.sleep(Duration.ofNanos(Math.min(remainingNs, duration.toNanos())).toMillis());
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/package-info.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/package-info.java
@@ -1,2 +1,2 @@
-/** A whole small fleet on loopback that shows itself for some seconds. */
+/** Demonstration of a small fleet on loopback. */
 package pinewick.lab.demo;
--- a/testing/lab/src/test/java/pinewick/lab/demo/EventStreamTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/demo/EventStreamTest.java
@@ -13,19 +13,22 @@
     }
 
     @Test
-    void aStreamWithAllEventsInOrderIsWhole() {
-        assertTrue(EventStream.isWhole(events(1, EventStream.EVENTS)));
+    void acceptsAStreamWithAllEventsInOrder() {
+        assertTrue(EventStream.isComplete(events(1, EventStream.EVENTS)));
     }
 
     @Test
-    void aStreamThatLacksDoublesOrMixesUpEventsIsNotWhole() {
-        String whole = events(1, EventStream.EVENTS);
+    void rejectsMissingDuplicateAndReorderedEvents() {
+        String complete = events(1, EventStream.EVENTS);
 
-        assertFalse(EventStream.isWhole(""));
-        assertFalse(EventStream.isWhole(events(1, EventStream.EVENTS - 1)), "the last one is missing");
-        assertFalse(EventStream.isWhole(events(2, EventStream.EVENTS)), "the first one is missing");
-        assertFalse(EventStream.isWhole(events(1, 1) + whole), "one came twice");
-        assertFalse(EventStream.isWhole(events(2, 2) + events(1, 1) + events(3, EventStream.EVENTS)), "out of order");
-        assertFalse(EventStream.isWhole(whole.substring(0, whole.length() - 1)), "cut within the last event");
+        assertFalse(EventStream.isComplete(""));
+        assertFalse(EventStream.isComplete(events(1, EventStream.EVENTS - 1)), "last event missing");
+        assertFalse(EventStream.isComplete(events(2, EventStream.EVENTS)), "first event missing");
+        assertFalse(EventStream.isComplete(events(1, 1) + complete), "duplicate event");
+        assertFalse(
+                EventStream.isComplete(events(2, 2) + events(1, 1) + events(3, EventStream.EVENTS)), "out of order");
+        assertFalse(
+                EventStream.isComplete(complete.substring(0, complete.length() - 1)),
+                "truncated within the last event");
     }
 }
--- a/testing/lab/src/test/java/pinewick/lab/demo/FakeReplicaTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/demo/FakeReplicaTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A pair of stand-in replicas, called as a router calls replicas. */
+/** Calls a prefill and a decode fake replica as a router does. */
 class FakeReplicaTest {
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -25,13 +25,13 @@
     private FakeReplica decode;
 
     @BeforeEach
-    void open() throws Exception {
+    void startReplicas() throws Exception {
         prefill = new FakeReplica("i-1", "prefill", handles);
         decode = new FakeReplica("i-2", "decode", handles);
     }
 
     @AfterEach
-    void close() {
+    void stopReplicas() {
         prefill.close();
         decode.close();
     }
@@ -43,10 +43,11 @@
                 HttpResponse.BodyHandlers.ofString());
     }
 
-    private HttpResponse<String> ask(FakeReplica replica, String requestId, Map<String, String> more) throws Exception {
+    private HttpResponse<String> send(FakeReplica replica, String requestId, Map<String, String> extraHeaders)
+            throws Exception {
         List<String> headers =
                 new ArrayList<>(List.of("X-Pinewick-Request-Id", requestId, "X-Pinewick-Token-Count", "1200,8"));
-        more.forEach((name, value) -> headers.addAll(List.of(name, value)));
+        extraHeaders.forEach((name, value) -> headers.addAll(List.of(name, value)));
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + replica.address() + "/chat/1"))
                 .headers(headers.toArray(String[]::new))
                 .POST(HttpRequest.BodyPublishers.ofString("a prompt"))
@@ -54,20 +55,20 @@
         return http.send(request, HttpResponse.BodyHandlers.ofString());
     }
 
-    private String readPrompt(String requestId) throws Exception {
-        HttpResponse<String> answer = ask(prefill, requestId, Map.of("X-Pinewick-Serving-Stage", "prefill"));
-        assertEquals(200, answer.statusCode());
-        JsonObject body = JsonParser.parseString(answer.body()).getAsJsonObject();
+    private String prefillPrompt(String requestId) throws Exception {
+        HttpResponse<String> response = send(prefill, requestId, Map.of("X-Pinewick-Serving-Stage", "prefill"));
+        assertEquals(200, response.statusCode());
+        JsonObject body = JsonParser.parseString(response.body()).getAsJsonObject();
         assertEquals(1_200, body.get("tokens").getAsInt());
         return body.get("prefill_handle").getAsString();
     }
 
-    private Map<String, String> from(String handle) {
+    private Map<String, String> kvFrom(String handle) {
         return Map.of("Kv-From", prefill.address() + "/" + handle);
     }
 
     @Test
-    void tellsItsHealthAndItsLoad() throws Exception {
+    void reportsHealthAndLoad() throws Exception {
         assertEquals(
                 "i-1",
                 get(prefill, "/health")
@@ -80,42 +81,45 @@
     }
 
     @Test
-    void aPromptIsReadByOneAndTheStreamComesFromTheOther() throws Exception {
-        HttpResponse<String> answer = ask(decode, "q1", from(readPrompt("q1")));
+    void prefillsOnOneReplicaAndStreamsFromTheOther() throws Exception {
+        HttpResponse<String> response = send(decode, "q1", kvFrom(prefillPrompt("q1")));
 
-        assertEquals(200, answer.statusCode());
-        assertTrue(EventStream.isWhole(answer.body()));
-        assertEquals("q1", answer.headers().firstValue("X-Pinewick-Request-Id").orElse(""));
+        assertEquals(200, response.statusCode());
+        assertTrue(EventStream.isComplete(response.body()));
+        assertEquals(
+                "q1", response.headers().firstValue("X-Pinewick-Request-Id").orElse(""));
         assertEquals(
                 "i-2.q1",
-                answer.headers().firstValue("X-Pinewick-Server-Signature").orElse(""));
-        assertEquals(1, decode.requests());
-        assertEquals(0, decode.mixedUp());
-        assertEquals(0, handles.waiting());
+                response.headers().firstValue("X-Pinewick-Server-Signature").orElse(""));
+        assertEquals(1, decode.startedRequests());
+        assertEquals(0, decode.handleMismatches());
+        assertEquals(0, handles.pendingCount());
     }
 
     @Test
-    void aHandleThatIsGoneIsRefusedAndOneOfAnotherRequestIsCounted() throws Exception {
-        String handle = readPrompt("q1");
-        assertEquals(200, ask(decode, "q1", from(handle)).statusCode());
+    void rejectsATakenHandleAndCountsAHandleOfAnotherRequest() throws Exception {
+        String handle = prefillPrompt("q1");
+        assertEquals(200, send(decode, "q1", kvFrom(handle)).statusCode());
 
-        HttpResponse<String> again = ask(decode, "q1", from(handle));
-        assertEquals(503, again.statusCode());
-        assertTrue(again.headers().firstValue("X-Pinewick-Not-Executed").isPresent());
+        HttpResponse<String> retry = send(decode, "q1", kvFrom(handle));
+        assertEquals(503, retry.statusCode());
+        assertTrue(retry.headers().firstValue("X-Pinewick-Not-Executed").isPresent());
 
-        ask(decode, "q2", from(readPrompt("q3")));
-        assertEquals(1, decode.mixedUp());
+        send(decode, "q2", kvFrom(prefillPrompt("q3")));
+        assertEquals(1, decode.handleMismatches());
     }
 
     @Test
-    void theWrongReplicaOrTheWrongStageRunsNothing() throws Exception {
+    void rejectsRequestsForAnotherInstanceOrStage() throws Exception {
         assertEquals(
                 421,
-                ask(decode, "q1", Map.of("X-Pinewick-Serving-Stage", "prefill")).statusCode());
-        assertEquals(421, ask(prefill, "q1", Map.of()).statusCode());
+                send(decode, "q1", Map.of("X-Pinewick-Serving-Stage", "prefill"))
+                        .statusCode());
+        assertEquals(421, send(prefill, "q1", Map.of()).statusCode());
         assertEquals(
                 421,
-                ask(decode, "q1", Map.of("X-Pinewick-Expected-Instance", "i-3")).statusCode());
-        assertEquals(0, prefill.requests() + decode.requests());
+                send(decode, "q1", Map.of("X-Pinewick-Expected-Instance", "i-3"))
+                        .statusCode());
+        assertEquals(0, prefill.startedRequests() + decode.startedRequests());
     }
 }
--- a/testing/lab/src/test/java/pinewick/lab/demo/KvHandlesTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/demo/KvHandlesTest.java
@@ -9,30 +9,30 @@
     private final KvHandles handles = new KvHandles();
 
     @Test
-    void aHandleIsTakenOnceByItsRequest() {
+    void handleCanBeTakenOnlyOnce() {
         String handle = handles.issue("q1");
 
-        assertEquals(1, handles.waiting());
-        assertEquals(KvHandles.Taken.OWN, handles.take(handle, "q1"));
-        assertEquals(KvHandles.Taken.GONE, handles.take(handle, "q1"));
-        assertEquals(0, handles.waiting());
+        assertEquals(1, handles.pendingCount());
+        assertEquals(KvHandles.TakeResult.SAME_REQUEST, handles.take(handle, "q1"));
+        assertEquals(KvHandles.TakeResult.NOT_FOUND, handles.take(handle, "q1"));
+        assertEquals(0, handles.pendingCount());
     }
 
     @Test
-    void aHandleOfAnotherRequestIsTold() {
+    void detectsAHandleOfAnotherRequest() {
         String handle = handles.issue("q1");
 
         assertNotEquals(handle, handles.issue("q2"));
-        assertEquals(KvHandles.Taken.OF_ANOTHER_REQUEST, handles.take(handle, "q2"));
+        assertEquals(KvHandles.TakeResult.OTHER_REQUEST, handles.take(handle, "q2"));
     }
 
     @Test
-    void aHandleThatWasFreedIsGone() {
+    void freedHandleIsNotFound() {
         String handle = handles.issue("q1");
 
         handles.free(handle);
 
-        assertEquals(KvHandles.Taken.GONE, handles.take(handle, "q1"));
-        assertEquals(1, handles.issued());
+        assertEquals(KvHandles.TakeResult.NOT_FOUND, handles.take(handle, "q1"));
+        assertEquals(1, handles.issuedCount());
     }
 }
--- a/testing/lab/src/test/java/pinewick/lab/demo/StreamingClientTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/demo/StreamingClientTest.java
@@ -18,27 +18,27 @@
 import org.junit.jupiter.api.Test;
 import pinewick.model.SocketAddress;
 
-/** A client beside routers that give one answer each, whatever is asked. */
+/** Runs a client against fake routers that return one fixed response each. */
 class StreamingClientTest {
-    private static final String WHOLE = IntStream.rangeClosed(1, EventStream.EVENTS)
+    private static final String COMPLETE_STREAM = IntStream.rangeClosed(1, EventStream.EVENTS)
             .mapToObj(EventStream::event)
             .collect(Collectors.joining());
 
     private final List<HttpServer> routers = new ArrayList<>();
     private final RequestTally tally = new RequestTally();
 
-    /** What has to hold before the first use of the JDK's client in this process. */
+    /** Must run before the first use of the JDK's HTTP client in this process. */
     @BeforeAll
-    static void lettingRequestsNameTheirHost() {
+    static void allowHostHeader() {
         System.setProperty("jdk.httpclient.allowRestrictedHeaders", "host");
     }
 
     @AfterEach
-    void close() {
+    void stopRouters() {
         routers.forEach(router -> router.stop(0));
     }
 
-    private void router(int status, String body, boolean signed) throws IOException {
+    private void startRouter(int status, String body, boolean signed) throws IOException {
         HttpServer router = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         router.createContext("/", exchange -> {
             exchange.getRequestBody().readAllBytes();
@@ -55,75 +55,75 @@
         routers.add(router);
     }
 
-    private void ask() throws InterruptedException {
+    private void send() throws InterruptedException {
         HttpClient http =
                 HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         List<SocketAddress> addresses = routers.stream()
                 .map(router ->
                         new SocketAddress("127.0.0.1", router.getAddress().getPort()))
                 .toList();
-        new StreamingClient(http, addresses, tally).ask("q1", "/chat/1", 0);
+        new StreamingClient(http, addresses, tally).send("q1", "/chat/1", 0);
     }
 
     @Test
-    void aWholeSignedStreamIsAnAnswer() throws Exception {
-        router(200, WHOLE, true);
+    void acceptsACompleteSignedStream() throws Exception {
+        startRouter(200, COMPLETE_STREAM, true);
 
-        ask();
+        send();
 
-        assertEquals(1, tally.answeredCount());
-        assertEquals(List.of(), tally.lostRequests());
+        assertEquals(1, tally.completedCount());
+        assertEquals(List.of(), tally.failedRequests());
     }
 
     @Test
-    void aRefusalGoesToTheNextRouter() throws Exception {
-        router(503, "", false);
-        router(200, WHOLE, true);
+    void retriesARejectionAtTheNextRouter() throws Exception {
+        startRouter(503, "", false);
+        startRouter(200, COMPLETE_STREAM, true);
 
-        ask();
+        send();
 
-        assertEquals(1, tally.answeredCount());
-        assertEquals(1, tally.repeatedCount());
+        assertEquals(1, tally.completedCount());
+        assertEquals(1, tally.retriedCount());
     }
 
     @Test
-    void aStreamThatLacksEventsIsLost() throws Exception {
-        router(200, EventStream.event(1), true);
+    void countsAnIncompleteStreamAsFailed() throws Exception {
+        startRouter(200, EventStream.event(1), true);
 
-        ask();
+        send();
 
-        assertEquals(List.of("q1: the stream lacks events"), tally.lostRequests());
+        assertEquals(List.of("q1: incomplete event stream"), tally.failedRequests());
     }
 
     @Test
-    void aStreamThatNoReplicaSignedIsLost() throws Exception {
-        router(200, WHOLE, false);
+    void countsAnUnsignedStreamAsFailed() throws Exception {
+        startRouter(200, COMPLETE_STREAM, false);
 
-        ask();
+        send();
 
-        assertEquals(List.of("q1: no replica has signed the answer"), tally.lostRequests());
+        assertEquals(List.of("q1: response without a replica signature"), tally.failedRequests());
     }
 
     @Test
-    void anotherStatusIsLostAndNotSentAgain() throws Exception {
-        router(502, "", false);
-        router(200, WHOLE, true);
+    void doesNotRetryAnotherErrorStatus() throws Exception {
+        startRouter(502, "", false);
+        startRouter(200, COMPLETE_STREAM, true);
 
-        ask();
+        send();
 
-        assertEquals(List.of("q1: status 502"), tally.lostRequests());
-        assertEquals(0, tally.answeredCount());
+        assertEquals(List.of("q1: status 502"), tally.failedRequests());
+        assertEquals(0, tally.completedCount());
     }
 
     @Test
-    void aConnectionThatEndsWithoutAnAnswerIsLost() throws Exception {
-        router(200, WHOLE, true);
+    void countsAConnectionFailureAsFailed() throws Exception {
+        startRouter(200, COMPLETE_STREAM, true);
         routers.get(0).stop(0);
 
-        ask();
+        send();
 
         assertTrue(
-                tally.lostRequests().get(0).startsWith("q1: no answer from 127.0.0.1:"),
-                tally.lostRequests().toString());
+                tally.failedRequests().get(0).startsWith("q1: no response from 127.0.0.1:"),
+                tally.failedRequests().toString());
     }
 }
--- a/testing/lab/src/test/java/pinewick/lab/demo/TimeLimitTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/demo/TimeLimitTest.java
@@ -13,30 +13,30 @@
     private final TimeLimit limit = new TimeLimit(Duration.ofSeconds(1), nowNs::get);
 
     @Test
-    void waitsUntilSomethingHolds() throws Exception {
-        AtomicInteger looks = new AtomicInteger();
+    void waitsUntilTheConditionIsTrue() throws Exception {
+        AtomicInteger checks = new AtomicInteger();
 
-        limit.await("the third look", () -> looks.incrementAndGet() == 3);
+        limit.await("the third check", () -> checks.incrementAndGet() == 3);
 
-        assertEquals(3, looks.get());
+        assertEquals(3, checks.get());
     }
 
     @Test
-    void saysWhatItWaitedForInVain() {
+    void namesTheConditionOnTimeout() {
         DemoFailedException failure = assertThrows(
                 DemoFailedException.class,
-                () -> limit.await("rain", () -> {
+                () -> limit.await("the condition", () -> {
                     nowNs.addAndGet(Duration.ofMillis(600).toNanos());
                     return false;
                 }));
 
-        assertEquals("waited in vain for rain", failure.getMessage());
+        assertEquals("timed out waiting for the condition", failure.getMessage());
     }
 
     @Test
-    void letsNoTimePassBeyondItsEnd() throws Exception {
+    void doesNotSleepBeyondTheDeadline() throws Exception {
         nowNs.set(Duration.ofSeconds(2).toNanos());
 
-        limit.pass(Duration.ofDays(1));
+        limit.sleep(Duration.ofDays(1));
     }
 }
