--- a/testing/lab/src/main/java/pinewick/lab/demo/Demo.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/Demo.java
@@ -125,7 +125,7 @@
 
     private void checkRequests(DemoReplicas replicas) throws DemoFailedException {
         List<String> failedRequests = tally.failedRequests();
-        failedRequests.forEach(request -> print("failed: " + request));
+        failedRequests.forEach(request -> print("failed request " + request));
         if (!failedRequests.isEmpty()) {
             throw new DemoFailedException(failedRequests.size() + " requests failed");
         }
