--- a/testing/lab/src/main/java/pinewick/lab/scale/ConfigurationTrial.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/ConfigurationTrial.java
@@ -38,7 +38,7 @@
     private JsonObject whole(int routes) throws IOException, InterruptedException {
         restartCounts();
         JsonObject json = new JsonObject();
-        Spread spread = spread(fleet.operator().replace(routes), json);
+        PropagationDelay spread = spread(fleet.operator().replace(routes), json);
         json.add("hollowRouters", spread.toJson());
         traffic(json, 1);
         return json;
@@ -47,21 +47,21 @@
     private JsonObject small() throws IOException, InterruptedException {
         restartCounts();
         JsonObject json = new JsonObject();
-        List<Spread> spreads = new ArrayList<>();
+        List<PropagationDelay> spreads = new ArrayList<>();
         for (int i = 0; i < fleet.plan().changes(); i++) {
             spreads.add(spread(fleet.operator().update(), json));
         }
-        json.add("hollowRouters", Spread.worst(spreads).toJson());
+        json.add("hollowRouters", PropagationDelay.worst(spreads).toJson());
         json.addProperty("changes", spreads.size());
         traffic(json, spreads.size());
         return json;
     }
 
-    private Spread spread(Operator.Change change, JsonObject json) throws IOException, InterruptedException {
+    private PropagationDelay spread(Operator.Change change, JsonObject json) throws IOException, InterruptedException {
         long[] realNs = new long[1];
         Thread probe = new Thread(() -> realNs[0] = realRoutersInForceNs(change.version()), "probe");
         probe.start();
-        Spread spread = fleet.hollow().await("in-force " + change.version(), change.askedNs(), LONGEST_MS);
+        PropagationDelay spread = fleet.hollow().await("in-force " + change.version(), change.askedNs(), LONGEST_MS);
         probe.join();
         double realMs = realNs[0] == 0 ? -1 : (realNs[0] - change.askedNs()) / 1e6;
         double before =
--- a/testing/lab/src/main/java/pinewick/lab/scale/DrainTrial.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/DrainTrial.java
@@ -67,7 +67,7 @@
      * @param acknowledgedMs until the acknowledgement; negative if there was none
      * @param known until known to the routers
      */
-    record Drain(double acknowledgedMs, Spread known) {}
+    record Drain(double acknowledgedMs, PropagationDelay known) {}
 
     /** Lets replicas drain, a number of them at a time, and replaces them. */
     List<Drain> drains(int rounds, int atOnce) throws IOException, InterruptedException {
@@ -89,7 +89,7 @@
     private Drain follow(HollowReplica replica) throws IOException, InterruptedException {
         FleetUnderTest.until(() -> replica.drainAskedNs() != 0, LONGEST_MS);
         long askedNs = replica.drainAskedNs();
-        Spread known = fleet.hollow().await("draining " + replica.instanceId(), askedNs, LONGEST_MS);
+        PropagationDelay known = fleet.hollow().await("draining " + replica.instanceId(), askedNs, LONGEST_MS);
         FleetUnderTest.until(() -> replica.drainAcknowledgedNs() != 0, LONGEST_MS);
         long acknowledgedNs = replica.drainAcknowledgedNs();
         return new Drain(acknowledgedNs == 0 ? -1 : (acknowledgedNs - askedNs) / 1e6, known);
@@ -103,8 +103,9 @@
     }
 
     static JsonObject times(List<Drain> drains) {
-        JsonObject json =
-                Spread.worst(drains.stream().map(Drain::known).toList()).toJson();
+        JsonObject json = PropagationDelay.worst(
+                        drains.stream().map(Drain::known).toList())
+                .toJson();
         json.addProperty("drains", drains.size());
         json.addProperty(
                 "acknowledgedMostMs",
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowFleet.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowFleet.java
@@ -80,7 +80,7 @@
      * @return for each router after how long, milliseconds from {@code fromNs}; negative if it knew before
      * @throws IOException if one has not within {@code longestMs}
      */
-    Spread await(String command, long fromNs, long longestMs) throws IOException, InterruptedException {
+    PropagationDelay await(String command, long fromNs, long longestMs) throws IOException, InterruptedException {
         long deadlineNs = System.nanoTime() + longestMs * 1_000_000;
         while (true) {
             List<Long> times = new ArrayList<>();
@@ -89,7 +89,7 @@
             }
             long missing = times.stream().filter(time -> time == 0).count();
             if (missing == 0 || System.nanoTime() > deadlineNs) {
-                return Spread.of(times, fromNs, (int) missing);
+                return PropagationDelay.of(times, fromNs, (int) missing);
             }
             Thread.sleep(POLL_MS);
         }
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowNode.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowNode.java
@@ -65,7 +65,7 @@
         transport = new NetworkTransport(local, new MessageCodec(FleetMessages.types(), FleetMessages.laterTypes()));
         NodeDescriptor self = new NodeDescriptor(local, System.currentTimeMillis(), role, zone);
         node = new FleetNode(self, seeds, state, this::send, random);
-        state.addListener(new Witness());
+        state.addListener(new StateRecorder());
     }
 
     void start() {
@@ -81,12 +81,15 @@
     }
 
     private void send(SocketAddress peer, Message message) {
-        traffic.count(isController(peer) ? TrafficMeter.Way.TO_CONTROLLER : TrafficMeter.Way.TO_ROUTER, message);
+        traffic.count(
+                isController(peer) ? TrafficMeter.Direction.TO_CONTROLLER : TrafficMeter.Direction.TO_ROUTER, message);
         transport.send(peer, message);
     }
 
     private void receive(SocketAddress sender, Message message) {
-        traffic.count(isController(sender) ? TrafficMeter.Way.FROM_CONTROLLER : TrafficMeter.Way.FROM_ROUTER, message);
+        traffic.count(
+                isController(sender) ? TrafficMeter.Direction.FROM_CONTROLLER : TrafficMeter.Direction.FROM_ROUTER,
+                message);
         loop.execute(() -> node.onMessage(sender, message, loop.nowMs()));
     }
 
@@ -153,7 +156,7 @@
     }
 
     /** Notes what becomes known here, and does with a configuration what a router does. */
-    private final class Witness implements FleetStateListener {
+    private final class StateRecorder implements FleetStateListener {
         @Override
         public void onConfigurationChanged(ConfigurationDocument document) {
             try {
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowReplica.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowReplica.java
@@ -232,11 +232,11 @@
 
     private void takeAnswer(double nowMs) throws IOException {
         String text = new String(answer.array(), 0, answer.position(), StandardCharsets.US_ASCII);
-        if (!HttpAnswerText.isWhole(text)) {
+        if (!HttpResponseText.isWhole(text)) {
             return;
         }
-        if (HttpAnswerText.status(text) / 100 != 2) {
-            throw new IOException("status " + HttpAnswerText.status(text));
+        if (HttpResponseText.status(text) / 100 != 2) {
+            throw new IOException("status " + HttpResponseText.status(text));
         }
         phase = Phase.RESTING;
         failuresInARow = 0;
--- a/testing/lab/src/main/java/pinewick/lab/scale/HttpAnswerText.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HttpResponseText.java
@@ -3,12 +3,12 @@
 import java.util.Locale;
 
 /** As much of HTTP/1.1 as it takes to read a short answer with a length. */
-final class HttpAnswerText {
+final class HttpResponseText {
     private static final String LENGTH = "\r\ncontent-length:";
     private static final String END_OF_HEAD = "\r\n\r\n";
     private static final int STATUS_AT = 9;
 
-    private HttpAnswerText() {}
+    private HttpResponseText() {}
 
     /** Whether head and body are there. */
     static boolean isWhole(String text) {
--- a/testing/lab/src/main/java/pinewick/lab/scale/ProbeRequest.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/ProbeRequest.java
@@ -29,7 +29,7 @@
             output.flush();
             InputStream input = socket.getInputStream();
             String head = new String(input.readNBytes(MOST_BYTES), StandardCharsets.US_ASCII);
-            return head.length() < STATUS_END ? 0 : HttpAnswerText.status(head);
+            return head.length() < STATUS_END ? 0 : HttpResponseText.status(head);
         } catch (IOException e) {
             return 0;
         }
--- a/testing/lab/src/main/java/pinewick/lab/scale/Spread.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/PropagationDelay.java
@@ -10,27 +10,27 @@
  * @param lastMs all who ever did knew it by then
  * @param missing how many did not learn of it while it was waited for
  */
-record Spread(double medianMs, double lastMs, int missing) {
+record PropagationDelay(double medianMs, double lastMs, int missing) {
     private static final double NS_A_MS = 1e6;
 
-    static Spread of(List<Long> timesNs, long fromNs, int missing) {
+    static PropagationDelay of(List<Long> timesNs, long fromNs, int missing) {
         double[] sorted = timesNs.stream()
                 .filter(time -> time != 0)
                 .mapToDouble(time -> (time - fromNs) / NS_A_MS)
                 .sorted()
                 .toArray();
         if (sorted.length == 0) {
-            return new Spread(Double.NaN, Double.NaN, missing);
+            return new PropagationDelay(Double.NaN, Double.NaN, missing);
         }
-        return new Spread(sorted[sorted.length / 2], sorted[sorted.length - 1], missing);
+        return new PropagationDelay(sorted[sorted.length / 2], sorted[sorted.length - 1], missing);
     }
 
     /** The worst of several. */
-    static Spread worst(List<Spread> spreads) {
-        return new Spread(
-                spreads.stream().mapToDouble(Spread::medianMs).max().orElse(Double.NaN),
-                spreads.stream().mapToDouble(Spread::lastMs).max().orElse(Double.NaN),
-                spreads.stream().mapToInt(Spread::missing).sum());
+    static PropagationDelay worst(List<PropagationDelay> spreads) {
+        return new PropagationDelay(
+                spreads.stream().mapToDouble(PropagationDelay::medianMs).max().orElse(Double.NaN),
+                spreads.stream().mapToDouble(PropagationDelay::lastMs).max().orElse(Double.NaN),
+                spreads.stream().mapToInt(PropagationDelay::missing).sum());
     }
 
     JsonObject toJson() {
--- a/testing/lab/src/main/java/pinewick/lab/scale/TrafficMeter.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/TrafficMeter.java
@@ -21,14 +21,14 @@
     private static final int LENGTH_PREFIX = 4;
 
     /** Whether a message left or came, and from or to which kind of process. */
-    enum Way {
+    enum Direction {
         TO_ROUTER,
         TO_CONTROLLER,
         FROM_ROUTER,
         FROM_CONTROLLER
     }
 
-    private record Key(Way way, String type) {}
+    private record Key(Direction way, String type) {}
 
     /** Messages, their bytes on the wire, and those of them that were too long for a datagram. */
     private static final class Count {
@@ -56,7 +56,7 @@
         bytesIn.reset();
     }
 
-    void count(Way way, Message message) {
+    void count(Direction way, Message message) {
         Count count = counts.computeIfAbsent(new Key(way, message.getClass().getSimpleName()), key -> new Count());
         count.messages.increment();
         if (countsBytes) {
@@ -64,7 +64,7 @@
         }
     }
 
-    private void countBytes(Way way, Message message, Count count) {
+    private void countBytes(Direction way, Message message, Count count) {
         int frame = codec.encode(1, message).length;
         boolean datagram = frame <= NetworkTransport.MAX_DATAGRAM_BYTES;
         int wire = datagram ? frame + UDP_HEADERS : overTcp(frame);
@@ -72,7 +72,7 @@
         if (!datagram) {
             count.overConnections.increment();
         }
-        boolean out = way == Way.TO_ROUTER || way == Way.TO_CONTROLLER;
+        boolean out = way == Direction.TO_ROUTER || way == Direction.TO_CONTROLLER;
         (out ? bytesOut : bytesIn).add(wire);
     }
 
--- a/testing/lab/src/test/java/pinewick/lab/scale/ReadingsTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/scale/ReadingsTest.java
@@ -32,11 +32,11 @@
     @Test
     void anAnswerIsWholeWithHeadAndBody() {
         String head = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: a/b\r\ncontent-length: 3\r\n\r\n";
-        assertFalse(HttpAnswerText.isWhole(head.substring(0, head.length() - 1)));
-        assertFalse(HttpAnswerText.isWhole(head + "ab"));
-        assertTrue(HttpAnswerText.isWhole(head + "abc"));
-        assertEquals(503, HttpAnswerText.status(head));
-        assertTrue(HttpAnswerText.isWhole("HTTP/1.1 204 No Content\r\n\r\n"));
+        assertFalse(HttpResponseText.isWhole(head.substring(0, head.length() - 1)));
+        assertFalse(HttpResponseText.isWhole(head + "ab"));
+        assertTrue(HttpResponseText.isWhole(head + "abc"));
+        assertEquals(503, HttpResponseText.status(head));
+        assertTrue(HttpResponseText.isWhole("HTTP/1.1 204 No Content\r\n\r\n"));
     }
 
     @Test
@@ -47,9 +47,11 @@
 
     @Test
     void aSpreadKnowsWhoIsMissing() {
-        Spread spread = Spread.of(List.of(3_000_000L, 0L, 1_000_000L, 9_000_000L), 1_000_000L, 1);
-        assertEquals(new Spread(2, 8, 1), spread);
-        assertEquals(new Spread(2, 10, 3), Spread.worst(List.of(spread, new Spread(1, 10, 2))));
+        PropagationDelay spread = PropagationDelay.of(List.of(3_000_000L, 0L, 1_000_000L, 9_000_000L), 1_000_000L, 1);
+        assertEquals(new PropagationDelay(2, 8, 1), spread);
+        assertEquals(
+                new PropagationDelay(2, 10, 3),
+                PropagationDelay.worst(List.of(spread, new PropagationDelay(1, 10, 2))));
     }
 
     @Test
