--- a/testing/lab/src/main/java/pinewick/lab/ScaleLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/ScaleLab.java
@@ -81,6 +81,6 @@
     }
 
     private ScalePlan plan(int routers, int replicas) {
-        return quick ? ScalePlan.quick(routers, replicas) : ScalePlan.whole(routers, replicas);
+        return quick ? ScalePlan.quick(routers, replicas) : ScalePlan.full(routers, replicas);
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/demo/Demo.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/Demo.java
@@ -139,7 +139,7 @@
     }
 
     private static String milliseconds(Operator.Change change) {
-        return Math.round((change.acknowledgedNs() - change.askedNs()) / NS_A_MS) + " ms";
+        return Math.round((change.acknowledgedNs() - change.sentNs()) / NS_A_MS) + " ms";
     }
 
     private void tell(String what) {
--- a/testing/lab/src/main/java/pinewick/lab/demo/DemoReplicas.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/DemoReplicas.java
@@ -64,7 +64,7 @@
 
     /** Announces the end of a replica with its next heartbeat. */
     void drain(int number) {
-        heartbeats.on(number, replica -> replica.drain(HollowReplica.nowMs()));
+        heartbeats.execute(number, replica -> replica.drain(HollowReplica.nowMs()));
     }
 
     /** When that was acknowledged, by {@link System#nanoTime}; 0 until then. */
@@ -74,7 +74,7 @@
 
     /** Says good-bye to a controller and ends the replica; returns whether that was acknowledged. */
     boolean deregister(int number) throws InterruptedException {
-        heartbeats.on(number, HollowReplica::end);
+        heartbeats.execute(number, HollowReplica::stop);
         String path = "/instances/" + heartbeats.replica(number).instanceId() + "/deregister";
         for (SocketAddress controlPlane : controlPlanes) {
             if (http.post(controlPlane, path, "{}") == OK) {
--- a/testing/lab/src/main/java/pinewick/lab/recovery/Cluster.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/Cluster.java
@@ -19,70 +19,71 @@
 import pinewick.lab.scale.SystemProcess;
 import pinewick.model.SocketAddress;
 
-/** Real controllers on loopback: three that found the system, and others that come later. */
+/** Real controllers on loopback: three that bootstrap the system, and others that are added later. */
 final class Cluster implements AutoCloseable {
-    static final int FOUNDERS = 3;
+    static final int INITIAL_CONTROLLERS = 3;
 
-    /** How many losses the settings ask to bear. */
-    static final int TOLERATED = 1;
+    /** Number of machine losses that the settings require the system to tolerate. */
+    static final int TOLERATED_LOSSES = 1;
 
-    private static final Duration PATIENCE = Duration.ofMillis(300);
-    private static final long START_MS = 30_000;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(300);
+    private static final long START_TIMEOUT_MS = 30_000;
 
     private final Path folder;
-    private final long longestSeconds;
-    private final FleetAddresses addresses = FleetAddresses.free(FOUNDERS);
-    private final HttpPeer http = new HttpPeer(PATIENCE);
+    private final long maxLifetimeSeconds;
+    private final FleetAddresses addresses = FleetAddresses.free(INITIAL_CONTROLLERS);
+    private final HttpPeer http = new HttpPeer(REQUEST_TIMEOUT);
     private final Map<Integer, SystemProcess> controllers = new TreeMap<>();
 
-    /** @param longestSeconds after which every process is ended whatever happens */
-    Cluster(Path folder, long longestSeconds) throws IOException {
+    /** @param maxLifetimeSeconds time limit after which every process is killed unconditionally, seconds */
+    Cluster(Path folder, long maxLifetimeSeconds) throws IOException {
         this.folder = folder;
-        this.longestSeconds = longestSeconds;
+        this.maxLifetimeSeconds = maxLifetimeSeconds;
     }
 
-    /** Founds the system; returns once it bears the losses that it is to bear. */
-    void found() throws IOException, InterruptedException {
-        for (int number = 0; number < FOUNDERS; number++) {
-            create(number, SettingsText.controller(addresses, number, data(number)));
+    /** Bootstraps the system; returns once it tolerates the required losses. */
+    void bootstrap() throws IOException, InterruptedException {
+        for (int number = 0; number < INITIAL_CONTROLLERS; number++) {
+            create(number, SettingsText.controller(addresses, number, dataFolder(number)));
         }
-        Waiting.require(START_MS, "the founders to be in sync", () -> bears(TOLERATED));
+        Waiting.require(
+                START_TIMEOUT_MS, "the initial controllers to be in sync", () -> toleratesLosses(TOLERATED_LOSSES));
     }
 
-    /** Starts a controller that was not there before. */
+    /** Starts a new controller. */
     SystemProcess add(int number) throws IOException {
-        create(number, SettingsText.afterFounding(SettingsText.controller(addresses, number, data(number))));
+        create(number, SettingsText.withoutFirstStart(SettingsText.controller(addresses, number, dataFolder(number))));
         return controllers.get(number);
     }
 
     private void create(int number, String settings) throws IOException {
-        Files.createDirectories(data(number));
+        Files.createDirectories(dataFolder(number));
         Path file = folder.resolve("controller-" + number + ".toml");
         Files.writeString(file, settings);
         Path log = folder.resolve("controller-" + number + ".log");
-        SystemProcess process = new SystemProcess("controller", file, log, longestSeconds);
+        SystemProcess process = new SystemProcess("controller", file, log, maxLifetimeSeconds);
         controllers.put(number, process);
         process.start();
     }
 
-    /** Starts a controller that was there before, as it would on a machine of its own. */
+    /** Restarts an existing controller, as on a dedicated machine. */
     void restart(int number) throws IOException {
         Path file = folder.resolve("controller-" + number + ".toml");
-        Files.writeString(file, SettingsText.afterFounding(Files.readString(file)));
+        Files.writeString(file, SettingsText.withoutFirstStart(Files.readString(file)));
         controllers.get(number).start();
     }
 
-    /** Empties a controller's disk while it does not run. */
+    /** Deletes the data of a controller that is not running. */
     void wipe(int number) throws IOException {
-        try (Stream<Path> files = Files.walk(data(number))) {
+        try (Stream<Path> files = Files.walk(dataFolder(number))) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
         }
-        Files.createDirectories(data(number));
+        Files.createDirectories(dataFolder(number));
     }
 
-    private Path data(int number) {
+    private Path dataFolder(int number) {
         return folder.resolve("data-" + number);
     }
 
@@ -90,7 +91,7 @@
         return controllers.get(number);
     }
 
-    /** Controllers that were started and not ended. */
+    /** Controllers that are running. */
     List<Integer> running() {
         return controllers.entrySet().stream()
                 .filter(entry -> entry.getValue().running())
@@ -106,55 +107,55 @@
         return addresses.controller(number).toString();
     }
 
-    /** What a controller tells of its configuration; empty if it does not answer. */
+    /** The configuration section of a controller's status; empty if it does not respond. */
     Optional<JsonObject> configuration(int number) throws InterruptedException {
         return http.report(addresses.controlPlane(number)).map(report -> report.getAsJsonObject("configuration"));
     }
 
-    /** The primary of the newest epoch among some controllers. */
+    /** The primary with the highest epoch among some controllers. */
     Optional<PrimaryReport> primaryAmong(List<Integer> numbers) throws InterruptedException {
         List<PrimaryReport> reports = new ArrayList<>();
         for (int number : numbers) {
             configuration(number)
-                    .flatMap(found -> PrimaryReport.of(number, found))
+                    .flatMap(configuration -> PrimaryReport.of(number, configuration))
                     .ifPresent(reports::add);
         }
         return reports.stream().max(Comparator.comparingLong(PrimaryReport::epoch));
     }
 
-    /** The primary among those that run; waits for one. */
+    /** The primary among the running controllers; waits until there is one. */
     int primary() throws InterruptedException {
-        int[] found = {-1};
-        Waiting.require(START_MS, "a primary", () -> {
-            primaryAmong(running()).ifPresent(report -> found[0] = report.controller());
-            return found[0] >= 0;
+        int[] primary = {-1};
+        Waiting.require(START_TIMEOUT_MS, "a primary", () -> {
+            primaryAmong(running()).ifPresent(report -> primary[0] = report.controller());
+            return primary[0] >= 0;
         });
-        return found[0];
+        return primary[0];
     }
 
-    /** Whether a primary says that so many machines may be lost. */
-    boolean bears(int losses) throws InterruptedException {
+    /** Whether a primary reports that this many machine losses are tolerable. */
+    boolean toleratesLosses(int losses) throws InterruptedException {
         return primaryAmong(running())
-                .filter(report -> report.bearsLosses() >= losses)
+                .filter(report -> report.tolerableLosses() >= losses)
                 .isPresent();
     }
 
-    /** Whether a primary says that the tolerated losses are borne with this controller in sync. */
-    boolean repairedWith(int number) throws InterruptedException {
+    /** Whether a primary reports that the required losses are tolerable and that this controller is in sync. */
+    boolean isRepairedWith(int number) throws InterruptedException {
         return primaryAmong(running())
-                .filter(report ->
-                        report.bearsLosses() >= TOLERATED && report.inSync().contains(internalAddress(number)))
+                .filter(report -> report.tolerableLosses() >= TOLERATED_LOSSES
+                        && report.inSync().contains(internalAddress(number)))
                 .isPresent();
     }
 
-    /** The version that a controller holds, -1 if it does not answer. */
+    /** The configuration version of a controller, -1 if it does not respond. */
     long version(int number) throws InterruptedException {
         return configuration(number)
-                .map(found -> found.get("version").getAsLong())
+                .map(configuration -> configuration.get("version").getAsLong())
                 .orElse(-1L);
     }
 
-    /** Processor time of all that run, milliseconds. */
+    /** CPU time of all running controllers, milliseconds. */
     double cpuMs() {
         return running().stream()
                 .map(number -> controllers.get(number).usage())
@@ -162,9 +163,9 @@
                 .sum();
     }
 
-    /** What a controller's files take, bytes. */
+    /** Size of a controller's files, bytes. */
     long diskBytes(int number) throws IOException {
-        try (Stream<Path> files = Files.walk(data(number))) {
+        try (Stream<Path> files = Files.walk(dataFolder(number))) {
             return files.map(Path::toFile)
                     .filter(java.io.File::isFile)
                     .mapToLong(java.io.File::length)
--- a/testing/lab/src/main/java/pinewick/lab/recovery/Figures.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/Figures.java
@@ -9,12 +9,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What was measured, by name, with each run's value, and what went wrong. */
+/** Measured values of each run by name, and the faults that occurred. */
 public final class Figures {
     private static final double ROUNDING = 10;
 
     private final Map<String, List<Double>> values = new LinkedHashMap<>();
-    private final Map<String, Double> aims = new LinkedHashMap<>();
+    private final Map<String, Double> targets = new LinkedHashMap<>();
     private final List<String> faults = new ArrayList<>();
 
     /** Adds the value of one run. */
@@ -22,30 +22,30 @@
         values.computeIfAbsent(name, key -> new ArrayList<>()).add(Math.round(value * ROUNDING) / ROUNDING);
     }
 
-    /** The same for a figure whose median is to stay below an aim. */
-    void add(String name, double value, double aim) {
+    /** Adds the value of one run for a figure whose median must stay below a target. */
+    void add(String name, double value, double target) {
         add(name, value);
-        aims.put(name, aim);
+        targets.put(name, target);
     }
 
-    /** Something did not happen that must. */
-    void fault(String what) {
-        faults.add(what);
+    /** Records that something required did not happen. */
+    void addFault(String description) {
+        faults.add(description);
     }
 
-    /** Faults, and figures that miss their aim. */
+    /** The recorded faults, and the figures whose median is not below the target. */
     public List<String> faults() {
         List<String> all = new ArrayList<>(faults);
-        aims.forEach((name, aim) -> {
+        targets.forEach((name, target) -> {
             double median = median(values.get(name));
-            if (median >= aim) {
-                all.add(String.format(Locale.ROOT, "%s: median %.1f, aim below %.0f", name, median, aim));
+            if (median >= target) {
+                all.add(String.format(Locale.ROOT, "%s: median %.1f, aim below %.0f", name, median, target));
             }
         });
         return all;
     }
 
-    /** A table in Markdown. */
+    /** A Markdown table with the minimum, median and maximum of each figure. */
     public String table() {
         StringBuilder table =
                 new StringBuilder("| figure | runs | least | median | most |\n| --- | --- | --- | --- | --- |\n");
@@ -60,7 +60,7 @@
         return table.toString();
     }
 
-    /** Every value, in the order of the runs. */
+    /** All values, in the order of the runs. */
     public JsonObject toJson() {
         JsonObject json = new JsonObject();
         values.forEach((name, runs) -> {
--- a/testing/lab/src/main/java/pinewick/lab/recovery/FreezeTrial.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/FreezeTrial.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Processes that stand still for a time and go on: a primary, and a backup that is out of touch for long. */
+/** Suspends processes for some time and resumes them: a primary, and a backup for a long time. */
 final class FreezeTrial {
-    private static final long LONGEST_MS = 30_000;
+    private static final long TIMEOUT_MS = 30_000;
 
     private final Cluster cluster;
     private final ConfigurationWriter writer;
@@ -17,8 +17,8 @@
         this.figures = figures;
     }
 
-    /** An order to the others while the primary stands still. */
-    void primary() throws IOException, InterruptedException {
+    /** Sends a change to the other controllers while the primary is suspended. */
+    void freezePrimary() throws IOException, InterruptedException {
         int frozen = cluster.primary();
         List<Integer> others =
                 cluster.running().stream().filter(number -> number != frozen).toList();
@@ -28,22 +28,22 @@
         } finally {
             cluster.process(frozen).thaw();
         }
-        afterReturn("frozen primary", frozen);
+        recordRecovery("frozen primary", frozen);
     }
 
-    /** A backup stands still while changes go on. */
-    void backup(long durationMs, double changesASecond) throws IOException, InterruptedException {
+    /** Suspends a backup while changes continue. */
+    void freezeBackup(long durationMs, double changesPerSecond) throws IOException, InterruptedException {
         int primary = cluster.primary();
         int frozen = cluster.running().stream()
                 .filter(number -> number != primary)
                 .findFirst()
                 .orElseThrow();
-        try (SteadyChanges changes = new SteadyChanges(writer, changesASecond)) {
+        try (SteadyChanges changes = new SteadyChanges(writer, changesPerSecond)) {
             cluster.process(frozen).freeze();
             Thread.sleep(durationMs);
             cluster.process(frozen).thaw();
-            afterReturn(
-                    "backup frozen for " + durationMs / 1_000 + " s, " + (int) changesASecond + " changes a second",
+            recordRecovery(
+                    "backup frozen for " + durationMs / 1_000 + " s, " + (int) changesPerSecond + " changes a second",
                     frozen);
             figures.add(
                     "longest change meanwhile, ms",
@@ -54,12 +54,13 @@
         }
     }
 
-    private void afterReturn(String kind, int returned) throws InterruptedException {
+    private void recordRecovery(String kind, int controller) throws InterruptedException {
         long thawedNs = System.nanoTime();
         long version = writer.version();
         long currentNs =
-                Waiting.require(LONGEST_MS, kind + " to be current", () -> cluster.version(returned) >= version);
-        long repairedNs = Waiting.require(LONGEST_MS, kind + " to be in sync", () -> cluster.repairedWith(returned));
+                Waiting.require(TIMEOUT_MS, kind + " to be current", () -> cluster.version(controller) >= version);
+        long repairedNs =
+                Waiting.require(TIMEOUT_MS, kind + " to be in sync", () -> cluster.isRepairedWith(controller));
         figures.add(kind + ", ms from its return until current", Waiting.ms(thawedNs, currentNs));
         figures.add(kind + ", ms from its return until f is borne", Waiting.ms(thawedNs, repairedNs));
     }
--- a/testing/lab/src/main/java/pinewick/lab/recovery/PrimaryReport.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/PrimaryReport.java
@@ -7,15 +7,15 @@
 import java.util.Set;
 
 /**
- * What a primary tells of the replicated configuration.
+ * A primary's report on the replicated configuration.
  *
- * @param controller which controller it is
- * @param epoch which it leads
- * @param bearsLosses how many more machines may be lost
+ * @param controller index of the controller
+ * @param epoch the epoch that it leads
+ * @param tolerableLosses number of further machine losses that are tolerable
  * @param inSync internal addresses of the members in sync
  */
-record PrimaryReport(int controller, long epoch, int bearsLosses, Set<String> inSync) {
-    /** Reads a controller's configuration section; empty if it does not lead. */
+record PrimaryReport(int controller, long epoch, int tolerableLosses, Set<String> inSync) {
+    /** Parses the configuration section of a controller's status; empty if it is not the primary. */
     static Optional<PrimaryReport> of(int controller, JsonObject configuration) {
         if (!configuration.has("tolerable_losses")) {
             return Optional.empty();
--- a/testing/lab/src/main/java/pinewick/lab/recovery/RepairTrial.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/RepairTrial.java
@@ -5,70 +5,70 @@
 import java.util.List;
 import pinewick.lab.scale.SystemProcess;
 
-/** From the loss of a controller, or its replacement, until the tolerated losses are borne again. */
+/** Measures the time from the loss or replacement of a controller until the required losses are tolerable again. */
 final class RepairTrial {
-    private static final long LONGEST_MS = 30_000;
+    private static final long TIMEOUT_MS = 30_000;
     private static final int FIRST_SPARE = 3;
 
     private final Cluster cluster;
     private final Figures figures;
-    private final String size;
-    private final double aimMs;
+    private final String sizeSuffix;
+    private final double targetMs;
 
     /**
-     * @param routes of the configuration
-     * @param aimMs within which it is to be repaired from the process's start
+     * @param routes number of routes of the configuration
+     * @param targetMs target for the median time from process start to repair, milliseconds
      */
-    RepairTrial(Cluster cluster, Figures figures, int routes, double aimMs) {
+    RepairTrial(Cluster cluster, Figures figures, int routes, double targetMs) {
         this.cluster = cluster;
         this.figures = figures;
-        this.size = ", " + routes + " routes";
-        this.aimMs = aimMs;
+        this.sizeSuffix = ", " + routes + " routes";
+        this.targetMs = targetMs;
     }
 
-    /** One after the other is killed and comes back, with its disk or an empty one. */
-    void killed(int run, boolean wiped) throws IOException, InterruptedException {
+    /** Kills a controller, a different one in each run, and restarts it with its disk or an empty one. */
+    void killAndRestart(int run, boolean wiped) throws IOException, InterruptedException {
         List<Integer> running = cluster.running();
         int number = running.get(run % running.size());
         cluster.process(number).kill();
-        awaitLossNoted();
+        awaitLossDetected();
         if (wiped) {
             cluster.wipe(number);
         }
         cluster.restart(number);
-        repaired(wiped ? "wiped" : "killed", number);
+        recordRepair(wiped ? "wiped" : "killed", number);
     }
 
-    /** One that is no seed, if there is such, is killed for good, and one at another address comes. */
-    void replacedUnplanned() throws IOException, InterruptedException {
-        cluster.process(mostRecent()).kill();
-        awaitLossNoted();
+    /** Kills a controller, if possible one that is not a seed, and adds a new one at another address. */
+    void replaceUnplanned() throws IOException, InterruptedException {
+        cluster.process(newestController()).kill();
+        awaitLossDetected();
         int spare = nextSpare();
         cluster.add(spare);
-        repaired("replaced unplanned", spare);
+        recordRepair("replaced unplanned", spare);
     }
 
-    /** A new one is there first, then the old one is asked to end. */
-    void replacedAsPlanned() throws IOException, InterruptedException {
-        int leaving = mostRecent();
+    /** Adds a new controller first, then shuts the old one down with SIGTERM. */
+    void replaceAsPlanned() throws IOException, InterruptedException {
+        int oldController = newestController();
         int spare = nextSpare();
         cluster.add(spare);
-        Waiting.require(LONGEST_MS, "the new controller to answer", () -> cluster.configuration(spare)
+        Waiting.require(TIMEOUT_MS, "the new controller to respond", () -> cluster.configuration(spare)
                 .isPresent());
-        long askedNs = System.nanoTime();
-        cluster.process(leaving).terminate();
-        List<Integer> below = new ArrayList<>();
-        long repairedNs = Waiting.require(LONGEST_MS, "the replacement to be in sync", () -> {
-            if (!cluster.bears(Cluster.TOLERATED)) {
-                below.add(leaving);
+        long sentNs = System.nanoTime();
+        cluster.process(oldController).terminate();
+        List<Integer> degradedReports = new ArrayList<>();
+        long repairedNs = Waiting.require(TIMEOUT_MS, "the replacement to be in sync", () -> {
+            if (!cluster.toleratesLosses(Cluster.TOLERATED_LOSSES)) {
+                degradedReports.add(oldController);
             }
-            return cluster.repairedWith(spare);
+            return cluster.isRepairedWith(spare);
         });
-        figures.add("replaced as planned, ms from SIGTERM" + size, Waiting.ms(askedNs, repairedNs), aimMs);
-        figures.add("replaced as planned, questions answered with less than f" + size, below.size());
+        figures.add("replaced as planned, ms from SIGTERM" + sizeSuffix, Waiting.ms(sentNs, repairedNs), targetMs);
+        figures.add("replaced as planned, questions answered with less than f" + sizeSuffix, degradedReports.size());
     }
 
-    private int mostRecent() {
+    private int newestController() {
         List<Integer> running = cluster.running();
         return running.get(running.size() - 1);
     }
@@ -81,18 +81,20 @@
         return number;
     }
 
-    private void awaitLossNoted() throws InterruptedException {
-        Waiting.require(LONGEST_MS, "a primary that knows of the loss", () -> cluster.primaryAmong(cluster.running())
-                .filter(report -> report.bearsLosses() < Cluster.TOLERATED)
-                .isPresent());
+    private void awaitLossDetected() throws InterruptedException {
+        Waiting.require(
+                TIMEOUT_MS, "a primary that has detected the loss", () -> cluster.primaryAmong(cluster.running())
+                        .filter(report -> report.tolerableLosses() < Cluster.TOLERATED_LOSSES)
+                        .isPresent());
     }
 
-    private void repaired(String kind, int number) throws InterruptedException {
+    private void recordRepair(String kind, int number) throws InterruptedException {
         SystemProcess process = cluster.process(number);
-        long answeredNs = Waiting.require(
-                LONGEST_MS, "an answer", () -> cluster.configuration(number).isPresent());
-        long repairedNs = Waiting.require(LONGEST_MS, kind + " to be repaired", () -> cluster.repairedWith(number));
-        figures.add(kind + ", ms from process start" + size, Waiting.ms(process.startedAtNs(), repairedNs), aimMs);
-        figures.add(kind + ", ms from first answer" + size, Waiting.ms(answeredNs, repairedNs));
+        long firstResponseNs = Waiting.require(
+                TIMEOUT_MS, "a response", () -> cluster.configuration(number).isPresent());
+        long repairedNs = Waiting.require(TIMEOUT_MS, kind + " to be repaired", () -> cluster.isRepairedWith(number));
+        figures.add(
+                kind + ", ms from process start" + sizeSuffix, Waiting.ms(process.startedAtNs(), repairedNs), targetMs);
+        figures.add(kind + ", ms from first answer" + sizeSuffix, Waiting.ms(firstResponseNs, repairedNs));
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/recovery/SteadyChanges.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/SteadyChanges.java
@@ -3,34 +3,34 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Changes at a steady pace, on a thread of their own. */
+/** Sends changes at a steady rate, on a separate thread. */
 final class SteadyChanges implements AutoCloseable {
-    private static final long END_MS = 40_000;
-    private static final double NS_A_SECOND = 1e9;
-    private static final long NS_A_MS = 1_000_000;
+    private static final long SHUTDOWN_TIMEOUT_MS = 40_000;
+    private static final double NS_PER_SECOND = 1e9;
+    private static final long NS_PER_MS = 1_000_000;
 
     private final ConfigurationWriter writer;
-    private final double aSecond;
+    private final double changesPerSecond;
     private final List<Double> times = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "changes");
     private final long startedNs = System.nanoTime();
-    private volatile boolean ending;
+    private volatile boolean stopping;
     private volatile RuntimeException fault;
 
-    SteadyChanges(ConfigurationWriter writer, double aSecond) {
+    SteadyChanges(ConfigurationWriter writer, double changesPerSecond) {
         this.writer = writer;
-        this.aSecond = aSecond;
+        this.changesPerSecond = changesPerSecond;
         thread.setDaemon(true);
         thread.start();
     }
 
     private void run() {
         try {
-            for (int number = 0; !ending; number++) {
-                sleepUntil(startedNs + (long) (number / aSecond * NS_A_SECOND));
-                double ms = writer.touch();
+            for (int number = 0; !stopping; number++) {
+                sleepUntil(startedNs + (long) (number / changesPerSecond * NS_PER_SECOND));
+                double durationMs = writer.touch();
                 synchronized (times) {
-                    times.add(ms);
+                    times.add(durationMs);
                 }
             }
         } catch (IllegalStateException e) {
@@ -40,30 +40,30 @@
         }
     }
 
-    private static void sleepUntil(long atNs) throws InterruptedException {
-        long leftMs = (atNs - System.nanoTime()) / NS_A_MS;
-        if (leftMs > 0) {
-            Thread.sleep(leftMs);
+    private static void sleepUntil(long deadlineNs) throws InterruptedException {
+        long remainingMs = (deadlineNs - System.nanoTime()) / NS_PER_MS;
+        if (remainingMs > 0) {
+            Thread.sleep(remainingMs);
         }
     }
 
-    /** After how long each change was acknowledged so far, milliseconds. */
+    /** Acknowledgement times of the changes so far, milliseconds. */
     List<Double> times() {
         synchronized (times) {
             return List.copyOf(times);
         }
     }
 
-    /** How many were acknowledged each second on average. */
-    double pace() {
-        return times().size() / ((System.nanoTime() - startedNs) / NS_A_SECOND);
+    /** Average number of acknowledged changes per second. */
+    double acknowledgedPerSecond() {
+        return times().size() / ((System.nanoTime() - startedNs) / NS_PER_SECOND);
     }
 
-    /** Ends after the change under way. */
+    /** Stops after the change in progress; rethrows a failure of the thread. */
     @Override
     public void close() throws InterruptedException {
-        ending = true;
-        thread.join(END_MS);
+        stopping = true;
+        thread.join(SHUTDOWN_TIMEOUT_MS);
         if (fault != null) {
             throw fault;
         }
--- a/testing/lab/src/main/java/pinewick/lab/recovery/Waiting.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/Waiting.java
@@ -1,22 +1,22 @@
 package pinewick.lab.recovery;
 
-/** Waits for what processes come to tell. */
+/** Waits for conditions by polling. */
 final class Waiting {
     private static final long POLL_MS = 5;
-    private static final double NS_A_MS = 1e6;
+    private static final double NS_PER_MS = 1e6;
 
     private Waiting() {}
 
-    /** Something that is asked of processes. */
+    /** A condition on the state of processes. */
     interface Condition {
-        boolean holds() throws InterruptedException;
+        boolean isSatisfied() throws InterruptedException;
     }
 
-    /** Waits for a condition; returns when it held first, in steady time, or -1 if it did not. */
-    static long until(long longestMs, Condition condition) throws InterruptedException {
-        long deadlineNs = System.nanoTime() + longestMs * 1_000_000;
+    /** Waits for a condition; returns the monotonic time when it was satisfied, nanoseconds, or -1 on time-out. */
+    static long until(long timeoutMs, Condition condition) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
         while (System.nanoTime() < deadlineNs) {
-            if (condition.holds()) {
+            if (condition.isSatisfied()) {
                 return System.nanoTime();
             }
             Thread.sleep(POLL_MS);
@@ -24,16 +24,16 @@
         return -1;
     }
 
-    /** Waits for what must come; returns when it did, in steady time. */
-    static long require(long longestMs, String what, Condition condition) throws InterruptedException {
-        long atNs = until(longestMs, condition);
-        if (atNs < 0) {
-            throw new IllegalStateException("waited in vain for " + what);
+    /** Waits for a condition and throws on time-out; returns the monotonic time of success, nanoseconds. */
+    static long require(long timeoutMs, String description, Condition condition) throws InterruptedException {
+        long satisfiedNs = until(timeoutMs, condition);
+        if (satisfiedNs < 0) {
+            throw new IllegalStateException("timed out waiting for " + description);
         }
-        return atNs;
+        return satisfiedNs;
     }
 
     static double ms(long fromNs, long toNs) {
-        return (toNs - fromNs) / NS_A_MS;
+        return (toNs - fromNs) / NS_PER_MS;
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/recovery/package-info.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/package-info.java
@@ -1,2 +1,2 @@
-/** How long controllers take to bear the loss of a machine again, and what changes cost, with real processes. */
+/** Measures, with real processes, how long controllers take to tolerate a loss again, and the cost of changes. */
 package pinewick.lab.recovery;
--- a/testing/lab/src/main/java/pinewick/lab/scale/FleetUnderTest.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/FleetUnderTest.java
@@ -13,13 +13,13 @@
 import pinewick.transport.MessageCodec;
 import pinewick.transport.TransportException;
 
-/** Every process of one fleet: real controllers and routers, hollow routers, hollow replicas, and the operator. */
+/** All parts of one fleet: real controllers and routers, hollow routers, hollow replicas, and the operator. */
 final class FleetUnderTest implements AutoCloseable {
-    private static final long START_MS = 30_000;
+    private static final long START_TIMEOUT_MS = 30_000;
     private static final long POLL_MS = 20;
     private static final int OK = 200;
-    private static final double REPLICAS_STARTED_A_SECOND = 120;
-    private static final double MS_A_SECOND = 1_000;
+    private static final double REPLICA_STARTS_PER_SECOND = 120;
+    private static final double MS_PER_SECOND = 1_000;
 
     private final ScalePlan plan;
     private final Path folder;
@@ -47,7 +47,7 @@
         operator = new Operator(http, addresses.controlPlanes(), observer);
     }
 
-    /** Starts everything; returns once all have caught up with each other. */
+    /** Starts all processes and waits until all routers are synchronised and ready. */
     void start(long seed) throws IOException, InterruptedException {
         startControllers();
         observer.start();
@@ -61,7 +61,8 @@
         }
         hollow.awaitStart();
         require(
-                hollow.awaitFigures(answers -> HollowFleet.sum(answers, "synchronised") == plan.routers(), START_MS),
+                hollow.awaitFigures(
+                        responses -> HollowFleet.sum(responses, "synchronised") == plan.routers(), START_TIMEOUT_MS),
                 "routers to catch up");
         for (int number = 0; number < plan.realRouters(); number++) {
             awaitReady(number);
@@ -77,16 +78,18 @@
             controllers.get(number).start();
         }
         for (int number = 0; number < ScalePlan.CONTROLLERS; number++) {
-            int each = number;
-            require(until(() -> reports(each), START_MS), "controller " + number + " to answer");
+            int controller = number;
+            require(
+                    awaitCondition(() -> isResponding(controller), START_TIMEOUT_MS),
+                    "controller " + number + " to respond");
         }
     }
 
     private SystemProcess process(String role, Path settings, Path log) {
-        return new SystemProcess(role, settings, log, plan.longestSeconds());
+        return new SystemProcess(role, settings, log, plan.maxLifetimeSeconds());
     }
 
-    private boolean reports(int controller) {
+    private boolean isResponding(int controller) {
         try {
             return http.report(addresses.controlPlane(controller)).isPresent();
         } catch (InterruptedException e) {
@@ -95,9 +98,9 @@
         }
     }
 
-    /** Waits until a real router says that it is ready. */
+    /** Waits until a real router reports that it is ready. */
     void awaitReady(int router) throws InterruptedException {
-        require(until(() -> isReady(router), START_MS), "router " + router + " to be ready");
+        require(awaitCondition(() -> isReady(router), START_TIMEOUT_MS), "router " + router + " to be ready");
     }
 
     private boolean isReady(int router) {
@@ -110,19 +113,20 @@
     }
 
     /**
-     * Starts the replicas' heartbeats, so many a second: each router here has but a hundredth of the processors that it
-     * has on a machine of its own, and all would have to take every record at once.
+     * Starts the replicas' heartbeats at a limited rate. Each router here has only a hundredth of the processors of a
+     * dedicated machine, and without the limit all routers would have to process every record at once.
      */
     ReplicaSwarm startReplicas() throws IOException {
-        double overMs = Math.max(HollowReplica.HEARTBEAT_MS, plan.replicas() * MS_A_SECOND / REPLICAS_STARTED_A_SECOND);
-        swarm = new ReplicaSwarm(plan.replicas(), addresses.controlPlanes(), overMs);
+        double startPeriodMs =
+                Math.max(HollowReplica.HEARTBEAT_MS, plan.replicas() * MS_PER_SECOND / REPLICA_STARTS_PER_SECOND);
+        swarm = new ReplicaSwarm(plan.replicas(), addresses.controlPlanes(), startPeriodMs);
         return swarm;
     }
 
-    /** Waits for a condition; returns whether it came to be. */
-    static boolean until(BooleanSupplier holds, long longestMs) throws InterruptedException {
-        long deadlineNs = System.nanoTime() + longestMs * 1_000_000;
-        while (!holds.getAsBoolean()) {
+    /** Waits for a condition; returns whether it was satisfied in time. */
+    static boolean awaitCondition(BooleanSupplier condition, long timeoutMs) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNs || Thread.currentThread().isInterrupted()) {
                 return false;
             }
@@ -131,9 +135,9 @@
         return true;
     }
 
-    private static void require(boolean held, String what) {
-        if (!held) {
-            throw new IllegalStateException("waited in vain for " + what);
+    private static void require(boolean satisfied, String description) {
+        if (!satisfied) {
+            throw new IllegalStateException("timed out waiting for " + description);
         }
     }
 
@@ -173,7 +177,7 @@
         return swarm;
     }
 
-    /** Processor time of all processes but this one so far, milliseconds. */
+    /** CPU time used so far by all processes except this one, milliseconds. */
     double cpuMs() {
         double real = Stream.concat(controllers.stream(), realRouters.stream())
                 .mapToDouble(process -> process.usage().cpuMs())
--- a/testing/lab/src/main/java/pinewick/lab/scale/FolderTree.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/FolderTree.java
@@ -6,11 +6,11 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** Folders with all that is in them. */
+/** Operations on whole directory trees. */
 public final class FolderTree {
     private FolderTree() {}
 
-    /** Deletes a folder and everything in it; one that is not there is no fault. */
+    /** Deletes a folder with its contents; does nothing if it does not exist. */
     public static void delete(Path folder) throws IOException {
         if (!Files.exists(folder)) {
             return;
--- a/testing/lab/src/main/java/pinewick/lab/scale/FreePorts.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/FreePorts.java
@@ -5,24 +5,24 @@
 import java.net.ServerSocket;
 import java.util.SplittableRandom;
 
-/** Ports for the processes of a laboratory, below those that the kernel hands out. */
+/** Finds ports for the laboratory's processes, below the kernel's ephemeral port range. */
 final class FreePorts {
-    private static final int LOWEST_PORT = 20_000;
-    private static final int PORTS_TO_CHOOSE_FROM = 10_000;
-    private static final int TRIES = 50;
+    private static final int MIN_PORT = 20_000;
+    private static final int PORT_RANGE = 10_000;
+    private static final int MAX_ATTEMPTS = 50;
 
     private FreePorts() {}
 
-    /** The first of some ports in a row that are free on all addresses. */
+    /** The first port of a consecutive range that is free on all addresses. */
     static int first(int ports) throws IOException {
         SplittableRandom random = new SplittableRandom();
-        for (int i = 0; i < TRIES; i++) {
-            int first = LOWEST_PORT + random.nextInt(PORTS_TO_CHOOSE_FROM / ports) * ports;
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
+            int first = MIN_PORT + random.nextInt(PORT_RANGE / ports) * ports;
             if (allFree(first, ports)) {
                 return first;
             }
         }
-        throw new IOException("no free ports");
+        throw new IOException("no free port range found");
     }
 
     private static boolean allFree(int first, int ports) {
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowFleet.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowFleet.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** All hollow routers, over their processes. */
+/** All hollow routers, spread over several processes. */
 final class HollowFleet implements AutoCloseable {
     private static final long POLL_MS = 50;
 
@@ -25,7 +25,7 @@
                     worker,
                     plan.routersOf(worker),
                     seed,
-                    plan.longestSeconds(),
+                    plan.maxLifetimeSeconds(),
                     folder.resolve("hollow-" + worker + ".log")));
         }
     }
@@ -44,44 +44,44 @@
         return workers;
     }
 
-    /** Sends a command to all, one after the other, and returns their answers. */
-    List<JsonObject> ask(String command) throws IOException {
-        List<JsonObject> answers = new ArrayList<>();
+    /** Sends a command to each process in turn and returns the responses. */
+    List<JsonObject> send(String command) throws IOException {
+        List<JsonObject> responses = new ArrayList<>();
         for (HollowRoutersProcess worker : workers) {
-            answers.add(worker.ask(command));
+            responses.add(worker.send(command));
         }
-        return answers;
+        return responses;
     }
 
-    /** The least, the greatest or the sum of a figure over all processes. */
-    static long least(List<JsonObject> answers, String name) {
-        return answers.stream()
-                .mapToLong(answer -> answer.get(name).getAsLong())
+    /** The minimum of a value over all processes. */
+    static long min(List<JsonObject> responses, String name) {
+        return responses.stream()
+                .mapToLong(response -> response.get(name).getAsLong())
                 .min()
                 .orElse(0);
     }
 
-    static long most(List<JsonObject> answers, String name) {
-        return answers.stream()
-                .mapToLong(answer -> answer.get(name).getAsLong())
+    static long max(List<JsonObject> responses, String name) {
+        return responses.stream()
+                .mapToLong(response -> response.get(name).getAsLong())
                 .max()
                 .orElse(0);
     }
 
-    static double sum(List<JsonObject> answers, String name) {
-        return answers.stream()
-                .mapToDouble(answer -> answer.get(name).getAsDouble())
+    static double sum(List<JsonObject> responses, String name) {
+        return responses.stream()
+                .mapToDouble(response -> response.get(name).getAsDouble())
                 .sum();
     }
 
     /**
-     * Waits until every router has learnt of something.
+     * Waits until every router has received an update, or until {@code timeoutMs} have passed.
      *
-     * @return for each router after how long, milliseconds from {@code fromNs}; negative if it knew before
-     * @throws IOException if one has not within {@code longestMs}
+     * @return the delays of the routers that received it, from {@code fromNs}, and the number of those that did not
+     * @throws IOException if a process has ended
      */
-    PropagationDelay await(String command, long fromNs, long longestMs) throws IOException, InterruptedException {
-        long deadlineNs = System.nanoTime() + longestMs * 1_000_000;
+    PropagationDelay await(String command, long fromNs, long timeoutMs) throws IOException, InterruptedException {
+        long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
         while (true) {
             List<Long> times = new ArrayList<>();
             for (HollowRoutersProcess worker : workers) {
@@ -95,11 +95,11 @@
         }
     }
 
-    /** Waits until a figure of every process fulfils a condition; returns whether it did. */
-    boolean awaitFigures(java.util.function.Predicate<List<JsonObject>> holds, long longestMs)
+    /** Waits until the statistics of all processes fulfil a condition; returns whether they did in time. */
+    boolean awaitFigures(java.util.function.Predicate<List<JsonObject>> condition, long timeoutMs)
             throws IOException, InterruptedException {
-        long deadlineNs = System.nanoTime() + longestMs * 1_000_000;
-        while (!holds.test(ask("figures"))) {
+        long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
+        while (!condition.test(send("figures"))) {
             if (System.nanoTime() > deadlineNs) {
                 return false;
             }
@@ -108,25 +108,25 @@
         return true;
     }
 
-    /** Processor time of all processes so far, milliseconds. */
+    /** CPU time used so far by all processes, milliseconds. */
     double cpuMs() {
         return workers.stream().mapToDouble(worker -> worker.usage().cpuMs()).sum();
     }
 
-    /** Messages and bytes of all routers since the last restart of the counters, by way and type. */
+    /** Message and byte counts of all routers since the last counter reset, by direction and type. */
     Map<String, long[]> traffic() throws IOException {
         Map<String, long[]> sums = new TreeMap<>();
-        for (JsonObject answer : ask("traffic")) {
-            answer.getAsJsonObject("types").entrySet().forEach(entry -> add(sums, entry));
+        for (JsonObject response : send("traffic")) {
+            response.getAsJsonObject("types").entrySet().forEach(entry -> add(sums, entry));
         }
         return sums;
     }
 
     private static void add(Map<String, long[]> sums, Map.Entry<String, JsonElement> entry) {
-        JsonArray figures = entry.getValue().getAsJsonArray();
-        long[] sum = sums.computeIfAbsent(entry.getKey(), name -> new long[figures.size()]);
+        JsonArray counts = entry.getValue().getAsJsonArray();
+        long[] sum = sums.computeIfAbsent(entry.getKey(), name -> new long[counts.size()]);
         for (int i = 0; i < sum.length; i++) {
-            sum[i] += figures.get(i).getAsLong();
+            sum[i] += counts.get(i).getAsLong();
         }
     }
 
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowNode.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowNode.java
@@ -27,9 +27,9 @@
 import pinewick.transport.TransportException;
 
 /**
- * A process of the fleet without its data plane or its HTTP API: real membership, dissemination and transport, with a
- * loop, a thread for sockets and a state of its own, as {@code Router} and {@code Controller} assemble them. Notes when
- * it learns of what, in this machine's steady time, which all processes on it share.
+ * A fleet member without data plane and HTTP API. It has the real membership, dissemination and transport code, with
+ * its own control loop, transport thread and state, as {@code Router} and {@code Controller} assemble them. Records
+ * when it receives each update, in the machine's monotonic time, which all local processes share.
  */
 final class HollowNode {
     private final FleetState state = new FleetState();
@@ -47,9 +47,9 @@
     private volatile RoutingTable inForce = RoutingTable.EMPTY;
 
     /**
-     * @param local where it listens
-     * @param controllerPort the port by which controllers are told from routers
-     * @param sizes measures messages
+     * @param local the listen address
+     * @param controllerPort the internal port of controllers, which distinguishes them from routers
+     * @param measuringCodec encodes messages to measure their size
      */
     HollowNode(
             SocketAddress local,
@@ -57,11 +57,11 @@
             String zone,
             List<SocketAddress> seeds,
             int controllerPort,
-            MessageCodec sizes,
+            MessageCodec measuringCodec,
             SplittableRandom random)
             throws TransportException {
         this.controllerPort = controllerPort;
-        traffic = new TrafficMeter(sizes);
+        traffic = new TrafficMeter(measuringCodec);
         transport = new NetworkTransport(local, new MessageCodec(FleetMessages.types(), FleetMessages.laterTypes()));
         NodeDescriptor self = new NodeDescriptor(local, System.currentTimeMillis(), role, zone);
         node = new FleetNode(self, seeds, state, this::send, random);
@@ -97,34 +97,34 @@
         return address.port() == controllerPort;
     }
 
-    /** Puts a configuration in force here first and tells the others; returns when, in steady time. */
+    /** Applies a configuration here and publishes it to the fleet; returns the monotonic time, nanoseconds. */
     long commit(ConfigurationDocument document) {
-        long atNs = System.nanoTime();
+        long committedNs = System.nanoTime();
         loop.execute(() -> {
             state.offer(document);
             node.publishConfiguration(loop.nowMs());
         });
-        return atNs;
+        return committedNs;
     }
 
-    /** When a version at least as high came into force here, 0 if none has. */
+    /** When this version or a later one was applied here, nanoseconds; 0 if none has been. */
     synchronized long inForceAtNs(long version) {
         Map.Entry<Long, Long> entry = versionAtNs.ceilingEntry(version);
         return entry == null ? 0 : entry.getValue();
     }
 
-    /** When this process learnt that an instance is leaving, 0 if it has not. */
+    /** When this node learned that an instance is draining, nanoseconds; 0 if it has not. */
     long drainingAtNs(String instanceId) {
         return drainingAtNs.getOrDefault(instanceId, 0L);
     }
 
-    /** How long it took from the start to having caught up, or so far, milliseconds. */
+    /** Time from start to synchronisation, or until now if it is not synchronised, milliseconds. */
     double joiningMs() {
         long endNs = synchronisedAtNs == 0 ? System.nanoTime() : synchronisedAtNs;
         return (endNs - startedAtNs) / 1e6;
     }
 
-    /** How often a replica was declared silent, as told to this process. */
+    /** How many times this node was informed that a replica has lapsed. */
     long lapses() {
         return lapses.sum();
     }
@@ -145,7 +145,7 @@
         return transport;
     }
 
-    /** The version that requests would be routed by. */
+    /** The configuration version that requests would be routed by. */
     long versionInForce() {
         return inForce.version();
     }
@@ -155,7 +155,7 @@
         loop.close();
     }
 
-    /** Notes what becomes known here, and does with a configuration what a router does. */
+    /** Records when updates arrive, and builds the routing table of a configuration as a router does. */
     private final class StateRecorder implements FleetStateListener {
         @Override
         public void onConfigurationChanged(ConfigurationDocument document) {
@@ -174,8 +174,9 @@
             if (record.state() != ReplicaState.READY) {
                 drainingAtNs.putIfAbsent(record.instanceId(), System.nanoTime());
             }
-            boolean news = record.lapsed() ? lapsed.add(record.instanceId()) : lapsed.remove(record.instanceId());
-            if (news && record.lapsed()) {
+            boolean lapseChanged =
+                    record.lapsed() ? lapsed.add(record.instanceId()) : lapsed.remove(record.instanceId());
+            if (lapseChanged && record.lapsed()) {
                 lapses.increment();
             }
         }
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowReplica.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowReplica.java
@@ -13,19 +13,19 @@
 import pinewick.model.SocketAddress;
 
 /**
- * A replica that does nothing but send heartbeats, over a connection that it keeps: to the controller that answered
- * last, and to the next one when no acknowledgement comes within a second. Owned by the swarm's thread.
+ * A replica that only sends heartbeats, over a persistent connection. It stays with the controller that replied last
+ * and switches to the next one if no acknowledgement arrives within a second. Confined to the swarm's thread.
  */
 public final class HollowReplica {
-    /** How often a heartbeat is sent, milliseconds. */
+    /** Heartbeat interval, milliseconds. */
     static final double HEARTBEAT_MS = 1_200;
 
-    private static final double ACKNOWLEDGED_WITHIN_MS = 1_000;
+    private static final double ACKNOWLEDGEMENT_TIMEOUT_MS = 1_000;
     private static final double PAUSE_AFTER_ALL_FAILED_MS = 200;
-    private static final double NS_A_MS = 1e6;
-    private static final int MOST_ANSWER_BYTES = 4_096;
+    private static final double NS_PER_MS = 1e6;
+    private static final int MAX_RESPONSE_BYTES = 4_096;
 
-    /** Figures of all replicas together. */
+    /** Totals over all replicas. */
     static final class Tally {
         final Histogram acknowledgementMicros = new Histogram(60_000_000L, 3);
         long acknowledged;
@@ -35,7 +35,7 @@
     }
 
     private enum Phase {
-        RESTING,
+        IDLE,
         CONNECTING,
         WAITING
     }
@@ -45,18 +45,18 @@
     private final List<SocketAddress> controllers;
     private final Selector selector;
     private final Tally tally;
-    private final ByteBuffer answer = ByteBuffer.allocate(MOST_ANSWER_BYTES);
+    private final ByteBuffer response = ByteBuffer.allocate(MAX_RESPONSE_BYTES);
     private int incarnation;
     private volatile int controller;
-    private int failuresInARow;
+    private int consecutiveFailures;
     private long callSequence;
-    private Phase phase = Phase.RESTING;
+    private Phase phase = Phase.IDLE;
     private SocketChannel channel;
     private double dueAtMs;
     private double sentAtMs;
     private boolean draining;
     private boolean drainingSent;
-    private volatile long drainAskedNs;
+    private volatile long drainRequestedNs;
     private volatile long drainAcknowledgedNs;
     private volatile double acknowledgedAtMs;
     private volatile boolean everAcknowledged;
@@ -67,23 +67,23 @@
             List<SocketAddress> controllers,
             Selector selector,
             Tally tally,
-            double firstAtMs) {
+            double firstHeartbeatMs) {
         this.number = number;
         this.profile = profile;
         this.controllers = controllers;
         this.selector = selector;
         this.tally = tally;
         this.controller = number % controllers.size();
-        this.dueAtMs = firstAtMs;
-        this.acknowledgedAtMs = firstAtMs;
+        this.dueAtMs = firstHeartbeatMs;
+        this.acknowledgedAtMs = firstHeartbeatMs;
     }
 
-    /** The id of its present life. */
+    /** The id of the current incarnation. */
     public String instanceId() {
         return instanceId(number, incarnation);
     }
 
-    /** The id of a replica's first life. */
+    /** The id of a replica's first incarnation. */
     public static String firstInstanceId(int number) {
         return instanceId(number, 0);
     }
@@ -92,67 +92,67 @@
         return "i-" + Integer.toHexString(0x10000000 + number * 0x10000 + incarnation);
     }
 
-    /** Whether a heartbeat of it was ever acknowledged. */
+    /** Whether any of its heartbeats has been acknowledged. */
     boolean everAcknowledged() {
         return everAcknowledged;
     }
 
-    /** Announces its end with the next heartbeat, at once. */
+    /** Announces the draining state with the next heartbeat, which is sent at once if none is in progress. */
     public void drain(double nowMs) {
         draining = true;
-        drainAskedNs = System.nanoTime();
-        if (phase == Phase.RESTING) {
+        drainRequestedNs = System.nanoTime();
+        if (phase == Phase.IDLE) {
             dueAtMs = nowMs;
         }
     }
 
-    /** Says nothing any more. */
-    public void end() {
+    /** Stops sending heartbeats. */
+    public void stop() {
         disconnect();
         dueAtMs = Double.POSITIVE_INFINITY;
     }
 
-    /** Starts a new life at the same address. */
+    /** Starts a new incarnation at the same address. */
     void replace(double nowMs) {
         incarnation++;
         callSequence = 0;
         draining = false;
         drainingSent = false;
-        drainAskedNs = 0;
+        drainRequestedNs = 0;
         drainAcknowledgedNs = 0;
         disconnect();
         dueAtMs = nowMs;
     }
 
-    /** The number of the controller that it sends its heartbeats to. */
+    /** The index of the controller that receives its heartbeats. */
     int controller() {
         return controller;
     }
 
-    long drainAskedNs() {
-        return drainAskedNs;
+    long drainRequestedNs() {
+        return drainRequestedNs;
     }
 
-    /** When its end was acknowledged, 0 if it was not. */
+    /** Monotonic time at which the drain was acknowledged, nanoseconds; 0 if it was not. */
     public long drainAcknowledgedNs() {
         return drainAcknowledgedNs;
     }
 
-    /** When a heartbeat was last acknowledged. */
+    /** Monotonic time of the last acknowledged heartbeat, milliseconds. */
     double acknowledgedAtMs() {
         return acknowledgedAtMs;
     }
 
-    /** Does what is due. */
-    void turn(double nowMs) {
-        if (phase != Phase.RESTING && nowMs - sentAtMs > ACKNOWLEDGED_WITHIN_MS) {
+    /** Sends a heartbeat that is due, and fails one that has timed out. */
+    void poll(double nowMs) {
+        if (phase != Phase.IDLE && nowMs - sentAtMs > ACKNOWLEDGEMENT_TIMEOUT_MS) {
             fail(nowMs);
-        } else if (phase == Phase.RESTING && nowMs >= dueAtMs) {
-            begin(nowMs);
+        } else if (phase == Phase.IDLE && nowMs >= dueAtMs) {
+            startHeartbeat(nowMs);
         }
     }
 
-    private void begin(double nowMs) {
+    private void startHeartbeat(double nowMs) {
         sentAtMs = nowMs;
         try {
             if (channel == null) {
@@ -166,12 +166,12 @@
     }
 
     private void connect() throws IOException {
-        SocketAddress to = controllers.get(controller);
+        SocketAddress target = controllers.get(controller);
         channel = SocketChannel.open();
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         phase = Phase.CONNECTING;
-        boolean connected = channel.connect(new InetSocketAddress(to.host(), to.port()));
+        boolean connected = channel.connect(new InetSocketAddress(target.host(), target.port()));
         channel.register(selector, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
         if (connected) {
             send();
@@ -183,10 +183,10 @@
         drainingSent = draining;
         byte[] request = request();
         if (channel.write(ByteBuffer.wrap(request)) != request.length) {
-            throw new IOException("no room for a heartbeat");
+            throw new IOException("send buffer full: heartbeat was only partly written");
         }
         tally.bytesOut += request.length;
-        answer.clear();
+        response.clear();
         phase = Phase.WAITING;
     }
 
@@ -201,8 +201,8 @@
         return (head + body).getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** The channel can do something. */
-    void ready(SelectionKey key, double nowMs) {
+    /** Handles a channel that is ready to connect or read. */
+    void onReady(SelectionKey key, double nowMs) {
         if (!key.isValid() || key.channel() != channel) {
             return;
         }
@@ -219,27 +219,27 @@
     }
 
     private void read(double nowMs) throws IOException {
-        int count = channel.read(answer);
-        if (count < 0 && phase == Phase.RESTING) {
+        int count = channel.read(response);
+        if (count < 0 && phase == Phase.IDLE) {
             disconnect();
         } else if (count < 0) {
-            throw new IOException("closed before the answer");
+            throw new IOException("connection closed before the response");
         } else if (phase == Phase.WAITING) {
             tally.bytesIn += count;
-            takeAnswer(nowMs);
+            handleResponse(nowMs);
         }
     }
 
-    private void takeAnswer(double nowMs) throws IOException {
-        String text = new String(answer.array(), 0, answer.position(), StandardCharsets.US_ASCII);
-        if (!HttpResponseText.isWhole(text)) {
+    private void handleResponse(double nowMs) throws IOException {
+        String text = new String(response.array(), 0, response.position(), StandardCharsets.US_ASCII);
+        if (!HttpResponseText.isComplete(text)) {
             return;
         }
         if (HttpResponseText.status(text) / 100 != 2) {
             throw new IOException("status " + HttpResponseText.status(text));
         }
-        phase = Phase.RESTING;
-        failuresInARow = 0;
+        phase = Phase.IDLE;
+        consecutiveFailures = 0;
         acknowledgedAtMs = nowMs;
         everAcknowledged = true;
         tally.acknowledged++;
@@ -256,13 +256,13 @@
         tally.failed++;
         disconnect();
         controller = (controller + 1) % controllers.size();
-        failuresInARow++;
-        boolean all = failuresInARow % controllers.size() == 0;
-        dueAtMs = nowMs + (all ? PAUSE_AFTER_ALL_FAILED_MS : 0);
+        consecutiveFailures++;
+        boolean allFailed = consecutiveFailures % controllers.size() == 0;
+        dueAtMs = nowMs + (allFailed ? PAUSE_AFTER_ALL_FAILED_MS : 0);
     }
 
     private void disconnect() {
-        phase = Phase.RESTING;
+        phase = Phase.IDLE;
         if (channel != null) {
             try {
                 channel.close();
@@ -273,8 +273,8 @@
         }
     }
 
-    /** Steady time, milliseconds. */
+    /** Monotonic time, milliseconds. */
     public static double nowMs() {
-        return System.nanoTime() / NS_A_MS;
+        return System.nanoTime() / NS_PER_MS;
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowRouters.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowRouters.java
@@ -22,8 +22,8 @@
 import pinewick.transport.TransportException;
 
 /**
- * A process that holds many hollow routers. Takes a command a line and answers with a line of JSON; ends with its
- * input, and in any case after a time.
+ * A process that runs many hollow routers. Reads one command per line from standard input and replies with one line of
+ * JSON. Exits at the end of its input, and unconditionally after a time limit.
  */
 public final class HollowRouters {
     private static final int STAGGER_MS = 10;
@@ -33,7 +33,7 @@
     private final int worker;
     private final int count;
     private final SplittableRandom random;
-    private final MessageCodec sizes = new MessageCodec(FleetMessages.types(), FleetMessages.laterTypes());
+    private final MessageCodec measuringCodec = new MessageCodec(FleetMessages.types(), FleetMessages.laterTypes());
     private final List<HollowNode> routers = new ArrayList<>();
 
     private HollowRouters(FleetAddresses addresses, int worker, int count, long seed) {
@@ -44,20 +44,24 @@
     }
 
     /**
-     * Words: first port, controllers, number of this process, routers in it, seed of chance, longest life in seconds.
+     * Arguments: first port, number of controllers, index of this process, routers in it, random seed, maximum
+     * lifetime in seconds.
      */
-    public static void main(String[] words) throws Exception {
-        FleetAddresses addresses = new FleetAddresses(Integer.parseInt(words[0]), Integer.parseInt(words[1]));
-        endAfter(Long.parseLong(words[5]));
+    public static void main(String[] arguments) throws Exception {
+        FleetAddresses addresses = new FleetAddresses(Integer.parseInt(arguments[0]), Integer.parseInt(arguments[1]));
+        haltAfter(Long.parseLong(arguments[5]));
         HollowRouters routers = new HollowRouters(
-                addresses, Integer.parseInt(words[2]), Integer.parseInt(words[3]), Long.parseLong(words[4]));
+                addresses,
+                Integer.parseInt(arguments[2]),
+                Integer.parseInt(arguments[3]),
+                Long.parseLong(arguments[4]));
         routers.startAll();
         routers.serve();
         System.exit(0);
     }
 
-    private static void endAfter(long seconds) {
-        Thread limit = new Thread(
+    private static void haltAfter(long seconds) {
+        Thread timeLimit = new Thread(
                 () -> {
                     try {
                         Thread.sleep(seconds * 1_000);
@@ -67,8 +71,8 @@
                     Runtime.getRuntime().halt(1);
                 },
                 "limit");
-        limit.setDaemon(true);
-        limit.start();
+        timeLimit.setDaemon(true);
+        timeLimit.start();
     }
 
     private void startAll() throws TransportException, InterruptedException {
@@ -86,7 +90,7 @@
                 ZONES[number % ZONES.length],
                 addresses.seeds(),
                 addresses.firstPort() + 1,
-                sizes,
+                measuringCodec,
                 random.split());
         router.start();
         return router;
@@ -96,59 +100,59 @@
         BufferedReader input = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         System.out.println("{}");
         for (String line = input.readLine(); line != null; line = input.readLine()) {
-            System.out.println(answer(line.split(" ")));
+            System.out.println(execute(line.split(" ")));
         }
     }
 
-    private JsonObject answer(String[] words) throws TransportException {
-        switch (words[0]) {
+    private JsonObject execute(String[] arguments) throws TransportException {
+        switch (arguments[0]) {
             case "figures":
-                return figures();
+                return statistics();
             case "traffic":
                 return traffic();
             case "restart-count":
-                routers.forEach(router -> router.traffic().restart(words[1].equals("bytes")));
+                routers.forEach(router -> router.traffic().reset(arguments[1].equals("bytes")));
                 return new JsonObject();
             case "in-force":
-                long version = Long.parseLong(words[1]);
+                long version = Long.parseLong(arguments[1]);
                 return times(router -> router.inForceAtNs(version));
             case "draining":
-                return times(router -> router.drainingAtNs(words[1]));
+                return times(router -> router.drainingAtNs(arguments[1]));
             case "rejoin":
-                return rejoin(Integer.parseInt(words[1]));
+                return restart(Integer.parseInt(arguments[1]));
             case "joining":
-                return joining(Integer.parseInt(words[1]));
+                return joinStatus(Integer.parseInt(arguments[1]));
             case "collect":
                 System.gc();
-                return figures();
+                return statistics();
             default:
-                throw new IllegalArgumentException("no command " + words[0]);
+                throw new IllegalArgumentException("unknown command " + arguments[0]);
         }
     }
 
-    /** When each router learnt of something, 0 for those that have not. */
-    private JsonObject times(ToLongFunction<HollowNode> when) {
+    /** The time at which each router received an update, 0 for those that have not received it. */
+    private JsonObject times(ToLongFunction<HollowNode> time) {
         JsonArray list = new JsonArray();
-        routers.forEach(router -> list.add(when.applyAsLong(router)));
-        JsonObject answer = new JsonObject();
-        answer.add("at", list);
-        return answer;
+        routers.forEach(router -> list.add(time.applyAsLong(router)));
+        JsonObject response = new JsonObject();
+        response.add("at", list);
+        return response;
     }
 
-    /** Ends a router without a word and starts it anew at the same address. */
-    private JsonObject rejoin(int number) throws TransportException {
+    /** Stops a router without announcing it and starts a new one at the same address. */
+    private JsonObject restart(int number) throws TransportException {
         routers.get(number).close();
         for (int attempt = 0; ; attempt++) {
             try {
                 routers.set(number, start(number));
                 return new JsonObject();
             } catch (TransportException e) {
-                pauseOrGiveUp(attempt, e); // its sockets are closed by a thread of their own
+                sleepOrThrow(attempt, e); // another thread closes the old sockets
             }
         }
     }
 
-    private static void pauseOrGiveUp(int attempt, TransportException cause) throws TransportException {
+    private static void sleepOrThrow(int attempt, TransportException cause) throws TransportException {
         if (attempt == 100) {
             throw cause;
         }
@@ -159,29 +163,29 @@
         }
     }
 
-    private JsonObject joining(int number) {
+    private JsonObject joinStatus(int number) {
         JsonObject json = new JsonObject();
         json.addProperty("done", routers.get(number).node().isSynchronised());
         json.addProperty("ms", routers.get(number).joiningMs());
         return json;
     }
 
-    private JsonObject figures() {
+    private JsonObject statistics() {
         JsonObject json = new JsonObject();
         json.addProperty("routers", routers.size());
         json.addProperty("synchronised", count(router -> router.node().isSynchronised()));
-        json.addProperty("version", least(HollowNode::versionInForce));
-        json.addProperty("records", least(router -> router.state().replicas().size()));
-        json.addProperty("recordsMost", most(router -> router.state().replicas().size()));
-        json.addProperty("lapsed", most(HollowRouters::lapsedNow));
-        json.addProperty("lapses", most(HollowNode::lapses));
-        json.addProperty("peersLeast", least(router -> router.node().peers().size()));
-        json.addProperty("peersMost", most(router -> router.node().peers().size()));
-        json.addProperty("estimateLeast", least(router -> router.node().routerCount()));
-        json.addProperty("estimateMost", most(router -> router.node().routerCount()));
-        json.addProperty("boundLeast", least(router -> router.node().routerCountUpperBound()));
-        json.addProperty("boundMost", most(router -> router.node().routerCountUpperBound()));
-        json.addProperty("joiningMostMs", most(router -> (long) router.joiningMs()));
+        json.addProperty("version", min(HollowNode::versionInForce));
+        json.addProperty("records", min(router -> router.state().replicas().size()));
+        json.addProperty("recordsMost", max(router -> router.state().replicas().size()));
+        json.addProperty("lapsed", max(HollowRouters::lapsedReplicas));
+        json.addProperty("lapses", max(HollowNode::lapses));
+        json.addProperty("peersLeast", min(router -> router.node().peers().size()));
+        json.addProperty("peersMost", max(router -> router.node().peers().size()));
+        json.addProperty("estimateLeast", min(router -> router.node().routerCount()));
+        json.addProperty("estimateMost", max(router -> router.node().routerCount()));
+        json.addProperty("boundLeast", min(router -> router.node().routerCountUpperBound()));
+        json.addProperty("boundMost", max(router -> router.node().routerCountUpperBound()));
+        json.addProperty("joiningMostMs", max(router -> (long) router.joiningMs()));
         json.addProperty("dropped", sum(router -> router.transport().counters().dropped()));
         json.addProperty(
                 "malformed", sum(router -> router.transport().counters().malformed()));
@@ -194,37 +198,37 @@
         return json;
     }
 
-    private static long lapsedNow(HollowNode router) {
+    private static long lapsedReplicas(HollowNode router) {
         return router.state().replicas().stream()
                 .filter(record -> record.lapsed())
                 .count();
     }
 
-    private int count(java.util.function.Predicate<HollowNode> which) {
-        return (int) routers.stream().filter(which).count();
+    private int count(java.util.function.Predicate<HollowNode> predicate) {
+        return (int) routers.stream().filter(predicate).count();
     }
 
-    private long least(ToLongFunction<HollowNode> figure) {
-        return routers.stream().mapToLong(figure).min().orElse(0);
+    private long min(ToLongFunction<HollowNode> value) {
+        return routers.stream().mapToLong(value).min().orElse(0);
     }
 
-    private long most(ToLongFunction<HollowNode> figure) {
-        return routers.stream().mapToLong(figure).max().orElse(0);
+    private long max(ToLongFunction<HollowNode> value) {
+        return routers.stream().mapToLong(value).max().orElse(0);
     }
 
-    private long sum(ToLongFunction<HollowNode> figure) {
-        return routers.stream().mapToLong(figure).sum();
+    private long sum(ToLongFunction<HollowNode> value) {
+        return routers.stream().mapToLong(value).sum();
     }
 
-    /** What the control loops and the sockets' threads have used, without compiler and collector. */
+    /** CPU time of the control loops and transport threads, without JIT compiler and garbage collector. */
     private static double threadCpuMs() {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         long nanos = 0;
         for (ThreadInfo info : threads.getThreadInfo(threads.getAllThreadIds())) {
-            boolean counts = info != null
+            boolean isCounted = info != null
                     && (info.getThreadName().equals("control-loop")
                             || info.getThreadName().equals("transport"));
-            nanos += counts ? Math.max(0, threads.getThreadCpuTime(info.getThreadId())) : 0;
+            nanos += isCounted ? Math.max(0, threads.getThreadCpuTime(info.getThreadId())) : 0;
         }
         return nanos / 1e6;
     }
@@ -234,8 +238,8 @@
         routers.forEach(router -> router.traffic().addTo(sums));
         JsonObject json = new JsonObject();
         json.add("types", TrafficMeter.toJson(sums));
-        json.addProperty("mostBytesOut", most(router -> router.traffic().bytesOut()));
-        json.addProperty("mostBytesIn", most(router -> router.traffic().bytesIn()));
+        json.addProperty("mostBytesOut", max(router -> router.traffic().bytesOut()));
+        json.addProperty("mostBytesIn", max(router -> router.traffic().bytesIn()));
         return json;
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/scale/HollowRoutersProcess.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HollowRoutersProcess.java
@@ -12,18 +12,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The laboratory's side of a process of {@link HollowRouters}. */
+/** Controls a process that runs {@link HollowRouters}. */
 final class HollowRoutersProcess implements AutoCloseable {
     private final Process process;
-    private final BufferedReader answers;
+    private final BufferedReader responses;
     private final PrintStream commands;
     private final int routers;
 
-    /** Starts the process; {@link #awaitStart} returns once all its routers run. */
-    HollowRoutersProcess(FleetAddresses addresses, int worker, int routers, long seed, long longestSeconds, Path log)
+    /** Starts the process; {@link #awaitStart} waits until all its routers are running. */
+    HollowRoutersProcess(
+            FleetAddresses addresses, int worker, int routers, long seed, long maxLifetimeSeconds, Path log)
             throws IOException {
         this.routers = routers;
-        List<String> words = List.of(
+        List<String> command = List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xms64m",
                 "-Xmx" + (128 + 9 * routers) + "m",
@@ -41,16 +42,16 @@
                 Integer.toString(worker),
                 Integer.toString(routers),
                 Long.toString(seed),
-                Long.toString(longestSeconds));
-        process = new ProcessBuilder(words)
+                Long.toString(maxLifetimeSeconds));
+        process = new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
-        answers = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        responses = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         commands = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
     }
 
     void awaitStart() throws IOException {
-        read("start");
+        readResponse("start");
     }
 
     int routers() {
@@ -65,24 +66,24 @@
         return ProcessUsage.of(process.pid());
     }
 
-    /** Sends a command and waits for its answer. */
-    synchronized JsonObject ask(String command) throws IOException {
+    /** Sends a command and waits for the response. */
+    synchronized JsonObject send(String command) throws IOException {
         commands.println(command);
-        return read(command);
+        return readResponse(command);
     }
 
-    private JsonObject read(String command) throws IOException {
-        String line = answers.readLine();
+    private JsonObject readResponse(String command) throws IOException {
+        String line = responses.readLine();
         if (line == null) {
-            throw new IOException("a process of hollow routers ended before it answered " + command);
+            throw new IOException("hollow router process exited before responding to " + command);
         }
         return JsonParser.parseString(line).getAsJsonObject();
     }
 
-    /** When each of its routers learnt of something, 0 for not yet. */
+    /** When each of its routers received an update, nanoseconds; 0 if it has not. */
     List<Long> times(String command) throws IOException {
         List<Long> times = new ArrayList<>();
-        for (JsonElement time : ask(command).getAsJsonArray("at")) {
+        for (JsonElement time : send(command).getAsJsonArray("at")) {
             times.add(time.getAsLong());
         }
         return times;
--- a/testing/lab/src/main/java/pinewick/lab/scale/HttpPeer.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/HttpPeer.java
@@ -11,61 +11,61 @@
 import java.util.Optional;
 import pinewick.model.SocketAddress;
 
-/** Plain calls to the fleet's HTTP interfaces. */
+/** A simple client for the fleet's HTTP interfaces. */
 public final class HttpPeer {
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(5);
     private static final int OK = 200;
 
-    private final Duration patience;
+    private final Duration timeout;
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(1))
             .followRedirects(HttpClient.Redirect.NORMAL)
             .build();
 
-    /** Waits for an answer for five seconds. */
+    /** Uses a response time-out of five seconds. */
     public HttpPeer() {
-        this(PATIENCE);
+        this(DEFAULT_TIMEOUT);
     }
 
-    /** @param patience how long an answer is waited for */
-    public HttpPeer(Duration patience) {
-        this.patience = patience;
+    /** @param timeout the response time-out */
+    public HttpPeer(Duration timeout) {
+        this.timeout = timeout;
     }
 
-    /** The status of an answer, 0 for none. */
+    /** Sends a GET request; returns the status code of the response, 0 if there was none. */
     public int status(SocketAddress peer, String path) throws InterruptedException {
         return statusOf(get(peer, path));
     }
 
-    /** The status of a controller; empty if it does not answer. */
+    /** The status report of a controller; empty if it does not respond with status 200. */
     public Optional<JsonObject> report(SocketAddress controlPlane) throws InterruptedException {
         try {
-            HttpResponse<String> answer =
+            HttpResponse<String> response =
                     client.send(get(controlPlane, "/status"), HttpResponse.BodyHandlers.ofString());
-            return answer.statusCode() == OK
-                    ? Optional.of(JsonParser.parseString(answer.body()).getAsJsonObject())
+            return response.statusCode() == OK
+                    ? Optional.of(JsonParser.parseString(response.body()).getAsJsonObject())
                     : Optional.empty();
         } catch (IOException e) {
             return Optional.empty();
         }
     }
 
-    /** Sends a call with a JSON body; returns the status of the answer, 0 for none. */
+    /** Sends a POST request with a JSON body; returns the status code of the response, 0 if there was none. */
     public int post(SocketAddress peer, String path, String body) throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(uri(peer, path))
-                .timeout(PATIENCE)
+                .timeout(DEFAULT_TIMEOUT)
                 .header("Content-Type", "application/json")
                 .POST(HttpRequest.BodyPublishers.ofString(body))
                 .build();
         return statusOf(request);
     }
 
-    /** Sends a change of the configuration; returns the status of the answer, 0 for none. */
+    /** Sends a configuration change; returns the status code of the response, 0 if there was none. */
     public int change(SocketAddress controlPlane, String path, long baseVersion, byte[] body)
             throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(uri(controlPlane, path))
-                .timeout(patience)
+                .timeout(timeout)
                 .header("Content-Type", "application/json")
                 .header("X-Pinewick-Base-Version", Long.toString(baseVersion))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body))
@@ -82,7 +82,7 @@
     }
 
     private HttpRequest get(SocketAddress peer, String path) {
-        return HttpRequest.newBuilder(uri(peer, path)).timeout(patience).build();
+        return HttpRequest.newBuilder(uri(peer, path)).timeout(timeout).build();
     }
 
     private static URI uri(SocketAddress peer, String path) {
--- a/testing/lab/src/main/java/pinewick/lab/scale/LossTrial.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/LossTrial.java
@@ -6,72 +6,76 @@
 import java.util.List;
 import pinewick.model.SocketAddress;
 
-/** A controller is killed and comes back; routers are killed and start again. */
+/** Kills and restarts a controller, then routers. */
 final class LossTrial {
-    private static final long LONGEST_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
     private static final int RESTARTED_ROUTERS = 5;
-    private static final double MS_A_SECOND = 1_000;
+    private static final double MS_PER_SECOND = 1_000;
 
     private final FleetUnderTest fleet;
     private final DrainTrial drains;
-    private int lost;
+    private int killedController;
 
     LossTrial(FleetUnderTest fleet, DrainTrial drains) {
         this.fleet = fleet;
         this.drains = drains;
     }
 
-    /** The controller that most replicas call is lost for a time. */
-    JsonObject loseController() throws IOException, InterruptedException {
+    /** Kills the controller with the most replicas and restarts it later. */
+    JsonObject killController() throws IOException, InterruptedException {
         JsonObject json = new JsonObject();
         int[] replicas = fleet.swarm().replicasByController(ScalePlan.CONTROLLERS);
         for (int number = 0; number < replicas.length; number++) {
-            lost = replicas[number] > replicas[lost] ? number : lost;
+            killedController = replicas[number] > replicas[killedController] ? number : killedController;
         }
         json.addProperty("replicasByControllerBefore", Arrays.toString(replicas));
-        long lapsesBefore = HollowFleet.most(fleet.hollow().ask("figures"), "lapses");
+        long lapsesBefore = HollowFleet.max(fleet.hollow().send("figures"), "lapses");
         fleet.swarm().takeHeartbeats();
-        double lostAtMs = HollowReplica.nowMs();
-        fleet.controllers().get(lost).kill();
-        boolean allHeard = FleetUnderTest.until(() -> longestSilenceEndsAfter(lostAtMs), LONGEST_MS);
-        json.addProperty("allReplicasHeardElsewhereMs", allHeard ? Math.round(HollowReplica.nowMs() - lostAtMs) : -1);
-        json.add("drainsMeanwhile", DrainTrial.times(drains.drains(2, 1)));
-        usageOfTheRest(json);
+        double killedAtMs = HollowReplica.nowMs();
+        fleet.controllers().get(killedController).kill();
+        boolean allReconnected = FleetUnderTest.awaitCondition(() -> allAcknowledgedSince(killedAtMs), TIMEOUT_MS);
+        json.addProperty(
+                "allReplicasHeardElsewhereMs", allReconnected ? Math.round(HollowReplica.nowMs() - killedAtMs) : -1);
+        json.add("drainsMeanwhile", DrainTrial.toJson(drains.drainReplicas(2, 1)));
+        measureSurvivors(json);
         json.addProperty("heartbeatsFailed", fleet.swarm().takeHeartbeats().failed());
-        bringBack(json);
+        restartController(json);
         json.addProperty(
                 "replicasByControllerAfter",
                 Arrays.toString(fleet.swarm().replicasByController(ScalePlan.CONTROLLERS)));
         json.addProperty(
-                "replicasTakenForSilent", HollowFleet.most(fleet.hollow().ask("figures"), "lapses") - lapsesBefore);
+                "replicasTakenForSilent", HollowFleet.max(fleet.hollow().send("figures"), "lapses") - lapsesBefore);
         return json;
     }
 
-    private boolean longestSilenceEndsAfter(double ms) {
+    private boolean allAcknowledgedSince(double ms) {
         return HollowReplica.nowMs() - fleet.swarm().longestSilenceMs() > ms;
     }
 
-    private void usageOfTheRest(JsonObject json) throws InterruptedException {
-        List<SystemProcess> rest =
+    private void measureSurvivors(JsonObject json) throws InterruptedException {
+        List<SystemProcess> survivors =
                 fleet.controllers().stream().filter(SystemProcess::running).toList();
-        double before =
-                rest.stream().mapToDouble(process -> process.usage().cpuMs()).sum();
+        double cpuMsBefore = survivors.stream()
+                .mapToDouble(process -> process.usage().cpuMs())
+                .sum();
         long fromNs = System.nanoTime();
-        Thread.sleep((long) (fleet.plan().lossSeconds() * MS_A_SECOND));
-        double spent =
-                rest.stream().mapToDouble(process -> process.usage().cpuMs()).sum() - before;
+        Thread.sleep((long) (fleet.plan().lossSeconds() * MS_PER_SECOND));
+        double spentMs = survivors.stream()
+                        .mapToDouble(process -> process.usage().cpuMs())
+                        .sum()
+                - cpuMsBefore;
         double ms = (System.nanoTime() - fromNs) / 1e6;
-        json.addProperty("controllersLeft", rest.size());
-        json.addProperty("controllerCpuPercent", SteadyState.round(100 * spent / ms / rest.size()));
+        json.addProperty("controllersLeft", survivors.size());
+        json.addProperty("controllerCpuPercent", SteadyState.round(100 * spentMs / ms / survivors.size()));
     }
 
-    private void bringBack(JsonObject json) throws IOException, InterruptedException {
-        SystemProcess controller = fleet.controllers().get(lost);
+    private void restartController(JsonObject json) throws IOException, InterruptedException {
+        SystemProcess controller = fleet.controllers().get(killedController);
         controller.start();
-        SocketAddress address = fleet.addresses().controlPlane(lost);
-        boolean back = FleetUnderTest.until(() -> hasCaughtUp(address), LONGEST_MS);
+        SocketAddress address = fleet.addresses().controlPlane(killedController);
+        boolean recovered = FleetUnderTest.awaitCondition(() -> hasCaughtUp(address), TIMEOUT_MS);
         json.addProperty(
-                "backAndCaughtUpMs", back ? Math.round((System.nanoTime() - controller.startedAtNs()) / 1e6) : -1);
+                "backAndCaughtUpMs", recovered ? Math.round((System.nanoTime() - controller.startedAtNs()) / 1e6) : -1);
     }
 
     private boolean hasCaughtUp(SocketAddress controlPlane) {
@@ -99,7 +103,7 @@
                 .sum();
     }
 
-    /** A real router and some hollow ones are killed and start again. */
+    /** Kills and restarts a real router and some hollow ones. */
     JsonObject restartRouters() throws IOException, InterruptedException {
         JsonObject json = new JsonObject();
         SystemProcess router = fleet.realRouters().get(0);
@@ -108,19 +112,19 @@
         fleet.awaitReady(0);
         json.addProperty("realRouterReadyMs", Math.round((System.nanoTime() - router.startedAtNs()) / 1e6));
         HollowRoutersProcess worker = fleet.hollow().workers().get(0);
-        double most = 0;
+        double maxMs = 0;
         for (int number = 0; number < Math.min(RESTARTED_ROUTERS, worker.routers()); number++) {
-            worker.ask("rejoin " + number);
-            most = Math.max(most, joiningMs(worker, number));
+            worker.send("rejoin " + number);
+            maxMs = Math.max(maxMs, joiningMs(worker, number));
         }
-        json.addProperty("hollowRouterCaughtUpMostMs", Math.round(most));
+        json.addProperty("hollowRouterCaughtUpMostMs", Math.round(maxMs));
         return json;
     }
 
     private static double joiningMs(HollowRoutersProcess worker, int number) throws IOException, InterruptedException {
-        long deadlineNs = System.nanoTime() + LONGEST_MS * 1_000_000;
+        long deadlineNs = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (true) {
-            JsonObject joining = worker.ask("joining " + number);
+            JsonObject joining = worker.send("joining " + number);
             if (joining.get("done").getAsBoolean() || System.nanoTime() > deadlineNs) {
                 return joining.get("ms").getAsDouble();
             }
--- a/testing/lab/src/main/java/pinewick/lab/scale/ProcessUsage.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/ProcessUsage.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 
 /**
- * What a process has used so far, as the kernel counts it.
+ * Resource usage of a process so far, from the kernel's accounting.
  *
- * @param cpuMs processor time, milliseconds
- * @param residentKb memory that is resident now
- * @param peakKb the most that was resident
- * @param waits how often each of its live threads gave up the processor to wait, by the thread's number
+ * @param cpuMs CPU time, milliseconds
+ * @param residentKb current resident memory, KB
+ * @param peakKb peak resident memory, KB
+ * @param waits voluntary context switches of each live thread, by thread id
  */
 public record ProcessUsage(double cpuMs, long residentKb, long peakKb, Map<String, Long> waits) {
-    private static final double MS_A_TICK = 10;
+    private static final double MS_PER_TICK = 10;
     private static final int FIELDS_TO_USER_TIME = 11;
 
-    /** Reads it; a process that is gone has used nothing. */
+    /** Reads the usage of a process; all zero if the process does not exist. */
     static ProcessUsage of(long pid) {
         Path folder = Path.of("/proc", Long.toString(pid));
         try {
@@ -34,20 +34,20 @@
         }
     }
 
-    /** The command's name may hold blanks; the fields after its closing bracket may not. */
+    /** CPU time from a stat file. The command name may contain spaces, so parsing starts after its closing bracket. */
     static double cpuMs(String stat) {
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         long ticks = Long.parseLong(fields[FIELDS_TO_USER_TIME]) + Long.parseLong(fields[FIELDS_TO_USER_TIME + 1]);
-        return ticks * MS_A_TICK;
+        return ticks * MS_PER_TICK;
     }
 
-    /** The number after a label of a status file, 0 if there is none. */
+    /** The number after a label in a status file, 0 if the label is missing. */
     static long number(String status, String label) {
-        int at = status.indexOf(label);
-        if (at < 0) {
+        int index = status.indexOf(label);
+        if (index < 0) {
             return 0;
         }
-        String line = status.substring(at + label.length())
+        String line = status.substring(index + label.length())
                 .lines()
                 .findFirst()
                 .orElse("")
@@ -55,7 +55,7 @@
         return Long.parseLong(line.split("\\s")[0]);
     }
 
-    /** How often the threads that lived then and live now have waited since. */
+    /** Voluntary context switches since an earlier reading, of the threads that were alive at both times. */
     long waitsSince(ProcessUsage before) {
         return waits.entrySet().stream()
                 .filter(entry -> before.waits.containsKey(entry.getKey()))
@@ -77,7 +77,7 @@
         try {
             return number(Files.readString(thread.resolve("status")), "\nvoluntary_ctxt_switches:");
         } catch (IOException e) {
-            return 0; // ended meanwhile
+            return 0; // the thread has ended in the meantime
         }
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/scale/PropagationDelay.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/PropagationDelay.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * After how long something was known to the processes of a fleet.
+ * How long an update took to reach the processes of a fleet.
  *
- * @param medianMs half of them knew it by then
- * @param lastMs all who ever did knew it by then
- * @param missing how many did not learn of it while it was waited for
+ * @param medianMs median over the processes that received it, milliseconds; NaN if none did
+ * @param lastMs maximum over the processes that received it, milliseconds; NaN if none did
+ * @param missing number of processes that did not receive it before the time-out
  */
 record PropagationDelay(double medianMs, double lastMs, int missing) {
-    private static final double NS_A_MS = 1e6;
+    private static final double NS_PER_MS = 1e6;
 
     static PropagationDelay of(List<Long> timesNs, long fromNs, int missing) {
         double[] sorted = timesNs.stream()
                 .filter(time -> time != 0)
-                .mapToDouble(time -> (time - fromNs) / NS_A_MS)
+                .mapToDouble(time -> (time - fromNs) / NS_PER_MS)
                 .sorted()
                 .toArray();
         if (sorted.length == 0) {
@@ -25,12 +25,12 @@
         return new PropagationDelay(sorted[sorted.length / 2], sorted[sorted.length - 1], missing);
     }
 
-    /** The worst of several. */
-    static PropagationDelay worst(List<PropagationDelay> spreads) {
+    /** The maximum of each delay, and the total of missing processes. */
+    static PropagationDelay max(List<PropagationDelay> delays) {
         return new PropagationDelay(
-                spreads.stream().mapToDouble(PropagationDelay::medianMs).max().orElse(Double.NaN),
-                spreads.stream().mapToDouble(PropagationDelay::lastMs).max().orElse(Double.NaN),
-                spreads.stream().mapToInt(PropagationDelay::missing).sum());
+                delays.stream().mapToDouble(PropagationDelay::medianMs).max().orElse(Double.NaN),
+                delays.stream().mapToDouble(PropagationDelay::lastMs).max().orElse(Double.NaN),
+                delays.stream().mapToInt(PropagationDelay::missing).sum());
     }
 
     JsonObject toJson() {
--- a/testing/lab/src/main/java/pinewick/lab/scale/ReplicaSwarm.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/ReplicaSwarm.java
@@ -12,9 +12,9 @@
 import java.util.stream.IntStream;
 import pinewick.model.SocketAddress;
 
-/** Many hollow replicas, on one thread. */
+/** Runs many hollow replicas on one thread. */
 public final class ReplicaSwarm implements AutoCloseable {
-    private static final long TURN_MS = 5;
+    private static final long SELECT_TIMEOUT_MS = 5;
     private static final int SAMPLE_SLOTS = 24;
 
     private final Selector selector = Selector.open();
@@ -24,34 +24,29 @@
     private final Thread thread = new Thread(this::run, "replicas");
     private volatile boolean closed;
 
-    /** What the heartbeats of a time came to. */
+    /** Heartbeat totals and latencies of one measurement interval. */
     record Heartbeats(
-            long acknowledged,
-            long failed,
-            long bytesOut,
-            long bytesIn,
-            double medianMs,
-            double p99Ms,
-            double mostMs) {}
-
-    /** @param overMs the time over which the replicas start */
-    ReplicaSwarm(int count, List<SocketAddress> controllers, double overMs) throws IOException {
-        this(IntStream.range(0, count).mapToObj(ReplicaSwarm::sampleProfile).toList(), controllers, overMs);
+            long acknowledged, long failed, long bytesOut, long bytesIn, double medianMs, double p99Ms, double maxMs) {}
+
+    /** @param startPeriodMs period over which the first heartbeats are spread, milliseconds */
+    ReplicaSwarm(int count, List<SocketAddress> controllers, double startPeriodMs) throws IOException {
+        this(IntStream.range(0, count).mapToObj(ReplicaSwarm::sampleProfile).toList(), controllers, startPeriodMs);
     }
 
-    /** @param overMs the time over which the replicas start */
-    public ReplicaSwarm(List<ReplicaProfile> profiles, List<SocketAddress> controllers, double overMs)
+    /** @param startPeriodMs period over which the first heartbeats are spread, milliseconds */
+    public ReplicaSwarm(List<ReplicaProfile> profiles, List<SocketAddress> controllers, double startPeriodMs)
             throws IOException {
         double nowMs = HollowReplica.nowMs();
         for (int number = 0; number < profiles.size(); number++) {
-            double firstAtMs = nowMs + overMs * number / profiles.size();
-            replicas.add(new HollowReplica(number, profiles.get(number), controllers, selector, tally, firstAtMs));
+            double firstHeartbeatMs = nowMs + startPeriodMs * number / profiles.size();
+            replicas.add(
+                    new HollowReplica(number, profiles.get(number), controllers, selector, tally, firstHeartbeatMs));
         }
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Of a replica in the services of {@link SampleConfiguration}. */
+    /** The profile of a replica of one of the services in {@link SampleConfiguration}. */
     private static ReplicaProfile sampleProfile(int number) {
         return new ReplicaProfile(
                 SampleConfiguration.service(number),
@@ -73,7 +68,7 @@
     private void run() {
         while (!closed) {
             try {
-                selector.select(this::ready, TURN_MS);
+                selector.select(this::onReady, SELECT_TIMEOUT_MS);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -81,28 +76,28 @@
                 task.run();
             }
             double nowMs = HollowReplica.nowMs();
-            replicas.forEach(replica -> replica.turn(nowMs));
+            replicas.forEach(replica -> replica.poll(nowMs));
         }
     }
 
-    private void ready(SelectionKey key) {
-        ((HollowReplica) key.attachment()).ready(key, HollowReplica.nowMs());
+    private void onReady(SelectionKey key) {
+        ((HollowReplica) key.attachment()).onReady(key, HollowReplica.nowMs());
     }
 
-    /** Does something with a replica on the thread that owns it. */
-    public void on(int number, Consumer<HollowReplica> action) {
+    /** Runs an action on a replica, on the thread that owns it. */
+    public void execute(int number, Consumer<HollowReplica> action) {
         tasks.add(() -> action.accept(replicas.get(number)));
         selector.wakeup();
     }
 
-    /** How many replicas send their heartbeats to each controller. */
+    /** The number of replicas that send their heartbeats to each controller. */
     int[] replicasByController(int controllers) {
         int[] counts = new int[controllers];
         replicas.forEach(replica -> counts[replica.controller()]++);
         return counts;
     }
 
-    /** Whether a controller has acknowledged a heartbeat of each. */
+    /** Whether every replica has had a heartbeat acknowledged. */
     public boolean allAcknowledged() {
         return replicas.stream().allMatch(HollowReplica::everAcknowledged);
     }
@@ -116,12 +111,12 @@
                 .orElse(0);
     }
 
-    /** The heartbeats since the last call of this method. */
+    /** The heartbeats since the previous call of this method. */
     Heartbeats takeHeartbeats() throws InterruptedException {
-        Heartbeats[] taken = new Heartbeats[1];
+        Heartbeats[] result = new Heartbeats[1];
         CountDownLatch done = new CountDownLatch(1);
         tasks.add(() -> {
-            taken[0] = new Heartbeats(
+            result[0] = new Heartbeats(
                     tally.acknowledged,
                     tally.failed,
                     tally.bytesOut,
@@ -138,10 +133,10 @@
         });
         selector.wakeup();
         done.await();
-        return taken[0];
+        return result[0];
     }
 
-    /** Every instance id of the present lives. */
+    /** The instance ids of the current incarnations. */
     List<String> instanceIds() {
         return IntStream.range(0, replicas.size())
                 .mapToObj(number -> replicas.get(number).instanceId())
--- a/testing/lab/src/main/java/pinewick/lab/scale/SampleConfiguration.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/SampleConfiguration.java
@@ -8,15 +8,15 @@
 import pinewick.model.ConfigurationDocument;
 import pinewick.model.InvalidConfigurationException;
 
-/** Configurations like those that operators send: a route a tenant, a service a model. */
+/** Configurations like those of operators: one route per tenant, one service per model. */
 public final class SampleConfiguration {
-    /** Services that replicas register for, one a model. */
+    /** Number of services with replicas, one per model. */
     static final int SERVICES = 3;
 
     /** The service without replicas. */
     static final String IDLE_SERVICE = "idle";
 
-    /** The host of the routes that {@link #probePath} names. */
+    /** The host of the routes whose paths {@link #probePath} returns. */
     static final String PROBE_HOST = "probe.example";
 
     private static final long TOUCHED_TIMEOUT_MS = 1_000;
@@ -27,12 +27,12 @@
         return "lm-" + number % SERVICES;
     }
 
-    /** The path that exists from a version on. */
+    /** The path of the probe route that a version adds. */
     static String probePath(long version) {
         return "/probe" + version + "/";
     }
 
-    /** The body of a whole configuration. */
+    /** The request body of a complete configuration. */
     public static byte[] replacement(long version, int routes) {
         JsonArray list = new JsonArray();
         SplittableRandom random = new SplittableRandom(routes);
@@ -54,36 +54,38 @@
         return bytes(document);
     }
 
-    /** The body of a change: one route added for the probe, one changed. */
+    /** The request body of an update: one route added for the probe, one changed. */
     static byte[] update(long version) {
         JsonArray routes = new JsonArray();
         routes.add(probe(version));
         JsonObject upserts = new JsonObject();
         upserts.add("routes", routes);
-        JsonObject change = new JsonObject();
-        change.addProperty("version", version);
-        change.add("upserts", upserts);
-        return bytes(change);
+        JsonObject document = new JsonObject();
+        document.addProperty("version", version);
+        document.add("upserts", upserts);
+        return bytes(document);
     }
 
-    /** The body of a change of one and the same route, so that the document does not grow. */
+    /** The request body of an update that always changes the same route, so that the document does not grow. */
     public static byte[] touch(long version) {
-        JsonObject touched = route("touched", PROBE_HOST, "/touched/", IDLE_SERVICE);
-        touched.addProperty("timeout_ms", TOUCHED_TIMEOUT_MS + version);
+        JsonObject route = route("touched", PROBE_HOST, "/touched/", IDLE_SERVICE);
+        route.addProperty("timeout_ms", TOUCHED_TIMEOUT_MS + version);
         JsonArray routes = new JsonArray();
-        routes.add(touched);
+        routes.add(route);
         JsonObject upserts = new JsonObject();
         upserts.add("routes", routes);
-        JsonObject change = new JsonObject();
-        change.addProperty("version", version);
-        change.add("upserts", upserts);
-        return bytes(change);
+        JsonObject document = new JsonObject();
+        document.addProperty("version", version);
+        document.add("upserts", upserts);
+        return bytes(document);
     }
 
-    /** The document that a body leads to. */
-    static ConfigurationDocument apply(ConfigurationDocument base, byte[] body, boolean whole) {
+    /** The document that results from a request body. */
+    static ConfigurationDocument apply(ConfigurationDocument base, byte[] body, boolean replacement) {
         try {
-            return whole ? ConfigurationChecks.parseReplacement(body) : ConfigurationChecks.parseUpdate(base, body);
+            return replacement
+                    ? ConfigurationChecks.parseReplacement(body)
+                    : ConfigurationChecks.parseUpdate(base, body);
         } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
--- a/testing/lab/src/main/java/pinewick/lab/scale/ScaleReport.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/ScaleReport.java
@@ -5,21 +5,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Runs of several sizes side by side, and what of them exceeds the users' bounds. */
+/** Compares runs of several fleet sizes and lists the measurements that exceed the required bounds. */
 public final class ScaleReport {
     private static final double ROUTER_CPU_PERCENT = 1.9;
-    private static final double ROUTER_BYTES_A_SECOND = 3_000;
+    private static final double ROUTER_BYTES_PER_SECOND = 3_000;
     private static final long ROUTER_MB = 256;
-    /** In force everywhere, as the users aim at for the whole fleet. */
+    /** Required limit for a configuration to take effect on every router of the fleet. */
     private static final double APPLY_MS = 18_000;
-    /** In force at a router that has a processor to itself, as the sites' settings say. */
+    /** Limit for a router that does not share its processor, from the settings of the sites. */
     private static final double REAL_APPLY_MS = 2_000;
 
     private static final double DRAIN_MS = 2_000;
-    private static final double MOST_GROWTH = 1.25;
+    private static final double MAX_GROWTH = 1.25;
     private static final double CORES = 4;
 
-    /** Figures of the table: what it is called, and where it stands in a run. */
+    /** Rows of the table: the label, and the path of the value in the JSON of a run. */
     private static final String[][] ROWS = {
         {"replica records known everywhere after, ms", "allReplicasKnownMs"},
         {"records in a router", "steady/records"},
@@ -91,62 +91,62 @@
 
     public ScaleReport(List<JsonObject> runs) {
         this.runs = List.copyOf(runs);
-        runs.forEach(this::judge);
-        judgeGrowth();
+        runs.forEach(this::checkBounds);
+        checkGrowth();
     }
 
-    /** What exceeded a bound, in words. */
+    /** A description of each exceeded bound. */
     public List<String> faults() {
         return faults;
     }
 
-    private void judge(JsonObject run) {
-        atMost(run, "steady/hollowRouterCpuPercent", ROUTER_CPU_PERCENT);
-        atMost(run, "steady/routerBytesOutASecond", ROUTER_BYTES_A_SECOND);
-        atMost(run, "steady/routerBytesInASecond", ROUTER_BYTES_A_SECOND);
-        atMost(run, "memoryAtTheEnd/realRouterPeakMb", ROUTER_MB);
-        atMost(run, "steady/heartbeatsFailed", 0);
-        atMost(run, "steady/lapses", 0);
-        atMost(run, "controllerLost/replicasTakenForSilent", 0);
-        atMost(run, "coresOnAverage", CORES);
+    private void checkBounds(JsonObject run) {
+        checkAtMost(run, "steady/hollowRouterCpuPercent", ROUTER_CPU_PERCENT);
+        checkAtMost(run, "steady/routerBytesOutASecond", ROUTER_BYTES_PER_SECOND);
+        checkAtMost(run, "steady/routerBytesInASecond", ROUTER_BYTES_PER_SECOND);
+        checkAtMost(run, "memoryAtTheEnd/realRouterPeakMb", ROUTER_MB);
+        checkAtMost(run, "steady/heartbeatsFailed", 0);
+        checkAtMost(run, "steady/lapses", 0);
+        checkAtMost(run, "controllerLost/replicasTakenForSilent", 0);
+        checkAtMost(run, "coresOnAverage", CORES);
         for (String change : run.getAsJsonObject("configuration").keySet()) {
             if (run.getAsJsonObject("configuration").get(change).isJsonObject()) {
-                judgeSpread(run, "configuration/" + change + "/hollowRouters", APPLY_MS);
-                judgeReached(run, "configuration/" + change + "/realRoutersLastMs", REAL_APPLY_MS);
+                checkPropagation(run, "configuration/" + change + "/hollowRouters", APPLY_MS);
+                checkReached(run, "configuration/" + change + "/realRoutersLastMs", REAL_APPLY_MS);
             }
         }
         for (String drain : List.of("drain/one at a time", "drain/a tenth at once", "controllerLost/drainsMeanwhile")) {
-            atMost(run, drain + "/missing", 0);
-            atMost(run, drain + "/unacknowledged", 0);
-            atMost(run, drain + "/afterAcknowledgementMostMs", DRAIN_MS);
+            checkAtMost(run, drain + "/missing", 0);
+            checkAtMost(run, drain + "/unacknowledged", 0);
+            checkAtMost(run, drain + "/afterAcknowledgementMostMs", DRAIN_MS);
         }
         if (run.has("endedByItself")) {
-            faults.add(name(run) + run.get("endedByItself").getAsString() + " ended by itself");
+            faults.add(name(run) + run.get("endedByItself").getAsString() + " exited unexpectedly");
         }
-        for (String reached : List.of(
+        for (String path : List.of(
                 "allReplicasKnownMs",
                 "controllerLost/allReplicasHeardElsewhereMs",
                 "controllerLost/backAndCaughtUpMs")) {
-            judgeReached(run, reached, Double.MAX_VALUE);
+            checkReached(run, path, Double.MAX_VALUE);
         }
     }
 
-    private void judgeSpread(JsonObject run, String place, double mostMs) {
-        atMost(run, place + "/missing", 0);
-        judgeReached(run, place + "/lastMs", mostMs);
+    private void checkPropagation(JsonObject run, String path, double limitMs) {
+        checkAtMost(run, path + "/missing", 0);
+        checkReached(run, path + "/lastMs", limitMs);
     }
 
-    private void judgeReached(JsonObject run, String place, double most) {
-        if (number(run, place) < 0) {
-            faults.add(name(run) + place + " was not reached");
+    private void checkReached(JsonObject run, String path, double limit) {
+        if (number(run, path) < 0) {
+            faults.add(name(run) + path + " was not reached");
         }
-        atMost(run, place, most);
+        checkAtMost(run, path, limit);
     }
 
-    private void atMost(JsonObject run, String place, double most) {
-        double figure = number(run, place);
-        if (!(figure <= most)) {
-            faults.add(name(run) + place + " is " + figure + ", allowed " + most);
+    private void checkAtMost(JsonObject run, String path, double limit) {
+        double value = number(run, path);
+        if (!(value <= limit)) {
+            faults.add(name(run) + path + " is " + value + ", allowed " + limit);
         }
     }
 
@@ -154,26 +154,26 @@
         return run.get("routers").getAsInt() + " routers: ";
     }
 
-    /** From the size at which views are full on, a router's traffic must not grow with the fleet. */
-    private void judgeGrowth() {
-        List<JsonObject> full = runs.stream()
+    /** Once the fleet is large enough to fill the membership views, traffic per router must not grow with its size. */
+    private void checkGrowth() {
+        List<JsonObject> fullViewRuns = runs.stream()
                 .filter(run -> run.get("routers").getAsInt() >= 100)
                 .toList();
-        if (full.size() < 2) {
+        if (fullViewRuns.size() < 2) {
             return;
         }
-        JsonObject last = full.get(full.size() - 1);
-        for (String place : List.of("steady/routerBytesOutASecond", "steady/routerBytesInASecond")) {
-            double growth = number(last, place) / number(full.get(0), place);
-            if (!(growth <= MOST_GROWTH)) {
-                faults.add(place + " grows by " + SteadyState.round(growth));
+        JsonObject last = fullViewRuns.get(fullViewRuns.size() - 1);
+        for (String path : List.of("steady/routerBytesOutASecond", "steady/routerBytesInASecond")) {
+            double growth = number(last, path) / number(fullViewRuns.get(0), path);
+            if (!(growth <= MAX_GROWTH)) {
+                faults.add(path + " grows by " + SteadyState.round(growth));
             }
         }
     }
 
-    private static double number(JsonObject run, String place) {
+    private static double number(JsonObject run, String path) {
         JsonElement element = run;
-        for (String part : place.split("/")) {
+        for (String part : path.split("/")) {
             if (element == null || !element.isJsonObject()) {
                 return Double.NaN;
             }
@@ -182,7 +182,7 @@
         return element == null ? Double.NaN : element.getAsDouble();
     }
 
-    /** The figures side by side, as Markdown. */
+    /** A Markdown table with one column per run. */
     public String table() {
         StringBuilder table =
                 new StringBuilder("Hollow routers and replicas beside 3 real controllers (processes on loopback; "
@@ -206,10 +206,10 @@
         return runs.get(0).getAsJsonObject("configuration").get("committedBy").getAsString();
     }
 
-    private static String text(double figure) {
-        if (Double.isNaN(figure)) {
+    private static String text(double value) {
+        if (Double.isNaN(value)) {
             return "-";
         }
-        return figure == Math.rint(figure) ? Long.toString((long) figure) : String.format("%.2f", figure);
+        return value == Math.rint(value) ? Long.toString((long) value) : String.format("%.2f", value);
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/scale/SettingsText.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/SettingsText.java
@@ -5,11 +5,11 @@
 import java.util.stream.Collectors;
 import pinewick.model.SocketAddress;
 
-/** Settings files for the real processes of a fleet, with the figures of the larger sites. */
+/** Settings files for the real processes of a fleet, with the values of the larger sites. */
 public final class SettingsText {
     private SettingsText() {}
 
-    /** Of a controller. */
+    /** The settings of a controller that bootstraps the system. */
     public static String controller(FleetAddresses addresses, int number, Path data) {
         return """
                 node_name = "core-%d"
@@ -21,17 +21,22 @@
                 counts_for_quorum = true
                 data_directory = "%s"
                 """
-                        .formatted(number, FleetAddresses.controllerHost(number), letter(number), letter(number), data)
+                        .formatted(
+                                number,
+                                FleetAddresses.controllerHost(number),
+                                zoneLetter(number),
+                                zoneLetter(number),
+                                data)
                 + common(addresses)
                 + "[listen_addresses]\ncontrol_plane = \"%s\"\n".formatted(addresses.controlPlane(number));
     }
 
-    /** The same for a process that does not found the system. */
-    public static String afterFounding(String settings) {
+    /** The same settings for a process that joins an existing system. */
+    public static String withoutFirstStart(String settings) {
         return settings.replace("first_start = true", "first_start = false");
     }
 
-    /** Of a router. */
+    /** The settings of a router. */
     public static String router(FleetAddresses addresses, int number) {
         return """
                 node_name = "frontend-%d"
@@ -42,13 +47,13 @@
                 region = "region-%s"
                 counts_for_quorum = false
                 """
-                        .formatted(number, FleetAddresses.routerHost(number), letter(number), letter(number))
+                        .formatted(number, FleetAddresses.routerHost(number), zoneLetter(number), zoneLetter(number))
                 + common(addresses)
                 + "[listen_addresses]\nfrontend = \"%s\"\nreadiness = \"%s\"\n"
                         .formatted(addresses.frontend(number), addresses.readiness(number));
     }
 
-    private static String letter(int number) {
+    private static String zoneLetter(int number) {
         return List.of("a", "b", "c").get(number % 3);
     }
 
--- a/testing/lab/src/main/java/pinewick/lab/scale/SteadyState.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/SteadyState.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What each role spends while nothing happens but heartbeats. */
+/** Measures the resource use of each role while the only activity is heartbeats. */
 final class SteadyState {
-    private static final double MS_A_SECOND = 1_000;
+    private static final double MS_PER_SECOND = 1_000;
 
     private final FleetUnderTest fleet;
     private final ScalePlan plan;
@@ -20,35 +20,35 @@
         this.plan = fleet.plan();
     }
 
-    /** Looks at it for the plan's two windows. */
+    /** Measures CPU time and then traffic, for one window of the plan each. */
     JsonObject measure() throws IOException, InterruptedException {
-        processorTime();
-        bytes();
-        state();
+        measureCpu();
+        measureBytes();
+        measureState();
         return json;
     }
 
-    private void processorTime() throws IOException, InterruptedException {
-        restartCounts("messages");
+    private void measureCpu() throws IOException, InterruptedException {
+        resetCounters("messages");
         fleet.swarm().takeHeartbeats();
         double hollowBefore = fleet.hollow().cpuMs();
-        double loopsBefore = HollowFleet.sum(fleet.hollow().ask("figures"), "threadCpuMs");
+        double loopsBefore = HollowFleet.sum(fleet.hollow().send("figures"), "threadCpuMs");
         List<ProcessUsage> controllers = usages(fleet.controllers());
         List<ProcessUsage> routers = usages(fleet.realRouters());
         long fromNs = System.nanoTime();
-        Thread.sleep((long) (plan.windowSeconds() * MS_A_SECOND));
+        Thread.sleep((long) (plan.windowSeconds() * MS_PER_SECOND));
         double hollowSpent = fleet.hollow().cpuMs() - hollowBefore;
         List<ProcessUsage> controllersAfter = usages(fleet.controllers());
         List<ProcessUsage> routersAfter = usages(fleet.realRouters());
         double ms = (System.nanoTime() - fromNs) / 1e6;
-        double loopsSpent = HollowFleet.sum(fleet.hollow().ask("figures"), "threadCpuMs") - loopsBefore;
-        json.addProperty("windowSeconds", round(ms / MS_A_SECOND));
+        double loopsSpent = HollowFleet.sum(fleet.hollow().send("figures"), "threadCpuMs") - loopsBefore;
+        json.addProperty("windowSeconds", round(ms / MS_PER_SECOND));
         json.addProperty("hollowRouterCpuPercent", round(100 * hollowSpent / ms / plan.routers()));
         json.addProperty("hollowRouterThreadsCpuPercent", round(100 * loopsSpent / ms / plan.routers()));
-        spent("controller", controllers, controllersAfter, ms);
-        spent("realRouter", routers, routersAfter, ms);
+        addUsage("controller", controllers, controllersAfter, ms);
+        addUsage("realRouter", routers, routersAfter, ms);
         ReplicaSwarm.Heartbeats heartbeats = fleet.swarm().takeHeartbeats();
-        double seconds = ms / MS_A_SECOND;
+        double seconds = ms / MS_PER_SECOND;
         json.addProperty("heartbeatsASecond", round(heartbeats.acknowledged() / seconds));
         json.addProperty(
                 "replicasByController", Arrays.toString(fleet.swarm().replicasByController(ScalePlan.CONTROLLERS)));
@@ -64,7 +64,7 @@
         return processes.stream().map(SystemProcess::usage).toList();
     }
 
-    private void spent(String role, List<ProcessUsage> before, List<ProcessUsage> after, double ms) {
+    private void addUsage(String role, List<ProcessUsage> before, List<ProcessUsage> after, double ms) {
         double cpuMs = 0;
         double waits = 0;
         long peakKb = 0;
@@ -74,34 +74,34 @@
             peakKb = Math.max(peakKb, after.get(i).peakKb());
         }
         json.addProperty(role + "CpuPercent", round(100 * cpuMs / ms / before.size()));
-        json.addProperty(role + "WaitsASecond", round(waits / ms * MS_A_SECOND / before.size()));
+        json.addProperty(role + "WaitsASecond", round(waits / ms * MS_PER_SECOND / before.size()));
         json.addProperty(role + "PeakMb", peakKb / 1_024);
     }
 
-    private void bytes() throws IOException, InterruptedException {
-        restartCounts("bytes");
+    private void measureBytes() throws IOException, InterruptedException {
+        resetCounters("bytes");
         long fromNs = System.nanoTime();
-        Thread.sleep((long) (plan.bytesSeconds() * MS_A_SECOND));
+        Thread.sleep((long) (plan.bytesSeconds() * MS_PER_SECOND));
         Map<String, long[]> routers = fleet.hollow().traffic();
         Map<String, long[]> controller = new TreeMap<>();
         fleet.observer().traffic().addTo(controller);
         double seconds = (System.nanoTime() - fromNs) / 1e9;
-        List<JsonObject> each = fleet.hollow().ask("traffic");
-        json.addProperty("routerMostBytesOutASecond", Math.round(HollowFleet.most(each, "mostBytesOut") / seconds));
-        json.addProperty("routerMostBytesInASecond", Math.round(HollowFleet.most(each, "mostBytesIn") / seconds));
-        perRouter(routers, seconds);
+        List<JsonObject> perWorker = fleet.hollow().send("traffic");
+        json.addProperty("routerMostBytesOutASecond", Math.round(HollowFleet.max(perWorker, "mostBytesOut") / seconds));
+        json.addProperty("routerMostBytesInASecond", Math.round(HollowFleet.max(perWorker, "mostBytesIn") / seconds));
+        addPerRouter(routers, seconds);
         perController(routers, controller, seconds);
-        json.add("routerTraffic", typed(routers, seconds * plan.routers()));
-        json.add("observerTraffic", typed(controller, seconds));
-        restartCounts("messages");
+        json.add("routerTraffic", byType(routers, seconds * plan.routers()));
+        json.add("observerTraffic", byType(controller, seconds));
+        resetCounters("messages");
     }
 
-    private void restartCounts(String what) throws IOException {
-        fleet.hollow().ask("restart-count " + what);
-        fleet.observer().traffic().restart(what.equals("bytes"));
+    private void resetCounters(String mode) throws IOException {
+        fleet.hollow().send("restart-count " + mode);
+        fleet.observer().traffic().reset(mode.equals("bytes"));
     }
 
-    private void perRouter(Map<String, long[]> sums, double seconds) {
+    private void addPerRouter(Map<String, long[]> sums, double seconds) {
         double routerSeconds = seconds * plan.routers();
         json.addProperty("routerMessagesOutASecond", round(sum(sums, "TO_", 0) / routerSeconds));
         json.addProperty("routerMessagesInASecond", round(sum(sums, "FROM_", 0) / routerSeconds));
@@ -110,15 +110,20 @@
     }
 
     /**
-     * Between controllers and routers as the routers count; between controllers as the hollow one does for one of them.
+     * Traffic between controllers and routers comes from the routers' counters. Traffic between controllers comes from
+     * the hollow controller and is given per controller.
      */
     private void perController(Map<String, long[]> routers, Map<String, long[]> observer, double seconds) {
         int others = ScalePlan.CONTROLLERS + 1;
-        double each = seconds * others;
-        json.addProperty("controllerToRoutersBytesASecond", Math.round(sum(routers, "FROM_CONTROLLER", 1) / each));
-        json.addProperty("controllerFromRoutersBytesASecond", Math.round(sum(routers, "TO_CONTROLLER", 1) / each));
-        json.addProperty("controllerToRoutersMessagesASecond", round(sum(routers, "FROM_CONTROLLER", 0) / each));
-        json.addProperty("controllerFromRoutersMessagesASecond", round(sum(routers, "TO_CONTROLLER", 0) / each));
+        double controllerSeconds = seconds * others;
+        json.addProperty(
+                "controllerToRoutersBytesASecond", Math.round(sum(routers, "FROM_CONTROLLER", 1) / controllerSeconds));
+        json.addProperty(
+                "controllerFromRoutersBytesASecond", Math.round(sum(routers, "TO_CONTROLLER", 1) / controllerSeconds));
+        json.addProperty(
+                "controllerToRoutersMessagesASecond", round(sum(routers, "FROM_CONTROLLER", 0) / controllerSeconds));
+        json.addProperty(
+                "controllerFromRoutersMessagesASecond", round(sum(routers, "TO_CONTROLLER", 0) / controllerSeconds));
         double fromEach = seconds * ScalePlan.CONTROLLERS;
         json.addProperty(
                 "controllerToControllerBytesASecond", Math.round(sum(observer, "FROM_CONTROLLER", 1) / fromEach));
@@ -126,39 +131,39 @@
                 "controllerToControllerMessagesASecond", round(sum(observer, "FROM_CONTROLLER", 0) / fromEach));
     }
 
-    private static long sum(Map<String, long[]> sums, String ways, int figure) {
+    private static long sum(Map<String, long[]> sums, String keyPrefix, int index) {
         return sums.entrySet().stream()
-                .filter(entry -> entry.getKey().startsWith(ways))
-                .mapToLong(entry -> entry.getValue()[figure])
+                .filter(entry -> entry.getKey().startsWith(keyPrefix))
+                .mapToLong(entry -> entry.getValue()[index])
                 .sum();
     }
 
-    /** By way and type: messages a second, bytes a message, share that went over TCP. */
-    private static JsonObject typed(Map<String, long[]> sums, double processSeconds) {
+    /** By direction and type: messages per second, bytes per message, number of messages sent over TCP. */
+    private static JsonObject byType(Map<String, long[]> sums, double processSeconds) {
         JsonObject types = new JsonObject();
-        sums.forEach((name, figures) -> {
+        sums.forEach((name, counts) -> {
             JsonObject type = new JsonObject();
-            type.addProperty("aSecond", round(figures[0] / processSeconds));
-            type.addProperty("bytes", figures[0] == 0 ? 0 : figures[1] / figures[0]);
-            type.addProperty("overTcp", figures[2]);
+            type.addProperty("aSecond", round(counts[0] / processSeconds));
+            type.addProperty("bytes", counts[0] == 0 ? 0 : counts[1] / counts[0]);
+            type.addProperty("overTcp", counts[2]);
             types.add(name, type);
         });
         return types;
     }
 
-    private void state() throws IOException, InterruptedException {
-        List<JsonObject> figures = fleet.hollow().ask("collect");
+    private void measureState() throws IOException, InterruptedException {
+        List<JsonObject> counts = fleet.hollow().send("collect");
         for (String name : List.of("records", "version", "peersLeast", "estimateLeast", "boundLeast")) {
-            json.addProperty(name, HollowFleet.least(figures, name));
+            json.addProperty(name, HollowFleet.min(counts, name));
         }
         for (String name : List.of("recordsMost", "peersMost", "estimateMost", "boundMost", "lapsed", "lapses")) {
-            json.addProperty(name, HollowFleet.most(figures, name));
+            json.addProperty(name, HollowFleet.max(counts, name));
         }
         for (String name : List.of("dropped", "malformed", "failedConnections")) {
-            json.addProperty(name, Math.round(HollowFleet.sum(figures, name)));
+            json.addProperty(name, Math.round(HollowFleet.sum(counts, name)));
         }
         json.addProperty(
-                "hollowRouterHeapKb", Math.round(HollowFleet.sum(figures, "heapBytes") / 1_024 / plan.routers()));
+                "hollowRouterHeapKb", Math.round(HollowFleet.sum(counts, "heapBytes") / 1_024 / plan.routers()));
         json.addProperty(
                 "hollowRouterResidentKb",
                 fleet.hollow().workers().stream()
@@ -167,8 +172,8 @@
                         / plan.routers());
     }
 
-    /** Three digits after the point. */
-    static double round(double figure) {
-        return Double.isFinite(figure) ? Math.round(figure * 1_000) / 1_000.0 : -1;
+    /** Rounds to three decimal places; -1 for a value that is not finite. */
+    static double round(double index) {
+        return Double.isFinite(index) ? Math.round(index * 1_000) / 1_000.0 : -1;
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/scale/SystemProcess.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/SystemProcess.java
@@ -14,8 +14,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One process of the system's own programs, started as the deploy file says. A shell holds its life: it ends the
- * program when the laboratory ends in whatever way, and in any case after a time.
+ * A process of one of the system's programs, started with the command from the deploy file. A guard shell kills the
+ * program when the laboratory exits for any reason, and unconditionally after a time limit.
  */
 public final class SystemProcess implements AutoCloseable {
     private static final String GUARD =
@@ -26,122 +26,127 @@
             read -r -t "$PINEWICK_LAB_SECONDS" line
             kill -9 $child
             """;
-    private static final long EXIT_SECONDS = 5;
+    private static final long EXIT_TIMEOUT_SECONDS = 5;
     private static final long POLL_NS = 10_000_000;
 
     private final String role;
     private final Path settings;
     private final Path log;
-    private final long longestSeconds;
-    private final UnaryOperator<List<String>> commandChange;
+    private final long maxLifetimeSeconds;
+    private final UnaryOperator<List<String>> commandTransformer;
     private Process guard;
     private ProcessHandle program;
     private long startedAtNs;
     private boolean running;
     private boolean killed;
 
-    /** @param longestSeconds after which it is ended whatever happens */
-    public SystemProcess(String role, Path settings, Path log, long longestSeconds) {
-        this(role, settings, log, longestSeconds, UnaryOperator.identity());
+    /** @param maxLifetimeSeconds time limit after which the process is killed unconditionally, seconds */
+    public SystemProcess(String role, Path settings, Path log, long maxLifetimeSeconds) {
+        this(role, settings, log, maxLifetimeSeconds, UnaryOperator.identity());
     }
 
     /**
-     * @param longestSeconds after which it is ended whatever happens
-     * @param commandChange changes the command of the deploy file
+     * @param maxLifetimeSeconds time limit after which the process is killed unconditionally, seconds
+     * @param commandTransformer transforms the command from the deploy file
      */
     public SystemProcess(
-            String role, Path settings, Path log, long longestSeconds, UnaryOperator<List<String>> commandChange) {
-        this.commandChange = commandChange;
+            String role,
+            Path settings,
+            Path log,
+            long maxLifetimeSeconds,
+            UnaryOperator<List<String>> commandTransformer) {
+        this.commandTransformer = commandTransformer;
         this.role = role;
         this.settings = settings;
         this.log = log;
-        this.longestSeconds = longestSeconds;
+        this.maxLifetimeSeconds = maxLifetimeSeconds;
     }
 
-    /** Starts it, the first time or again. */
+    /** Starts the process, or restarts it after it has ended. */
     public void start() throws IOException {
-        List<String> words = new ArrayList<>(List.of("bash", "-c", GUARD, "guard"));
-        words.addAll(commandChange.apply(commandOf(role)));
-        ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
+        List<String> command = new ArrayList<>(List.of("bash", "-c", GUARD, "guard"));
+        command.addAll(commandTransformer.apply(commandOf(role)));
+        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("PINEWICK_CONFIG", settings.toString());
         builder.environment().put("PINEWICK_LAB_LOG", log.toString());
-        builder.environment().put("PINEWICK_LAB_SECONDS", Long.toString(longestSeconds));
+        builder.environment().put("PINEWICK_LAB_SECONDS", Long.toString(maxLifetimeSeconds));
         startedAtNs = System.nanoTime();
         guard = builder.start();
         BufferedReader output =
                 new BufferedReader(new InputStreamReader(guard.getInputStream(), StandardCharsets.US_ASCII));
         String pid = output.readLine();
-        program = ProcessHandle.of(Long.parseLong(pid)).orElseThrow(() -> new IOException(role + " ended at once"));
+        program =
+                ProcessHandle.of(Long.parseLong(pid)).orElseThrow(() -> new IOException(role + " exited immediately"));
         running = true;
         killed = false;
     }
 
-    /** The command of a role in the deploy file. */
+    /** The command of a role, from the deploy file. */
     private static List<String> commandOf(String role) throws IOException {
-        boolean inRole = false;
+        boolean inSection = false;
         for (String line : Files.readAllLines(Path.of("deploy/system.toml"))) {
-            inRole = line.startsWith("[") ? line.equals("[roles." + role + "]") : inRole;
-            if (inRole && line.startsWith("run = ")) {
-                String command = line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
-                return List.of(command.replaceFirst("^exec ", "").split(" "));
+            inSection = line.startsWith("[") ? line.equals("[roles." + role + "]") : inSection;
+            if (inSection && line.startsWith("run = ")) {
+                String runLine = line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
+                return List.of(runLine.replaceFirst("^exec ", "").split(" "));
             }
         }
         throw new IOException("deploy/system.toml has no role " + role);
     }
 
-    /** When it was started last, in steady time. */
+    /** Monotonic time of the last start, nanoseconds. */
     public long startedAtNs() {
         return startedAtNs;
     }
 
-    /** Whether it runs. */
+    /** Whether the process is running. */
     public boolean running() {
         return running && program.isAlive();
     }
 
-    /** Whether it is down because the laboratory killed it. */
+    /** Whether the laboratory killed the process. */
     boolean killed() {
         return killed;
     }
 
-    /** What it said last. */
+    /** The last line of its log; empty if there is none. */
     public String lastLogLine() throws IOException {
         List<String> lines = Files.readAllLines(log);
         return lines.isEmpty() ? "" : lines.get(lines.size() - 1);
     }
 
-    /** The end of its log. */
-    public List<String> lastLogLines(int most) throws IOException {
+    /** The last lines of its log. */
+    public List<String> lastLogLines(int limit) throws IOException {
         List<String> lines = Files.readAllLines(log);
-        return lines.subList(Math.max(0, lines.size() - most), lines.size());
+        return lines.subList(Math.max(0, lines.size() - limit), lines.size());
     }
 
-    /** What it has used so far. */
+    /** Its resource usage so far. */
     public ProcessUsage usage() {
         return ProcessUsage.of(program.pid());
     }
 
-    /** As a loss of power: at once and without a word. */
+    /** Kills the process without notice, like a power failure. */
     public void kill() throws InterruptedException {
         running = false;
         killed = true;
         program.destroyForcibly();
         guard.destroy();
-        guard.waitFor(EXIT_SECONDS, TimeUnit.SECONDS);
+        guard.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Asks it to end, as for planned work. */
+    /** Requests a graceful shutdown, as for planned maintenance. */
     public void terminate() {
         running = false;
         program.destroy();
     }
 
-    /** Stops it where it stands; it goes on with {@link #thaw}. */
+    /** Suspends the process with SIGSTOP until {@link #thaw}. */
     public void freeze() throws IOException, InterruptedException {
         signal("STOP");
     }
 
-    /** Lets a frozen process go on. */
+    /** Resumes a suspended process. */
     public void thaw() throws IOException, InterruptedException {
         signal("CONT");
     }
@@ -152,11 +157,11 @@
                 .waitFor();
     }
 
-    /** Waits until the program has ended; returns whether it has. */
+    /** Waits for the program to exit; returns whether it has exited. */
     public boolean awaitEnd() {
-        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(EXIT_SECONDS);
-        while (program != null && program.isAlive() && System.nanoTime() < endNs) {
-            // No wait for its exit: it is the guard's child, and the JDK looks at others' children only seldom.
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(EXIT_TIMEOUT_SECONDS);
+        while (program != null && program.isAlive() && System.nanoTime() < deadlineNs) {
+            // Polls because the program is the guard's child, and the JDK rarely checks processes that are not its own.
             LockSupport.parkNanos(POLL_NS);
         }
         return program == null || !program.isAlive();
@@ -170,8 +175,8 @@
         if (program != null) {
             program.destroyForcibly();
         }
-        try (OutputStream end = guard.getOutputStream()) {
-            end.flush();
+        try (OutputStream input = guard.getOutputStream()) {
+            input.flush();
         } catch (IOException e) {
             guard.destroy();
         }
--- a/testing/lab/src/main/java/pinewick/lab/scale/TrafficMeter.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/TrafficMeter.java
@@ -11,8 +11,8 @@
 import pinewick.transport.NetworkTransport;
 
 /**
- * Counts the messages of one process by type and direction. Their bytes are counted only while asked for, since that
- * means to encode each a second time.
+ * Counts the messages of one process by type and direction. Bytes are counted only on request, because
+ * that requires encoding each message a second time.
  */
 final class TrafficMeter {
     private static final int UDP_HEADERS = 28;
@@ -20,7 +20,7 @@
     private static final int TCP_SEGMENT = 1_448;
     private static final int LENGTH_PREFIX = 4;
 
-    /** Whether a message left or came, and from or to which kind of process. */
+    /** Whether a message was sent or received, and the role of the peer. */
     enum Direction {
         TO_ROUTER,
         TO_CONTROLLER,
@@ -28,13 +28,13 @@
         FROM_CONTROLLER
     }
 
-    private record Key(Direction way, String type) {}
+    private record Key(Direction direction, String type) {}
 
-    /** Messages, their bytes on the wire, and those of them that were too long for a datagram. */
+    /** Number of messages, their bytes on the wire, and the number too long for a datagram. */
     private static final class Count {
         private final LongAdder messages = new LongAdder();
         private final LongAdder bytes = new LongAdder();
-        private final LongAdder overConnections = new LongAdder();
+        private final LongAdder tcpMessages = new LongAdder();
     }
 
     private final MessageCodec codec;
@@ -43,42 +43,43 @@
     private final LongAdder bytesIn = new LongAdder();
     private volatile boolean countsBytes;
 
-    /** @param codec used for nothing but measuring */
+    /** @param codec used only to measure message sizes */
     TrafficMeter(MessageCodec codec) {
         this.codec = codec;
     }
 
-    /** Starts anew, with or without bytes. */
-    void restart(boolean withBytes) {
+    /** Resets all counts; from now on bytes are counted if {@code withBytes} is true. */
+    void reset(boolean withBytes) {
         countsBytes = withBytes;
         counts.clear();
         bytesOut.reset();
         bytesIn.reset();
     }
 
-    void count(Direction way, Message message) {
-        Count count = counts.computeIfAbsent(new Key(way, message.getClass().getSimpleName()), key -> new Count());
+    void count(Direction direction, Message message) {
+        Count count =
+                counts.computeIfAbsent(new Key(direction, message.getClass().getSimpleName()), key -> new Count());
         count.messages.increment();
         if (countsBytes) {
-            countBytes(way, message, count);
+            countBytes(direction, message, count);
         }
     }
 
-    private void countBytes(Direction way, Message message, Count count) {
-        int frame = codec.encode(1, message).length;
-        boolean datagram = frame <= NetworkTransport.MAX_DATAGRAM_BYTES;
-        int wire = datagram ? frame + UDP_HEADERS : overTcp(frame);
-        count.bytes.add(wire);
+    private void countBytes(Direction direction, Message message, Count count) {
+        int frameBytes = codec.encode(1, message).length;
+        boolean datagram = frameBytes <= NetworkTransport.MAX_DATAGRAM_BYTES;
+        int wireBytes = datagram ? frameBytes + UDP_HEADERS : tcpBytes(frameBytes);
+        count.bytes.add(wireBytes);
         if (!datagram) {
-            count.overConnections.increment();
+            count.tcpMessages.increment();
         }
-        boolean out = way == Direction.TO_ROUTER || way == Direction.TO_CONTROLLER;
-        (out ? bytesOut : bytesIn).add(wire);
+        boolean outbound = direction == Direction.TO_ROUTER || direction == Direction.TO_CONTROLLER;
+        (outbound ? bytesOut : bytesIn).add(wireBytes);
     }
 
-    /** With the headers of each segment; acknowledgements and the opening of connections are left out. */
-    static int overTcp(int frame) {
-        int bytes = frame + LENGTH_PREFIX;
+    /** Bytes of a frame sent over TCP, with the headers of each segment but without ACKs and connection setup. */
+    static int tcpBytes(int frameBytes) {
+        int bytes = frameBytes + LENGTH_PREFIX;
         return bytes + TCP_HEADERS * ((bytes + TCP_SEGMENT - 1) / TCP_SEGMENT);
     }
 
@@ -90,23 +91,23 @@
         return bytesIn.sum();
     }
 
-    /** Adds this meter's counts to {@code sum}: for each way and type messages, bytes, and how many went over TCP. */
+    /** Adds this meter's counts to {@code sum}: by direction and type, the messages, bytes and TCP messages. */
     void addTo(Map<String, long[]> sum) {
         counts.forEach((key, count) -> {
-            long[] figures = sum.computeIfAbsent(key.way + " " + key.type, name -> new long[3]);
-            figures[0] += count.messages.sum();
-            figures[1] += count.bytes.sum();
-            figures[2] += count.overConnections.sum();
+            long[] totals = sum.computeIfAbsent(key.direction + " " + key.type, name -> new long[3]);
+            totals[0] += count.messages.sum();
+            totals[1] += count.bytes.sum();
+            totals[2] += count.tcpMessages.sum();
         });
     }
 
-    /** Sums as JSON. */
+    /** The sums as JSON. */
     static JsonObject toJson(Map<String, long[]> sums) {
         JsonObject json = new JsonObject();
-        new TreeMap<>(sums).forEach((name, figures) -> {
+        new TreeMap<>(sums).forEach((name, totals) -> {
             JsonArray list = new JsonArray();
-            for (long figure : figures) {
-                list.add(figure);
+            for (long total : totals) {
+                list.add(total);
             }
             json.add(name, list);
         });
--- a/testing/lab/src/main/java/pinewick/lab/scale/package-info.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A fleet of many routers and replicas on one machine: hollow ones, which run the real code of membership,
- * dissemination and transport but take no requests, beside a few real processes.
+ * A fleet of many routers and replicas on one machine. Most routers are hollow: they run the real membership,
+ * dissemination and transport code but serve no requests. Hollow replicas only send heartbeats. A few routers and all
+ * controllers are real processes.
  */
 package pinewick.lab.scale;
--- a/testing/lab/src/main/java/pinewick/lab/starts/StartCounts.java
+++ b/testing/lab/src/main/java/pinewick/lab/starts/StartCounts.java
@@ -5,39 +5,39 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What became of the starts of each variant. May be used by several threads. */
+/** Results of the starts of each variant. Thread-safe. */
 public final class StartCounts {
     private final Map<String, List<Double>> readyMsByVariant = new TreeMap<>();
     private final List<String> faults = new ArrayList<>();
 
-    synchronized void addReady(String what, double tookMs) {
-        readyMsByVariant.computeIfAbsent(what, key -> new ArrayList<>()).add(tookMs);
+    synchronized void addReady(String label, double durationMs) {
+        readyMsByVariant.computeIfAbsent(label, key -> new ArrayList<>()).add(durationMs);
     }
 
-    synchronized void addFault(String what) {
-        faults.add(what);
+    synchronized void addFault(String label) {
+        faults.add(label);
     }
 
-    /** Starts that ended by themselves or never became ready. */
+    /** Starts that exited unexpectedly or did not become ready in time. */
     public synchronized List<String> faults() {
         return List.copyOf(faults);
     }
 
-    /** A row for each program and variant: starts, milliseconds until ready. */
+    /** A Markdown table with a row per program and variant: number of starts, milliseconds until ready. */
     public synchronized String table() {
         StringBuilder table = new StringBuilder(
                 "| program, variant | starts | median ms | longest ms |\n| --- | --- | --- | --- |\n");
-        readyMsByVariant.forEach((what, times) -> {
+        readyMsByVariant.forEach((label, times) -> {
             List<Double> sorted = new ArrayList<>(times);
             sorted.sort(null);
             table.append(String.format(
                     "| %s | %d | %.0f | %.0f |%n",
-                    what, sorted.size(), sorted.get(sorted.size() / 2), sorted.get(sorted.size() - 1)));
+                    label, sorted.size(), sorted.get(sorted.size() / 2), sorted.get(sorted.size() - 1)));
         });
         return table.toString();
     }
 
-    /** How many starts became ready. */
+    /** Number of starts that became ready. */
     public synchronized int ready() {
         return readyMsByVariant.values().stream().mapToInt(List::size).sum();
     }
--- a/testing/lab/src/main/java/pinewick/lab/starts/package-info.java
+++ b/testing/lab/src/main/java/pinewick/lab/starts/package-info.java
@@ -1,2 +1,2 @@
-/** Programs started over and over by the lines of the deploy file, to find starts that end by themselves. */
+/** Starts programs repeatedly with the commands of the deploy file, to find starts that exit unexpectedly. */
 package pinewick.lab.starts;
--- a/testing/lab/src/test/java/pinewick/lab/scale/FolderTreeTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/scale/FolderTreeTest.java
@@ -12,7 +12,7 @@
     Path parent;
 
     @Test
-    void deletesAFolderWithAllThatIsInIt() throws Exception {
+    void deletesAFolderWithItsContents() throws Exception {
         Path folder = parent.resolve("folder");
         Files.createDirectories(folder.resolve("inner"));
         Files.writeString(folder.resolve("inner").resolve("file"), "x");
--- a/testing/lab/src/test/java/pinewick/lab/scale/ReplicaSwarmTest.java
+++ b/testing/lab/src/test/java/pinewick/lab/scale/ReplicaSwarmTest.java
@@ -15,22 +15,22 @@
 import org.junit.jupiter.api.Test;
 import pinewick.model.SocketAddress;
 
-/** Replicas whose first controller is not there. */
+/** A hollow replica fails over if its first controller is down. */
 class ReplicaSwarmTest {
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     @Test
-    void heartbeatsGoToTheNextControllerAndADrainIsAcknowledgedThere() throws Exception {
-        try (ServerSocket gone = listen();
+    void failsOverToTheNextControllerAndDrainsThere() throws Exception {
+        try (ServerSocket unavailable = listen();
                 ServerSocket controller = listen()) {
-            gone.close();
+            unavailable.close();
             CountDownLatch drained = new CountDownLatch(1);
             Thread server = new Thread(() -> serve(controller, drained), "controller");
             server.setDaemon(true);
             server.start();
-            try (ReplicaSwarm swarm = new ReplicaSwarm(1, List.of(address(gone), address(controller)), 1)) {
-                swarm.on(0, replica -> replica.drain(HollowReplica.nowMs()));
-                assertTrue(drained.await(PATIENCE_SECONDS, TimeUnit.SECONDS));
+            try (ReplicaSwarm swarm = new ReplicaSwarm(1, List.of(address(unavailable), address(controller)), 1)) {
+                swarm.execute(0, replica -> replica.drain(HollowReplica.nowMs()));
+                assertTrue(drained.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertTrue(swarm.takeHeartbeats().failed() >= 1);
                 assertEquals("i-10000000", swarm.replica(0).instanceId());
             }
@@ -45,20 +45,20 @@
         return new SocketAddress("127.0.0.1", socket.getLocalPort());
     }
 
-    /** Answers every request that comes in one piece; tells when one says draining. */
+    /** Responds to each read as one request; counts down when a request contains the draining state. */
     private static void serve(ServerSocket listener, CountDownLatch drained) {
-        byte[] answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".getBytes(StandardCharsets.US_ASCII);
+        byte[] response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".getBytes(StandardCharsets.US_ASCII);
         byte[] request = new byte[4_096];
         try (Socket socket = listener.accept();
                 InputStream input = socket.getInputStream()) {
             for (int count = input.read(request); count > 0; count = input.read(request)) {
-                socket.getOutputStream().write(answer);
+                socket.getOutputStream().write(response);
                 if (new String(request, 0, count, StandardCharsets.US_ASCII).contains("\"draining\"")) {
                     drained.countDown();
                 }
             }
         } catch (IOException e) {
-            return; // the test is over
+            return; // the test has finished
         }
     }
 }
