--- a/testing/lab/src/main/java/pinewick/lab/scale/LossTrial.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/LossTrial.java
@@ -49,7 +49,7 @@
     }
 
     private boolean allAcknowledgedSince(double ms) {
-        return HollowReplica.nowMs() - fleet.swarm().longestSilenceMs() > ms;
+        return HollowReplica.nowMs() - fleet.swarm().maxSilenceMs() > ms;
     }
 
     private void measureSurvivors(JsonObject json) throws InterruptedException {
--- a/testing/lab/src/main/java/pinewick/lab/scale/ReplicaSwarm.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/ReplicaSwarm.java
@@ -103,7 +103,7 @@
     }
 
     /** The longest time since a replica's last acknowledged heartbeat, milliseconds. */
-    double longestSilenceMs() {
+    double maxSilenceMs() {
         double nowMs = HollowReplica.nowMs();
         return replicas.stream()
                 .mapToDouble(replica -> nowMs - replica.acknowledgedAtMs())
--- a/testing/lab/src/main/java/pinewick/lab/scale/SampleConfiguration.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/SampleConfiguration.java
@@ -54,7 +54,7 @@
         return bytes(document);
     }
 
-    /** The request body of an update: one route added for the probe, one changed. */
+    /** The request body of an update that adds the probe route of a version. */
     static byte[] update(long version) {
         JsonArray routes = new JsonArray();
         routes.add(probe(version));
--- a/testing/lab/src/main/java/pinewick/lab/scale/SteadyState.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/SteadyState.java
@@ -20,7 +20,7 @@
         this.plan = fleet.plan();
     }
 
-    /** Measures CPU time and then traffic, for one window of the plan each. */
+    /** Measures CPU time and then traffic, each in its own window of the plan, and finally the routers' state. */
     JsonObject measure() throws IOException, InterruptedException {
         measureCpu();
         measureBytes();
@@ -173,7 +173,7 @@
     }
 
     /** Rounds to three decimal places; -1 for a value that is not finite. */
-    static double round(double index) {
-        return Double.isFinite(index) ? Math.round(index * 1_000) / 1_000.0 : -1;
+    static double round(double value) {
+        return Double.isFinite(value) ? Math.round(value * 1_000) / 1_000.0 : -1;
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/scale/TrafficMeter.java
+++ b/testing/lab/src/main/java/pinewick/lab/scale/TrafficMeter.java
@@ -11,8 +11,8 @@
 import pinewick.transport.NetworkTransport;
 
 /**
- * Counts the messages of one process by type and direction. Bytes are counted only on request, because
- * that requires encoding each message a second time.
+ * Counts the messages of one process by type and direction. Bytes are counted only on request, because that
+ * requires encoding each message a second time.
  */
 final class TrafficMeter {
     private static final int UDP_HEADERS = 28;
