--- a/testing/lab/src/main/java/pinewick/lab/recovery/ChangesTrial.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/ChangesTrial.java
@@ -90,16 +90,16 @@
             cluster.restart(stopped);
             long startedNs = cluster.process(stopped).startedAtNs();
             double cpuMs = cluster.cpuMs();
-            long repairedNs = Waiting.until(TIMEOUT_MS, () -> cluster.isRepairedWith(stopped));
+            long repairedNs = Polling.until(TIMEOUT_MS, () -> cluster.isRepairedWith(stopped));
             double acknowledgedPerSecond = changes.acknowledgedPerSecond();
             if (repairedNs < 0) {
                 figures.addFault(name + "not in sync after " + TIMEOUT_MS + " ms");
             } else {
-                figures.add(name + "ms from process start until f is borne", Waiting.ms(startedNs, repairedNs));
+                figures.add(name + "ms from process start until f is borne", Polling.ms(startedNs, repairedNs));
             }
             figures.add(name + "changes a second acknowledged meanwhile", acknowledgedPerSecond);
             figures.add(name + "CPU ms of all controllers meanwhile", cluster.cpuMs() - cpuMs);
         }
-        Waiting.until(TIMEOUT_MS, () -> cluster.isRepairedWith(stopped));
+        Polling.until(TIMEOUT_MS, () -> cluster.isRepairedWith(stopped));
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/recovery/Cluster.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/Cluster.java
@@ -46,7 +46,7 @@
         for (int number = 0; number < INITIAL_CONTROLLERS; number++) {
             create(number, SettingsText.controller(addresses, number, dataFolder(number)));
         }
-        Waiting.require(
+        Polling.require(
                 START_TIMEOUT_MS, "the initial controllers to be in sync", () -> toleratesLosses(TOLERATED_LOSSES));
     }
 
@@ -126,7 +126,7 @@
     /** The primary among the running controllers; waits until there is one. */
     int primary() throws InterruptedException {
         int[] primary = {-1};
-        Waiting.require(START_TIMEOUT_MS, "a primary", () -> {
+        Polling.require(START_TIMEOUT_MS, "a primary", () -> {
             primaryAmong(running()).ifPresent(report -> primary[0] = report.controller());
             return primary[0] >= 0;
         });
--- a/testing/lab/src/main/java/pinewick/lab/recovery/ConfigurationWriter.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/ConfigurationWriter.java
@@ -49,13 +49,13 @@
         long sentNs = System.nanoTime();
         List<Integer> order = new ArrayList<>(controllers);
         order.sort((first, second) -> Boolean.compare(second == lastController, first == lastController));
-        for (int attempt = 0; Waiting.ms(sentNs, System.nanoTime()) < TIMEOUT_MS; attempt++) {
+        for (int attempt = 0; Polling.ms(sentNs, System.nanoTime()) < TIMEOUT_MS; attempt++) {
             int controller = order.get(attempt % order.size());
             int status = http.change(cluster.controlPlane(controller), path, version, body);
             if (status == OK) {
                 lastController = controller;
                 version++;
-                return Waiting.ms(sentNs, System.nanoTime());
+                return Polling.ms(sentNs, System.nanoTime());
             }
             if (status == CONFLICT || status == INVALID) {
                 throw new IllegalStateException("change to version " + (version + 1) + " got status " + status);
--- a/testing/lab/src/main/java/pinewick/lab/recovery/FreezeTrial.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/FreezeTrial.java
@@ -58,10 +58,10 @@
         long thawedNs = System.nanoTime();
         long version = writer.version();
         long currentNs =
-                Waiting.require(TIMEOUT_MS, kind + " to be current", () -> cluster.version(controller) >= version);
+                Polling.require(TIMEOUT_MS, kind + " to be current", () -> cluster.version(controller) >= version);
         long repairedNs =
-                Waiting.require(TIMEOUT_MS, kind + " to be in sync", () -> cluster.isRepairedWith(controller));
-        figures.add(kind + ", ms from its return until current", Waiting.ms(thawedNs, currentNs));
-        figures.add(kind + ", ms from its return until f is borne", Waiting.ms(thawedNs, repairedNs));
+                Polling.require(TIMEOUT_MS, kind + " to be in sync", () -> cluster.isRepairedWith(controller));
+        figures.add(kind + ", ms from its return until current", Polling.ms(thawedNs, currentNs));
+        figures.add(kind + ", ms from its return until f is borne", Polling.ms(thawedNs, repairedNs));
     }
 }
--- a/testing/lab/src/main/java/pinewick/lab/recovery/Waiting.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/Polling.java
@@ -1,11 +1,11 @@
 package pinewick.lab.recovery;
 
 /** Waits for conditions by polling. */
-final class Waiting {
+final class Polling {
     private static final long POLL_MS = 5;
     private static final double NS_PER_MS = 1e6;
 
-    private Waiting() {}
+    private Polling() {}
 
     /** A condition on the state of processes. */
     interface Condition {
--- a/testing/lab/src/main/java/pinewick/lab/recovery/RepairTrial.java
+++ b/testing/lab/src/main/java/pinewick/lab/recovery/RepairTrial.java
@@ -53,18 +53,18 @@
         int oldController = newestController();
         int spare = nextSpare();
         cluster.add(spare);
-        Waiting.require(TIMEOUT_MS, "the new controller to respond", () -> cluster.configuration(spare)
+        Polling.require(TIMEOUT_MS, "the new controller to respond", () -> cluster.configuration(spare)
                 .isPresent());
         long sentNs = System.nanoTime();
         cluster.process(oldController).terminate();
         List<Integer> degradedReports = new ArrayList<>();
-        long repairedNs = Waiting.require(TIMEOUT_MS, "the replacement to be in sync", () -> {
+        long repairedNs = Polling.require(TIMEOUT_MS, "the replacement to be in sync", () -> {
             if (!cluster.toleratesLosses(Cluster.TOLERATED_LOSSES)) {
                 degradedReports.add(oldController);
             }
             return cluster.isRepairedWith(spare);
         });
-        figures.add("replaced as planned, ms from SIGTERM" + sizeSuffix, Waiting.ms(sentNs, repairedNs), targetMs);
+        figures.add("replaced as planned, ms from SIGTERM" + sizeSuffix, Polling.ms(sentNs, repairedNs), targetMs);
         figures.add("replaced as planned, questions answered with less than f" + sizeSuffix, degradedReports.size());
     }
 
@@ -82,7 +82,7 @@
     }
 
     private void awaitLossDetected() throws InterruptedException {
-        Waiting.require(
+        Polling.require(
                 TIMEOUT_MS, "a primary that has detected the loss", () -> cluster.primaryAmong(cluster.running())
                         .filter(report -> report.tolerableLosses() < Cluster.TOLERATED_LOSSES)
                         .isPresent());
@@ -90,11 +90,11 @@
 
     private void recordRepair(String kind, int number) throws InterruptedException {
         SystemProcess process = cluster.process(number);
-        long firstResponseNs = Waiting.require(
+        long firstResponseNs = Polling.require(
                 TIMEOUT_MS, "a response", () -> cluster.configuration(number).isPresent());
-        long repairedNs = Waiting.require(TIMEOUT_MS, kind + " to be repaired", () -> cluster.isRepairedWith(number));
+        long repairedNs = Polling.require(TIMEOUT_MS, kind + " to be repaired", () -> cluster.isRepairedWith(number));
         figures.add(
-                kind + ", ms from process start" + sizeSuffix, Waiting.ms(process.startedAtNs(), repairedNs), targetMs);
-        figures.add(kind + ", ms from first answer" + sizeSuffix, Waiting.ms(firstResponseNs, repairedNs));
+                kind + ", ms from process start" + sizeSuffix, Polling.ms(process.startedAtNs(), repairedNs), targetMs);
+        figures.add(kind + ", ms from first answer" + sizeSuffix, Polling.ms(firstResponseNs, repairedNs));
     }
 }
