--- a/testing/lab/src/main/java/pinewick/lab/demo/Demo.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/Demo.java
@@ -140,7 +140,7 @@
     }
 
     private static String milliseconds(Operator.Change change) {
-        return Math.round((change.acknowledgedNs() - change.askedNs()) / NS_PER_MS) + " ms";
+        return Math.round((change.acknowledgedNs() - change.sentNs()) / NS_PER_MS) + " ms";
     }
 
     private void print(String event) {
--- a/testing/lab/src/main/java/pinewick/lab/demo/DemoReplicas.java
+++ b/testing/lab/src/main/java/pinewick/lab/demo/DemoReplicas.java
@@ -63,7 +63,7 @@
 
     /** Announces the drain of a replica with its next heartbeat. */
     void drain(int index) {
-        heartbeats.on(index, replica -> replica.drain(HollowReplica.nowMs()));
+        heartbeats.execute(index, replica -> replica.drain(HollowReplica.nowMs()));
     }
 
     /** Time of the acknowledgement of the drain, {@link System#nanoTime}; 0 until then. */
@@ -73,7 +73,7 @@
 
     /** Stops the heartbeats of a replica and deregisters it; if a controller acknowledges, closes it, returns true. */
     boolean deregister(int index) throws InterruptedException {
-        heartbeats.on(index, HollowReplica::end);
+        heartbeats.execute(index, HollowReplica::stop);
         String path = "/instances/" + heartbeats.replica(index).instanceId() + "/deregister";
         for (SocketAddress controlPlane : controlPlanes) {
             if (http.post(controlPlane, path, "{}") == OK) {
