--- a/query-mixer/daemon/src/test/java/pinewick/FleetServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/FleetServeTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import pinewick.fleet.MembershipSettings;
 import pinewick.standins.FleetProcesses;
-import pinewick.standins.StandinSearchers;
+import pinewick.standins.StandinReplicas;
 
 /**
  * Several mixers, each a process of its own from this build's classes, that see each other through a relay which loses,
@@ -90,12 +90,12 @@
         for (int tries = 0; rounds < 2; tries++) {
             assertTrue(tries < MAX_ATTEMPTS, "this machine is too busy to stop a process for two seconds");
             int before = deaths();
-            double from = StandinSearchers.clock();
+            double from = StandinReplicas.clock();
             fleet.mixer(2).signal("STOP");
             boolean died = FleetProcesses.within(2, () -> deaths() > before);
             fleet.mixer(2).signal("CONT");
             assertTrue(FleetProcesses.within(START_TIMEOUT_SECONDS, () -> answers(2)));
-            double pause = StandinSearchers.clock() - from;
+            double pause = StandinReplicas.clock() - from;
             if (pause > MAX_PAUSE_SECONDS) {
                 // A longer pause may rightly count as a failure, so nothing is asserted about it.
                 awaitView(START_TIMEOUT_SECONDS, "AAAA", 0, 1, 2, 3);
--- a/query-mixer/daemon/src/test/java/pinewick/RegistryServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/RegistryServeTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pinewick.standins.MixerProcess;
+import pinewick.standins.QueryRouterProcess;
 import pinewick.standins.StandinRegistry;
-import pinewick.standins.StandinSearchers;
+import pinewick.standins.StandinReplicas;
 
 /**
  * A mixer in a process of its own, from this build's classes, that follows a fake registry on sockets. Every wait has a
@@ -31,14 +31,14 @@
     Path folder;
 
     private StandinRegistry registry;
-    private StandinSearchers searchers;
-    private MixerProcess mixer;
+    private StandinReplicas searchers;
+    private QueryRouterProcess mixer;
     private int queryCount;
 
     @BeforeEach
     void open() throws Exception {
         registry = new StandinRegistry(2);
-        searchers = new StandinSearchers(4, 0);
+        searchers = new StandinReplicas(4, 0);
         for (int each = 0; each < 4; each++) {
             put(each, "ready");
         }
@@ -48,7 +48,7 @@
                 "{\"registry\":{\"endpoints\":[\"" + registry.members().get(0).address() + "\",\""
                         + registry.members().get(1).address() + "\"],\"prefix\":\"" + PREFIX + "\",\"page-keys\":2,"
                         + "\"line-bytes\":65536,\"kept\":\"" + folder.resolve("kept") + "\"}}");
-        mixer = new MixerProcess(null, folder, operator, SERVICE_CLASS, 2);
+        mixer = new QueryRouterProcess(null, folder, operator, SERVICE_CLASS, 2);
     }
 
     @AfterEach
@@ -79,9 +79,9 @@
     }
 
     private void await(String what, BooleanSupplier condition) throws Exception {
-        double deadline = StandinSearchers.clock() + 30;
+        double deadline = StandinReplicas.clock() + 30;
         while (!condition.getAsBoolean()) {
-            assertTrue(StandinSearchers.clock() < deadline, () -> what + " did not come\n" + log());
+            assertTrue(StandinReplicas.clock() < deadline, () -> what + " did not come\n" + log());
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
@@ -106,7 +106,7 @@
             assertEquals(200, mixer.ask("q-" + queryCount++, "any", 2, 2), () -> log());
         }
         int[] parts = new int[4];
-        List<StandinSearchers.Arrival> all = searchers.arrivals();
+        List<StandinReplicas.Arrival> all = searchers.arrivals();
         all.subList(before, all.size()).forEach(each -> parts[each.searcher()]++);
         return parts;
     }
--- a/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
@@ -19,7 +19,7 @@
 import pinewick.fleet.state.FactKind;
 import pinewick.fleet.state.FactSnapshotFormat;
 import pinewick.standins.FleetProcesses;
-import pinewick.standins.StandinSearchers;
+import pinewick.standins.StandinReplicas;
 
 /**
  * Several mixer processes that replicate facts about fake replicas, through a relay that loses a tenth of the
@@ -36,7 +36,7 @@
     @TempDir
     Path folder;
 
-    private StandinSearchers searchers;
+    private StandinReplicas searchers;
     private FleetProcesses fleet;
     private int queryCount;
 
@@ -52,7 +52,7 @@
     }
 
     private List<String> searchers(double... serviceSeconds) throws Exception {
-        searchers = new StandinSearchers(serviceSeconds);
+        searchers = new StandinReplicas(serviceSeconds);
         List<String> addresses = new ArrayList<>();
         for (int each = 0; each < serviceSeconds.length; each++) {
             addresses.add(searchers.address(each));
--- a/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
@@ -27,10 +27,10 @@
 import pinewick.registry.RegistryView;
 import pinewick.rules.RuleChecker;
 import pinewick.rules.Trace;
-import pinewick.standins.MixerProcess;
+import pinewick.standins.QueryRouterProcess;
 import pinewick.standins.RegistryState;
 import pinewick.standins.StandinRegistry;
-import pinewick.standins.StandinSearchers;
+import pinewick.standins.StandinReplicas;
 
 /**
  * On sockets: real mixer processes under steady queries follow a stand-in registry that compacts, drops, pauses and
@@ -101,7 +101,7 @@
         return pass ? 0 : 1;
     }
 
-    private static String value(StandinSearchers searchers, int searcher, String phase) {
+    private static String value(StandinReplicas searchers, int searcher, String phase) {
         return "{\"addresses\":[\"" + searchers.address(searcher) + "\"],\"zone\":\"a\",\"cell\":" + searcher % CELLS
                 + ",\"phase\":\"" + phase + "\"}";
     }
@@ -111,9 +111,9 @@
         SplittableRandom chance = new SplittableRandom(seed);
         Path folder = Files.createTempDirectory("pinewick-lab");
         List<Drain> drains = new ArrayList<>();
-        List<MixerProcess> mixers = new ArrayList<>();
+        List<QueryRouterProcess> mixers = new ArrayList<>();
         try (StandinRegistry registry = new StandinRegistry(3);
-                StandinSearchers searchers = new StandinSearchers(SEARCHERS, 0.003)) {
+                StandinReplicas searchers = new StandinReplicas(SEARCHERS, 0.003)) {
             for (int each = 0; each < SEARCHERS; each++) {
                 registry.put(PREFIX + "s-" + each, value(searchers, each, "ready"));
             }
@@ -121,7 +121,7 @@
                 mixers.add(mixer(folder.resolve("mixer-" + each), registry));
                 mixers.get(each).start();
             }
-            for (MixerProcess each : mixers) {
+            for (QueryRouterProcess each : mixers) {
                 if (!each.awaitReady(15)) {
                     System.err.println(Files.readString(each.log()));
                     throw new IllegalStateException("a mixer did not become ready");
@@ -143,7 +143,7 @@
             }
             long registryRevision = registry.revision();
             boolean equal = true;
-            for (MixerProcess each : mixers) {
+            for (QueryRouterProcess each : mixers) {
                 String counters = each.get("/counters");
                 equal &= counters != null
                         && counters.contains("registry-revision " + registryRevision + "\n")
@@ -152,11 +152,11 @@
             return judge(figures, drains, searchers, equal);
         } finally {
             over.set(true);
-            mixers.forEach(MixerProcess::close);
+            mixers.forEach(QueryRouterProcess::close);
         }
     }
 
-    private MixerProcess mixer(Path folder, StandinRegistry registry) throws IOException {
+    private QueryRouterProcess mixer(Path folder, StandinRegistry registry) throws IOException {
         Files.createDirectories(folder);
         Path operator = folder.resolve("operator.json");
         StringBuilder endpoints = new StringBuilder();
@@ -169,10 +169,10 @@
                 operator,
                 "{\"registry\":{\"endpoints\":[" + endpoints + "],\"prefix\":\"" + PREFIX + "\",\"kept\":\""
                         + folder.resolve("kept") + "\"}}");
-        return new MixerProcess(jar, folder, operator, GRADE, CELLS);
+        return new QueryRouterProcess(jar, folder, operator, GRADE, CELLS);
     }
 
-    private Thread client(List<MixerProcess> mixers, int number) {
+    private Thread client(List<QueryRouterProcess> mixers, int number) {
         Thread client = new Thread(
                 () -> {
                     int asks = 0;
@@ -181,9 +181,9 @@
                             int at = (number + asks) % mixers.size();
                             boolean before = away(at);
                             String id = "q-" + number + "-" + asks++;
-                            double began = StandinSearchers.clock();
+                            double began = StandinReplicas.clock();
                             int status = mixers.get(at).ask(id, "any", CELLS, 1);
-                            double ended = StandinSearchers.clock();
+                            double ended = StandinReplicas.clock();
                             if (before || away(at)) {
                                 // A mixer that is killed answers nothing; what it sent still counts for rule 3.
                                 TimeUnit.MILLISECONDS.sleep(10);
@@ -225,8 +225,8 @@
     /** One drain in each of four cells, with a trouble round them; the searchers are ready again at its end. */
     private void round(
             StandinRegistry registry,
-            StandinSearchers searchers,
-            List<MixerProcess> mixers,
+            StandinReplicas searchers,
+            List<QueryRouterProcess> mixers,
             SplittableRandom chance,
             Trouble trouble,
             List<Drain> drains)
@@ -265,14 +265,14 @@
         } else if (trouble == Trouble.TERM || trouble == Trouble.KILL) {
             registry.compact();
         }
-        double told = StandinSearchers.clock();
+        double told = StandinReplicas.clock();
         if (trouble == Trouble.TERM || trouble == Trouble.KILL) {
             mixers.get(mixer).start();
             boolean ready = mixers.get(mixer).awaitReady(10);
             away(mixer, !ready);
         }
         TimeUnit.MILLISECONDS.sleep(quick ? 1000 : 1100);
-        double until = StandinSearchers.clock();
+        double until = StandinReplicas.clock();
         chosen.forEach(each -> drains.add(new Drain(each, trouble, told, until)));
         for (StandinRegistry.Member each : members) {
             each.silent = each.mute = each.breaksNextEvent = false;
@@ -285,9 +285,9 @@
         TimeUnit.MILLISECONDS.sleep(150);
     }
 
-    private boolean judge(JsonObject figures, List<Drain> drains, StandinSearchers searchers, boolean equal)
+    private boolean judge(JsonObject figures, List<Drain> drains, StandinReplicas searchers, boolean equal)
             throws IOException {
-        List<StandinSearchers.Arrival> arrivals = searchers.arrivals();
+        List<StandinReplicas.Arrival> arrivals = searchers.arrivals();
         Map<Trouble, Histogram> byTrouble = new LinkedHashMap<>();
         Map<Trouble, int[]> late = new LinkedHashMap<>();
         Histogram all = new Histogram(3);
@@ -295,7 +295,7 @@
         for (Drain drain : drains) {
             double last = 0;
             int after = 0;
-            for (StandinSearchers.Arrival each : arrivals) {
+            for (StandinReplicas.Arrival each : arrivals) {
                 if (each.searcher() == drain.searcher() && each.at() > drain.told() && each.at() < drain.until()) {
                     last = Math.max(last, each.at() - drain.told());
                     after += each.at() - drain.told() > GRACE ? 1 : 0;
@@ -310,7 +310,7 @@
             trace.add(drain.told(), "tier", Trace.Kind.TOLD, "-", "-", "s-" + drain.searcher(), "draining");
             trace.add(drain.until(), "tier", Trace.Kind.TOLD, "-", "-", "s-" + drain.searcher(), "ready");
         }
-        for (StandinSearchers.Arrival each : arrivals) {
+        for (StandinReplicas.Arrival each : arrivals) {
             trace.add(
                     each.at(),
                     "tier",
@@ -419,14 +419,14 @@
         rebuild(view, pages(1_000));
         byte[] value = "{\"addresses\":[\"127.0.0.1:1\"],\"phase\":\"draining\"}".getBytes(StandardCharsets.UTF_8);
         long early = 0;
-        double began = StandinSearchers.clock();
+        double began = StandinReplicas.clock();
         for (int each = 1; each <= changes; each++) {
             view.apply(List.of(new KeyValue(PREFIX + "s-" + each % 1_000, value, view.revision() + 1, 0)));
             if (each == changes / 10) {
                 early = used();
             }
         }
-        double rate = changes / (StandinSearchers.clock() - began);
+        double rate = changes / (StandinReplicas.clock() - began);
         double grown = (used() - early) / 1e6;
         table.append(String.format(
                 "%n%d changes one by one: %.0f a second; memory held %.1f MB more at the end than after a tenth%n",
@@ -464,9 +464,9 @@
                         .append("\"}}");
             }
             String news = events + "]}}";
-            double began = StandinSearchers.clock();
+            double began = StandinReplicas.clock();
             view.apply(EtcdJson.parseResponse(news).keyValues());
-            double resumed = StandinSearchers.clock() - began;
+            double resumed = StandinReplicas.clock() - began;
             double anew = rebuild(view, pages);
             double naiveKb = pages.stream().mapToInt(String::length).sum() / 1e3;
             table.append(String.format(
@@ -518,14 +518,14 @@
     }
 
     private static double rebuild(RegistryView view, List<String> pages) {
-        double began = StandinSearchers.clock();
+        double began = StandinReplicas.clock();
         view.beginRebuild();
         for (String page : pages) {
             RegistryResponse answer = EtcdJson.parseResponse(page);
             view.addPage(answer.revision(), answer.keyValues());
         }
         view.commit(false);
-        return StandinSearchers.clock() - began;
+        return StandinReplicas.clock() - began;
     }
 
     private static long used() throws InterruptedException {
--- a/testing/standins/src/main/java/pinewick/standins/FleetProcesses.java
+++ b/testing/standins/src/main/java/pinewick/standins/FleetProcesses.java
@@ -16,7 +16,7 @@
     private static final String GRADE =
             "{\"name\":\"any\",\"slo-ns\":1e9,\"hard-limit-ns\":3e9,\"effect\":\"retryable\"}";
 
-    private final List<MixerProcess> mixers = new ArrayList<>();
+    private final List<QueryRouterProcess> mixers = new ArrayList<>();
     private final List<InetSocketAddress> homes = new ArrayList<>();
     private final DatagramRelay relay;
     private int listed;
@@ -52,7 +52,7 @@
         listed = size;
         for (int each = 0; each < size; each++) {
             Path own = Files.createDirectories(folder.resolve("mixer-" + each));
-            mixers.add(new MixerProcess(
+            mixers.add(new QueryRouterProcess(
                     jar, own, operator, GRADE, searchers.size(), known.toString(), peers(each), size, each));
         }
     }
@@ -90,7 +90,7 @@
         return homes.get(place);
     }
 
-    public MixerProcess mixer(int place) {
+    public QueryRouterProcess mixer(int place) {
         return mixers.get(place);
     }
 
@@ -123,21 +123,21 @@
 
     /** Seconds until all of these say so; NaN where they don't within so many. */
     public double until(double within, String letters, int... places) throws InterruptedException {
-        double from = StandinSearchers.clock();
+        double from = StandinReplicas.clock();
         while (!all(letters, places)) {
-            if (StandinSearchers.clock() - from > within) {
+            if (StandinReplicas.clock() - from > within) {
                 return Double.NaN;
             }
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        return StandinSearchers.clock() - from;
+        return StandinReplicas.clock() - from;
     }
 
     /** Whether it became so within so many seconds. */
     public static boolean within(double seconds, BooleanSupplier what) throws InterruptedException {
-        double until = StandinSearchers.clock() + seconds;
+        double until = StandinReplicas.clock() + seconds;
         while (!what.getAsBoolean()) {
-            if (StandinSearchers.clock() > until) {
+            if (StandinReplicas.clock() > until) {
                 return false;
             }
             TimeUnit.MILLISECONDS.sleep(20);
@@ -158,7 +158,7 @@
 
     @Override
     public void close() throws IOException {
-        mixers.forEach(MixerProcess::close);
+        mixers.forEach(QueryRouterProcess::close);
         relay.close();
     }
 }
--- a/testing/standins/src/main/java/pinewick/standins/MixerProcess.java
+++ b/testing/standins/src/main/java/pinewick/standins/QueryRouterProcess.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A real mixer as a process of its own, on loopback, with an operator's file. */
-public final class MixerProcess implements AutoCloseable {
+public final class QueryRouterProcess implements AutoCloseable {
     private static final HttpClient CLIENT =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
 
@@ -33,7 +33,7 @@
      * @param jar the program; null for this process's own class path
      * @param categories the service grades, as JSON objects set apart by commas
      */
-    public MixerProcess(Path jar, Path folder, Path operator, String categories, int cells) throws IOException {
+    public QueryRouterProcess(Path jar, Path folder, Path operator, String categories, int cells) throws IOException {
         this(jar, folder, operator, categories, cells, "", "", 2, 0);
     }
 
@@ -46,7 +46,7 @@
      * @param instances how many mixers the settings state
      * @param self this one's number among them
      */
-    public MixerProcess(
+    public QueryRouterProcess(
             Path jar,
             Path folder,
             Path operator,
@@ -111,8 +111,8 @@
 
     /** Waits until it is ready; false after so many seconds. */
     public boolean awaitReady(double seconds) throws InterruptedException {
-        double until = StandinSearchers.clock() + seconds;
-        while (StandinSearchers.clock() < until) {
+        double until = StandinReplicas.clock() + seconds;
+        while (StandinReplicas.clock() < until) {
             if ("ready\n".equals(get("/health/ready"))) {
                 return true;
             }
--- a/testing/standins/src/main/java/pinewick/standins/StandinRegistry.java
+++ b/testing/standins/src/main/java/pinewick/standins/StandinRegistry.java
@@ -219,7 +219,7 @@
         private String grant(JsonObject asked) {
             synchronized (state) {
                 long seconds = number(asked, "TTL");
-                leases.put(++lastLease, new double[] {seconds, StandinSearchers.clock() + seconds});
+                leases.put(++lastLease, new double[] {seconds, StandinReplicas.clock() + seconds});
                 return lease(lastLease, seconds) + "\n";
             }
         }
@@ -229,7 +229,7 @@
                 long id = number(asked, "ID");
                 double[] known = leases.get(id);
                 if (known != null) {
-                    known[1] = StandinSearchers.clock() + known[0];
+                    known[1] = StandinReplicas.clock() + known[0];
                 }
                 JsonObject answer = new JsonObject();
                 answer.add("result", lease(id, known == null ? 0 : (long) known[0]));
@@ -335,7 +335,7 @@
             synchronized (state) {
                 List<Long> over = new ArrayList<>();
                 leases.forEach((id, lease) -> {
-                    if (lease[1] < StandinSearchers.clock()) {
+                    if (lease[1] < StandinReplicas.clock()) {
                         over.add(id);
                     }
                 });
--- a/testing/standins/src/main/java/pinewick/standins/StandinSearchers.java
+++ b/testing/standins/src/main/java/pinewick/standins/StandinReplicas.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /** Searchers on loopback that answer every part after a stated time and keep when each part came, by searcher. */
-public final class StandinSearchers implements AutoCloseable {
+public final class StandinReplicas implements AutoCloseable {
     /** A part that came; seconds by {@link System#nanoTime}. */
     public record Arrival(double at, int searcher, String part) {}
 
@@ -23,14 +23,14 @@
     private final double[] answerTimes;
 
     /** @param answerTime seconds from a part's arrival to its answer */
-    public StandinSearchers(int count, double answerTime) throws IOException {
+    public StandinReplicas(int count, double answerTime) throws IOException {
         this(java.util.stream.DoubleStream.generate(() -> answerTime)
                 .limit(count)
                 .toArray());
     }
 
     /** @param answerTimes seconds from a part's arrival to its answer, by searcher */
-    public StandinSearchers(double... answerTimes) throws IOException {
+    public StandinReplicas(double... answerTimes) throws IOException {
         this.answerTimes = answerTimes;
         for (int each = 0; each < answerTimes.length; each++) {
             ServerSocket listener = new ServerSocket();
