--- a/query-mixer/daemon/src/test/java/pinewick/ClientCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ClientConnectionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Clients that disconnect, stay idle, arrive in bursts or send at the wrong moment. */
-class ClientCrossingTest extends MixerHarness {
+class ClientConnectionTest extends RouterProcessHarness {
     @Test
     void incompleteRequestsTimeOutWithoutAffectingOtherClients() throws Exception {
         FakeReplica a = new FakeReplica("a", 0, "held");
--- a/query-mixer/daemon/src/test/java/pinewick/FleetServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/FleetServeTest.java
@@ -168,7 +168,7 @@
 
     @Test
     void aLongerListOfMixersBySighupIsAChangeOfTheViewAndNoRestart() throws Exception {
-        HangUpPrecondition.check();
+        SighupPrecondition.check();
         fleet = new FleetProcesses(4, null, folder, null, 7);
         fleet.list(3);
         fleet.start(0, 1, 2);
--- a/query-mixer/daemon/src/test/java/pinewick/SearcherCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ReplicaConnectionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Connections to replicas that break, fall silent or deliver invalid data. */
-class SearcherCrossingTest extends MixerHarness {
+class ReplicaConnectionTest extends RouterProcessHarness {
     @Test
     void invalidResponsesEndTheirOwnAttemptsAndValidOnesKeepTheirValue() throws Exception {
         for (String kind : List.of("letter", "end", "line", "empty", "control", "short", "3GB")) {
--- a/query-mixer/daemon/src/test/java/pinewick/ListCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ReplicaListTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The replica list: drains, changed addresses, new configurations, discovery agents that fall silent. */
-class ListCrossingTest extends MixerHarness {
+class ReplicaListTest extends RouterProcessHarness {
     @Test
     void drainingReplicaGetsNoNewAttemptsAndChangedAddressIsFollowed() throws Exception {
         FakeReplica a = new FakeReplica("a", 0, "answer");
--- a/query-mixer/daemon/src/test/java/pinewick/MixerHarness.java
+++ b/query-mixer/daemon/src/test/java/pinewick/RouterProcessHarness.java
@@ -34,7 +34,7 @@
  * Runs the whole program as a process, with in-process fakes of the replicas, the clients and the discovery service.
  */
 @Timeout(60)
-abstract class MixerHarness {
+abstract class RouterProcessHarness {
     static final int WAIT_SECONDS = 20;
 
     @TempDir
@@ -76,7 +76,7 @@
     }
 
     final void sendSighup() throws Exception {
-        HangUpPrecondition.check();
+        SighupPrecondition.check();
         assertEquals(
                 0, new ProcessBuilder("kill", "-HUP", "" + mixer.pid()).start().waitFor());
         Thread.sleep(150);
--- a/query-mixer/daemon/src/test/java/pinewick/ServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ServeTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The whole program on sockets: what it answers and what it refuses. */
-class ServeTest extends MixerHarness {
+class ServeTest extends RouterProcessHarness {
     @Test
     void queryIsAnsweredWithTheValuesOfItsReplicas() throws Exception {
         FakeReplica a = new FakeReplica("a", 0, "answer");
--- a/query-mixer/daemon/src/test/java/pinewick/ShutdownCrossingTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ShutdownTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Events during an orderly shutdown. */
-class ShutdownCrossingTest extends MixerHarness {
+class ShutdownTest extends RouterProcessHarness {
     @Test
     void acceptedQueriesAreAnsweredBeforeTheExit() throws Exception {
         FakeReplica a = new FakeReplica("a", 0, "held");
--- a/query-mixer/daemon/src/test/java/pinewick/HangUpPrecondition.java
+++ b/query-mixer/daemon/src/test/java/pinewick/SighupPrecondition.java
@@ -10,12 +10,12 @@
  * Fails a test at once where SIGHUP can't reach the processes that it starts. An ignored signal stays ignored across
  * fork and exec, and a JVM that starts with SIGHUP ignored installs no handler for it.
  */
-final class HangUpPrecondition {
+final class SighupPrecondition {
     private static final Path OWN_STATUS = Path.of("/proc/self/status");
     private static final String IGNORED_SIGNALS = "SigIgn:";
     private static final long HANG_UP_BIT = 1; // signal 1 is the lowest bit of the mask
 
-    private HangUpPrecondition() {}
+    private SighupPrecondition() {}
 
     /** Checks this process, from which its children inherit; without a /proc the test itself has to show it. */
     static void check() throws IOException {
