--- a/query-mixer/fleet/src/main/java/pinewick/fleet/FailureDetector.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/FailureDetector.java
@@ -234,8 +234,8 @@
     }
 
     /**
-     * Tells requesters of indirect probes that there was no answer so far, so that they know that their own links
-     * work.
+     * Sends a negative acknowledgement to requesters of indirect probes that had no response yet, so that they know
+     * that their own links work.
      */
     private void sendNacks(double now) {
         Iterator<IndirectProbe> all = indirectProbes.values().iterator();
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/IndirectProbe.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/IndirectProbe.java
@@ -7,8 +7,8 @@
 
     final int requesterNumber;
     /**
-     * Time from which the requester is told that there was no answer so far, and time after which it is told
-     * nothing.
+     * Time from which the requester gets a negative acknowledgement if there was no response yet, and time after
+     * which it gets none.
      */
     private final double nackAt;
 
@@ -26,7 +26,7 @@
         return now >= expiresAt;
     }
 
-    /** Whether the requester is to be told now that there is no answer; returns true only once. */
+    /** Whether a negative acknowledgement is due now; returns true only once. */
     boolean takeNackDue(double now) {
         boolean isDue = now >= nackAt && !nackSent;
         nackSent |= isDue;
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactDatagram.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactDatagram.java
@@ -41,7 +41,7 @@
         void onChecksums(int[] checksums);
 
         /** Keys of replicas in differing ranges, with their checksums at the sender. */
-        void onSearchers(int[] keys, int[] checksums);
+        void onReplicas(int[] keys, int[] checksums);
 
         /** The sender requests all facts about these replicas. */
         void onKeysRequested(int[] keys);
@@ -51,7 +51,7 @@
     }
 
     /** Maximum number of replicas in one datagram with their checksums, and maximum number of keys alone. */
-    static final int MAX_SEARCHERS = (Datagram.MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / 8;
+    static final int MAX_REPLICAS = (Datagram.MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / 8;
 
     static final int MAX_KEYS = (Datagram.MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / 4;
     private static final int[] ITEM_BYTES = {FACT_BYTES, 4, FACT_BYTES, 8, 4};
@@ -80,7 +80,7 @@
         return withChecksum(out);
     }
 
-    static byte[] searchers(List<Integer> keys, List<Integer> checksums) {
+    static byte[] replicas(List<Integer> keys, List<Integer> checksums) {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + keys.size() * 8 + CHECKSUM_BYTES);
         out.put(VERSION).put((byte) 3).put((byte) keys.size());
         for (int each = 0; each < keys.size(); each++) {
@@ -152,7 +152,7 @@
                 if (type == 1) {
                     reader.onChecksums(keys);
                 } else if (type == 3) {
-                    reader.onSearchers(keys, checksums);
+                    reader.onReplicas(keys, checksums);
                 } else {
                     reader.onKeysRequested(keys);
                 }
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactReplicator.java
@@ -17,7 +17,7 @@
  * seconds on the clock that all routers share.
  *
  * <p>A replica is a back end that answers queries; it holds no facts. Settings and log lines call a router a
- * mixer and a replica a searcher; some names in this package say searcher as well.
+ * mixer and a replica a searcher.
  */
 public final class FactReplicator implements FactDatagram.Reader {
     /** Sends datagrams, which may be lost. */
@@ -306,9 +306,9 @@
             }
         }
         int remaining = MAX_ANSWER_DATAGRAMS;
-        for (int at = 0; at < keys.size() && remaining > 0 && hasBudget(); at += FactDatagram.MAX_SEARCHERS) {
-            int end = Math.min(keys.size(), at + FactDatagram.MAX_SEARCHERS);
-            send(senderIndex, FactDatagram.searchers(keys.subList(at, end), keyChecksums.subList(at, end)));
+        for (int at = 0; at < keys.size() && remaining > 0 && hasBudget(); at += FactDatagram.MAX_REPLICAS) {
+            int end = Math.min(keys.size(), at + FactDatagram.MAX_REPLICAS);
+            send(senderIndex, FactDatagram.replicas(keys.subList(at, end), keyChecksums.subList(at, end)));
             remaining--;
         }
         remaining = Math.max(1, remaining);
@@ -333,7 +333,7 @@
     }
 
     @Override
-    public void onSearchers(int[] keys, int[] peerChecksums) {
+    public void onReplicas(int[] keys, int[] peerChecksums) {
         List<Integer> differing = new ArrayList<>();
         List<Fact> own = new ArrayList<>();
         for (int each = 0; each < keys.length; each++) {
--- a/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactStore.java
+++ b/query-mixer/fleet/src/main/java/pinewick/fleet/state/FactStore.java
@@ -28,49 +28,49 @@
             Comparator.comparingLong(Fact::stamp).thenComparing(Fact::origin).reversed();
 
     /** The facts of one replica: one list per kind, the newest first. */
-    private static final class SearcherFacts {
+    private static final class ReplicaFacts {
         final List<List<Fact>> kinds = new ArrayList<>();
         int checksum;
 
-        SearcherFacts() {
+        ReplicaFacts() {
             for (int each = 0; each < KINDS.length; each++) {
                 kinds.add(new ArrayList<>(2));
             }
         }
     }
 
-    private final Map<Integer, SearcherFacts> keys = new HashMap<>();
+    private final Map<Integer, ReplicaFacts> keys = new HashMap<>();
     private final int[] checksums = new int[RANGES];
     private int size;
 
     /** Merges a fact. Returns whether it changed the store. */
     public boolean merge(Fact fact) {
-        SearcherFacts searcher = keys.computeIfAbsent(fact.key(), any -> new SearcherFacts());
-        List<Fact> kept = searcher.kinds.get(fact.kind().ordinal());
+        ReplicaFacts replicaFacts = keys.computeIfAbsent(fact.key(), any -> new ReplicaFacts());
+        List<Fact> kept = replicaFacts.kinds.get(fact.kind().ordinal());
         for (Fact each : kept) {
             if (each.origin() == fact.origin()) {
                 if (each.stamp() >= fact.stamp()) {
                     return false;
                 }
-                remove(kept, each, searcher);
-                insert(kept, fact, searcher);
+                remove(kept, each, replicaFacts);
+                insert(kept, fact, replicaFacts);
                 return true;
             }
         }
         if (kept.size() < MAX_ORIGINS) {
-            insert(kept, fact, searcher);
+            insert(kept, fact, replicaFacts);
             return true;
         }
         Fact oldest = kept.get(kept.size() - 1);
         if (NEWEST_FIRST.compare(fact, oldest) > 0) {
             return false;
         }
-        remove(kept, oldest, searcher);
-        insert(kept, fact, searcher);
+        remove(kept, oldest, replicaFacts);
+        insert(kept, fact, replicaFacts);
         return true;
     }
 
-    private void insert(List<Fact> kept, Fact fact, SearcherFacts searcher) {
+    private void insert(List<Fact> kept, Fact fact, ReplicaFacts replicaFacts) {
         int at = 0;
         while (at < kept.size() && NEWEST_FIRST.compare(kept.get(at), fact) < 0) {
             at++;
@@ -78,14 +78,14 @@
         kept.add(at, fact);
         size++;
         checksums[range(fact.key())] ^= hash(fact);
-        searcher.checksum ^= hash(fact);
+        replicaFacts.checksum ^= hash(fact);
     }
 
-    private void remove(List<Fact> kept, Fact fact, SearcherFacts searcher) {
+    private void remove(List<Fact> kept, Fact fact, ReplicaFacts replicaFacts) {
         kept.remove(fact);
         size--;
         checksums[range(fact.key())] ^= hash(fact);
-        searcher.checksum ^= hash(fact);
+        replicaFacts.checksum ^= hash(fact);
     }
 
     private static int hash(Fact fact) {
@@ -102,7 +102,7 @@
 
     /** Facts about a replica of a kind, the newest first; empty if there are none. */
     public List<Fact> of(int key, FactKind kind) {
-        SearcherFacts kept = keys.get(key);
+        ReplicaFacts kept = keys.get(key);
         return kept == null ? List.of() : kept.kinds.get(kind.ordinal());
     }
 
@@ -119,14 +119,14 @@
 
     /** Checksum of the facts about a replica; 0 if there are none. */
     public int checksum(int key) {
-        SearcherFacts kept = keys.get(key);
+        ReplicaFacts kept = keys.get(key);
         return kept == null ? 0 : kept.checksum;
     }
 
     /** All facts about a replica; empty if there are none. */
     public List<Fact> of(int key) {
         List<Fact> all = new ArrayList<>();
-        SearcherFacts kept = keys.get(key);
+        ReplicaFacts kept = keys.get(key);
         if (kept != null) {
             kept.kinds.forEach(all::addAll);
         }
@@ -136,7 +136,7 @@
     /** All facts of one key range, or of all ranges for -1, sorted by key, kind and age. */
     public List<Fact> all(int range) {
         List<Fact> all = new ArrayList<>();
-        for (Map.Entry<Integer, SearcherFacts> each : keys.entrySet()) {
+        for (Map.Entry<Integer, ReplicaFacts> each : keys.entrySet()) {
             if (range < 0 || range(each.getKey()) == range) {
                 each.getValue().kinds.forEach(all::addAll);
             }
--- a/query-mixer/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
+++ b/query-mixer/fleet/src/test/java/pinewick/fleet/state/StatePropertyTest.java
@@ -96,7 +96,7 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void otherMixersNeverImproveAnOwnFigure(@ForAll double own, @ForAll double others) {
+    void otherRoutersNeverImproveAnOwnFigure(@ForAll double own, @ForAll double others) {
         assertTrue(Double.isNaN(own) || FactAggregator.worseOf(own, others) >= own);
     }
 
@@ -118,7 +118,7 @@
         }
 
         @Override
-        public void onSearchers(int[] keys, int[] given) {
+        public void onReplicas(int[] keys, int[] given) {
             named = keys;
             namedSums = given;
         }
@@ -148,13 +148,13 @@
         assertTrue(sums.length <= 256);
         assertNull(FactDatagram.read(sums, sums.length, recorder));
         assertTrue(Arrays.equals(store(facts).checksums(), recorder.sums));
-        List<Integer> keys = java.util.stream.IntStream.range(0, FactDatagram.MAX_SEARCHERS)
+        List<Integer> keys = java.util.stream.IntStream.range(0, FactDatagram.MAX_REPLICAS)
                 .mapToObj(each -> each * 7919)
                 .toList();
         List<Integer> keySums = keys.stream().map(each -> each * 31).toList();
-        byte[] searchers = FactDatagram.searchers(keys, keySums);
-        assertTrue(searchers.length <= 256);
-        assertNull(FactDatagram.read(searchers, searchers.length, recorder));
+        byte[] replicas = FactDatagram.replicas(keys, keySums);
+        assertTrue(replicas.length <= 256);
+        assertNull(FactDatagram.read(replicas, replicas.length, recorder));
         assertEquals(keys, Arrays.stream(recorder.named).boxed().toList());
         assertEquals(keySums.get(5), recorder.namedSums[5]);
         byte[] wanted = FactDatagram.keyRequest(keys);
