--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/CommandActions.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/CommandActions.java
@@ -93,7 +93,7 @@
 
     /** Starts, serves nobody and stops, so that a build can archive the classes that a start loads. */
     static int warmUp() throws Exception {
-        // Its own listener stands in for discovery: the watch request is sent there and gets a 404.
+        // Its own listener is also configured as discovery: the watch request is sent there and gets a 404.
         String ownAddress;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             ownAddress = "127.0.0.1:" + socket.getLocalPort();
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/FactReplicationService.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/FactReplicationService.java
@@ -70,7 +70,7 @@
             FactSnapshotFormat.Result result =
                     FactSnapshotFormat.read(snapshot, self, memberCount, loop.now(), FactKind.LATENCY.maxAgeSeconds());
             result.facts().forEach(replicator::onFact);
-            log.say(
+            log.log(
                     result.rejection() == null ? Log.Level.INFO : Log.Level.WARNING,
                     "fleet",
                     result.rejection() == null
@@ -84,7 +84,7 @@
         replicator.tick(loop.now());
         if (!isCatchUpLogged && !Double.isNaN(replicator.catchUpSeconds())) {
             isCatchUpLogged = true;
-            log.say(
+            log.log(
                     Log.Level.INFO,
                     "fleet",
                     String.format(
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/MembershipService.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/MembershipService.java
@@ -84,7 +84,7 @@
                         replication.snapshot() == null
                                 ? null
                                 : new SnapshotFile(
-                                        replication.snapshot(), text -> log.say(Log.Level.WARNING, "fleet", text)),
+                                        replication.snapshot(), text -> log.log(Log.Level.WARNING, "fleet", text)),
                         replication.snapshotIntervalSeconds(),
                         loop,
                         log,
@@ -98,7 +98,7 @@
     }
 
     void start() {
-        log.say(
+        log.log(
                 Log.Level.INFO,
                 "fleet",
                 "mixer " + peersAtStart.self() + " of " + peersAtStart.peers().size() + ", datagrams at "
@@ -142,7 +142,7 @@
         if (before == MemberState.UNHEARD && after == MemberState.ALIVE) {
             return; // At start all others change this way; one line each would crowd out the rest of the log.
         }
-        log.say(
+        log.log(
                 after == MemberState.DEAD ? Log.Level.WARNING : Log.Level.INFO,
                 "fleet",
                 "mixer " + member + ": " + before.name().toLowerCase(java.util.Locale.ROOT) + " to "
@@ -167,7 +167,7 @@
     void onPeersChanged(StartupConfig.Peers peers) {
         socket.setPeers(peers.peers(), peers.broadcast());
         if (peers.peers().size() != view.size() || peers.self() != view.self()) {
-            log.say(
+            log.log(
                     Log.Level.INFO,
                     "fleet",
                     "mixer list changed: " + peers.peers().size() + ", " + view.size() + " previously",
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/PipelineWarmUp.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/PipelineWarmUp.java
@@ -37,7 +37,7 @@
     private StreamConnection client;
     private double startedAt;
     private int requestCount;
-    private boolean ended;
+    private boolean finished;
 
     PipelineWarmUp(StartupConfig config, EventLoop loop, ByteBufferPool buffers, Runnable onDone) {
         this.deployment = config.deployment();
@@ -45,7 +45,7 @@
         this.loop = loop;
         this.log = new Log(System.err, 0);
         this.onDone = onDone;
-        pipeline = new RequestPipeline(deployment, limits, 1, loop, log, buffers, this::dial);
+        pipeline = new RequestPipeline(deployment, limits, 1, loop, log, buffers, this::connect);
     }
 
     void start() {
@@ -62,12 +62,12 @@
         try {
             client = pipe(pipeline.clientListener::handleEvent);
         } catch (IOException e) {
-            end();
+            finish();
             return;
         }
         client.getSourceChannel().setReadListener(any -> loop.event("rehearsing", this::onResponse));
         client.getSourceChannel().resumeReads();
-        loop.after(limits.warmUpSeconds() * 3, "ending the warm-up", this::end);
+        loop.after(limits.warmUpSeconds() * 3, "ending the warm-up", this::finish);
         sendRequest();
     }
 
@@ -80,7 +80,7 @@
         return pipe.getLeftSide();
     }
 
-    private void dial(TcpReplicaConnection connection) {
+    private void connect(TcpReplicaConnection connection) {
         loop.later("connecting for the warm-up", () -> {
             try {
                 connection.attach(pipe(farEnd -> new LoopbackReplica(farEnd, loop, limits)));
@@ -113,7 +113,7 @@
         try {
             client.getSinkChannel().write(ByteBuffer.wrap(request.getBytes(StandardCharsets.UTF_8)));
         } catch (IOException e) {
-            end();
+            finish();
         }
     }
 
@@ -123,22 +123,22 @@
             buffer.clear();
             int count = client.getSourceChannel().read(buffer);
             if (count < 0) {
-                end();
-            } else if (count > 0 && !ended) {
+                finish();
+            } else if (count > 0 && !finished) {
                 if (loop.clock() - startedAt < limits.warmUpSeconds()) {
                     sendRequest();
                 } else {
-                    end();
+                    finish();
                 }
             }
         } catch (IOException e) {
-            end();
+            finish();
         }
     }
 
-    private void end() {
-        if (!ended) {
-            ended = true;
+    private void finish() {
+        if (!finished) {
+            finished = true;
             pipeline.close();
             pipeEnds.forEach(IoUtils::safeClose);
             onDone.run();
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RegistryDiscovery.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RegistryDiscovery.java
@@ -23,7 +23,7 @@
 import pinewick.registry.SnapshotFiles;
 import pinewick.registry.ViewUpdate;
 
-/** Follows the replica list in a registry: connects the view, the session, the network and the cached copy. */
+/** Follows the replica list in a registry: connects the view, the watcher, the network and the cached copy. */
 final class RegistryDiscovery {
     private static final double TICK_SECONDS = 0.02;
 
@@ -32,8 +32,8 @@
     private final OperatorConfig.Registry settings;
     private final BiConsumer<ReplicaListJson.Update, SchedulerHost.ListUpdateKind> listener;
     private final RegistryView view;
-    private final PrefixWatcher session;
-    private final RegistrySessionTransport wire;
+    private final PrefixWatcher watcher;
+    private final RegistrySessionTransport transport;
     private final SnapshotFiles cache;
     private final double startedAt;
     private final RouterMembership routers;
@@ -52,16 +52,16 @@
         this.listener = listener;
         view = new RegistryView(settings.prefix());
         SplittableRandom random = new SplittableRandom(config.seed());
-        RegistryHttpClient calls = new RegistryHttpClient(loop, settings.endpoints(), settings.lineBytes());
-        wire = new RegistrySessionTransport(
+        RegistryHttpClient httpClient = new RegistryHttpClient(loop, settings.endpoints(), settings.lineBytes());
+        transport = new RegistrySessionTransport(
                 loop,
-                calls,
+                httpClient,
                 settings.prefix(),
-                this::onStep,
-                text -> log.say(Log.Level.WARNING, "registry", text, "revision", Long.toString(view.revision())));
+                this::onViewUpdate,
+                text -> log.log(Log.Level.WARNING, "registry", text, "revision", Long.toString(view.revision())));
         PrefixWatcher.Settings defaults =
                 PrefixWatcher.Settings.defaults(settings.endpoints().size());
-        PrefixWatcher.Settings terms = new PrefixWatcher.Settings(
+        PrefixWatcher.Settings watcherSettings = new PrefixWatcher.Settings(
                 defaults.endpointCount(),
                 settings.pageKeys(),
                 settings.answer(),
@@ -71,13 +71,13 @@
                 defaults.minBackoffSeconds(),
                 defaults.maxBackoffSeconds(),
                 settings.believe());
-        session = new PrefixWatcher(settings.prefix(), view, terms, wire, random.split());
+        watcher = new PrefixWatcher(settings.prefix(), view, watcherSettings, transport, random.split());
         routers = settings.mixersPrefix() == null
                 ? null
-                : new RouterMembership(calls, terms, config, random, countListener);
+                : new RouterMembership(httpClient, watcherSettings, config, random, countListener);
         cache = settings.kept() == null
                 ? null
-                : new SnapshotFiles(settings.kept(), text -> log.say(Log.Level.WARNING, "registry", text));
+                : new SnapshotFiles(settings.kept(), text -> log.log(Log.Level.WARNING, "registry", text));
         startedAt = loop.now();
     }
 
@@ -86,7 +86,7 @@
         SnapshotCodec.Snapshot cached = cache == null ? null : cache.readLatest();
         if (cached != null) {
             SnapshotCodec.restore(cached, view);
-            log.say(
+            log.log(
                     Log.Level.INFO,
                     "registry",
                     "registry: " + view.searchers().size() + " searchers from the kept copy at " + "revision "
@@ -97,7 +97,7 @@
                     Long.toString(view.revision()));
             listener.accept(toListUpdate(view.searchers(), true), SchedulerHost.ListUpdateKind.CACHED);
         }
-        wire.start(session);
+        transport.start(watcher);
         if (routers != null) {
             routers.start();
         }
@@ -106,7 +106,7 @@
 
     private void scheduleTick() {
         loop.after(TICK_SECONDS, "registry tick", () -> {
-            session.tick(loop.now());
+            watcher.tick(loop.now());
             if (routers != null) {
                 routers.tick();
             }
@@ -119,67 +119,71 @@
      * briefly for the current state. The cost: while the registry is down a restart takes that much longer.
      */
     boolean canServe() {
-        return view.revision() > 0 && (session.isCaughtUp() || loop.now() - startedAt >= settings.firstContact());
+        return view.revision() > 0 && (watcher.isCaughtUp() || loop.now() - startedAt >= settings.firstContact());
     }
 
     String metrics() {
         return (routers == null ? "" : routers.metrics())
-                + session.metrics().replaceAll("(?m)^", "registry-").replaceAll("registry-$", "");
+                + watcher.metrics().replaceAll("(?m)^", "registry-").replaceAll("registry-$", "");
     }
 
     /** Keeps this router's own key under a lease and counts the keys of all routers. */
     private final class RouterMembership {
         private final RegistryView routersView = new RegistryView(settings.mixersPrefix());
-        private final PrefixWatcher routersSession;
-        private final RegistrySessionTransport routersWire;
+        private final PrefixWatcher routersWatcher;
+        private final RegistrySessionTransport routersTransport;
         private final LeaseKeeper lease;
-        private final RegistryLeaseTransport leaseWire;
-        private final MixerCount count;
+        private final RegistryLeaseTransport leaseTransport;
+        private final MixerCount routerCount;
         private final IntConsumer countListener;
         private int reportedCount;
 
         RouterMembership(
-                RegistryHttpClient calls,
-                PrefixWatcher.Settings terms,
+                RegistryHttpClient httpClient,
+                PrefixWatcher.Settings watcherSettings,
                 StartupConfig config,
                 SplittableRandom random,
                 IntConsumer countListener) {
             this.countListener = countListener;
-            routersWire = new RegistrySessionTransport(
+            routersTransport = new RegistrySessionTransport(
                     loop,
-                    calls,
+                    httpClient,
                     settings.mixersPrefix(),
-                    step -> {},
-                    text -> log.say(Log.Level.WARNING, "registry", "mixers' " + text));
-            routersSession =
-                    new PrefixWatcher(settings.mixersPrefix(), routersView, terms, routersWire, random.split());
+                    update -> {},
+                    text -> log.log(Log.Level.WARNING, "registry", "mixers' " + text));
+            routersWatcher = new PrefixWatcher(
+                    settings.mixersPrefix(), routersView, watcherSettings, routersTransport, random.split());
             String address =
                     config.listen().getHostString() + ':' + config.listen().getPort();
-            leaseWire = new RegistryLeaseTransport(
+            leaseTransport = new RegistryLeaseTransport(
                     loop,
-                    calls,
+                    httpClient,
                     settings.mixersPrefix() + config.name() + '@' + address,
                     "{\"addresses\":[\"" + address + "\"]}");
             lease = new LeaseKeeper(
-                    terms.endpointCount(), settings.lease(), settings.answer(), leaseWire, random.split());
+                    watcherSettings.endpointCount(),
+                    settings.lease(),
+                    settings.answer(),
+                    leaseTransport,
+                    random.split());
             reportedCount = config.deployment().routers();
-            count = new MixerCount(reportedCount, loop.now(), settings.lowerAfter());
+            routerCount = new MixerCount(reportedCount, loop.now(), settings.lowerAfter());
         }
 
         void start() {
-            routersWire.start(routersSession);
-            leaseWire.start(lease);
+            routersTransport.start(routersWatcher);
+            leaseTransport.start(lease);
         }
 
         void tick() {
-            routersSession.tick(loop.now());
+            routersWatcher.tick(loop.now());
             lease.tick(loop.now());
-            if (routersSession.isCaughtUp()) {
-                count.observe(loop.now(), routersView.size());
+            if (routersWatcher.isCaughtUp()) {
+                routerCount.observe(loop.now(), routersView.size());
             }
-            int currentCount = count.count(loop.now());
+            int currentCount = routerCount.count(loop.now());
             if (currentCount != reportedCount) {
-                log.say(
+                log.log(
                         Log.Level.INFO,
                         "registry",
                         "registry: " + currentCount + " mixers, " + reportedCount + " previously",
@@ -196,46 +200,46 @@
         }
     }
 
-    private void onStep(ViewUpdate step) {
-        step.invalidValues()
-                .forEach(each -> log.say(
+    private void onViewUpdate(ViewUpdate update) {
+        update.invalidValues()
+                .forEach(each -> log.log(
                         Log.Level.WARNING,
                         "registry",
                         "registry: " + each + "; its last good state holds",
                         "revision",
-                        Long.toString(step.revision())));
-        Collection<SearcherRecord> changed = step.full() ? view.searchers() : step.changed();
-        if (step.full() || !step.changed().isEmpty()) {
+                        Long.toString(update.revision())));
+        Collection<SearcherRecord> changed = update.full() ? view.searchers() : update.changed();
+        if (update.full() || !update.changed().isEmpty()) {
             listener.accept(
-                    toListUpdate(changed, step.full()),
-                    step.full() ? SchedulerHost.ListUpdateKind.FULL : SchedulerHost.ListUpdateKind.INCREMENTAL);
+                    toListUpdate(changed, update.full()),
+                    update.full() ? SchedulerHost.ListUpdateKind.FULL : SchedulerHost.ListUpdateKind.INCREMENTAL);
         }
-        if (step.full()) {
-            log.say(
+        if (update.full()) {
+            log.log(
                     Log.Level.INFO,
                     "registry",
-                    "registry: whole view at revision " + step.revision() + ", " + changed.size() + " searchers, "
-                            + step.removedCount() + " gone",
+                    "registry: whole view at revision " + update.revision() + ", " + changed.size() + " searchers, "
+                            + update.removedCount() + " gone",
                     "revision",
-                    Long.toString(step.revision()),
+                    Long.toString(update.revision()),
                     "searchers",
                     Integer.toString(changed.size()));
         }
         if (cache != null) {
-            if (step.full() || cache.needsSnapshot()) {
-                long revision = step.revision();
+            if (update.full() || cache.needsSnapshot()) {
+                long revision = update.revision();
                 var entries = view.keyValues();
                 cache.writeSnapshot(() -> SnapshotCodec.encodeSnapshot(revision, entries));
             } else {
-                cache.appendChanges(SnapshotCodec.encodeChanges(step.revision(), step.events()));
+                cache.appendChanges(SnapshotCodec.encodeChanges(update.revision(), update.events()));
             }
         }
     }
 
-    private ReplicaListJson.Update toListUpdate(Collection<SearcherRecord> stores, boolean whole) {
-        List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>(stores.size());
-        List<InetSocketAddress> addresses = new ArrayList<>(stores.size());
-        for (SearcherRecord each : stores) {
+    private ReplicaListJson.Update toListUpdate(Collection<SearcherRecord> records, boolean isFull) {
+        List<SchedulerHost.ReplicaEntry> entries = new ArrayList<>(records.size());
+        List<InetSocketAddress> addresses = new ArrayList<>(records.size());
+        for (SearcherRecord each : records) {
             try {
                 addresses.add(ReplicaListJson.address(each.addresses().get(0)));
                 entries.add(each.toReplicaEntry());
@@ -250,7 +254,7 @@
                                 ? SchedulerHost.LifecycleState.GONE
                                 : each.state(),
                         each.startedAtSeconds()));
-                log.say(
+                log.log(
                         Log.Level.WARNING,
                         "registry",
                         "registry: " + each.id() + ": addresses: " + e.getMessage() + "; replica not used",
@@ -258,6 +262,6 @@
                         each.id());
             }
         }
-        return new ReplicaListJson.Update(view.revision(), whole, entries, addresses);
+        return new ReplicaListJson.Update(view.revision(), isFull, entries, addresses);
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
+++ b/query-mixer/daemon/src/main/java/pinewick/lifecycle/RouterServer.java
@@ -111,7 +111,7 @@
             }
         } catch (IOException e) {
             // Without the other routers this one still serves, as if the platform did not let routers talk.
-            log.say(
+            log.log(
                     Log.Level.ERROR,
                     "fleet",
                     "peer_listen: can't listen at " + config.peers().listen() + ": " + e.getMessage()
@@ -142,9 +142,9 @@
     }
 
     /**
-     * Follows the platform's discovery. The list in the configuration may be outdated, and what the agent holds counts
-     * as known from the process's first moment; so the router listens once that was read, or once the agent is found
-     * unreachable and can have told nothing. The cost: a start with a silent agent takes two attempts longer.
+     * Follows the platform's discovery. The list in the configuration may be outdated, and the agent's list counts as
+     * known from the start of the process. So the router listens only after it has read that list, or after the agent
+     * proved unreachable. The cost: a start with a silent agent takes two attempts longer.
      */
     private void followDiscovery() {
         pipeline.onReplicaListUpdate(config.knownReplicas(), SchedulerHost.ListUpdateKind.CACHED);
@@ -198,7 +198,7 @@
                             .getMap());
             listener.resumeAccepts();
         } catch (IOException e) {
-            log.say("EDGE_LISTEN: can't listen at " + config.listen() + ": " + e.getMessage());
+            log.log("EDGE_LISTEN: can't listen at " + config.listen() + ": " + e.getMessage());
             log.drain(limits.logDrainSeconds());
             Runtime.getRuntime().halt(2);
         }
@@ -209,7 +209,7 @@
         if (hasReplicaList && !isReady && !isStopping && listener != null) {
             isReady = true;
             pipeline.clientListener.setReady(true);
-            log.say(
+            log.log(
                     Log.Level.INFO,
                     "mixer",
                     "ready at " + config.listen(),
@@ -233,7 +233,7 @@
     void reload(long number, StartupConfig newConfig, String error) {
         loop.later("applying a reloaded configuration", () -> {
             if (newConfig == null) {
-                log.say("SIGHUP: the configuration in hand stays: " + error);
+                log.log("SIGHUP: the configuration in hand stays: " + error);
                 return;
             }
             if (number < latestReload) {
@@ -241,7 +241,7 @@
             }
             latestReload = number;
             String unapplied = String.join(", ", config.fieldsNeedingRestart(newConfig));
-            log.say("SIGHUP: discovery at " + newConfig.discovery()
+            log.log("SIGHUP: discovery at " + newConfig.discovery()
                     + (unapplied.isEmpty() ? "" : "; changed, but only a restart takes in: " + unapplied));
             config = config.withReloadable(newConfig);
             if (listWatch != null) {
@@ -266,7 +266,7 @@
     }
 
     private void shutDown() {
-        log.say("stopping");
+        log.log("stopping");
         double deadline = loop.now() + limits.maxShutdownSeconds();
         pipeline.clientListener.startDraining(deadline - limits.lastResponseSeconds());
         if (membership != null) {
@@ -302,7 +302,7 @@
                 connection = listener.accept();
             }
         } catch (IOException e) {
-            log.say(Log.Level.WARNING, "mixer", "accepting the last connections: " + e.getMessage());
+            log.log(Log.Level.WARNING, "mixer", "accepting the last connections: " + e.getMessage());
         }
     }
 
@@ -311,7 +311,7 @@
         pipeline.clientListener.closeIdleConnections();
         if ((pipeline.queries.awaitingCount() == 0 && pipeline.clientListener.connectionCount() == 0)
                 || loop.now() >= deadline) {
-            log.say("stopped; " + pipeline.metrics().replace('\n', ';'));
+            log.log("stopped; " + pipeline.metrics().replace('\n', ';'));
             log.drain(limits.logDrainSeconds());
             Runtime.getRuntime().exit(0);
         }
--- a/query-mixer/daemon/src/main/java/pinewick/loop/EventLoop.java
+++ b/query-mixer/daemon/src/main/java/pinewick/loop/EventLoop.java
@@ -35,7 +35,7 @@
         batchEndHandler = handler;
     }
 
-    /** Sets the load shedder that is told how long each batch took. */
+    /** Sets the load shedder that receives the duration of each batch. */
     public void setLoadShedder(LoadShedder shedder) {
         loadShedder = shedder;
     }
--- a/query-mixer/daemon/src/main/java/pinewick/loop/Log.java
+++ b/query-mixer/daemon/src/main/java/pinewick/loop/Log.java
@@ -19,7 +19,7 @@
         ERROR
     }
 
-    /** Lines buffered for a log reader that stands still; further ones are dropped and counted. */
+    /** Lines buffered while the reader of the log is stopped; further ones are dropped and counted. */
     private static final int MAX_BUFFERED_LINES = 256;
 
     private final PrintStream out;
@@ -36,9 +36,9 @@
         this.maxLinesPerSecond = maxLinesPerSecond;
     }
 
-    /** Logs a line of the program as a whole. */
-    public void say(String text) {
-        say(Level.INFO, "mixer", text);
+    /** Logs a line that belongs to no single component. */
+    public void log(String text) {
+        log(Level.INFO, "mixer", text);
     }
 
     /**
@@ -46,7 +46,7 @@
      *
      * @param fields alternating names and values, such as searcher and revision, for logs with separate fields
      */
-    public synchronized void say(Level level, String component, String text, String... fields) {
+    public synchronized void log(Level level, String component, String text, String... fields) {
         long now = System.currentTimeMillis();
         if (now / 1000 != second) {
             if (dropped > 0) {
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Hands a line that passed the rate limit to the writer thread. A full pipe, whose reader stands still, would
+     * Hands a line that passed the rate limit to the writer thread. A full pipe, whose reader is stopped, would
      * otherwise block the event loop at its next line, and with it every query and the shutdown. Cost: lines are then
      * dropped.
      */
@@ -114,7 +114,7 @@
         root.addHandler(new Handler() {
             @Override
             public void publish(LogRecord entry) {
-                say(
+                log(
                         Level.WARNING,
                         "library",
                         entry.getLoggerName() + ": " + entry.getMessage()
@@ -140,6 +140,6 @@
         for (int each = 0; each < Math.min(6, trace.length); each++) {
             text.append(" < ").append(trace[each]);
         }
-        say(Level.ERROR, "mixer", text.toString());
+        log(Level.ERROR, "mixer", text.toString());
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/CompletionHandler.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/CompletionHandler.java
@@ -116,7 +116,7 @@
     public void onInvalidFrame(TcpReplicaConnection connection, String reason, InFlightAttempt attempt) {
         counters.add("spoilt-answers");
         connection.unwrittenAttempts().forEach(each -> dispatcher.withdraw(each, SchedulerHost.Outcome.MOOT));
-        log.say(
+        log.log(
                 Log.Level.WARNING,
                 "searchers",
                 "spoilt by " + connection.replicaId() + ": " + reason
@@ -143,7 +143,7 @@
     public void onConnectTimeout(TcpReplicaConnection connection, List<InFlightAttempt> attempts) {
         counters.add("connections-late");
         if (!attempts.isEmpty()) {
-            log.say(
+            log.log(
                     Log.Level.WARNING,
                     "searchers",
                     "connection to " + connection.replicaId() + " is not up in time; not connected " + attempts.size(),
@@ -164,7 +164,7 @@
         replicas.remove(connection);
         counters.add("connections-closed");
         if (!neverWritten.isEmpty() || !written.isEmpty()) {
-            log.say(
+            log.log(
                     Log.Level.WARNING,
                     "searchers",
                     "connection to " + connection.replicaId() + " closed, " + reason + "; not connected "
--- a/query-mixer/daemon/src/main/java/pinewick/pipeline/QueryRouter.java
+++ b/query-mixer/daemon/src/main/java/pinewick/pipeline/QueryRouter.java
@@ -183,6 +183,6 @@
 
     @Override
     public void log(String text) {
-        log.say(Log.Level.INFO, "decisions", text);
+        log.log(Log.Level.INFO, "decisions", text);
     }
 }
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListWatch.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/ReplicaListWatch.java
@@ -279,7 +279,7 @@
      */
     private boolean isOlder(ReplicaListJson.Update update) {
         if (update.revision() < revision) {
-            log.say(
+            log.log(
                     Log.Level.WARNING,
                     "discovery",
                     "discovery: revision " + update.revision() + " is older than " + revision
@@ -306,7 +306,7 @@
         if (reason.equals(lastReason)) {
             sameReasonCount++;
         } else {
-            log.say(
+            log.log(
                     Log.Level.WARNING,
                     "discovery",
                     "discovery: the watch is over, " + reason
--- a/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
+++ b/query-mixer/daemon/src/main/java/pinewick/protocol/TcpReplicaConnection.java
@@ -30,8 +30,8 @@
         void onProbeResult(String replicaId, long probe, boolean succeeded, SchedulerHost.LoadReport report);
 
         /**
-         * A frame arrived that is not a valid response; {@code attempt} is the one that it ends, null if it cannot be
-         * told.
+         * A frame arrived that is not a valid response; {@code attempt} is the one that it ends, null if it is
+         * unknown.
          */
         void onInvalidFrame(TcpReplicaConnection connection, String reason, InFlightAttempt attempt);
 
