--- a/query-mixer/daemon/src/test/java/pinewick/ClientConnectionTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ClientConnectionTest.java
@@ -18,14 +18,14 @@
         start(a);
         Client kept = new Client();
         kept.get("/health/live");
-        Client waits = new Client();
-        waits.post("q1", "idempotent", "[0]", "", false);
+        Client waiting = new Client();
+        waiting.post("q1", "idempotent", "[0]", "", false);
         assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
-        Client again = new Client();
-        again.post("q1", "idempotent", "[0]", "", false);
-        assertTrue(again.answer().startsWith("400 id: "), "the id of an open request");
+        Client duplicate = new Client();
+        duplicate.post("q1", "idempotent", "[0]", "", false);
+        assertTrue(duplicate.readResponse().startsWith("400 id: "), "the id belongs to an open request");
         a.release.add("go");
-        assertTrue(waits.answer().startsWith("200 "), "the first query with that id was not touched");
+        assertTrue(waiting.readResponse().startsWith("200 "), "the first query with that id is unaffected");
         String head = "POST /api HTTP/1.1\r\nHost: h\r\n";
         List<Client> slowClients = new ArrayList<>();
         for (String part : List.of(
@@ -39,8 +39,8 @@
         }
         long began = System.nanoTime();
         for (Client client : slowClients) {
-            String answer = client.answer();
-            assertTrue(answer.isEmpty() || answer.startsWith("4"), answer);
+            String response = client.readResponse();
+            assertTrue(response.isEmpty() || response.startsWith("4"), response);
         }
         assertTrue(System.nanoTime() - began < 2.9e9, "within 3 s");
         kept.get("/health/live");
@@ -50,11 +50,11 @@
     void disconnectingClientCancelsItsQuery() throws Exception {
         FakeReplica a = new FakeReplica("a", 0, "silent");
         start(a);
-        Client leaver = new Client();
-        leaver.post("q1", "idempotent", "[0]", "", false);
+        Client disconnecting = new Client();
+        disconnecting.post("q1", "idempotent", "[0]", "", false);
         assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
-        leaver.close();
-        until(new Client(), "withdrawn 1\n");
+        disconnecting.close();
+        await(new Client(), "withdrawn 1\n");
     }
 
     @Test
@@ -68,9 +68,9 @@
         for (int each = 0; each < 3; each++) {
             Client client = new Client();
             client.post("q" + each, "idempotent", "[0]", "", false);
-            assertTrue(client.answer().startsWith("200 "));
+            assertTrue(client.readResponse().startsWith("200 "));
         }
-        assertTrue(mixer.isAlive());
+        assertTrue(router.isAlive());
     }
 
     @Test
@@ -79,15 +79,15 @@
         start(new FakeReplica("a", 0, "answer"));
         Client client = new Client();
         List<Client> kept = new ArrayList<>();
-        for (boolean crowd : new boolean[] {false, true}) {
-            for (int each = 0; crowd && each < 30; each++) {
+        for (boolean many : new boolean[] {false, true}) {
+            for (int each = 0; many && each < 30; each++) {
                 kept.add(new Client());
                 kept.get(each).get("/health/live");
             }
-            client.post("q" + crowd, "idempotent", "[0]", "", false);
-            assertTrue(client.answer().startsWith("200 "));
+            client.post("q" + many, "idempotent", "[0]", "", false);
+            assertTrue(client.readResponse().startsWith("200 "));
         }
-        assertEquals("", client.answer(), "closed after its second answer");
+        assertEquals("", client.readResponse(), "closed after the second response");
     }
 
     @Test
@@ -95,16 +95,16 @@
         FakeReplica a = new FakeReplica("a", 0, "silent");
         start(a);
         for (boolean atOnce : new boolean[] {true, false}) {
-            Client leaver = new Client();
-            leaver.pipelined = atOnce ? "POST /api HTTP/1.1\r\nHost: h\r\n" : "";
-            leaver.post("q" + atOnce, "idempotent", "[0]", "", false);
+            Client disconnecting = new Client();
+            disconnecting.pipelined = atOnce ? "POST /api HTTP/1.1\r\nHost: h\r\n" : "";
+            disconnecting.post("q" + atOnce, "idempotent", "[0]", "", false);
             assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
             if (!atOnce) {
-                leaver.send("POST /api HTTP/1.1\r\n");
-                leaver.send("Host: h\r\n");
+                disconnecting.send("POST /api HTTP/1.1\r\n");
+                disconnecting.send("Host: h\r\n");
             }
-            leaver.close();
-            until(new Client(), "withdrawn " + (atOnce ? 1 : 2) + "\n");
+            disconnecting.close();
+            await(new Client(), "withdrawn " + (atOnce ? 1 : 2) + "\n");
         }
     }
 
@@ -116,13 +116,13 @@
         client.post("first", "idempotent", "[0]", "", false);
         assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         client.post("second", "idempotent", "[0]", "", false);
-        Client seen = new Client();
-        seen.get("/health/live");
+        Client observer = new Client();
+        observer.get("/health/live");
         assertEquals(0, a.frames.size());
         a.release.add("go");
         a.release.add("go");
-        assertTrue(client.answer().startsWith("200 "));
-        assertTrue(client.answer().startsWith("200 "));
+        assertTrue(client.readResponse().startsWith("200 "));
+        assertTrue(client.readResponse().startsWith("200 "));
         assertTrue(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS).contains("second"));
     }
 
@@ -134,9 +134,9 @@
         client.post("q", "idempotent", "[0]", "", false);
         assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         client.send("x".repeat(100_000));
-        assertTrue(client.answer().startsWith("413 "));
-        assertEquals("end", client.ending());
-        until(new Client(), "withdrawn 1\n");
+        assertTrue(client.readResponse().startsWith("413 "));
+        assertEquals("end", client.readEnd());
+        await(new Client(), "withdrawn 1\n");
     }
 
     @Test
@@ -145,29 +145,31 @@
         FakeReplica b = new FakeReplica("b", 0, "silent");
         start(a, b);
         for (int each = 0; true; each++) {
-            Client leaver = new Client();
-            leaver.post("q" + each, "idempotent", "[0]", "", false);
+            Client disconnecting = new Client();
+            disconnecting.post("q" + each, "idempotent", "[0]", "", false);
             while (a.frames.isEmpty() && b.frames.isEmpty()) {
                 Thread.onSpinWait();
             }
             signal("STOP");
             FakeReplica other = a.frames.isEmpty() ? a : b;
             if (!other.frames.isEmpty()) {
-                // The second attempt was sent before the mixer was stopped: try again.
+                // The second attempt was sent before the router was stopped: try again.
                 assertTrue(each < 20);
                 signal("CONT");
-                leaver.close();
-                until(new Client(), "awaiting 0\n");
+                disconnecting.close();
+                await(new Client(), "awaiting 0\n");
                 a.frames.clear();
                 b.frames.clear();
                 continue;
             }
-            leaver.close();
-            assertNull(other.frames.poll(700, TimeUnit.MILLISECONDS), "the copy is due while the mixer stands still");
+            disconnecting.close();
+            assertNull(
+                    other.frames.poll(700, TimeUnit.MILLISECONDS),
+                    "the second attempt is due while the router is stopped");
             signal("CONT");
-            until(new Client(), "withdrawn " + (each + 1) + "\n");
-            until(new Client(), "awaiting 0\n");
-            assertEquals(0, other.frames.size(), "no copy for a client that had left");
+            await(new Client(), "withdrawn " + (each + 1) + "\n");
+            await(new Client(), "awaiting 0\n");
+            assertEquals(0, other.frames.size(), "no second attempt for a client that has disconnected");
             return;
         }
     }
@@ -177,8 +179,8 @@
         start(new FakeReplica("a", 0, "answer"));
         Client client = new Client();
         client.send("POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 70000\r\n\r\n" + "x".repeat(70_000));
-        assertTrue(client.answer().startsWith("413 "));
-        assertEquals("end", client.ending());
+        assertTrue(client.readResponse().startsWith("413 "));
+        assertEquals("end", client.readEnd());
     }
 
     @Test
@@ -187,7 +189,7 @@
         maxDescriptors = 96;
         FakeReplica a = new FakeReplica("a", 0, "answer");
         start(a);
-        discovery.mute = true;
+        discovery.isSilent = true;
         discovery.server.close();
         discovery.resetAll();
         List<Client> idle = new ArrayList<>();
@@ -198,15 +200,15 @@
             }
             idle.add(client);
         }
-        assertTrue(mixer.isAlive());
+        assertTrue(router.isAlive());
         FakeReplica b = new FakeReplica("b", 1, "answer");
         discovery.revision = 6;
         discovery.restart(listUpdate(true, a.entry("ready"), b.entry("ready")));
-        until(() -> {
+        await(() -> {
             Client client = new Client();
             client.post("q" + System.nanoTime(), "idempotent", "[0,1]", "", false);
-            return client.answer().startsWith("200 ");
+            return client.readResponse().startsWith("200 ");
         });
-        assertTrue(mixer.isAlive());
+        assertTrue(router.isAlive());
     }
 }
--- a/query-mixer/daemon/src/test/java/pinewick/ReplicaConnectionTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ReplicaConnectionTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Connections to replicas that break, fall silent or deliver invalid data. */
+/** Connections to replicas that break, stop responding or deliver invalid data. */
 class ReplicaConnectionTest extends RouterProcessHarness {
     @Test
     void invalidResponsesEndTheirOwnAttemptsAndValidOnesKeepTheirValue() throws Exception {
@@ -21,30 +21,34 @@
             for (int each = 0; each < 20 && a.frames.isEmpty(); each++) {
                 client.post(kind + each, "idempotent", "[0]", "", false);
                 assertTrue(
-                        client.answer().startsWith("200 {\"entire\":true,\"items\":[{\"slice\":0,\"body\":\"b-"), kind);
+                        client.readResponse().startsWith("200 {\"entire\":true,\"items\":[{\"slice\":0,\"body\":\"b-"),
+                        kind);
             }
-            assertNotNull(a.ended.poll(WAIT_SECONDS, TimeUnit.SECONDS), "the mixer closed it after " + kind);
-            String figures = client.get("/counters");
-            assertTrue(figures.contains("faults 0\n") && !figures.contains("timed_out"), kind + figures);
-            mixer.destroyForcibly().waitFor();
+            assertNotNull(
+                    a.ended.poll(WAIT_SECONDS, TimeUnit.SECONDS), "the router closed the connection after " + kind);
+            String counters = client.get("/counters");
+            assertTrue(counters.contains("faults 0\n") && !counters.contains("timed_out"), kind + counters);
+            router.destroyForcibly().waitFor();
         }
         FakeReplica late = new FakeReplica("a", 0, "again");
         start(late);
         Client first = new Client();
         first.post("first", "unrepeatable", "[0]", "", false);
-        assertTrue(first.answer().startsWith("200 "));
+        assertTrue(first.readResponse().startsWith("200 "));
         Client second = new Client();
         second.post("second", "unrepeatable", "[0]", "", false);
-        assertTrue(second.answer().startsWith("200 "), "the first one's second copy does not end the second");
-        mixer.destroyForcibly().waitFor();
+        assertTrue(
+                second.readResponse().startsWith("200 "),
+                "a duplicate response to the first query does not end the second");
+        router.destroyForcibly().waitFor();
         for (String kind : List.of("twice", "report", "noise")) {
             start(new FakeReplica("a", 0, kind));
             Client client = new Client();
             for (int each = 0; each < 3; each++) {
                 client.post(kind + each, "unrepeatable", "[0]", "", false);
-                assertTrue(client.answer().startsWith("200 "), kind);
+                assertTrue(client.readResponse().startsWith("200 "), kind);
             }
-            mixer.destroyForcibly().waitFor();
+            router.destroyForcibly().waitFor();
         }
     }
 
@@ -53,18 +57,20 @@
         FakeReplica a = new FakeReplica("a", 0, "reset");
         start(a, new FakeReplica("b", 0, "answer"));
         Client client = new Client();
-        boolean again = false;
-        for (int each = 0; each < 20 && !again; each++) {
+        boolean retried = false;
+        for (int each = 0; each < 20 && !retried; each++) {
             client.post("q" + each, "idempotent", "[0]", "", false);
-            assertTrue(client.answer().startsWith("200 "));
-            again = !a.frames.isEmpty();
+            assertTrue(client.readResponse().startsWith("200 "));
+            retried = !a.frames.isEmpty();
         }
-        assertTrue(again, "the killed one was tried, and its part went to the other");
-        mixer.destroyForcibly().waitFor();
+        assertTrue(retried, "the killed replica was tried, and its part was retried on the other");
+        router.destroyForcibly().waitFor();
         start(new FakeReplica("c", 0, "reset"));
         client = new Client();
         client.post("once", "unrepeatable", "[0]", "", false);
-        assertTrue(client.answer().startsWith("500 "), "it may have run, so it is not declined");
+        assertTrue(
+                client.readResponse().startsWith("500 "),
+                "the part may have been executed, so the query is not declined");
     }
 
     @Test
@@ -73,17 +79,19 @@
         connectTimeoutNs = "3e9";
         FakeReplica b = new FakeReplica("b", 0, "late");
         for (int each = 0; each < 2; each++) {
-            // These fill the accept backlog, so that the mixer's own connection is not established yet.
+            // These fill the accept backlog, so that the router's own connection is not established yet.
             open.add(new Socket(InetAddress.getLoopbackAddress(), b.server.getLocalPort()));
         }
         start(new FakeReplica("a", 0, "reset"), b);
         Client client = new Client();
         client.post("q1", "deduplicated", "[0]", "Idempotency-Key: k\r\n", false);
-        assertTrue(client.answer().startsWith("500 "));
+        assertTrue(client.readResponse().startsWith("500 "));
         b.release.add("accept");
         client.post("q2", "idempotent", "[0]", "", false);
-        assertTrue(client.answer().startsWith("200 "));
-        assertTrue(b.frames.stream().noneMatch(frame -> frame.contains("q1")), "q1's window was over");
+        assertTrue(client.readResponse().startsWith("200 "));
+        assertTrue(
+                b.frames.stream().noneMatch(frame -> frame.contains("q1")),
+                "the deduplication window of q1 had passed");
     }
 
     @Test
@@ -93,7 +101,7 @@
         Client client = new Client();
         for (int each = 0; each < 20 && a.frames.isEmpty(); each++) {
             client.post("q" + each, "idempotent", "[0]", "", false);
-            assertTrue(client.answer().startsWith("200 "));
+            assertTrue(client.readResponse().startsWith("200 "));
         }
         assertFalse(a.frames.isEmpty());
     }
@@ -106,11 +114,13 @@
             Client client = new Client();
             for (int each = 0; each < 20 && a.frames.isEmpty(); each++) {
                 client.post(kind + each, "idempotent", "[0]", "", false);
-                assertTrue(client.answer().startsWith("200 "), kind);
+                assertTrue(client.readResponse().startsWith("200 "), kind);
             }
-            assertTrue(a.ended.poll(WAIT_SECONDS, TimeUnit.SECONDS) != null, "the mixer closed it after " + kind);
+            assertTrue(
+                    a.ended.poll(WAIT_SECONDS, TimeUnit.SECONDS) != null,
+                    "the router closed the connection after " + kind);
             assertTrue(client.get("/counters").contains("faults 0\n"));
-            mixer.destroyForcibly().waitFor();
+            router.destroyForcibly().waitFor();
         }
     }
 }
--- a/query-mixer/daemon/src/test/java/pinewick/ReplicaListTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ReplicaListTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The replica list: drains, changed addresses, new configurations, discovery agents that fall silent. */
+/** The replica list: drains, changed addresses, new configurations, discovery agents that stop responding. */
 class ReplicaListTest extends RouterProcessHarness {
     @Test
     void drainingReplicaGetsNoNewAttemptsAndChangedAddressIsFollowed() throws Exception {
@@ -25,26 +25,26 @@
         discovery.watchRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         discovery.revision = 7;
         discovery.sendUpdate(listUpdate(false, a.entry("draining"), b.entry("ready")));
-        until(client, "list-pieces 4\n");
+        await(client, "list-pieces 4\n");
         a.frames.clear();
         for (int each = 0; each < 10; each++) {
             client.post("q" + each, "idempotent", "[0]", "", false);
-            assertTrue(client.answer().startsWith("200 "));
+            assertTrue(client.readResponse().startsWith("200 "));
         }
         assertEquals(0, a.frames.size());
         FakeReplica moved = new FakeReplica("b", 0, "answer");
         discovery.revision = 8;
         discovery.sendUpdate(listUpdate(false, moved.entry("ready")));
-        until(client, "list-pieces 5\n");
+        await(client, "list-pieces 5\n");
         b.frames.clear();
         client.post("moved", "idempotent", "[0]", "", false);
-        assertTrue(client.answer().startsWith("200 "));
+        assertTrue(client.readResponse().startsWith("200 "));
         assertEquals(0, b.frames.size());
         assertEquals(1, moved.frames.size());
     }
 
     /**
-     * Seconds after its last line for which a list counts as confirmed, so that a mixer does not request a full one.
+     * Seconds after its last line for which a list counts as confirmed, so that a router does not request a full one.
      */
     private static final double CONFIRMED_SECONDS = 3;
 
@@ -77,45 +77,48 @@
         assertEquals(
                 "ended",
                 discovery.endedWatches.poll(WAIT_SECONDS, TimeUnit.SECONDS),
-                "the old address is left at once");
+                "the watch on the old address ends at once");
         discovery.watchRequests.clear();
         Files.writeString(file, before.replace(discovery.address(), other.address()));
         sendSighup();
         sendSighup();
-        String asked = other.watchRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-        assertTrue(asked != null && asked.contains("index=5 "), "it goes on from the revision in hand: " + asked);
+        String request = other.watchRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+        assertTrue(
+                request != null && request.contains("index=5 "),
+                "the watch continues from the current revision: " + request);
         double unconfirmedSeconds = HEARTBEAT_INTERVAL_SECONDS + (System.nanoTime() - leftAt) / 1e9;
         assertTrue(
                 other.fullListRequests.isEmpty() || unconfirmedSeconds >= CONFIRMED_SECONDS,
-                "no whole list is needed for a move");
+                "a change of the address needs no full list");
         a.release.add("go");
-        assertTrue(client.answer().startsWith("200 "), "what was taken, and its connection, stay");
+        assertTrue(
+                client.readResponse().startsWith("200 "), "the accepted query and its connection survive the reload");
         FakeReplica c = new FakeReplica("c", 0, "held");
         long updates = acceptedUpdates(client);
         assertTrue(
                 updates == 2 || unconfirmedSeconds >= CONFIRMED_SECONDS,
-                "only the list known at the start and the whole one: " + updates);
+                "only the list known at the start and the full one: " + updates);
         other.sendUpdate("{\"revision\":6,\"complete\":false,\"members\":[" + a.entry("draining") + ','
                 + c.entry("ready") + "]}");
-        until(client, "list-pieces " + (updates + 1) + "\n");
+        await(client, "list-pieces " + (updates + 1) + "\n");
         client.post("q2", "idempotent", "[0]", "", false);
-        assertNotNull(c.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS), "news come from the new address");
+        assertNotNull(c.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS), "updates are received from the new address");
         c.release.add("go");
-        assertTrue(client.answer().startsWith("200 "));
-        assertEquals(0, a.frames.size(), "one that drains gets nothing new");
+        assertTrue(client.readResponse().startsWith("200 "));
+        assertEquals(0, a.frames.size(), "a draining replica gets no new parts");
         Thread.sleep(300);
-        assertEquals(0, discovery.watchRequests.size(), "nothing goes back to the old address");
+        assertEquals(0, discovery.watchRequests.size(), "nothing is sent to the old address");
         client.post("q3", "idempotent", "[0]", "", false);
         assertNotNull(c.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
-        mixer.destroy();
+        router.destroy();
         sendSighup(); // it is still running, as it has a query to answer
         c.release.add("go");
-        assertTrue(client.answer().startsWith("200 "), "a reload while it stops loses nothing");
-        assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
-        assertEquals(0, mixer.exitValue());
+        assertTrue(client.readResponse().startsWith("200 "), "a reload during the shutdown loses no query");
+        assertTrue(router.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
+        assertEquals(0, router.exitValue());
     }
 
-    /** Number of full lists and updates that the mixer accepted, including the one in its configuration. */
+    /** Number of full lists and updates that the router accepted, including the one in its configuration. */
     private static long acceptedUpdates(Client client) throws Exception {
         return client.get("/counters")
                 .lines()
@@ -130,25 +133,25 @@
         FakeReplica a = new FakeReplica("a", 0, "answer");
         FakeReplica b = new FakeReplica("b", 0, "answer");
         start(a, b);
-        until(new Client(), "list-pieces 2\n");
-        discovery.mute = true;
+        await(new Client(), "list-pieces 2\n");
+        discovery.isSilent = true;
         long began = System.nanoTime();
         discovery.revision = 6;
         discovery.list = listUpdate(true, a.entry("draining"), b.entry("ready"));
         Client client = new Client();
-        until(client, "list-pieces 3\n");
-        assertTrue(System.nanoTime() - began < 6e9, "told by then");
+        await(client, "list-pieces 3\n");
+        assertTrue(System.nanoTime() - began < 6e9, "the change is known within 6 s");
         a.frames.clear();
         for (int each = 0; each < 10; each++) {
             client.post("q" + each, "idempotent", "[0]", "", false);
-            assertTrue(client.answer().startsWith("200 "));
+            assertTrue(client.readResponse().startsWith("200 "));
         }
         assertEquals(0, a.frames.size());
         began = System.nanoTime();
         discovery.revision = 7;
         discovery.list = listUpdate(true, a.entry("ready"), b.entry("ready"));
-        until(client, "list-pieces 4\n");
-        assertTrue(System.nanoTime() - began < 6e9, "the watch opened since says nothing either");
+        await(client, "list-pieces 4\n");
+        assertTrue(System.nanoTime() - began < 6e9, "the new watch is silent as well");
     }
 
     @Test
@@ -168,11 +171,11 @@
             discovery.chunk("" + one);
         }
         Client client = new Client();
-        until(client, "list-pieces 3\n");
+        await(client, "list-pieces 3\n");
         a.frames.clear();
         client.post("q", "idempotent", "[0]", "", false);
-        assertTrue(client.answer().endsWith("\"b.q.0\"}]}"));
-        assertEquals(0, discovery.fullListRequests.size(), "nothing had to be asked for again");
+        assertTrue(client.readResponse().endsWith("\"b.q.0\"}]}"));
+        assertEquals(0, discovery.fullListRequests.size(), "no full list was requested");
     }
 
     @Test
@@ -186,14 +189,14 @@
         for (int each = 0; each < 4; each++) {
             assertNotNull(discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         }
-        assertTrue(System.nanoTime() - began > 1.2e9, "not ten times a second");
+        assertTrue(System.nanoTime() - began > 1.2e9, "not retried ten times per second");
         discovery.invalidWatchResponse = null;
         discovery.revision = 9;
         discovery.list = listUpdate(true);
         Client client = new Client();
         while (true) {
             client.post("q" + System.nanoTime(), "idempotent", "[0]", "", false);
-            if (client.answer().startsWith("503")) {
+            if (client.readResponse().startsWith("503")) {
                 break;
             }
         }
@@ -203,18 +206,19 @@
     void fullListResetAfterItsLastByteIsNotAccepted() throws Exception {
         FakeReplica a = new FakeReplica("a", 0, "answer");
         discovery.resetResponses.set(1);
-        discovery.held = true;
+        discovery.holdsResponses = true;
         launch(a);
         assertNotNull(discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         discovery.release.add("go");
-        assertNotNull(discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS), "it asks again");
+        assertNotNull(
+                discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS), "the router requests the list again");
         discovery.list = listUpdate(true, a.entry("ready"), new FakeReplica("b", 1, "answer").entry("ready"));
         discovery.release.add("go");
         awaitReady();
         Client client = new Client();
-        assertTrue(client.get("/counters").contains("list-pieces 2\n"), "the one known and the second answer");
+        assertTrue(client.get("/counters").contains("list-pieces 2\n"), "the known list and the second response");
         client.post("q", "idempotent", "[0,1]", "", false);
-        assertTrue(client.answer().startsWith("200 "));
+        assertTrue(client.readResponse().startsWith("200 "));
     }
 
     @Test
@@ -222,17 +226,17 @@
         FakeReplica a = new FakeReplica("a", 0, "answer");
         FakeReplica b = new FakeReplica("b", 0, "answer");
         knownEntries = new String[] {a.entry("ready"), b.entry("ready")};
-        discovery.held = true;
+        discovery.holdsResponses = true;
         launch(a, b);
         discovery.list = listUpdate(true, a.entry("draining"), b.entry("ready"));
         assertNotNull(discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS));
-        assertThrows(ConnectException.class, Client::new, "the door is not open yet");
+        assertThrows(ConnectException.class, Client::new, "the router does not listen yet");
         discovery.release.add("go");
         awaitReady();
         Client client = new Client();
         for (int each = 0; each < 10; each++) {
             client.post("q" + each, "idempotent", "[0]", "", false);
-            assertTrue(client.answer().startsWith("200 "));
+            assertTrue(client.readResponse().startsWith("200 "));
         }
         assertEquals(0, a.frames.size());
     }
@@ -246,7 +250,7 @@
         awaitReady();
         Client client = new Client();
         client.post("q", "idempotent", "[0]", "", false);
-        assertTrue(client.answer().startsWith("200 "));
+        assertTrue(client.readResponse().startsWith("200 "));
     }
 
     @Test
@@ -261,11 +265,11 @@
         discovery.revision = 9;
         discovery.sendUpdate(listUpdate(false, b.entry("ready")));
         Client client = new Client();
-        until(client, "list-pieces 4\n");
+        await(client, "list-pieces 4\n");
         a.frames.clear();
         for (int each = 0; each < 10; each++) {
             client.post("q" + each, "idempotent", "[0]", "", false);
-            assertTrue(client.answer().startsWith("200 "));
+            assertTrue(client.readResponse().startsWith("200 "));
         }
         assertEquals(0, a.frames.size());
     }
--- a/query-mixer/daemon/src/test/java/pinewick/RouterProcessHarness.java
+++ b/query-mixer/daemon/src/test/java/pinewick/RouterProcessHarness.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Runs the whole program as a process, with in-process fakes of the replicas, the clients and the discovery service.
+ * Runs the complete program as a process, with in-process fakes of the replicas, the clients and the discovery service.
  */
 @Timeout(60)
 abstract class RouterProcessHarness {
@@ -42,10 +42,10 @@
 
     final List<AutoCloseable> open = new CopyOnWriteArrayList<>();
     FakeDiscovery discovery;
-    Process mixer;
+    Process router;
     int port;
     int sockets = 1024;
-    /** Descriptor limit of the mixer process, including its own files; 0 for the default of this machine. */
+    /** Descriptor limit of the router process, including its own files; 0 for the default of this machine. */
     int maxDescriptors;
 
     String goalNs = "1e9";
@@ -57,18 +57,18 @@
     String hardLimitNs = "3e9";
 
     ProcessBuilder.Redirect log = ProcessBuilder.Redirect.INHERIT;
-    /** Replica entries in the mixer's configuration. */
+    /** Replica entries in the router's configuration. */
     String[] knownEntries = {};
 
     @BeforeEach
-    void opens() throws IOException {
+    void openDiscovery() throws IOException {
         discovery = new FakeDiscovery();
     }
 
     @AfterEach
     void close() throws Exception {
-        if (mixer != null) {
-            mixer.destroyForcibly().waitFor();
+        if (router != null) {
+            router.destroyForcibly().waitFor();
         }
         for (AutoCloseable each : open) {
             each.close();
@@ -78,27 +78,29 @@
     final void sendSighup() throws Exception {
         SighupPrecondition.check();
         assertEquals(
-                0, new ProcessBuilder("kill", "-HUP", "" + mixer.pid()).start().waitFor());
+                0, new ProcessBuilder("kill", "-HUP", "" + router.pid()).start().waitFor());
         Thread.sleep(150);
     }
 
-    /** Sends the mixer a signal by name. */
+    /** Sends the router a signal by name. */
     final void signal(String name) throws Exception {
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-" + name, "" + mixer.pid()).start().waitFor());
+                new ProcessBuilder("kill", "-" + name, "" + router.pid())
+                        .start()
+                        .waitFor());
     }
 
-    /** Starts a mixer and waits until it is ready and follows the list. */
+    /** Starts a router and waits until it is ready and watches the list. */
     void start(FakeReplica... replicas) throws Exception {
         discovery.watchRequests.clear();
         launch(replicas);
         awaitReady();
-        until(new Client(), "list-pieces 2\n");
-        assertNotNull(discovery.watchRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS), "it follows the list");
+        await(new Client(), "list-pieces 2\n");
+        assertNotNull(discovery.watchRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS), "the router watches the list");
     }
 
-    /** Starts a mixer without waiting for it. */
+    /** Starts a router without waiting for it. */
     void launch(FakeReplica... replicas) throws Exception {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
@@ -111,7 +113,7 @@
         String before = listUpdate(true, knownEntries);
         discovery.revision = 5;
         discovery.list = listUpdate(true, entries);
-        String grade = "{\"name\":\"%s\",\"slo-ns\":" + goalNs + ",\"hard-limit-ns\":" + hardLimitNs
+        String serviceClass = "{\"name\":\"%s\",\"slo-ns\":" + goalNs + ",\"hard-limit-ns\":" + hardLimitNs
                 + ",\"late-worth\":0," + "\"effect\":\"%s\",\"dedup-window-ns\":" + dedupWindowNs + "}";
         Path file = folder.resolve("config.json");
         Files.writeString(
@@ -120,33 +122,33 @@
                         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + "},\"known\":"
                         + before
                         + ",\"settings\":{\"instances\":1,\"categories\":["
-                        + String.format(grade, "idempotent", "retryable") + ','
-                        + String.format(grade, "deduplicated", "dedup") + ','
-                        + String.format(grade, "unrepeatable", "fragile")
+                        + String.format(serviceClass, "idempotent", "retryable") + ','
+                        + String.format(serviceClass, "deduplicated", "dedup") + ','
+                        + String.format(serviceClass, "unrepeatable", "fragile")
                         + "],\"bounds\":{\"multiplex\":100,\"try-limit\":4,\"parallel-tries\":true,"
                         + "\"may-cancel\":true,\"probing\":"
                         + "true,\"max-open\":1000,\"dial-timeout-ns\":" + connectTimeoutNs + "},"
                         + "\"family-info\":{\"cells\":2,\"reach\":1,\"slabs\":4,\"per-call\":4,"
                         + "\"class-floor\":[" + classFloor + ",1,1],\"incomplete-worth\":[0.9,0,0]}}}");
-        mixer = program(file).redirectError(log).start();
+        router = program(file).redirectError(log).start();
     }
 
     void awaitReady() throws Exception {
         while (true) {
             try (Client client = new Client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
-                if (client.answer().startsWith("200")) {
+                if (client.readResponse().startsWith("200")) {
                     break;
                 }
             } catch (IOException notYet) {
-                assertTrue(mixer.isAlive(), "the mixer ended");
+                assertTrue(router.isAlive(), "the router process exited");
             }
             Thread.sleep(20);
         }
     }
 
     ProcessBuilder program(Path config) {
-        List<String> words = new ArrayList<>(List.of(
+        List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx64m",
                 "-XX:+UseSerialGC",
@@ -155,28 +157,28 @@
                 "pinewick.Main",
                 "serve"));
         if (maxDescriptors > 0) {
-            words.addAll(0, List.of("/bin/sh", "-c", "ulimit -n " + maxDescriptors + " && exec \"$@\"", "sh"));
+            command.addAll(0, List.of("/bin/sh", "-c", "ulimit -n " + maxDescriptors + " && exec \"$@\"", "sh"));
         }
-        ProcessBuilder builder = new ProcessBuilder(words);
+        ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().keySet().removeIf(name -> name.startsWith("EDGE_"));
         builder.environment().put("EDGE_CONFIG", config.toString());
         return builder;
     }
 
     /** Polls the counters until they contain this line; bounded by the timeout of the test. */
-    static void until(Client client, String line) throws Exception {
+    static void await(Client client, String line) throws Exception {
         while (!client.get("/counters").contains(line)) {
             Thread.sleep(10);
         }
     }
 
     interface Condition {
-        boolean holds() throws Exception;
+        boolean isTrue() throws Exception;
     }
 
     /** Polls the condition until it holds; bounded by the timeout of the test. */
-    static void until(Condition condition) throws Exception {
-        while (!condition.holds()) {
+    static void await(Condition condition) throws Exception {
+        while (!condition.isTrue()) {
             Thread.sleep(10);
         }
     }
@@ -223,9 +225,9 @@
         volatile long revision;
         volatile String list = "";
         /** If set, open and new watches get neither heartbeats nor updates. */
-        volatile boolean mute;
+        volatile boolean isSilent;
         /** If set, each full list waits for an element in {@link #release}. */
-        volatile boolean held;
+        volatile boolean holdsResponses;
         /** Number of full lists that are sent without a length and reset after their last byte. */
         final AtomicInteger resetResponses = new AtomicInteger();
         /** Sent on each new watch in place of the list; null to send the list. */
@@ -234,10 +236,10 @@
         private volatile OutputStream watch;
 
         FakeDiscovery() throws IOException {
-            thread(this::accepts);
+            thread(this::acceptAll);
             thread(() -> {
                 while (true) {
-                    if (watch != null && !mute) {
+                    if (watch != null && !isSilent) {
                         try {
                             chunk("\n");
                         } catch (IOException left) {
@@ -249,7 +251,7 @@
             });
         }
 
-        private void accepts() throws IOException {
+        private void acceptAll() throws IOException {
             while (true) {
                 Socket socket = server.accept();
                 open.add(socket);
@@ -273,8 +275,8 @@
             server.setReuseAddress(true);
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), discoveryPort));
             list = newList;
-            mute = false;
-            thread(this::accepts);
+            isSilent = false;
+            thread(this::acceptAll);
         }
 
         String address() {
@@ -289,7 +291,7 @@
                 watch = out;
                 if (invalidWatchResponse != null) {
                     sendUpdate(invalidWatchResponse);
-                } else if (!mute && !request.contains("index=" + revision + " ")) {
+                } else if (!isSilent && !request.contains("index=" + revision + " ")) {
                     sendUpdate(list);
                 }
                 watchRequests.add(request);
@@ -303,7 +305,7 @@
                 }
             } else {
                 fullListRequests.add(request);
-                if (held) {
+                if (holdsResponses) {
                     release.take();
                 }
                 if (resetResponses.get() > 0) {
@@ -496,7 +498,7 @@
         }
 
         /** Reads a response: status, blank, body; empty if the connection ended instead. */
-        String answer() throws IOException {
+        String readResponse() throws IOException {
             String head;
             try {
                 head = head(socket.getInputStream());
@@ -517,7 +519,7 @@
         }
 
         /** How the connection ended, if nothing more was received: by end of stream or by a reset. */
-        String ending() throws IOException {
+        String readEnd() throws IOException {
             try {
                 return socket.getInputStream().read() < 0 ? "end" : "more";
             } catch (SocketException broken) {
@@ -531,9 +533,9 @@
 
         String get(String path, String status) throws IOException {
             send("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
-            String answer = answer();
-            assertTrue(answer.startsWith(status + " "), answer);
-            return answer.substring(4);
+            String response = readResponse();
+            assertTrue(response.startsWith(status + " "), response);
+            return response.substring(4);
         }
 
         @Override
--- a/query-mixer/daemon/src/test/java/pinewick/ServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ServeTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The whole program on sockets: what it answers and what it refuses. */
+/** The complete program on sockets: responses and rejections. */
 class ServeTest extends RouterProcessHarness {
     @Test
     void queryIsAnsweredWithTheValuesOfItsReplicas() throws Exception {
@@ -23,20 +23,20 @@
         assertEquals(
                 "200 {\"entire\":true,\"items\":[{\"slice\":0,\"body\":\"a.q1.0\"},"
                         + "{\"slice\":1,\"body\":\"b.q1.1\"}]}",
-                client.answer());
+                client.readResponse());
         String frame = a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         assertTrue(frame.matches("1q1\\.0 0 d=\\d+,k=k1 3\nt\u00e9"), frame);
         client.post("q2", "idempotent", "[0]", "", true);
-        assertTrue(client.answer().startsWith("200 "), "a chunked body on the same connection");
-        String figures = client.get("/counters");
+        assertTrue(client.readResponse().startsWith("200 "), "a chunked body on the same connection");
+        String counters = client.get("/counters");
         assertTrue(
-                figures.contains("taken 2\n")
-                        && figures.contains("fulfilled-whole 2\n")
-                        && figures.contains("launched 3\n")
-                        && figures.contains("ended-fulfilled 3\n")
-                        && figures.contains("awaiting 0\n")
-                        && figures.contains("out 0\n"),
-                figures);
+                counters.contains("taken 2\n")
+                        && counters.contains("fulfilled-whole 2\n")
+                        && counters.contains("launched 3\n")
+                        && counters.contains("ended-fulfilled 3\n")
+                        && counters.contains("awaiting 0\n")
+                        && counters.contains("out 0\n"),
+                counters);
     }
 
     @Test
@@ -46,7 +46,7 @@
         start(new FakeReplica("a", 0, "answer"), new FakeReplica("b", 1, "silent"));
         Client client = new Client();
         client.post("q1", "idempotent", "[0,1]", "", false);
-        assertEquals("200 {\"entire\":false,\"items\":[{\"slice\":0,\"body\":\"a.q1.0\"}]}", client.answer());
+        assertEquals("200 {\"entire\":false,\"items\":[{\"slice\":0,\"body\":\"a.q1.0\"}]}", client.readResponse());
     }
 
     @Test
@@ -89,25 +89,25 @@
         for (String[] each : bad) {
             client.send("POST /api HTTP/1.1\r\nHost: h\r\n" + each[0] + "Content-Length: " + each[1].length()
                     + "\r\n\r\n" + each[1]);
-            String answer = client.answer();
-            assertTrue(answer.startsWith("400 "), each[0] + each[1] + " brought " + answer);
+            String response = client.readResponse();
+            assertTrue(response.startsWith("400 "), each[0] + each[1] + " returned " + response);
         }
         assertTrue(client.get("/nowhere", "404").startsWith("path: no such"));
         client.send("GET /api HTTP/1.1\r\nHost: h\r\n\r\n");
-        assertTrue(client.answer().startsWith("405 "));
+        assertTrue(client.readResponse().startsWith("405 "));
         client.post("good", "idempotent", "[0]", "", false);
-        assertTrue(client.answer().startsWith("200 "), "the connection is still good");
+        assertTrue(client.readResponse().startsWith("200 "), "the connection is still usable");
         client.send("POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: q\r\n" + kind + time + "Content-Length: 70000\r\n\r\n");
-        assertTrue(client.answer().startsWith("413 "));
+        assertTrue(client.readResponse().startsWith("413 "));
         Client chunked = new Client();
         chunked.send("POST /api HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + ("4000\r\n" + "x".repeat(0x4000) + "\r\n").repeat(5) + "0\r\n\r\n");
-        assertEquals("413 ", chunked.answer());
-        assertEquals("", chunked.answer(), "nothing more is read there");
+        assertEquals("413 ", chunked.readResponse());
+        assertEquals("", chunked.readResponse(), "nothing more is read from the connection");
         String post = "POST /api HTTP/1.1\r\nHost: h\r\n";
         String hidden =
                 post + "Req-Id: hidden\r\n" + kind + time + "Content-Length: " + good.length() + "\r\n\r\n" + good;
-        for (String odd : List.of(
+        for (String malformed : List.of(
                 "NONSENSE\r\n\r\n",
                 post + "Content-Length: -7\r\n\r\n",
                 post + "Content-Length: 99999999999999999999\r\n\r\n",
@@ -117,14 +117,14 @@
                 post + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden,
                 "GET / HTTP/1.1\r\nHost: h\r\nLong: " + "y".repeat(20000) + "\r\n\r\n")) {
             Client broken = new Client();
-            broken.send(odd);
-            assertTrue(broken.answer().startsWith("400 "), odd);
-            assertEquals("", broken.answer(), odd);
+            broken.send(malformed);
+            assertTrue(broken.readResponse().startsWith("400 "), malformed);
+            assertEquals("", broken.readResponse(), malformed);
         }
         assertFalse(a.frames.stream().anyMatch(frame -> frame.contains("hidden")));
-        String figures = new Client().get("/counters");
-        assertTrue(figures.contains("bad-weight 5\n") && figures.contains("bad-framing "), figures);
-        assertEquals(1, a.frames.size(), "only the good query was launched");
+        String counters = new Client().get("/counters");
+        assertTrue(counters.contains("bad-weight 5\n") && counters.contains("bad-framing "), counters);
+        assertEquals(1, a.frames.size(), "only the valid query was sent to a replica");
     }
 
     @Test
@@ -133,12 +133,12 @@
         start(new FakeReplica("a", 0, "silent"));
         Client client = new Client();
         client.post("q1", "idempotent", "[0]", "", false);
-        assertTrue(client.answer().startsWith("503 "), "a repeat is harmless");
-        String figures = client.get("/counters");
-        assertTrue(figures.contains("declined 1\n") && !figures.contains("ended-by-the-net"), figures);
+        assertTrue(client.readResponse().startsWith("503 "), "the query may be repeated");
+        String counters = client.get("/counters");
+        assertTrue(counters.contains("declined 1\n") && !counters.contains("ended-by-the-net"), counters);
         client.post("q2", "idempotent", "[1]", "", false);
-        assertTrue(client.answer().startsWith("503 "), "nobody holds that shard");
-        until(client, "kept 0\n");
+        assertTrue(client.readResponse().startsWith("503 "), "no replica serves that shard");
+        await(client, "kept 0\n");
     }
 
     @Test
@@ -154,9 +154,9 @@
             ProcessBuilder builder = program(each[0].isEmpty() ? folder.resolve("none") : file);
             builder.redirectErrorStream(true);
             Process process = builder.start();
-            String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(2, process.waitFor(), said);
-            assertTrue(said.contains(each[1]), said);
+            String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertEquals(2, process.waitFor(), output);
+            assertTrue(output.contains(each[1]), output);
         }
     }
 }
--- a/query-mixer/daemon/src/test/java/pinewick/ShutdownTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/ShutdownTest.java
@@ -21,28 +21,28 @@
         Client client = new Client();
         client.post("q1", "idempotent", "[0]", "", false);
         assertNotNull(a.frames.poll(WAIT_SECONDS, TimeUnit.SECONDS));
-        mixer.destroy();
+        router.destroy();
         Client late = new Client();
         String ready = "200 ready";
         while (ready.startsWith("200")) {
             late.send("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
-            ready = late.answer();
+            ready = late.readResponse();
         }
         assertTrue(ready.startsWith("500 "), ready);
         a.release.add("go");
-        assertTrue(client.answer().startsWith("200 "));
-        assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
-        assertEquals(0, mixer.exitValue());
+        assertTrue(client.readResponse().startsWith("200 "));
+        assertTrue(router.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
+        assertEquals(0, router.exitValue());
     }
 
-    /** Returns once the mixer is draining: it still accepts connections and reports that it is not ready. */
+    /** Returns once the router is draining: it still accepts connections and reports that it is not ready. */
     private void startDraining() throws Exception {
-        mixer.destroy();
+        router.destroy();
         Client late = new Client();
         String ready = "200 ";
         while (ready.startsWith("200")) {
             late.send("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
-            ready = late.answer();
+            ready = late.readResponse();
         }
     }
 
@@ -57,13 +57,14 @@
             client.post("q" + each, "idempotent", "[0]", "", false);
             waiting.add(client);
         }
-        assertFalse(mixer.waitFor(700, TimeUnit.MILLISECONDS), "the door is due to close while the mixer stands still");
+        assertFalse(
+                router.waitFor(700, TimeUnit.MILLISECONDS), "the listener is due to close while the router is stopped");
         signal("CONT");
         for (Client client : waiting) {
-            assertTrue(client.answer().startsWith("200 "));
+            assertTrue(client.readResponse().startsWith("200 "));
         }
-        assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
-        assertEquals(0, mixer.exitValue());
+        assertTrue(router.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
+        assertEquals(0, router.exitValue());
     }
 
     @Test
@@ -75,22 +76,22 @@
         Client client = new Client();
         long began = System.nanoTime();
         client.post("q", "idempotent", "[0]", "", false);
-        assertTrue(client.answer().startsWith("503 "));
+        assertTrue(client.readResponse().startsWith("503 "));
         assertTrue(System.nanoTime() - began < 1e9);
-        assertEquals("end", client.ending());
+        assertEquals("end", client.readEnd());
         assertEquals(0, a.frames.size());
     }
 
     @Test
     void idleClientIsClosedWithoutAReset() throws Exception {
         start(new FakeReplica("a", 0, "answer"));
-        Client resting = new Client();
-        resting.get("/health/live");
-        mixer.destroy();
-        assertEquals("end", resting.ending());
-        resting.close();
-        assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
-        assertEquals(0, mixer.exitValue());
+        Client idle = new Client();
+        idle.get("/health/live");
+        router.destroy();
+        assertEquals("end", idle.readEnd());
+        idle.close();
+        assertTrue(router.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
+        assertEquals(0, router.exitValue());
     }
 
     @Test
@@ -103,27 +104,27 @@
             start(new FakeReplica("a", 0, "answer"));
             Client client = new Client();
             client.post("q", "idempotent", "[0]", "", false);
-            assertTrue(client.answer().startsWith("200 "));
-            mixer.destroy();
-            assertEquals("end", client.ending());
+            assertTrue(client.readResponse().startsWith("200 "));
+            router.destroy();
+            assertEquals("end", client.readEnd());
             client.close();
-            assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
-            assertEquals(0, mixer.exitValue());
+            assertTrue(router.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
+            assertEquals(0, router.exitValue());
         }
     }
 
     @Test
     void signalsThatComeTwiceOrDuringTheStartEndItInOrder() throws Exception {
-        discovery.held = true;
+        discovery.holdsResponses = true;
         FakeReplica a = new FakeReplica("a", 0, "answer");
         launch(a);
         assertNotNull(
                 discovery.fullListRequests.poll(WAIT_SECONDS, TimeUnit.SECONDS),
-                "it is starting: the list is not read yet");
-        mixer.destroy();
+                "the router is starting and has not read the list yet");
+        router.destroy();
         sendSighup();
-        mixer.destroy();
-        assertTrue(mixer.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
-        assertEquals(0, mixer.exitValue());
+        router.destroy();
+        assertTrue(router.waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
+        assertEquals(0, router.exitValue());
     }
 }
--- a/query-mixer/daemon/src/test/java/pinewick/SighupPrecondition.java
+++ b/query-mixer/daemon/src/test/java/pinewick/SighupPrecondition.java
@@ -17,7 +17,7 @@
 
     private SighupPrecondition() {}
 
-    /** Checks this process, from which its children inherit; without a /proc the test itself has to show it. */
+    /** Checks this process, from which its children inherit the mask. Does nothing where there is no /proc. */
     static void check() throws IOException {
         if (Files.exists(OWN_STATUS)) {
             assertFalse(
--- a/query-mixer/daemon/src/test/java/pinewick/SighupPreconditionTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/SighupPreconditionTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which masks of ignored signals hold SIGHUP. */
+/** Tests which masks of ignored signals include SIGHUP. */
 class SighupPreconditionTest {
     private static String status(String mask) {
         return "Name:\tjava\nSigBlk:\t0000000000000001\nSigIgn:\t" + mask + "\nSigCgt:\t0000000000000001\n";
--- a/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/StateServeTest.java
@@ -22,7 +22,7 @@
 import pinewick.standins.StandinReplicas;
 
 /**
- * Several mixer processes that replicate facts about fake replicas, through a relay that loses a tenth of the
+ * Several router processes that replicate facts about fake replicas, through a relay that loses a tenth of the
  * datagrams, with peers that send false facts and corrupted snapshot files. Every wait has a bound.
  */
 class StateServeTest {
@@ -36,26 +36,26 @@
     @TempDir
     Path folder;
 
-    private StandinReplicas searchers;
+    private StandinReplicas replicas;
     private FleetProcesses fleet;
     private int queryCount;
 
-    private void fleet(int size, String operator, List<String> addresses) throws Exception {
+    private void createFleet(int size, String operator, List<String> addresses) throws Exception {
         Path file = folder.resolve("operator.json");
         Files.writeString(file, operator);
         fleet = new FleetProcesses(size, null, folder, file, 7, addresses);
-        fleet.relay().links(0.1, 0.02, 0.001, 0.018);
+        fleet.relay().setLinkQuality(0.1, 0.02, 0.001, 0.018);
     }
 
-    private List<String> searchers() throws Exception {
-        return searchers(SERVICE_SECONDS);
+    private List<String> startReplicas() throws Exception {
+        return startReplicas(SERVICE_SECONDS);
     }
 
-    private List<String> searchers(double... serviceSeconds) throws Exception {
-        searchers = new StandinReplicas(serviceSeconds);
+    private List<String> startReplicas(double... serviceSeconds) throws Exception {
+        replicas = new StandinReplicas(serviceSeconds);
         List<String> addresses = new ArrayList<>();
         for (int each = 0; each < serviceSeconds.length; each++) {
-            addresses.add(searchers.address(each));
+            addresses.add(replicas.address(each));
         }
         return addresses;
     }
@@ -65,45 +65,45 @@
             fleet.start(each);
         }
         for (int each = 0; each < size; each++) {
-            assertTrue(fleet.mixer(each).awaitReady(START_TIMEOUT_SECONDS));
+            assertTrue(fleet.router(each).awaitReady(START_TIMEOUT_SECONDS));
         }
         int[] all = java.util.stream.IntStream.range(0, size).toArray();
-        assertTrue(fleet.until(START_TIMEOUT_SECONDS, "A".repeat(size), all) <= START_TIMEOUT_SECONDS);
+        assertTrue(fleet.secondsUntil(START_TIMEOUT_SECONDS, "A".repeat(size), all) <= START_TIMEOUT_SECONDS);
     }
 
     @AfterEach
     void close() throws Exception {
         fleet.close();
-        if (searchers != null) {
-            searchers.close();
+        if (replicas != null) {
+            replicas.close();
         }
     }
 
-    private int ask(int mixer) throws Exception {
-        return fleet.mixer(mixer).ask("q-" + queryCount++, "any", SERVICE_SECONDS.length, 2.5);
+    private int query(int router) throws Exception {
+        return fleet.router(router).query("q-" + queryCount++, "any", SERVICE_SECONDS.length, 2.5);
     }
 
-    /** Latencies of the replicas that a mixer knows from the others, in ms by replica. */
-    private Map<String, Double> latenciesMs(int mixer) {
+    /** Latencies of the replicas that a router knows from the others, in ms by replica. */
+    private Map<String, Double> latenciesMs(int router) {
         try {
             Map<String, Double> latencies = new HashMap<>();
-            for (String each : fleet.figure(mixer, "state-paces").split(",")) {
+            for (String each : fleet.counter(router, "state-paces").split(",")) {
                 if (each.contains("=")) {
                     latencies.put(each.split("=")[0], Double.parseDouble(each.split("=")[1]));
                 }
             }
             return latencies;
-        } catch (InterruptedException interrupted) {
-            throw new IllegalStateException(interrupted);
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
         }
     }
 
-    private boolean knowsLatencies(int mixer, double tolerance, double... serviceSeconds) {
-        Map<String, Double> known = latenciesMs(mixer);
+    private boolean knowsLatencies(int router, double tolerance, double... serviceSeconds) {
+        Map<String, Double> known = latenciesMs(router);
         for (int each = 0; each < serviceSeconds.length; each++) {
-            double off = Math.abs(known.getOrDefault("s-" + each, -1e9) - serviceSeconds[each] * 1e3)
+            double relativeError = Math.abs(known.getOrDefault("s-" + each, -1e9) - serviceSeconds[each] * 1e3)
                     / (serviceSeconds[each] * 1e3);
-            if (off > tolerance) {
+            if (relativeError > tolerance) {
                 return false;
             }
         }
@@ -111,102 +111,105 @@
     }
 
     @Test
-    void factsReachAllMixersAndARestartedOneCatchesUpBeforeServing() throws Exception {
-        fleet(4, "{\"fleet\":{\"state\":\"on\"}}", searchers(SLOW_SERVICE_SECONDS));
+    void factsReachAllRoutersAndARestartedOneCatchesUpBeforeServing() throws Exception {
+        createFleet(4, "{\"fleet\":{\"state\":\"on\"}}", startReplicas(SLOW_SERVICE_SECONDS));
         startAll(4);
         for (int round = 0;
                 round < 40
                         && !(knowsLatencies(3, 0.35, SLOW_SERVICE_SECONDS)
                                 && knowsLatencies(0, 0.35, SLOW_SERVICE_SECONDS));
                 round++) {
-            for (int mixer = 0; mixer < 3; mixer++) {
-                assertEquals(200, ask(mixer));
+            for (int router = 0; router < 3; router++) {
+                assertEquals(200, query(router));
             }
         }
         assertTrue(
-                FleetProcesses.within(3, () -> knowsLatencies(3, 0.35, SLOW_SERVICE_SECONDS)),
-                () -> "mixer 3 never asked a searcher: " + latenciesMs(3));
+                FleetProcesses.becomesTrue(3, () -> knowsLatencies(3, 0.35, SLOW_SERVICE_SECONDS)),
+                () -> "router 3 never queried a replica: " + latenciesMs(3));
         assertTrue(
-                FleetProcesses.within(START_TIMEOUT_SECONDS, () -> digestsAgree(4)),
-                "the copies agree once nothing new comes");
-        // A value is the median over the facts of the other mixers, so the value to expect is the one that this mixer
-        // itself had before.
+                FleetProcesses.becomesTrue(START_TIMEOUT_SECONDS, () -> digestsAgree(4)),
+                "the copies agree once no new facts arrive");
+        // A value is the median over the facts of the other routers, so the value to expect is the one that this
+        // router itself had before.
         Map<String, Double> before = latenciesMs(3);
-        fleet.mixer(3).stop(false);
+        fleet.router(3).stop(false);
         fleet.start(3);
-        assertTrue(fleet.mixer(3).awaitReady(START_TIMEOUT_SECONDS));
+        assertTrue(fleet.router(3).awaitReady(START_TIMEOUT_SECONDS));
         assertTrue(
-                FleetProcesses.within(2, () -> latenciesMs(3).equals(before)),
+                FleetProcesses.becomesTrue(2, () -> latenciesMs(3).equals(before)),
                 () -> latenciesMs(3) + " and before " + before);
-        assertEquals(figure(2, "state-digest"), figure(3, "state-digest"), "all that the others hold");
-        assertTrue(FleetProcesses.within(5, () -> log(3).contains("caught up with the other mixers")), () -> log(3));
+        assertEquals(counter(2, "state-digest"), counter(3, "state-digest"), "all facts of the others");
+        assertTrue(
+                FleetProcesses.becomesTrue(5, () -> log(3).contains("caught up with the other mixers")), () -> log(3));
     }
 
     private boolean digestsAgree(int size) {
         for (int each = 1; each < size; each++) {
-            if (!figure(0, "state-digest").equals(figure(each, "state-digest"))) {
+            if (!counter(0, "state-digest").equals(counter(each, "state-digest"))) {
                 return false;
             }
         }
         return true;
     }
 
-    private String log(int mixer) {
+    private String log(int router) {
         try {
-            return Files.readString(fleet.mixer(mixer).log());
-        } catch (java.io.IOException interrupted) {
-            throw new java.io.UncheckedIOException(interrupted);
+            return Files.readString(fleet.router(router).log());
+        } catch (java.io.IOException e) {
+            throw new java.io.UncheckedIOException(e);
         }
     }
 
     @Test
-    void failuresSeenByTwoMixersWarnTheThirdAndCopiesConvergeAfterAPartition() throws Exception {
-        List<String> addresses = searchers();
+    void failuresSeenByTwoRoutersWarnTheThirdAndCopiesConvergeAfterAPartition() throws Exception {
+        List<String> addresses = startReplicas();
         addresses.set(2, "127.0.0.1:9");
-        fleet(3, "{\"fleet\":{\"state\":\"on\"}}", addresses);
+        createFleet(3, "{\"fleet\":{\"state\":\"on\"}}", addresses);
         startAll(3);
-        fleet.relay().cut((from, to) -> from == 2 || to == 2);
+        fleet.relay().partition((from, to) -> from == 2 || to == 2);
         boolean[] done = {false};
         Thread queries = new Thread(() -> {
             try {
                 while (!done[0]) {
-                    ask(0);
-                    ask(1);
+                    query(0);
+                    query(1);
                 }
-            } catch (Exception gone) {
+            } catch (Exception e) {
                 done[0] = true;
             }
         });
         queries.start();
         try {
-            assertTrue(FleetProcesses.within(10, () -> !figure(0, "state-facts").equals("0")));
-            fleet.relay().cut((from, to) -> false);
+            assertTrue(FleetProcesses.becomesTrue(
+                    10, () -> !counter(0, "state-facts").equals("0")));
+            fleet.relay().partition((from, to) -> false);
             assertTrue(
-                    FleetProcesses.within(10, () -> figure(2, "state-warned").contains("s-2")),
-                    () -> figure(2, "state-warned"));
+                    FleetProcesses.becomesTrue(
+                            10, () -> counter(2, "state-warned").contains("s-2")),
+                    () -> counter(2, "state-warned"));
         } finally {
             done[0] = true;
             queries.join();
         }
         assertTrue(
-                FleetProcesses.within(
+                FleetProcesses.becomesTrue(
                         10,
-                        () -> figure(0, "state-digest").equals(figure(2, "state-digest"))
-                                && figure(1, "state-digest").equals(figure(2, "state-digest"))),
-                "the copies agree once nothing new comes");
+                        () -> counter(0, "state-digest").equals(counter(2, "state-digest"))
+                                && counter(1, "state-digest").equals(counter(2, "state-digest"))),
+                "the copies agree once no new facts arrive");
     }
 
-    private String figure(int mixer, String name) {
+    private String counter(int router, String name) {
         try {
-            return fleet.figure(mixer, name);
-        } catch (InterruptedException interrupted) {
-            throw new IllegalStateException(interrupted);
+            return fleet.counter(router, name);
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
         }
     }
 
     @Test
     void peerWithFalseFactsCausesNoLostQuery() throws Exception {
-        fleet(2, "{\"fleet\":{\"state\":\"on\"}}", searchers());
+        createFleet(2, "{\"fleet\":{\"state\":\"on\"}}", startReplicas());
         startAll(2);
         try (DatagramSocket faultyPeer = new DatagramSocket()) {
             for (int round = 0; round < 20; round++) {
@@ -225,34 +228,36 @@
                 datagram[5] ^= 1;
                 faultyPeer.send(new DatagramPacket(
                         datagram, datagram.length, fleet.relay().address(1, 0)));
-                assertEquals(200, ask(0), "round " + round);
+                assertEquals(200, query(0), "round " + round);
             }
         }
-        assertTrue(FleetProcesses.within(3, () -> !figure(0, "state-spoilt").equals("0")));
-        assertTrue(figure(0, "state-warned").contains("s-0"), "it heard the lies");
-        assertEquals("0", figure(0, "faults"));
+        assertTrue(
+                FleetProcesses.becomesTrue(3, () -> !counter(0, "state-spoilt").equals("0")));
+        assertTrue(counter(0, "state-warned").contains("s-0"), "the false facts were received");
+        assertEquals("0", counter(0, "faults"));
     }
 
     @Test
     void snapshotIsLoadedAndAnInvalidStaleOrForeignOneIsRefusedOnce() throws Exception {
         Path snapshot = folder.resolve("snapshot");
-        fleet(
+        createFleet(
                 1,
                 "{\"fleet\":{\"state\":\"on\",\"snapshot-every-s\":1,\"snapshot\":\"" + snapshot + "\"}}",
-                searchers());
+                startReplicas());
         fleet.start(0);
-        assertTrue(fleet.mixer(0).awaitReady(START_TIMEOUT_SECONDS));
+        assertTrue(fleet.router(0).awaitReady(START_TIMEOUT_SECONDS));
         for (int each = 0; each < 10; each++) {
-            assertEquals(200, ask(0));
+            assertEquals(200, query(0));
         }
-        assertTrue(FleetProcesses.within(10, () -> factsIn(snapshot) > 0), "a snapshot with facts is on disk");
-        fleet.mixer(0).stop(false);
+        assertTrue(FleetProcesses.becomesTrue(10, () -> factsIn(snapshot) > 0), "a snapshot with facts is on disk");
+        fleet.router(0).stop(false);
         fleet.start(0);
-        assertTrue(fleet.mixer(0).awaitReady(START_TIMEOUT_SECONDS));
+        assertTrue(fleet.router(0).awaitReady(START_TIMEOUT_SECONDS));
         assertTrue(log(0).contains("snapshot: "), () -> log(0));
         assertTrue(
-                Integer.parseInt(figure(0, "state-facts")) > 0, "with nobody to ask and nothing asked, from the disk");
-        fleet.mixer(0).stop(false);
+                Integer.parseInt(counter(0, "state-facts")) > 0,
+                "without peers and queries, the facts come from the disk");
+        fleet.router(0).stop(false);
         byte[] snapshotBytes = Files.readAllBytes(snapshot);
         byte[] corrupted = snapshotBytes.clone();
         corrupted[snapshotBytes.length / 2] ^= 1;
@@ -269,13 +274,13 @@
         Files.createDirectory(snapshot);
         Files.writeString(snapshot.resolve("in-the-way"), "x");
         fleet.start(0);
-        assertTrue(fleet.mixer(0).awaitReady(START_TIMEOUT_SECONDS));
-        assertTrue(FleetProcesses.within(10, () -> log(0).contains("can't be written")), () -> log(0));
-        assertEquals(200, ask(0), "it serves without");
+        assertTrue(fleet.router(0).awaitReady(START_TIMEOUT_SECONDS));
+        assertTrue(FleetProcesses.becomesTrue(10, () -> log(0).contains("can't be written")), () -> log(0));
+        assertEquals(200, query(0), "serves without a snapshot");
         int occurrences = log(0).split("can't be written", -1).length;
         assertTrue(
-                !FleetProcesses.within(2.5, () -> log(0).split("can't be written", -1).length > occurrences),
-                "said once");
+                !FleetProcesses.becomesTrue(2.5, () -> log(0).split("can't be written", -1).length > occurrences),
+                "logged once");
     }
 
     private int factsIn(Path snapshot) {
@@ -285,18 +290,18 @@
                             .facts()
                             .size()
                     : 0;
-        } catch (java.io.IOException interrupted) {
+        } catch (java.io.IOException e) {
             return 0;
         }
     }
 
-    /** Starts the mixer, which must log this about its snapshot, and kills it before it writes the next one. */
+    /** Starts the router, which must log this about its snapshot, and kills it before it writes the next one. */
     private void expectLogAtStart(String message) throws Exception {
         fleet.start(0);
         assertTrue(
-                FleetProcesses.within(START_TIMEOUT_SECONDS, () -> log(0).contains(message)),
+                FleetProcesses.becomesTrue(START_TIMEOUT_SECONDS, () -> log(0).contains(message)),
                 () -> message + " is not in " + log(0));
-        assertEquals(2, log(0).split("snapshot", -1).length, "said once");
-        fleet.mixer(0).stop(false);
+        assertEquals(2, log(0).split("snapshot", -1).length, "logged once");
+        fleet.router(0).stop(false);
     }
 }
--- a/query-mixer/daemon/src/test/java/pinewick/protocol/TcpReplicaConnectionTest.java
+++ b/query-mixer/daemon/src/test/java/pinewick/protocol/TcpReplicaConnectionTest.java
@@ -55,15 +55,15 @@
     /** Records the events of the connection, and ends attempts as the last stage does. */
     private final class RecordingListener implements TcpReplicaConnection.Listener {
         @Override
-        public void onResponse(InFlightAttempt launch, char end, SchedulerHost.LoadReport report, byte[] value) {
-            end(launch, "answered " + launch.shardRequest.id);
+        public void onResponse(InFlightAttempt attempt, char end, SchedulerHost.LoadReport report, byte[] value) {
+            end(attempt, "answered " + attempt.shardRequest.id);
         }
 
         @Override
         public void onProbeResult(String from, long probe, boolean good, SchedulerHost.LoadReport report) {}
 
         @Override
-        public void onInvalidFrame(TcpReplicaConnection from, String why, InFlightAttempt launch) {
+        public void onInvalidFrame(TcpReplicaConnection from, String why, InFlightAttempt attempt) {
             events.add("spoilt " + why);
         }
 
@@ -74,24 +74,24 @@
         }
 
         @Override
-        public boolean canStartWrite(InFlightAttempt launch) {
+        public boolean canStartWrite(InFlightAttempt attempt) {
             return true;
         }
 
         @Override
-        public void onUnsent(List<InFlightAttempt> launches) {
-            launches.forEach(each -> end(each, "unsent " + each.shardRequest.id));
+        public void onUnsent(List<InFlightAttempt> attempts) {
+            attempts.forEach(each -> end(each, "unsent " + each.shardRequest.id));
         }
 
         @Override
-        public void onConnectTimeout(TcpReplicaConnection from, List<InFlightAttempt> launches) {
-            launches.forEach(each -> end(each, "not up " + each.shardRequest.id));
+        public void onConnectTimeout(TcpReplicaConnection from, List<InFlightAttempt> attempts) {
+            attempts.forEach(each -> end(each, "not up " + each.shardRequest.id));
         }
 
-        private void end(InFlightAttempt launch, String how) {
+        private void end(InFlightAttempt attempt, String how) {
             events.add(how);
-            launch.ended = true;
-            launch.call.connection.onAttemptEnded(launch);
+            attempt.ended = true;
+            attempt.call.connection.onAttemptEnded(attempt);
         }
     }
 
@@ -142,7 +142,7 @@
         assertTrue(done.await(WAIT_SECONDS, TimeUnit.SECONDS));
     }
 
-    private static InFlightAttempt launch(String query, int bytes) {
+    private static InFlightAttempt attempt(String query, int bytes) {
         OpenQuery openQuery = new OpenQuery(query, 0, 10, null, null);
         openQuery.filter = new byte[bytes];
         openQuery.addShardRequest(0, 1);
@@ -174,7 +174,7 @@
 
     @Test
     void receivedResponsesCountBeforeAWriteFindsTheConnectionBroken() throws Exception {
-        onLoop(() -> connection.send(List.of(launch("q1", 3))));
+        onLoop(() -> connection.send(List.of(attempt("q1", 3))));
         readCall();
         onLoop(() -> {
             answer("q1.0");
@@ -190,10 +190,10 @@
 
     @Test
     void abandoningAPartlyWrittenFrameLosesNoOtherCall() throws Exception {
-        onLoop(() -> connection.send(List.of(launch("q1", 3))));
+        onLoop(() -> connection.send(List.of(attempt("q1", 3))));
         readCall();
-        InFlightAttempt large = launch("q2", 64 << 20);
-        InFlightAttempt behind = launch("q3", 3);
+        InFlightAttempt large = attempt("q2", 64 << 20);
+        InFlightAttempt behind = attempt("q3", 3);
         onLoop(() -> {
             connection.send(List.of(large));
             connection.send(List.of(behind));
@@ -226,7 +226,7 @@
                     limits,
                     new RecordingListener());
             second[0].connect();
-            second[0].send(List.of(launch("q1", 3)));
+            second[0].send(List.of(attempt("q1", 3)));
         });
         assertEquals("not up q1.0", next());
         onLoop(() -> assertFalse(second[0].hasCapacity(), "no new call may be queued on it"));
@@ -239,7 +239,7 @@
         while (!up[0]) {
             onLoop(() -> up[0] = second[0].hasCapacity());
         }
-        onLoop(() -> second[0].send(List.of(launch("q2", 3))));
+        onLoop(() -> second[0].send(List.of(attempt("q2", 3))));
         replicaSocket.close();
         replicaSocket = late;
         readCall();
--- a/testing/lab/src/main/java/pinewick/lab/FleetLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/FleetLab.java
@@ -271,34 +271,34 @@
         int[] all = IntStream.range(0, size).toArray();
         int[] others = IntStream.range(0, size - 1).toArray();
         try (FleetProcesses fleet = new FleetProcesses(size, jar, folder, null, seed)) {
-            fleet.relay().links(0.1, 0.02, 0.001, 0.018);
+            fleet.relay().setLinkQuality(0.1, 0.02, 0.001, 0.018);
             fleet.start(all);
-            if (Double.isNaN(fleet.until(30, letters, all))) {
+            if (Double.isNaN(fleet.secondsUntil(30, letters, all))) {
                 throw new IllegalStateException("the mixers did not see each other");
             }
             for (int round = 0; round < rounds; round++) {
                 TimeUnit.SECONDS.sleep(1);
-                fleet.mixer(size - 1).stop(false);
-                add(took, "crash", fleet.until(20, "A".repeat(size - 1) + "D", others));
+                fleet.router(size - 1).stop(false);
+                add(took, "crash", fleet.secondsUntil(20, "A".repeat(size - 1) + "D", others));
                 fleet.start(size - 1);
-                if (!fleet.mixer(size - 1).awaitReady(20)) {
+                if (!fleet.router(size - 1).awaitReady(20)) {
                     throw new IllegalStateException("a mixer did not start again");
                 }
-                add(took, "join, from ready on", fleet.until(20, letters, all));
-                fleet.mixer(1).signal("STOP");
+                add(took, "join, from ready on", fleet.secondsUntil(20, letters, all));
+                fleet.router(1).signal("STOP");
                 TimeUnit.SECONDS.sleep(2);
-                fleet.mixer(1).signal("CONT");
-                add(took, "pause of 2 s, from its end on", fleet.until(20, letters, all));
-                falseDeaths += fleet.deathsOf(1, others) - falseDeaths;
-                fleet.relay().cut((from, to) -> from < 2 != to < 2);
+                fleet.router(1).signal("CONT");
+                add(took, "pause of 2 s, from its end on", fleet.secondsUntil(20, letters, all));
+                falseDeaths += fleet.deathDeclarations(1, others) - falseDeaths;
+                fleet.relay().partition((from, to) -> from < 2 != to < 2);
                 TimeUnit.SECONDS.sleep(6);
-                fleet.relay().cut((from, to) -> false);
-                add(took, "split of 6 s, from its end on", fleet.until(20, letters, all));
+                fleet.relay().partition((from, to) -> false);
+                add(took, "split of 6 s, from its end on", fleet.secondsUntil(20, letters, all));
                 if (round + 1 < rounds) {
-                    falseDeaths = fleet.deathsOf(1, others); // The split's own, which are none of the pauses'.
+                    falseDeaths = fleet.deathDeclarations(1, others); // The split's own, which are none of the pauses'.
                 }
             }
-            longest = fleet.relay().longest();
+            longest = fleet.relay().maxDatagramBytes();
         }
         StringBuilder table =
                 new StringBuilder("Seconds until all processes hold the view (" + size + " mixers on loopback, "
--- a/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
@@ -182,7 +182,7 @@
                             boolean before = away(at);
                             String id = "q-" + number + "-" + asks++;
                             double began = StandinReplicas.clock();
-                            int status = mixers.get(at).ask(id, "any", CELLS, 1);
+                            int status = mixers.get(at).query(id, "any", CELLS, 1);
                             double ended = StandinReplicas.clock();
                             if (before || away(at)) {
                                 // A mixer that is killed answers nothing; what it sent still counts for rule 3.
@@ -240,14 +240,14 @@
         int mixer = chance.nextInt(mixers.size());
         switch (trouble) {
             case COMPACTED -> {
-                members.forEach(each -> each.down(true));
+                members.forEach(each -> each.setDown(true));
                 TimeUnit.MILLISECONDS.sleep(50 + chance.nextInt(150));
             }
-            case MUTE -> members.forEach(each -> each.mute = true);
+            case MUTE -> members.forEach(each -> each.watchSilent = true);
             case ONE_SILENT -> one.silent = true;
-            case ONE_CUT_OFF -> one.cutOff(true);
-            case HALF_LINE -> members.forEach(each -> each.breaksNextEvent = true);
-            case SPLIT -> members.forEach(each -> each.split = 7);
+            case ONE_CUT_OFF -> one.setPartitioned(true);
+            case HALF_LINE -> members.forEach(each -> each.breakNextEvent = true);
+            case SPLIT -> members.forEach(each -> each.maxWriteBytes = 7);
             case TERM, KILL -> {
                 away(mixer, true);
                 mixers.get(mixer).stop(trouble == Trouble.TERM);
@@ -259,7 +259,7 @@
         }
         if (trouble == Trouble.COMPACTED) {
             registry.compact();
-            members.forEach(each -> each.down(false));
+            members.forEach(each -> each.setDown(false));
         } else if (trouble == Trouble.DROPPED) {
             members.forEach(StandinRegistry.Member::drop);
         } else if (trouble == Trouble.TERM || trouble == Trouble.KILL) {
@@ -275,9 +275,9 @@
         double until = StandinReplicas.clock();
         chosen.forEach(each -> drains.add(new Drain(each, trouble, told, until)));
         for (StandinRegistry.Member each : members) {
-            each.silent = each.mute = each.breaksNextEvent = false;
-            each.split = 0;
-            each.cutOff(false);
+            each.silent = each.watchSilent = each.breakNextEvent = false;
+            each.maxWriteBytes = 0;
+            each.setPartitioned(false);
         }
         for (int each : chosen) {
             registry.put(PREFIX + "s-" + each, value(searchers, each, "ready"));
@@ -296,7 +296,7 @@
             double last = 0;
             int after = 0;
             for (StandinReplicas.Arrival each : arrivals) {
-                if (each.searcher() == drain.searcher() && each.at() > drain.told() && each.at() < drain.until()) {
+                if (each.replica() == drain.searcher() && each.at() > drain.told() && each.at() < drain.until()) {
                     last = Math.max(last, each.at() - drain.told());
                     after += each.at() - drain.told() > GRACE ? 1 : 0;
                 }
@@ -317,7 +317,7 @@
                     Trace.Kind.SENT,
                     each.part().substring(0, each.part().lastIndexOf('.')),
                     each.part(),
-                    "s-" + each.searcher(),
+                    "s-" + each.replica(),
                     "-");
         }
         List<RuleChecker.Breach> breaches = new RuleChecker(GRACE, 0.5).judge(trace.events());
--- a/testing/standins/src/main/java/pinewick/rules/RuleChecker.java
+++ b/testing/standins/src/main/java/pinewick/rules/RuleChecker.java
@@ -8,61 +8,62 @@
 import java.util.TreeMap;
 
 /**
- * Judges a trace by the rules that one mixer alone must keep. Known here: rule 1 (one final answer in time, nothing
- * sent after it) and rule 3 (nothing new to a searcher past the grace after this mixer was told).
+ * Checks a trace against the rules that each router must keep by itself: rule 1 (exactly one final response in time,
+ * and no part sent after it) and rule 3 (no new part to a replica once the grace period has passed since this router
+ * learned that it is draining or gone).
  */
 public final class RuleChecker {
-    /** A rule that was broken, and by which event. */
-    public record Breach(int rule, String what, Trace.Event event) {
+    /** A breach of a rule, and the event that caused it. */
+    public record Breach(int rule, String description, Trace.Event event) {
         @Override
         public String toString() {
-            return "rule " + rule + ": " + what + ": " + event;
+            return "rule " + rule + ": " + description + ": " + event;
         }
     }
 
     private static final class Query {
-        double until;
+        double deadline;
         boolean answered;
-        boolean left;
-        Trace.Event taken;
+        boolean withdrawn;
+        Trace.Event acceptance;
     }
 
-    private final double grace;
-    private final double slack;
+    private final double graceSeconds;
+    private final double slackSeconds;
 
     /**
-     * @param grace seconds after which nothing new may reach a searcher that drains or is gone
-     * @param slack seconds that clocks and sockets may add to a client's time
+     * @param graceSeconds seconds after which no new part may reach a replica that is draining or gone
+     * @param slackSeconds seconds that clocks and sockets may add to the time that a client waits
      */
-    public RuleChecker(double grace, double slack) {
-        this.grace = grace;
-        this.slack = slack;
+    public RuleChecker(double graceSeconds, double slackSeconds) {
+        this.graceSeconds = graceSeconds;
+        this.slackSeconds = slackSeconds;
     }
 
     /**
-     * All breaches, in the order of their events; queries still open at the trace's end are judged by its last time.
+     * All breaches, in the order of their events; queries still open are checked against the time of the last event.
      */
     public List<Breach> judge(List<Trace.Event> events) {
         List<Breach> breaches = new ArrayList<>();
         Map<String, Query> queries = new LinkedHashMap<>();
-        Map<String, Double> toldAt = new HashMap<>();
+        Map<String, Double> drainKnownAt = new HashMap<>();
         for (Trace.Event each : events) {
-            String query = each.mixer() + " " + each.query();
+            String query = each.router() + " " + each.query();
             Query known = queries.get(query);
             switch (each.kind()) {
                 case TAKEN -> {
-                    Query taken = new Query();
-                    taken.taken = each;
-                    taken.until = each.at() + Double.parseDouble(each.detail()) + slack;
-                    queries.put(query, taken);
+                    Query acceptance = new Query();
+                    acceptance.acceptance = each;
+                    acceptance.deadline = each.at() + Double.parseDouble(each.detail()) + slackSeconds;
+                    queries.put(query, acceptance);
                 }
                 case ANSWERED -> {
                     if (known == null) {
-                        breaches.add(new Breach(1, "an answer to a query never taken", each));
+                        breaches.add(new Breach(1, "a response to an unknown query", each));
                     } else if (known.answered) {
-                        breaches.add(new Breach(1, "a second final answer", each));
-                    } else if (each.at() > known.until && !known.left) {
-                        breaches.add(new Breach(1, "an answer after the client's time", each));
+                        breaches.add(new Breach(1, "a second final response", each));
+                    } else if (each.at() > known.deadline && !known.withdrawn) {
+                        breaches.add(new Breach(1, "a response after the client's deadline", each));
                     }
                     if (known != null) {
                         known.answered = true;
@@ -70,24 +71,24 @@
                 }
                 case WITHDRAWN -> {
                     if (known != null) {
-                        known.left = true;
+                        known.withdrawn = true;
                     }
                 }
                 case SENT -> {
                     if (known != null && known.answered) {
-                        breaches.add(new Breach(1, "a part sent after the final answer", each));
+                        breaches.add(new Breach(1, "a part sent after the final response", each));
                     }
-                    Double told = toldAt.get(each.mixer() + " " + each.searcher());
-                    if (told != null && each.at() > told + grace) {
-                        breaches.add(new Breach(3, "a part sent past the grace", each));
+                    Double knownAt = drainKnownAt.get(each.router() + " " + each.replica());
+                    if (knownAt != null && each.at() > knownAt + graceSeconds) {
+                        breaches.add(new Breach(3, "a part sent after the grace period", each));
                     }
                 }
                 case TOLD -> {
-                    String searcher = each.mixer() + " " + each.searcher();
+                    String replica = each.router() + " " + each.replica();
                     if (each.detail().equals("ready")) {
-                        toldAt.remove(searcher);
+                        drainKnownAt.remove(replica);
                     } else {
-                        toldAt.putIfAbsent(searcher, each.at());
+                        drainKnownAt.putIfAbsent(replica, each.at());
                     }
                 }
                 default -> {}
@@ -95,14 +96,14 @@
         }
         double end = events.isEmpty() ? 0 : events.get(events.size() - 1).at();
         for (Query each : queries.values()) {
-            if (!each.answered && !each.left && each.until < end) {
-                breaches.add(new Breach(1, "no answer", each.taken));
+            if (!each.answered && !each.withdrawn && each.deadline < end) {
+                breaches.add(new Breach(1, "no response", each.acceptance));
             }
         }
         return breaches;
     }
 
-    /** How many breaches of each rule. */
+    /** Number of breaches of each rule. */
     public static Map<Integer, Integer> count(List<Breach> breaches) {
         Map<Integer, Integer> count = new TreeMap<>();
         breaches.forEach(each -> count.merge(each.rule(), 1, Integer::sum));
--- a/testing/standins/src/main/java/pinewick/rules/Trace.java
+++ b/testing/standins/src/main/java/pinewick/rules/Trace.java
@@ -5,39 +5,39 @@
 import java.util.Locale;
 
 /**
- * The trace that stand-ins, experiments and tests write and the checker reads: one event a line, its fields set apart
- * by tabs: time (seconds), mixer, event, query, part, searcher, detail; "-" where a field has nothing to say.
+ * A trace that fakes, experiments and tests write and the checker reads. One event per line with tab-separated fields:
+ * time in seconds, router, event, query, part, replica, detail; "-" if a field does not apply.
  */
 public final class Trace {
     /** The kind of an event. */
     public enum Kind {
-        /** A client's query was taken; detail: seconds its client waits. */
+        /** A query was accepted; detail: seconds that its client waits. */
         TAKEN,
-        /** The client's final answer; detail: fulfilled, part, declined or given-up. */
+        /** The final response was sent to the client; detail: fulfilled, part, declined or given-up. */
         ANSWERED,
-        /** The client left. */
+        /** The client disconnected. */
         WITHDRAWN,
-        /** A part reached, or was sent to, a searcher; detail: the number of the launch where known. */
+        /** A part was sent to, or reached, a replica; detail: the number of the attempt if known. */
         SENT,
-        /** A part's value came back. */
+        /** The value of a part was received. */
         VALUE,
-        /** A mixer was told that a searcher drains, is gone or is ready again; detail: draining, gone or ready. */
+        /** A router learned that a replica is draining, gone or ready again; detail: draining, gone or ready. */
         TOLD
     }
 
-    /** One line; times in seconds. */
-    public record Event(double at, String mixer, Kind kind, String query, String part, String searcher, String detail) {
+    /** One event; times in seconds. */
+    public record Event(double at, String router, Kind kind, String query, String part, String replica, String detail) {
         @Override
         public String toString() {
             return String.format(
                     Locale.ROOT,
                     "%.6f\t%s\t%s\t%s\t%s\t%s\t%s",
                     at,
-                    mixer,
+                    router,
                     kind.name().toLowerCase(Locale.ROOT),
                     query,
                     part,
-                    searcher,
+                    replica,
                     detail);
         }
     }
@@ -45,18 +45,18 @@
     private final List<Event> events = new ArrayList<>();
 
     public synchronized void add(
-            double at, String mixer, Kind kind, String query, String part, String searcher, String detail) {
-        events.add(new Event(at, mixer, kind, query, part, searcher, detail));
+            double at, String router, Kind kind, String query, String part, String replica, String detail) {
+        events.add(new Event(at, router, kind, query, part, replica, detail));
     }
 
-    /** In the order of their times. */
+    /** All events, sorted by time. */
     public synchronized List<Event> events() {
         List<Event> sorted = new ArrayList<>(events);
         sorted.sort((one, other) -> Double.compare(one.at, other.at));
         return sorted;
     }
 
-    /** Throws IllegalArgumentException that names the line and the field. */
+    /** Parses a trace. Throws IllegalArgumentException that names the line and the field at fault. */
     public static Trace read(List<String> lines) {
         Trace trace = new Trace();
         for (int number = 0; number < lines.size(); number++) {
@@ -74,8 +74,8 @@
                         fields[4],
                         fields[5],
                         fields[6]);
-            } catch (IllegalArgumentException odd) {
-                throw new IllegalArgumentException("line " + (number + 1) + ": time or event: " + odd.getMessage());
+            } catch (IllegalArgumentException e) {
+                throw new IllegalArgumentException("line " + (number + 1) + ": time or event: " + e.getMessage());
             }
         }
         return trace;
--- a/testing/standins/src/main/java/pinewick/standins/DatagramRelay.java
+++ b/testing/standins/src/main/java/pinewick/standins/DatagramRelay.java
@@ -16,48 +16,47 @@
 import java.util.function.BiPredicate;
 
 /**
- * Carries datagrams between processes on loopback, and breaks the way: a share is lost, doubled or late (and so out of
- * order), some hear others only one way or not at all. Each process has an address of its own here for each other one
- * and one for all, as the platform gives them; what it sends there reaches the other from the address that stands for
- * it.
+ * Relays datagrams between processes on loopback and injects faults: datagrams are lost, duplicated, delayed and so
+ * reordered, and links are blocked in one direction or both. As on the platform, each process has one relay address per
+ * peer and one broadcast address. A peer receives a datagram from the relay address that represents the sender.
  */
 public final class DatagramRelay implements AutoCloseable {
-    private record Late(long at, long number, int from, int to, byte[] bytes) {}
+    private record DelayedDatagram(long at, long sequence, int from, int to, byte[] bytes) {}
 
-    private record Way(int from, int to) {}
+    private record Link(int from, int to) {}
 
     private static final int ALL = -1;
 
     private final Selector selector = Selector.open();
-    private final DatagramChannel[][] ways;
-    private final DatagramChannel[] toAll;
-    private final List<InetSocketAddress> homes;
-    private final PriorityQueue<Late> late = new PriorityQueue<>((one, other) ->
-            one.at != other.at ? Long.compare(one.at, other.at) : Long.compare(one.number, other.number));
-    private final ConcurrentLinkedQueue<Runnable> asked = new ConcurrentLinkedQueue<>();
-    private final SplittableRandom chance;
+    private final DatagramChannel[][] linkChannels;
+    private final DatagramChannel[] broadcastChannels;
+    private final List<InetSocketAddress> listenAddresses;
+    private final PriorityQueue<DelayedDatagram> delayed = new PriorityQueue<>((one, other) ->
+            one.at != other.at ? Long.compare(one.at, other.at) : Long.compare(one.sequence, other.sequence));
+    private final ConcurrentLinkedQueue<Runnable> commands = new ConcurrentLinkedQueue<>();
+    private final SplittableRandom random;
     private final Thread thread;
-    private BiPredicate<Integer, Integer> cut = (from, to) -> false;
-    private double loss;
-    private double doubled;
-    private double least;
-    private double most;
-    private long numbers;
-    private volatile int longest;
-    private final AtomicLong carried = new AtomicLong();
-    private volatile boolean over;
-
-    /** @param homes where each process listens for datagrams */
-    public DatagramRelay(List<InetSocketAddress> homes, long seed) throws IOException {
-        this.homes = homes;
-        chance = new SplittableRandom(seed);
-        int size = homes.size();
-        ways = new DatagramChannel[size][size];
-        toAll = new DatagramChannel[size];
+    private BiPredicate<Integer, Integer> blocked = (from, to) -> false;
+    private double lossProbability;
+    private double duplicationProbability;
+    private double minDelaySeconds;
+    private double maxDelaySeconds;
+    private long nextSequence;
+    private volatile int maxDatagramBytes;
+    private final AtomicLong deliveredCount = new AtomicLong();
+    private volatile boolean closed;
+
+    /** @param listenAddresses the address at which each process listens for datagrams, by index */
+    public DatagramRelay(List<InetSocketAddress> listenAddresses, long seed) throws IOException {
+        this.listenAddresses = listenAddresses;
+        random = new SplittableRandom(seed);
+        int size = listenAddresses.size();
+        linkChannels = new DatagramChannel[size][size];
+        broadcastChannels = new DatagramChannel[size];
         for (int from = 0; from < size; from++) {
-            toAll[from] = open(new Way(from, ALL));
+            broadcastChannels[from] = open(new Link(from, ALL));
             for (int to = 0; to < size; to++) {
-                ways[from][to] = open(new Way(from, to));
+                linkChannels[from][to] = open(new Link(from, to));
             }
         }
         thread = new Thread(this::run, "datagram-relay");
@@ -65,119 +64,122 @@
         thread.start();
     }
 
-    private DatagramChannel open(Way way) throws IOException {
+    private DatagramChannel open(Link link) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
         channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         channel.configureBlocking(false);
-        channel.register(selector, SelectionKey.OP_READ, way);
+        channel.register(selector, SelectionKey.OP_READ, link);
         return channel;
     }
 
-    /** The address by which one process reaches another. */
+    /** The relay address at which one process reaches another. */
     public InetSocketAddress address(int from, int to) throws IOException {
-        return (InetSocketAddress) ways[from][to].getLocalAddress();
+        return (InetSocketAddress) linkChannels[from][to].getLocalAddress();
     }
 
-    /** The address by which it reaches all. */
-    public InetSocketAddress addressOfAll(int from) throws IOException {
-        return (InetSocketAddress) toAll[from].getLocalAddress();
+    /** The relay address at which a process reaches all others. */
+    public InetSocketAddress broadcastAddress(int from) throws IOException {
+        return (InetSocketAddress) broadcastChannels[from].getLocalAddress();
     }
 
-    /** From now on: shares lost and doubled, seconds late at least and at most. */
-    public void links(double lost, double twice, double earliest, double latest) {
-        ask(() -> {
-            loss = lost;
-            doubled = twice;
-            least = earliest;
-            most = latest;
+    /** Sets the probabilities of loss and duplication and the range of the delay in seconds, for all links. */
+    public void setLinkQuality(double loss, double duplication, double minDelay, double maxDelay) {
+        enqueue(() -> {
+            lossProbability = loss;
+            duplicationProbability = duplication;
+            minDelaySeconds = minDelay;
+            maxDelaySeconds = maxDelay;
         });
     }
 
-    /** From whom to whom nothing goes through from now on. */
-    public void cut(BiPredicate<Integer, Integer> from) {
-        ask(() -> cut = from);
+    /** Blocks the links from sender to receiver for which this is true, from now on. */
+    public void partition(BiPredicate<Integer, Integer> isBlocked) {
+        enqueue(() -> blocked = isBlocked);
     }
 
     /**
-     * Sends one datagram to a process from the address that stands for another, exactly once: the loss, doubling, delay
-     * and cuts of the links do not apply to it.
+     * Sends one datagram to a process from the relay address of another, exactly once: loss, duplication, delay and
+     * blocked links do not apply to it.
      */
     public void inject(int from, int to, byte[] datagram) {
         byte[] copy = datagram.clone();
-        ask(() -> deliver(new Late(System.nanoTime(), numbers++, from, to, copy)));
+        enqueue(() -> deliver(new DelayedDatagram(System.nanoTime(), nextSequence++, from, to, copy)));
     }
 
-    private void ask(Runnable what) {
-        asked.add(what);
+    private void enqueue(Runnable command) {
+        commands.add(command);
         selector.wakeup();
     }
 
-    /** Bytes of the longest datagram that came. */
-    public int longest() {
-        return longest;
+    /** Size in bytes of the largest datagram received. */
+    public int maxDatagramBytes() {
+        return maxDatagramBytes;
     }
 
-    public long carried() {
-        return carried.get();
+    public long deliveredCount() {
+        return deliveredCount.get();
     }
 
     private void run() {
         ByteBuffer buffer = ByteBuffer.allocate(4096);
         try {
-            while (!over) {
-                long wait = late.isEmpty() ? 100 : Math.max(1, (late.peek().at - System.nanoTime()) / 1_000_000);
-                selector.select(wait);
-                for (Runnable next = asked.poll(); next != null; next = asked.poll()) {
+            while (!closed) {
+                long waitMillis =
+                        delayed.isEmpty() ? 100 : Math.max(1, (delayed.peek().at - System.nanoTime()) / 1_000_000);
+                selector.select(waitMillis);
+                for (Runnable next = commands.poll(); next != null; next = commands.poll()) {
                     next.run();
                 }
                 for (SelectionKey key : selector.selectedKeys()) {
-                    Way way = (Way) key.attachment();
+                    Link link = (Link) key.attachment();
                     buffer.clear();
                     while (((DatagramChannel) key.channel()).receive(buffer) != null) {
                         buffer.flip();
                         byte[] bytes = new byte[buffer.remaining()];
                         buffer.get(bytes);
                         buffer.clear();
-                        longest = Math.max(longest, bytes.length);
-                        for (int to = 0; to < homes.size(); to++) {
-                            if (to != way.from && (way.to == ALL || way.to == to)) {
-                                carry(way.from, to, bytes);
+                        maxDatagramBytes = Math.max(maxDatagramBytes, bytes.length);
+                        for (int to = 0; to < listenAddresses.size(); to++) {
+                            if (to != link.from && (link.to == ALL || link.to == to)) {
+                                relay(link.from, to, bytes);
                             }
                         }
                     }
                 }
                 selector.selectedKeys().clear();
-                while (!late.isEmpty() && late.peek().at <= System.nanoTime()) {
-                    deliver(late.poll());
+                while (!delayed.isEmpty() && delayed.peek().at <= System.nanoTime()) {
+                    deliver(delayed.poll());
                 }
             }
-        } catch (IOException | java.nio.channels.ClosedSelectorException gone) {
-            over = true;
+        } catch (IOException | java.nio.channels.ClosedSelectorException e) {
+            closed = true;
         }
     }
 
-    private void carry(int from, int to, byte[] bytes) {
-        int copies = chance.nextDouble() < doubled ? 2 : 1;
+    private void relay(int from, int to, byte[] bytes) {
+        int copies = random.nextDouble() < duplicationProbability ? 2 : 1;
         for (int each = 0; each < copies; each++) {
-            if (chance.nextDouble() >= loss && !cut.test(from, to)) {
-                double seconds = least + (most - least) * chance.nextDouble();
-                late.add(new Late(System.nanoTime() + Math.round(seconds * 1e9), numbers++, from, to, bytes));
+            if (random.nextDouble() >= lossProbability && !blocked.test(from, to)) {
+                double seconds = minDelaySeconds + (maxDelaySeconds - minDelaySeconds) * random.nextDouble();
+                delayed.add(new DelayedDatagram(
+                        System.nanoTime() + Math.round(seconds * 1e9), nextSequence++, from, to, bytes));
             }
         }
     }
 
-    private void deliver(Late one) {
+    private void deliver(DelayedDatagram datagram) {
         try {
-            ways[one.to][one.from].send(ByteBuffer.wrap(one.bytes), homes.get(one.to));
-            carried.incrementAndGet();
-        } catch (IOException nobody) {
-            // Nobody listens there: lost.
+            linkChannels[datagram.to][datagram.from].send(
+                    ByteBuffer.wrap(datagram.bytes), listenAddresses.get(datagram.to));
+            deliveredCount.incrementAndGet();
+        } catch (IOException e) {
+            // Nothing listens at that address: the datagram is lost.
         }
     }
 
     @Override
     public void close() throws IOException {
-        over = true;
+        closed = true;
         selector.wakeup();
         for (SelectionKey key : List.copyOf(new ArrayList<>(selector.keys()))) {
             key.channel().close();
--- a/testing/standins/src/main/java/pinewick/standins/QueryRouterProcess.java
+++ b/testing/standins/src/main/java/pinewick/standins/QueryRouterProcess.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A real mixer as a process of its own, on loopback, with an operator's file. */
+/** A query router that runs as a separate process on loopback, optionally with an operator configuration file. */
 public final class QueryRouterProcess implements AutoCloseable {
     private static final HttpClient CLIENT =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
@@ -24,27 +24,27 @@
     private final Path operator;
     private final String categories;
     private final int cells;
-    private final String known;
+    private final String knownReplicas;
     private final int port;
     private Process process;
-    private int starts;
+    private int startCount;
 
     /**
-     * @param jar the program; null for this process's own class path
-     * @param categories the service grades, as JSON objects set apart by commas
+     * @param jar the packaged program; null to run from the class path of this process
+     * @param categories the service classes, as JSON objects separated by commas
      */
     public QueryRouterProcess(Path jar, Path folder, Path operator, String categories, int cells) throws IOException {
         this(jar, folder, operator, categories, cells, "", "", 2, 0);
     }
 
     /**
-     * One of several mixers.
+     * One of several routers.
      *
-     * @param operator null for none
-     * @param known the searchers known at the start, as JSON objects set apart by commas
-     * @param peers the configuration's fields that tell of the others, each ended by a comma; empty for none
-     * @param instances how many mixers the settings state
-     * @param self this one's number among them
+     * @param operator the operator configuration file; null for none
+     * @param knownReplicas the replicas known at the start, as JSON objects separated by commas
+     * @param peers the configuration fields that list the peers, each followed by a comma; empty for none
+     * @param instances number of routers given in the settings
+     * @param self index of this router among them
      */
     public QueryRouterProcess(
             Path jar,
@@ -52,14 +52,14 @@
             Path operator,
             String categories,
             int cells,
-            String known,
+            String knownReplicas,
             String peers,
             int instances,
             int self)
             throws IOException {
         this.categories = categories;
         this.cells = cells;
-        this.known = known;
+        this.knownReplicas = knownReplicas;
         this.jar = jar;
         this.folder = folder;
         this.operator = operator;
@@ -69,14 +69,14 @@
         configure(peers, instances, self);
     }
 
-    /** Writes another configuration, for the next start or {@code reload}. */
+    /** Writes a new configuration, for the next start or {@code reload}. */
     public void configure(String peers, int instances, int self) throws IOException {
         Files.writeString(
                 folder.resolve("config.json"),
                 "{" + peers + "\"listen\":\"127.0.0.1:" + port
                         + "\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"8c1f30d27a5be964\","
                         + "\"limits\":{\"sockets\":1024},"
-                        + "\"known\":{\"revision\":0,\"complete\":true,\"members\":[" + known
+                        + "\"known\":{\"revision\":0,\"complete\":true,\"members\":[" + knownReplicas
                         + "]},\"settings\":{\"instances\":" + instances
                         + ",\"self-index\":" + self + ","
                         + "\"granularity-ns\":5e6,\"categories\":[" + categories + "],\"bounds\":{\"peers\":"
@@ -92,27 +92,27 @@
     }
 
     public void start() throws IOException {
-        List<String> words = new ArrayList<>(List.of(
+        List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
                 "-Xmx64m",
                 "-XX:+UseSerialGC"));
-        words.addAll(
+        command.addAll(
                 jar == null
                         ? List.of("-cp", System.getProperty("java.class.path"), "pinewick.Main")
                         : List.of("-jar", jar.toAbsolutePath().toString()));
-        words.addAll(operator == null ? List.of("serve") : List.of("serve", "--operator", operator.toString()));
-        ProcessBuilder builder = new ProcessBuilder(words);
+        command.addAll(operator == null ? List.of("serve") : List.of("serve", "--operator", operator.toString()));
+        ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("EDGE_CONFIG", folder.resolve("config.json").toString());
         builder.redirectErrorStream(true)
-                .redirectOutput(folder.resolve("log-" + ++starts + ".txt").toFile());
+                .redirectOutput(folder.resolve("log-" + ++startCount + ".txt").toFile());
         process = builder.start();
     }
 
-    /** Waits until it is ready; false after so many seconds. */
+    /** Waits until the router is ready. Returns false if it is not within this many seconds. */
     public boolean awaitReady(double seconds) throws InterruptedException {
-        double until = StandinReplicas.clock() + seconds;
-        while (StandinReplicas.clock() < until) {
+        double deadline = StandinReplicas.clock() + seconds;
+        while (StandinReplicas.clock() < deadline) {
             if ("ready\n".equals(get("/health/ready"))) {
                 return true;
             }
@@ -121,22 +121,22 @@
         return false;
     }
 
-    /** The body of a 200 answer; null where there is none. */
+    /** The body of a 200 response; null if there was no such response. */
     public String get(String path) throws InterruptedException {
         try {
-            HttpResponse<String> answer = CLIENT.send(
+            HttpResponse<String> response = CLIENT.send(
                     HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
                             .timeout(Duration.ofSeconds(2))
                             .build(),
                     HttpResponse.BodyHandlers.ofString());
-            return answer.statusCode() == 200 ? answer.body() : null;
-        } catch (IOException none) {
+            return response.statusCode() == 200 ? response.body() : null;
+        } catch (IOException e) {
             return null;
         }
     }
 
-    /** Asks for one part of each shard; the answer's status, 0 where none came, -1 where no connection came up. */
-    public int ask(String id, String grade, int shards, double seconds) throws InterruptedException {
+    /** Queries each shard for one part. Returns the status, 0 without a response, -1 without a connection. */
+    public int query(String id, String serviceClass, int shards, double seconds) throws InterruptedException {
         StringBuilder body = new StringBuilder("{\"slices\":[");
         for (int shard = 0; shard < shards; shard++) {
             body.append(shard == 0 ? "" : ",")
@@ -151,30 +151,30 @@
                             HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/api"))
                                     .timeout(Duration.ofMillis(Math.round(seconds * 1e3) + 500))
                                     .header("Req-Id", id)
-                                    .header("Req-Kind", grade)
+                                    .header("Req-Kind", serviceClass)
                                     .header("Req-Deadline", Double.toString(seconds))
                                     .POST(HttpRequest.BodyPublishers.ofString(body + "],\"filter\":\"f\"}"))
                                     .build(),
                             HttpResponse.BodyHandlers.discarding())
                     .statusCode();
-        } catch (java.net.ConnectException refused) {
+        } catch (java.net.ConnectException e) {
             return -1;
-        } catch (IOException none) {
+        } catch (IOException e) {
             return 0;
         }
     }
 
-    /** Sends it a signal by its name, such as HUP, STOP or CONT. */
+    /** Sends the process a signal by name, such as HUP, STOP or CONT. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .start()
                 .waitFor();
     }
 
-    /** Ends it: in order (SIGTERM), or at once. */
-    public void stop(boolean inOrder) throws InterruptedException {
+    /** Stops the process: gracefully with SIGTERM, or at once. */
+    public void stop(boolean graceful) throws InterruptedException {
         if (process != null) {
-            if (inOrder) {
+            if (graceful) {
                 process.destroy();
             } else {
                 process.destroyForcibly();
@@ -186,7 +186,7 @@
     }
 
     public Path log() {
-        return folder.resolve("log-" + starts + ".txt");
+        return folder.resolve("log-" + startCount + ".txt");
     }
 
     @Override
--- a/testing/standins/src/main/java/pinewick/standins/RegistryState.java
+++ b/testing/standins/src/main/java/pinewick/standins/RegistryState.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a stand-in registry holds: keys with all their versions, revisions, compaction, leases. No I/O. */
+/** The state of a fake registry: keys with all their versions, revisions, compaction, leases. Does no I/O. */
 public final class RegistryState {
-    /** A key at one revision; a null value says that it was removed there. */
+    /** A key at one revision; a null value denotes that the key was removed at that revision. */
     public record Version(String key, byte[] value, long revision, long lease) {}
 
-    /** One page: the keys, whether more follow, and how many there are in all. */
+    /** One page: its keys, whether more follow, and the total number of keys. */
     public record Page(List<Version> keys, boolean more, long count) {}
 
-    /** The revision asked for is not known any more. */
+    /** The requested revision has been compacted. */
     public static final class Compacted extends Exception {
         public final long upTo;
 
@@ -31,7 +31,7 @@
 
     public RegistryState() {}
 
-    /** A copy as it stands now, as a backup would hold it or a member that was cut off. */
+    /** A copy of the current state, as a backup or a partitioned member has it. */
     public RegistryState copy() {
         RegistryState copy = new RegistryState();
         keys.forEach((key, versions) -> copy.keys.put(key, new ArrayList<>(versions)));
@@ -59,10 +59,10 @@
         return put(key, value.getBytes(StandardCharsets.UTF_8), 0);
     }
 
-    /** Removes them in one revision; keys that are not there are passed over. */
-    public long remove(List<String> gone) {
+    /** Removes the keys in one revision; ignores keys that do not exist. */
+    public long remove(List<String> removedKeys) {
         long next = revision + 1;
-        for (String key : gone) {
+        for (String key : removedKeys) {
             if (latest(key, Long.MAX_VALUE) != null) {
                 revision = next;
                 write(new Version(key, null, next, 0));
@@ -71,16 +71,16 @@
         return revision;
     }
 
-    /** A lease ran out: all its keys go. */
+    /** Expires a lease: removes all its keys. */
     public long expire(long lease) {
-        List<String> gone = new ArrayList<>();
+        List<String> expiredKeys = new ArrayList<>();
         for (String key : keys.keySet()) {
             Version last = latest(key, Long.MAX_VALUE);
             if (last != null && last.lease() == lease) {
-                gone.add(key);
+                expiredKeys.add(key);
             }
         }
-        return remove(gone);
+        return remove(expiredKeys);
     }
 
     private void write(Version version) {
@@ -88,17 +88,17 @@
         history.add(version);
     }
 
-    private Version latest(String key, long at) {
+    private Version latest(String key, long atRevision) {
         Version found = null;
         for (Version each : keys.getOrDefault(key, List.of())) {
-            if (each.revision() <= at) {
+            if (each.revision() <= atRevision) {
                 found = each;
             }
         }
         return found == null || found.value() == null ? null : found;
     }
 
-    /** Changes before this revision are forgotten; each key's newest state stays. */
+    /** Discards the changes before this revision; the newest state of each key stays. */
     public void compact(long upTo) {
         compacted = Math.max(compacted, Math.min(upTo, revision));
         history.removeIf(each -> each.revision() < compacted);
@@ -113,17 +113,17 @@
                         && versions.get(0).revision() <= compacted);
     }
 
-    /** Keys from {@code from} on and before {@code end}, as they stood at a revision; 0 for the newest. */
+    /** Keys from {@code from} (inclusive) to {@code end} (exclusive) as of a revision; 0 for the newest. */
     public Page range(String from, String end, long atRevision, int limit) throws Compacted {
         if (atRevision > 0 && atRevision < compacted) {
             throw new Compacted(compacted);
         }
-        long at = atRevision == 0 ? revision : atRevision;
+        long effectiveRevision = atRevision == 0 ? revision : atRevision;
         List<Version> page = new ArrayList<>();
         long count = 0;
         for (Map.Entry<String, List<Version>> each :
                 keys.subMap(from, true, end, false).entrySet()) {
-            Version latest = latest(each.getKey(), at);
+            Version latest = latest(each.getKey(), effectiveRevision);
             if (latest != null) {
                 count++;
                 if (limit == 0 || page.size() < limit) {
@@ -134,7 +134,7 @@
         return new Page(page, count > page.size(), count);
     }
 
-    /** The key of a range that was changed last; null where there is none. */
+    /** The most recently changed key of a range; null if the range has none. */
     public Version newest(String from, String end) {
         Version newest = null;
         for (String key : keys.subMap(from, true, end, false).keySet()) {
@@ -146,14 +146,14 @@
         return newest;
     }
 
-    /** All changes of a range from this revision on. */
+    /** All changes in a range, starting at this revision. */
     public List<Version> changes(String from, String end, long fromRevision) throws Compacted {
         if (fromRevision < compacted) {
             throw new Compacted(compacted);
         }
         List<Version> found = new ArrayList<>();
-        for (int at = history.size() - 1; at >= 0 && history.get(at).revision() >= fromRevision; at--) {
-            Version each = history.get(at);
+        for (int index = history.size() - 1; index >= 0 && history.get(index).revision() >= fromRevision; index--) {
+            Version each = history.get(index);
             if (each.key().compareTo(from) >= 0 && each.key().compareTo(end) < 0) {
                 found.add(0, each);
             }
--- a/testing/standins/src/main/java/pinewick/standins/StandinRegistry.java
+++ b/testing/standins/src/main/java/pinewick/standins/StandinRegistry.java
@@ -23,29 +23,30 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A registry of some members on loopback that speaks the JSON form of etcd's v3 API as far as a follower needs it:
- * ranges, watches. It compacts, drops, pauses, hides, lags and splits its answers on demand. A thread a connection.
+ * A fake registry of several members on loopback. It speaks the JSON form of the etcd v3 API as far as a watching
+ * client needs it: ranges, watches, puts and leases. On demand it compacts, drops connections, stops responding,
+ * serves stale state and splits its responses. One thread per connection.
  */
 public final class StandinRegistry implements AutoCloseable {
-    /** One member, and what is wrong with it. */
+    /** One member and its injected faults. */
     public final class Member {
         private final ServerSocket listener;
         private final int number;
         private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-        /** Takes no connection and closes those it has. */
+        /** If set, the member resets each new connection; its open ones are closed. */
         private volatile boolean down;
-        /** Reads and answers nothing. */
+        /** If set, the member does not respond to requests. */
         public volatile boolean silent;
-        /** Watches open and then say nothing. */
-        public volatile boolean mute;
-        /** Answers from what it held when it was cut off. */
-        private volatile RegistryState old;
+        /** If set, watches are established and then deliver nothing. */
+        public volatile boolean watchSilent;
+        /** The state at the time of a partition, from which the member then responds; null if it is not partitioned. */
+        private volatile RegistryState stale;
 
-        public volatile String cluster = "77";
-        /** Bytes a write at most; 0 for all at once. */
-        public volatile int split;
-        /** Breaks the connection in the middle of the next event's line. */
-        public volatile boolean breaksNextEvent;
+        public volatile String clusterId = "77";
+        /** Maximum number of bytes per write; 0 for no limit. */
+        public volatile int maxWriteBytes;
+        /** If set, the connection is closed in the middle of the line with the next event. */
+        public volatile boolean breakNextEvent;
 
         private Member(int number) throws IOException {
             this.number = number;
@@ -58,34 +59,34 @@
             return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        public void down(boolean now) {
-            down = now;
-            if (now) {
+        public void setDown(boolean isDown) {
+            down = isDown;
+            if (isDown) {
                 drop();
             }
         }
 
-        /** Breaks all its connections. */
+        /** Resets all connections of this member. */
         public void drop() {
             for (Socket each : open) {
                 try {
                     each.setSoLinger(true, 0);
                     each.close();
-                } catch (IOException gone) {
-                    // It is closed already.
+                } catch (IOException e) {
+                    // The connection is already closed.
                 }
             }
         }
 
-        public void cutOff(boolean now) {
+        public void setPartitioned(boolean partitioned) {
             synchronized (state) {
-                old = now ? state.copy() : null;
+                stale = partitioned ? state.copy() : null;
             }
         }
 
-        private RegistryState held() {
-            RegistryState mine = old;
-            return mine == null ? state : mine;
+        private RegistryState visibleState() {
+            RegistryState own = stale;
+            return own == null ? state : own;
         }
 
         private void accept() {
@@ -100,7 +101,7 @@
                     socket.setTcpNoDelay(true);
                     open.add(socket);
                     thread("registry-" + number + "-connection", () -> serve(socket));
-                } catch (IOException closed) {
+                } catch (IOException e) {
                     return;
                 }
             }
@@ -125,29 +126,29 @@
                     while (silent) {
                         Thread.sleep(5);
                     }
-                    JsonObject asked = JsonParser.parseString(body).getAsJsonObject();
+                    JsonObject request = JsonParser.parseString(body).getAsJsonObject();
                     if (path.equals("/v3/watch")) {
-                        watch(asked.getAsJsonObject("create_request"), out);
+                        watch(request.getAsJsonObject("create_request"), out);
                         return;
                     }
-                    byte[] answer = (switch (path) {
-                                case "/v3/kv/range" -> range(asked);
-                                case "/v3/kv/put" -> put(asked);
-                                case "/v3/lease/grant" -> grant(asked);
-                                case "/v3/lease/keepalive" -> renew(asked);
-                                default -> fault("unknown path", 12) + "\n";
+                    byte[] response = (switch (path) {
+                                case "/v3/kv/range" -> range(request);
+                                case "/v3/kv/put" -> put(request);
+                                case "/v3/lease/grant" -> grant(request);
+                                case "/v3/lease/keepalive" -> keepAlive(request);
+                                default -> error("unknown path", 12) + "\n";
                             })
                             .getBytes(StandardCharsets.UTF_8);
                     write(
                             out,
-                            ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + answer.length
+                            ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + response.length
                                             + "\r\n\r\n")
                                     .getBytes(StandardCharsets.ISO_8859_1));
-                    write(out, answer);
+                    write(out, response);
                 }
-            } catch (IOException | RuntimeException gone) {
-                // The other side left, or this side was told to break.
-            } catch (InterruptedException stopped) {
+            } catch (IOException | RuntimeException e) {
+                // The client closed the connection, or the test made the member drop it.
+            } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } finally {
                 open.remove(socket);
@@ -155,120 +156,120 @@
         }
 
         private void write(OutputStream out, byte[] bytes) throws IOException {
-            int piece = split == 0 ? bytes.length : split;
-            for (int from = 0; from < bytes.length; from += piece) {
-                out.write(bytes, from, Math.min(piece, bytes.length - from));
+            int writeBytes = maxWriteBytes == 0 ? bytes.length : maxWriteBytes;
+            for (int from = 0; from < bytes.length; from += writeBytes) {
+                out.write(bytes, from, Math.min(writeBytes, bytes.length - from));
                 out.flush();
             }
         }
 
         private JsonObject header() {
             JsonObject header = new JsonObject();
-            header.addProperty("cluster_id", cluster);
+            header.addProperty("cluster_id", clusterId);
             header.addProperty("member_id", Integer.toString(100 + number));
-            header.addProperty("revision", Long.toString(held().revision()));
+            header.addProperty("revision", Long.toString(visibleState().revision()));
             header.addProperty("raft_term", "3");
             return header;
         }
 
-        private String range(JsonObject asked) {
+        private String range(JsonObject request) {
             synchronized (state) {
-                String from = key(asked, "key");
-                String end = key(asked, "range_end");
+                String from = keyField(request, "key");
+                String end = keyField(request, "range_end");
                 try {
-                    boolean keysOnly = asked.has("keys_only");
-                    RegistryState.Page page =
-                            held().range(from, end, number(asked, "revision"), (int) number(asked, "limit"));
+                    boolean keysOnly = request.has("keys_only");
+                    RegistryState.Page page = visibleState()
+                            .range(from, end, numberField(request, "revision"), (int) numberField(request, "limit"));
                     List<RegistryState.Version> keys = page.keys();
-                    if (asked.has("sort_target")) {
-                        RegistryState.Version newest = held().newest(from, end);
+                    if (request.has("sort_target")) {
+                        RegistryState.Version newest = visibleState().newest(from, end);
                         keys = newest == null ? List.of() : List.of(newest);
                     }
-                    JsonObject answer = new JsonObject();
-                    answer.add("header", header());
+                    JsonObject response = new JsonObject();
+                    response.add("header", header());
                     JsonArray pairs = new JsonArray();
-                    keys.forEach(each -> pairs.add(pair(each, keysOnly)));
-                    answer.add("kvs", pairs);
+                    keys.forEach(each -> pairs.add(toJson(each, keysOnly)));
+                    response.add("kvs", pairs);
                     if (page.more()) {
-                        answer.addProperty("more", true);
+                        response.addProperty("more", true);
                     }
-                    answer.addProperty("count", Long.toString(page.count()));
-                    return answer + "\n";
-                } catch (RegistryState.Compacted old) {
-                    return fault(old.getMessage(), 11) + "\n";
+                    response.addProperty("count", Long.toString(page.count()));
+                    return response + "\n";
+                } catch (RegistryState.Compacted e) {
+                    return error(e.getMessage(), 11) + "\n";
                 }
             }
         }
 
-        private String put(JsonObject asked) {
+        private String put(JsonObject request) {
             synchronized (state) {
-                long lease = number(asked, "lease");
+                long lease = numberField(request, "lease");
                 if (lease != 0 && !leases.containsKey(lease)) {
-                    return fault("etcdserver: requested lease not found", 5) + "\n";
+                    return error("etcdserver: requested lease not found", 5) + "\n";
                 }
                 StandinRegistry.this.put(
-                        key(asked, "key"),
-                        Base64.getDecoder().decode(asked.get("value").getAsString()),
+                        keyField(request, "key"),
+                        Base64.getDecoder().decode(request.get("value").getAsString()),
                         lease);
-                JsonObject answer = new JsonObject();
-                answer.add("header", header());
-                return answer + "\n";
+                JsonObject response = new JsonObject();
+                response.add("header", header());
+                return response + "\n";
             }
         }
 
-        private String grant(JsonObject asked) {
+        private String grant(JsonObject request) {
             synchronized (state) {
-                long seconds = number(asked, "TTL");
+                long seconds = numberField(request, "TTL");
                 leases.put(++lastLease, new double[] {seconds, StandinReplicas.clock() + seconds});
                 return lease(lastLease, seconds) + "\n";
             }
         }
 
-        private String renew(JsonObject asked) {
+        private String keepAlive(JsonObject request) {
             synchronized (state) {
-                long id = number(asked, "ID");
-                double[] known = leases.get(id);
-                if (known != null) {
-                    known[1] = StandinReplicas.clock() + known[0];
+                long id = numberField(request, "ID");
+                double[] lease = leases.get(id);
+                if (lease != null) {
+                    lease[1] = StandinReplicas.clock() + lease[0];
                 }
-                JsonObject answer = new JsonObject();
-                answer.add("result", lease(id, known == null ? 0 : (long) known[0]));
-                return answer + "\n";
+                JsonObject response = new JsonObject();
+                response.add("result", lease(id, lease == null ? 0 : (long) lease[0]));
+                return response + "\n";
             }
         }
 
         private JsonObject lease(long id, long seconds) {
-            JsonObject answer = new JsonObject();
-            answer.add("header", header());
-            answer.addProperty("ID", Long.toString(id));
+            JsonObject response = new JsonObject();
+            response.add("header", header());
+            response.addProperty("ID", Long.toString(id));
             if (seconds > 0) {
-                answer.addProperty("TTL", Long.toString(seconds));
+                response.addProperty("TTL", Long.toString(seconds));
             }
-            return answer;
+            return response;
         }
 
-        private void watch(JsonObject asked, OutputStream out) throws IOException, InterruptedException {
+        private void watch(JsonObject request, OutputStream out) throws IOException, InterruptedException {
             write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-            long next = number(asked, "start_revision");
-            String from = key(asked, "key");
-            String end = key(asked, "range_end");
+            long next = numberField(request, "start_revision");
+            String from = keyField(request, "key");
+            String end = keyField(request, "range_end");
             JsonObject created = new JsonObject();
             created.add("header", header());
             created.addProperty("watch_id", "0");
             created.addProperty("created", true);
-            line(out, created);
+            writeLine(out, created);
             while (true) {
-                JsonObject news = new JsonObject();
+                JsonObject update = new JsonObject();
                 synchronized (state) {
-                    while (mute || silent || held().revision() < next) {
+                    while (watchSilent || silent || visibleState().revision() < next) {
                         state.wait(50);
                         if (listener.isClosed()) {
                             return;
                         }
                     }
                     try {
-                        List<RegistryState.Version> changes = held().changes(from, end, next);
-                        next = held().revision() + 1;
+                        List<RegistryState.Version> changes = visibleState().changes(from, end, next);
+                        next = visibleState().revision() + 1;
                         if (changes.isEmpty()) {
                             continue;
                         }
@@ -278,35 +279,35 @@
                             if (each.value() == null) {
                                 event.addProperty("type", "DELETE");
                             }
-                            event.add("kv", pair(each, false));
+                            event.add("kv", toJson(each, false));
                             events.add(event);
                         });
-                        news.add("header", header());
-                        news.addProperty("watch_id", "0");
-                        news.add("events", events);
-                    } catch (RegistryState.Compacted old) {
-                        news.add("header", header());
-                        news.addProperty("watch_id", "0");
-                        news.addProperty("canceled", true);
-                        news.addProperty("compact_revision", Long.toString(old.upTo));
-                        line(out, news);
+                        update.add("header", header());
+                        update.addProperty("watch_id", "0");
+                        update.add("events", events);
+                    } catch (RegistryState.Compacted e) {
+                        update.add("header", header());
+                        update.addProperty("watch_id", "0");
+                        update.addProperty("canceled", true);
+                        update.addProperty("compact_revision", Long.toString(e.upTo));
+                        writeLine(out, update);
                         return;
                     }
                 }
-                if (breaksNextEvent) {
-                    breaksNextEvent = false;
+                if (breakNextEvent) {
+                    breakNextEvent = false;
                     byte[] half = "1000\r\n{\"result\":{\"header\":{\"revision\":".getBytes(StandardCharsets.UTF_8);
                     write(out, half);
                     return;
                 }
-                line(out, news);
+                writeLine(out, update);
             }
         }
 
-        private void line(OutputStream out, JsonObject result) throws IOException {
-            JsonObject whole = new JsonObject();
-            whole.add("result", result);
-            byte[] text = (whole + "\n").getBytes(StandardCharsets.UTF_8);
+        private void writeLine(OutputStream out, JsonObject result) throws IOException {
+            JsonObject message = new JsonObject();
+            message.add("result", result);
+            byte[] text = (message + "\n").getBytes(StandardCharsets.UTF_8);
             ByteArrayOutputStream chunk = new ByteArrayOutputStream();
             chunk.writeBytes((Integer.toHexString(text.length) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
             chunk.writeBytes(text);
@@ -317,7 +318,7 @@
 
     private final RegistryState state = new RegistryState();
     private final List<Member> members = new ArrayList<>();
-    /** Leases that were granted: their length, and when they run out. */
+    /** Granted leases by id: the time to live and the time of expiry, in seconds. */
     private final Map<Long, double[]> leases = new LinkedHashMap<>();
 
     private long lastLease = 1000;
@@ -327,22 +328,22 @@
         for (int each = 0; each < members; each++) {
             this.members.add(new Member(each));
         }
-        thread("registry-leases", this::expireInTime);
+        thread("registry-leases", this::expireLeases);
     }
 
-    private void expireInTime() {
+    private void expireLeases() {
         while (!closed) {
             synchronized (state) {
-                List<Long> over = new ArrayList<>();
+                List<Long> expired = new ArrayList<>();
                 leases.forEach((id, lease) -> {
                     if (lease[1] < StandinReplicas.clock()) {
-                        over.add(id);
+                        expired.add(id);
                     }
                 });
-                over.forEach(this::expire);
+                expired.forEach(this::expire);
                 try {
                     state.wait(20);
-                } catch (InterruptedException stopped) {
+                } catch (InterruptedException e) {
                     return;
                 }
             }
@@ -353,7 +354,7 @@
         return members;
     }
 
-    /** Writes to what all members that are not cut off hold. */
+    /** Writes a key, for all members that are not partitioned. */
     public long put(String key, String value) {
         synchronized (state) {
             long revision = state.put(key, value);
@@ -386,20 +387,20 @@
         }
     }
 
-    /** Forgets all changes up to now. */
+    /** Compacts all changes up to the current revision. */
     public void compact() {
         synchronized (state) {
             state.compact(state.revision());
         }
     }
 
-    /** How many keys begin so. */
-    public long keys(String prefix) {
+    /** Number of keys with this prefix. */
+    public long keyCount(String prefix) {
         synchronized (state) {
             try {
                 return state.range(prefix, prefix + '\uffff', 0, 0).count();
-            } catch (RegistryState.Compacted never) {
-                throw new IllegalStateException(never);
+            } catch (RegistryState.Compacted e) {
+                throw new IllegalStateException(e);
             }
         }
     }
@@ -419,15 +420,15 @@
         }
     }
 
-    private static String key(JsonObject asked, String field) {
-        return new String(Base64.getDecoder().decode(asked.get(field).getAsString()), StandardCharsets.UTF_8);
+    private static String keyField(JsonObject request, String field) {
+        return new String(Base64.getDecoder().decode(request.get(field).getAsString()), StandardCharsets.UTF_8);
     }
 
-    private static long number(JsonObject asked, String field) {
-        return asked.has(field) ? asked.get(field).getAsLong() : 0;
+    private static long numberField(JsonObject request, String field) {
+        return request.has(field) ? request.get(field).getAsLong() : 0;
     }
 
-    private static JsonObject pair(RegistryState.Version version, boolean keyOnly) {
+    private static JsonObject toJson(RegistryState.Version version, boolean keyOnly) {
         JsonObject pair = new JsonObject();
         pair.addProperty("key", Base64.getEncoder().encodeToString(version.key().getBytes(StandardCharsets.UTF_8)));
         pair.addProperty("mod_revision", Long.toString(version.revision()));
@@ -440,12 +441,12 @@
         return pair;
     }
 
-    private static JsonObject fault(String words, int code) {
-        JsonObject fault = new JsonObject();
-        fault.addProperty("error", words);
-        fault.addProperty("code", code);
-        fault.addProperty("message", words);
-        return fault;
+    private static JsonObject error(String message, int code) {
+        JsonObject error = new JsonObject();
+        error.addProperty("error", message);
+        error.addProperty("code", code);
+        error.addProperty("message", message);
+        return error;
     }
 
     static Thread thread(String name, Runnable work) {
@@ -455,17 +456,17 @@
         return thread;
     }
 
-    /** A request's head up to its empty line; null at the end. */
+    /** The head of a request up to the empty line; null at the end of the stream. */
     private static String head(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         int last = 0;
         while (true) {
-            int one = in.read();
-            if (one < 0) {
+            int next = in.read();
+            if (next < 0) {
                 return null;
             }
-            head.write(one);
-            last = last << 8 | one;
+            head.write(next);
+            last = last << 8 | next;
             if (last == 0x0d0a0d0a) {
                 return head.toString(StandardCharsets.ISO_8859_1);
             }
--- a/testing/standins/src/main/java/pinewick/standins/StandinReplicas.java
+++ b/testing/standins/src/main/java/pinewick/standins/StandinReplicas.java
@@ -13,36 +13,36 @@
 import java.util.List;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** Searchers on loopback that answer every part after a stated time and keep when each part came, by searcher. */
+/** Fake search replicas on loopback that answer every part after a fixed time and record when each part arrived. */
 public final class StandinReplicas implements AutoCloseable {
-    /** A part that came; seconds by {@link System#nanoTime}. */
-    public record Arrival(double at, int searcher, String part) {}
+    /** The arrival of a part at a replica, in seconds on the clock of {@link System#nanoTime}. */
+    public record Arrival(double at, int replica, String part) {}
 
     private final List<ServerSocket> listeners = new ArrayList<>();
     private final ConcurrentLinkedQueue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
-    private final double[] answerTimes;
+    private final double[] serviceSeconds;
 
-    /** @param answerTime seconds from a part's arrival to its answer */
-    public StandinReplicas(int count, double answerTime) throws IOException {
-        this(java.util.stream.DoubleStream.generate(() -> answerTime)
+    /** @param serviceSeconds seconds from the arrival of a part to its response */
+    public StandinReplicas(int count, double serviceSeconds) throws IOException {
+        this(java.util.stream.DoubleStream.generate(() -> serviceSeconds)
                 .limit(count)
                 .toArray());
     }
 
-    /** @param answerTimes seconds from a part's arrival to its answer, by searcher */
-    public StandinReplicas(double... answerTimes) throws IOException {
-        this.answerTimes = answerTimes;
-        for (int each = 0; each < answerTimes.length; each++) {
+    /** @param serviceSeconds seconds from the arrival of a part to its response, by replica */
+    public StandinReplicas(double... serviceSeconds) throws IOException {
+        this.serviceSeconds = serviceSeconds;
+        for (int each = 0; each < serviceSeconds.length; each++) {
             ServerSocket listener = new ServerSocket();
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
             listeners.add(listener);
-            int searcher = each;
-            StandinRegistry.thread("searcher-" + each, () -> accept(listener, searcher));
+            int replica = each;
+            StandinRegistry.thread("searcher-" + each, () -> accept(listener, replica));
         }
     }
 
-    public String address(int searcher) {
-        return "127.0.0.1:" + listeners.get(searcher).getLocalPort();
+    public String address(int replica) {
+        return "127.0.0.1:" + listeners.get(replica).getLocalPort();
     }
 
     public List<Arrival> arrivals() {
@@ -53,19 +53,19 @@
         return System.nanoTime() / 1e9;
     }
 
-    private void accept(ServerSocket listener, int searcher) {
+    private void accept(ServerSocket listener, int replica) {
         while (!listener.isClosed()) {
             try {
                 Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                StandinRegistry.thread("searcher-" + searcher + "-connection", () -> serve(socket, searcher));
-            } catch (IOException closed) {
+                StandinRegistry.thread("searcher-" + replica + "-connection", () -> serve(socket, replica));
+            } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void serve(Socket socket, int searcher) {
+    private void serve(Socket socket, int replica) {
         try (socket) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             OutputStream out = socket.getOutputStream();
@@ -74,18 +74,18 @@
                 byte[] frame = in.readNBytes(length);
                 double at = clock();
                 switch (frame[0]) {
-                    case '1' -> call(frame, searcher, at, out);
+                    case '1' -> onCall(frame, replica, at, out);
                     case '3' -> send(out, '3', "S");
                     case '4' -> send(out, '4', "pending=0");
                     default -> {}
                 }
             }
-        } catch (IOException | InterruptedException gone) {
-            // The mixer closed its connection.
+        } catch (IOException | InterruptedException e) {
+            // The router closed its connection.
         }
     }
 
-    private void call(byte[] frame, int searcher, double at, OutputStream out)
+    private void onCall(byte[] frame, int replica, double at, OutputStream out)
             throws IOException, InterruptedException {
         List<String> parts = new ArrayList<>();
         int from = 1;
@@ -94,25 +94,25 @@
             while (frame[end] != '\n') {
                 end++;
             }
-            String[] words = new String(frame, from, end - from, StandardCharsets.UTF_8).split(" ");
-            parts.add(words[0]);
-            arrivals.add(new Arrival(at, searcher, words[0]));
-            from = end + 1 + Integer.parseInt(words[3]);
+            String[] fields = new String(frame, from, end - from, StandardCharsets.UTF_8).split(" ");
+            parts.add(fields[0]);
+            arrivals.add(new Arrival(at, replica, fields[0]));
+            from = end + 1 + Integer.parseInt(fields[3]);
         }
-        Thread.sleep(Math.round(answerTimes[searcher] * 1e3));
+        Thread.sleep(Math.round(serviceSeconds[replica] * 1e3));
         for (String part : parts) {
             send(out, '5', part + " S 1 pending=0\nvalue-of-" + part);
         }
     }
 
-    private static void send(OutputStream out, char letter, String rest) throws IOException {
-        byte[] text = rest.getBytes(StandardCharsets.UTF_8);
+    private static void send(OutputStream out, char type, String payload) throws IOException {
+        byte[] text = payload.getBytes(StandardCharsets.UTF_8);
         ByteArrayOutputStream frame = new ByteArrayOutputStream();
         int length = Integer.reverseBytes(1 + text.length);
         for (int shift = 24; shift >= 0; shift -= 8) {
             frame.write(length >>> shift);
         }
-        frame.write(letter);
+        frame.write(type);
         frame.writeBytes(text);
         synchronized (out) {
             out.write(frame.toByteArray());
--- a/testing/standins/src/test/java/pinewick/rules/RuleCheckerTest.java
+++ b/testing/standins/src/test/java/pinewick/rules/RuleCheckerTest.java
@@ -6,23 +6,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A broken trace for each thing the checker knows, and a good one that it must not blame. */
+/** A trace with each breach that the checker detects, and a valid one in which it must find none. */
 class RuleCheckerTest {
     private static List<RuleChecker.Breach> judge(String... lines) {
-        List<String> tabbed =
+        List<String> tabSeparated =
                 List.of(lines).stream().map(each -> each.replace(' ', '\t')).toList();
-        return new RuleChecker(0.5, 0.05).judge(Trace.read(tabbed).events());
+        return new RuleChecker(0.5, 0.05).judge(Trace.read(tabSeparated).events());
     }
 
-    private static void blames(int rule, String what, String... lines) {
+    private static void assertBreach(int rule, String description, String... lines) {
         List<RuleChecker.Breach> breaches = judge(lines);
         assertEquals(1, breaches.size(), breaches.toString());
         assertEquals(rule, breaches.get(0).rule());
-        assertEquals(what, breaches.get(0).what());
+        assertEquals(description, breaches.get(0).description());
     }
 
     @Test
-    void aGoodTraceIsNotBlamed() {
+    void acceptsAValidTrace() {
         assertEquals(
                 List.of(),
                 judge(
@@ -39,57 +39,58 @@
     }
 
     @Test
-    void aSecondAnswerBreaksRuleOne() {
-        blames(
+    void secondResponseBreaksRuleOne() {
+        assertBreach(
                 1,
-                "a second final answer",
+                "a second final response",
                 "0 m taken q - - 1",
                 "0.5 m answered q - - declined",
                 "0.6 m answered q - - fulfilled");
     }
 
     @Test
-    void anAnswerTooLateBreaksRuleOne() {
-        blames(1, "an answer after the client's time", "0 m taken q - - 1", "1.06 m answered q - - fulfilled");
+    void lateResponseBreaksRuleOne() {
+        assertBreach(
+                1, "a response after the client's deadline", "0 m taken q - - 1", "1.06 m answered q - - fulfilled");
     }
 
     @Test
-    void noAnswerAtAllBreaksRuleOne() {
-        blames(1, "no answer", "0 m taken q - - 1", "2 m told - - s draining");
+    void missingResponseBreaksRuleOne() {
+        assertBreach(1, "no response", "0 m taken q - - 1", "2 m told - - s draining");
     }
 
     @Test
-    void aPartAfterTheAnswerBreaksRuleOne() {
-        blames(
+    void partAfterTheResponseBreaksRuleOne() {
+        assertBreach(
                 1,
-                "a part sent after the final answer",
+                "a part sent after the final response",
                 "0 m taken q - - 1",
                 "0.2 m answered q - - part",
                 "0.3 m sent q q.0 s 1");
     }
 
     @Test
-    void anAnswerFromNowhereBreaksRuleOne() {
-        blames(1, "an answer to a query never taken", "0.2 m answered q - - fulfilled");
+    void responseToAnUnknownQueryBreaksRuleOne() {
+        assertBreach(1, "a response to an unknown query", "0.2 m answered q - - fulfilled");
     }
 
     @Test
-    void aPartPastTheGraceBreaksRuleThree() {
-        blames(
+    void partAfterTheGracePeriodBreaksRuleThree() {
+        assertBreach(
                 3,
-                "a part sent past the grace",
+                "a part sent after the grace period",
                 "0 m told - - s draining",
                 "0.3 m told - - s gone",
                 "0.51 m sent q q.0 s 0");
     }
 
     @Test
-    void oneMixersNewsIsNoOthers() {
+    void drainKnownToOneRouterDoesNotBindAnother() {
         assertEquals(List.of(), judge("0 m told - - s gone", "5 n sent q q.0 s 0"));
     }
 
     @Test
-    void aLineThatCannotBeReadIsNamed() {
+    void reportsTheNumberOfAMalformedLine() {
         assertEquals(
                 "line 2: 7 fields are expected, not 3",
                 assertThrows(IllegalArgumentException.class, () -> judge("0 m taken q - - 1", "1 m sent"))
