--- a/testing/lab/src/main/java/pinewick/lab/FleetLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/FleetLab.java
@@ -283,34 +283,34 @@
         int[] allMembers = IntStream.range(0, size).toArray();
         int[] otherMembers = IntStream.range(0, size - 1).toArray();
         try (FleetProcesses fleet = new FleetProcesses(size, jar, directory, null, seed)) {
-            fleet.relay().links(0.1, 0.02, 0.001, 0.018);
+            fleet.relay().setLinkQuality(0.1, 0.02, 0.001, 0.018);
             fleet.start(allMembers);
-            if (Double.isNaN(fleet.until(30, allAlive, allMembers))) {
+            if (Double.isNaN(fleet.secondsUntil(30, allAlive, allMembers))) {
                 throw new IllegalStateException("the query routers did not see each other within 30 s");
             }
             for (int round = 0; round < rounds; round++) {
                 TimeUnit.SECONDS.sleep(1);
-                fleet.mixer(size - 1).stop(false);
-                addTime(secondsByCase, "crash", fleet.until(20, "A".repeat(size - 1) + "D", otherMembers));
+                fleet.router(size - 1).stop(false);
+                addTime(secondsByCase, "crash", fleet.secondsUntil(20, "A".repeat(size - 1) + "D", otherMembers));
                 fleet.start(size - 1);
-                if (!fleet.mixer(size - 1).awaitReady(20)) {
+                if (!fleet.router(size - 1).awaitReady(20)) {
                     throw new IllegalStateException("a query router did not become ready within 20 s of its restart");
                 }
-                addTime(secondsByCase, "join, from ready on", fleet.until(20, allAlive, allMembers));
-                fleet.mixer(1).signal("STOP");
+                addTime(secondsByCase, "join, from ready on", fleet.secondsUntil(20, allAlive, allMembers));
+                fleet.router(1).signal("STOP");
                 TimeUnit.SECONDS.sleep(2);
-                fleet.mixer(1).signal("CONT");
-                addTime(secondsByCase, "pause of 2 s, from its end on", fleet.until(20, allAlive, allMembers));
-                falseDeaths += fleet.deathsOf(1, otherMembers) - falseDeaths;
-                fleet.relay().cut((from, to) -> from < 2 != to < 2);
+                fleet.router(1).signal("CONT");
+                addTime(secondsByCase, "pause of 2 s, from its end on", fleet.secondsUntil(20, allAlive, allMembers));
+                falseDeaths += fleet.deathDeclarations(1, otherMembers) - falseDeaths;
+                fleet.relay().partition((from, to) -> from < 2 != to < 2);
                 TimeUnit.SECONDS.sleep(6);
-                fleet.relay().cut((from, to) -> false);
-                addTime(secondsByCase, "split of 6 s, from its end on", fleet.until(20, allAlive, allMembers));
+                fleet.relay().partition((from, to) -> false);
+                addTime(secondsByCase, "split of 6 s, from its end on", fleet.secondsUntil(20, allAlive, allMembers));
                 if (round + 1 < rounds) {
-                    falseDeaths = fleet.deathsOf(1, otherMembers); // due to the partition, not to a pause
+                    falseDeaths = fleet.deathDeclarations(1, otherMembers); // due to the partition, not to a pause
                 }
             }
-            longestDatagram = fleet.relay().longest();
+            longestDatagram = fleet.relay().maxDatagramBytes();
         }
         StringBuilder table =
                 new StringBuilder("Seconds until all processes hold the view (" + size + " mixers on loopback, "
--- a/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
+++ b/testing/lab/src/main/java/pinewick/lab/RegistryLab.java
@@ -27,10 +27,10 @@
 import pinewick.registry.RegistryView;
 import pinewick.rules.RuleChecker;
 import pinewick.rules.Trace;
-import pinewick.standins.MixerProcess;
+import pinewick.standins.QueryRouterProcess;
 import pinewick.standins.RegistryState;
 import pinewick.standins.StandinRegistry;
-import pinewick.standins.StandinSearchers;
+import pinewick.standins.StandinReplicas;
 
 /**
  * Runs query router processes under steady load against a fake registry that compacts its history, drops connections,
@@ -103,7 +103,7 @@
         return pass ? 0 : 1;
     }
 
-    private static String registryValue(StandinSearchers replicas, int replica, String phase) {
+    private static String registryValue(StandinReplicas replicas, int replica, String phase) {
         return "{\"addresses\":[\"" + replicas.address(replica) + "\"],\"zone\":\"a\",\"cell\":" + replica % CELLS
                 + ",\"phase\":\"" + phase + "\"}";
     }
@@ -113,9 +113,9 @@
         SplittableRandom random = new SplittableRandom(seed);
         Path directory = Files.createTempDirectory("pinewick-lab");
         List<Drain> drains = new ArrayList<>();
-        List<MixerProcess> routers = new ArrayList<>();
+        List<QueryRouterProcess> routers = new ArrayList<>();
         try (StandinRegistry registry = new StandinRegistry(3);
-                StandinSearchers replicas = new StandinSearchers(REPLICAS, 0.003)) {
+                StandinReplicas replicas = new StandinReplicas(REPLICAS, 0.003)) {
             for (int index = 0; index < REPLICAS; index++) {
                 registry.put(KEY_PREFIX + "s-" + index, registryValue(replicas, index, "ready"));
             }
@@ -123,7 +123,7 @@
                 routers.add(newRouter(directory.resolve("mixer-" + index), registry));
                 routers.get(index).start();
             }
-            for (MixerProcess router : routers) {
+            for (QueryRouterProcess router : routers) {
                 if (!router.awaitReady(15)) {
                     System.err.println(Files.readString(router.log()));
                     throw new IllegalStateException("a query router did not become ready within 15 s");
@@ -145,7 +145,7 @@
             }
             long registryRevision = registry.revision();
             boolean viewsEqual = true;
-            for (MixerProcess router : routers) {
+            for (QueryRouterProcess router : routers) {
                 String counters = router.get("/counters");
                 viewsEqual &= counters != null
                         && counters.contains("registry-revision " + registryRevision + "\n")
@@ -154,11 +154,11 @@
             return evaluate(figures, drains, replicas, viewsEqual);
         } finally {
             finished.set(true);
-            routers.forEach(MixerProcess::close);
+            routers.forEach(QueryRouterProcess::close);
         }
     }
 
-    private MixerProcess newRouter(Path directory, StandinRegistry registry) throws IOException {
+    private QueryRouterProcess newRouter(Path directory, StandinRegistry registry) throws IOException {
         Files.createDirectories(directory);
         Path operatorFile = directory.resolve("operator.json");
         StringBuilder endpoints = new StringBuilder();
@@ -171,10 +171,10 @@
                 operatorFile,
                 "{\"registry\":{\"endpoints\":[" + endpoints + "],\"prefix\":\"" + KEY_PREFIX + "\",\"kept\":\""
                         + directory.resolve("kept") + "\"}}");
-        return new MixerProcess(jar, directory, operatorFile, SERVICE_CLASS, CELLS);
+        return new QueryRouterProcess(jar, directory, operatorFile, SERVICE_CLASS, CELLS);
     }
 
-    private Thread startClient(List<MixerProcess> routers, int clientIndex) {
+    private Thread startClient(List<QueryRouterProcess> routers, int clientIndex) {
         Thread client = new Thread(
                 () -> {
                     int sequence = 0;
@@ -183,9 +183,9 @@
                             int router = (clientIndex + sequence) % routers.size();
                             boolean unavailableBefore = isUnavailable(router);
                             String id = "q-" + clientIndex + "-" + sequence++;
-                            double startedAt = StandinSearchers.clock();
-                            int status = routers.get(router).ask(id, "any", CELLS, 1);
-                            double endedAt = StandinSearchers.clock();
+                            double startedAt = StandinReplicas.clock();
+                            int status = routers.get(router).query(id, "any", CELLS, 1);
+                            double endedAt = StandinReplicas.clock();
                             if (unavailableBefore || isUnavailable(router)) {
                                 // A killed router does not respond; what it sent still counts for rule 3.
                                 TimeUnit.MILLISECONDS.sleep(10);
@@ -227,8 +227,8 @@
     /** Drains one replica in each of four cells under one fault; all are ready again when it returns. */
     private void runRound(
             StandinRegistry registry,
-            StandinSearchers replicas,
-            List<MixerProcess> routers,
+            StandinReplicas replicas,
+            List<QueryRouterProcess> routers,
             SplittableRandom random,
             Fault fault,
             List<Drain> drains)
@@ -242,14 +242,14 @@
         int router = random.nextInt(routers.size());
         switch (fault) {
             case COMPACTED -> {
-                members.forEach(member -> member.down(true));
+                members.forEach(member -> member.setDown(true));
                 TimeUnit.MILLISECONDS.sleep(50 + random.nextInt(150));
             }
-            case MUTE -> members.forEach(member -> member.mute = true);
+            case MUTE -> members.forEach(member -> member.watchSilent = true);
             case ONE_SILENT -> affected.silent = true;
-            case ONE_CUT_OFF -> affected.cutOff(true);
-            case HALF_LINE -> members.forEach(member -> member.breaksNextEvent = true);
-            case SPLIT -> members.forEach(member -> member.split = 7);
+            case ONE_CUT_OFF -> affected.setPartitioned(true);
+            case HALF_LINE -> members.forEach(member -> member.breakNextEvent = true);
+            case SPLIT -> members.forEach(member -> member.maxWriteBytes = 7);
             case TERM, KILL -> {
                 setUnavailable(router, true);
                 routers.get(router).stop(fault == Fault.TERM);
@@ -261,25 +261,25 @@
         }
         if (fault == Fault.COMPACTED) {
             registry.compact();
-            members.forEach(member -> member.down(false));
+            members.forEach(member -> member.setDown(false));
         } else if (fault == Fault.DROPPED) {
             members.forEach(StandinRegistry.Member::drop);
         } else if (fault == Fault.TERM || fault == Fault.KILL) {
             registry.compact();
         }
-        double writtenAt = StandinSearchers.clock();
+        double writtenAt = StandinReplicas.clock();
         if (fault == Fault.TERM || fault == Fault.KILL) {
             routers.get(router).start();
             boolean ready = routers.get(router).awaitReady(10);
             setUnavailable(router, !ready);
         }
         TimeUnit.MILLISECONDS.sleep(quick ? 1000 : 1100);
-        double windowEnd = StandinSearchers.clock();
+        double windowEnd = StandinReplicas.clock();
         drained.forEach(replica -> drains.add(new Drain(replica, fault, writtenAt, windowEnd)));
         for (StandinRegistry.Member member : members) {
-            member.silent = member.mute = member.breaksNextEvent = false;
-            member.split = 0;
-            member.cutOff(false);
+            member.silent = member.watchSilent = member.breakNextEvent = false;
+            member.maxWriteBytes = 0;
+            member.setPartitioned(false);
         }
         for (int replica : drained) {
             registry.put(KEY_PREFIX + "s-" + replica, registryValue(replicas, replica, "ready"));
@@ -287,9 +287,9 @@
         TimeUnit.MILLISECONDS.sleep(150);
     }
 
-    private boolean evaluate(JsonObject figures, List<Drain> drains, StandinSearchers replicas, boolean viewsEqual)
+    private boolean evaluate(JsonObject figures, List<Drain> drains, StandinReplicas replicas, boolean viewsEqual)
             throws IOException {
-        List<StandinSearchers.Arrival> arrivals = replicas.arrivals();
+        List<StandinReplicas.Arrival> arrivals = replicas.arrivals();
         Map<Fault, Histogram> timesByFault = new LinkedHashMap<>();
         Map<Fault, int[]> lateParts = new LinkedHashMap<>();
         Histogram allTimes = new Histogram(3);
@@ -297,8 +297,8 @@
         for (Drain drain : drains) {
             double lastArrival = 0;
             int lateInDrain = 0;
-            for (StandinSearchers.Arrival arrival : arrivals) {
-                if (arrival.searcher() == drain.replica()
+            for (StandinReplicas.Arrival arrival : arrivals) {
+                if (arrival.replica() == drain.replica()
                         && arrival.at() > drain.writtenAt()
                         && arrival.at() < drain.windowEnd()) {
                     lastArrival = Math.max(lastArrival, arrival.at() - drain.writtenAt());
@@ -316,14 +316,14 @@
             trace.add(drain.writtenAt(), "tier", Trace.Kind.TOLD, "-", "-", "s-" + drain.replica(), "draining");
             trace.add(drain.windowEnd(), "tier", Trace.Kind.TOLD, "-", "-", "s-" + drain.replica(), "ready");
         }
-        for (StandinSearchers.Arrival arrival : arrivals) {
+        for (StandinReplicas.Arrival arrival : arrivals) {
             trace.add(
                     arrival.at(),
                     "tier",
                     Trace.Kind.SENT,
                     arrival.part().substring(0, arrival.part().lastIndexOf('.')),
                     arrival.part(),
-                    "s-" + arrival.searcher(),
+                    "s-" + arrival.replica(),
                     "-");
         }
         List<RuleChecker.Breach> breaches = new RuleChecker(GRACE_SECONDS, 0.5).judge(trace.events());
@@ -431,7 +431,7 @@
         byte[] drainingValue =
                 "{\"addresses\":[\"127.0.0.1:1\"],\"phase\":\"draining\"}".getBytes(StandardCharsets.UTF_8);
         long earlyBytes = 0;
-        double startedAt = StandinSearchers.clock();
+        double startedAt = StandinReplicas.clock();
         for (int change = 1; change <= changes; change++) {
             view.apply(
                     List.of(new KeyValue(KEY_PREFIX + "s-" + change % 1_000, drainingValue, view.revision() + 1, 0)));
@@ -439,7 +439,7 @@
                 earlyBytes = usedHeapBytes();
             }
         }
-        double changesPerSecond = changes / (StandinSearchers.clock() - startedAt);
+        double changesPerSecond = changes / (StandinReplicas.clock() - startedAt);
         double grownMb = (usedHeapBytes() - earlyBytes) / 1e6;
         table.append(String.format(
                 "%n%d changes one by one: %.0f a second; memory held %.1f MB more at the end than after a tenth%n",
@@ -477,9 +477,9 @@
                         .append("\"}}");
             }
             String update = events + "]}}";
-            double startedAt = StandinSearchers.clock();
+            double startedAt = StandinReplicas.clock();
             view.apply(EtcdJson.parseResponse(update).keyValues());
-            double resumeSeconds = StandinSearchers.clock() - startedAt;
+            double resumeSeconds = StandinReplicas.clock() - startedAt;
             double relistSeconds = rebuild(view, pages);
             double naiveKb = pages.stream().mapToInt(String::length).sum() / 1e3;
             table.append(String.format(
@@ -531,14 +531,14 @@
     }
 
     private static double rebuild(RegistryView view, List<String> pages) {
-        double startedAt = StandinSearchers.clock();
+        double startedAt = StandinReplicas.clock();
         view.beginRebuild();
         for (String page : pages) {
             RegistryResponse response = EtcdJson.parseResponse(page);
             view.addPage(response.revision(), response.keyValues());
         }
         view.commit(false);
-        return StandinSearchers.clock() - startedAt;
+        return StandinReplicas.clock() - startedAt;
     }
 
     private static long usedHeapBytes() throws InterruptedException {
